--- /dev/null
+++ b/tests/test_trace_gateway.py
@@ -0,0 +1,498 @@
+"""The quota decisions of several gateways, held to digests of seeded runs over the simulator adapter's text wire.
+
+A run hosts a few gateways in one adapter and plays their surroundings in virtual time: clients that retry and leave,
+backends that warm up, drain, fail and go, endpoint lists that come whole and as deltas, gossip between the gateways
+that is late or lost, and a shared counter that answers, times out or is full. The adapter's replies are the trace.
+"""
+
+from __future__ import annotations
+
+import heapq
+import io
+import itertools
+import json
+import random
+from collections.abc import Callable, Iterator
+from typing import Any, TextIO, cast
+
+import pytest
+
+from tests.trace_digest import TraceDigest
+from thymeflow import Gateway, drill
+from thymeflow import interface as api
+from thymeflow.budgets.units import StrictGateway
+
+OK, ERROR, FULL, TIMEOUT, CONNECT_FAILED, RESET, CANCELLED, MOOT = range(1, 9)
+GONE, READY, DRAINING = range(3)
+DELTA, WHOLE_LIST, CACHED, FAILED = range(4)
+START_SECONDS = 100.0
+BATCH_SECONDS = 0.004
+RUN_SECONDS = 30.0
+COUNTER_TIMEOUT = 0.03
+Fields = dict[str, str]
+
+
+# Builders: the only places that know the names of the code under test.
+
+
+def run_adapter(lines: Iterator[str], out: TextIO) -> None:
+    """Feed lines to the adapter as its standard input."""
+    assert drill.main(cast(TextIO, lines), out) == 0
+
+
+def plain_gateway(settings: api.Settings, seed: int) -> Gateway:
+    """A gateway whose retries, places, calls, probes and connections are bounded over the set."""
+    gateway = Gateway(settings, seed, 0.25)
+    gateway.share = lambda kind: 0.4
+    gateway.wholes = {"calls": 30.0, "trials": 4.0, "connections": 12.0}
+    return gateway
+
+
+def strict_gateway(settings: api.Settings, seed: int) -> Gateway:
+    """A gateway of the strict form, as the run line makes it for units divided by tickets."""
+    return StrictGateway(settings, seed, offset=1000.25)
+
+
+def changed_settings(settings: api.Settings) -> api.Event:
+    """The event that puts other settings in force."""
+    return api.Resettled(settings)
+
+
+def body_begun(rid: str) -> api.Event:
+    """The event of a request body that is forwarded without being kept."""
+    return api.BodyBegun(rid)
+
+
+def exact_line(action: api.Action) -> str:
+    """The wire's line, with what it leaves out of an attempt: within how many seconds it may begin."""
+    line = drill.line_for(action)
+    return f"{line} within={action.within:.6f}" if isinstance(action, api.Send) else line
+
+
+class ExactAdapter(drill.Drill):
+    """An adapter that writes down attempts with all of their terms."""
+
+    def event(self, event: api.Event) -> None:
+        """Hand an event to its instance."""
+        gateway = self.gateways.get(self.instance)
+        if gateway is not None:
+            self.say([exact_line(action) for action in gateway.handle(self.now, event)])
+
+
+def run_directly(make: Callable[[api.Settings, int], Gateway]) -> Callable[[Iterator[str], TextIO], None]:
+    """Feed lines to an adapter whose gateways are made here; two events that its wire lacks are handed in as well."""
+
+    def run(lines: Iterator[str], out: TextIO) -> None:
+        adapter = ExactAdapter(out)
+        for line in lines:
+            kind, _, rest = line.rstrip("\n").partition(" ")
+            if kind == "born":
+                fields = adapter.fields(kind, rest)
+                settings = drill.settings_from(json.loads(fields["settings"]))
+                adapter.gateways[adapter.instance] = make(settings, int(fields["salt"]))
+            elif kind == "body":
+                adapter.event(body_begun(adapter.fields(kind, rest)["rid"]))
+            elif kind == "settings_changed":
+                info = json.loads(adapter.fields(kind, rest)["settings"])
+                adapter.event(changed_settings(drill.settings_from(info)))
+            else:
+                adapter.line(line.rstrip("\n"))
+
+    return run
+
+
+# The surroundings, which know the wire alone.
+
+
+def site(index: int, gateways: int, **changes: Any) -> dict[str, Any]:
+    """Settings of one gateway in the wire's JSON."""
+    base: dict[str, Any] = {
+        "index": index,
+        "balancers": gateways,
+        "zone": "ab"[index % 2],
+        "azs": ["a", "b"],
+        "step": 0.002,
+        "discovery": "on_request" if index % 2 else "pushed",
+        "report": {"how": "inline", "fields": ["active", "avg_ms"]},
+        "rules": {"drain-grace": 0.5, "fall-multiple": 2.0, "fall": 1.5, "cold-share": 0.2, "cold": 8.0},
+        "caps": {
+            "cancel": True,
+            "max-attempts": 3,
+            "may-tell": True,
+            "retry-after": True,
+            "max-retry-after": 1.5,
+        },
+        "family-info": {"trued-up": True, "most-units": 4, "peer-intake": 60.0},
+        "classes": [
+            {"name": "read", "on-time": 0.4, "deadline": 1.2, "effect": "retryable", "late-share": 0.3},
+            {"name": "quick", "on-time": 0.3, "deadline": 0.9, "effect": "retryable"},
+            {"name": "zoned", "on-time": 0.5, "deadline": 1.5, "effect": "dedup", "key-scope": "zone", "window": 0.5},
+            {"name": "celled", "on-time": 0.5, "deadline": 1.5, "effect": "dedup", "key-scope": "cell", "window": 0.6},
+            {"name": "keyed", "on-time": 0.5, "deadline": 1.5, "effect": "dedup", "key-scope": "all", "window": 0.4},
+            {"name": "sign", "on-time": 0.5, "deadline": 2.0, "effect": "fragile", "credit": 3.0},
+            {"name": "feed", "on-time": 0.3, "deadline": 2.0, "effect": "retryable", "stream": True},
+        ],
+        "tiers-of-service": [
+            {"name": "basic", "refill": 8.0, "most-at-once": 16.0},
+            {"name": "capped", "refill": 20.0, "most-at-once": 30.0, "never-over-rate": 6.0, "never-over-depth": 9.0},
+            {"name": "narrow", "refill": 10.0, "most-at-once": 20.0, "parallel": 4},
+            {"name": "scarce", "refill": 1.5, "most-at-once": 7.0, "over-cost": 0.6, "over-worth": 0.2},
+            {"name": "free", "refill": 0.0, "most-at-once": 0.0},
+        ],
+    }
+    return {**base, **changes}
+
+
+class Call:
+    """A request of a client, as its surroundings see it."""
+
+    def __init__(self, instance: int, fields: Fields) -> None:
+        self.instance, self.fields = instance, fields
+        self.answered = False
+        self.attempts: dict[int, int] = {}
+        self.over: set[int] = set()
+
+
+class Surroundings:
+    """Everything around the gateways, in virtual time."""
+
+    def __init__(self, seed: int, instances: list[dict[str, Any]], rate: float, direct: bool = False) -> None:
+        self.rng = random.Random(seed)
+        self.instances, self.rate, self.direct = instances, rate, direct
+        self.trace, self.out = TraceDigest(), io.StringIO()
+        self.now, self.end = START_SECONDS, START_SECONDS + RUN_SECONDS
+        self.queue: list[tuple[float, int, int, str]] = []
+        self.order, self.requests, self.pages = itertools.count(), itertools.count(1), itertools.count()
+        self.calls: dict[str, Call] = {}
+        self.totals: dict[int, float] = {}
+        self.alive = set(range(len(instances)))
+        self.endpoints = {number: [number, "ab"[number % 2], number % 3, READY, 0.0] for number in range(1, 11)}
+        self.customers = [
+            (f"k:{n}", instances[0]["tiers-of-service"][n % 5]["name"], 1 + n % len(instances), n % len(instances))
+            for n in range(14)
+        ]
+
+    def add_scarce_customers(self, count: int) -> None:
+        """Add customers whose quota is small and whose set is all of the gateways."""
+        everywhere = len(self.instances)
+        self.customers = [(f"s:{n}", "scarce", everywhere, n % everywhere) for n in range(count)] + self.customers
+
+    def run(self, runner: Callable[[Iterator[str], TextIO], None]) -> TraceDigest:
+        """Play until the end; the trace."""
+        runner(self.script(), self.out)
+        return self.trace
+
+    def at(self, delay: float, instance: int, line: str) -> None:
+        """Schedule a line for an instance; a line of several is taken in one batch."""
+        heapq.heappush(self.queue, (self.now + delay, next(self.order), instance, line))
+
+    def script(self) -> Iterator[str]:
+        """The wire's lines, batch by batch; each batch is made when the reply to the one before is there."""
+        for instance in sorted(self.alive):
+            self.at(0.01 * instance, instance, "start")
+        self.at(0.1, -1, "arrival")
+        for moment in range(1, int(RUN_SECONDS)):
+            self.at(moment + 0.003, -1, f"change {moment}")
+        while self.queue and self.queue[0][0] < self.end:
+            self.now = self.queue[0][0]
+            yield f"clock wall={self.now:.6f}\n"
+            speaking = None
+            while self.queue and self.queue[0][0] <= self.now + BATCH_SECONDS:
+                _, _, instance, text = heapq.heappop(self.queue)
+                for line in self.lines(instance, text):
+                    if instance >= 0 and instance != speaking:
+                        yield f"at i={instance}\n"
+                        speaking = instance
+                    self.trace.events[line.partition(" ")[0]] += 1
+                    yield line + "\n"
+            yield "end\n"
+            self.reply()
+
+    def reply(self) -> None:
+        text = self.out.getvalue()
+        self.out.seek(0)
+        self.out.truncate()
+        self.trace.add_step(text)
+        assert text.endswith("ready\n")
+        instance = -1
+        for line in text.splitlines()[:-1]:
+            kind, _, rest = line.partition(" ")
+            assert kind != "exception", line
+            fields = dict(pair.split("=", 1) for pair in rest.split())
+            if kind == "for":
+                instance = int(fields["i"])
+            else:
+                self.trace.actions[kind] += 1
+                getattr(self, f"on_{kind}")(instance, fields)
+
+    def lines(self, instance: int, text: str) -> list[str]:
+        """What a scheduled text comes to by now."""
+        kind, _, rest = text.partition(" ")
+        if kind == "arrival":
+            self.arrive()
+            return []
+        if kind == "change":
+            return self.change(int(rest))
+        if kind == "start":
+            settings = json.dumps(self.instances[instance])
+            return [f"born salt={100 + instance} settings={settings}", *self.membership(CACHED)]
+        if instance not in self.alive and kind != "halt":
+            return []
+        if kind == "attempt_end":
+            return self.ended(text)
+        if kind == "left":
+            call = self.calls[rest.removeprefix("rid=")]
+            if call.answered:
+                return []
+            call.answered = True
+        if kind == "list":
+            return self.membership(int(rest))
+        return [text]
+
+    # Clients.
+
+    def arrive(self) -> None:
+        elapsed = self.now - START_SECONDS
+        crowd = 12.0 < elapsed < 12.5
+        busy = 15.0 if crowd else 2.5 if 8.0 < elapsed < 16.0 else 1.0
+        self.at(self.rng.expovariate(self.rate * busy), -1, "arrival")
+        key, plan, spread, first = self.rng.choice(self.customers[: self.rng.choice((3, 14))])
+        if crowd:
+            plan = "free"
+        instance = (first + self.rng.randrange(spread)) % len(self.instances)
+        classes = [c["name"] for c in self.instances[0]["classes"]]
+        if self.rng.random() < 0.02:
+            plan = "none"
+        fields = {
+            "cls": "odd" if self.rng.random() < 0.02 else self.rng.choice(classes),
+            "tier": plan,
+            "user-key": key,
+            "remaining": f"{self.rng.choice((0.01, 0.4, 1.0, 1.5, 2.0, 2.0)):.3f}",
+            "weight": str(self.rng.choice((1, 1, 1, 1, 2, 2, 3, 4, 0))),
+            "spread": str(spread),
+            "first": str(first),
+            "is-write": str(self.rng.randrange(2)),
+        }
+        self.ask(instance, fields, 0.0)
+
+    def ask(self, instance: int, fields: Fields, delay: float) -> None:
+        rid = f"{next(self.requests):016x}"
+        self.calls[rid] = Call(instance, fields)
+        self.at(delay, instance, f"incoming rid={rid} " + " ".join(f"{k}={v}" for k, v in fields.items()))
+        if self.rng.random() < 0.05:
+            self.at(delay + self.rng.choice((0.005, 0.3)), instance, f"left rid={rid}")
+        if self.direct and self.rng.random() < 0.05:
+            self.at(delay + self.rng.uniform(0.0, 0.1), instance, f"body rid={rid}")
+
+    def on_bounce(self, instance: int, fields: Fields) -> None:
+        call = self.calls[fields["rid"]]
+        call.answered = True
+        if "is-retry" not in call.fields and self.rng.random() < 0.4:
+            wait = float(fields.get("not-before-for", "0.2")) + self.rng.uniform(0.0, 0.1)
+            self.ask(call.instance, {**call.fields, "is-retry": "1"}, wait)
+
+    def on_error(self, instance: int, fields: Fields) -> None:
+        self.calls[fields["rid"]].answered = True
+
+    # Backends.
+
+    def on_issue(self, instance: int, fields: Fields) -> None:
+        rid, backend, limit = fields["rid"], int(fields["backend"]), float(fields.get("try-for", "0"))
+        call = self.calls[rid]
+        number = len(call.attempts)
+        call.attempts[number] = backend
+        status, latency = self.outcome(backend)
+        if limit and latency > limit:
+            status, latency = TIMEOUT, limit
+        if call.fields["cls"] == "feed" and status == OK:
+            text = f"head_received rid={rid} round-no={number} backend={backend} spent={0.5 * latency:.6f}"
+            self.at(0.5 * latency, instance, text)
+            latency *= 2.0
+        if status == TIMEOUT and not limit and self.rng.random() < 0.7:
+            return  # silent to the end
+        text = f"attempt_end rid={rid} round-no={number} backend={backend} reason={status} spent={latency:.6f}"
+        self.at(latency, instance, text)
+
+    def outcome(self, backend: int) -> tuple[int, float]:
+        elapsed, chance = self.now - START_SECONDS, self.rng.random()
+        if backend in (1, 2, 3) and 10.0 < elapsed < 15.0:
+            return (TIMEOUT, 0.6) if chance < 0.5 else (OK, self.rng.uniform(0.4, 1.0))
+        if backend in (4, 5) and 5.0 < elapsed < 9.0:
+            return CONNECT_FAILED if chance < 0.6 else RESET, self.rng.uniform(0.001, 0.05)
+        if backend == 6 and 16.0 < elapsed < 20.0:
+            return ERROR if chance < 0.8 else FULL, self.rng.uniform(0.001, 0.02)
+        if chance < 0.06:
+            return self.rng.choice((ERROR, FULL, TIMEOUT, RESET, CONNECT_FAILED, MOOT)), self.rng.uniform(0.005, 0.2)
+        return OK, self.rng.uniform(0.02, 0.6 if 10.0 < elapsed < 15.0 else 0.2)
+
+    def ended(self, text: str) -> list[str]:
+        fields = dict(pair.split("=", 1) for pair in text.split()[1:])
+        call, number = self.calls[fields["rid"]], int(fields["round-no"])
+        if number in call.over:
+            return []
+        call.over.add(number)
+        if fields["reason"] != str(OK):
+            return [text]
+        if not call.answered:
+            call.answered = True
+            billed = max(0.25, float(call.fields["weight"]) * self.rng.choice((0.5, 1.0, 1.0, 1.5)))
+            text += f" over=1 billed={billed}"
+        if self.rng.random() < 0.2:
+            text += f" fleet-use={self.rng.randrange(1, 260)}"
+        return [text + f" metrics=active:{self.rng.randrange(9)},avg_ms:{self.rng.randrange(200)}"]
+
+    def on_call_off(self, instance: int, fields: Fields) -> None:
+        rid, number = fields["rid"], int(fields["round-no"])
+        backend = self.calls[rid].attempts[number]
+        text = f"attempt_end rid={rid} round-no={number} backend={backend} reason={CANCELLED} spent=0.01"
+        self.at(0.01, instance, text)
+
+    # Discovery.
+
+    def membership(self, kind: int, numbers: list[int] | None = None) -> list[str]:
+        """A list of some endpoints, or of all that are not gone, on a page of its own."""
+        shown = [self.endpoints[n] for n in numbers] if numbers else [e for e in self.endpoints.values() if e[3]]
+        page = next(self.pages)
+        if kind == FAILED:
+            return [f"membership page={page} how={kind}"]
+        rows = [
+            f"backend backend={number} az={zone} group={cell} lifecycle={state} started-at={started:.3f} rating=1"
+            for number, zone, cell, state, started in shown
+        ]
+        return [
+            f"table page={page} nodes-list={len(rows)}",
+            *rows,
+            f"membership page={page} how={kind} revision={page}",
+        ]
+
+    def change(self, moment: int) -> list[str]:
+        """What happens to the site at some second."""
+        script: dict[int, tuple[int, int]] = {3: (7, DRAINING), 4: (7, GONE), 17: (9, DRAINING), 19: (9, READY)}
+        if moment in script:
+            number, state = script[moment]
+            self.endpoints[number][3] = state
+            self.announce(DELTA, [number])
+        if moment in (5, 12, 21):
+            number = 10 + moment
+            self.endpoints[number] = [number, "ab"[moment % 2], moment % 3, READY, self.now - 0.5]
+            self.announce(DELTA, [number])
+        if moment in (7, 23):
+            self.endpoints[3][4] = self.now  # a later incarnation
+            self.announce(WHOLE_LIST if moment == 7 else DELTA, [3] if moment == 23 else None)
+        if moment in (9, 18):
+            self.announce(FAILED, None)
+        if moment == 14:
+            self.alive.discard(1)
+            self.at(0.0, 1, "halt")
+        if moment == 16:
+            self.alive.add(1)
+            self.at(0.0, 1, "start")
+        if moment == 20:
+            self.totals.clear()
+        if moment == 26:
+            self.at(0.0, 0, f"message sender=1 data={'00' * 6}")
+            self.at(0.0, 0, "message sender=99 data=0300010001000000000100000000")
+            self.at(0.0, 0, "probe_done backend=2 reason=1 spent=0.01")
+            self.at(0.0, 0, "reminder cookie=1")
+        if self.direct and moment in (11, 22):
+            self.resize(0.5 if moment == 11 else 1.5)
+        return []
+
+    def announce(self, kind: int, numbers: list[int] | None) -> None:
+        for instance in sorted(self.alive):
+            for line in self.membership(kind, numbers):
+                self.at(0.001 * instance, instance, line)
+
+    def on_subscribe(self, instance: int, fields: Fields) -> None:
+        self.at(0.02, instance, f"list {WHOLE_LIST}")
+
+    def on_fetch(self, instance: int, fields: Fields) -> None:
+        self.at(0.02, instance, f"list {CACHED}")
+
+    def resize(self, factor: float) -> None:
+        """Other settings come into force: quotas change, and the last plan goes or comes back."""
+        for instance, before in enumerate(self.instances):
+            plans = [
+                {**plan, "refill": plan["refill"] * factor, "most-at-once": plan["most-at-once"] * factor}
+                for plan in before["tiers-of-service"]
+            ]
+            after = {**before, "tiers-of-service": plans[:-1], "balancers": before["balancers"] + (factor > 1.0)}
+            self.instances[instance] = after
+            if instance in self.alive:
+                self.at(0.0, instance, f"settings_changed settings={json.dumps(after)}")
+
+    # Timers, peers and the counter.
+
+    def on_arm(self, instance: int, fields: Fields) -> None:
+        self.at(float(fields["from-now"]), instance, f"reminder cookie={fields['cookie']}")
+
+    def on_share(self, instance: int, fields: Fields) -> None:
+        peer = int(fields["whom"])
+        text = f"message sender={instance} data={fields['data']}"
+        for target in range(len(self.instances)) if peer < 0 else [peer]:
+            if target < len(self.instances) and self.rng.random() < 0.95:
+                self.at(self.rng.uniform(0.005, 0.08), target, text)
+            if target < len(self.instances) and self.rng.random() < 0.03:
+                self.at(self.rng.uniform(0.3, 0.9), target, text)
+
+    def on_add(self, instance: int, fields: Fields) -> None:
+        name, chance = int(fields["book"]), self.rng.random()
+        deaf = 9.0 < self.now - START_SECONDS < 10.5
+        if chance < 0.03:
+            status, latency = FULL, 0.004
+        elif chance < 0.06:
+            status, latency = CONNECT_FAILED, 0.004
+        elif chance < 0.12 or deaf:
+            status, latency = TIMEOUT, COUNTER_TIMEOUT
+        else:
+            status, latency = OK, self.rng.choice((0.002, 0.005, 0.01, 0.06))
+        if status == OK or (status == TIMEOUT and self.rng.random() < 0.5):
+            self.totals[name] = self.totals.get(name, 0.0) + float(fields["qty"])
+        total = "nan" if self.rng.random() < 0.01 else f"{self.totals.get(name, 0.0):.9g}"
+        text = f"ledger_reply book={name} reason={status} reading={total} spent={latency:.6f}"
+        self.at(latency, instance, text)
+
+
+def counted(index: int, gateways: int, **changes: Any) -> dict[str, Any]:
+    """Settings of a gateway that has a counter and tells its peers nothing."""
+    base = site(index, gateways)
+    information = {**base["family-info"], "may-count": True, "counter-timeout": COUNTER_TIMEOUT}
+    return {**base, "caps": {**base["caps"], "may-tell": False}, "family-info": information, **changes}
+
+
+@pytest.fixture
+def gossiping() -> TraceDigest:
+    """Four gateways that hear of each other by gossip."""
+    return Surroundings(11, [site(n, 4) for n in range(4)], 30.0).run(run_adapter)
+
+
+def test_actions_match_the_recorded_trace_when_gateways_gossip(gossiping: TraceDigest) -> None:
+    gossiping.check("gateway-gossip")
+
+
+def test_actions_match_the_recorded_trace_when_a_small_set_has_a_counter() -> None:
+    trace = Surroundings(12, [counted(n, 3) for n in range(3)], 30.0).run(run_adapter)
+    trace.check("gateway-counter")
+
+
+def test_actions_match_the_recorded_trace_when_a_large_set_asks_the_counter() -> None:
+    surroundings = Surroundings(13, [counted(n, 6) for n in range(6)], 60.0)
+    surroundings.add_scarce_customers(8)
+    trace = surroundings.run(run_adapter)
+    trace.check("gateway-asking")
+
+
+def test_actions_match_the_recorded_trace_when_fleet_limits_bound_gateways_and_settings_change() -> None:
+    trace = Surroundings(14, [site(n, 4) for n in range(3)], 30.0, direct=True).run(run_directly(plain_gateway))
+    trace.check("gateway-bounded")
+
+
+def test_actions_match_the_recorded_trace_when_units_are_reserved_at_the_counter() -> None:
+    instances = [counted(n, 4) for n in range(3)]
+    trace = Surroundings(15, instances, 30.0, direct=True).run(run_directly(strict_gateway))
+    trace.check("gateway-strict")
+
+
+def test_every_kind_of_event_and_of_action_occurs_when_gateways_gossip(gossiping: TraceDigest) -> None:
+    assert {"head_received", "attempt_end", "left", "reminder", "probe_done", "message"} <= gossiping.events.keys()
+    assert {"issue", "bounce", "error", "call_off", "arm", "share", "subscribe"} <= gossiping.actions.keys()
