--- a/.ci/known_red.py
+++ b/.ci/known_red.py
@@ -14,7 +14,7 @@
 
 LIST = Path("KNOWN-RED.txt")
 MOST = 3
-PASSED, FAILED, COLLECTED = 0, 1, 0    # exit codes of pytest
+PASSED, FAILED, COLLECTED = 0, 1, 0  # exit codes of pytest
 
 
 def known(text: str) -> list[str]:
@@ -47,8 +47,12 @@
 def pytest(*words: str, quiet: bool = False) -> int:
     """The exit code of pytest, in the present folder."""
     path = os.pathsep.join([str(Path(__file__).resolve().parent), os.environ.get("PYTHONPATH", "")])
-    return subprocess.run([sys.executable, "-m", "pytest", *words], check=False, env={**os.environ, "PYTHONPATH": path},
-                          stdout=subprocess.DEVNULL if quiet else None).returncode
+    return subprocess.run(
+        [sys.executable, "-m", "pytest", *words],
+        check=False,
+        env={**os.environ, "PYTHONPATH": path},
+        stdout=subprocess.DEVNULL if quiet else None,
+    ).returncode
 
 
 def main(words: list[str]) -> int:
--- a/Makefile
+++ b/Makefile
@@ -16,7 +16,9 @@
 	$(DEV)/python -m pytest -q -n auto
 
 lint: .venv-dev
+	$(DEV)/ruff format --check .
 	$(DEV)/ruff check .
+	$(DEV)/lint-imports --no-cache
 	$(DEV)/mypy
 
 run: .venv
--- a/benchmarks/in_service.py
+++ b/benchmarks/in_service.py
@@ -1,7 +1,7 @@
 """What the days in service ask of the run line, measured over our own stand-ins; exit 1 past a bound.
 
-    python benchmarks/in_service.py long        # twenty 4 MiB answers at once at a 64 MB limit, small ones beside them
-    python benchmarks/in_service.py upgrades    # ten upgrades under load, and what ended at the door meanwhile
+python benchmarks/in_service.py long        # twenty 4 MiB answers at once at a 64 MB limit, small ones beside them
+python benchmarks/in_service.py upgrades    # ten upgrades under load, and what ended at the door meanwhile
 """
 
 from __future__ import annotations
@@ -14,21 +14,21 @@
 import tempfile
 import threading
 import time
-from collections import Counter as Tally
+from collections import Counter as RequestCounters
 from pathlib import Path
 from typing import Any
 
 import psutil
 from twisted.internet.defer import inlineCallbacks
 
-from thymeflow.lab.standins import Customer, World
-from thymeflow.lab.steps import Steps, reactor, sleep
+from thymeflow.testkit.async_steps import Steps, reactor, sleep
+from thymeflow.testkit.fakes import Customer, World
 
 ROOT = Path(__file__).resolve().parent.parent
-MEMORY, LONG, MOST = 64, 20, 4 * 2**20     # MB of the limit; answers at once, and their bytes
-PACE = 1e6                                 # bytes a second that each of their readers takes
-SMALL = 100.0                              # small requests a second beside them
-UPGRADES, LOAD = 10, 200.0                 # how many, and requests a second all the while
+MEMORY, LONG, MOST = 64, 20, 4 * 2**20  # MB of the limit; answers at once, and their bytes
+PACE = 1e6  # bytes a second that each of their readers takes
+SMALL = 100.0  # small requests a second beside them
+UPGRADES, LOAD = 10, 200.0  # how many, and requests a second all the while
 
 
 class Copy:
@@ -37,8 +37,12 @@
     def __init__(self, config: Path, folder: Path) -> None:
         self.begun, self.lines = time.monotonic(), list[str]()
         self.process = subprocess.Popen(
-            [sys.executable, "-m", "thymeflow"], cwd=ROOT, stderr=subprocess.PIPE, text=True,
-            env={**os.environ, "BALANCER_CONFIG": str(config), "TMPDIR": str(folder)})
+            [sys.executable, "-m", "thymeflow"],
+            cwd=ROOT,
+            stderr=subprocess.PIPE,
+            text=True,
+            env={**os.environ, "BALANCER_CONFIG": str(config), "TMPDIR": str(folder)},
+        )
         threading.Thread(target=self._read, daemon=True).start()
 
     def _read(self) -> None:
@@ -97,8 +101,11 @@
     took = max(r.ended - r.begun for r in big)
     copy.process.send_signal(signal.SIGTERM)
     good = whole == LONG and peak < MEMORY * 2**20
-    print(f"long-values: whole={whole}/{LONG} bytes={MOST} took_s={took:.1f} peak_mb={peak / 2**20:.1f}/{MEMORY} "
-          f"small_p99_ms={alone:.1f}->{beside:.1f} within={'yes' if good else 'no'}", flush=True)
+    print(
+        f"long-values: whole={whole}/{LONG} bytes={MOST} took_s={took:.1f} peak_mb={peak / 2**20:.1f}/{MEMORY} "
+        f"small_p99_ms={alone:.1f}->{beside:.1f} within={'yes' if good else 'no'}",
+        flush=True,
+    )
     return int(not good)
 
 
@@ -127,12 +134,15 @@
         yield sleep(0.05)
     copy.process.send_signal(signal.SIGTERM)
     results = world.agents.results
-    found = Tally(r.verdict for r in results)
+    found = RequestCounters(r.verdict for r in results)
     resent, twice = sum(r.resent for r in results), len(world.answered_twice()) + len(world.unlawful())
     good = not (found["refused connect"] or found["unanswered"] or twice)
-    print(f"upgrades: n={UPGRADES} asked={len(results)} refused_connects={found['refused connect']} "
-          f"unanswered={found['unanswered']} twice={twice} crossed_a_close={resent} ready_s={max(ready):.2f} "
-          f"both_mb={both / 2**20:.0f} within={'yes' if good else 'no'}", flush=True)
+    print(
+        f"upgrades: n={UPGRADES} asked={len(results)} refused_connects={found['refused connect']} "
+        f"unanswered={found['unanswered']} twice={twice} crossed_a_close={resent} ready_s={max(ready):.2f} "
+        f"both_mb={both / 2**20:.0f} within={'yes' if good else 'no'}",
+        flush=True,
+    )
     return int(not good)
 
 
@@ -148,8 +158,9 @@
     def begin() -> None:
         world = World(reactor, 3, servers=4, plans=plans)
         world.start()
-        kinds[sys.argv[1]](world, folder).addCallbacks(
-            code.append, lambda failure: failure.printTraceback()).addBoth(lambda _: reactor.stop())
+        kinds[sys.argv[1]](world, folder).addCallbacks(code.append, lambda failure: failure.printTraceback()).addBoth(
+            lambda _: reactor.stop()
+        )
 
     with tempfile.TemporaryDirectory(prefix="tf") as name:
         folder = Path(name)
--- a/benchmarks/prove_budgets.py
+++ b/benchmarks/prove_budgets.py
@@ -25,47 +25,67 @@
 from twisted.internet.defer import inlineCallbacks
 from twisted.internet.task import LoopingCall
 
-from thymeflow.budgets import table
-from thymeflow.budgets.kinds import WHOLE, Kind
-from thymeflow.lab.between.fleet import Fleet
-from thymeflow.lab.between.judges import got, judged
-from thymeflow.lab.between.quota import firsts, worst
-from thymeflow.lab.between.rig import Rig
-from thymeflow.lab.between.schedule import Do, Link, Schedule, Step, Way
-from thymeflow.lab.budget_model import RULES, Model, caught
-from thymeflow.lab.explore import explored
-from thymeflow.lab.standins import Customer, World
-from thymeflow.lab.standins.site import CLASSES, PLANS
-from thymeflow.lab.steps import Steps, reactor, sleep
+from thymeflow.leases import grant_file
+from thymeflow.leases.resources import WHOLE, Resource
+from thymeflow.testkit.async_steps import Steps, reactor, sleep
+from thymeflow.testkit.fakes import Customer, World
+from thymeflow.testkit.fakes.site import CLASSES, PLANS
+from thymeflow.testkit.faults.cluster import Rig
+from thymeflow.testkit.faults.fleet_cluster import Fleet
+from thymeflow.testkit.faults.invariants import got, judged
+from thymeflow.testkit.faults.quota_checks import firsts, worst
+from thymeflow.testkit.faults.schedule import Do, Link, Schedule, Step, Way
+from thymeflow.testkit.lease_model import RULES, Model, caught
+from thymeflow.testkit.model_checker import explored
 
 FULL, BREAK = os.environ.get("FULL") == "1", os.environ.get("BREAK", "")
 MEMBERS, VICTIMS = 12, 8
 FAULTS = 160 if FULL else 40
-PACE = 0.5                # s between faults
-LONGEST_STOP = 5.0        # s
-REGAINED = 5.0            # s: in which survivors have to hold what LEAST says
-LEAST = 90.0              # percent of the whole
+PACE = 0.5  # s between faults
+LONGEST_STOP = 5.0  # s
+REGAINED = 5.0  # s: in which survivors have to hold what LEAST says
+LEAST = 90.0  # percent of the whole
 DEPTH = 6 if FULL else 5
-PATIENCE = 60.0           # s: for a fleet to be ready
-UP, RESTARTS = 105.0, 110.0   # percent of the one true store that a customer may get: counter up, through restarts
-KILLED = 15.0             # s: when all of the run line are killed
-BROKEN = ("import sys; from thymeflow.budgets.ledger import Ledger; Ledger.free = lambda self, now: self.whole; "
-          "from thymeflow.cli import run; sys.exit(run())")
+PATIENCE = 60.0  # s: for a fleet to be ready
+UP, RESTARTS = 105.0, 110.0  # percent of the one true store that a customer may get: counter up, through restarts
+KILLED = 15.0  # s: when all of the run line are killed
+BROKEN = (
+    "import sys; from thymeflow.leases.ledger import Ledger; Ledger.free = lambda self, now: self.whole; "
+    "from thymeflow.cli import run; sys.exit(run())"
+)
 
 
 def run_line() -> Schedule:
     """Twelve of the platform's run line through faults on links and processes, and through two restarts."""
     all_of, some, others = tuple(range(MEMBERS)), (0, 3, 6, 9), (1, 4, 7)
-    steps = [Step(1.0, Do.STOP, (2, 5)), Step(4.0, Do.GO_ON, (2, 5)),
-             Step(2.0, Do.SILENCE, some, Link.COUNTER), Step(5.0, Do.HEAL, some, Link.COUNTER),
-             Step(3.0, Do.DELAY, others, Link.COUNTER, amount=0.2), Step(7.0, Do.HEAL, others, Link.COUNTER),
-             Step(6.0, Do.SILENCE, some, Link.COUNTER, Way.IN), Step(8.0, Do.HEAL, some, Link.COUNTER),
-             Step(8.5, Do.CUT, others, Link.COUNTER), Step(10.0, Do.HEAL, others, Link.COUNTER),
-             Step(9.0, Do.STALL, some, Link.COUNTER, amount=200), Step(11.0, Do.HEAL, some, Link.COUNTER),
-             Step(KILLED, Do.KILL, all_of), Step(KILLED + 0.05, Do.START, all_of),
-             Step(KILLED + 5.0, Do.KILL, all_of[:VICTIMS]), Step(KILLED + 6.0, Do.START, all_of[:VICTIMS])]
-    return Schedule(limiters=MEMBERS, servers=4, seconds=KILLED + 11.0, seed=23, demand=3.0, customers=16,
-                    units="demand" if BREAK == "demand" else "tickets", steps=tuple(steps))
+    steps = [
+        Step(1.0, Do.STOP, (2, 5)),
+        Step(4.0, Do.GO_ON, (2, 5)),
+        Step(2.0, Do.SILENCE, some, Link.COUNTER),
+        Step(5.0, Do.HEAL, some, Link.COUNTER),
+        Step(3.0, Do.DELAY, others, Link.COUNTER, amount=0.2),
+        Step(7.0, Do.HEAL, others, Link.COUNTER),
+        Step(6.0, Do.SILENCE, some, Link.COUNTER, Way.IN),
+        Step(8.0, Do.HEAL, some, Link.COUNTER),
+        Step(8.5, Do.CUT, others, Link.COUNTER),
+        Step(10.0, Do.HEAL, others, Link.COUNTER),
+        Step(9.0, Do.STALL, some, Link.COUNTER, amount=200),
+        Step(11.0, Do.HEAL, some, Link.COUNTER),
+        Step(KILLED, Do.KILL, all_of),
+        Step(KILLED + 0.05, Do.START, all_of),
+        Step(KILLED + 5.0, Do.KILL, all_of[:VICTIMS]),
+        Step(KILLED + 6.0, Do.START, all_of[:VICTIMS]),
+    ]
+    return Schedule(
+        limiters=MEMBERS,
+        servers=4,
+        seconds=KILLED + 11.0,
+        seed=23,
+        demand=3.0,
+        customers=16,
+        units="demand" if BREAK == "demand" else "tickets",
+        steps=tuple(steps),
+    )
 
 
 class Proof:
@@ -76,12 +96,13 @@
         self.rng = random.Random(23)
         self.world = World(reactor, 7, servers=8)
         self.world.start()
-        self.fleet = Fleet(self.world, self.folder, MEMBERS, code=BROKEN if BREAK == "free" else "",
-                           wait=REGAINED + 2.0)
+        self.fleet = Fleet(
+            self.world, self.folder, MEMBERS, code=BROKEN if BREAK == "free" else "", wait=REGAINED + 2.0
+        )
         self.begun, self.most, self.faults, self.looks = time.monotonic(), 0.0, 0, 0
-        self.held: dict[str, float] = {}       # percent of the whole by member, of the kind that has least
-        self.units = {"fleet": 0.0, "up": 0.0, "restart": 0.0}   # worst customer, percent of the one true store
-        self.used = 0.0                        # percent of their quotas that customers got while the counter was up
+        self.held: dict[str, float] = {}  # percent of the whole by member, of the kind that has least
+        self.units = {"fleet": 0.0, "up": 0.0, "restart": 0.0}  # worst customer, percent of the one true store
+        self.used = 0.0  # percent of their quotas that customers got while the counter was up
         self.wrong: list[str] = []
         self.customers: list[Customer] = []
 
@@ -94,16 +115,18 @@
         with contextlib.suppress(OSError):
             data = (self.fleet.state / "fleet.grants").read_bytes()
             try:
-                found = table.unpack(data, "n")
-            except table.TableError as fault:
+                found = grant_file.unpack(data, "n")
+            except grant_file.GrantFileError as fault:
                 self.wrong.append(f"the table on the disk: {fault}")
                 return
             self.looks += 1
-            kinds = range(len(Kind))
-            sums = [sum(r.noted[k] + r.noted[k + len(Kind)] for r in found.rows.values()) for k in kinds]
+            kinds = range(len(Resource))
+            sums = [sum(r.noted[k] + r.noted[k + len(Resource)] for r in found.rows.values()) for k in kinds]
             self.most = max(self.most, *(100.0 * s / WHOLE for s in sums))
-            self.held = {h: min(100.0 * (r.noted[k] + r.noted[k + len(Kind)]) / WHOLE for k in kinds)
-                         for h, r in found.rows.items()}
+            self.held = {
+                h: min(100.0 * (r.noted[k] + r.noted[k + len(Resource)]) / WHOLE for k in kinds)
+                for h, r in found.rows.items()
+            }
 
     @inlineCallbacks
     def fault(self) -> Steps:
@@ -143,8 +166,9 @@
         for n in range(36):
             plan = list(PLANS)[n % len(PLANS)]
             demand = 3.0 if n % 3 == 0 and PLANS[plan][0] < 5.0 else 0.7
-            self.customers.append(Customer(1 + n, plan, demand * PLANS[plan][0], first=n % MEMBERS, spread=3,
-                                           of=MEMBERS, favourite=0.5))
+            self.customers.append(
+                Customer(1 + n, plan, demand * PLANS[plan][0], first=n % MEMBERS, spread=3, of=MEMBERS, favourite=0.5)
+            )
             self.world.agents.begin(self.customers[-1], CLASSES)
         self.say(f"{MEMBERS} members under load")
         for _ in range(FAULTS):
@@ -182,15 +206,21 @@
         self.wrong += [found.fault] * bool(found.fault) + [f"not caught: {name}" for name in missed]
         self.wrong += [f"the sum came to {self.most:.3f}%"] * (self.most > 100.0)
         self.wrong += [f"survivors hold {share:.1f}% after {regained:.1f} s"] * (share < LEAST)
-        self.wrong += [f"a customer got {percent:.1f}% of its quota: {what}" for what, percent in self.units.items()
-                       if percent > (UP if what == "up" else RESTARTS)]
+        self.wrong += [
+            f"a customer got {percent:.1f}% of its quota: {what}"
+            for what, percent in self.units.items()
+            if percent > (UP if what == "up" else RESTARTS)
+        ]
         for fault in self.wrong[:10]:
             print(f"fault: {fault}")
-        print(f"prove-budgets: max_sum_pct={self.most:.3f} worst_units_pct_up={self.units['up']:.1f} "
-              f"worst_units_pct_restart={max(self.units['restart'], self.units['fleet']):.1f} "
-              f"units_used_pct_up={self.used:.1f} used_after_loss_pct={share:.1f} regained_s={regained:.2f} "
-              f"faults={self.faults} looks={self.looks} states_explored={found.states} "
-              f"broken_caught={len(RULES) - len(missed)}/{len(RULES)}", flush=True)
+        print(
+            f"prove-budgets: max_sum_pct={self.most:.3f} worst_units_pct_up={self.units['up']:.1f} "
+            f"worst_units_pct_restart={max(self.units['restart'], self.units['fleet']):.1f} "
+            f"units_used_pct_up={self.used:.1f} used_after_loss_pct={share:.1f} regained_s={regained:.2f} "
+            f"faults={self.faults} looks={self.looks} states_explored={found.states} "
+            f"broken_caught={len(RULES) - len(missed)}/{len(RULES)}",
+            flush=True,
+        )
 
     @inlineCallbacks
     def run_lines(self) -> Steps:
@@ -202,16 +232,20 @@
         self.units["up"] = got(rig, rig.begun + KILLED).percent
         self.units["restart"] = got(rig).percent
         quota, sent = 0.0, 0.0
-        for customer in {r.customer.name: r.customer for r in rig.world.agents.results if r.begun < rig.begun + KILLED
-                         }.values():
+        for customer in {
+            r.customer.name: r.customer for r in rig.world.agents.results if r.begun < rig.begun + KILLED
+        }.values():
             rate, burst = rig.world.plans[customer.plan]
             quota += burst + rate * KILLED
-            sent += sum(a.units for a in rig.world.arrivals()
-                        if a.customer == customer.name and a.at < rig.begun + KILLED)
+            sent += sum(
+                a.units for a in rig.world.arrivals() if a.customer == customer.name and a.at < rig.begun + KILLED
+            )
         self.used = 100.0 * sent / quota
         self.wrong += [f"{judge}: {fault}" for judge, faults in judged(rig).items() for fault in faults[:3]]
-        self.say(f"{MEMBERS} of the run line: the worst customer got {self.units['up']:.1f}% of its quota with the "
-                 f"counter up, {self.units['restart']:.1f}% through restarts; all together {self.used:.1f}%")
+        self.say(
+            f"{MEMBERS} of the run line: the worst customer got {self.units['up']:.1f}% of its quota with the "
+            f"counter up, {self.units['restart']:.1f}% through restarts; all together {self.used:.1f}%"
+        )
 
     def clean(self) -> None:
         """End what is left."""
--- a/benchmarks/prove_fleet.py
+++ b/benchmarks/prove_fleet.py
@@ -17,30 +17,29 @@
 import sys
 import tempfile
 import time
-from collections import Counter as Tally
+from collections import Counter as RequestCounters
 from pathlib import Path
 from typing import Any
 
 import psutil
 from twisted.internet.defer import Deferred, inlineCallbacks
 
-from thymeflow.lab.standins import Customer, World
-from thymeflow.lab.standins.site import CLASSES, PLANS
-from thymeflow.lab.steps import Steps, reactor, sleep
-from thymeflow.net import clock
-from thymeflow.succession.ask import Unanswered, ask
+from thymeflow.handover.control_client import NoAnswerError, ask
+from thymeflow.runtime import clock
+from thymeflow.testkit.async_steps import Steps, reactor, sleep
+from thymeflow.testkit.fakes import Customer, World
+from thymeflow.testkit.fakes.site import CLASSES, PLANS
 
 FULL = os.environ.get("FULL") == "1"
 BREAK = os.environ.get("BREAK", "")
 MEMBERS, MORE = 20, 24
-PARTY = ("pesta", (0.5, 60.0))       # a plan whose burst is worth two minutes of its rate: minting would show
-PARTY_PACE = 4.0                     # requests a second of each party customer, whose set is one limiter
-ORDINARY, SHARE = 64, 0.9            # customers of the other plans, and what they ask of their quota
-LATE_AFTER = 10.0                    # s after joining, from when a late joiner has to be like its peers
+PARTY = ("pesta", (0.5, 60.0))  # a plan whose burst is worth two minutes of its rate: minting would show
+PARTY_PACE = 4.0  # requests a second of each party customer, whose set is one limiter
+ORDINARY, SHARE = 64, 0.9  # customers of the other plans, and what they ask of their quota
+LATE_AFTER = 10.0  # s after joining, from when a late joiner has to be like its peers
 MOST_GAP = 0.05
-MARGIN = 3.0                         # units: what docs/fleet.md promises for a customer of one limiter
-LONGEST = 300.0 if FULL else 100.0   # s: past it something hangs, and that is a failure
-
+MARGIN = 3.0  # units: what docs/fleet.md promises for a customer of one limiter
+LONGEST = 300.0 if FULL else 100.0  # s: past it something hangs, and that is a failure
 
 
 class Proof:
@@ -59,7 +58,8 @@
         (self.folder / "thymeflow.ini").write_text(
             f"[fleet]\ninstances = {MEMBERS}\nspread = 900ms\nsettle = {'2s' if FULL else '150ms'}\n"
             f"[log]\nform = json\nfile = {self.folder}/log\n"
-            f"[snapshot]\nevery = 1s\nkeep = {'no' if BREAK == 'memory' else 'yes'}\n")
+            f"[snapshot]\nevery = 1s\nkeep = {'no' if BREAK == 'memory' else 'yes'}\n"
+        )
         self.begun = time.monotonic()
         self.facts: dict[str, Any] = {}
         self.faults: list[str] = []
@@ -72,9 +72,21 @@
     def up(self) -> None:
         """Start a supervisor."""
         self.supervisor = subprocess.Popen(
-            [sys.executable, "-m", "thymeflow", "fleet", "up", "--settings", str(self.folder / "thymeflow.ini"),
-             "--platform", str(self.folder / "platform.json"), "--state", str(self.folder / "s")],
-            stdout=subprocess.DEVNULL)
+            [
+                sys.executable,
+                "-m",
+                "thymeflow",
+                "fleet",
+                "up",
+                "--settings",
+                str(self.folder / "thymeflow.ini"),
+                "--platform",
+                str(self.folder / "platform.json"),
+                "--state",
+                str(self.folder / "s"),
+            ],
+            stdout=subprocess.DEVNULL,
+        )
 
     def order(self, patience: float = 90.0, **message: Any) -> Deferred[dict[str, Any]]:
         """Ask the supervisor; progress is not printed, only the end counts."""
@@ -85,7 +97,7 @@
         """The fleet's status; {} while nobody answers."""
         try:
             answer = yield self.order(2.0, do="status")
-        except Unanswered:
+        except NoAnswerError:
             return {}
         return answer
 
@@ -117,8 +129,18 @@
         plans = list(PLANS)
         for n in range(ORDINARY):
             plan = plans[n % len(plans)]
-            self.world.agents.begin(Customer(1000 + n, plan, SHARE * PLANS[plan][0], first=(n * 7) % gateways,
-                                             spread=3, of=gateways, favourite=0.5), CLASSES)
+            self.world.agents.begin(
+                Customer(
+                    1000 + n,
+                    plan,
+                    SHARE * PLANS[plan][0],
+                    first=(n * 7) % gateways,
+                    spread=3,
+                    of=gateways,
+                    favourite=0.5,
+                ),
+                CLASSES,
+            )
         for n in range(MEMBERS):
             self.world.agents.begin(Customer(1 + n, PARTY[0], PARTY_PACE, first=n, of=gateways), CLASSES)
 
@@ -174,36 +196,61 @@
         """What was seen from outside."""
         world = self.world
         results = world.agents.results
-        verdicts = Tally(r.verdict for r in results)
+        verdicts = RequestCounters(r.verdict for r in results)
         allowed = PARTY[1][1] + PARTY[1][0] * span + MARGIN
         sent = [world.units_sent(Customer(1 + n, PARTY[0], PARTY_PACE)) for n in range(MEMBERS)]
         asked = PARTY_PACE * span
-        self.say(f"party customers were sent on {min(sent):.0f} to {max(sent):.0f} units of {allowed:.1f} allowed and "
-                 f"about {asked:.0f} asked")
+        self.say(
+            f"party customers were sent on {min(sent):.0f} to {max(sent):.0f} units of {allowed:.1f} allowed and "
+            f"about {asked:.0f} asked"
+        )
         unanswered, twice = world.unanswered(), world.answered_twice()
         for result in (unanswered + twice)[:5]:
             at = time.monotonic() - self.begun - (clock.now() - result.begun)
-            self.say(f"{result.id} at {at:.2f} s through {result.limiter}: {result.verdict}, {result.answers} answers, "
-                     f"{'; '.join(result.notes)}")
+            self.say(
+                f"{result.id} at {at:.2f} s through {result.limiter}: {result.verdict}, {result.answers} answers, "
+                f"{'; '.join(result.notes)}"
+            )
         cpu = psutil.Process().cpu_times()
         self.say(f"this process, stand-ins and user agents: {cpu.user + cpu.system:.0f} s of CPU")
         self.say(f"verdicts {dict(verdicts)}; counter turned away {world.counter.turned_away} of {world.counter.calls}")
         self.facts.update(
-            requests=len(results), unanswered=len(unanswered), twice=len(twice) + len(world.unlawful()),
+            requests=len(results),
+            unanswered=len(unanswered),
+            twice=len(twice) + len(world.unlawful()),
             lost_to_kill=sum(r.verdict == "unanswered" and r.killed for r in results),
             refused_connects=verdicts["refused connect"],
-            failed=verdicts["failed"],     # no server here fails: a member that knows another size of the set does
-            minted_units=round(max(0.0, max(sent) - allowed), 1))
+            failed=verdicts["failed"],  # no server here fails: a member that knows another size of the set does
+            minted_units=round(max(0.0, max(sent) - allowed), 1),
+        )
 
     def verdict(self) -> int:
         """The last line, and the exit code."""
         facts = self.facts
-        order = ("requests", "unanswered", "twice", "ready_s", "refused_connects", "late_joiner_gap", "minted_units",
-                 "rss_mb_each", "lost_to_kill", "failed")
+        order = (
+            "requests",
+            "unanswered",
+            "twice",
+            "ready_s",
+            "refused_connects",
+            "late_joiner_gap",
+            "minted_units",
+            "rss_mb_each",
+            "lost_to_kill",
+            "failed",
+        )
         missed = [name for name in order if name not in facts]
-        bad = bool(self.faults or missed or facts["unanswered"] or facts["twice"] or facts["minted_units"]
-                   or facts["late_joiner_gap"] > MOST_GAP or facts["refused_connects"] or facts["failed"]
-                   or facts["requests"] < 1000)
+        bad = bool(
+            self.faults
+            or missed
+            or facts["unanswered"]
+            or facts["twice"]
+            or facts["minted_units"]
+            or facts["late_joiner_gap"] > MOST_GAP
+            or facts["refused_connects"]
+            or facts["failed"]
+            or facts["requests"] < 1000
+        )
         for fault in self.faults + [f"not measured: {name}" for name in missed]:
             self.say(f"FAULT {fault}")
         print("prove-fleet: " + " ".join(f"{name}={facts.get(name, '?')}" for name in order), flush=True)
@@ -238,8 +285,9 @@
         proof.faults.append(f"no end within {LONGEST:g} s")
         reactor.stop()
 
-    reactor.callWhenRunning(lambda: proof.run().addErrback(failed).addBoth(
-        lambda _: reactor.stop() if reactor.running else None))
+    reactor.callWhenRunning(
+        lambda: proof.run().addErrback(failed).addBoth(lambda _: reactor.stop() if reactor.running else None)
+    )
     reactor.callLater(LONGEST, hung)
     try:
         reactor.run()
--- a/benchmarks/prove_overload.py
+++ b/benchmarks/prove_overload.py
@@ -20,28 +20,30 @@
 
 from twisted.internet.defer import inlineCallbacks
 
-from thymeflow.lab.between.fleet import Fleet
-from thymeflow.lab.standins import Customer, Result, World
-from thymeflow.lab.standins.site import CLASSES, PLANS
-from thymeflow.lab.standins.world import TrueStore
-from thymeflow.lab.steps import Steps, reactor, sleep
-from thymeflow.net import clock
+from thymeflow.runtime import clock
+from thymeflow.testkit.async_steps import Steps, reactor, sleep
+from thymeflow.testkit.fakes import Customer, Result, World
+from thymeflow.testkit.fakes.environment import TrueStore
+from thymeflow.testkit.fakes.site import CLASSES, PLANS
+from thymeflow.testkit.faults.fleet_cluster import Fleet
 
 SIZES = tuple(int(n) for n in os.environ.get("SIZES", "3,12,24").split(","))
 BREAK = os.environ.get("BREAK", "")
 ALONE = "[overload]\ntogether = no\n[budgets]\ntrials = 10000\n"
 LOAD, SERVERS, CUSTOMERS = 120.0, 6, 12
-LEARN, WATCHED, BACK = 4.0, 8.0, 15.0    # s: until all know; counted over; for the server to be back
+LEARN, WATCHED, BACK = 4.0, 8.0, 15.0  # s: until all know; counted over; for the server to be back
 MOST_RATIO, MOST_ATTEMPTS, MOST_BACK, LEAST_GOOD = 1.5, 1.15, 10.0, 85.0
-SLOTS, SLOW, THRASH = 1, 0.1, 0.05       # of a server that has slowed down: 60 a second in all, half of the load
-BEYOND = 4                               # customers that ask three times their quota, to be refused first
+SLOTS, SLOW, THRASH = 1, 0.1, 0.05  # of a server that has slowed down: 60 a second in all, half of the load
+BEYOND = 4  # customers that ask three times their quota, to be refused first
 OVER, SETTLING, KILLED = 11.0, 4.0, 9.0  # s: of overload; before the level is where it stays; when half are killed
-LEAST_GOODPUT, MOST_INVERSIONS = 85.0, 5.0   # percent of the capacity; of the refusals
-WELL = 20.0                              # s: for goodput to be back
-REPEATS, REST = 0.5, 0.1                 # share of the refused that come again; s before that, at least
-NOTHING_SHED = ("import sys; from thymeflow import pressure; from thymeflow.overload.level import Level; "
-                "pressure.places = lambda *_: 1e9; pressure.shed = lambda *_: 0.0; "
-                "Level.beat = lambda self, now: 0.0; from thymeflow.cli import run; sys.exit(run())")    # in both
+LEAST_GOODPUT, MOST_INVERSIONS = 85.0, 5.0  # percent of the capacity; of the refusals
+WELL = 20.0  # s: for goodput to be back
+REPEATS, REST = 0.5, 0.1  # share of the refused that come again; s before that, at least
+NOTHING_SHED = (
+    "import sys; from thymeflow.health import pressure; from thymeflow.shedding.threshold import AdmissionThreshold; "
+    "pressure.concurrency_limit = lambda *_: 1e9; pressure.shed_fraction = lambda *_: 0.0; "
+    "AdmissionThreshold.tick = lambda self, now: 0.0; from thymeflow.cli import run; sys.exit(run())"
+)  # in both
 
 
 class Size:
@@ -52,8 +54,9 @@
         self.world = World(reactor, 7, servers=SERVERS)
         self.world.start()
         broken = NOTHING_SHED if BREAK == "shed" else ""
-        self.fleet = Fleet(self.world, self.folder, members, ALONE if BREAK == "alone" else "", broken,
-                           members_code=broken)
+        self.fleet = Fleet(
+            self.world, self.folder, members, ALONE if BREAK == "alone" else "", broken, members_code=broken
+        )
         self.bad_passes = self.back = self.attempts = self.good = 0.0
         self.goodput = self.inversions = self.recovered = 0.0
         self._ended, self.world.agents.on_end = self.world.agents.on_end, self._again
@@ -72,8 +75,10 @@
 
     def served(self, since: float, until: float) -> float:
         """Answers a second that came within the aim of their class, in a span."""
-        return sum(r.verdict == "served" and since <= r.ended < until and r.ended - r.begun <= 1.0
-                   for r in self.world.agents.results) / max(1e-9, until - since)
+        return sum(
+            r.verdict == "served" and since <= r.ended < until and r.ended - r.begun <= 1.0
+            for r in self.world.agents.results
+        ) / max(1e-9, until - since)
 
     @inlineCallbacks
     def overload(self, pids: list[int]) -> Steps:
@@ -84,7 +89,7 @@
             server.mean, server.slots, server.thrash = SLOW, SLOTS, THRASH
         yield sleep(KILLED)
         self.goodput = 100.0 * self.served(began + SETTLING, clock.now()) / (SERVERS * SLOTS / SLOW)
-        for pid in pids[:len(pids) // 2]:
+        for pid in pids[: len(pids) // 2]:
             self.fleet.signal(pid, signal.SIGKILL)
         yield sleep(OVER - KILLED)
         end = clock.now()
@@ -118,11 +123,26 @@
         self.fleet.up()
         pids = yield self.fleet.ready(self.members)
         for n in range(CUSTOMERS):
-            self.world.agents.begin(Customer(1 + n, "korporat", LOAD / CUSTOMERS, first=n * self.members // CUSTOMERS,
-                                             spread=min(3, self.members), of=self.members), CLASSES)
+            self.world.agents.begin(
+                Customer(
+                    1 + n,
+                    "korporat",
+                    LOAD / CUSTOMERS,
+                    first=n * self.members // CUSTOMERS,
+                    spread=min(3, self.members),
+                    of=self.members,
+                ),
+                CLASSES,
+            )
         for n in range(BEYOND):
-            beyond = Customer(101 + n, "kedai", 3.0 * PLANS["kedai"][0], first=n * self.members // BEYOND,
-                              spread=min(3, self.members), of=self.members)
+            beyond = Customer(
+                101 + n,
+                "kedai",
+                3.0 * PLANS["kedai"][0],
+                first=n * self.members // BEYOND,
+                spread=min(3, self.members),
+                of=self.members,
+            )
             self.world.agents.begin(beyond, CLASSES)
         yield sleep(2.0)
         bad, began = self.world.servers[0], clock.now()
@@ -134,7 +154,7 @@
         while self.passes(0, clock.now() - 1.0, clock.now()) < 0.5 * LOAD / SERVERS and clock.now() < well + BACK:
             yield sleep(0.05)
         self.back = clock.now() - well
-        self.fleet.signal(pids[0], signal.SIGSTOP)        # it goes on with what it knew
+        self.fleet.signal(pids[0], signal.SIGSTOP)  # it goes on with what it knew
         yield sleep(3.0)
         self.fleet.signal(pids[0], signal.SIGCONT)
         yield sleep(3.0)
@@ -152,7 +172,7 @@
     def _judge(self, began: float, end: float) -> None:
         results = [r for r in self.world.agents.results if began <= r.begun < end and r.customer.plan == "korporat"]
         served = sum(r.verdict == "served" for r in results)
-        stopped = sum(r.verdict == "unanswered" for r in results)      # of the member that was stopped
+        stopped = sum(r.verdict == "unanswered" for r in results)  # of the member that was stopped
         self.good = 100.0 * served / max(1, len(results) - stopped)
         at, everything = began, self.world.agents.results
         while at + 5.0 <= everything[-1].begun:
@@ -182,10 +202,13 @@
             yield size.run()
         finally:
             size.clean()
-        print(f"{time.monotonic() - begun:6.1f} s  {members} members: {size.bad_passes:.2f} passes/s into the bad one, "
-              f"back after {size.back:.1f} s, {size.attempts:.3f} attempts a first try, {size.good:.1f}% served; "
-              f"in overload {size.goodput:.1f}% of the capacity, {size.inversions:.1f}% of refusals inverted, "
-              f"well after {size.recovered:.1f} s", flush=True)
+        print(
+            f"{time.monotonic() - begun:6.1f} s  {members} members: {size.bad_passes:.2f} passes/s into the bad one, "
+            f"back after {size.back:.1f} s, {size.attempts:.3f} attempts a first try, {size.good:.1f}% served; "
+            f"in overload {size.goodput:.1f}% of the capacity, {size.inversions:.1f}% of refusals inverted, "
+            f"well after {size.recovered:.1f} s",
+            flush=True,
+        )
 
 
 def main() -> int:
@@ -210,14 +233,17 @@
     inversions = max(s.inversions for s in sizes)
     wrong += [f"goodput at {goodput:.1f}% of the capacity in overload"] * (goodput < LEAST_GOODPUT)
     wrong += [f"{inversions:.1f}% of refusals were of who had room while others had none"] * (
-        inversions > MOST_INVERSIONS)
+        inversions > MOST_INVERSIONS
+    )
     wrong += [f"well again after {recovered:.1f} s"] * (recovered >= WELL)
     for fault in wrong:
         print(f"fault: {fault}")
-    print(f"prove-overload: bad_passes_ratio_{last.members}_to_{first.members}={ratio:.2f} "
-          f"bad_passes_s={last.bad_passes:.2f} attempts_per_first_max={attempts:.3f} back_s={back:.1f} "
-          f"served_pct={good:.1f} shed_inversions_pct={inversions:.1f} recovered_s={recovered:.1f} "
-          f"goodput_pct_of_capacity={goodput:.1f}")
+    print(
+        f"prove-overload: bad_passes_ratio_{last.members}_to_{first.members}={ratio:.2f} "
+        f"bad_passes_s={last.bad_passes:.2f} attempts_per_first_max={attempts:.3f} back_s={back:.1f} "
+        f"served_pct={good:.1f} shed_inversions_pct={inversions:.1f} recovered_s={recovered:.1f} "
+        f"goodput_pct_of_capacity={goodput:.1f}"
+    )
     return int(bool(wrong))
 
 
--- a/benchmarks/run_line.py
+++ b/benchmarks/run_line.py
@@ -24,10 +24,10 @@
 from twisted.internet.defer import inlineCallbacks
 from twisted.internet.threads import deferToThread
 
-from thymeflow.lab.standins import Customer, World
-from thymeflow.lab.steps import Steps, reactor, sleep
+from thymeflow.testkit.async_steps import Steps, reactor, sleep
+from thymeflow.testkit.fakes import Customer, World
 
-REQUESTS, PACE = 2400, 600.0     # a round; open-loop, a second
+REQUESTS, PACE = 2400, 600.0  # a round; open-loop, a second
 
 
 def pong(address: tuple[str, int]) -> None:
@@ -41,10 +41,15 @@
 def one(world: World, tree: Path, config: Path) -> Steps:
     """Start, idle MB and CPU ms a request of one tree."""
     begun = time.monotonic()
-    process = subprocess.Popen([sys.executable, "-m", "thymeflow"], cwd=tree, stderr=subprocess.PIPE, text=True,
-                               env={**os.environ, "BALANCER_CONFIG": str(config)})
+    process = subprocess.Popen(
+        [sys.executable, "-m", "thymeflow"],
+        cwd=tree,
+        stderr=subprocess.PIPE,
+        text=True,
+        env={**os.environ, "BALANCER_CONFIG": str(config)},
+    )
     assert process.stderr is not None
-    while "phase: serving" not in (line := (yield deferToThread(process.stderr.readline))):   # discovery has to answer
+    while "phase: serving" not in (line := (yield deferToThread(process.stderr.readline))):  # discovery has to answer
         if "listening:" in line:
             world.addresses[0] = ("127.0.0.1", int(line.rsplit(":", 1)[1]))
     yield deferToThread(pong, world.addresses[0])
@@ -89,12 +94,18 @@
             for name in (("other", "this"), ("this", "other"))[turn % 2]:
                 tree = other if name == "other" else Path(__file__).resolve().parent.parent
                 found[name].append((yield one(world, tree, config)))
-                print(f"round {turn + 1} {name}: start {found[name][-1][0]:.3f} s, {found[name][-1][1]:.2f} MB, "
-                      f"{found[name][-1][2]:.3f} ms a request", flush=True)
+                print(
+                    f"round {turn + 1} {name}: start {found[name][-1][0]:.3f} s, {found[name][-1][1]:.2f} MB, "
+                    f"{found[name][-1][2]:.3f} ms a request",
+                    flush=True,
+                )
     old, new = ([median(values) for values in zip(*found[name], strict=True)] for name in ("other", "this"))
     good = new[0] <= old[0] * 1.03 and new[1] <= old[1] + 1.0 and new[2] <= old[2] * 1.03
-    print(f"run-line: start_s={old[0]:.3f}->{new[0]:.3f} idle_mb={old[1]:.2f}->{new[1]:.2f} "
-          f"cpu_ms={old[2]:.3f}->{new[2]:.3f} within={'yes' if good else 'no'}", flush=True)
+    print(
+        f"run-line: start_s={old[0]:.3f}->{new[0]:.3f} idle_mb={old[1]:.2f}->{new[1]:.2f} "
+        f"cpu_ms={old[2]:.3f}->{new[2]:.3f} within={'yes' if good else 'no'}",
+        flush=True,
+    )
     return int(not good)
 
 
@@ -102,8 +113,13 @@
     """Measure; the exit code."""
     code: list[int] = []
     rounds = int(sys.argv[2]) if len(sys.argv) > 2 else 5
-    reactor.callWhenRunning(lambda: measure(Path(sys.argv[1]), rounds).addCallbacks(
-        code.append, lambda failure: failure.printTraceback()).addBoth(lambda _: reactor.stop()))
+    reactor.callWhenRunning(
+        lambda: (
+            measure(Path(sys.argv[1]), rounds)
+            .addCallbacks(code.append, lambda failure: failure.printTraceback())
+            .addBoth(lambda _: reactor.stop())
+        )
+    )
     reactor.run()
     return code[0] if code else 1
 
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -4,58 +4,98 @@
 
 from typing import Any
 
-from thymeflow import Gateway
-from thymeflow import interface as i
-
-SAFE = i.RequestClass("read", aim=1.0, deadline=4.0, effect=i.Effect.SAFE)
-KEYED = i.RequestClass("book", aim=1.0, deadline=4.0, effect=i.Effect.KEYED, scope=i.Scope.ZONE, window=0.4)
-UNSAFE = i.RequestClass("sign", aim=1.0, deadline=4.0, effect=i.Effect.UNSAFE)
-PLAN = i.Plan("plain", rate=10.0, burst=30.0)
-CAPPED = i.Plan("capped", rate=50.0, burst=90.0, ceiling_rate=15.0, ceiling_burst=30.0, ceiling_slack=3.0)
-RULES = i.Rules(drain_grace=0.5, fall_multiple=2.0, fall_time=1.5, cold_share=0.2, cold_time=10.0,
-                answer_slack=0.01)
-
-
-def settings(**changes: Any) -> i.Settings:
+from thymeflow.decision.actions import Action, StartAttempt
+from thymeflow.decision.events import AttemptEnded, EndpointsChanged, RequestReceived
+from thymeflow.decision.gateway import Gateway
+from thymeflow.decision.settings import (
+    GatewaySettings,
+    Idempotency,
+    IdempotencyScope,
+    Information,
+    Limits,
+    Plan,
+    RequestClass,
+    Rules,
+)
+from thymeflow.decision.types import Backend, EndpointListKind, Status
+from thymeflow.quota.token_bucket import TokenBucket
+
+SAFE = RequestClass("read", latency_objective=1.0, deadline=4.0, idempotency=Idempotency.IDEMPOTENT)
+KEYED = RequestClass(
+    "book",
+    latency_objective=1.0,
+    deadline=4.0,
+    idempotency=Idempotency.WITH_KEY,
+    idempotency_scope=IdempotencyScope.ZONE,
+    idempotency_window=0.4,
+)
+UNSAFE = RequestClass("sign", latency_objective=1.0, deadline=4.0, idempotency=Idempotency.NOT_IDEMPOTENT)
+PLAN = Plan("plain", rate=10.0, burst=30.0)
+CAPPED = Plan("capped", rate=50.0, burst=90.0, ceiling_rate=15.0, ceiling_burst=30.0, ceiling_slack=3.0)
+RULES = Rules(
+    drain_grace=0.5,
+    overload_multiple=2.0,
+    overload_seconds=1.5,
+    slow_start_fraction=0.2,
+    slow_start_seconds=10.0,
+    response_grace=0.01,
+)
+
+
+def settings(**changes: Any) -> GatewaySettings:
     """Three gateways, two zones; whatever a test needs is changed."""
     base: dict[str, Any] = {
-        "index": 0, "gateways": 3, "zone": "a", "zones": ("a", "b"), "classes": (SAFE, KEYED, UNSAFE),
-        "plans": (PLAN, CAPPED), "rules": RULES,
-        "limits": i.Limits(cancel=True, max_attempts=3, second_copies=False),
-        "information": i.Information(max_units=4.0, settles=True, peer_intake=100.0), "tick": 0.002}
-    return i.Settings(**{**base, **changes})
-
-
-def fleet(count: int = 4) -> tuple[i.Backend, ...]:
+        "index": 0,
+        "limiter_count": 3,
+        "zone": "a",
+        "zones": ("a", "b"),
+        "classes": (SAFE, KEYED, UNSAFE),
+        "plans": (PLAN, CAPPED),
+        "rules": RULES,
+        "limits": Limits(cancel=True, max_attempts=3, hedged_requests=False),
+        "information": Information(max_units=4.0, settles_units=True, max_gossip_per_second=100.0),
+        "timer_resolution": 0.002,
+    }
+    return GatewaySettings(**{**base, **changes})
+
+
+def fleet(count: int = 4) -> tuple[Backend, ...]:
     """Warm backends, alternating between the zones."""
-    return tuple(i.Backend(n, "ab"[n % 2], cell=n % 2) for n in range(1, count + 1))
+    return tuple(Backend(n, "ab"[n % 2], cell=n % 2) for n in range(1, count + 1))
 
 
-def started(config: i.Settings | None = None, now: float = 0.0, seed: int = 1) -> Gateway:
+def started(config: GatewaySettings | None = None, now: float = 0.0, seed: int = 1) -> Gateway:
     """A gateway that holds a list."""
     gateway = Gateway(config or settings(), seed)
-    gateway.handle(now, i.Membership(i.ListKind.CACHED, fleet()))
+    gateway.handle(now, EndpointsChanged(EndpointListKind.CACHED, fleet()))
     return gateway
 
 
-def request(name: str, units: float = 1.0, **changes: Any) -> i.Request:
+def request(name: str, units: float = 1.0, **changes: Any) -> RequestReceived:
     """A try of one customer that may come through all three gateways."""
-    base: dict[str, Any] = {"class_name": "read", "plan": "plain", "customer": "c", "remaining": 4.0,
-                            "units": units, "spread": 3, "first": 0}
-    return i.Request(name, **{**base, **changes})
-
-
-def sends(actions: list[i.Action]) -> list[i.Send]:
+    base: dict[str, Any] = {
+        "class_name": "read",
+        "plan": "plain",
+        "customer": "c",
+        "remaining": 4.0,
+        "units": units,
+        "set_size": 3,
+        "first_limiter": 0,
+    }
+    return RequestReceived(name, **{**base, **changes})
+
+
+def sends(actions: list[Action]) -> list[StartAttempt]:
     """The attempts among some actions."""
-    return [a for a in actions if isinstance(a, i.Send)]
+    return [a for a in actions if isinstance(a, StartAttempt)]
 
 
-def ended(name: str, send: i.Send, status: i.Status, attempt: int = 0, **more: Any) -> i.AttemptEnded:
+def ended(name: str, send: StartAttempt, status: Status, attempt: int = 0, **more: Any) -> AttemptEnded:
     """The outcome of an attempt."""
-    return i.AttemptEnded(name, attempt, send.backend, status, 0.1, closed=status is i.Status.OK, **more)
+    return AttemptEnded(name, attempt, send.backend, status, 0.1, request_answered=status is Status.OK, **more)
 
 
-def only_store(gateway: Gateway) -> Any:
+def only_store(gateway: Gateway) -> TokenBucket:
     """The store of the one customer seen."""
-    (store,) = gateway.stores.values()
+    (store,) = gateway.buckets.values()
     return store
--- a/tests/limiter.py
+++ b/tests/limiter.py
@@ -20,21 +20,34 @@
 from pathlib import Path
 from typing import Any
 
-from thymeflow.lab.ports import free_port
+from thymeflow.testkit.ports import free_port
 
 ROOT = Path(__file__).resolve().parent.parent
-PATIENCE = 20.0   # s: for what must happen; only a failing test waits so long
+PATIENCE = 20.0  # s: for what must happen; only a failing test waits so long
 SETTINGS: dict[str, Any] = {
-    "azs": ["east"], "balancers": 1, "index": 0, "zone": "east", "step": 0.002,
-    "caps": {"cancel": True, "max-attempts": 3, "retry-after": True, "max-retry-after": 2.0,
-             "dial-timeout": 20.0, "conn-idle": 30.0, "open-cap": 100},
-    "classes": [{"name": "look", "on-time": 3000.0, "deadline": 3000.0, "effect": "retryable"},
-                {"name": "book", "on-time": 3000.0, "deadline": 3000.0, "effect": "dedup",
-                 "key-scope": "cell", "window": 4.0}],
+    "azs": ["east"],
+    "balancers": 1,
+    "index": 0,
+    "zone": "east",
+    "step": 0.002,
+    "caps": {
+        "cancel": True,
+        "max-attempts": 3,
+        "retry-after": True,
+        "max-retry-after": 2.0,
+        "dial-timeout": 20.0,
+        "conn-idle": 30.0,
+        "open-cap": 100,
+    },
+    "classes": [
+        {"name": "look", "on-time": 3000.0, "deadline": 3000.0, "effect": "retryable"},
+        {"name": "book", "on-time": 3000.0, "deadline": 3000.0, "effect": "dedup", "key-scope": "cell", "window": 4.0},
+    ],
     "family-info": {"trued-up": True, "most-units": 4, "may-count": True, "counter-timeout": 0.03},
     "report": {"how": "inline", "fields": ["avg_ms"]},
     "rules": {"drain-grace": 1.0, "grace-to-answer": 0.008},
-    "tiers-of-service": [{"name": "basic", "refill": 50.0, "most-at-once": 200.0}]}
+    "tiers-of-service": [{"name": "basic", "refill": 50.0, "most-at-once": 200.0}],
+}
 
 
 def request(number: int, cls: str = "look", wait: int = 20000, extra: str = "", body: bytes = b"B") -> bytes:
@@ -122,18 +135,32 @@
 class Limiter:
     """The program, its configuration and its listening peers; use it as a context."""
 
-    def __init__(self, folder: Path, servers: int = 1, known: bool = True,
-                 memory: int = 192, sockets: int = 1024, serve: tuple[str, ...] | None = None,
-                 environment: dict[str, str] | None = None, managed: bool = False, told: bool = True,
-                 **settings: Any) -> None:
+    def __init__(
+        self,
+        folder: Path,
+        servers: int = 1,
+        known: bool = True,
+        memory: int = 192,
+        sockets: int = 1024,
+        serve: tuple[str, ...] | None = None,
+        environment: dict[str, str] | None = None,
+        managed: bool = False,
+        told: bool = True,
+        **settings: Any,
+    ) -> None:
         self.servers = [Listener() for _ in range(servers)]
         self.discovery, self.counter = Listener(), Listener()
         listed = [self.entry(n) for n in range(servers)] if known else []
-        config: dict[str, Any] = {"name": "n0", "listen": "127.0.0.1:0", "discovery": self.discovery.address,
-                  "counter": self.counter.address, "seed": "8c1f30d27a5be964",
-                  "limits": {"cores": 1.0, "memory_mb": memory, "sockets": sockets},
-                  "known": {"generation": 41, "reset": True, "instances": listed},
-                  "settings": {**SETTINGS, **settings}}
+        config: dict[str, Any] = {
+            "name": "n0",
+            "listen": "127.0.0.1:0",
+            "discovery": self.discovery.address,
+            "counter": self.counter.address,
+            "seed": "8c1f30d27a5be964",
+            "limits": {"cores": 1.0, "memory_mb": memory, "sockets": sockets},
+            "known": {"generation": 41, "reset": True, "instances": listed},
+            "settings": {**SETTINGS, **settings},
+        }
         if managed:
             config["mgmt"] = "127.0.0.1:0"
         self.config, self.path = config, folder / "config.json"
@@ -151,16 +178,20 @@
             path.write_text(json.dumps(config))
         self.process = self.start(serve)
         self._watched = self._greet() if told else None
-        self.manage = int(self.log("calls:").rsplit(":", 1)[1]) if managed else 0
+        self.listen_for_operators = int(self.log("calls:").rsplit(":", 1)[1]) if managed else 0
         if told:
             self.port = int(self.log("listening:").rsplit(":", 1)[1])
 
     def start(self, serve: tuple[str, ...] | None = None) -> subprocess.Popen[str]:
         """A process: the run line, or the daemon where arguments for that are given."""
         words = [] if serve is None else ["serve", "--state", str(self.state), *serve]
-        return subprocess.Popen([sys.executable, "-m", "thymeflow", *words], cwd=ROOT, text=True,
-                                stderr=subprocess.PIPE,
-                                env={**os.environ, "BALANCER_CONFIG": str(self.path), **self.environment})
+        return subprocess.Popen(
+            [sys.executable, "-m", "thymeflow", *words],
+            cwd=ROOT,
+            text=True,
+            stderr=subprocess.PIPE,
+            env={**os.environ, "BALANCER_CONFIG": str(self.path), **self.environment},
+        )
 
     def ask(self, **message: Any) -> dict[str, Any]:
         """One question over the control socket."""
@@ -178,8 +209,16 @@
 
     def entry(self, number: int, lifecycle: str = "active") -> dict[str, Any]:
         """A server as discovery lists it."""
-        return {"instanceId": f"s-{number + 1:08x}", "hostPort": self.servers[number].address, "zone": "east",
-                "machineType": "m", "cell": 0, "lifecycle": lifecycle, "weight": 1.0, "startedAtMs": 0}
+        return {
+            "instanceId": f"s-{number + 1:08x}",
+            "hostPort": self.servers[number].address,
+            "zone": "east",
+            "machineType": "m",
+            "cell": 0,
+            "lifecycle": lifecycle,
+            "weight": 1.0,
+            "startedAtMs": 0,
+        }
 
     def log(self, part: str) -> str:
         """The next log line that holds the part."""
@@ -204,7 +243,7 @@
         return self.start(None)
 
     def operator(self) -> Peer:
-        return Peer(socket.create_connection(("127.0.0.1", self.manage), PATIENCE))
+        return Peer(socket.create_connection(("127.0.0.1", self.listen_for_operators), PATIENCE))
 
     def call(self, text: bytes) -> bytes:
         """One call by an operator, and the line that answers it."""
--- a/tests/test_asking.py
+++ b/tests/test_asking.py
@@ -14,42 +14,55 @@
 
 from tests.helpers import fleet, request, sends, settings
 from tests.limiter import PATIENCE, Limiter, Peer, command
-from thymeflow import Gateway, counts, gateway_of
-from thymeflow import interface as i
-from thymeflow.budgets.asking import DEAF, AskingGateway
-
-PLAN = i.Plan("plain", rate=2.0, burst=16.0, over_cost=0.6)
-COUNTER = i.Information(max_units=4.0, counter=True, settles=True, counter_timeout=0.03)
+from thymeflow.decision.actions import Action, AddToCounter, RejectRequest, SetTimer, StartAttempt
+from thymeflow.decision.events import (
+    AttemptEnded,
+    ClientDisconnected,
+    CounterReplied,
+    EndpointsChanged,
+    Event,
+    RequestReceived,
+    TimerFired,
+)
+from thymeflow.decision.factory import create_gateway
+from thymeflow.decision.gateway import Gateway
+from thymeflow.decision.settings import Information, Plan
+from thymeflow.decision.types import EndpointListKind, Status
+from thymeflow.quota import counter_encoding
+from thymeflow.quota.counter_first import PAUSE_AFTER_LOST_CALL, CounterFirstGateway
+
+PLAN = Plan("plain", rate=2.0, burst=16.0, over_quota_cost=0.6)
+COUNTER = Information(max_units=4.0, counter=True, settles_units=True, counter_timeout=0.03)
 MANY = 40
 
 
-def member(index: int = 0, gateways: int = MANY, **changes: Any) -> Gateway:
-    config = settings(index=index, gateways=gateways, plans=(PLAN,), information=COUNTER, **changes)
-    made = gateway_of(config, index)
-    made.handle(0.0, i.Membership(i.ListKind.CACHED, fleet(12)))
+def member(index: int = 0, limiter_count: int = MANY, **changes: Any) -> Gateway:
+    config = settings(index=index, limiter_count=limiter_count, plans=(PLAN,), information=COUNTER, **changes)
+    made = create_gateway(config, index)
+    made.handle(0.0, EndpointsChanged(EndpointListKind.CACHED, fleet(12)))
     return made
 
 
-def asked(name: str, **changes: Any) -> i.Request:
-    return request(name, 2.0, spread=MANY, **changes)
+def asked(name: str, **changes: Any) -> RequestReceived:
+    return request(name, 2.0, set_size=MANY, **changes)
 
 
-def calls(actions: list[i.Action]) -> list[i.Count]:
-    return [a for a in actions if isinstance(a, i.Count)]
+def calls(actions: list[Action]) -> list[AddToCounter]:
+    return [a for a in actions if isinstance(a, AddToCounter)]
 
 
-def refused(actions: list[i.Action]) -> list[i.Refuse]:
-    return [a for a in actions if isinstance(a, i.Refuse)]
+def refused(actions: list[Action]) -> list[RejectRequest]:
+    return [a for a in actions if isinstance(a, RejectRequest)]
 
 
-def told(call: i.Count, total: float, latency: float = 0.002) -> i.CounterReply:
-    return i.CounterReply(call.name, i.Status.OK, total, latency)
+def told(call: AddToCounter, total: float, latency: float = 0.002) -> CounterReplied:
+    return CounterReplied(call.name, Status.OK, total, latency)
 
 
 def test_only_a_large_set_with_a_counter_asks() -> None:
-    assert isinstance(member(), AskingGateway)
-    assert type(member(gateways=3)) is Gateway
-    assert type(gateway_of(settings(gateways=MANY), 1)) is Gateway
+    assert isinstance(member(), CounterFirstGateway)
+    assert type(member(limiter_count=3)) is Gateway
+    assert type(create_gateway(settings(limiter_count=MANY), 1)) is Gateway
 
 
 def test_a_first_meeting_waits_for_the_counter_and_is_decided_by_its_word() -> None:
@@ -58,7 +71,7 @@
         actions = gateway.handle(10.0, asked("a"))
         (call,) = calls(actions)
         assert not sends(actions) and not refused(actions)
-        total = call.amount + counts.pack(call.name, 4.0 * others, others)
+        total = call.amount + counter_encoding.encode(call.name, 4.0 * others, others)
         actions = gateway.handle(10.002, told(call, total))
         assert bool(sends(actions)) is let_in and bool(refused(actions)) is not let_in
         assert not calls(gateway.handle(10.1, asked("b"))), "what was told a moment ago is asked again"
@@ -68,22 +81,22 @@
     gateway = member()
     actions = gateway.handle(10.0, asked("a"))
     (call,) = calls(actions)
-    (timer,) = [a for a in actions if isinstance(a, i.SetTimer) and a.delay <= COUNTER.counter_timeout]
-    assert sends(gateway.handle(10.03, i.TimerFired(timer.token)))
+    (timer,) = [a for a in actions if isinstance(a, SetTimer) and a.delay <= COUNTER.counter_timeout]
+    assert sends(gateway.handle(10.03, TimerFired(timer.token)))
     assert not calls(gateway.handle(10.1, asked("again"))), "a second call of a name whose answer is out"
-    gateway.handle(10.4, i.CounterReply(call.name, i.Status.TIMEOUT, inf, 0.4))
+    gateway.handle(10.4, CounterReplied(call.name, Status.TIMEOUT, inf, 0.4))
     assert sends(gateway.handle(10.5, asked("b", customer="other")))
-    assert calls(gateway.handle(10.4 + DEAF + 0.1, asked("c", customer="third")))
+    assert calls(gateway.handle(10.4 + PAUSE_AFTER_LOST_CALL + 0.1, asked("c", customer="third")))
 
 
 def test_who_comes_while_the_call_is_out_waits_for_the_same_one_and_who_leaves_is_not_sent() -> None:
     gateway = member()
     (call,) = calls(gateway.handle(10.0, asked("a")))
     assert gateway.handle(10.001, asked("b")) == []
-    gateway.handle(10.002, i.ClientLeft("a"))
+    gateway.handle(10.002, ClientDisconnected("a"))
     actions = gateway.handle(10.003, told(call, call.amount))
     assert [s.id for s in sends(actions)] == ["b"]
-    assert not gateway.jobs.keys() & {"a"}
+    assert not gateway.pending.keys() & {"a"}
 
 
 def test_a_request_with_no_time_to_wait_is_decided_at_once() -> None:
@@ -94,17 +107,19 @@
 def test_the_units_of_one_that_is_let_in_are_told_once() -> None:
     gateway = member()
     (call,) = calls(gateway.handle(10.0, asked("a")))
-    assert counts.unpack(call.name, call.amount) == pytest.approx((2.0, 2.0), abs=0.2)
+    assert counter_encoding.decode(call.name, call.amount) == pytest.approx((2.0, 2.0), abs=0.2)
     gateway.handle(10.002, told(call, call.amount))
-    (store,) = gateway.stores.values()
-    assert store.charged == pytest.approx(2.0) and store.account.spent == pytest.approx(2.0, abs=0.2)
+    (store,) = gateway.buckets.values()
+    assert store.charged_units == pytest.approx(2.0) and store.counter_ledger.reported_charges == pytest.approx(
+        2.0, abs=0.2
+    )
 
 
 def served(make: Any, demand: float, seconds: float = 30.0) -> tuple[float, float]:
     """Units sent on and calls a request, of one customer that asks so many a second through 40 limiters at random."""
     rng, order = random.Random(5), count()
     gateways: list[Gateway] = [make(n) for n in range(MANY)]
-    totals, due = dict[int, float](), list[tuple[float, int, int, i.Event]]()
+    totals, due = dict[int, float](), list[tuple[float, int, int, Event]]()
     sent = asks = 0.0
     number, at = 0, 20.0
     while at < 20.0 + seconds:
@@ -114,17 +129,26 @@
     while due:
         now, _, index, event = heapq.heappop(due)
         for action in gateways[index].handle(now, event):
-            if isinstance(action, i.Send):
+            if isinstance(action, StartAttempt):
                 sent += 2.0
-                done = i.AttemptEnded(action.id, 0, action.backend, i.Status.OK, 0.1, closed=True, units=2.0)
+                done = AttemptEnded(
+                    action.id, 0, action.backend, Status.OK, 0.1, request_answered=True, actual_units=2.0
+                )
                 heapq.heappush(due, (now + 0.1, next(order), index, done))
-            elif isinstance(action, i.Count):
+            elif isinstance(action, AddToCounter):
                 asks += 1
                 totals[action.name] = totals.get(action.name, 0.0) + action.amount
-                heapq.heappush(due, (now + 0.002, next(order), index,
-                                     i.CounterReply(action.name, i.Status.OK, totals[action.name], 0.002)))
-            elif isinstance(action, i.SetTimer) and now < 20.0 + seconds:
-                heapq.heappush(due, (now + action.delay, next(order), index, i.TimerFired(action.token)))
+                heapq.heappush(
+                    due,
+                    (
+                        now + 0.002,
+                        next(order),
+                        index,
+                        CounterReplied(action.name, Status.OK, totals[action.name], 0.002),
+                    ),
+                )
+            elif isinstance(action, SetTimer) and now < 20.0 + seconds:
+                heapq.heappush(due, (now + action.delay, next(order), index, TimerFired(action.token)))
     return sent, asks / number
 
 
@@ -132,8 +156,8 @@
     allowed = PLAN.burst + PLAN.rate * 30.0
 
     def plain(index: int) -> Gateway:
-        made = Gateway(settings(index=index, gateways=MANY, plans=(PLAN,), information=COUNTER), index)
-        made.handle(0.0, i.Membership(i.ListKind.CACHED, fleet(12)))
+        made = Gateway(settings(index=index, limiter_count=MANY, plans=(PLAN,), information=COUNTER), index)
+        made.handle(0.0, EndpointsChanged(EndpointListKind.CACHED, fleet(12)))
         return made
 
     over, calls_each = served(member, 3.0 * PLAN.rate)
@@ -165,5 +189,5 @@
             assert server.words()[2] == b"%016x" % number
             server.send(b"*3\r\n$5\r\nvalue\r\n$-1\r\n$-1\r\n")
             assert agent.bulk() == b"value"
-            if number == 1:      # of another customer, and the counter says nothing
+            if number == 1:  # of another customer, and the counter says nothing
                 ask(2, b"00000000b4d65522")
--- a/tests/test_bad_configuration_texts.py
+++ b/tests/test_bad_configuration_texts.py
@@ -16,8 +16,8 @@
 
 from tests.limiter import ROOT, SETTINGS
 from thymeflow.cli import thymeflow as main
-from thymeflow.drill import settings_from
-from thymeflow.net import config
+from thymeflow.platform import configuration
+from thymeflow.simulator import settings_from
 
 DATA = Path(__file__).resolve().parent / "data" / "before-rename"
 GOOD: dict[str, Any] = {
@@ -154,8 +154,8 @@
 @pytest.mark.parametrize("name", PLATFORM)
 def test_start_is_refused_with_the_same_text_when_the_platforms_file_is_bad(name: str) -> None:
     try:
-        found = str(config.from_source(json.loads(PLATFORM[name]), "platform.json", {}).listen)
-    except (config.ConfigError, json.JSONDecodeError) as fault:
+        found = str(configuration.from_source(json.loads(PLATFORM[name]), "platform.json", {}).listen)
+    except (configuration.ConfigurationError, json.JSONDecodeError) as fault:
         found = str(fault)
     same("start", name, found)
 
--- a/tests/test_bad_input.py
+++ b/tests/test_bad_input.py
@@ -11,10 +11,10 @@
 
 from tests.limiter import SETTINGS, Limiter, Peer, command, refused, request
 from tests.test_net_parts import words
-from thymeflow import interface as i
-from thymeflow.drill import settings_from
-from thymeflow.net.call import CallError, Reader
-from thymeflow.net.config import ConfigError, from_source
+from thymeflow.decision.settings import Idempotency
+from thymeflow.platform.configuration import ConfigurationError, from_source
+from thymeflow.simulator import settings_from
+from thymeflow.transport.commands import CallError, Reader
 
 GOOD = b"*3\r\n$5\r\nvalue\r\n$-1\r\n$-1\r\n"
 
@@ -33,21 +33,32 @@
         agent = limiter.connect()
         server = limiter.served(agent, 1)
         leaves, odd = limiter.entry(0, "leaving"), {**limiter.entry(0), "hostPort": "nowhere"}
-        broken = [chunk(message(90, leaves)[:-9]), chunk(b"{}\n"), chunk(b"[]\n"), chunk(b"null\n"),
-                  chunk(b"\xff\xfe\n"), chunk(message("x", leaves)), chunk(message(90, odd)),
-                  chunk(b'{"generation":90,"instances":[7]}\n'), b"zz\r\n", b"-5\r\n", b"3\r\nabcdefgh\r\n",
-                  b"0\r\n\r\n", chunk(b'{"a":' * 30000 + b"1" + b"}" * 30000)]
+        broken = [
+            chunk(message(90, leaves)[:-9]),
+            chunk(b"{}\n"),
+            chunk(b"[]\n"),
+            chunk(b"null\n"),
+            chunk(b"\xff\xfe\n"),
+            chunk(message("x", leaves)),
+            chunk(message(90, odd)),
+            chunk(b'{"generation":90,"instances":[7]}\n'),
+            b"zz\r\n",
+            b"-5\r\n",
+            b"3\r\nabcdefgh\r\n",
+            b"0\r\n\r\n",
+            chunk(b'{"a":' * 30000 + b"1" + b"}" * 30000),
+        ]
         for number, bad in enumerate(broken):
             watch.send(bad)
             if number == 0:
-                watch.close()                   # cut in the middle
-            watch, asked = limiter.watch()      # asked for again, from the version before it
+                watch.close()  # cut in the middle
+            watch, asked = limiter.watch()  # asked for again, from the version before it
             assert b"index=41 " in asked, bad
             limiter.served(agent, 100 + number, server)
-        watch.send(chunk(message(12, leaves, whole=True)) + chunk(message(13, leaves)))     # gone back
+        watch.send(chunk(message(12, leaves, whole=True)) + chunk(message(13, leaves)))  # gone back
         limiter.served(agent, 200, server)
         watch.send(chunk(json.dumps(json.loads(message(42, leaves)), indent=2).encode()))
-        assert server.ended()                   # that one was taken
+        assert server.ended()  # that one was taken
 
 
 def test_a_whole_list_that_is_empty_names_nobody_and_is_no_end(tmp_path: Path) -> None:
@@ -56,13 +67,13 @@
         agent = limiter.connect()
         server = limiter.served(agent, 1)
         watch.send(chunk(message(42, whole=True)))
-        assert server.ended()                   # what it does not name is gone, though it answers
+        assert server.ended()  # what it does not name is gone, though it answers
         agent.send(request(2))
         assert agent.line().startswith(b"-BUSY ")
         limiter.tell(watch, 43, limiter.entry(0))
         limiter.until(b"+PONG", command(b"PING"))
         agent.send(request(3))
-        while not agent.silent(0.2):            # until that list is read
+        while not agent.silent(0.2):  # until that list is read
             assert agent.line().startswith(b"-BUSY ")
             agent.send(request(3))
         limiter.servers[0].serve(GOOD)
@@ -71,7 +82,7 @@
 
 def slowly(peer: Peer, data: bytes) -> None:
     for place in range(len(data)):
-        peer.send(data[place:place + 1])
+        peer.send(data[place : place + 1])
 
 
 def test_bytes_one_at_a_time_and_many_commands_at_once_are_all_answered(tmp_path: Path) -> None:
@@ -93,12 +104,12 @@
     with Limiter(tmp_path) as limiter:
         agent = limiter.connect()
         server = limiter.served(agent, 1)
-        server.send(GOOD)                       # once more, while nothing is asked
+        server.send(GOOD)  # once more, while nothing is asked
         assert server.ended()
         agent.send(request(2, wait=300))
         second = limiter.servers[0].accept()
         second.words()
-        assert agent.line().startswith(b"-BUSY") and second.ended()     # given up
+        assert agent.line().startswith(b"-BUSY") and second.ended()  # given up
         with contextlib.suppress(OSError):
             second.send(GOOD)
         agent.send(request(3))
@@ -108,9 +119,13 @@
 
 @pytest.mark.parametrize("name", ["d", "c", "k", "units", "first", "PING", "SVC.QUERY", "busy", "OK", "-ERR", "d=5"])
 def test_classes_and_plans_may_be_named_as_words_of_the_protocol(name: str) -> None:
-    settings = settings_from({**SETTINGS, "classes": [{"name": name, "on-time": 3.0, "deadline": 3.0,
-                                                       "effect": "retryable"}],
-                              "tiers-of-service": [{"name": name}]})
+    settings = settings_from(
+        {
+            **SETTINGS,
+            "classes": [{"name": name, "on-time": 3.0, "deadline": 3.0, "effect": "retryable"}],
+            "tiers-of-service": [{"name": name}],
+        }
+    )
     text = f"c={name},t={name},d=480,units=2,spread=1,first=0".encode()
     call, told = Reader(settings).read([b"SVC.QUERY", b"00000000b4d65521", b"%016x" % 1, text])
     assert (told.class_name, told.plan, told.units) == (name, name, 2.0)
@@ -118,15 +133,18 @@
 
 
 def test_a_class_whose_effect_is_unknown_is_unsafe_and_one_that_is_not_listed_is_turned_away() -> None:
-    settings = settings_from({**SETTINGS, "classes": [{"name": "look", "on-time": 3.0, "deadline": 3.0,
-                                                       "effect": "wondrous"}]})
-    assert settings.classes[0].effect is i.Effect.UNSAFE
+    settings = settings_from(
+        {**SETTINGS, "classes": [{"name": "look", "on-time": 3.0, "deadline": 3.0, "effect": "wondrous"}]}
+    )
+    assert settings.classes[0].idempotency is Idempotency.NOT_IDEMPOTENT
     with pytest.raises(CallError, match="unknown class"):
         Reader(settings).read(words(request(1, "book")))
 
 
-@pytest.mark.parametrize(("part", "key"), [("classes", "on-time"), ("classes", "deadline"), ("classes", "name"),
-                                           ("tiers-of-service", "name")])
+@pytest.mark.parametrize(
+    ("part", "key"),
+    [("classes", "on-time"), ("classes", "deadline"), ("classes", "name"), ("tiers-of-service", "name")],
+)
 def test_a_key_that_a_class_or_plan_lacks_is_named_with_its_place(part: str, key: str) -> None:
     lacks = {name: value for name, value in SETTINGS[part][0].items() if name != key}
     with pytest.raises(ValueError, match=rf"settings\.{part}\[0\]: {key} is missing"):
@@ -136,9 +154,13 @@
 @pytest.mark.parametrize("part", ["rules", "caps", "family-info"])
 @pytest.mark.parametrize("value", [7, None, True])
 def test_a_part_of_the_settings_that_is_no_object_is_one_clear_fault(part: str, value: object) -> None:
-    source = {"listen": "127.0.0.1:0", "discovery": "127.0.0.1:9", "counter": "127.0.0.1:9",
-              "settings": {**SETTINGS, part: value}}
-    with pytest.raises(ConfigError):
+    source = {
+        "listen": "127.0.0.1:0",
+        "discovery": "127.0.0.1:9",
+        "counter": "127.0.0.1:9",
+        "settings": {**SETTINGS, part: value},
+    }
+    with pytest.raises(ConfigurationError):
         from_source(source, "c.json", {})
 
 
--- a/tests/test_budgets.py
+++ b/tests/test_budgets.py
@@ -24,20 +24,26 @@
 from tests.helpers import request, sends, settings, started
 from tests.limiter import PATIENCE, ROOT, Limiter
 from tests.test_fleet import FleetOf, cli
-from thymeflow import interface as i
-from thymeflow.budgets import table
-from thymeflow.budgets.granter import MOVES, Granter, Move, State, Write
-from thymeflow.budgets.holder import MARGIN, Holder, Part, message_of, part_from
-from thymeflow.budgets.kinds import BASE, LENT, WHOLE, Kind, divided
-from thymeflow.budgets.ledger import Ledger, OverWhole
-from thymeflow.lab.budget_model import RULES, Model, caught
-from thymeflow.lab.explore import explored
-
-ONES = (1.0,) * len(Kind)
-
-
-@given(st.lists(st.tuples(st.sampled_from(["grant", "ack", "dead", "time"]), st.sampled_from("abc"),
-                          st.integers(0, 12)), max_size=40))
+from thymeflow.decision.events import TimerFired
+from thymeflow.decision.gateway_state import TimerKind
+from thymeflow.decision.settings import Information
+from thymeflow.leases import grant_file
+from thymeflow.leases.holder import MARGIN, Allocation, LeaseHolder, allocation_from_message, message_of
+from thymeflow.leases.issuer import MOVES, LeaseIssuer, Move, State, Write
+from thymeflow.leases.ledger import Ledger, OverAllocationError
+from thymeflow.leases.resources import BASE, LENT, WHOLE, Resource, divide_by_demand
+from thymeflow.testkit.lease_model import RULES, Model, caught
+from thymeflow.testkit.model_checker import explored
+
+ONES = (1.0,) * len(Resource)
+
+
+@given(
+    st.lists(
+        st.tuples(st.sampled_from(["grant", "ack", "dead", "time"]), st.sampled_from("abc"), st.integers(0, 12)),
+        max_size=40,
+    )
+)
 def test_what_may_be_in_force_never_comes_to_more_than_the_whole(steps: list[tuple[str, str, int]]) -> None:
     # The model: every grant that was sent may have arrived, or not, unless it is known.
     ledger, now, sent = Ledger(10), 0.0, dict[str, list[tuple[int, int, float]]]()
@@ -46,7 +52,7 @@
             try:
                 ledger.grant(holder, number, amount, now + 5.0, now)
                 sent.setdefault(holder, []).append((number, amount, now + 5.0))
-            except OverWhole:
+            except OverAllocationError:
                 continue
         elif what == "ack" and sent.get(holder):
             last = sent[holder][-1]
@@ -61,17 +67,19 @@
         assert most <= 10 and ledger.free(now) == 10 - most
 
 
-@given(st.dictionaries(st.text(max_size=3), st.floats(allow_nan=True, allow_infinity=True), max_size=30),
-       st.integers(0, WHOLE))
+@given(
+    st.dictionaries(st.text(max_size=3), st.floats(allow_nan=True, allow_infinity=True), max_size=30),
+    st.integers(0, WHOLE),
+)
 def test_a_division_never_comes_to_more_and_leaves_nobody_out(demand: dict[str, float], whole: int) -> None:
-    parts = divided(whole, demand)
+    parts = divide_by_demand(whole, demand)
     assert parts.keys() == demand.keys() and sum(parts.values()) <= whole and all(p >= 0 for p in parts.values())
 
 
 def test_every_move_that_is_not_in_the_table_raises() -> None:
     for state in State:
         for move in Move:
-            granter = Granter(1, 0.0)
+            granter = LeaseIssuer(1, 0.0)
             granter.row("a").state = state
             if (state, move) in MOVES:
                 assert granter._move("a", move).state is MOVES[state, move]
@@ -93,34 +101,42 @@
 
 
 def test_a_lease_is_over_for_its_holder_a_margin_before_its_end_however_long_it_slept() -> None:
-    holder = Holder(Part(1, 1, (1, 2), (10, 20), 100.0))
-    assert holder.amount(Kind.PLACES, 100.0 - MARGIN - 0.01) == 11
-    assert holder.amount(Kind.PLACES, 100.0 - MARGIN) == 1 and holder.amount(Kind.ATTEMPTS, 1e9) == 2
-    assert not holder.offered(Part(1, 1, (9, 9), (9, 9), 1e9)) and not holder.offered(Part(0, 5))
-    assert holder.hand_on().number == 1 and holder.amount(Kind.PLACES, 0.0) == 0
-
-
-@pytest.mark.parametrize("message", [
-    None, [], {}, {"era": -1}, {"era": True, "number": 1, "base": [0, 0], "lease": [0, 0], "end": 1.0},
-    {"era": 1, "number": 1, "base": [0], "lease": [0, 0], "end": 1.0},
-    {"era": 1, "number": 1, "base": [0, WHOLE + 1], "lease": [0, 0], "end": 1.0},
-    {"era": 1, "number": 1, "base": [0, 0], "lease": [0, -1], "end": 1.0},
-    {"era": 1, "number": 1, "base": [0, 0], "lease": [0, 0], "end": float("nan")}])
+    holder = LeaseHolder(Allocation(1, 1, (1, 2), (10, 20), 100.0))
+    assert holder.amount(Resource.CONCURRENCY, 100.0 - MARGIN - 0.01) == 11
+    assert holder.amount(Resource.CONCURRENCY, 100.0 - MARGIN) == 1 and holder.amount(Resource.RETRIES, 1e9) == 2
+    assert not holder.on_grant(Allocation(1, 1, (9, 9), (9, 9), 1e9)) and not holder.on_grant(Allocation(0, 5))
+    assert holder.hand_over().number == 1 and holder.amount(Resource.CONCURRENCY, 0.0) == 0
+
+
+@pytest.mark.parametrize(
+    "message",
+    [
+        None,
+        [],
+        {},
+        {"era": -1},
+        {"era": True, "number": 1, "base": [0, 0], "lease": [0, 0], "end": 1.0},
+        {"era": 1, "number": 1, "base": [0], "lease": [0, 0], "end": 1.0},
+        {"era": 1, "number": 1, "base": [0, WHOLE + 1], "lease": [0, 0], "end": 1.0},
+        {"era": 1, "number": 1, "base": [0, 0], "lease": [0, -1], "end": 1.0},
+        {"era": 1, "number": 1, "base": [0, 0], "lease": [0, 0], "end": float("nan")},
+    ],
+)
 def test_a_part_that_cannot_be_is_no_part(message: Any) -> None:
     with pytest.raises(ValueError):
-        part_from(message)
+        allocation_from_message(message)
 
 
-def divided_among(names: str) -> Granter:
+def divided_among(names: str) -> LeaseIssuer:
     """A granter whose holders have all that there is."""
-    granter = Granter(3, 0.0)
-    granter.resized(len(names))
-    parts = {name: granter.born(name, 0.0)[0] for name in names}
+    granter = LeaseIssuer(3, 0.0)
+    granter.resize(len(names))
+    parts = {name: granter.on_starting(name, 0.0)[0] for name in names}
     for _ in range(4):
         for name in names:
-            granter.hears(name, parts[name], ONES, 0.0)
-        for action in granter.beat(0.0):
-            for send in granter.written(action.version) if isinstance(action, Write) else [action]:
+            granter.on_report(name, parts[name], ONES, 0.0)
+        for action in granter.tick(0.0):
+            for send in granter.on_written(action.version) if isinstance(action, Write) else [action]:
                 parts[send.holder] = send.part
     assert sum(parts[n].base[0] + parts[n].lease[0] for n in names) > 0.99 * WHOLE
     return granter
@@ -128,35 +144,35 @@
 
 def test_a_table_that_is_cut_or_changed_at_any_byte_is_not_believed(tmp_path: Path) -> None:
     granter, path = divided_among("ab"), tmp_path / "fleet.grants"
-    table.write(path, granter, "f")
+    grant_file.write(path, granter, "f")
     whole = path.read_bytes()
-    found, fault = table.read(path, "f", 1.0, living=True)
-    assert not fault and found.era == 4 and found.base[0].free(1.0) <= BASE // 50
+    found, fault = grant_file.read(path, "f", 1.0, living=True)
+    assert not fault and found.epoch == 4 and found.base[0].free(1.0) <= BASE // 50
     for length in range(len(whole)):
-        for data in (whole[:length], whole[:length] + bytes([whole[length] ^ 1]) + whole[length + 1:]):
+        for data in (whole[:length], whole[:length] + bytes([whole[length] ^ 1]) + whole[length + 1 :]):
             path.write_bytes(data)
-            found, fault = table.read(path, "f", 1.0, living=True)
-            assert fault and found.era > 4 and not found.beat(1.0) and not found.base[0].whole
+            found, fault = grant_file.read(path, "f", 1.0, living=True)
+            assert fault and found.epoch > 4 and not found.tick(1.0) and not found.base[0].whole
     for other in (msg for msg in (whole.replace(b'"version":1', b'"version":2'), whole)):
         path.write_bytes(other)
-        assert table.read(path, "g", 1.0, living=True)[1]
+        assert grant_file.read(path, "g", 1.0, living=True)[1]
 
 
 def test_parts_that_do_not_add_up_are_not_believed(tmp_path: Path) -> None:
     granter = divided_among("ab")
-    granter.noted["a"] = (BASE,) * len(Kind) + (LENT,) * len(Kind)
-    table.write(tmp_path / "t", granter, "f")
-    assert "come to" in table.read(tmp_path / "t", "f", 0.0, living=True)[1]
+    granter.durable_amounts["a"] = (BASE,) * len(Resource) + (LENT,) * len(Resource)
+    grant_file.write(tmp_path / "t", granter, "f")
+    assert "come to" in grant_file.read(tmp_path / "t", "f", 0.0, living=True)[1]
 
 
 def test_a_full_disk_lends_nothing_more_than_the_table_on_it_allows_for() -> None:
     granter = divided_among("ab")
-    granter.dies("b")
-    granter.hears("a", Part(3, granter.rows["a"].number), ONES, 0.1)
-    (action,) = granter.beat(0.1)
+    granter.on_death("b")
+    granter.on_report("a", Allocation(3, granter.rows["a"].number), ONES, 0.1)
+    (action,) = granter.tick(0.1)
     assert isinstance(action, Write)
-    granter.unwritten(action.version)
-    assert granter.written(action.version) == []
+    granter.on_write_failed(action.version)
+    assert granter.on_written(action.version) == []
 
 
 def in_force(fleet: FleetOf) -> dict[str, dict[str, int]]:
@@ -172,9 +188,9 @@
     end = time.monotonic() + PATIENCE
     while True:
         parts = in_force(fleet)
-        rows = table.unpack((fleet.state / "fleet.grants").read_bytes(), "n").rows.values() if kept else ()
-        for place in range(len(Kind)):
-            assert sum(row.noted[place] + row.noted[place + len(Kind)] for row in rows) <= WHOLE, rows
+        rows = grant_file.unpack((fleet.state / "fleet.grants").read_bytes(), "n").rows.values() if kept else ()
+        for place in range(len(Resource)):
+            assert sum(row.noted[place] + row.noted[place + len(Resource)] for row in rows) <= WHOLE, rows
         if reached({name: part["places"] / WHOLE for name, part in parts.items()}):
             return parts
         assert time.monotonic() < end, parts
@@ -185,7 +201,7 @@
     with Limiter(tmp_path) as limiter, FleetOf(tmp_path, limiter) as fleet:
         until(fleet, lambda parts: len(parts) == 3 and sum(parts.values()) > 0.95)
         stopped = psutil.Process(fleet.ready(3)["members"][0]["pid"])
-        stopped.send_signal(signal.SIGSTOP)            # its lease ends, its base stays its own
+        stopped.send_signal(signal.SIGSTOP)  # its lease ends, its base stays its own
         until(fleet, lambda parts: parts["n1"] + parts["n2"] > 0.75)
         stopped.send_signal(signal.SIGCONT)
         until(fleet, lambda parts: min(parts.values()) > 0.2)
@@ -207,7 +223,7 @@
         fleet.ready(3)
         assert fleet.ask(do="budgets")["era"] == era + 1
         until(fleet, lambda parts: len(parts) == 3 and sum(parts.values()) > 0.95)
-        assert fleet.ask(do="upgrade")["ok"]           # each part is handed on, and never doubled
+        assert fleet.ask(do="upgrade")["ok"]  # each part is handed on, and never doubled
         until(fleet, lambda parts: len(parts) == 3 and sum(parts.values()) > 0.95)
         assert fleet.ask(do="scale", count=5)["ok"]
         until(fleet, lambda parts: len(parts) == 5 and sum(parts.values()) > 0.95 and min(parts.values()) > 0.1)
@@ -225,53 +241,57 @@
         fleet.ready(3)
         assert "nothing is granted from the table of before" in (tmp_path / "log").read_text()
         until(fleet, lambda parts: 0.3 < sum(parts.values()) <= LENT / WHOLE, kept=False)
-        until(fleet, lambda parts: 0.3 < sum(parts.values()) <= LENT / WHOLE)    # and there is a table again
+        until(fleet, lambda parts: 0.3 < sum(parts.values()) <= LENT / WHOLE)  # and there is a table again
 
 
 def test_what_a_member_is_told_and_tells_is_json() -> None:
-    part = Part(2, 5, tuple(range(len(Kind))), tuple(range(1, len(Kind) + 1)), 5.5)
-    assert part_from(json.loads(json.dumps(message_of(part)))) == part
-    before = part_from({"era": 2, "number": 5, "base": [7, 8], "lease": [9, 1], "end": 5.5})   # by an earlier program
+    part = Allocation(2, 5, tuple(range(len(Resource))), tuple(range(1, len(Resource) + 1)), 5.5)
+    assert allocation_from_message(json.loads(json.dumps(message_of(part)))) == part
+    before = allocation_from_message(
+        {"era": 2, "number": 5, "base": [7, 8], "lease": [9, 1], "end": 5.5}
+    )  # by an earlier program
     assert before.base[:3] == (7, 8, 0) and before.lease[:3] == (9, 1, 0)
 
 
 def test_a_table_of_the_program_before_is_read_and_has_nothing_of_kinds_that_it_did_not_know() -> None:
     rows = {"n0": {"number": 3, "noted": [BASE, 5, LENT, 6]}}
-    body = json.dumps({"version": 1, "fleet": "f", "boot": table.boot(), "era": 4, "until": 9.0, "rows": rows}).encode()
-    found = table.unpack(hashlib.blake2b(body, digest_size=16).hexdigest().encode() + b"\n" + body, "f")
-    kinds = len(Kind)
-    assert found.rows["n0"].noted[:3] == [BASE, 5, 0] and found.rows["n0"].noted[kinds:kinds + 3] == [LENT, 6, 0]
+    body = json.dumps(
+        {"version": 1, "fleet": "f", "boot": grant_file.boot(), "era": 4, "until": 9.0, "rows": rows}
+    ).encode()
+    found = grant_file.unpack(hashlib.blake2b(body, digest_size=16).hexdigest().encode() + b"\n" + body, "f")
+    kinds = len(Resource)
+    assert found.rows["n0"].noted[:3] == [BASE, 5, 0] and found.rows["n0"].noted[kinds : kinds + 3] == [LENT, 6, 0]
 
 
 def test_calls_trials_and_connections_keep_to_this_limiters_part() -> None:
-    gateway = started(settings(information=i.Information(counter=True)), now=100.0)
+    gateway = started(settings(information=Information(counter=True)), now=100.0)
     part = [0.1]
-    gateway.share = lambda kind: part[0] if kind in gateway.wholes else 1.0
-    gateway.wholes = {"calls": 20.0, "trials": 1.0, "connections": 30.0}
+    gateway.fraction_of = lambda kind: part[0] if kind in gateway.fleet_limits else 1.0
+    gateway.fleet_limits = {"calls": 20.0, "trials": 1.0, "connections": 30.0}
     for _ in range(50):
-        gateway.handle(100.0, i.TimerFired(next(t for t, (kind, _) in gateway.timers.items() if kind == "tick")))
-    assert gateway.call_room == 2.0                       # of 20 a second a tenth, saved up for a second
+        gateway.handle(100.0, TimerFired(next(t for t, (kind, _) in gateway.timers.items() if kind is TimerKind.TICK)))
+    assert gateway.call_credit == 2.0  # of 20 a second a tenth, saved up for a second
     out = [sends(gateway.handle(100.0, request(f"r{n}", 0.1)))[0].backend for n in range(12)]
-    assert max(out.count(n) for n in out) == 3            # of 30 connections a tenth, to each server
+    assert max(out.count(n) for n in out) == 3  # of 30 connections a tenth, to each server
     assert not sends(gateway.handle(100.0, request("more", 0.1)))
-    server = gateway.servers[out[0]]
+    server = gateway.backends[out[0]]
     for _ in range(2):
-        server.failed("", 100.0)
-    assert server.health[""][1] == 110.0                  # one trial a second, of which a tenth is ours
-    part[0] = 0.0                                         # a lease is over, and nothing was granted since
+        server.record_failure("", 100.0)
+    assert server.failures[""][1] == 110.0  # one trial a second, of which a tenth is ours
+    part[0] = 0.0  # a lease is over, and nothing was granted since
     assert not sends(gateway.handle(101.0, request("none", 0.1)))
 
 
 def test_who_claims_what_was_never_granted_is_given_nothing_for_it() -> None:
     granter = divided_among("ab")
-    everything = (WHOLE,) * len(Kind)
-    claims = Part(9, 9, everything, everything, 50.0)
-    granter.hears("stranger", claims, (float("inf"), float("nan")), 0.0)
-    assert granter.era > 9                             # or it would take nothing that is granted from now on
+    everything = (WHOLE,) * len(Resource)
+    claims = Allocation(9, 9, everything, everything, 50.0)
+    granter.on_report("stranger", claims, (float("inf"), float("nan")), 0.0)
+    assert granter.epoch > 9  # or it would take nothing that is granted from now on
     for ledger in (*granter.base, *granter.lent):
         assert sum(ledger.out(name, 0.0) for name in ("a", "b", "stranger")) <= ledger.whole
     known = granter.rows["a"].number
-    granter.hears("a", Part(granter.era, known + 99, everything, everything, 50.0), ONES, 0.0)
+    granter.on_report("a", Allocation(granter.epoch, known + 99, everything, everything, 50.0), ONES, 0.0)
     for ledger in (*granter.base, *granter.lent):
         assert ledger.free(0.0) >= 0
 
@@ -288,7 +308,7 @@
         self._listener.listen()
         (state / "link").symlink_to(own.name)
         os.replace(state / "link", path)
-        self._ways: dict[socket.socket, tuple[socket.socket, str, bytearray]] = {}   # to whom, which way, kept back
+        self._ways: dict[socket.socket, tuple[socket.socket, str, bytearray]] = {}  # to whom, which way, kept back
 
     def run(self) -> None:
         while not self._over:
@@ -328,15 +348,15 @@
         with Between(fleet.state, "n0") as between:
             fleet.process.kill()
             fleet.process.communicate()
-            fleet.process = fleet.up()                 # it speaks to n0 through the relay
+            fleet.process = fleet.up()  # it speaks to n0 through the relay
             fleet.ready(3)
             until(fleet, lambda parts: len(parts) == 3 and min(parts.values()) > 0.2)
-            for way in ("up", "down"):                 # not heard; then it hears nothing
+            for way in ("up", "down"):  # not heard; then it hears nothing
                 between.silent.add(way)
                 until(fleet, lambda parts: parts["n1"] + parts["n2"] > 0.75)
                 word = own_word(fleet, 0, between.real)
                 assert 0 < word["in_force"]["places"] <= word["base"][0], word
-                between.silent.clear()                 # what was kept back comes now, late
+                between.silent.clear()  # what was kept back comes now, late
                 until(fleet, lambda parts: len(parts) == 3 and min(parts.values()) > 0.2)
 
 
@@ -351,7 +371,8 @@
 
 
 def test_a_supervisor_that_stands_still_leaves_every_member_its_base_and_divides_on_when_it_wakes(
-        tmp_path: Path) -> None:
+    tmp_path: Path,
+) -> None:
     with Limiter(tmp_path) as limiter, FleetOf(tmp_path, limiter) as fleet:
         until(fleet, lambda parts: len(parts) == 3 and sum(parts.values()) > 0.95)
         fleet.process.send_signal(signal.SIGSTOP)
@@ -367,8 +388,11 @@
 def test_a_grant_over_the_control_socket_that_is_old_or_spoilt_changes_nothing(tmp_path: Path) -> None:
     with Limiter(tmp_path) as limiter, FleetOf(tmp_path, limiter) as fleet:
         until(fleet, lambda parts: len(parts) == 3 and sum(parts.values()) > 0.95)
-        for part in ({"era": 0, "number": 1, "base": [WHOLE] * 2, "lease": [0, 0], "end": 0.0},
-                     {"era": 9, "number": 1, "base": [WHOLE * 2] * 2, "lease": [0, 0], "end": 0.0}, "all"):
+        for part in (
+            {"era": 0, "number": 1, "base": [WHOLE] * 2, "lease": [0, 0], "end": 0.0},
+            {"era": 9, "number": 1, "base": [WHOLE * 2] * 2, "lease": [0, 0], "end": 0.0},
+            "all",
+        ):
             with socket.socket(socket.AF_UNIX) as line:
                 line.connect(str(fleet.state / "n0.sock"))
                 line.sendall(json.dumps({"do": "part", "part": part}).encode() + b"\n")
@@ -381,9 +405,8 @@
 # A supervisor that kills itself at a step: the count is of that step, over its life.
 DYING = """
 import os, signal, sys
-from thymeflow import interface as i
-from thymeflow.budgets import table
-from thymeflow.fleet import division
+from thymeflow.fleet.lease_distributor import LeaseDistributor
+from thymeflow.leases import grant_file
 step, count = {step!r}, [0]
 
 def at(name, real):
@@ -399,34 +422,61 @@
         return found
     return done
 
-table.write = at(("before the write", "before"), at(("after the write", "after"), table.write))
-division.Division.hears = at(("after a word", "after"), division.Division.hears)
-beat = division.Division._beat
+grant_file.write = at(("before the write", "before"), at(("after the write", "after"), grant_file.write))
+LeaseDistributor.on_report = at(("after a word", "after"), LeaseDistributor.on_report)
+beat = LeaseDistributor._beat
 def sending(self, _):
     self._send = at(("before a send", "before"), at(("after a send", "after"), self._send))
-    division.Division._beat = beat
+    LeaseDistributor._beat = beat
     beat(self, _)
-division.Division._beat = sending
-division.Division.born = at(("after a birth is written", "after"), division.Division.born)
+LeaseDistributor._beat = sending
+LeaseDistributor.on_starting = at(("after a birth is written", "after"), LeaseDistributor.on_starting)
 from thymeflow.cli import run
 sys.exit(run())
 """
 
 
-@pytest.mark.parametrize(("step", "count"), [
-    ("before the write", 2), ("before the write", 5), ("after the write", 2), ("after the write", 5),
-    ("before a send", 1), ("before a send", 3), ("after a send", 1), ("after a send", 3), ("after a word", 2),
-    ("after a birth is written", 2)])
+@pytest.mark.parametrize(
+    ("step", "count"),
+    [
+        ("before the write", 2),
+        ("before the write", 5),
+        ("after the write", 2),
+        ("after the write", 5),
+        ("before a send", 1),
+        ("before a send", 3),
+        ("after a send", 1),
+        ("after a send", 3),
+        ("after a word", 2),
+        ("after a birth is written", 2),
+    ],
+)
 def test_a_supervisor_killed_at_each_step_of_a_grant_is_followed_by_one_that_keeps_the_sum(
-        tmp_path: Path, step: str, count: int) -> None:
+    tmp_path: Path, step: str, count: int
+) -> None:
     class Dying(FleetOf):
         def up(self) -> Any:
-            return subprocess.Popen([sys.executable, "-c", DYING.format(step=step, count=count), "fleet", "up",
-                                     "--settings", str(self.ini), "--platform", str(self.path), "--state",
-                                     str(self.state)], cwd=ROOT, text=True, stderr=subprocess.PIPE)
+            return subprocess.Popen(
+                [
+                    sys.executable,
+                    "-c",
+                    DYING.format(step=step, count=count),
+                    "fleet",
+                    "up",
+                    "--settings",
+                    str(self.ini),
+                    "--platform",
+                    str(self.path),
+                    "--state",
+                    str(self.state),
+                ],
+                cwd=ROOT,
+                text=True,
+                stderr=subprocess.PIPE,
+            )
 
         def ready(self, count: int) -> dict[str, Any]:
-            return {} if self.process.args[1] == "-c" else super().ready(count)   # type: ignore[index]
+            return {} if self.process.args[1] == "-c" else super().ready(count)  # type: ignore[index]
 
     with Limiter(tmp_path) as limiter, Dying(tmp_path, limiter) as fleet:
         assert fleet.process.wait(PATIENCE) == -signal.SIGKILL
--- a/tests/test_daemon.py
+++ b/tests/test_daemon.py
@@ -20,8 +20,8 @@
 import pytest
 
 from tests.limiter import PATIENCE, ROOT, Limiter, command, request
-from thymeflow.drill import settings_from
-from thymeflow.state.record import site_of
+from thymeflow.simulator import settings_from
+from thymeflow.snapshot.schema import site_of
 
 GOOD = b"*3\r\n$5\r\nvalue\r\n$6\r\ncost=1\r\n$-1\r\n"
 SMALL: dict[str, Any] = {"tiers-of-service": [{"name": "basic", "refill": 0.01, "most-at-once": 20.0}]}
@@ -89,17 +89,23 @@
 
 def test_a_signal_between_readiness_and_the_reactor_is_not_lost(tmp_path: Path) -> None:
     # Who is told READY=1 may reload at once; on a busy machine that comes before the reactor runs.
-    code = ("import os, signal, sys; from thymeflow import cli; from thymeflow.daemon import service; "
-            "run = service.Service.run; "
-            "service.Service.run = lambda self: (os.kill(os.getpid(), signal.{0}), run(self))[1]; "
-            "sys.argv[1:] = ['serve', '--state', {1!r}]; sys.exit(cli.run())")
+    code = (
+        "import os, signal, sys; from thymeflow import cli; from thymeflow.daemon import service; "
+        "run = service.Service.run; "
+        "service.Service.run = lambda self: (os.kill(os.getpid(), signal.{0}), run(self))[1]; "
+        "sys.argv[1:] = ['serve', '--state', {1!r}]; sys.exit(cli.run())"
+    )
     with Limiter(tmp_path, serve=()) as limiter:
         limiter.terminate()
         ended(limiter.process)
         for name, told in (("SIGHUP", "reload: discovery at"), ("SIGTERM", "phase: draining")):
             limiter.process = subprocess.Popen(
-                [sys.executable, "-c", code.format(name, str(limiter.state))], cwd=ROOT, text=True,
-                stderr=subprocess.PIPE, env={**os.environ, "BALANCER_CONFIG": str(limiter.path)})
+                [sys.executable, "-c", code.format(name, str(limiter.state))],
+                cwd=ROOT,
+                text=True,
+                stderr=subprocess.PIPE,
+                env={**os.environ, "BALANCER_CONFIG": str(limiter.path)},
+            )
             if name == "SIGHUP":
                 limiter.log(told)
                 limiter.port = int(limiter.log("listening:").rsplit(":", 1)[1])
@@ -115,7 +121,7 @@
         assert code == 4 and f"n0 is held by pid {limiter.process.pid}" in text
         limiter.process.kill()
         limiter.process.communicate()
-        assert (limiter.state / "n0.sock").is_symlink()     # stale, as is the lock's content
+        assert (limiter.state / "n0.sock").is_symlink()  # stale, as is the lock's content
         limiter.process = limiter.start(())
         line_of(limiter.process, "phase: serving")
         assert limiter.ask(do="status")["pid"] == limiter.process.pid
@@ -126,14 +132,31 @@
     with Limiter(tmp_path, serve=()) as limiter:
         limiter.terminate()
         ended(limiter.process)
-        shell = ["/bin/sh", "-c", 'LISTEN_PID=$$ exec "$@"', "sh", sys.executable, "-m", "thymeflow", "serve",
-                 "--state", str(limiter.state)]
+        shell = [
+            "/bin/sh",
+            "-c",
+            'LISTEN_PID=$$ exec "$@"',
+            "sh",
+            sys.executable,
+            "-m",
+            "thymeflow",
+            "serve",
+            "--state",
+            str(limiter.state),
+        ]
         environment = {**os.environ, "BALANCER_CONFIG": str(limiter.path), "LISTEN_FDS": "1"}
         with socket.create_server(("127.0.0.1", 0)) as ours, socket.socket() as idle:
             for given, good in ((idle, False), (ours, True)):
                 # In the child alone: descriptor 3 of this process belongs to whoever runs the tests.
-                process = subprocess.Popen(shell, cwd=ROOT, env=environment, pass_fds=(3,), text=True,
-                                           stderr=subprocess.PIPE, preexec_fn=partial(os.dup2, given.fileno(), 3))
+                process = subprocess.Popen(
+                    shell,
+                    cwd=ROOT,
+                    env=environment,
+                    pass_fds=(3,),
+                    text=True,
+                    stderr=subprocess.PIPE,
+                    preexec_fn=partial(os.dup2, given.fileno(), 3),
+                )
                 if good:
                     limiter.process, limiter.port = process, ours.getsockname()[1]
                     line_of(process, "phase: serving")
@@ -146,7 +169,7 @@
 def test_a_restart_mints_no_units_and_a_killed_one_hardly_any(tmp_path: Path) -> None:
     with Limiter(tmp_path, serve=(), environment={"THYMEFLOW_SNAPSHOT_EVERY": "100ms"}, **SMALL) as limiter:
         first = spend(limiter, 1)
-        assert 8 <= first <= 12                             # the start values: half full
+        assert 8 <= first <= 12  # the start values: half full
         limiter.terminate()
         assert ended(limiter.process)[0] == 0
         limiter.process = limiter.start(())
@@ -162,11 +185,17 @@
         assert spend(limiter, 400) <= 1
 
 
-@pytest.mark.parametrize(("spoil", "why"), [
-    (lambda data: data[:-5], "it was cut"), (lambda data: b"{}", "does not begin"),
-    (lambda data: data.replace(b'"final":true', b'"final":null'), "was cut|checksum")])
+@pytest.mark.parametrize(
+    ("spoil", "why"),
+    [
+        (lambda data: data[:-5], "it was cut"),
+        (lambda data: b"{}", "does not begin"),
+        (lambda data: data.replace(b'"final":true', b'"final":null'), "was cut|checksum"),
+    ],
+)
 def test_a_spoilt_snapshot_is_one_line_and_the_start_values(tmp_path: Path, spoil: Any, why: str) -> None:
     import re
+
     with Limiter(tmp_path, serve=(), **SMALL) as limiter:
         spend(limiter, 1)
         limiter.terminate()
@@ -180,13 +209,21 @@
 
 
 def test_the_control_socket_is_the_owners_and_bounded(tmp_path: Path) -> None:
-    with Limiter(tmp_path, serve=(), environment={"THYMEFLOW_DAEMON_CONTROL_CALLERS": "2",
-                                                  "THYMEFLOW_DAEMON_CONTROL_PATIENCE": "300ms"}) as limiter:
+    with Limiter(
+        tmp_path,
+        serve=(),
+        environment={"THYMEFLOW_DAEMON_CONTROL_CALLERS": "2", "THYMEFLOW_DAEMON_CONTROL_PATIENCE": "300ms"},
+    ) as limiter:
         path = limiter.state / "n0.sock"
         assert path.stat().st_mode & 0o777 == 0o600
-        for bad, why in (({"do": "fly"}, "'do' is 'fly'"), ({"do": "drain", "linger": -1}, "linger is '-1'"),
-                         ({"do": "drain", "linger": True}, "linger"), ({"do": "level", "level": 3}, "level is '3'"),
-                         ({"do": ["status"]}, "'do' is"), ({"do": "ready"}, "'do' is")):
+        for bad, why in (
+            ({"do": "fly"}, "'do' is 'fly'"),
+            ({"do": "drain", "linger": -1}, "linger is '-1'"),
+            ({"do": "drain", "linger": True}, "linger"),
+            ({"do": "level", "level": 3}, "level is '3'"),
+            ({"do": ["status"]}, "'do' is"),
+            ({"do": "ready"}, "'do' is"),
+        ):
             answer = limiter.ask(**bad)
             assert answer["ok"] is False and why in answer["why"]
         for garbage in (b"no json\n", b"[]\n", b"[" * 60000 + b"\n", b"x" * 70000):
@@ -199,14 +236,14 @@
         hung = [socket.socket(socket.AF_UNIX) for _ in range(2)]
         for line in hung:
             line.connect(str(path))
-            line.sendall(b'{"do":')                      # and not another byte
+            line.sendall(b'{"do":')  # and not another byte
 
         def answers() -> bool:
             with contextlib.suppress(OSError, ValueError):
                 return bool(limiter.ask(do="status")["ok"])
             return False
 
-        until(answers)                                   # their places come free; nobody else waited for them
+        until(answers)  # their places come free; nobody else waited for them
         for line in hung:
             line.close()
         assert limiter.ask(do="level", level="error")["ok"]
@@ -243,11 +280,11 @@
             server.words()
         successor = limiter.start(("--take-over",))
         before = limiter.succeed(successor)
-        before.send_signal(signal.SIGHUP)                # harmless in the middle of it
+        before.send_signal(signal.SIGHUP)  # harmless in the middle of it
         line_of(successor, "hand-over: done")
         status = limiter.ask(do="status")
         assert status["pid"] == successor.pid != old["pid"] and status["listen"] == old["listen"]
-        if busy:                                         # in flight all the while: one answer, by the old one
+        if busy:  # in flight all the while: one answer, by the old one
             assert before.poll() is None
             server.send(GOOD)
             assert agent.bulk() == b"value"
@@ -303,7 +340,7 @@
         if steps == 2:
             impostor.say(do="took")
             assert "yours" in impostor.hear()
-        waiting = limiter.connect()                      # connects while nobody may accept: it waits, and is served
+        waiting = limiter.connect()  # connects while nobody may accept: it waits, and is served
         waiting.send(command(b"PING"))
         if way == "dies":
             impostor.close()
@@ -312,7 +349,7 @@
         assert limiter.ask(do="status")["hand_over"] == "whole"
         if way == "hangs":
             impostor.close()
-        successor = limiter.start(("--take-over",))      # and the next one goes well
+        successor = limiter.start(("--take-over",))  # and the next one goes well
         limiter.succeed(successor).wait(PATIENCE)
         line_of(successor, "hand-over: done")
 
@@ -331,10 +368,13 @@
 
 
 def test_the_run_line_imports_nothing_that_it_does_not_use() -> None:
-    code = ("import sys, thymeflow.__main__, thymeflow.net.assembly, twisted.internet.reactor; "
-            "print(sorted(m for m in sys.modules if m.split('.')[0] in "
-            "('click', 'structlog', 'msgspec', 'rich', 'xxhash', 'psutil') or m.startswith("
-            "('thymeflow.cli', 'thymeflow.daemon', 'thymeflow.fleet', 'thymeflow.lab', 'thymeflow.observe', "
-            "'thymeflow.settings', 'thymeflow.state', 'thymeflow.succession'))))")
+    code = (
+        "import sys, thymeflow.__main__, thymeflow.limiter.assembly, twisted.internet.reactor; "
+        "print(sorted(m for m in sys.modules if m.split('.')[0] in "
+        "('click', 'structlog', 'msgspec', 'rich', 'xxhash', 'psutil') or m.startswith("
+        "('thymeflow.cli', 'thymeflow.daemon', 'thymeflow.fleet', 'thymeflow.testkit', 'thymeflow.logs', "
+        "'thymeflow.settings', 'thymeflow.snapshot', 'thymeflow.handover', 'thymeflow.leases', "
+        "'thymeflow.outliers', 'thymeflow.shedding'))))"
+    )
     out = subprocess.run([sys.executable, "-c", code], cwd=ROOT, capture_output=True, text=True, check=True)
     assert out.stdout.strip() == "[]"
--- a/tests/test_drill.py
+++ b/tests/test_drill.py
@@ -7,20 +7,28 @@
 import os
 import subprocess
 import sys
+import tomllib
 from pathlib import Path
 
 import pytest
 
-from thymeflow import drill
+from thymeflow import simulator
 
 ROOT = Path(__file__).resolve().parent.parent
-SETTINGS = json.dumps({
-    "azs": ["east"], "balancers": 2, "index": 0, "zone": "east", "step": 0.002, "new-key": 1,
-    "caps": {"cancel": True, "max-attempts": 3, "may-tell": True, "retry-after": True,
-             "max-retry-after": 1.0},
-    "classes": [{"name": "get", "on-time": 1.0, "deadline": 4.0, "effect": "retryable"}],
-    "family-info": {"trued-up": True, "most-units": 4, "peer-intake": 50.0},
-    "tiers-of-service": [{"name": "basic", "refill": 10.0, "most-at-once": 20.0}]})
+SETTINGS = json.dumps(
+    {
+        "azs": ["east"],
+        "balancers": 2,
+        "index": 0,
+        "zone": "east",
+        "step": 0.002,
+        "new-key": 1,
+        "caps": {"cancel": True, "max-attempts": 3, "may-tell": True, "retry-after": True, "max-retry-after": 1.0},
+        "classes": [{"name": "get", "on-time": 1.0, "deadline": 4.0, "effect": "retryable"}],
+        "family-info": {"trued-up": True, "most-units": 4, "peer-intake": 50.0},
+        "tiers-of-service": [{"name": "basic", "refill": 10.0, "most-at-once": 20.0}],
+    }
+)
 BIRTH = f"""clock wall=5
 at i=4
 born salt=7 settings={SETTINGS}
@@ -29,24 +37,27 @@
 membership page=0 how=2 revision=1
 end
 """
-REQUEST = ("incoming rid=00000000000000ab cls=get tier=basic user-key=u:1 remaining=2 weight=3 spread=2 "
-           "first=0")
+REQUEST = "incoming rid=00000000000000ab cls=get tier=basic user-key=u:1 remaining=2 weight=3 spread=2 first=0"
 
 
 def play(text: str) -> tuple[int, str]:
     out = io.StringIO()
-    return drill.main(io.StringIO(text), out), out.getvalue()
+    return simulator.main(io.StringIO(text), out), out.getvalue()
 
 
 def test_a_day_in_small_byte_for_byte() -> None:
-    code, out = play(BIRTH + f"clock wall=6\nat i=4\nodd thing=1\n{REQUEST} later=9\nend\n"
-                     "clock wall=6.25\nat i=4\nattempt_end rid=00000000000000ab round-no=0 backend=51 "
-                     "reason=1 spent=0.25 over=1 fleet-use=51 billed=2 metrics=active:3,other:1\nend\n"
-                     "clock wall=7\nend\n")
+    code, out = play(
+        BIRTH + f"clock wall=6\nat i=4\nodd thing=1\n{REQUEST} later=9\nend\n"
+        "clock wall=6.25\nat i=4\nattempt_end rid=00000000000000ab round-no=0 backend=51 "
+        "reason=1 spent=0.25 over=1 fleet-use=51 billed=2 metrics=active:3,other:1\nend\n"
+        "clock wall=7\nend\n"
+    )
     assert code == 0
-    assert out == ("for i=4\narm cookie=1 from-now=0.094787\nready\n"
-                   "for i=4\narm cookie=2 from-now=0.996000\nissue rid=00000000000000ab backend=51\nready\n"
-                   "ready\nready\n")
+    assert out == (
+        "for i=4\narm cookie=1 from-now=0.094787\nready\n"
+        "for i=4\narm cookie=2 from-now=0.996000\nissue rid=00000000000000ab backend=51\nready\n"
+        "ready\nready\n"
+    )
 
 
 def test_refusal_carries_advice_and_a_halted_instance_is_gone() -> None:
@@ -56,8 +67,18 @@
     assert out.count("issue") == 1
 
 
-@pytest.mark.parametrize("line", ["incoming rid=1", "clock wall=x", "at", "membership page=9 how=1",
-                                  "born salt=1 settings={", "table page=0 nodes-list=x", "reminder cookie"])
+@pytest.mark.parametrize(
+    "line",
+    [
+        "incoming rid=1",
+        "clock wall=x",
+        "at",
+        "membership page=9 how=1",
+        "born salt=1 settings={",
+        "table page=0 nodes-list=x",
+        "reminder cookie",
+    ],
+)
 def test_malformed_lines_end_with_one_message(line: str, capsys: pytest.CaptureFixture[str]) -> None:
     code, out = play(BIRTH + f"clock wall=6\nat i=4\n{line}\nend\n")
     assert code == 1
@@ -78,14 +99,25 @@
     for n in range(40):
         line = REQUEST.replace("u:1", f"u:{n % 5}").replace("ab cls", f"{n:02x} cls")
         text += f"clock wall={6 + n / 10}\nat i=4\n{line}\nreminder cookie=1\nend\n"
-    replies = {subprocess.run([sys.executable, "-m", "thymeflow.drill"], input=text, text=True, cwd=ROOT,
-                              capture_output=True, check=True,
-                              env={**os.environ, "PYTHONHASHSEED": seed}).stdout for seed in "123"}
+    replies = {
+        subprocess.run(
+            [sys.executable, "-m", "thymeflow.simulator"],
+            input=text,
+            text=True,
+            cwd=ROOT,
+            capture_output=True,
+            check=True,
+            env={**os.environ, "PYTHONHASHSEED": seed},
+        ).stdout
+        for seed in "123"
+    }
     assert len(replies) == 1
 
 
-def test_module_size_and_line_length() -> None:
-    lines = (ROOT / "thymeflow" / "policy.py").read_text().splitlines()
+def test_the_files_that_decide_keep_their_size_and_line_length() -> None:
+    deploy = tomllib.loads((ROOT / "deploy" / "balancer.toml").read_text())
+    texts = [(ROOT / path).read_text() for path in deploy["policy"]]
+    lines = [line for text in texts for line in text.splitlines()]
     assert sum(bool(line.strip()) for line in lines) <= 500
     assert max(map(len, lines)) <= 110
-    assert "thymeflow/interface.py" in lines[0]
+    assert "HIP-185" in (ROOT / "thymeflow" / "decision" / "gateway.py").read_text().splitlines()[0]
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -23,16 +23,16 @@
 from tests import helpers
 from tests.limiter import PATIENCE, SETTINGS, Limiter, Peer, command, refused, request
 from tests.test_net_parts import World, change, good, limiter_of, order, upstream, words, world
-from thymeflow import interface as i
-from thymeflow.net import clock
-from thymeflow.net.front import IDLE, KEPT, LINGER
-from thymeflow.net.lifecycle import LINGER as LINGER_TERM
-from thymeflow.net.lifecycle import PATIENT, Lifecycle
-from thymeflow.net.management import Management
-from thymeflow.net.phases import Phase
+from thymeflow.decision.types import Status
+from thymeflow.frontend.frontend import IDLE, KEPT, LINGER
+from thymeflow.limiter.lifecycle import LINGER as LINGER_TERM
+from thymeflow.limiter.lifecycle import PATIENT, Lifecycle
+from thymeflow.limiter.management import Management
+from thymeflow.limiter.phases import Phase
+from thymeflow.runtime import clock
 
 GOOD = good(b"value")
-ERROR = b"-ERR failed\r\n"      # of a class that is safe to repeat: another pass follows while somebody waits
+ERROR = b"-ERR failed\r\n"  # of a class that is safe to repeat: another pass follows while somebody waits
 __all__ = ["world"]
 
 
@@ -46,7 +46,7 @@
 def test_a_request_whose_sender_has_left_by_the_time_it_is_read_is_not_sent_on(tmp_path: Path) -> None:
     with Limiter(tmp_path) as limiter:
         agent, other = limiter.connect(), limiter.connect()
-        server = limiter.served(other, 1)           # a warm connection, to which it could be written at once
+        server = limiter.served(other, 1)  # a warm connection, to which it could be written at once
         limiter.served(agent, 2, server)
 
         def leaves() -> None:
@@ -55,7 +55,7 @@
 
         stopped(limiter, leaves)
         limiter.until(b"+PONG", command(b"PING"))
-        limiter.served(other, 4, server)            # what comes next at the server is this one
+        limiter.served(other, 4, server)  # what comes next at the server is this one
 
 
 @pytest.mark.parametrize("reset", [False, True])
@@ -83,18 +83,18 @@
     with Limiter(tmp_path) as limiter:
         agent, other, listener = limiter.connect(), limiter.connect(), limiter.servers[0].sock
         listener.listen(0)
-        filling = [socket.socket() for _ in range(2)]       # its queue is full: nobody else comes up
+        filling = [socket.socket() for _ in range(2)]  # its queue is full: nobody else comes up
         for sock in filling:
             sock.setblocking(False)
             sock.connect_ex(listener.getsockname())
         agent.send(request(1))
-        limiter.until(b"+PONG", command(b"PING"))           # so that request was read, and its connection begun
+        limiter.until(b"+PONG", command(b"PING"))  # so that request was read, and its connection begun
         server: list[Peer] = []
 
         def comes_up_and_leaves() -> None:
             ports = {sock.getsockname()[1] for sock in filling}
-            listener.listen(100)                            # room for all that knock again
-            while not server:                               # the kernel tries again, about once a second
+            listener.listen(100)  # room for all that knock again
+            while not server:  # the kernel tries again, about once a second
                 peer = limiter.servers[0].accept()
                 if peer.sock.getpeername()[1] in ports:
                     peer.close()
@@ -103,7 +103,7 @@
             agent.close()
 
         stopped(limiter, comes_up_and_leaves)
-        limiter.served(other, 2, server[0])                 # nothing was written before it
+        limiter.served(other, 2, server[0])  # nothing was written before it
         for sock in filling:
             sock.close()
 
@@ -111,16 +111,16 @@
 def test_one_that_leaves_during_the_drain_is_seen_though_nothing_is_read_from_it(tmp_path: Path) -> None:
     with Limiter(tmp_path, servers=2) as limiter:
         agent = limiter.connect()
-        agent.send(request(1, wait=60000))          # its deadline comes after the test's patience
+        agent.send(request(1, wait=60000))  # its deadline comes after the test's patience
         number = 1 if limiter.servers[0].quiet(0.5) else 0
         server = limiter.servers[number].accept()
         server.words()
         limiter.terminate()
         while not refused(limiter):
             pass
-        agent.send(request(2))                      # unread, and so is the end behind it
+        agent.send(request(2))  # unread, and so is the end behind it
         agent.close()
-        assert server.ended()                       # nobody waits for it any more
+        assert server.ended()  # nobody waits for it any more
         assert limiter.process.wait(PATIENCE) == 0
         assert limiter.servers[0].quiet(0.0) and limiter.servers[1].quiet(0.0)
 
@@ -134,14 +134,14 @@
         limiter.terminate()
         while not refused(limiter):
             pass
-        agent.send(request(2))                      # behind the first, and never read before the close
+        agent.send(request(2))  # behind the first, and never read before the close
         server.send(GOOD)
         assert agent.bulk() == b"value"
-        assert agent.file.read(1) == b""            # an end, and no reset behind it
+        assert agent.file.read(1) == b""  # an end, and no reset behind it
         reset = select.poll()
         reset.register(agent.sock, 0)
         assert not reset.poll(200)
-        agent.send(request(3))                      # its own end stays open for a moment
+        agent.send(request(3))  # its own end stays open for a moment
         assert server.ended() and limiter.servers[0].quiet(0.0)
         agent.close()
         assert limiter.process.wait(PATIENCE) == 0
@@ -157,7 +157,7 @@
         while not refused(limiter):
             pass
         for place in range(20, len(text)):
-            agent.send(text[place:place + 1])
+            agent.send(text[place : place + 1])
         limiter.servers[0].serve(GOOD)
         assert agent.bulk() == b"value" and agent.file.read(1) == b""
         agent.close()
@@ -167,7 +167,7 @@
 def agent_of(world: World) -> tuple[Any, Any]:
     """A limiter in memory with one server, and a user agent of it; the agent notes whether it was aborted."""
     limiter = limiter_of(world, 256)
-    limiter.changed(change("active", reset=True))
+    limiter.on_endpoints_changed(change("active", reset=True))
     agent = world.connected(limiter.front.buildProtocol(None))
     agent.aborted = False
 
@@ -182,11 +182,11 @@
     limiter, agent = agent_of(world)
     agent.dataReceived(request(1))
     world.up(len(world.reactor.tcpClients) - 1).dataReceived(GOOD)
-    assert limiter.core.open() == 0
+    assert limiter.core.open_count() == 0
     world.reactor.pump([0.1] * int(KEPT / 0.1 + 2))
     assert agent.transport.handle.half_closed and not agent.aborted
     agent.dataReceived(request(2))
-    assert limiter.core.open() == 0
+    assert limiter.core.open_count() == 0
     world.reactor.pump([0.1] * int(LINGER / 0.1 + 2))
     assert agent.aborted
 
@@ -209,16 +209,19 @@
     world.reactor.advance(0.11)
     assert agent.aborted
     agent.connectionLost()
-    assert limiter.core.open() == 0
+    assert limiter.core.open_count() == 0
 
 
 def test_no_connection_holds_small_writes_back(world: World) -> None:
     limiter, agent = agent_of(world)
-    limiter.connect(clock.now() + 1.0)          # discovery and the counter
-    agent.dataReceived(request(1))              # a server
+    limiter.connect(clock.now() + 1.0)  # discovery and the counter
+    agent.dataReceived(request(1))  # a server
     callers = Management(world.deadlines, lambda word: (True, ""))
-    made = [agent, world.connected(callers.buildProtocol(None)),
-            *(world.up(number) for number in range(len(world.reactor.tcpClients)))]
+    made = [
+        agent,
+        world.connected(callers.buildProtocol(None)),
+        *(world.up(number) for number in range(len(world.reactor.tcpClients))),
+    ]
     assert len(made) == 2 + 1 + 3 + 1 and all(one.transport.handle.no_delay for one in made)
 
 
@@ -264,35 +267,37 @@
 def test_a_pass_that_waited_for_its_connection_is_written_only_where_it_still_stands(world: World, why: str) -> None:
     made, ends = upstream(world)
     there = [True]
-    void = order()._replace(present=lambda: there[0], latest=clock.now() + 0.3 if why == "past the window" else inf)
+    void = order()._replace(
+        is_connected=lambda: there[0], start_before=clock.now() + 0.3 if why == "past the window" else inf
+    )
     made.begin(void).addCallback(ends.append)
     made.begin(order()).addCallback(ends.append)
     if why == "late":
         void_pass = made._passes.all()[0]
-        void_pass.order = void_pass.order._replace(deadline=clock.now() + 0.2)   # its timer has not had its turn
+        void_pass.order = void_pass.order._replace(deadline=clock.now() + 0.2)  # its timer has not had its turn
     there[0] = why != "left"
     world.reactor.rightNow += 0.4
     server = world.up(0)
     server.dataReceived(good(b"v"))
-    assert [end.status for end in ends] == [i.Status.MOOT, i.Status.OK] and not server.closed
+    assert [end.status for end in ends] == [Status.MOOT, Status.OK] and not server.closed
 
 
 def test_a_connection_that_ends_as_it_comes_up_strands_no_pass(world: World) -> None:
     made, ends = upstream(world)
     made.begin(order()).addCallback(ends.append)
     made.begin(order()).addCallback(ends.append)
-    world.up(0, unread=b"-BUSY\r\n")               # no room there: it says so at once, or closes
-    assert [end.status for end in ends] == [i.Status.CONNECT_FAILED] and made.count == 1
+    world.up(0, unread=b"-BUSY\r\n")  # no room there: it says so at once, or closes
+    assert [end.status for end in ends] == [Status.CONNECT_FAILED] and made.count == 1
     world.up(1).dataReceived(good(b"v"))
-    assert [end.status for end in ends] == [i.Status.CONNECT_FAILED, i.Status.OK]
+    assert [end.status for end in ends] == [Status.CONNECT_FAILED, Status.OK]
 
 
 def test_a_keyed_repeat_may_only_begin_while_its_window_lasts() -> None:
     gateway = helpers.started()
-    first, = helpers.sends(gateway.handle(0.0, helpers.request("k", class_name="book")))
-    assert first.within == inf
-    again, = helpers.sends(gateway.handle(0.1, helpers.ended("k", first, i.Status.ERROR)))
-    assert 0.25 < again.within < helpers.KEYED.window - 0.1
+    (first,) = helpers.sends(gateway.handle(0.0, helpers.request("k", class_name="book")))
+    assert first.start_within == inf
+    (again,) = helpers.sends(gateway.handle(0.1, helpers.ended("k", first, Status.ERROR)))
+    assert 0.25 < again.start_within < helpers.KEYED.idempotency_window - 0.1
 
 
 def test_what_comes_while_it_is_told_to_end_is_answered_before_it_may_be_killed(world: World) -> None:
@@ -304,7 +309,7 @@
     agent.dataReceived(request(1, wait=60000))
     server = world.up(len(world.reactor.tcpClients) - 1)
     assert server.transport.value()
-    while not agent.transport.value().startswith(b"-BUSY"):     # the server says nothing
+    while not agent.transport.value().startswith(b"-BUSY"):  # the server says nothing
         world.reactor.advance(0.05)
     assert clock.now() - told < LINGER_TERM + PATIENT and server.closed
 
@@ -314,8 +319,8 @@
     _, agent = agent_of(world)
     text = request(1, wait=500)
     for piece in range(pieces):
-        world.reactor.pump([0.1] * 6)               # it rests, or writes slowly: no stall of ours
-        agent.dataReceived(text[piece * 30:] if piece == pieces - 1 else text[piece * 30:piece * 30 + 30])
+        world.reactor.pump([0.1] * 6)  # it rests, or writes slowly: no stall of ours
+        agent.dataReceived(text[piece * 30 :] if piece == pieces - 1 else text[piece * 30 : piece * 30 + 30])
     server = world.up(len(world.reactor.tcpClients) - 1)
     told = words(server.transport.value())[3]
     assert b",d=49" in told or b",d=500" in told
@@ -323,15 +328,20 @@
     assert agent.transport.value() == b"$5\r\nvalue\r\n"
 
 
-@pytest.mark.parametrize(("changed", "why"), [
-    ({"name": "n7"}, "name"),
-    ({"settings": {**SETTINGS, "tiers-of-service": [{"name": "guest"}]}}, "another customer")])
+@pytest.mark.parametrize(
+    ("changed", "why"),
+    [
+        ({"name": "n7"}, "name"),
+        ({"settings": {**SETTINGS, "tiers-of-service": [{"name": "guest"}]}}, "another customer"),
+    ],
+)
 def test_a_configuration_of_another_limiter_changes_nothing(tmp_path: Path, changed: dict[str, Any], why: str) -> None:
     with Limiter(tmp_path) as limiter:
         settings = changed.get("settings", SETTINGS)
         plans = [{**plan, "refill": 5.0, "most-at-once": 5.0} for plan in settings["tiers-of-service"]]
-        limiter.path.write_text(json.dumps(
-            {**limiter.config, **changed, "settings": {**settings, "tiers-of-service": plans}}))
+        limiter.path.write_text(
+            json.dumps({**limiter.config, **changed, "settings": {**settings, "tiers-of-service": plans}})
+        )
         limiter.process.send_signal(signal.SIGHUP)
         line = limiter.log("reload:")
         assert "the old settings stay" in line and why in line
@@ -341,14 +351,14 @@
 def test_idle_clients_that_fill_the_descriptors_leave_those_of_discovery_and_servers_free(tmp_path: Path) -> None:
     with Limiter(tmp_path, sockets=64) as limiter:
         watch, _ = limiter.watch()
-        resource.prlimit(limiter.process.pid, resource.RLIMIT_NOFILE, (64, 64))     # a descriptor more is an error
+        resource.prlimit(limiter.process.pid, resource.RLIMIT_NOFILE, (64, 64))  # a descriptor more is an error
         crowd = [limiter.connect() for _ in range(100)]
         watch.close()
         again, asked = limiter.watch()
         assert b"index=41 " in asked
         limiter.tell(again, 42, limiter.entry(0))
         served, number = False, 0
-        while not served:                       # one that comes while all places are new may be closed unread
+        while not served:  # one that comes while all places are new may be closed unread
             agent, number = limiter.connect(), number + 1
             assert number < 1000
             with contextlib.suppress(OSError):
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -28,9 +28,24 @@
         self.ready(3)
 
     def up(self) -> subprocess.Popen[str]:
-        return subprocess.Popen([sys.executable, "-m", "thymeflow", "fleet", "up", "--settings", str(self.ini),
-                                 "--platform", str(self.path), "--state", str(self.state)], cwd=ROOT, text=True,
-                                stderr=subprocess.PIPE)
+        return subprocess.Popen(
+            [
+                sys.executable,
+                "-m",
+                "thymeflow",
+                "fleet",
+                "up",
+                "--settings",
+                str(self.ini),
+                "--platform",
+                str(self.path),
+                "--state",
+                str(self.state),
+            ],
+            cwd=ROOT,
+            text=True,
+            stderr=subprocess.PIPE,
+        )
 
     def ask(self, **message: Any) -> dict[str, Any]:
         with socket.socket(socket.AF_UNIX) as line:
@@ -63,8 +78,11 @@
         return self
 
     def __exit__(self, *_: object) -> None:
-        members = [psutil.Process(int(path.read_text().split()[0])) for path in self.state.glob("n*.lock")
-                   if path.read_text().split() and psutil.pid_exists(int(path.read_text().split()[0]))]
+        members = [
+            psutil.Process(int(path.read_text().split()[0]))
+            for path in self.state.glob("n*.lock")
+            if path.read_text().split() and psutil.pid_exists(int(path.read_text().split()[0]))
+        ]
         for member in members:
             if str(self.state) in " ".join(member.cmdline()):
                 member.kill()
@@ -80,21 +98,26 @@
 
 
 def cli(*words: str) -> subprocess.CompletedProcess[str]:
-    return subprocess.run([sys.executable, "-m", "thymeflow", *words], cwd=ROOT, capture_output=True, text=True,
-                          check=False)
+    return subprocess.run(
+        [sys.executable, "-m", "thymeflow", *words], cwd=ROOT, capture_output=True, text=True, check=False
+    )
 
 
 def test_a_supervisor_killed_in_a_roll_is_followed_by_one_that_adopts(tmp_path: Path) -> None:
     with Limiter(tmp_path) as limiter, FleetOf(tmp_path, limiter) as fleet:
         first = fleet.ready(3)
-        rolling = subprocess.Popen([sys.executable, "-m", "thymeflow", "fleet", "upgrade", "--state",
-                                    str(fleet.state)], cwd=ROOT, stderr=subprocess.PIPE, text=True)
+        rolling = subprocess.Popen(
+            [sys.executable, "-m", "thymeflow", "fleet", "upgrade", "--state", str(fleet.state)],
+            cwd=ROOT,
+            stderr=subprocess.PIPE,
+            text=True,
+        )
         assert rolling.stderr is not None and "member 0 is ready" in rolling.stderr.readline()
         fleet.process.kill()
         fleet.process.communicate()
         assert rolling.wait(PATIENCE) == 6
         rolling.communicate()
-        assert all(serves(m) for m in first["members"])          # they do not need it
+        assert all(serves(m) for m in first["members"])  # they do not need it
         fleet.process = fleet.up()
         status = fleet.ready(3)
         assert [m["listen"] for m in status["members"]] == [m["listen"] for m in first["members"]]
@@ -112,10 +135,10 @@
         victim = psutil.Process(before["members"][1]["pid"])
         victim.kill()
         assert not psutil.wait_procs([victim], PATIENCE)[1]
-        assert serves(before["members"][1])                      # it waited in the queue of the held socket
+        assert serves(before["members"][1])  # it waited in the queue of the held socket
         fleet.ready(3)
         assert fleet.ask(do="scale", count=4)["ok"]
-        end = time.monotonic() + PATIENCE                        # told by signal: heard of in a moment
+        end = time.monotonic() + PATIENCE  # told by signal: heard of in a moment
         while {m["told"].get("gateways") for m in fleet.ready(4)["members"]} != {4}:
             assert time.monotonic() < end
         assert fleet.ask(do="scale", count=2)["ok"] and len(fleet.ready(2)["members"]) == 2
@@ -133,7 +156,7 @@
             assert not answer["ok"] and why in answer["why"] and "not touched: 1, 2" in answer["why"]
         status = fleet.ready(3)
         assert fleet.pids() == pids and all(serves(m) for m in status["members"])
-        assert fleet.ask(do="upgrade")["ok"]                     # by the program that worked before
+        assert fleet.ask(do="upgrade")["ok"]  # by the program that worked before
         assert fleet.pids() != pids
 
 
--- a/tests/test_fleet_mind.py
+++ b/tests/test_fleet_mind.py
@@ -12,56 +12,57 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, initialize, invariant, precondition, rule
 
-from thymeflow.fleet import mind
-from thymeflow.fleet.mind import MOVES, Kind, Member, Mind, Move, State
+from thymeflow.fleet import controller
+from thymeflow.fleet.controller import MOVES, FleetController, Kind, Member, Move, State
 from thymeflow.settings.sections import Fleet
 
-SET = Fleet(instances=3, spread=1.0, ready=5.0, settle=0.5, stop=4.0, wait=0.5, longest_wait=8.0, crashes=3,
-            crash_window=30.0)
+SET = Fleet(
+    instances=3, spread=1.0, ready=5.0, settle=0.5, stop=4.0, wait=0.5, longest_wait=8.0, crashes=3, crash_window=30.0
+)
 
 
 class Play:
     """A mind and the processes that it asked for."""
 
     def __init__(self, count: int = 3, start: bool = True) -> None:
-        self.mind, self.now = Mind(SET, random.Random(1)), 100.0
-        self.alive: dict[int, mind.Start] = {}
+        self.mind, self.now = FleetController(SET, random.Random(1)), 100.0
+        self.alive: dict[int, controller.Start] = {}
         self.stopping: set[int] = set()
-        self.said: list[mind.Action] = []
+        self.said: list[controller.Action] = []
         self.size, self.orders = 0, 0
         if start:
-            self.tell(mind.Up(count))
+            self.tell(controller.FleetStarted(count))
             self.settle()
 
-    def tell(self, event: mind.Event) -> list[mind.Action]:
+    def tell(self, event: controller.Event) -> list[controller.Action]:
         actions = self.mind.handle(self.now, event)
         for action in actions:
-            if isinstance(action, mind.Start):
+            if isinstance(action, controller.Start):
                 self.alive[action.run] = action
-            elif isinstance(action, mind.Stop | mind.Kill) and action.run in self.alive:
+            elif isinstance(action, controller.Stop | controller.Kill) and action.run in self.alive:
                 self.stopping.add(action.run)
-            elif isinstance(action, mind.Resize):
+            elif isinstance(action, controller.Resize):
                 self.size = action.gateways
         self.said += actions
         return actions
 
     def ready(self, run: int, healthy: bool = True) -> None:
-        self.tell(mind.Told(run, f"life{run}", True, healthy))
+        self.tell(controller.StatusReported(run, f"life{run}", True, healthy))
 
     def end(self, run: int, how: str = "ended with code 0") -> None:
         self.alive.pop(run)
         self.stopping.discard(run)
-        self.tell(mind.Ended(run, how))
+        self.tell(controller.RunEnded(run, how))
 
     def pass_time(self, seconds: float) -> None:
         end, ticks = self.now + seconds, 0
         while (due := self.mind.next_due()) <= end:
             self.now = max(self.now, due)
-            self.tell(mind.Tick())
+            self.tell(controller.Tick())
             ticks += 1
             assert ticks < 200 or self.mind.next_due() > self.now, f"it spins: {self.mind.members}"
         self.now = end
-        self.tell(mind.Tick())
+        self.tell(controller.Tick())
 
     def settle(self, rounds: int = 60) -> None:
         """Everything goes well: what is asked to end ends, what starts serves."""
@@ -85,11 +86,11 @@
 
     def order(self, kind: Kind, count: int = 0) -> int:
         self.orders += 1
-        self.tell(mind.Order(self.orders, kind, count))
+        self.tell(controller.Order(self.orders, kind, count))
         return self.orders
 
-    def done(self, order: int) -> mind.Report:
-        (report,) = [a for a in self.said if isinstance(a, mind.Report) and a.id == order and a.done]
+    def done(self, order: int) -> controller.ReportProgress:
+        (report,) = [a for a in self.said if isinstance(a, controller.ReportProgress) and a.id == order and a.done]
         return report
 
     def serving(self) -> int:
@@ -110,8 +111,8 @@
 
 def test_a_start_is_spread_and_the_size_told_before() -> None:
     play = Play(start=False)
-    first = play.tell(mind.Up(3))
-    assert first[0] == mind.Resize(3)
+    first = play.tell(controller.FleetStarted(3))
+    assert first[0] == controller.Resize(3)
     starts: dict[int, float] = {}
     for _ in range(200):
         play.pass_time(0.01)
@@ -133,7 +134,7 @@
         run = play.mind.members[number].run
         play.ready(run, healthy=False)
         play.pass_time(3.0)
-        assert play.serving() == 3 and play.mind.working()      # ready is not yet healthy
+        assert play.serving() == 3 and play.mind.working()  # ready is not yet healthy
         play.ready(run)
         play.pass_time(SET.settle + 0.01)
     assert play.done(order).good and play.states() == dict.fromkeys(range(3), State.READY)
@@ -228,7 +229,7 @@
     joined = play.mind.members[4]
     play.end(joined.run, "was ended by SIGKILL")
     play.settle()
-    assert not play.alive[joined.run].joins                 # only the first start is a joining
+    assert not play.alive[joined.run].joins  # only the first start is a joining
     down = play.order(Kind.SCALE, 2)
     assert play.size == 5 and {play.alive[r].number for r in play.stopping} == {2, 3, 4}
     play.settle()
@@ -237,11 +238,11 @@
 
 def test_a_successor_adopts_and_starts_only_what_is_missing() -> None:
     play = Play(start=False)
-    play.tell(mind.Adopted(0, "a", True))
-    play.tell(mind.Adopted(2, "c", False))
-    play.tell(mind.Up(3))
-    assert [s.number for s in play.alive.values()] == [1]   # and at once
-    play.tell(mind.Told(play.mind.members[2].run, "c", True, True))
+    play.tell(controller.MemberAdopted(0, "a", True))
+    play.tell(controller.MemberAdopted(2, "c", False))
+    play.tell(controller.FleetStarted(3))
+    assert [s.number for s in play.alive.values()] == [1]  # and at once
+    play.tell(controller.StatusReported(play.mind.members[2].run, "c", True, True))
     assert play.states()[0] is State.READY and play.states()[2] is State.READY
 
 
@@ -250,11 +251,11 @@
     play.order(Kind.SCALE, 2)
     play.stopping.clear()
     play.pass_time(SET.stop + 0.1)
-    assert mind.Kill(play.mind.members[2].run) in play.said
+    assert controller.Kill(play.mind.members[2].run) in play.said
     play = Play(start=False)
-    play.tell(mind.Up(1))
+    play.tell(controller.FleetStarted(1))
     play.pass_time(SET.spread + SET.ready + 0.1)
-    assert mind.Kill(play.mind.members[0].run) in play.said
+    assert controller.Kill(play.mind.members[0].run) in play.said
 
 
 def test_orders_wait_for_each_other_and_going_down_for_nobody() -> None:
@@ -264,7 +265,7 @@
     down = play.order(Kind.DOWN)
     assert not play.done(roll).good
     play.settle()
-    assert play.done(down).good and mind.Exit() in play.said and not play.alive
+    assert play.done(down).good and controller.Exit() in play.said and not play.alive
 
 
 class Fuzz(RuleBasedStateMachine):
@@ -276,7 +277,7 @@
 
     @initialize(count=st.integers(1, 4))
     def up(self, count: int) -> None:
-        self.play.tell(mind.Up(count))
+        self.play.tell(controller.FleetStarted(count))
 
     def pick(self, number: int) -> int:
         return sorted(self.play.alive)[number % len(self.play.alive)]
@@ -301,8 +302,11 @@
 
     @invariant()
     def one_at_a_time(self) -> None:
-        touched = [m for m in self.play.mind.members.values()
-                   if m.state is State.REPLACING or (m.state is State.STOPPING and m.again)]
+        touched = [
+            m
+            for m in self.play.mind.members.values()
+            if m.state is State.REPLACING or (m.state is State.STOPPING and m.again)
+        ]
         assert len(touched) <= 1
 
     @invariant()
@@ -326,5 +330,6 @@
 
 
 TestFuzz = Fuzz.TestCase
-TestFuzz.settings = profile(max_examples=40, stateful_step_count=25, deadline=None, derandomize=True,
-                            phases=[Phase.explicit, Phase.generate])
+TestFuzz.settings = profile(
+    max_examples=40, stateful_step_count=25, deadline=None, derandomize=True, phases=[Phase.explicit, Phase.generate]
+)
--- a/tests/test_judges.py
+++ b/tests/test_judges.py
@@ -7,14 +7,14 @@
 import pytest
 from twisted.internet.testing import MemoryReactorClock
 
-from thymeflow.lab.standins import World
-from thymeflow.lab.standins.site import KEYED, WINDOW
-from thymeflow.net import clock
+from thymeflow.runtime import clock
+from thymeflow.testkit.fakes import World
+from thymeflow.testkit.fakes.site import KEYED, WINDOW
 
 
 @pytest.fixture
 def world(monkeypatch: pytest.MonkeyPatch) -> World:
-    reactor: Any = MemoryReactorClock()   # type: ignore[no-untyped-call]
+    reactor: Any = MemoryReactorClock()  # type: ignore[no-untyped-call]
     monkeypatch.setattr(clock, "now", lambda: 1e9 + reactor.seconds())
     return World(reactor, 3, servers=2)
 
--- a/tests/test_level.py
+++ b/tests/test_level.py
@@ -16,59 +16,71 @@
 from tests.limiter import PATIENCE, Limiter
 from tests.test_fleet import FleetOf
 from tests.test_overload import Crowd, Serving
-from thymeflow import Gateway
-from thymeflow import interface as i
-from thymeflow.fleet.court import Court
-from thymeflow.net import clock, log
-from thymeflow.overload.level import BEAT, FALL, HEARD, LEASE, MOST, RISE, TURN, Level, Order, Shedding
-from thymeflow.policy import RETRY
-from thymeflow.pressure import PRESSED
+from thymeflow.decision.events import AttemptEnded, EndpointsChanged
+from thymeflow.decision.gateway import Gateway
+from thymeflow.decision.gateway_state import MAX_FLEET_RETRY_BUDGET
+from thymeflow.decision.types import EndpointListKind, Status
+from thymeflow.fleet.outlier_service import OutlierService
+from thymeflow.health.pressure import PRESSURE_THRESHOLD
+from thymeflow.runtime import clock, log
+from thymeflow.shedding.threshold import (
+    BEAT,
+    FALL,
+    HEARD,
+    LEASE,
+    MOST,
+    RISE,
+    TURN,
+    AdmissionThreshold,
+    LoadShedder,
+    PriorityOrder,
+)
 
 RICH = replace(PLAN, name="rich", price=4.0)
-DEAR = replace(SAFE, name="dear", worth=3.0)
+DEAR = replace(SAFE, name="dear", priority_weight=3.0)
 SITE = settings(plans=(PLAN, RICH), classes=(SAFE, DEAR))
 
 
 def test_the_middle_one_counts_so_that_neither_who_is_cut_off_nor_who_lies_moves_it() -> None:
     for odd, others in ((1.0, 0.1), (0.0, 0.9)):
-        level = Level()
+        level = AdmissionThreshold()
         for beat in range(40):
             for n in range(5):
-                level.hears(f"n{n}", odd if n < 2 else others, beat * BEAT)
-            level.beat(beat * BEAT)
-        assert (level.level > 0.0) is (others > PRESSED)
+                level.on_report(f"n{n}", odd if n < 2 else others, beat * BEAT)
+            level.tick(beat * BEAT)
+        assert (level.level > 0.0) is (others > PRESSURE_THRESHOLD)
 
 
 def test_it_moves_in_small_steps_and_falls_where_nobody_is_heard() -> None:
-    level, now, before = Level(), 0.0, 0.0
+    level, now, before = AdmissionThreshold(), 0.0, 0.0
     for _ in range(100):
-        level.hears("n0", 1.0, now)
-        assert 0.0 <= level.beat(now) - before <= RISE + 1e-9
+        level.on_report("n0", 1.0, now)
+        assert 0.0 <= level.tick(now) - before <= RISE + 1e-9
         now, before = now + BEAT, level.level
     assert level.level == MOST
-    level.gone("n0")
+    level.on_member_gone("n0")
     for _ in range(round(MOST / FALL) + 1):
-        assert 0.0 <= before - level.beat(now) <= FALL + 1e-9
+        assert 0.0 <= before - level.tick(now) <= FALL + 1e-9
         now, before = now + BEAT, level.level
     assert level.level == 0.0
-    level.hears("n1", 1.0, now)          # one that was stopped since says nothing
-    assert level.beat(now + HEARD + 0.1) == 0.0
+    level.on_report("n1", 1.0, now)  # one that was stopped since says nothing
+    assert level.tick(now + HEARD + 0.1) == 0.0
 
 
 @pytest.mark.parametrize("word", [None, True, "0.5", nan, inf, -0.1, 1.1, [0.5]])
 def test_figures_that_cannot_be_are_a_fault_and_change_nothing(word: Any) -> None:
-    level, gateway = Level(), Gateway(SITE, 1)
+    level, gateway = AdmissionThreshold(), Gateway(SITE, 1)
     with pytest.raises(ValueError, match="no figure from 0 to 1"):
-        level.hears("n0", word, 0.0)
-    shedding = Shedding(gateway)
+        level.on_report("n0", word, 0.0)
+    shedding = LoadShedder(gateway)
     with pytest.raises(ValueError, match="no figure from 0 to 1"):
-        shedding.told(word, 0.0, 0.0)
-    assert not level.said and gateway.order is not None
+        shedding.on_threshold(word, 0.0, 0.0)
+    assert not level.reports and gateway.adjust_shedding is not None
 
 
 def test_the_order_goes_by_worth_and_is_the_same_at_every_member_with_these_settings() -> None:
-    one, other = Order(SITE), Order(replace(SITE, index=2, zone="b"))
-    ranks = [(SAFE, PLAN), (DEAR, PLAN), (SAFE, RICH), (DEAR, RICH)]      # worth 1, 3, 4, 12
+    one, other = PriorityOrder(SITE), PriorityOrder(replace(SITE, index=2, zone="b"))
+    ranks = [(SAFE, PLAN), (DEAR, PLAN), (SAFE, RICH), (DEAR, RICH)]  # worth 1, 3, 4, 12
     for customer in range(300):
         places = [one.place(cls, plan, customer, 50.0) for cls, plan in ranks]
         assert places == sorted(places) and places[0] >= 0.0 and places[-1] < 1.0
@@ -83,14 +95,16 @@
     free = tuple(replace(p, rate=0.0) for p in SITE.plans)
     members = [Gateway(replace(SITE, plans=free, index=n), n) for n in range(3)]
     for member in members:
-        member.handle(0.0, i.Membership(i.ListKind.CACHED, fleet()))
-        Shedding(member).told(0.15, 0.0, 100.0)
+        member.handle(0.0, EndpointsChanged(EndpointListKind.CACHED, fleet()))
+        LoadShedder(member).on_threshold(0.15, 0.0, 100.0)
 
     def let_in(member: Gateway, now: float, plan: str, customer: int) -> bool:
         event = request(f"{now}-{plan}-{customer}", 1.0, plan=plan, customer=str(customer))
         actions = member.handle(now, event)
         for sent in sends(actions):
-            member.handle(now, i.AttemptEnded(event.id, 0, sent.backend, i.Status.OK, 0.01, closed=True, units=1.0))
+            member.handle(
+                now, AttemptEnded(event.id, 0, sent.backend, Status.OK, 0.01, request_answered=True, actual_units=1.0)
+            )
         return bool(sends(actions))
 
     for customer in range(100):
@@ -102,26 +116,29 @@
 
 def test_further_attempts_are_saved_up_within_the_share_and_fewer_while_much_is_shed() -> None:
     member = Gateway(SITE, 1)
-    member.share = lambda kind: 0.25
-    shedding = Shedding(member)
-    shedding.temper()
-    assert member.saved() == pytest.approx(0.25 * RETRY[1]) and member.share("places") == 0.25
-    shedding.told(0.8, 0.0, 0.0)
-    assert member.saved() == pytest.approx(max(1.0, 0.05 * RETRY[1]))
+    member.fraction_of = lambda kind: 0.25
+    shedding = LoadShedder(member)
+    shedding.limit_retries()
+    assert (
+        member.max_retry_budget() == pytest.approx(0.25 * MAX_FLEET_RETRY_BUDGET)
+        and member.fraction_of("places") == 0.25
+    )
+    shedding.on_threshold(0.8, 0.0, 0.0)
+    assert member.max_retry_budget() == pytest.approx(max(1.0, 0.05 * MAX_FLEET_RETRY_BUDGET))
     member.now = LEASE + 0.1
-    assert member.saved() == pytest.approx(0.25 * RETRY[1])
+    assert member.max_retry_budget() == pytest.approx(0.25 * MAX_FLEET_RETRY_BUDGET)
 
 
 def test_a_back_end_that_is_asked_for_twice_what_it_bears_stays_at_its_capacity_and_comes_back() -> None:
-    level, queue, served, offered, back = Level(), 0.0, 0.0, 0.0, inf
-    for beat in range(400):                     # a queue in front of 100 a second, and aims of 1 s
+    level, queue, served, offered, back = AdmissionThreshold(), 0.0, 0.0, 0.0, inf
+    for beat in range(400):  # a queue in front of 100 a second, and aims of 1 s
         now, load = beat * BEAT, 200.0 if beat < 200 else 60.0
         come = load * (1.0 - level.level) * BEAT
         done = min(queue + come, 100.0 * BEAT)
         queue = min(150.0, queue + come - done)
-        for n in range(12):                     # one lies, one is cut off
-            level.hears(f"n{n}", (0.0, 1.0)[n] if n < 2 else min(1.0, queue / 100.0 + 0.05), now)
-        level.beat(now)
+        for n in range(12):  # one lies, one is cut off
+            level.on_report(f"n{n}", (0.0, 1.0)[n] if n < 2 else min(1.0, queue / 100.0 + 0.05), now)
+        level.tick(now)
         if 40 <= beat < 200:
             served, offered = served + done, offered + 100.0 * BEAT
         if beat >= 200 and level.level == 0.0:
@@ -132,17 +149,18 @@
 
 @pytest.mark.parametrize("levels", [(0.2, 0.0), (0.0004, 0.2, 0.0004, 0.0), (0.0, 0.001, 0.0)])
 def test_shedding_begins_and_is_over_in_the_log_however_little_it_begins_with(
-        levels: tuple[float, ...], monkeypatch: pytest.MonkeyPatch) -> None:
+    levels: tuple[float, ...], monkeypatch: pytest.MonkeyPatch
+) -> None:
     lines = list[str]()
     monkeypatch.setattr(log, "note", lambda kind, text, **fields: lines.append(text.split(":")[0]))
-    court = Court(clock.Deadlines(MemoryReactorClock()), 1.0, lambda name, message: None)  # type: ignore[no-untyped-call]
+    court = OutlierService(clock.Deadlines(MemoryReactorClock()), 1.0, lambda name, message: None)  # type: ignore[no-untyped-call]
 
     def beat(now: float) -> float:
         court._level.level = next(coming)
         return court._level.level
 
     coming = iter(levels)
-    monkeypatch.setattr(court._level, "beat", beat)
+    monkeypatch.setattr(court._level, "tick", beat)
     for _ in levels:
         court._steer(0.0)
     assert lines == ["shedding by order begins", "shedding by order is over"]
@@ -150,13 +168,16 @@
 
 def test_a_real_fleet_sheds_as_one_while_its_servers_are_slow_and_is_back_by_itself(tmp_path: Path) -> None:
     classes = [{"name": "look", "on-time": 0.5, "deadline": 3000.0, "effect": "retryable"}]
-    with Limiter(tmp_path, servers=4, classes=classes) as limiter, FleetOf(tmp_path, limiter) as members, \
-            Serving(limiter) as serving:
+    with (
+        Limiter(tmp_path, servers=4, classes=classes) as limiter,
+        FleetOf(tmp_path, limiter) as members,
+        Serving(limiter) as serving,
+    ):
         crowd, shed = Crowd(limiter, members.ready(3)["members"]), 0
 
         def until(good: Any) -> None:
             nonlocal shed
-            end = time.monotonic() + 3.0 * PATIENCE    # up in 4 s and back in 16 s, on a machine that keeps up
+            end = time.monotonic() + 3.0 * PATIENCE  # up in 4 s and back in 16 s, on a machine that keeps up
             while not good(status := members.ask(do="overload")):
                 assert time.monotonic() < end, json.dumps(status)
                 shed += sum(line.startswith(b"-BUSY") for line in crowd.ask(customers=50))
--- a/tests/test_limiter.py
+++ b/tests/test_limiter.py
@@ -14,8 +14,8 @@
 import pytest
 
 from tests.limiter import PATIENCE, ROOT, Limiter, Listener, command, request
-from thymeflow import counts
-from thymeflow.net.front import KEPT
+from thymeflow.frontend.frontend import KEPT
+from thymeflow.quota import counter_encoding
 
 SMALL: dict[str, Any] = {"tiers-of-service": [{"name": "basic", "refill": 2.0, "most-at-once": 16.0}]}
 GOOD = b"*3\r\n$5\r\nvalue\r\n$14\r\nused=37,cost=2\r\n$11\r\navg_ms=14.5\r\n"
@@ -38,7 +38,7 @@
         server.send(GOOD)
         assert agent.bulk() == b"value"
         agent.send(request(2))
-        assert server.words()[2] == b"%016x" % 2   # the warm connection is used again
+        assert server.words()[2] == b"%016x" % 2  # the warm connection is used again
         server.send(b"*3\r\n$0\r\n\r\n$-1\r\n$-1\r\n")
         assert agent.bulk() == b""
 
@@ -55,14 +55,21 @@
         assert [agent.bulk(), agent.bulk(), agent.line()] == [b"value", b"later", b"+PONG"]
 
 
-@pytest.mark.parametrize(("cls", "reply", "answer"), [
-    ("look", b"-BUSY used=37", b"-BUSY 100"), ("book", b"-BUSY", b"-BUSY 100"),
-    ("look", b"-ERR failed used=3", b"-BUSY 100"), ("book", b"-ERR failed", b"-ERR failed"),
-    ("book", b"+odd", b"-ERR failed"), ("book", b"!?", b"-ERR failed"),
-    ("book", b"*1\r\n$-1", b"-ERR failed"), ("book", b"$99999999", b"-ERR failed"),
-    ("book", b"*3\r\n$1\r\nv\r\n$8\r\nused=xyz\r\n$-1", b"$1")])
-def test_what_servers_say_becomes_one_lawful_answer(tmp_path: Path, cls: str, reply: bytes,
-                                                    answer: bytes) -> None:
+@pytest.mark.parametrize(
+    ("cls", "reply", "answer"),
+    [
+        ("look", b"-BUSY used=37", b"-BUSY 100"),
+        ("book", b"-BUSY", b"-BUSY 100"),
+        ("look", b"-ERR failed used=3", b"-BUSY 100"),
+        ("book", b"-ERR failed", b"-ERR failed"),
+        ("book", b"+odd", b"-ERR failed"),
+        ("book", b"!?", b"-ERR failed"),
+        ("book", b"*1\r\n$-1", b"-ERR failed"),
+        ("book", b"$99999999", b"-ERR failed"),
+        ("book", b"*3\r\n$1\r\nv\r\n$8\r\nused=xyz\r\n$-1", b"$1"),
+    ],
+)
+def test_what_servers_say_becomes_one_lawful_answer(tmp_path: Path, cls: str, reply: bytes, answer: bytes) -> None:
     with Limiter(tmp_path) as limiter:
         agent = limiter.connect()
         agent.send(request(1, cls))
@@ -79,7 +86,7 @@
         server = limiter.servers[0].accept()
         server.words()
         server.close()
-        assert agent.line() == b"-ERR failed"   # it may have run: no refusal
+        assert agent.line() == b"-ERR failed"  # it may have run: no refusal
         assert limiter.servers[0].quiet(0.3)
 
 
@@ -88,7 +95,7 @@
         limiter.servers[0].sock.close()
         agent = limiter.connect()
         agent.send(request(1, "book"))
-        assert agent.line() == b"-BUSY 100"   # and when to come back
+        assert agent.line() == b"-BUSY 100"  # and when to come back
 
 
 def test_an_unanswered_request_gets_its_answer_by_the_deadline_and_the_pass_is_ended(tmp_path: Path) -> None:
@@ -106,7 +113,7 @@
 def test_a_user_agent_that_leaves_takes_all_its_passes_along(tmp_path: Path) -> None:
     with Limiter(tmp_path) as limiter:
         agent = limiter.connect()
-        agent.send(request(1, wait=3 * 10**6) + request(2, wait=3 * 10**6))   # no deadline ends them
+        agent.send(request(1, wait=3 * 10**6) + request(2, wait=3 * 10**6))  # no deadline ends them
         servers = [limiter.servers[0].accept(), limiter.servers[0].accept()]
         for server in servers:
             server.words()
@@ -115,14 +122,26 @@
         limiter.until(b"+PONG", command(b"PING"))
 
 
-@pytest.mark.parametrize("bad", [
-    request(1).replace(b"c=look", b"c=none"), request(1).replace(b"t=basic", b"t=other"),
-    request(1).replace(b"d=20000", b"d=20e99"), request(1).replace(b"units=1", b"units=0"),
-    request(1).replace(b"units=1", b"units=5"), request(1).replace(b"00000000b4", b"00000002b4"),
-    request(1).replace(b"first=0", b"first=7"), request(1).replace(b"d=20000", b"x=20000"),
-    request(1, "book").replace(b",k=", b",j="), request(1).replace(b"00000000b4", b"zz000000b4"),
-    request(1).replace(b"SVC.QUERY", b"SVC.QUEUE"), command(b"SVC.QUERY", b"1"), command(b"HELLO", b"3"),
-    request(1, "book").replace(b"c=book", b"c=look"), command(b"SVC.SUBMIT", b"\xff", b"\r\n", b"", b"")])
+@pytest.mark.parametrize(
+    "bad",
+    [
+        request(1).replace(b"c=look", b"c=none"),
+        request(1).replace(b"t=basic", b"t=other"),
+        request(1).replace(b"d=20000", b"d=20e99"),
+        request(1).replace(b"units=1", b"units=0"),
+        request(1).replace(b"units=1", b"units=5"),
+        request(1).replace(b"00000000b4", b"00000002b4"),
+        request(1).replace(b"first=0", b"first=7"),
+        request(1).replace(b"d=20000", b"x=20000"),
+        request(1, "book").replace(b",k=", b",j="),
+        request(1).replace(b"00000000b4", b"zz000000b4"),
+        request(1).replace(b"SVC.QUERY", b"SVC.QUEUE"),
+        command(b"SVC.QUERY", b"1"),
+        command(b"HELLO", b"3"),
+        request(1, "book").replace(b"c=book", b"c=look"),
+        command(b"SVC.SUBMIT", b"\xff", b"\r\n", b"", b""),
+    ],
+)
 def test_bad_commands_get_one_error_line_and_the_connection_goes_on(tmp_path: Path, bad: bytes) -> None:
     with Limiter(tmp_path) as limiter:
         agent = limiter.connect()
@@ -131,9 +150,20 @@
         assert agent.line() == b"+PONG"
 
 
-@pytest.mark.parametrize("bad", [b"GET / HTTP/1.1\r\n\r\n", b"*1\r\n$4194305\r\n", b"*99\r\n", b"*1\r\n:1\r\n",
-                                 b"*1\r\n$-1\r\n", b"*2\r\n*1\r\n$1\r\na\r\n", b"*1\r\n$1\r\nabc\r\n",
-                                 b"+" + b"x" * 5000, b"*1_0\r\n"])
+@pytest.mark.parametrize(
+    "bad",
+    [
+        b"GET / HTTP/1.1\r\n\r\n",
+        b"*1\r\n$4194305\r\n",
+        b"*99\r\n",
+        b"*1\r\n:1\r\n",
+        b"*1\r\n$-1\r\n",
+        b"*2\r\n*1\r\n$1\r\na\r\n",
+        b"*1\r\n$1\r\nabc\r\n",
+        b"+" + b"x" * 5000,
+        b"*1_0\r\n",
+    ],
+)
 def test_lost_framing_gets_one_error_line_and_a_close(tmp_path: Path, bad: bytes) -> None:
     with Limiter(tmp_path) as limiter:
         agent = limiter.connect()
@@ -154,7 +184,7 @@
         agent.silent(0.2)
         agent.send(b"x")
         assert agent.line().startswith(b"-ERR Protocol error")
-        assert agent.file.read(1) == b""     # an orderly end
+        assert agent.file.read(1) == b""  # an orderly end
 
 
 def test_who_says_nothing_or_half_a_command_is_let_go_and_a_usual_one_stays(tmp_path: Path) -> None:
@@ -178,13 +208,13 @@
         usual.send(request(1))
         server = limiter.servers[0].accept()
         server.words()
-        idle = [limiter.connect() for _ in range(15)]      # all the room there is
+        idle = [limiter.connect() for _ in range(15)]  # all the room there is
         for agent in idle:
             agent.send(command(b"PING"))
             assert agent.line() == b"+PONG"
         server.send(GOOD)
         assert usual.bulk() == b"value"
-        late = limiter.connect()                           # no wait for anybody's idle time to pass
+        late = limiter.connect()  # no wait for anybody's idle time to pass
         late.send(command(b"PING"))
         assert late.line() == b"+PONG"
         assert idle[0].ended()
@@ -194,12 +224,12 @@
 
 def test_in_a_crowd_who_has_asked_is_let_go_sooner_but_not_within_two_seconds(tmp_path: Path) -> None:
     with Limiter(tmp_path, sockets=64) as limiter:
-        agents = [limiter.connect() for _ in range(8)]     # half of the room
+        agents = [limiter.connect() for _ in range(8)]  # half of the room
         agents[0].send(request(1))
         limiter.servers[0].serve(GOOD)
         assert agents[0].bulk() == b"value"
         answered = time.monotonic()
-        for agent in agents[1:]:                           # these stay, as each has something open
+        for agent in agents[1:]:  # these stay, as each has something open
             agent.send(request(2 + agents.index(agent)))
         assert agents[0].ended()
         assert 1.9 < time.monotonic() - answered < KEPT
@@ -210,8 +240,8 @@
         agent, sent = limiter.connect(), 0
         agent.sock.setblocking(False)
         echo = command(b"PING", b"x" * 60000)
-        while select.select([], [agent.sock], [], 1.0)[1]:   # ends only if the limiter stops reading
-            sent += agent.sock.send(echo[sent % len(echo):])
+        while select.select([], [agent.sock], [], 1.0)[1]:  # ends only if the limiter stops reading
+            sent += agent.sock.send(echo[sent % len(echo) :])
             assert sent < 64 * 2**20
         limiter.until(b"+PONG", command(b"PING"))
 
@@ -221,7 +251,7 @@
     with Limiter(tmp_path, memory=1) as limiter:
         agent = limiter.connect()
         agent.send(b"".join(request(n) for n in (1, 2, 3, 4)))
-        servers = [limiter.servers[0].accept() for _ in range(4)]   # each pass has its own connection
+        servers = [limiter.servers[0].accept() for _ in range(4)]  # each pass has its own connection
         for server in servers:
             if server.words()[2] != b"%016x" % 1:
                 server.send(b"*3\r\n$65536\r\n" + b"x" * 65536 + b"\r\n$-1\r\n$-1\r\n")
@@ -257,7 +287,7 @@
         idle.send(GOOD)
         assert other.bulk() == b"value"
         limiter.tell(watch, 42, limiter.entry(0, "leaving"))
-        assert idle.ended()                  # so the change has been read
+        assert idle.ended()  # so the change has been read
         other.send(request(3))
         assert other.line().startswith(b"-BUSY ")
         assert listener.quiet(0.2)
@@ -265,7 +295,7 @@
         assert agent.bulk() == b"value"
         assert server.ended()
         limiter.tell(watch, 43, limiter.entry(0))
-        for number in range(4, 10000):       # refused until this change is read, too
+        for number in range(4, 10000):  # refused until this change is read, too
             agent.send(request(number))
             if listener.sock in select.select([agent.sock, listener.sock], [], [], PATIENCE)[0]:
                 break
@@ -282,10 +312,10 @@
         watch, _ = limiter.watch()
         limiter.tell(watch, 44, limiter.entry(0))
         limiter.until(b"+PONG", command(b"PING"))
-        watch.send(b"4\r\n{[]\n\r\n")               # not JSON: the list stands
+        watch.send(b"4\r\n{[]\n\r\n")  # not JSON: the list stands
         again, asked = limiter.watch()
         assert asked == b"GET /api/targets?stream=1&index=44 HTTP/1.1"
-        again.send(b"zz\r\n")                       # not even a chunk
+        again.send(b"zz\r\n")  # not even a chunk
         third, asked = limiter.watch()
         assert b"index=44 " in asked
         third.close()
@@ -301,7 +331,7 @@
         ready = select.select([peer.sock for peer in peers], [], [], PATIENCE)[0]
         verb, name, amount, life = next(peer for peer in peers if peer.sock in ready).words()
         assert (verb, life) == (b"INCRTTL", b"20000")
-        assert counts.unpack(int(name), float(amount))[0] == pytest.approx(1.0, abs=0.05)
+        assert counter_encoding.decode(int(name), float(amount))[0] == pytest.approx(1.0, abs=0.05)
 
 
 def test_sigterm_serves_on_for_a_moment_and_finishes_what_was_taken(tmp_path: Path) -> None:
@@ -312,9 +342,9 @@
         server.words()
         begun = time.monotonic()
         limiter.terminate()
-        limiter.log("phase: draining")              # a paced log line would be missing so soon after the last
-        limiter.until(b"+PONG", command(b"PING"))   # new connections are still taken
-        assert idle.ended()                          # closed as it lies idle, but not at once
+        limiter.log("phase: draining")  # a paced log line would be missing so soon after the last
+        limiter.until(b"+PONG", command(b"PING"))  # new connections are still taken
+        assert idle.ended()  # closed as it lies idle, but not at once
         assert time.monotonic() - begun > 0.5
         assert limiter.process.poll() is None
         server.send(GOOD)
@@ -334,13 +364,13 @@
         server.words()
         ready = select.select([peer.sock for peer in calls], [], [], PATIENCE)[0]
         discovery, counter = Listener(), Listener()
-        for _ in range(2):                          # the second finds nothing to do
+        for _ in range(2):  # the second finds nothing to do
             limiter.reload(discovery=discovery.address, counter=counter.address)
         moved, asked = limiter.watch(discovery)
         assert b"index=42 " in asked and old.ended()
-        assert all(peer.ended() for peer in calls if peer.sock not in ready)   # no call is out on these
+        assert all(peer.ended() for peer in calls if peer.sock not in ready)  # no call is out on these
         server.send(GOOD)
-        assert agent.bulk() == b"value"             # the list was kept, and so was the request
+        assert agent.bulk() == b"value"  # the list was kept, and so was the request
         news = [counter.accept() for _ in range(3)]
         agent.send(request(2, extra=",new=1"))
         server.words()
@@ -348,7 +378,7 @@
         server.send(GOOD)
         assert agent.bulk() == b"value"
         limiter.tell(moved, 43, limiter.entry(0, "leaving"))
-        assert server.ended()                       # the new watch is heeded
+        assert server.ended()  # the new watch is heeded
 
 
 @pytest.mark.parametrize("text", ["{", "", "{}", '{"listen": "127.0.0.1:0", "discovery": 7, "settings": {}}'])
@@ -360,7 +390,7 @@
         assert "the old settings stay" in limiter.log("reload:")
         limiter.until(b"+PONG", command(b"PING"))
         limiter.terminate()
-        limiter.process.send_signal(signal.SIGHUP)      # while it ends, and with the signal that ends it
+        limiter.process.send_signal(signal.SIGHUP)  # while it ends, and with the signal that ends it
         assert limiter.process.wait(PATIENCE) == 0
 
 
@@ -368,22 +398,41 @@
     with Limiter(tmp_path) as limiter:
         path = tmp_path / "config.json"
         path.write_text(path.read_text().replace("127.0.0.1:0", f"127.0.0.1:{limiter.port}"))
-        done = subprocess.run([sys.executable, "-m", "thymeflow"], cwd=ROOT, text=True, capture_output=True,
-                              timeout=PATIENCE, env={**os.environ, "BALANCER_CONFIG": str(path)})
+        done = subprocess.run(
+            [sys.executable, "-m", "thymeflow"],
+            cwd=ROOT,
+            text=True,
+            capture_output=True,
+            timeout=PATIENCE,
+            env={**os.environ, "BALANCER_CONFIG": str(path)},
+        )
     assert (done.returncode, done.stderr.count("\n")) == (3, 1)
     assert done.stderr.startswith("thymeflow: cannot listen: ")
 
 
-@pytest.mark.parametrize("text", [
-    "{", "[]", "{}", None, '{"listen": "here", "discovery": "127.0.0.1:1", "settings": {}}',
-    '{"listen": "127.0.0.1:0", "discovery": "127.0.0.1:1", "settings": '
-    '{"azs": ["a"], "classes": [{"name": "x"}]}}'])
+@pytest.mark.parametrize(
+    "text",
+    [
+        "{",
+        "[]",
+        "{}",
+        None,
+        '{"listen": "here", "discovery": "127.0.0.1:1", "settings": {}}',
+        '{"listen": "127.0.0.1:0", "discovery": "127.0.0.1:1", "settings": {"azs": ["a"], "classes": [{"name": "x"}]}}',
+    ],
+)
 def test_a_bad_configuration_is_one_line_and_a_failure(tmp_path: Path, text: str | None) -> None:
     path = tmp_path / "config.json"
     if text is not None:
         path.write_text(text)
-    done = subprocess.run([sys.executable, "-m", "thymeflow"], cwd=ROOT, text=True, capture_output=True,
-                          timeout=PATIENCE, env={**os.environ, "BALANCER_CONFIG": str(path)})
+    done = subprocess.run(
+        [sys.executable, "-m", "thymeflow"],
+        cwd=ROOT,
+        text=True,
+        capture_output=True,
+        timeout=PATIENCE,
+        env={**os.environ, "BALANCER_CONFIG": str(path)},
+    )
     assert done.returncode == 2
     assert done.stderr.startswith("thymeflow: bad configuration: ")
     assert done.stderr.count("\n") == 1
--- a/tests/test_long.py
+++ b/tests/test_long.py
@@ -17,8 +17,10 @@
 from tests.helpers import request as asked
 from tests.limiter import PATIENCE, Limiter, Peer, command, request
 from tests.test_limiter import GOOD, SMALL
-from thymeflow import interface as i
-from thymeflow.net import resp
+from thymeflow.decision.actions import RejectRequest, StartAttempt
+from thymeflow.decision.events import ClientDisconnected, RequestBodyStarted, ResponseStarted, TimerFired
+from thymeflow.decision.types import Status
+from thymeflow.transport import resp
 
 SIZE = 300_000
 VALUE = bytes(range(256)) * (SIZE // 256) + b"!" * (SIZE % 256)
@@ -52,23 +54,32 @@
     return [server.file.read(int(server.line()[1:]) + 2)[:-2] for _ in range(4)] + [server.line()]
 
 
-@given(st.lists(st.binary(max_size=20), min_size=0, max_size=3), st.integers(1, 40),
-       st.lists(st.binary(max_size=20), min_size=0, max_size=2), st.data())
-def test_however_the_bytes_are_cut_the_events_are_the_same(before: list[bytes], more: int, after: list[bytes],
-                                                           data: st.DataObject) -> None:
+@given(
+    st.lists(st.binary(max_size=20), min_size=0, max_size=3),
+    st.integers(1, 40),
+    st.lists(st.binary(max_size=20), min_size=0, max_size=2),
+    st.data(),
+)
+def test_however_the_bytes_are_cut_the_events_are_the_same(
+    before: list[bytes], more: int, after: list[bytes], data: st.DataObject
+) -> None:
     value = b"\r\n$" * ((resp.MOST_VALUE + more) // 3 + 1)
     text = b"*%d\r\n" % (len(before) + 1 + len(after)) + b"".join(map(resp.bulk, [*before, value, *after]))
     text += command(b"PING")
     parser, found, place = resp.Parser(resp.MOST_LONG), list[resp.Event](), 0
     while place < len(text):
         step = data.draw(st.integers(1, 30) if place < 40 or place > len(text) - 99 else st.integers(2**14, 2**16))
-        events, fault = parser.feed(text[place:place + step])
+        events, fault = parser.feed(text[place : place + step])
         assert not fault and parser.held() < 200
         found, place = found + events, place + step
     parts = [event.data for event in found if isinstance(event, resp.Part)]
     assert b"".join(parts) == value
     assert [event for event in found if not isinstance(event, resp.Part)] == [
-        resp.Begin(list(before), len(value), len(after)), resp.Closed(), resp.End(list(after)), [b"PING"]]
+        resp.Begin(list(before), len(value), len(after)),
+        resp.Closed(),
+        resp.End(list(after)),
+        [b"PING"],
+    ]
     assert not parser.amid()
 
 
@@ -104,8 +115,8 @@
     server.send(HEAD + rest)
     if len(rest) < SIZE:
         server.close()
-    assert len(agent.file.read()) <= SIZE + len(HEAD)      # and then the end, with the value not closed
-    assert limiter.servers[0].quiet(0.1)                    # it may have run: no other pass
+    assert len(agent.file.read()) <= SIZE + len(HEAD)  # and then the end, with the value not closed
+    assert limiter.servers[0].quiet(0.1)  # it may have run: no other pass
     limiter.served(limiter.connect(), 2)
 
 
@@ -143,14 +154,14 @@
     sent = 0
     server.sock.setblocking(False)
     while sent < len(text) and select.select([], [server.sock], [], 0.5)[1]:
-        sent += server.sock.send(text[sent:sent + 65536])
-    limiter.served(other, 2)                      # nobody else waits for it
+        sent += server.sock.send(text[sent : sent + 65536])
+    limiter.served(other, 2)  # nobody else waits for it
     server.sock.settimeout(PATIENCE)
     got, begun = 0, time.monotonic()
     agent.sock.setblocking(True)
     while got < most + len(b"$%d\r\n\r\n" % most):
         if sent < len(text) and select.select([], [server.sock], [], 0.0)[1]:
-            sent += server.sock.send(text[sent:sent + 65536])
+            sent += server.sock.send(text[sent : sent + 65536])
         if select.select([agent.sock], [], [], 0.01)[0]:
             got += len(agent.sock.recv(1 << 20))
         assert time.monotonic() - begun < PATIENCE
@@ -163,7 +174,7 @@
     verb, _, name, terms, head = uploaded(server)
     assert (verb, name, head) == (b"SVC.SUBMIT", b"%016x" % 1, b"$%d" % SIZE) and b",d=1500," in terms
     assert server.file.read(1000) == VALUE[:1000]
-    for _ in range(4):                            # for longer than it will wait, and never silent for long
+    for _ in range(4):  # for longer than it will wait, and never silent for long
         assert agent.silent(0.5)
         agent.send(b"x")
     agent.send(VALUE[1004:] + b"\r\n" + command(b"PING"))
@@ -179,7 +190,7 @@
         server = passed_on(limiter, busy, 1)
         for wrong in (b"c=book", b"c=none"):
             agent.send(upload(2).replace(b"c=book", wrong) + VALUE[:1000])
-            assert agent.silent(0.1)              # the request has not come yet
+            assert agent.silent(0.1)  # the request has not come yet
             agent.send(VALUE[1000:] + b"\r\n" + command(b"PING"))
             assert agent.line()[:4] in (b"-BUS", b"-ERR") and agent.line() == b"+PONG"
         server.send(GOOD)
@@ -194,18 +205,18 @@
     uploaded(server)
     if rest:
         agent.send(VALUE[1000:])
-        assert server.file.read(SIZE) == VALUE    # before the end comes: a reset throws away what is not read yet
+        assert server.file.read(SIZE) == VALUE  # before the end comes: a reset throws away what is not read yet
         agent.send(rest)
     assert agent.line().startswith(b"-ERR Protocol error") and agent.ended()
     with contextlib.suppress(ConnectionResetError):
-        assert len(server.file.read()) < SIZE     # never whole, so it never ran
+        assert len(server.file.read()) < SIZE  # never whole, so it never ran
     limiter.served(limiter.connect(), 2)
 
 
 def test_until_a_body_is_on_its_way_another_server_may_have_it(tmp_path: Path) -> None:
     with Limiter(tmp_path, servers=2) as limiter:
         limiter.servers[0].sock.close()
-        for number in range(1, 5):                # some of them meet the server that is down first
+        for number in range(1, 5):  # some of them meet the server that is down first
             agent = limiter.connect()
             agent.send(upload(number) + VALUE + b"\r\n")
             server = limiter.servers[1].accept()
@@ -222,7 +233,7 @@
     server = limiter.servers[0].accept()
     uploaded(server)
     server.send(b"-BUSY\r\n")
-    assert len(server.file.read()) == 1000        # closed: the rest of the body would be taken for a command
+    assert len(server.file.read()) == 1000  # closed: the rest of the body would be taken for a command
     agent.send(VALUE[1000:] + b"\r\n")
     assert agent.line().startswith(b"-BUSY")
 
@@ -252,8 +263,8 @@
     agent, text = limiter.connect(), request(2)
     server = limiter.served(agent, 1)
     assert agent.silent(2.0)
-    for place in range(0, len(text), 30):         # 1 s in all, long after the last answer
-        agent.send(text[place:place + 30])
+    for place in range(0, len(text), 30):  # 1 s in all, long after the last answer
+        agent.send(text[place : place + 30])
         time.sleep(0.1)
     server.words()
     server.send(GOOD)
@@ -262,24 +273,25 @@
 
 def test_an_answer_that_has_begun_crowds_nobody_and_ends_its_request_once() -> None:
     gateway = started()
-    for number in range(200):                     # two hundred readers that take their time
+    for number in range(200):  # two hundred readers that take their time
         sent = sends(gateway.handle(0.1 + number, asked(f"r{number}")))
-        gateway.handle(0.2 + number, i.ResponseStarted(f"r{number}", 0, sent[0].backend, 0.1))
-    assert gateway.out == 0 and len(gateway.jobs) == 200
+        gateway.handle(0.2 + number, ResponseStarted(f"r{number}", 0, sent[0].backend, 0.1))
+    assert gateway.in_flight == 0 and len(gateway.pending) == 200
     for number in range(200):
-        gateway.handle(300.0, ended(f"r{number}", i.Send(f"r{number}", 1), i.Status.OK if number % 2 else
-                                    i.Status.CANCELLED))
-    assert (gateway.out, {server.out for server in gateway.servers.values()}) == (0, {0})
-    gateway.handle(300.1, i.ClientLeft("r0"))
-    assert all(job.done for job in gateway.jobs.values())
+        gateway.handle(
+            300.0, ended(f"r{number}", StartAttempt(f"r{number}", 1), Status.OK if number % 2 else Status.CANCELLED)
+        )
+    assert (gateway.in_flight, {server.in_flight for server in gateway.backends.values()}) == (0, {0})
+    gateway.handle(300.1, ClientDisconnected("r0"))
+    assert all(job.is_answered for job in gateway.pending.values())
 
 
 def test_a_body_that_is_on_its_way_allows_no_other_attempt() -> None:
     gateway = started()
     (first,) = sends(gateway.handle(0.1, asked("a", class_name="book")))
-    (again,) = sends(gateway.handle(0.2, ended("a", first, i.Status.CONNECT_FAILED)))
-    gateway.handle(0.3, i.BodyBegun("a"))
-    assert not sends(gateway.handle(5.0, i.TimerFired(2))), "its time starts with its last byte"
-    answers = gateway.handle(9.0, ended("a", again, i.Status.FULL, 1))
-    (answer,) = [a for a in answers if isinstance(a, i.Refuse | i.Send)]
-    assert isinstance(answer, i.Refuse)
+    (again,) = sends(gateway.handle(0.2, ended("a", first, Status.CONNECT_FAILED)))
+    gateway.handle(0.3, RequestBodyStarted("a"))
+    assert not sends(gateway.handle(5.0, TimerFired(2))), "its time starts with its last byte"
+    answers = gateway.handle(9.0, ended("a", again, Status.FULL, 1))
+    (answer,) = [a for a in answers if isinstance(a, RejectRequest | StartAttempt)]
+    assert isinstance(answer, RejectRequest)
--- a/tests/test_management.py
+++ b/tests/test_management.py
@@ -16,8 +16,8 @@
 
 from tests.limiter import PATIENCE, ROOT, Limiter, command, request
 from tests.test_limiter import GOOD
-from thymeflow.net.management import MOST_LINE, PLACES
-from thymeflow.net.phases import CALLS, Phase, Word, called
+from thymeflow.limiter.management import MOST_LINE, PLACES
+from thymeflow.limiter.phases import CALLS, Phase, Word, called
 
 
 @pytest.fixture
@@ -42,8 +42,19 @@
     assert called(after, word, yes)[:2] == (after, yes), "twice the same call is once"
 
 
-@pytest.mark.parametrize("text", [b"\n", b"reload\n", b"\xff\x00\n", b"readyz\nreadyz\n", b"x" * (MOST_LINE + 1),
-                                  b"readyz" + b" " * MOST_LINE + b"\n", b"READYZ\n", b"*1\r\n$4\r\nPING\r\n"])
+@pytest.mark.parametrize(
+    "text",
+    [
+        b"\n",
+        b"reload\n",
+        b"\xff\x00\n",
+        b"readyz\nreadyz\n",
+        b"x" * (MOST_LINE + 1),
+        b"readyz" + b" " * MOST_LINE + b"\n",
+        b"READYZ\n",
+        b"*1\r\n$4\r\nPING\r\n",
+    ],
+)
 def test_what_is_no_call_is_told_so_in_words(limiter: Limiter, text: bytes) -> None:
     found = limiter.call(text)
     assert found.startswith(b"400 ") and len(found) > 10
@@ -55,9 +66,9 @@
     begun = time.monotonic()
     assert limiter.call(b"readyz\n").startswith(b"200 ")
     assert time.monotonic() - begun < 1.0
-    assert sum(peer.silent(0.0) for peer in silent) <= PLACES   # the oldest made room
+    assert sum(peer.silent(0.0) for peer in silent) <= PLACES  # the oldest made room
     silent[-1].send(b"readyz\n")
-    assert silent[-1].line().startswith(b"200 ")                # a late one is answered all the same
+    assert silent[-1].line().startswith(b"200 ")  # a late one is answered all the same
 
 
 def test_evacuation_sends_user_agents_away_and_activate_takes_them_back(limiter: Limiter) -> None:
@@ -70,17 +81,17 @@
     for _ in range(2):
         assert limiter.call(b"evacuate\n").startswith(b"200 ")
         assert answers(limiter) == (b"-", b"4")
-    limiter.served(idle, 3, warm)               # the front sends on for a moment
+    limiter.served(idle, 3, warm)  # the front sends on for a moment
     assert idle.ended()
     held.send(GOOD)
     assert busy.bulk() == b"value" and busy.ended()
-    late = limiter.connect()                    # the listener stays; what comes all the same is answered
-    limiter.served(late, 4, held)    # over the warmest connection
+    late = limiter.connect()  # the listener stays; what comes all the same is answered
+    limiter.served(late, 4, held)  # over the warmest connection
     assert late.ended() and time.monotonic() - begun < 3.0
     assert limiter.call(b"activate\n").startswith(b"200 ")
     assert answers(limiter) == (b"+", b"2")
     limiter.served(back := limiter.connect(), 5, held)
-    limiter.served(back, 6, held)               # and stays connected
+    limiter.served(back, 6, held)  # and stays connected
 
 
 def test_an_evacuated_limiter_that_is_told_to_end_drains_and_never_says_yes(limiter: Limiter) -> None:
@@ -101,8 +112,14 @@
 
 @pytest.mark.parametrize(("mgmt", "code"), [("here", 2), ("127.0.0.1:x", 2), (7, 2), ("taken", 3)])
 def test_a_bad_place_for_calls_is_one_line_and_a_failure(limiter: Limiter, mgmt: object, code: int) -> None:
-    where = f"127.0.0.1:{limiter.manage}" if mgmt == "taken" else mgmt
+    where = f"127.0.0.1:{limiter.listen_for_operators}" if mgmt == "taken" else mgmt
     limiter.path.write_text(json.dumps({**limiter.config, "mgmt": where}))
-    done = subprocess.run([sys.executable, "-m", "thymeflow"], cwd=ROOT, text=True, capture_output=True,
-                          timeout=PATIENCE, env={**os.environ, "BALANCER_CONFIG": str(limiter.path)})
+    done = subprocess.run(
+        [sys.executable, "-m", "thymeflow"],
+        cwd=ROOT,
+        text=True,
+        capture_output=True,
+        timeout=PATIENCE,
+        env={**os.environ, "BALANCER_CONFIG": str(limiter.path)},
+    )
     assert (done.returncode, done.stderr.count("\n")) == (code, 1)
--- a/tests/test_message_formats.py
+++ b/tests/test_message_formats.py
@@ -23,16 +23,20 @@
 
 from tests.helpers import fleet, request, sends, settings
 from tests.limiter import PATIENCE, ROOT, Limiter
-from thymeflow import Gateway, counts, notes
-from thymeflow import interface as i
-from thymeflow.budgets.holder import message_of, part_from
-from thymeflow.daemon.part import OwnPart
-from thymeflow.fleet.court import Court
-from thymeflow.fleet.division import Division
-from thymeflow.net import clock, management, phases
-from thymeflow.overload import verdicts
-from thymeflow.overload.level import Shedding
-from thymeflow.succession import control
+from thymeflow.daemon.lease_share import LeaseShare
+from thymeflow.decision.events import AttemptEnded, EndpointsChanged
+from thymeflow.decision.gateway import Gateway
+from thymeflow.decision.types import EndpointListKind, Status
+from thymeflow.fleet.lease_distributor import LeaseDistributor
+from thymeflow.fleet.outlier_service import OutlierService
+from thymeflow.gossip import codec
+from thymeflow.handover import control_socket
+from thymeflow.leases.holder import allocation_from_message, message_of
+from thymeflow.limiter import management, phases
+from thymeflow.outliers import member
+from thymeflow.quota import counter_encoding
+from thymeflow.runtime import clock
+from thymeflow.shedding.threshold import LoadShedder
 
 DATA = Path(__file__).resolve().parent / "data" / "before-rename"
 PART = {"era": 3, "number": 9, "base": [1, 2, 3, 4, 5], "lease": [6, 7, 8, 9, 10], "end": 1234.5}
@@ -48,52 +52,52 @@
 # Builders: the only places that name how our objects are made.
 
 
-def report_entry(number: int, plan: int, aggregated: bool, first: float, second: float) -> notes.Entry:
+def report_entry(number: int, plan: int, aggregated: bool, first: float, second: float) -> codec.Entry:
     """One customer's figures in a gossip message."""
-    return notes.Entry(number, plan, aggregated, first, second)
+    return codec.Entry(number, plan, aggregated, first, second)
 
 
-def gossip(incarnation: int, sequence: int, pressure: float, *entries: notes.Entry) -> bytes:
+def gossip(incarnation: int, sequence: int, pressure: float, *entries: codec.Entry) -> bytes:
     """A gossip message as it travels."""
-    return notes.pack(notes.Note(incarnation, sequence, pressure, entries))
+    return codec.encode(codec.Message(incarnation, sequence, pressure, entries))
 
 
 def gossip_values(data: bytes) -> list[Any] | None:
     """The values of a gossip message in the order in which they are declared; None where it is not believed."""
-    found = notes.unpack(data)
+    found = codec.decode(data)
     return None if found is None else [*found[:3], [list(entry) for entry in found[3]]]
 
 
 def part_values(message: Any) -> list[Any]:
     """The values of an allocation in declared order."""
-    part = part_from(message)
-    return [part.era, part.number, list(part.base), list(part.lease), part.end]
+    part = allocation_from_message(message)
+    return [part.epoch, part.number, list(part.base), list(part.lease), part.ends_at]
 
 
 def ejections(rows: Any) -> list[list[Any]]:
     """The values of ejections as a member reads them, and as they are written again."""
-    found = verdicts.verdicts_from(rows)
+    found = member.ejections_from_message(rows)
     return [[*row.key, row.number, row.claim, row.allowed, row.cleared, row.end] for row in found]
 
 
 def evidence() -> list[dict[str, Any]]:
     """What a member reports once one backend has failed, and once it has answered a half-open probe."""
     gateway = Gateway(settings(), 1)
-    gateway.handle(0.0, i.Membership(i.ListKind.CACHED, fleet()))
-    reporter, failed = verdicts.Verdicts(gateway), dict[str, Any]()
+    gateway.handle(0.0, EndpointsChanged(EndpointListKind.CACHED, fleet()))
+    reporter, failed = member.MemberEjections(gateway), dict[str, Any]()
     for step in range(40):
         now = 0.05 * (step + 1)
         for send in sends(gateway.handle(now, request(f"r{step}"))):
-            status = i.Status.ERROR if send.backend == 4 else i.Status.OK
-            gateway.handle(now + 0.01, i.AttemptEnded(send.id, 0, send.backend, status, 0.01, closed=True))
-            report = reporter.words(now + 0.01)
+            status = Status.ERROR if send.backend == 4 else Status.OK
+            gateway.handle(now + 0.01, AttemptEnded(send.id, 0, send.backend, status, 0.01, request_answered=True))
+            report = reporter.report(now + 0.01)
             failed = failed or (report if report["against"] else {})
-    reporter.told(verdicts.verdicts_from([[4, "read", 1, 17, False, False, 9.0]]), 2.1, 2.1)
+    reporter.on_ejections(member.ejections_from_message([[4, "read", 1, 17, False, False, 9.0]]), 2.1, 2.1)
     for step in range(40):
         now = 2.2 + 0.01 * step
         for send in sends(gateway.handle(now, request(f"s{step}"))):
-            gateway.handle(now + 0.005, i.AttemptEnded(send.id, 0, send.backend, i.Status.OK, 0.005, closed=True))
-    return [failed, reporter.words(2.7)]
+            gateway.handle(now + 0.005, AttemptEnded(send.id, 0, send.backend, Status.OK, 0.005, request_answered=True))
+    return [failed, reporter.report(2.7)]
 
 
 class VirtualDeadlines:
@@ -133,7 +137,7 @@
         self.written.append("closed")
 
 
-class Heard(control.Line):
+class Heard(control_socket.ControlConnection):
     """A control connection that keeps its messages."""
 
     def __init__(self) -> None:
@@ -188,25 +192,30 @@
 def test_counter_encoding_is_the_same_when_amounts_are_packed() -> None:
     found: list[Any] = []
     for customer, rate, burst in (("c", 10.0, 30.0), ("0xfeed", 0.01, 20.0), ("", 1e6, 1e9), ("é", 1e-12, 1e-12)):
-        number = counts.number(customer)
+        number = counter_encoding.customer_id(customer)
         for now in (0.0, 12345.678, 1764633600.25):
-            name = counts.name(number, now, rate, burst)
+            name = counter_encoding.counter_name(number, now, rate, burst)
             for asked, charged in ((0.0, 0.0), (3.0, 2.5), (1e12, 1e12), (-4.0, -7.0), (rate * 9.9, -burst)):
-                amount = counts.pack(name, asked, charged)
-                found.append([number, name, amount, *counts.unpack(name, amount), counts.fallen(amount)])
-            found.append([counts.age(number, now), counts.meeting_points(number, 2, 5, 24)])
+                amount = counter_encoding.encode(name, asked, charged)
+                found.append(
+                    [number, name, amount, *counter_encoding.decode(name, amount), counter_encoding.is_reset(amount)]
+                )
+            found.append(
+                [counter_encoding.window_age(number, now), counter_encoding.rendezvous_order(number, 2, 5, 24)]
+            )
     same("counter encoding", found)
 
 
 def test_gossip_has_the_same_bytes_when_it_is_packed() -> None:
     entries = [
-        report_entry(n * 0x1234567 % 2**32, n % 120, n % 2 == 1, n * 97.3, n * 5000.25) for n in range(notes.ROOM + 3)
+        report_entry(n * 0x1234567 % 2**32, n % 120, n % 2 == 1, n * 97.3, n * 5000.25)
+        for n in range(codec.MAX_ENTRIES + 3)
     ]
     found = [
         gossip(0, 0, 0.0).hex(),
         gossip(0xFFFF, 0x1FFFF, 7.0, report_entry(1, 127, True, -1.0, 1e9)).hex(),
-        *(gossip(513, 700 + n, 0.456, *part).hex() for n, part in enumerate(notes.chunks(entries))),
-        gossip(1, 2, 0.3, *notes.chunks([])[0]).hex(),
+        *(gossip(513, 700 + n, 0.456, *part).hex() for n, part in enumerate(codec.chunks(entries))),
+        gossip(1, 2, 0.3, *codec.chunks([])[0]).hex(),
     ]
     same("gossip", found)
 
@@ -215,45 +224,47 @@
     data = [bytes.fromhex(text) for text in expected("gossip")]
     bad = [b"", data[0][:-1], data[1] + b"\0", b"\x02" + data[0][1:], data[2] + bytes(9)]
     same("gossip values", [gossip_values(one) for one in data + bad])
-    same("gossip differences", [[notes.rise(a, b), notes.change(a, b)] for a, b in ((5.0, 2.0), (1.0, 16383.0))])
+    same("gossip differences", [[codec.increase(a, b), codec.change(a, b)] for a, b in ((5.0, 2.0), (1.0, 16383.0))])
 
 
 def test_allocation_has_the_same_form_when_it_is_read_and_written() -> None:
     of_two = {**PART, "base": [1, 2], "lease": [3, 4], "end": 7}
-    same("allocation", [[part_values(one), message_of(part_from(one))] for one in (PART, of_two)])
+    same("allocation", [[part_values(one), message_of(allocation_from_message(one))] for one in (PART, of_two)])
 
 
 def test_allocation_is_refused_with_the_same_words_when_it_is_malformed() -> None:
     bad: list[Any] = [None, {}, {**PART, "era": -1}, {**PART, "number": True}, {**PART, "end": "soon"}]
     bad += [{**PART, "base": [1]}, {**PART, "lease": [1, 2, 3, 4, 1_000_001]}, {**PART, "base": "1"}]
-    same("allocation refused", [fault_of(part_from, one) for one in bad])
+    same("allocation refused", [fault_of(allocation_from_message, one) for one in bad])
 
 
 def test_member_reports_its_allocation_alike_when_it_has_one(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(clock, "now", lambda: 100.0)
     monkeypatch.setattr(clock, "monotonic", lambda: 1200.0)
-    own = OwnPart(PART)
+    own = LeaseShare(PART)
     monkeypatch.setattr(clock, "now", lambda: 102.0)
-    core: Any = type("Core", (), {"tally": {"ok": 30, "busy": 11}})()
+    core: Any = type("Core", (), {"response_counts": {"ok": 30, "busy": 11}})()
     told = own.told(core)
-    refused = [own.offered({**PART, "number": 8}), own.offered({}), OwnPart(None).offered(PART)]
+    refused = [own.offered({**PART, "number": 8}), own.offered({}), LeaseShare(None).offered(PART)]
     same("allocation report", [told, own.offered({**PART, "number": 10}), refused, own.hand_on(), own.told(core)])
 
 
 def test_ejections_have_the_same_form_when_they_are_read() -> None:
     rows = [[4, "read", 1, 17, False, False, 9.0], [-1, "zone-a", 2, 0, True, True, 3], [0, "", 0, 0, False, True, 1.5]]
-    found = verdicts.verdicts_from(rows)
-    same("ejections", [ejections(rows), [verdicts.message_of(one) for one in found]])
+    found = member.ejections_from_message(rows)
+    same("ejections", [ejections(rows), [member.message_of(one) for one in found]])
 
 
 def test_overload_messages_are_refused_with_the_same_words_when_they_are_malformed() -> None:
     good: list[Any] = [4, "read", 1, 17, False, False, 9.0]
-    shed = Shedding(Gateway(settings(), 1))
-    found: list[str] = [fault_of(verdicts.verdicts_from, bad) for bad in (None, [7], [good[:6]], [[*good[:6], True]])]
-    found += [fault_of(verdicts.keys_from, bad) for bad in (None, [7], [[-1, ""]], [[1, 2]])]
-    found += [fault_of(verdicts.zones_from, bad) for bad in list[Any](([], {"a": 1}, {"a": ["x"]}))]
-    found += [fault_of(verdicts.trials_from, bad) for bad in list[Any](([], {"x": True}, {"1": 1}))]
-    found += [fault_of(lambda level: shed.told(level, 0.0, 0.0), bad) for bad in (None, True, 1.5, "0.5")]
+    shed = LoadShedder(Gateway(settings(), 1))
+    found: list[str] = [
+        fault_of(member.ejections_from_message, bad) for bad in (None, [7], [good[:6]], [[*good[:6], True]])
+    ]
+    found += [fault_of(member.keys_from_message, bad) for bad in (None, [7], [[-1, ""]], [[1, 2]])]
+    found += [fault_of(member.zones_from_message, bad) for bad in list[Any](([], {"a": 1}, {"a": ["x"]}))]
+    found += [fault_of(member.probes_from_message, bad) for bad in list[Any](([], {"x": True}, {"1": 1}))]
+    found += [fault_of(lambda level: shed.on_threshold(level, 0.0, 0.0), bad) for bad in (None, True, 1.5, "0.5")]
     same("overload refused", found)
 
 
@@ -266,7 +277,7 @@
     case: str, failed: list[list[Any]], monkeypatch: pytest.MonkeyPatch
 ) -> None:
     deadlines, sent, now = VirtualDeadlines(), list[Any](), 50.0
-    coordinator = Court(deadlines, 1.0, lambda name, message: sent.append([name, message]))  # type: ignore[arg-type]
+    coordinator = OutlierService(deadlines, 1.0, lambda name, message: sent.append([name, message]))  # type: ignore[arg-type]
     seen = []
     for step in range(80):
         now += 0.25
@@ -277,17 +288,17 @@
         failing = 4 <= step < 24
         trials = [row for _, message in sent for row in message.get("verdicts", ()) if row[3]]
         ended = {str(row[3]): not failing for row in trials[-1:]}
-        for member in ("n0", "n1", "n2"):
+        for name in ("n0", "n1", "n2"):
             against = failed if failing else []
             good = [[2, ""], [2, "read"], *([] if failing else [[4, "read"]])]
             pressure = 0.9 if failing else 0.1
             word = {**EVIDENCE, "against": against, "good": good, "trials": ended, "pressure": pressure}
-            coordinator.hears(member, word)
-        coordinator.hears("n3", {"against": 7})
+            coordinator.on_report(name, word)
+        coordinator.on_report("n3", {"against": 7})
         deadlines.turn()
         if step % 8 == 7:
             seen.append(coordinator.status())
-    coordinator.gone("n2")
+    coordinator.on_member_gone("n2")
     seen.append(coordinator.status())
     same(f"overload orders, {case}", sent)
     same(f"overload status, {case}", seen)
@@ -299,7 +310,7 @@
     deadlines, sent, now = VirtualDeadlines(), list[Any](), 50.0
     monkeypatch.setattr(clock, "now", lambda: now)
     monkeypatch.setattr(clock, "monotonic", lambda: now)
-    issuer = Division(
+    issuer = LeaseDistributor(
         deadlines,  # type: ignore[arg-type]
         tmp_path / "fleet.grants",
         "web",
@@ -307,25 +318,25 @@
         lambda: 3,
     )
     issuer.start(False)
-    held: dict[str, Any] = {name: issuer.born(name) for name in ("web0", "web1", "web2")}
+    held: dict[str, Any] = {name: issuer.on_starting(name) for name in ("web0", "web1", "web2")}
     begun = dict(held)
     for step in range(24):
         now += 0.25
         held.update({name: message["part"] for name, message in sent})
         for place, name in enumerate(("web0", "web1", "web2")):
-            issuer.hears(name, {**held[name], "demand": [10.0 + 40.0 * place * (step // 8), 1.0, 2.0, 3.0, 4.0]})
-        issuer.hears("web1", {"era": "none"})
+            issuer.on_report(name, {**held[name], "demand": [10.0 + 40.0 * place * (step // 8), 1.0, 2.0, 3.0, 4.0]})
+        issuer.on_report("web1", {"era": "none"})
         deadlines.turn()
     status = [issuer.status()]
-    issuer.silent("web1")
-    issuer.dies("web2")
+    issuer.on_disconnected("web1")
+    issuer.on_death("web2")
     same("allocation grants", [begun, sent])
     same("allocation status", [*status, issuer.status(), issuer.holders()])
 
 
 def test_control_line_has_the_same_framing_when_messages_are_written_and_read() -> None:
     line = Heard()
-    line.say({"ok": True, "why": "é", "n": [1, 2.5, None]}, 7, 8)
+    line.send({"ok": True, "why": "é", "n": [1, 2.5, None]}, 7, 8)
     for data in (b'{"do":"sta', b'tus"}\n{"do":', b'"watch","x":[1]}\n\n'):
         line.dataReceived(data)
     broken = []
@@ -350,14 +361,14 @@
 # Asked of a process.
 
 
-class Talk:
+class ControlSession:
     """A control connection of the test: messages a line each, and the descriptors that came with them."""
 
     def __init__(self, line: socket.socket) -> None:
         line.settimeout(PATIENCE)
         self.line, self.held, self.descriptors = line, b"", list[int]()
 
-    def say(self, *descriptors: int, **message: Any) -> None:
+    def send(self, *descriptors: int, **message: Any) -> None:
         """Write a message with descriptors beside it."""
         data = json.dumps(message).encode() + b"\n"
         socket.send_fds(self.line, [data], list(descriptors))
@@ -386,11 +397,11 @@
 
 
 @contextmanager
-def talk_to(path: Path) -> Iterator[Talk]:
+def talk_to(path: Path) -> Iterator[ControlSession]:
     """A connection to a control socket."""
     line = socket.socket(socket.AF_UNIX)
     line.connect(str(path))
-    talk = Talk(line)
+    talk = ControlSession(line)
     try:
         yield talk
     finally:
@@ -407,13 +418,13 @@
         ]  # fmt: skip
         found = [[message, masked(limiter.ask(**message))] for message in asked]
         with talk_to(limiter.state / "n0.sock") as talk:
-            talk.say(do="socket")
+            talk.send(do="socket")
             found.append(["socket", masked(talk.hear()), len(talk.descriptors)])
             for silent in ({"do": "part", "part": PART}, {"do": "verdicts", "verdicts": 7}, {"do": "shed", "level": 2}):
-                talk.say(**silent)
-            talk.say(do="watch")
+                talk.send(**silent)
+            talk.send(do="watch")
             found.append(["watch", masked(talk.hear_with("status"))])
-            talk.say(do="drain", linger=0.1)
+            talk.send(do="drain", linger=0.1)
             found.append(["drain", masked(talk.hear_with("ok"))])
     same("daemon", found)
 
@@ -422,9 +433,9 @@
     with Limiter(tmp_path, serve=()) as limiter:
         restart(limiter, (), part={**PART, "end": 0.0})
         with talk_to(limiter.state / "n0.sock") as talk:
-            talk.say(do="watch")
+            talk.send(do="watch")
             before = talk.hear()["status"]["part"]
-            talk.say(do="part", part={**PART, "number": 10, "base": [5, 4, 3, 2, 1]})
+            talk.send(do="part", part={**PART, "number": 10, "base": [5, 4, 3, 2, 1]})
             while (after := talk.hear()["status"]["part"])["number"] == 9:
                 pass
     same("daemon allocation", [[before["number"], before["base"], list(before)], [after["number"], after["base"]]])
@@ -448,19 +459,19 @@
         server = limiter.served(agent, 1)
         with talk_to(limiter.state / "n0.sock") as talk:
             site = (limiter.state / "n0.state").read_text().split(" ")[2]
-            talk.say(do="take", life="0b1c2d3e", pid=os.getpid(), site=site)
+            talk.send(do="take", life="0b1c2d3e", pid=os.getpid(), site=site)
             found: list[Any] = [masked(talk.hear()), len(talk.descriptors)]
             refused = limiter.ask(do="take", life="x", pid=1, site=site)
-            talk.say(do="took")  # out of turn
+            talk.send(do="took")  # out of turn
             found += [refused, talk.hear()]
-            talk.say(do="ready")
+            talk.send(do="ready")
             told = talk.hear()
             state = os.pread(talk.descriptors[-1], told["state"] + 1, 0)
             found += [list(told), told["held"], told["part"], len(state) == told["state"], state[:21].decode()]
             limiter.served(agent, 2, server)
-            talk.say(do="took")
+            talk.send(do="took")
             found.append(talk.hear())
-            talk.say(do="serving")
+            talk.send(do="serving")
             found += [talk.hear(), sorted(talk.hear_with("held"))]
             limiter.terminate()
             found += [talk.hear_with("late"), talk.hear_with("bye")]
@@ -476,7 +487,7 @@
         door.listen()
         door.settimeout(PATIENCE)
         limiter.process = limiter.start(("--take-over",))
-        talk = Talk(door.accept()[0])
+        talk = ControlSession(door.accept()[0])
         took = [talk.hear()]
         state = (limiter.state / "n0.state").read_bytes()
         found: list[Any] = [masked(took[0]), took[0]["site"] == state.split(b" ")[2].decode()]
@@ -485,7 +496,7 @@
             (limiter.state / "n0.lock").open("rb+") as lock,
             (limiter.state / "handed").open("wb+") as handed,
         ):
-            talk.say(
+            talk.send(
                 listening.fileno(), lock.fileno(), offer=f"127.0.0.1:{listening.getsockname()[1]}", life="0a1b2c3d"
             )
             watch, _ = limiter.watch()
@@ -493,13 +504,13 @@
             found.append(talk.hear())
             handed.write(state)
             handed.flush()
-            talk.say(handed.fileno(), state=len(state), held=0, part=None)
+            talk.send(handed.fileno(), state=len(state), held=0, part=None)
             found.append(talk.hear())
-            talk.say(yours=True)
+            talk.send(yours=True)
             found.append(talk.hear())
-        talk.say(draining=True)
-        talk.say(late={"1": 2.0, "7": -1.0})
-        talk.say(bye=1)
+        talk.send(draining=True)
+        talk.send(late={"1": 2.0, "7": -1.0})
+        talk.send(bye=1)
         found += [limiter.log("hand-over: 0 of").partition("hand-over: ")[2], talk.line.recv(10).decode()]
         talk.close()
         found.append(limiter.ask(do="status")["snapshot"]["remembered_from"])
@@ -531,7 +542,7 @@
 def fleet_status(path: Path) -> dict[str, Any]:
     """The supervisor's status."""
     with talk_to(path) as talk:
-        talk.say(do="status")
+        talk.send(do="status")
         status: dict[str, Any] = talk.hear()
         return status
 
@@ -539,7 +550,7 @@
 def answers_of(path: Path, message: dict[str, Any]) -> list[Any]:
     """The messages with which the supervisor answers an order, to the last one."""
     with talk_to(path) as talk:
-        talk.say(**message)
+        talk.send(**message)
         answers = [talk.hear()]
         while "ok" not in answers[-1]:
             answers.append(talk.hear())
