--- a/tests/test_net_parts.py
+++ b/tests/test_net_parts.py
@@ -13,22 +13,33 @@
 from twisted.internet.testing import MemoryReactorClock, StringTransport
 
 from tests.limiter import SETTINGS, command, request
-from thymeflow import Gateway
-from thymeflow import interface as i
-from thymeflow.drill import settings_from
-from thymeflow.net import clock, resp
-from thymeflow.net.assembly import LEAST_ROOM, Limiter
-from thymeflow.net.call import Call, Reader
-from thymeflow.net.config import Address, Listed, from_source, listed
-from thymeflow.net.core import Answer, Core, Offer, Order, Outcome, Verdict
-from thymeflow.net.counter import DEAD, STALL, Line, Result
-from thymeflow.net.discovery import Discovery
-from thymeflow.net.flow import Flow
-from thymeflow.net.http import Body, HttpError
-from thymeflow.net.table import Table
-from thymeflow.net.upstream import HUNG, Upstream, outcome_of
-from thymeflow.net.upstream import STALL as ANSWER_STALL
-from thymeflow.policy import SPEAK_EVERY
+from thymeflow.backends.backends import HUNG, BackendConnections, outcome_of
+from thymeflow.backends.backends import STALL as ANSWER_STALL
+from thymeflow.core.dispatcher import (
+    AttemptResult,
+    AttemptSpec,
+    IncomingRequest,
+    RequestDispatcher,
+    Response,
+    ResponseKind,
+)
+from thymeflow.counter.client import DEAD, STALL, Line, Result
+from thymeflow.decision.actions import Action, AddToCounter
+from thymeflow.decision.events import Event
+from thymeflow.decision.gateway import Gateway
+from thymeflow.decision.settings import Limits
+from thymeflow.decision.types import EndpointListKind, Status
+from thymeflow.discovery.http import Body, HttpError
+from thymeflow.discovery.watch import Discovery
+from thymeflow.limiter.assembly import LEAST_ROOM, Limiter
+from thymeflow.platform.configuration import Address, EndpointUpdate, from_source, listed
+from thymeflow.quota.token_bucket import MIN_CALL_INTERVAL
+from thymeflow.runtime import clock
+from thymeflow.runtime.slot_table import SlotTable
+from thymeflow.simulator import settings_from
+from thymeflow.transport import resp
+from thymeflow.transport.commands import Call, Reader
+from thymeflow.transport.flow import Flow
 
 
 class Handle:
@@ -36,13 +47,13 @@
 
     def __init__(self, transport: Any) -> None:
         self.transport, self.most, self.unread = transport, 10**6, b""
-        self.departed = False       # the other end has closed
+        self.departed = False  # the other end has closed
         self.half_closed = self.no_delay = False
 
     def send(self, data: bytes) -> int:
         if not self.most:
             raise BlockingIOError
-        self.transport.write(data[:self.most])
+        self.transport.write(data[: self.most])
         return min(self.most, len(data))
 
     def recv(self, most: int, flags: int) -> bytes:
@@ -60,7 +71,7 @@
     """A reactor in memory under a clock that the test moves."""
 
     def __init__(self, monkeypatch: pytest.MonkeyPatch) -> None:
-        self.reactor: Any = MemoryReactorClock()   # type: ignore[no-untyped-call]
+        self.reactor: Any = MemoryReactorClock()  # type: ignore[no-untyped-call]
         monkeypatch.setattr(clock, "now", lambda: 1e9 + self.reactor.seconds())
         self.deadlines = clock.Deadlines(self.reactor)
 
@@ -71,7 +82,7 @@
 
     def connected(self, protocol: Any, unread: bytes = b"") -> Any:
         """The protocol on a connection in memory, with bytes that wait there."""
-        transport: Any = StringTransport()   # type: ignore[no-untyped-call]
+        transport: Any = StringTransport()  # type: ignore[no-untyped-call]
         transport.handle = Handle(transport)
         transport.handle.unread = unread
         transport.getHandle = lambda: transport.handle
@@ -88,8 +99,13 @@
 
 
 def limiter_of(world: World, sockets: int) -> Limiter:
-    source = {"listen": "127.0.0.1:0", "discovery": "127.0.0.1:9", "counter": "127.0.0.1:9", "settings": SETTINGS,
-              "limits": {"sockets": sockets, "memory_mb": 64}}
+    source = {
+        "listen": "127.0.0.1:0",
+        "discovery": "127.0.0.1:9",
+        "counter": "127.0.0.1:9",
+        "settings": SETTINGS,
+        "limits": {"sockets": sockets, "memory_mb": 64},
+    }
     return Limiter(from_source(source, "c.json", {}), world.reactor)
 
 
@@ -99,9 +115,9 @@
     return [word for word in found if isinstance(word, bytes)]
 
 
-def order() -> Order:
+def order() -> AttemptSpec:
     call, _ = Reader(settings_from(SETTINGS)).read(words(request(1)))
-    return Order(1, call, clock.now() + 3.0)
+    return AttemptSpec(1, call, clock.now() + 3.0)
 
 
 def good(value: bytes) -> bytes:
@@ -109,45 +125,45 @@
     return b"*3\r\n" + resp.bulk(value) + b"$-1\r\n$-1\r\n"
 
 
-def upstream(world: World) -> tuple[Upstream, list[Outcome]]:
-    made = Upstream(world.reactor, world.deadlines, i.Limits(), 10)
+def upstream(world: World) -> tuple[BackendConnections, list[AttemptResult]]:
+    made = BackendConnections(world.reactor, world.deadlines, Limits(), 10)
     made.listed(change("active", reset=True))
     return made, []
 
 
-def change(lifecycle: str, reset: bool = False) -> Listed:
+def change(lifecycle: str, reset: bool = False) -> EndpointUpdate:
     entry = {"instanceId": "s-00000001", "hostPort": "127.0.0.1:9", "lifecycle": lifecycle}
     return listed({"generation": 1, "reset": reset, "instances": [entry]})
 
 
 @pytest.mark.parametrize("news", ["leaving", "left"])
-def test_a_pass_that_waits_for_a_connection_is_not_written_to_a_server_that_drains(world: World,
-                                                                                   news: str) -> None:
+def test_a_pass_that_waits_for_a_connection_is_not_written_to_a_server_that_drains(world: World, news: str) -> None:
     made, ends = upstream(world)
     made.begin(order()).addCallback(ends.append)
     made.listed(change(news))
-    assert [end.status for end in ends] == [i.Status.CONNECT_FAILED]
+    assert [end.status for end in ends] == [Status.CONNECT_FAILED]
     assert world.up(0).transport.value() == b""
     made.begin(order()).addCallback(ends.append)
-    assert ends[1].status is i.Status.CONNECT_FAILED
+    assert ends[1].status is Status.CONNECT_FAILED
 
 
-@pytest.mark.parametrize(("most", "status"), [(10**6, i.Status.RESET), (0, i.Status.CONNECT_FAILED),
-                                              (7, i.Status.CONNECT_FAILED)])
-def test_only_a_pass_written_to_its_last_byte_may_have_run(world: World, most: int, status: i.Status) -> None:
+@pytest.mark.parametrize(
+    ("most", "status"), [(10**6, Status.RESET), (0, Status.CONNECT_FAILED), (7, Status.CONNECT_FAILED)]
+)
+def test_only_a_pass_written_to_its_last_byte_may_have_run(world: World, most: int, status: Status) -> None:
     made, ends = upstream(world)
     made.begin(order()).addCallback(ends.append)
     server = world.up(0)
-    server.dataReceived(good(b"v"))           # the connection is warm and idle now
+    server.dataReceived(good(b"v"))  # the connection is warm and idle now
     made.begin(order()).addCallback(ends.append)
     server.dataReceived(good(b"v"))
-    server.transport.handle.most = most          # what the kernel does not take stays with the transport
+    server.transport.handle.most = most  # what the kernel does not take stays with the transport
     server.transport.clear()
     made.begin(order()).addCallback(ends.append)
-    assert words(server.transport.value())[0] == b"SVC.QUERY"   # nothing missing, nothing twice
+    assert words(server.transport.value())[0] == b"SVC.QUERY"  # nothing missing, nothing twice
     server.connectionLost()
-    assert [end.status for end in ends] == [i.Status.OK, i.Status.OK, status]
-    assert len(world.reactor.tcpClients) == 1    # and nothing was sent again
+    assert [end.status for end in ends] == [Status.OK, Status.OK, status]
+    assert len(world.reactor.tcpClients) == 1  # and nothing was sent again
 
 
 def test_a_connection_that_comes_free_serves_the_pass_that_waits(world: World) -> None:
@@ -165,7 +181,7 @@
     made, ends = upstream(world)
     made.begin(order()).addCallback(ends.append)
     server = world.up(0)
-    made.begin(order()).addCallback(ends.append)   # waits for a connection
+    made.begin(order()).addCallback(ends.append)  # waits for a connection
     server.dataReceived(good(b"v") + behind)
     assert [end.value for end in ends] == [b"v"]
     assert server.closed
@@ -179,32 +195,41 @@
     server = world.up(0)
     server.dataReceived(good(b"v"))
     server.transport.clear()
-    server.transport.handle.unread = b"*3"         # it came after the look at what was read with the answer
+    server.transport.handle.unread = b"*3"  # it came after the look at what was read with the answer
     made.begin(order()).addCallback(ends.append)
     assert (server.closed, server.transport.value()) == (True, b"")
     world.up(1).dataReceived(good(b"w"))
     assert [end.value for end in ends] == [b"v", b"w"]
 
 
-@pytest.mark.parametrize("text", [b"*3\r\n$5\r\nva", b"+odd\r\n", b":1\r\n", b"-WHAT\r\n",
-                                  b"*1\r\n$1\r\nv\r\n", b"*3\r\n$-1\r\n$-1\r\n$-1\r\n",
-                                  b"*3\r\n$3000000000\r\n", b"noise"])
+@pytest.mark.parametrize(
+    "text",
+    [
+        b"*3\r\n$5\r\nva",
+        b"+odd\r\n",
+        b":1\r\n",
+        b"-WHAT\r\n",
+        b"*1\r\n$1\r\nv\r\n",
+        b"*3\r\n$-1\r\n$-1\r\n$-1\r\n",
+        b"*3\r\n$3000000000\r\n",
+        b"noise",
+    ],
+)
 def test_a_spoilt_answer_is_an_error_soon_and_ends_its_connection(world: World, text: bytes) -> None:
     made, ends = upstream(world)
     made.begin(order()).addCallback(ends.append)
     server = world.up(0)
     server.dataReceived(text)
     world.reactor.advance(ANSWER_STALL + 0.01)
-    assert [end.status for end in ends] == [i.Status.ERROR]
+    assert [end.status for end in ends] == [Status.ERROR]
     assert server.closed
 
 
-@pytest.mark.parametrize("text", [b"used=nan,cost=inf", b"used=-1,cost=-2", b"used=1e300,cost=nan",
-                                  b"used,cost=x"])
+@pytest.mark.parametrize("text", [b"used=nan,cost=inf", b"used=-1,cost=-2", b"used=1e300,cost=nan", b"used,cost=x"])
 def test_figures_that_cannot_be_believed_reach_nobody(text: bytes) -> None:
     found = outcome_of([b"v", text, b"avg_ms=nan"])
     assert found is not None
-    assert (found.status, found.used, found.units, found.load) == (i.Status.OK, None, None, None)
+    assert (found.status, found.quota_usage, found.actual_units, found.load_report) == (Status.OK, None, None, None)
 
 
 def test_idle_connections_go_before_the_other_end_closes_them(world: World) -> None:
@@ -212,7 +237,7 @@
     made.begin(order()).addCallback(ends.append)
     server = world.up(0)
     server.dataReceived(good(b"v"))
-    world.reactor.pump([1.0] * int(i.Limits().connection_idle - 1))
+    world.reactor.pump([1.0] * int(Limits().connection_idle - 1))
     assert server.closed
 
 
@@ -222,40 +247,41 @@
     body = Flow(300_000, lambda waits: None, lambda: None)
     call = order().payload
     assert isinstance(call, Call)
-    made.begin(Order(1, call._replace(flow=body), inf)).addCallback(ends.append)
+    made.begin(AttemptSpec(1, call._replace(flow=body), inf)).addCallback(ends.append)
     server = world.up(0)
-    server.transport.handle.most = 0              # the kernel's buffer is full
+    server.transport.handle.most = 0  # the kernel's buffer is full
     for _ in range(4):
         body.push(b"x" * 1000)
         world.reactor.pump([0.1] * round(0.4 * HUNG / 0.1))
         if moves:
-            server.resumeProducing()              # a little has gone
+            server.resumeProducing()  # a little has gone
     if moves:
         assert not ends and server.flushed
         body.fail()
-        assert ends[0].status is i.Status.CANCELLED
+        assert ends[0].status is Status.CANCELLED
     else:
-        assert ends[0].status is i.Status.CONNECT_FAILED and server.closed and not body.waits
+        assert ends[0].status is Status.CONNECT_FAILED and server.closed and not body.waits
 
 
 def test_a_counter_call_given_up_keeps_its_place_in_line(world: World) -> None:
     line = Line(world.reactor, world.deadlines, Address("127.0.0.1", 9))
-    results: list[tuple[i.Status, float]] = []
+    results: list[tuple[Status, float]] = []
     line.connect()
     wire = world.up(0)
     line.call(b"first", clock.now() + 0.03).addCallback(results.append)
     world.reactor.advance(0.04)
     line.call(b"second", clock.now() + 0.03).addCallback(results.append)
-    wire.message(b"7")       # late, and nobody's any more
-    assert results == [(i.Status.TIMEOUT, 0.0)]
+    wire.message(b"7")  # late, and nobody's any more
+    assert results == [(Status.TIMEOUT, 0.0)]
     wire.message(b"9.5")
-    assert results[1] == (i.Status.OK, 9.5)
+    assert results[1] == (Status.OK, 9.5)
 
 
-@pytest.mark.parametrize("noise", [b"$3\r\nnan\r\n", b"+7\r\n", b"$-1\r\n", b"!?", b"-WHAT\r\n",
-                                   b"$1\r\n7\r\n$1\r\n8\r\n", b"$5\r\n1_000\r\n"])
-def test_a_counter_that_cannot_be_followed_is_left_before_its_answers_shift(world: World,
-                                                                            noise: bytes) -> None:
+@pytest.mark.parametrize(
+    "noise",
+    [b"$3\r\nnan\r\n", b"+7\r\n", b"$-1\r\n", b"!?", b"-WHAT\r\n", b"$1\r\n7\r\n$1\r\n8\r\n", b"$5\r\n1_000\r\n"],
+)
+def test_a_counter_that_cannot_be_followed_is_left_before_its_answers_shift(world: World, noise: bytes) -> None:
     line, results = Line(world.reactor, world.deadlines, Address("127.0.0.1", 9)), list[Result]()
     line.connect()
     wire = world.up(0)
@@ -263,15 +289,16 @@
     wire.dataReceived(noise)
     world.reactor.advance(0.04)
     assert wire.closed
-    assert results in ([(i.Status.TIMEOUT, 0.0)], [(i.Status.OK, 7.0)])
+    assert results in ([(Status.TIMEOUT, 0.0)], [(Status.OK, 7.0)])
     line.call(b"second", clock.now() + 0.03).addCallback(results.append)
     world.up(1).dataReceived(b"$1\r\n9\r\n")
-    assert results[1] == (i.Status.OK, 9.0)
+    assert results[1] == (Status.OK, 9.0)
 
 
 @pytest.mark.parametrize("gap", [0.2, 0.5])
-def test_a_counter_that_writes_in_pieces_is_followed_and_one_that_stops_half_way_is_left(world: World,
-                                                                                         gap: float) -> None:
+def test_a_counter_that_writes_in_pieces_is_followed_and_one_that_stops_half_way_is_left(
+    world: World, gap: float
+) -> None:
     line, results = Line(world.reactor, world.deadlines, Address("127.0.0.1", 9)), list[Result]()
     line.connect()
     wire = world.up(0)
@@ -281,21 +308,21 @@
         world.reactor.pump([0.03] * round(gap / 0.03))
     assert wire.closed == (gap > STALL) and len(results) == 4
     if not wire.closed:
-        wire.message(b"9")                        # the second call's: the line is in step
+        wire.message(b"9")  # the second call's: the line is in step
         assert [call.reported for call in line.written] == [True, True]
 
 
 def test_a_broken_counter_line_tells_what_may_have_been_added(world: World) -> None:
-    line, results = Line(world.reactor, world.deadlines, Address("127.0.0.1", 9)), list[i.Status]()
+    line, results = Line(world.reactor, world.deadlines, Address("127.0.0.1", 9)), list[Status]()
     line.call(b"unwritten", clock.now() + 0.03).addCallback(lambda r: results.append(r[0]))
     world.reactor.advance(0.04)
-    assert results == [i.Status.CONNECT_FAILED]
+    assert results == [Status.CONNECT_FAILED]
     wire = world.up(0)
     line.call(b"left", clock.now() + 3.0).addCallback(lambda r: results.append(r[0]))
     wire.transport.handle.most = 0
     line.call(b"held", clock.now() + 3.0).addCallback(lambda r: results.append(r[0]))
     wire.connectionLost()
-    assert results[1:] == [i.Status.TIMEOUT, i.Status.CONNECT_FAILED]
+    assert results[1:] == [Status.TIMEOUT, Status.CONNECT_FAILED]
 
 
 def test_a_counter_that_has_gone_without_a_word_is_dialled_anew(world: World) -> None:
@@ -311,17 +338,17 @@
 
 
 def test_a_silent_watch_is_dialled_anew_and_a_whole_list_can_be_asked_for(world: World) -> None:
-    told: list[Listed] = []
+    told: list[EndpointUpdate] = []
     watch = Discovery(world.reactor, world.deadlines, Address("127.0.0.1", 9), 41, told.append, 3, 1)
     watch.start(clock.now() + 1.0)
     reading = world.up(0)
     reading.transport.abortConnection = lambda: None
     reading.dataReceived(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n1\r\n\n\r\n")
-    for _ in range(5):                           # empty lines keep it up
+    for _ in range(5):  # empty lines keep it up
         world.reactor.pump([0.5] * 4)
         reading.dataReceived(b"1\r\n\n\r\n")
     assert len(world.reactor.tcpClients) == 1
-    world.reactor.pump([0.1] * 49)               # two of them have not come
+    world.reactor.pump([0.1] * 49)  # two of them have not come
     assert len(world.reactor.tcpClients) == 2
     watch.fetch()
     whole = world.up(2)
@@ -329,7 +356,7 @@
     whole.transport.abortConnection = lambda: None
     text = b'{"generation":50,"reset":true,"instances":[]}'
     whole.dataReceived(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%b" % (len(text), text))
-    assert [(news.membership.kind, news.membership.version) for news in told] == [(i.ListKind.FULL, 50)]
+    assert [(news.change.kind, news.change.version) for news in told] == [(EndpointListKind.FULL, 50)]
 
 
 def test_deadlines_fire_in_order_behind_one_timer_and_not_when_cancelled(world: World) -> None:
@@ -343,9 +370,9 @@
 
 
 def test_the_handle_of_what_has_ended_finds_nothing_in_a_slot_used_again() -> None:
-    table: Table[str] = Table(1)
+    table: SlotTable[str] = SlotTable(1)
     old = table.add("old")
-    assert (table.full(), table.remove(old)) == (True, "old")
+    assert (table.is_full(), table.remove(old)) == (True, "old")
     new = table.add("new")
     assert (table.get(old), table.remove(old), table.get(new)) == (None, None, "new")
 
@@ -356,7 +383,7 @@
     parser, found, place = resp.Parser(), list[resp.Event](), 0
     while place < len(text):
         step = data.draw(st.integers(1, 30))
-        found += parser.feed(text[place:place + step])[0]
+        found += parser.feed(text[place : place + step])[0]
         place += step
     assert found == [parts, b"x", resp.Problem(b"ERR e"), -5, None]
 
@@ -369,9 +396,19 @@
             Body().feed(start + text)
 
 
-@pytest.mark.parametrize("change", [{"weight": float("nan")}, {"startedAtMs": float("inf")}, {"cell": "x"},
-                                    {"hostPort": "nowhere"}, {"hostPort": None}, {"lifecycle": ["odd"]},
-                                    {"instanceId": 7}, {"weight": -1}])
+@pytest.mark.parametrize(
+    "change",
+    [
+        {"weight": float("nan")},
+        {"startedAtMs": float("inf")},
+        {"cell": "x"},
+        {"hostPort": "nowhere"},
+        {"hostPort": None},
+        {"lifecycle": ["odd"]},
+        {"instanceId": 7},
+        {"weight": -1},
+    ],
+)
 def test_a_senseless_entry_of_the_list_is_refused(change: dict[str, Any]) -> None:
     good = {"instanceId": "s-00000001", "hostPort": "127.0.0.1:9", "lifecycle": "active"}
     with pytest.raises((ValueError, KeyError, TypeError)):
@@ -384,7 +421,7 @@
     def __init__(self, raises: bool) -> None:
         self.raises = raises
 
-    def handle(self, now: float, event: i.Event) -> list[i.Action]:
+    def handle(self, now: float, event: Event) -> list[Action]:
         if self.raises:
             raise RuntimeError("out of order")
         return []
@@ -392,14 +429,14 @@
 
 @pytest.mark.parametrize("raises", [True, False])
 def test_a_request_gets_one_answer_also_from_a_module_out_of_order(world: World, raises: bool) -> None:
-    core = Core(settings_from(SETTINGS), Gateway(settings_from(SETTINGS), 1), world.deadlines, 10**6)
-    core._gateway = Odd(raises)   # type: ignore[assignment]
-    answers: list[Answer] = []
+    core = RequestDispatcher(settings_from(SETTINGS), Gateway(settings_from(SETTINGS), 1), world.deadlines, 10**6)
+    core._gateway = Odd(raises)  # type: ignore[assignment]
+    answers: list[Response] = []
     call, told = Reader(settings_from(SETTINGS)).read(words(request(1, wait=500)))
-    core.take(Offer(told, clock.now() + 0.5, call, 100)).addCallback(answers.append)
+    core.submit(IncomingRequest(told, clock.now() + 0.5, call, 100)).addCallback(answers.append)
     world.reactor.advance(0.52)
-    assert [answer.verdict for answer in answers] == [Verdict.FAILED]
-    assert core.open() == 0
+    assert [answer.kind for answer in answers] == [ResponseKind.FAILED]
+    assert core.open_count() == 0
 
 
 class Slow:
@@ -414,17 +451,17 @@
 
 def test_a_count_may_be_answered_late_but_ends_before_the_next_of_its_name(world: World) -> None:
     settings, counter = settings_from(SETTINGS), Slow()
-    core = Core(settings, Gateway(settings, 1), world.deadlines, 10**6)
+    core = RequestDispatcher(settings, Gateway(settings, 1), world.deadlines, 10**6)
     core.counter = counter
-    core._carry_out(i.Count(5, 1.0, 20.0))
-    assert settings.information.counter_timeout < counter.until - clock.now() < SPEAK_EVERY
+    core._carry_out(AddToCounter(5, 1.0, 20.0))
+    assert settings.information.counter_timeout < counter.until - clock.now() < MIN_CALL_INTERVAL
 
 
 def test_a_table_full_of_those_who_say_nothing_still_takes_a_usual_one(world: World) -> None:
     front = limiter_of(world, 64).front
-    silent = [world.connected(front.buildProtocol(None)) for _ in range(16)]   # all the room there is
+    silent = [world.connected(front.buildProtocol(None)) for _ in range(16)]  # all the room there is
     world.reactor.advance(0.04)
-    assert front.buildProtocol(None) is None           # they may be about to ask
+    assert front.buildProtocol(None) is None  # they may be about to ask
     world.reactor.advance(0.02)
     usual = world.connected(front.buildProtocol(None))
     usual.dataReceived(command(b"PING"))
@@ -441,9 +478,9 @@
         return front._most, limiter.upstream._most, front.most_held, front._most_input, core._memory
 
     alone = budgets()
-    limiter.beside(held)
+    limiter.limit_beside_predecessor(held)
     both = budgets()
     assert both[0] + both[1] + held <= sum(alone[:2]) or both[0] + both[1] == LEAST_ROOM
     assert all(2 * part <= whole + 1 for part, whole in zip(both[2:], alone[2:], strict=True))
-    limiter.beside(None)
+    limiter.limit_beside_predecessor(None)
     assert budgets() == alone
--- a/tests/test_observe.py
+++ b/tests/test_observe.py
@@ -7,9 +7,9 @@
 import multiprocessing
 from pathlib import Path
 
-from thymeflow.net import clock, log
-from thymeflow.observe.shared import SharedFile
-from thymeflow.observe.structured import Logbook
+from thymeflow.logs.shared_file import SharedFile
+from thymeflow.logs.structured import StructuredLog
+from thymeflow.runtime import clock, log
 from thymeflow.settings.sections import Log
 
 LINES = 400
@@ -34,7 +34,7 @@
     out = SharedFile(path, 4096, lambda: now[0])
     out.write("one")
     path.rename(tmp_path / "log.1")
-    out.write("two")                     # within a second the old one still takes lines: nothing is lost
+    out.write("two")  # within a second the old one still takes lines: nothing is lost
     now[0] = 2.0
     out.write("three")
     assert (tmp_path / "log.1").read_text() == "one\ntwo\n"
@@ -53,23 +53,29 @@
 def test_a_full_disk_ends_nothing() -> None:
     out = SharedFile(Path("/dev/full"), 256, clock.now)
     out.write("lost")
-    assert out.lost == 1
+    assert out.dropped_lines == 1
 
 
 def test_json_lines_say_who_wrote_them_and_keep_types(tmp_path: Path) -> None:
     path = tmp_path / "log"
-    book = Logbook(Log(form="json", file=str(path)), "n3", "cafe")
+    book = StructuredLog(Log(form="json", file=str(path)), "n3", "cafe")
     book.write("connect failed", "10.0.0.1:1: refused", 4, {"tries": 2, "pid": 7, "address": path})
     line = json.loads(path.read_text())
     assert {k: line[k] for k in ("instance", "life", "kind", "text", "skipped", "tries", "field_pid")} == {
-        "instance": "n3", "life": "cafe", "kind": "connect failed", "text": "10.0.0.1:1: refused", "skipped": 4,
-        "tries": 2, "field_pid": 7}
+        "instance": "n3",
+        "life": "cafe",
+        "kind": "connect failed",
+        "text": "10.0.0.1:1: refused",
+        "skipped": 4,
+        "tries": 2,
+        "field_pid": 7,
+    }
     assert line["address"] == str(path) and line["level"] == "info" and line["at"].endswith("Z")
 
 
 def test_the_text_form_is_that_of_the_page_and_paced_kinds_stay_paced(tmp_path: Path) -> None:
     path = tmp_path / "log"
-    book = Logbook(Log(file=str(path)), "n3", "cafe")
+    book = StructuredLog(Log(file=str(path)), "n3", "cafe")
     try:
         log.to(book.write)
         for number in range(5):
@@ -82,10 +88,10 @@
 
 def test_levels_and_library_lines(tmp_path: Path) -> None:
     path = tmp_path / "log"
-    book = Logbook(Log(form="json", file=str(path), level="error"), "n3", "cafe")
+    book = StructuredLog(Log(form="json", file=str(path), level="error"), "n3", "cafe")
     before = logging.getLogger().handlers[:]
     try:
-        book.take_over()
+        book.install()
         log.note("phase", "left out")
         try:
             raise ValueError("broken\nin two")
--- a/tests/test_overload.py
+++ b/tests/test_overload.py
@@ -20,8 +20,9 @@
 from tests.limiter import PATIENCE, Limiter, Peer
 from tests.limiter import request as asked
 from tests.test_fleet import FleetOf, cli
-from thymeflow import interface as i
-from thymeflow.overload.jury import (
+from thymeflow.decision.types import Status
+from thymeflow.health.backend_stats import FailureStreak
+from thymeflow.outliers.coordinator import (
     HEARD,
     LEASE,
     MOVES,
@@ -30,54 +31,64 @@
     STEP,
     ZONE,
     Case,
-    Jury,
+    Ejection,
     Key,
     Move,
+    OutlierCoordinator,
     State,
-    Verdict,
 )
-from thymeflow.overload.verdicts import Verdicts, keys_from, message_of, trials_from, verdicts_from, zones_from
+from thymeflow.outliers.member import (
+    MemberEjections,
+    ejections_from_message,
+    keys_from_message,
+    message_of,
+    probes_from_message,
+    zones_from_message,
+)
 
 BAD = (7, "")
 
 
-def jury_of(against: int, good: int = 0, servers: int = 6) -> Jury:
+def jury_of(against: int, good: int = 0, servers: int = 6) -> OutlierCoordinator:
     """One that so many members told of a server, for and against."""
-    jury = Jury(1.0)
+    jury = OutlierCoordinator(1.0)
     jury.servers = servers
     for n in range(against + good):
-        jury.hears(f"n{n}", {BAD} if n < against else set(), set() if n < against else {BAD}, {}, 0.0)
+        jury.on_report(f"n{n}", {BAD} if n < against else set(), set() if n < against else {BAD}, {}, 0.0)
     return jury
 
 
 def test_every_move_that_is_not_in_the_table_raises() -> None:
     for state in State:
         for move in Move:
-            jury = Jury(1.0)
-            jury.cases[BAD] = case = Case(1, 0.0, state)
+            jury = OutlierCoordinator(1.0)
+            jury.ejected[BAD] = case = Case(1, 0.0, state)
             if (state, move) not in MOVES:
                 with pytest.raises(KeyError):
                     jury._move(BAD, case, move, 0.0)
             else:
                 jury._move(BAD, case, move, 0.0)
-                assert MOVES[state, move] is (case.state if BAD in jury.cases else None)
+                assert MOVES[state, move] is (case.state if BAD in jury.ejected else None)
 
 
-@pytest.mark.parametrize(("against", "good", "condemned"), [
-    (1, 0, False), (1, 11, False), (2, 10, False), (2, 0, True), (2, 1, True), (6, 6, False), (7, 5, True)])
+@pytest.mark.parametrize(
+    ("against", "good", "condemned"),
+    [(1, 0, False), (1, 11, False), (2, 10, False), (2, 0, True), (2, 1, True), (6, 6, False), (7, 5, True)],
+)
 def test_who_is_cut_off_or_lies_condemns_nothing_and_most_of_those_who_know_do(
-        against: int, good: int, condemned: bool) -> None:
-    assert bool(jury_of(against, good).beat(0.1)) is condemned
+    against: int, good: int, condemned: bool
+) -> None:
+    assert bool(jury_of(against, good).tick(0.1)) is condemned
 
 
 def test_words_count_for_a_while_and_no_more_than_half_of_the_servers_are_condemned() -> None:
-    assert not jury_of(3).beat(HEARD + 0.1)           # whoever was stopped since says nothing
-    jury = Jury(1.0)
+    assert not jury_of(3).tick(HEARD + 0.1)  # whoever was stopped since says nothing
+    jury = OutlierCoordinator(1.0)
     jury.servers = 6
     for name in ("n0", "n1"):
-        jury.hears(name, {(n, part) for n in range(6) for part in ("", "a")}, set(), {}, 0.0)
-    jury.beat(0.1)
-    assert len({number for number, _ in jury.cases}) == 3
+        jury.on_report(name, {(n, part) for n in range(6) for part in ("", "a")}, set(), {}, 0.0)
+    jury.tick(0.1)
+    assert len({number for number, _ in jury.ejected}) == 3
 
 
 def test_one_at_a_time_tries_and_a_good_trial_lets_all_back_step_by_step() -> None:
@@ -85,59 +96,69 @@
     now, holders = 0.1, list[str]()
     for _ in range(5):
         for n in range(5):
-            jury.hears(f"n{n}", {BAD}, set(), {}, now)
-        jury.beat(now)
-        claims = [(n, v) for n in range(5) for v in jury.verdicts(f"n{n}", now) if v.claim]
+            jury.on_report(f"n{n}", {BAD}, set(), {}, now)
+        jury.tick(now)
+        claims = [(n, v) for n in range(5) for v in jury.ejections_for(f"n{n}", now) if v.claim]
         assert len(claims) == 1 and not claims[0][1].allowed
         holders.append(f"n{claims[0][0]}")
         now += 1.0
     assert sorted(holders) == [f"n{n}" for n in range(5)]
-    case = jury.cases[BAD]
-    jury.hears(case.holder, set(), {BAD}, {case.claim: True}, now)
+    case = jury.ejected[BAD]
+    jury.on_report(case.holder, set(), {BAD}, {case.claim: True}, now)
     let_in = list[int]()
-    while jury.cases and now < 60.0:
+    while jury.ejected and now < 60.0:
         for n in range(5):
-            jury.hears(f"n{n}", set(), set(), {}, now)
-        let_in.append(sum(v.allowed for n in range(5) for v in jury.verdicts(f"n{n}", now)))
-        jury.beat(now)
+            jury.on_report(f"n{n}", set(), set(), {}, now)
+        let_in.append(sum(v.allowed for n in range(5) for v in jury.ejections_for(f"n{n}", now)))
+        jury.tick(now)
         now += STEP
-    assert let_in[0] == 1 and let_in[1:3] == [1, 2] and max(let_in) == 5 and not jury.cases
+    assert let_in[0] == 1 and let_in[1:3] == [1, 2] and max(let_in) == 5 and not jury.ejected
     assert let_in == sorted(let_in) and now < 5.0 + 4 * STEP + QUIET + 2.0
 
 
 def test_a_failure_on_the_way_back_condemns_anew_and_a_holder_that_ends_holds_nobody_up() -> None:
     jury = jury_of(3)
-    jury.beat(0.1)
-    case = jury.cases[BAD]
+    jury.tick(0.1)
+    case = jury.ejected[BAD]
     first = case.holder
-    jury.gone(first)
-    jury.beat(0.2)
+    jury.on_member_gone(first)
+    jury.tick(0.2)
     assert case.holder not in ("", first)
-    jury.hears(case.holder, set(), {BAD}, {case.claim: True}, 0.3)
-    assert jury.cases[BAD].state is State.RETURNING
-    jury.hears(case.holder, {BAD}, set(), {}, 0.4)        # an ejection of before
-    assert jury.cases[BAD].state is State.RETURNING
-    jury.hears(case.holder, {BAD}, set(), {}, 0.4 + SETTLED)
-    assert jury.cases[BAD].state is State.CONDEMNED
-    assert not any(v.claim for n in range(3) for v in jury.verdicts(f"n{n}", 0.4 + SETTLED))
-    jury.hears("n9", set(), set(), {case.claim: True, 0: True, 99: True}, 0.5)    # trials that nobody gave out
-    assert jury.cases[BAD].state is State.CONDEMNED
-
-
-@given(st.lists(st.tuples(st.integers(0, 3), st.sets(st.tuples(st.integers(0, 5), st.sampled_from(["", "a"]))),
-                          st.sets(st.tuples(st.integers(0, 5), st.sampled_from(["", "a"]))), st.booleans(),
-                          st.floats(0.0, 1.5)), max_size=40))
+    jury.on_report(case.holder, set(), {BAD}, {case.claim: True}, 0.3)
+    assert jury.ejected[BAD].state is State.RETURNING
+    jury.on_report(case.holder, {BAD}, set(), {}, 0.4)  # an ejection of before
+    assert jury.ejected[BAD].state is State.RETURNING
+    jury.on_report(case.holder, {BAD}, set(), {}, 0.4 + SETTLED)
+    assert jury.ejected[BAD].state is State.CONDEMNED
+    assert not any(v.claim for n in range(3) for v in jury.ejections_for(f"n{n}", 0.4 + SETTLED))
+    jury.on_report("n9", set(), set(), {case.claim: True, 0: True, 99: True}, 0.5)  # trials that nobody gave out
+    assert jury.ejected[BAD].state is State.CONDEMNED
+
+
+@given(
+    st.lists(
+        st.tuples(
+            st.integers(0, 3),
+            st.sets(st.tuples(st.integers(0, 5), st.sampled_from(["", "a"]))),
+            st.sets(st.tuples(st.integers(0, 5), st.sampled_from(["", "a"]))),
+            st.booleans(),
+            st.floats(0.0, 1.5),
+        ),
+        max_size=40,
+    )
+)
 def test_whatever_is_said_a_case_has_one_trial_at_a_time_and_half_of_the_servers_stay(
-        words: list[tuple[int, set[tuple[int, str]], set[tuple[int, str]], bool, float]]) -> None:
-    jury, now, seen = Jury(1.0), 0.0, dict[tuple[int, str], list[float]]()
+    words: list[tuple[int, set[tuple[int, str]], set[tuple[int, str]], bool, float]],
+) -> None:
+    jury, now, seen = OutlierCoordinator(1.0), 0.0, dict[tuple[int, str], list[float]]()
     jury.servers = 6
     for member, against, good, outcome, later in words:
-        trials = {c.claim: outcome for c in jury.cases.values() if c.holder == f"n{member}" and c.claim}
-        jury.hears(f"n{member}", against, good, trials, now)
-        jury.beat(now)
-        assert len({number for number, _ in jury.cases}) <= 3
-        for key in jury.cases:
-            claims = {v.claim for n in range(4) for v in jury.verdicts(f"n{n}", now) if v.key == key and v.claim}
+        trials = {c.claim: outcome for c in jury.ejected.values() if c.holder == f"n{member}" and c.claim}
+        jury.on_report(f"n{member}", against, good, trials, now)
+        jury.tick(now)
+        assert len({number for number, _ in jury.ejected}) <= 3
+        for key in jury.ejected:
+            claims = {v.claim for n in range(4) for v in jury.ejections_for(f"n{n}", now) if v.key == key and v.claim}
             assert len(claims) <= 1
             if claims - set(seen.get(key, [])):
                 seen.setdefault(key, []).extend(claims)
@@ -148,83 +169,91 @@
 ZONES = {"a": frozenset({1, 2, 3, 4}), "b": frozenset({5, 6, 7, 8})}
 
 
-def of_zones(members: int, against: set[int], good: set[int]) -> Jury:
+def of_zones(members: int, against: set[int], good: set[int]) -> OutlierCoordinator:
     """One to which each of some members told of other servers against which it speaks, two of them of each."""
-    jury = Jury(1.0)
+    jury = OutlierCoordinator(1.0)
     for n in range(members):
-        jury.lists(f"n{n}", 8, ZONES)
+        jury.on_endpoint_list(f"n{n}", 8, ZONES)
         own = {number for place, number in enumerate(sorted(against)) if n in (place % members, (place + 1) % members)}
-        jury.hears(f"n{n}", {(number, "") for number in own}, {(number, "") for number in good}, {}, 0.0)
+        jury.on_report(f"n{n}", {(number, "") for number in own}, {(number, "") for number in good}, {}, 0.0)
     return jury
 
 
-@pytest.mark.parametrize(("against", "good", "opened"), [
-    ({1, 2}, {5, 6}, [(ZONE, "a")]), ({1, 2, 3, 4}, set(), [(ZONE, "a")]), ({1}, {5}, [(1, "")]),
-    ({1, 5}, {2, 6}, [(1, ""), (5, "")]), ({1, 2, 5, 6}, {3, 4}, [(ZONE, "a")])])
+@pytest.mark.parametrize(
+    ("against", "good", "opened"),
+    [
+        ({1, 2}, {5, 6}, [(ZONE, "a")]),
+        ({1, 2, 3, 4}, set(), [(ZONE, "a")]),
+        ({1}, {5}, [(1, "")]),
+        ({1, 5}, {2, 6}, [(1, ""), (5, "")]),
+        ({1, 2, 5, 6}, {3, 4}, [(ZONE, "a")]),
+    ],
+)
 def test_a_zone_of_which_half_is_spoken_against_is_left_as_one_and_never_all_of_them(
-        against: set[int], good: set[int], opened: list[Key]) -> None:
+    against: set[int], good: set[int], opened: list[Key]
+) -> None:
     jury = of_zones(4, against, good)
-    assert jury.beat(0.1) == opened and list(jury.cases) == opened
+    assert jury.tick(0.1) == opened and list(jury.ejected) == opened
 
 
 def test_one_trial_anywhere_in_a_zone_brings_all_back_on_one_ramp_and_one_bad_server_does_not_stop_it() -> None:
     jury = of_zones(4, {1, 2}, set())
-    jury.beat(0.1)
-    case = jury.cases[ZONE, "a"]
+    jury.tick(0.1)
+    case = jury.ejected[ZONE, "a"]
     holder, claim = case.holder, case.claim
-    assert claim and sum(bool(v.claim) for n in range(4) for v in jury.verdicts(f"n{n}", 0.1)) == 1
+    assert claim and sum(bool(v.claim) for n in range(4) for v in jury.ejections_for(f"n{n}", 0.1)) == 1
     now = 0.5
-    jury.hears(holder, set(), {(3, "")}, {claim: True}, now)
+    jury.on_report(holder, set(), {(3, "")}, {claim: True}, now)
     assert case.state is State.RETURNING
-    while jury.cases:
+    while jury.ejected:
         now += STEP
         for n in range(4):
-            jury.hears(f"n{n}", {(1, "")} if n == 0 else set(), {(3, "")}, {}, now)
-        jury.beat(now)
+            jury.on_report(f"n{n}", {(1, "")} if n == 0 else set(), {(3, "")}, {}, now)
+        jury.tick(now)
         assert now < 10.0
-    for n in range(4):                      # half of it again, on the way back, is another matter
-        jury.hears(f"n{n}", {(1, ""), (2, "")}, set(), {}, now + QUIET)
-    assert jury.beat(now + QUIET + 0.1) == [(ZONE, "a")]
+    for n in range(4):  # half of it again, on the way back, is another matter
+        jury.on_report(f"n{n}", {(1, ""), (2, "")}, set(), {}, now + QUIET)
+    assert jury.tick(now + QUIET + 0.1) == [(ZONE, "a")]
 
 
 def test_what_most_members_have_on_their_lists_holds_for_zones() -> None:
     jury = of_zones(4, {1, 2}, set())
-    jury.lists("n9", 2, {"a": frozenset({1, 2, 5, 6, 7, 8})})
+    jury.on_endpoint_list("n9", 2, {"a": frozenset({1, 2, 5, 6, 7, 8})})
     assert jury.servers == 8 and jury.zones == ZONES
     with pytest.raises(ValueError):
-        zones_from({"a": [1, "2"]})
+        zones_from_message({"a": [1, "2"]})
     with pytest.raises(ValueError):
-        keys_from([[ZONE, "a"]])
+        keys_from_message([[ZONE, "a"]])
 
 
 def test_a_member_leaves_a_lost_zone_but_for_one_trial_and_forgets_what_it_held_against_it() -> None:
     gateway = started(settings(zones=("a", "b")))
-    verdicts = Verdicts(gateway)
-    lost = [n for n, server in gateway.servers.items() if server.entry.zone == "a"]
-    gateway.servers[lost[0]].health[""] = (2, 1e9)
+    verdicts = MemberEjections(gateway)
+    lost = [n for n, server in gateway.backends.items() if server.endpoint.zone == "a"]
+    gateway.backends[lost[0]].failures[""] = FailureStreak(2, 1e9)
 
     def chosen(now: float) -> list[int]:
         found = list[int]()
         for n in range(60):
             for send in sends(gateway.handle(now, request(f"{now}-{n}", 0.01, customer=f"{n}"))):
                 found.append(send.backend)
-                gateway.handle(now, ended(send.id, send, i.Status.OK, units=0.01))
+                gateway.handle(now, ended(send.id, send, Status.OK, actual_units=0.01))
         return found
 
-    told = Verdict((ZONE, "a"), 1, 0, False, False, 100.0 + LEASE)
-    verdicts.told([told], 0.0, 100.0)
+    told = Ejection((ZONE, "a"), 1, 0, False, False, 100.0 + LEASE)
+    verdicts.on_ejections([told], 0.0, 100.0)
     assert not set(chosen(0.1)) & set(lost)
-    verdicts.told([replace(told, claim=5)], 0.2, 100.2)
+    verdicts.on_ejections([replace(told, claim=5)], 0.2, 100.2)
     assert sum(number in lost for number in chosen(0.3)) == 1, "a zone's claim is one request"
-    verdicts.told([replace(told, allowed=True)], 0.4, 100.4)
-    assert "" not in gateway.servers[lost[0]].health
+    verdicts.on_ejections([replace(told, allowed=True)], 0.4, 100.4)
+    assert "" not in gateway.backends[lost[0]].failures
     assert set(chosen(0.5)) >= set(lost)
 
 
 def test_a_member_leaves_a_condemned_server_alone_but_for_its_one_trial_and_until_the_verdict_is_over() -> None:
     gateway = started(settings(), now=100.0)
-    gateway.share = lambda kind: 1e6       # places are not the matter here
-    verdicts, server = Verdicts(gateway), gateway.servers[2]
+    gateway.fraction_of = lambda kind: 1e6  # places are not the matter here
+    verdicts, server = MemberEjections(gateway), gateway.backends[2]
 
     def chosen(now: float, count: int = 40) -> int:
         found = 0
@@ -234,42 +263,51 @@
         return found
 
     def told(now: float, **changes: object) -> None:
-        made = Verdict(**{"key": (2, ""), "number": 1, "claim": 0, "allowed": False, "cleared": False,   # type: ignore[arg-type]
-                          "end": now + LEASE, **changes})
-        verdicts.told(verdicts_from([message_of(made)]), now, now)
+        made = Ejection(
+            **{
+                "key": (2, ""),
+                "number": 1,
+                "claim": 0,
+                "allowed": False,
+                "cleared": False,  # type: ignore[arg-type]
+                "end": now + LEASE,
+                **changes,
+            }
+        )
+        verdicts.on_ejections(ejections_from_message([message_of(made)]), now, now)
 
     told(100.0)
     assert chosen(100.1) == 0
     told(100.5, claim=5)
-    assert chosen(100.6) == 1 and verdicts.words(100.7)["trials"] == {}      # it is out
-    server.out = 0
-    server.health[""] = (3, 108.0)
-    assert verdicts.words(100.7)["trials"] == {"5": False} and [2, ""] in verdicts.words(100.7)["against"]
+    assert chosen(100.6) == 1 and verdicts.report(100.7)["trials"] == {}  # it is out
+    server.in_flight = 0
+    server.failures[""] = FailureStreak(3, 108.0)
+    assert verdicts.report(100.7)["trials"] == {"5": False} and [2, ""] in verdicts.report(100.7)["against"]
     told(101.0, claim=5)
-    assert chosen(101.1) == 0                                                # said again, it is the same claim
+    assert chosen(101.1) == 0  # said again, it is the same claim
     told(101.5, claim=6)
-    assert chosen(101.6) == 1                                                # though our own ejection lasts
+    assert chosen(101.6) == 1  # though our own ejection lasts
     told(102.0, allowed=True)
     assert chosen(102.1) > 0
-    server.health[""] = (3, 110.0)
+    server.failures[""] = FailureStreak(3, 110.0)
     told(102.5)
-    assert chosen(102.5 + LEASE + 0.1) == 0 and server.health                # ours lasts on its own
+    assert chosen(102.5 + LEASE + 0.1) == 0 and server.failures  # ours lasts on its own
     told(106.0, allowed=True, cleared=True)
-    assert not server.health and chosen(106.1) > 0
-    verdicts.told([], 107.0, 107.0)
+    assert not server.failures and chosen(106.1) > 0
+    verdicts.on_ejections([], 107.0, 107.0)
     assert chosen(107.1) > 0
 
 
 @pytest.mark.parametrize("rows", [1, [[1]], [["a", ""]], [[1, 2]], [[True, ""]], [[1, ""]] * 600])
 def test_words_that_cannot_be_read_are_a_fault(rows: object) -> None:
     with pytest.raises(ValueError):
-        keys_from(rows)
+        keys_from_message(rows)
     with pytest.raises(ValueError):
-        verdicts_from(rows)
+        ejections_from_message(rows)
     with pytest.raises(ValueError):
-        trials_from(rows)
+        probes_from_message(rows)
     with pytest.raises(ValueError):
-        verdicts_from([[1, "", 1, 1, True, False, float("nan")]])
+        ejections_from_message([[1, "", 1, 1, True, False, float("nan")]])
 
 
 class Serving(threading.Thread):
@@ -278,11 +316,11 @@
     def __init__(self, limiter: Limiter) -> None:
         super().__init__(daemon=True)
         self.bad, self.passes, self._limiter, self._over = set[int](), [0] * len(limiter.servers), limiter, False
-        self.delay = 0.0    # s of work for each pass, one after the other
-        self.bad_class = b""     # of which `bad` answers errors; empty: of all
-        self.others = 0     # passes of other classes at those
-        self.lost = False   # `bad` answer nothing, and end the connection
-        self.cut = dict[int, set[int]]()     # servers whose connections from a process, by its id, are ended
+        self.delay = 0.0  # s of work for each pass, one after the other
+        self.bad_class = b""  # of which `bad` answers errors; empty: of all
+        self.others = 0  # passes of other classes at those
+        self.lost = False  # `bad` answer nothing, and end the connection
+        self.cut = dict[int, set[int]]()  # servers whose connections from a process, by its id, are ended
 
     def run(self) -> None:
         peers = dict[int, tuple[Peer, int]]()
@@ -292,8 +330,10 @@
                 if ready in listeners:
                     peer = self._limiter.servers[listeners[ready]].accept()
                     port = peer.sock.getpeername()[1]
-                    if any(listeners[ready] in numbers and port in {c.laddr[1] for c in Process(pid).net_connections()}
-                           for pid, numbers in self.cut.items()):
+                    if any(
+                        listeners[ready] in numbers and port in {c.laddr[1] for c in Process(pid).net_connections()}
+                        for pid, numbers in self.cut.items()
+                    ):
                         peer.close()
                     else:
                         peers[peer.sock.fileno()] = peer, listeners[ready]
@@ -374,10 +414,14 @@
 
 
 def test_a_real_fleet_leaves_a_server_alone_for_the_one_class_that_it_fails(tmp_path: Path) -> None:
-    classes = [{"name": name, "on-time": 3000.0, "deadline": 3000.0, "effect": "retryable"}
-               for name in ("look", "peek")]
-    with Limiter(tmp_path, servers=4, classes=classes) as limiter, FleetOf(tmp_path, limiter) as fleet, \
-            Serving(limiter) as serving:
+    classes = [
+        {"name": name, "on-time": 3000.0, "deadline": 3000.0, "effect": "retryable"} for name in ("look", "peek")
+    ]
+    with (
+        Limiter(tmp_path, servers=4, classes=classes) as limiter,
+        FleetOf(tmp_path, limiter) as fleet,
+        Serving(limiter) as serving,
+    ):
         crowd, after = Crowd(limiter, fleet.ready(3)["members"]), 0
         serving.bad, serving.bad_class = {0}, b"c=look,"
         end = time.monotonic() + PATIENCE
--- a/tests/test_retune.py
+++ b/tests/test_retune.py
@@ -16,36 +16,41 @@
 from tests.limiter import PATIENCE, Limiter, Peer
 from tests.limiter import request as asked
 from tests.test_limiter import GOOD
-from thymeflow import interface as i
+from thymeflow.decision.events import SettingsChanged
+from thymeflow.decision.settings import Idempotency
+from thymeflow.decision.types import Status
 
-ABORTED = i.Status.CONNECT_FAILED
+ABORTED = Status.CONNECT_FAILED
 
 
 def test_an_open_request_keeps_its_attempts_and_its_class_and_a_new_one_does_not() -> None:
     gateway = started()
     (first,) = sends(gateway.handle(0.1, request("old", class_name="book")))
     fewer = settings(limits=replace(settings().limits, max_attempts=1), classes=(SAFE, replace(UNSAFE, name="book")))
-    gateway.handle(0.2, i.Resettled(fewer))
+    gateway.handle(0.2, SettingsChanged(fewer))
     assert sends(gateway.handle(0.3, ended("old", first, ABORTED))), "three attempts were allowed when it was taken"
     (only,) = sends(gateway.handle(0.4, request("new", class_name="book")))
     assert not sends(gateway.handle(0.5, ended("new", only, ABORTED)))
-    assert gateway.jobs == {} or "new" not in gateway.jobs
-    assert gateway.classes["book"].effect is i.Effect.UNSAFE and gateway.jobs["old"].cls is KEYED
+    assert gateway.pending == {} or "new" not in gateway.pending
+    assert (
+        gateway.classes["book"].idempotency is Idempotency.NOT_IDEMPOTENT
+        and gateway.pending["old"].request_class is KEYED
+    )
 
 
 def test_a_store_keeps_its_level_and_fills_at_the_new_rate_from_then_on() -> None:
-    gateway = started(settings(gateways=1))
-    gateway.handle(0.1, request("a", 4.0, spread=1))
+    gateway = started(settings(limiter_count=1))
+    gateway.handle(0.1, request("a", 4.0, set_size=1))
     store = only_store(gateway)
     level = store.level
     faster = replace(PLAN, rate=2.0 * PLAN.rate, burst=10.0 * PLAN.burst)
-    for _ in range(20):   # as often as it is told
-        gateway.handle(0.1, i.Resettled(settings(gateways=1, plans=(faster,))))
+    for _ in range(20):  # as often as it is told
+        gateway.handle(0.1, SettingsChanged(settings(limiter_count=1, plans=(faster,))))
     assert store.level == level and store.plan is faster
-    gateway.handle(0.2, request("b", 1.0, spread=1))
+    gateway.handle(0.2, request("b", 1.0, set_size=1))
     assert store.level == pytest.approx(level + 0.1 * faster.rate - 1.0, abs=0.2)
-    gateway.handle(0.3, i.Resettled(settings(gateways=1, plans=(replace(PLAN, burst=1.0),))))
-    gateway.handle(0.3, request("c", 1.0, spread=1))
+    gateway.handle(0.3, SettingsChanged(settings(limiter_count=1, plans=(replace(PLAN, burst=1.0),))))
+    gateway.handle(0.3, request("c", 1.0, set_size=1))
     assert store.level <= 1.0, "a smaller burst holds at once"
 
 
@@ -62,6 +67,7 @@
     def change(config: Any) -> None:
         place = config["settings"][part]
         (place[0] if isinstance(place, list) else place)[key] = value
+
     return change
 
 
@@ -70,17 +76,26 @@
         for key in path[:-1]:
             config = config[key]
         del config[path[-1]]
+
     return change
 
 
 BAD: list[tuple[str, Any]] = [
-       ("", lambda c: ""), ("", lambda c: json.dumps(c)[:400]), ("no JSON object", lambda c: "[]"),
-       ("counter", without("counter")), ("settings.classes[]", lambda c: c["settings"].update(classes=[])),
-       ("settings.caps", without("settings", "caps")), ("effect", without("settings", "classes", 1, "effect")),
-       ("seed", without("seed"))]
+    ("", lambda c: ""),
+    ("", lambda c: json.dumps(c)[:400]),
+    ("no JSON object", lambda c: "[]"),
+    ("counter", without("counter")),
+    ("settings.classes[]", lambda c: c["settings"].update(classes=[])),
+    ("settings.caps", without("settings", "caps")),
+    ("effect", without("settings", "classes", 1, "effect")),
+    ("seed", without("seed")),
+]
 SENSELESS: list[object] = [0, -1, float("nan"), float("inf"), "3", True, None, []]
-BAD += [(key, setting(part, key, value)) for part, key in (("classes", "deadline"), ("caps", "max-attempts"))
-        for value in SENSELESS]
+BAD += [
+    (key, setting(part, key, value))
+    for part, key in (("classes", "deadline"), ("caps", "max-attempts"))
+    for value in SENSELESS
+]
 
 
 def test_a_broken_file_changes_nothing_and_one_line_says_what_is_wrong(tmp_path: Path) -> None:
@@ -98,6 +113,7 @@
 
 def test_classes_come_and_go_and_open_requests_end_as_they_began(tmp_path: Path) -> None:
     with Limiter(tmp_path, servers=2) as limiter:
+
         def passed_on() -> Peer:
             ready = select.select([listener.sock for listener in limiter.servers], [], [], PATIENCE)[0]
             return Peer(ready[0].accept()[0])
@@ -111,6 +127,7 @@
             look, book = config["settings"]["classes"]
             config["settings"]["classes"] = [book, {**look, "name": "sign", "effect": "fragile"}]
             config["settings"]["caps"]["max-attempts"] = 1
+
         line = changed(limiter, change)
         assert "discovery at" in line
         assert "classes added: sign; classes dropped: look; attempts: 3 to 1" in limiter.log("settings taken")
@@ -120,13 +137,13 @@
         second = passed_on()
         second.words()
         second.send(b"-ERR failed\r\n")
-        assert other.line() == b"-ERR failed"      # it may have run, and may not be repeated
+        assert other.line() == b"-ERR failed"  # it may have run, and may not be repeated
         second.close()
-        server.close()                              # the old request goes on as it was taken: it is tried again
+        server.close()  # the old request goes on as it was taken: it is tried again
         again = passed_on()
         again.words()
         again.send(GOOD)
         assert agent.bulk() == b"value"
         limiter.terminate()
-        limiter.process.send_signal(signal.SIGHUP)   # in the middle of a drain
+        limiter.process.send_signal(signal.SIGHUP)  # in the middle of a drain
         assert limiter.process.wait(PATIENCE) == 0
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -12,7 +12,7 @@
 from tests.limiter import ROOT
 from thymeflow.settings import Settings, SettingsError, read
 from thymeflow.settings.reader import MOST_BYTES, from_text, written
-from thymeflow.settings.units import BadValue, Count, Duration, Size
+from thymeflow.settings.units import Count, Duration, InvalidValueError, Size
 
 
 def faults(text: str, **environment: str) -> list[str]:
@@ -28,7 +28,7 @@
 
 @pytest.mark.parametrize("text", ["2", "", "s", "-2s", "2 parsecs", "nan s", "inf", "1e9s", "2s 3s", "0x2s", "٣s"])
 def test_what_is_no_duration_is_refused_with_a_mend(text: str) -> None:
-    with pytest.raises(BadValue) as caught:
+    with pytest.raises(InvalidValueError) as caught:
         Duration(0.0, 3600.0).read(text)
     assert "such as 500ms" in caught.value.mend
 
@@ -45,26 +45,35 @@
 
 @pytest.mark.parametrize("text", ["-1", "1.0", "²", "1_0", "99999999999999", "257"])
 def test_what_is_no_count_is_refused(text: str) -> None:
-    with pytest.raises(BadValue):
+    with pytest.raises(InvalidValueError):
         Count(0, 256).read(text)
 
 
 def test_every_fault_is_told_with_file_line_section_key_and_mend() -> None:
-    told = faults("[deamon]\nx = 1\n[log]\nform = jsn\nfil = 3\n[snapshot]\nevery = 2   ; a comment\n",
-                  THYMEFLOW_LOG_FROM="x", THYMEFLOW_FLEET_INSTANCES="none")
+    told = faults(
+        "[deamon]\nx = 1\n[log]\nform = jsn\nfil = 3\n[snapshot]\nevery = 2   ; a comment\n",
+        THYMEFLOW_LOG_FROM="x",
+        THYMEFLOW_FLEET_INSTANCES="none",
+    )
     assert told == [
         "f.ini:1: [deamon]: is no section; did you mean 'daemon'?",
         "f.ini:4: [log] form: 'jsn' is not known here; write one of text, json",
         "f.ini:5: [log] fil: is no key here; did you mean 'file'?",
         "f.ini:7: [snapshot] every: '2' has no unit; write a time from 100ms to 1h, such as 500ms or 2s",
-        "environment: [fleet] THYMEFLOW_FLEET_INSTANCES: 'none' is no whole number; "
-        "write a whole number from 1 to 256",
-        "environment: THYMEFLOW_LOG_FROM: sets nothing; did you mean 'THYMEFLOW_LOG_FORM'?"]
-
-
-@pytest.mark.parametrize(("text", "line", "part"), [
-    ("[log]\nform = text\nform = json\n", 3, "set twice"), ("[log]\n[log]\n", 2, "stands twice"),
-    ("form = text\n", 1, "before any section"), ("[log]\nform text\n", 2, "no key = value")])
+        "environment: [fleet] THYMEFLOW_FLEET_INSTANCES: 'none' is no whole number; write a whole number from 1 to 256",
+        "environment: THYMEFLOW_LOG_FROM: sets nothing; did you mean 'THYMEFLOW_LOG_FORM'?",
+    ]
+
+
+@pytest.mark.parametrize(
+    ("text", "line", "part"),
+    [
+        ("[log]\nform = text\nform = json\n", 3, "set twice"),
+        ("[log]\n[log]\n", 2, "stands twice"),
+        ("form = text\n", 1, "before any section"),
+        ("[log]\nform text\n", 2, "no key = value"),
+    ],
+)
 def test_broken_files_are_told_at_their_line(text: str, line: int, part: str) -> None:
     (told,) = faults(text)
     assert told.startswith(f"f.ini:{line}:") and part in told
--- a/tests/test_start.py
+++ b/tests/test_start.py
@@ -18,14 +18,14 @@
 
 from tests.limiter import PATIENCE, SETTINGS, Limiter, Peer, command, refused, request
 from tests.test_net_parts import World, world
-from thymeflow.net import clock
-from thymeflow.net.assembly import Limiter as Assembled
-from thymeflow.net.config import Address, from_source
-from thymeflow.net.discovery import FIRST, HEARTBEATS, SILENCE, Discovery
-from thymeflow.net.door import bound
-from thymeflow.net.door import opened as opened_at
-from thymeflow.net.link import Stream, dial
-from thymeflow.net.phases import Phase
+from thymeflow.discovery.watch import FIRST, HEARTBEATS, SILENCE, Discovery
+from thymeflow.frontend.listener import bound
+from thymeflow.frontend.listener import opened as opened_at
+from thymeflow.limiter.assembly import Limiter as Assembled
+from thymeflow.limiter.phases import Phase
+from thymeflow.platform.configuration import Address, from_source
+from thymeflow.runtime import clock
+from thymeflow.transport.connections import Stream, dial
 
 GOOD = b"*3\r\n$5\r\nvalue\r\n$-1\r\n$-1\r\n"
 HEAD = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
@@ -60,7 +60,7 @@
 def test_nothing_is_taken_on_before_the_list_is_told_and_then_by_that_list(tmp_path: Path) -> None:
     with Limiter(tmp_path, servers=2, told=False) as limiter:
         watch, _ = limiter.watch()
-        assert refused(limiter)                      # its start is over, and it was told nothing yet
+        assert refused(limiter)  # its start is over, and it was told nothing yet
         limiter.tell(watch, 44, limiter.entry(0, "leaving"))
         agents = {0: opened(limiter)}
         agents |= {number: limiter.connect() for number in range(1, 50)}
@@ -73,7 +73,8 @@
 
 
 def test_a_start_on_a_twentieth_of_a_core_takes_on_only_what_it_answers_in_time_by_the_list_of_now(
-        tmp_path: Path) -> None:
+    tmp_path: Path,
+) -> None:
     # Its core is taken nineteen parts of twenty, from its start to its last answer, while fifty try to reach it.
     with Limiter(tmp_path, servers=3, told=False) as limiter:
         agents, asked, answer = dict[int, Peer](), dict[int, float](), dict[int, bytes]()
@@ -86,20 +87,23 @@
             limiter.process.send_signal(signal.SIGSTOP)
             assert time.monotonic() < end, f"{len(answer)} of 50 answered, {len(agents)} let in"
             if watch is None and not limiter.discovery.quiet(0.0):
-                watch = limiter.discovery.accept()    # it asks in a later turn, and is stopped till then
+                watch = limiter.discovery.accept()  # it asks in a later turn, and is stopped till then
             elif watch is not None and not told and not watch.silent(0.0):
-                if limiter.asked(watch):              # two servers are lost between its start and its first turn
+                if limiter.asked(watch):  # two servers are lost between its start and its first turn
                     limiter.tell(watch, 44, limiter.entry(0, "leaving"), limiter.entry(1, "left"))
                     told = time.monotonic()
                 else:
-                    watch = None                      # it gave that one up, and dials anew
+                    watch = None  # it gave that one up, and dials anew
             for number in [n for n in range(50) if n not in agents][:10]:
                 with contextlib.suppress(ConnectionRefusedError):
                     agents[number] = limiter.connect()
                     agents[number].send(request(number, wait=10000))
                     asked[number] = time.monotonic()
-            waiting = [limiter.servers[2].sock, *(s.sock for s in servers),
-                       *(peer.sock for number, peer in agents.items() if number not in answer)]
+            waiting = [
+                limiter.servers[2].sock,
+                *(s.sock for s in servers),
+                *(peer.sock for number, peer in agents.items() if number not in answer),
+            ]
             ready = select.select(waiting, [], [], 0.057)[0]
             if limiter.servers[2].sock in ready:
                 servers.append(limiter.servers[2].accept())
@@ -123,7 +127,7 @@
         for number, agent in agents.items():
             agent.send(request(number, wait=500 if number % 2 else 20000))
         limiter.tell(watch, 44, limiter.entry(0, "leaving"))
-        assert watch.silent(1.5)        # the stop itself: past half of the deadlines, and the drain's grace
+        assert watch.silent(1.5)  # the stop itself: past half of the deadlines, and the drain's grace
         limiter.process.send_signal(signal.SIGCONT)
         seen, sent = answers(limiter, agents, 1)
         assert all(seen[number].startswith(b"-BUSY") for number in agents if number % 2)
@@ -134,7 +138,7 @@
 def test_one_killed_while_it_starts_or_with_its_first_pass_out_comes_back(tmp_path: Path) -> None:
     with Limiter(tmp_path, told=False) as limiter:
         limiter.watch()
-        limiter.process.kill()                       # before it was told anything
+        limiter.process.kill()  # before it was told anything
         limiter.process.communicate()
         for number in (1, 2):
             limiter.process = limiter.start()
@@ -145,7 +149,7 @@
             server = limiter.servers[0].accept()
             assert server.words()[2] == b"%016x" % number
             if number == 1:
-                limiter.process.kill()               # its first pass is out
+                limiter.process.kill()  # its first pass is out
                 limiter.process.communicate()
                 assert agent.ended() and server.ended()
             else:
@@ -162,9 +166,17 @@
 
 @pytest.mark.parametrize("late", [0.0, 0.6 * FIRST, None])
 def test_it_says_yes_once_the_agent_has_spoken_or_is_silent_for_long(world: World, late: float | None) -> None:
-    source = {"listen": "127.0.0.1:0", "discovery": "127.0.0.1:8", "counter": "127.0.0.1:9", "settings": SETTINGS,
-              "known": {"generation": 1, "reset": True, "instances": [
-                  {"instanceId": "s-00000001", "hostPort": "127.0.0.1:7", "lifecycle": "active"}]}}
+    source = {
+        "listen": "127.0.0.1:0",
+        "discovery": "127.0.0.1:8",
+        "counter": "127.0.0.1:9",
+        "settings": SETTINGS,
+        "known": {
+            "generation": 1,
+            "reset": True,
+            "instances": [{"instanceId": "s-00000001", "hostPort": "127.0.0.1:7", "lifecycle": "active"}],
+        },
+    }
     limiter = Assembled(from_source(source, "c.json", {}), world.reactor)
     world.reactor.adoptStreamPort = lambda descriptor, family, factory: Port()
     limiter.start()
@@ -181,21 +193,22 @@
         reading.dataReceived(b"1\r\n\n\r\n")
     else:
         world.reactor.advance(0.05)
-    assert limiter.lifecycle.takes() and limiter.lifecycle.phase is Phase.SERVING
+    assert limiter.lifecycle.takes_clients() and limiter.lifecycle.phase is Phase.SERVING
 
 
 def test_what_queued_at_a_socket_that_was_handed_in_has_waited_as_long_as_this_life_lasts(
-        world: World, monkeypatch: pytest.MonkeyPatch) -> None:
+    world: World, monkeypatch: pytest.MonkeyPatch
+) -> None:
     monkeypatch.setattr(clock, "BORN", clock.now() - 3.0)
     source = {"listen": "127.0.0.1:0", "discovery": "127.0.0.1:8", "counter": "127.0.0.1:9", "settings": SETTINGS}
     limiter = Assembled(from_source(source, "c.json", {}), world.reactor)
     world.reactor.adoptStreamPort = lambda descriptor, family, factory: Port()
     limiter.listen(opened_at(bound("127.0.0.1", 0)), waited=True)
     world.reactor.advance(0.5)
-    assert limiter.deadlines.since(clock.now()) == clock.now()      # nothing is read yet
-    limiter.discovery.told = True
-    limiter.told()
-    assert clock.now() - limiter.deadlines.since(clock.now()) == pytest.approx(3.5)
+    assert limiter.deadlines.earliest_arrival(clock.now()) == clock.now()  # nothing is read yet
+    limiter.discovery.is_ready = True
+    limiter.on_endpoints_ready()
+    assert clock.now() - limiter.deadlines.earliest_arrival(clock.now()) == pytest.approx(3.5)
 
 
 def test_an_address_that_another_takes_while_it_starts_is_told_in_one_line(tmp_path: Path) -> None:
@@ -213,24 +226,27 @@
 def test_a_stall_is_remembered_until_what_waited_has_been_read(world: World) -> None:
     told, amid = list[float](), list[float]()
     world.deadlines.on_stall = told.append
-    for after in (0.1, 0.2):                         # the first finds the stall, the second runs in its wake
-        world.deadlines.at(clock.now() + after, lambda _: amid.append(clock.now() - world.deadlines.since(clock.now())))
+    for after in (0.1, 0.2):  # the first finds the stall, the second runs in its wake
+        world.deadlines.at(
+            clock.now() + after, lambda _: amid.append(clock.now() - world.deadlines.earliest_arrival(clock.now()))
+        )
     begun = clock.now()
-    assert world.deadlines.since(begun) == begun and not world.deadlines.stalled(begun)
-    world.reactor.rightNow += 2.0                    # no turn: stopped, or one turn took so long
-    assert world.deadlines.since(clock.now()) == begun + 0.1 and world.deadlines.stalled(clock.now())
-    world.reactor.advance(0.0)                       # all turns that are due at once
+    assert world.deadlines.earliest_arrival(begun) == begun and not world.deadlines.is_stalled(begun)
+    world.reactor.rightNow += 2.0  # no turn: stopped, or one turn took so long
+    assert world.deadlines.earliest_arrival(clock.now()) == begun + 0.1 and world.deadlines.is_stalled(clock.now())
+    world.reactor.advance(0.0)  # all turns that are due at once
     assert told == [pytest.approx(1.9)] and amid == [pytest.approx(1.9)] * 2
-    assert not world.deadlines.stalled(clock.now())
+    assert not world.deadlines.is_stalled(clock.now())
 
 
 def test_a_dial_whose_deadline_comes_due_in_a_late_turn_gets_its_turns_first(world: World) -> None:
     given_up = list[float]()
-    world.reactor.connectTCP = lambda *_, **__: type("Dial", (), {
-        "stopConnecting": lambda self: given_up.append(clock.now())})()
+    world.reactor.connectTCP = lambda *_, **__: type(
+        "Dial", (), {"stopConnecting": lambda self: given_up.append(clock.now())}
+    )()
     begun = clock.now()
     dial(world.reactor, world.deadlines, Address("127.0.0.1", 1), begun + 1.0, Stream)
-    world.reactor.rightNow += 3.0                    # no turn for so long: it was not even begun
+    world.reactor.rightNow += 3.0  # no turn for so long: it was not even begun
     world.reactor.advance(0.0)
     assert not given_up
     for _ in range(clock.SETTLING + 2):
@@ -241,10 +257,12 @@
 @pytest.mark.parametrize("pushed", [True, False])
 @pytest.mark.parametrize("seed", range(6))
 def test_a_watch_that_falls_silent_is_opened_anew_before_a_drain_that_it_missed_is_due(
-        world: World, seed: int, pushed: bool) -> None:
+    world: World, seed: int, pushed: bool
+) -> None:
     # Told 6 s after the silence began, by whatever word, and a second's grace: in a set of any size.
-    discovery = Discovery(world.reactor, world.deadlines, Address("127.0.0.1", 8), 1, lambda news: None, 250, seed,
-                          pushed)
+    discovery = Discovery(
+        world.reactor, world.deadlines, Address("127.0.0.1", 8), 1, lambda news: None, 250, seed, pushed
+    )
     discovery.start(clock.now() + FIRST)
     reading = world.up(0)
     reading.transport.abortConnection = lambda: None
--- a/tests/test_stored_formats.py
+++ b/tests/test_stored_formats.py
@@ -19,15 +19,18 @@
 import pytest
 
 from tests.helpers import KEYED, PLAN, SAFE, fleet, settings
-from thymeflow import Gateway
-from thymeflow import interface as i
-from thymeflow.budgets import table
 from thymeflow.daemon import lock
-from thymeflow.daemon.memory import Memory
-from thymeflow.fleet import roster
-from thymeflow.net import clock, config
-from thymeflow.net.config import Address
-from thymeflow.state import meaning, record
+from thymeflow.daemon.snapshots import Memory
+from thymeflow.decision.events import EndpointsChanged
+from thymeflow.decision.gateway import Gateway
+from thymeflow.decision.settings import Information
+from thymeflow.decision.types import EndpointListKind
+from thymeflow.fleet import registry
+from thymeflow.leases import grant_file
+from thymeflow.platform import configuration
+from thymeflow.platform.configuration import Address
+from thymeflow.runtime import clock
+from thymeflow.snapshot import restore, schema
 
 DATA = Path(__file__).resolve().parent / "data" / "before-rename"
 TAKEN_AT = 1100.25  # s: when the snapshots of the data were taken
@@ -39,35 +42,35 @@
 
 def restarted_gateway() -> Gateway:
     """A gateway of the settings and the endpoint list under which the snapshots were taken, before it restores one."""
-    information = i.Information(counter=True, max_units=4.0, settles=True, peer_intake=100.0)
+    information = Information(counter=True, max_units=4.0, settles_units=True, max_gossip_per_second=100.0)
     gateway = Gateway(settings(classes=(SAFE, KEYED), information=information), 5)
-    gateway.handle(TAKEN_AT + 1.0, i.Membership(i.ListKind.CACHED, fleet(), 7))
+    gateway.handle(TAKEN_AT + 1.0, EndpointsChanged(EndpointListKind.CACHED, fleet(), 7))
     return gateway
 
 
 def site_digest() -> str:
     """The digest by which a snapshot tells under which plans and at which place it was taken."""
-    return record.site_of(settings())
+    return schema.site_of(settings())
 
 
 def restored(snapshot: Any) -> tuple[Gateway, list[int]]:
     """The gateway after a restore, and how many buckets and backends that concerned."""
     gateway = restarted_gateway()
-    known, left = meaning.recall(gateway, snapshot, RESTORED_AT)
-    return gateway, [known, left, meaning.health(gateway, snapshot, RESTORED_AT)]
+    known, left = restore.recall(gateway, snapshot, RESTORED_AT)
+    return gateway, [known, left, restore.health(gateway, snapshot, RESTORED_AT)]
 
 
 def snapshot_of(gateway: Gateway) -> bytes:
     """The snapshot of a gateway as its file holds it."""
-    return record.pack(meaning.remember(gateway, "n0", "0b1c2d3e", RESTORED_AT, False, 9, ADDRESSES))
+    return schema.pack(restore.remember(gateway, "n0", "0b1c2d3e", RESTORED_AT, False, 9, ADDRESSES))
 
 
 def member_configuration(folder: Path) -> bytes:
     """A member's configuration as the supervisor writes it, with its random seed masked."""
-    names = roster.Names(folder, "web")
-    source = roster.template(DATA / "platform.json")
+    names = registry.Names(folder, "web")
+    source = registry.template(DATA / "platform.json")
     part = {"era": 3, "number": 9, "base": [1, 2, 3, 4, 5], "lease": [6, 7, 8, 9, 10], "end": 1234.5}
-    roster.write_member(names, source, "127.0.0.1:7402", 2, 3, part)
+    registry.write_member(names, source, "127.0.0.1:7402", 2, 3, part)
     written = names.path(2, "json").read_bytes()
     return written.replace(json.loads(written)["seed"].encode(), b"5eed5eed5eed5eed")
 
@@ -108,39 +111,39 @@
     """Let the machine's boot be the one that the grants files tell of."""
     boot = folder / "boot_id"
     boot.write_text("0a1b2c3d-0000-4000-8000-00000000beef\n")
-    monkeypatch.setattr(table, "BOOT", boot)
+    monkeypatch.setattr(grant_file, "BOOT", boot)
 
 
 @pytest.mark.parametrize("name", SNAPSHOTS)
 def test_snapshot_has_the_same_values_when_an_earlier_version_wrote_it(name: str) -> None:
-    assert plain(record.unpack(stored(name))) == expected(name)
+    assert plain(schema.unpack(stored(name))) == expected(name)
 
 
 @pytest.mark.parametrize("name", ["snapshot-v2-final", "snapshot-v2-running"])
 def test_snapshot_has_the_same_keys_and_values_when_it_is_written_again(name: str) -> None:
-    assert content(record.pack(record.unpack(stored(name)))) == content(stored(name))
+    assert content(schema.pack(schema.unpack(stored(name)))) == content(stored(name))
 
 
 @pytest.mark.parametrize("name", SNAPSHOTS)
 def test_snapshot_becomes_the_same_version_2_bytes_when_it_is_written_again(name: str) -> None:
     # A total that was a whole number when the snapshot was taken is read as a float, and written as one.
-    assert record.pack(record.unpack(stored(name))) == stored(f"{name}-rewritten")
+    assert schema.pack(schema.unpack(stored(name))) == stored(f"{name}-rewritten")
 
 
 def test_site_digest_is_the_same_when_the_settings_are() -> None:
     assert site_digest() == expected("site")
-    record.believed(record.unpack(stored("snapshot-v2-final")), site_digest(), "n0", RESTORED_AT, 30.0)
+    schema.believed(schema.unpack(stored("snapshot-v2-final")), site_digest(), "n0", RESTORED_AT, 30.0)
 
 
 @pytest.mark.parametrize("name", SNAPSHOTS)
 def test_restored_state_is_the_same_when_an_earlier_version_wrote_the_snapshot(name: str) -> None:
-    gateway, counts = restored(record.unpack(stored(name)))
+    gateway, counts = restored(schema.unpack(stored(name)))
     assert counts == expected(f"{name} counts")
     assert snapshot_of(gateway) == stored(f"{name}-restored")
 
 
 def test_endpoint_list_is_the_same_when_it_comes_from_a_snapshot() -> None:
-    assert plain(meaning.listed(record.unpack(stored("snapshot-v2-final")))) == expected("endpoint list")
+    assert plain(restore.listed(schema.unpack(stored("snapshot-v2-final")))) == expected("endpoint list")
 
 
 def test_state_file_is_read_and_reported_alike_when_an_earlier_version_wrote_it(
@@ -148,7 +151,7 @@
 ) -> None:
     monkeypatch.setattr(clock, "now", lambda: RESTORED_AT)
     (tmp_path / "n0.state").write_bytes(stored("snapshot-v2-final"))
-    known = meaning.listed(record.unpack(stored("snapshot-v2-final")))
+    known = restore.listed(schema.unpack(stored("snapshot-v2-final")))
     memory = Memory(tmp_path / "n0.state", "n0", "0b1c2d3e", known)
     gateway = restarted_gateway()
     memory.of(gateway)
@@ -163,19 +166,19 @@
 
 
 def test_fleet_file_has_the_same_values_and_bytes_when_an_earlier_version_wrote_it(tmp_path: Path) -> None:
-    found = roster.read_roster(DATA / "fleet.json")
+    found = registry.read_roster(DATA / "fleet.json")
     assert found is not None and plain(found) == expected("fleet.json")
-    roster.write_roster(tmp_path / "fleet.json", found)
+    registry.write_roster(tmp_path / "fleet.json", found)
     assert (tmp_path / "fleet.json").read_bytes() == stored("fleet.json")
 
 
 def test_fleet_file_is_read_alike_when_it_tells_no_order() -> None:
-    assert plain(roster.read_roster(DATA / "fleet-no-order.json")) == expected("fleet-no-order.json")
+    assert plain(registry.read_roster(DATA / "fleet-no-order.json")) == expected("fleet-no-order.json")
 
 
 @pytest.mark.parametrize("name", GRANTS)
 def test_grants_have_the_same_values_when_an_earlier_version_wrote_them(name: str) -> None:
-    assert plain(table.unpack(stored(name), "web")) == expected(name)
+    assert plain(grant_file.unpack(stored(name), "web")) == expected(name)
 
 
 @pytest.mark.parametrize("name", GRANTS)
@@ -183,14 +186,14 @@
     name: str, tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     on_this_boot(monkeypatch, tmp_path)
-    granter, fault = table.read(DATA / name, "web", 500.0, True)
-    table.write(tmp_path / "fleet.grants", granter, "web")
+    granter, fault = grant_file.read(DATA / name, "web", 500.0, True)
+    grant_file.write(tmp_path / "fleet.grants", granter, "web")
     assert fault == "" and (tmp_path / "fleet.grants").read_bytes() == stored(f"{name}-rewritten")
 
 
 def test_grants_of_an_earlier_boot_tell_only_the_epoch_when_they_are_read() -> None:
-    granter, fault = table.read(DATA / "fleet-v2.grants", "web", 500.0, True)
-    assert (fault, granter.era, len(granter.rows)) == ("", 4, 0)
+    granter, fault = grant_file.read(DATA / "fleet-v2.grants", "web", 500.0, True)
+    assert (fault, granter.epoch, len(granter.rows)) == ("", 4, 0)
 
 
 def test_member_configuration_has_the_same_bytes_when_the_supervisor_writes_it(tmp_path: Path) -> None:
@@ -198,7 +201,7 @@
 
 
 def test_member_configuration_has_the_same_values_when_a_member_reads_it() -> None:
-    assert plain(config.from_source(json.loads(stored("web2.json")), "web2.json", {})) == expected("web2.json")
+    assert plain(configuration.from_source(json.loads(stored("web2.json")), "web2.json", {})) == expected("web2.json")
 
 
 def test_lock_file_holds_process_and_incarnation_when_the_name_is_taken(tmp_path: Path) -> None:
@@ -216,12 +219,12 @@
     with path.open("rb+") as holder:
         fcntl.flock(holder, fcntl.LOCK_EX)
         assert not lock.is_free(path)
-        with pytest.raises(lock.Held) as refused:
+        with pytest.raises(lock.NameTakenError) as refused:
             lock.Lock.take(path, "0b1c2d3e")
     assert str(refused.value) == expected("lock held")
     assert lock.is_free(path) and path.read_bytes() == stored("n0.lock")
 
 
 def test_plan_of_the_test_settings_is_in_the_snapshots_when_they_are_restored() -> None:
-    gateway, _ = restored(record.unpack(stored("snapshot-v2-final")))
-    assert sorted({store.plan.name for store in gateway.stores.values()}) == ["capped", PLAN.name]
+    gateway, _ = restored(schema.unpack(stored("snapshot-v2-final")))
+    assert sorted({store.plan.name for store in gateway.buckets.values()}) == ["capped", PLAN.name]
--- a/tests/test_trace_fleet.py
+++ b/tests/test_trace_fleet.py
@@ -15,58 +15,64 @@
 import pytest
 
 from tests.golden_trace import Trace, assert_golden, golden
-from thymeflow.fleet import mind
+from thymeflow.fleet import controller
 from thymeflow.settings.sections import Fleet
 
 # --- the controller's names, all of them in this part ----------------------------------------------------------
 
 STATES = {
-    mind.State.WAITING: "waiting",
-    mind.State.STARTING: "starting",
-    mind.State.READY: "ready",
-    mind.State.REPLACING: "replacing",
-    mind.State.STOPPING: "stopping",
-    mind.State.DOWN: "down",
-    mind.State.LOOPING: "crash loop",
+    controller.State.WAITING: "waiting",
+    controller.State.STARTING: "starting",
+    controller.State.READY: "ready",
+    controller.State.REPLACING: "replacing",
+    controller.State.STOPPING: "stopping",
+    controller.State.DOWN: "down",
+    controller.State.LOOPING: "crash loop",
 }
 TRANSITIONS = {
-    mind.Move.START: "start",
-    mind.Move.ADOPT: "adopt",
-    mind.Move.SERVES: "serves",
-    mind.Move.ENDS: "ends",
-    mind.Move.LOOPS: "loops",
-    mind.Move.REPLACE: "replace",
-    mind.Move.SETTLE: "settle",
-    mind.Move.STOP: "stop",
-    mind.Move.AGAIN: "again",
+    controller.Move.START: "start",
+    controller.Move.ADOPT: "adopt",
+    controller.Move.SERVES: "serves",
+    controller.Move.ENDS: "ends",
+    controller.Move.LOOPS: "loops",
+    controller.Move.REPLACE: "replace",
+    controller.Move.SETTLE: "settle",
+    controller.Move.STOP: "stop",
+    controller.Move.AGAIN: "again",
 }
 START, STOP, KILL, RESIZE, LOG, REPORT, EXIT = "start", "stop", "kill", "resize", "log", "report", "exit"
 ACTIONS: dict[type, str] = {
-    mind.Start: START,
-    mind.Stop: STOP,
-    mind.Kill: KILL,
-    mind.Resize: RESIZE,
-    mind.Say: LOG,
-    mind.Report: REPORT,
-    mind.Exit: EXIT,
+    controller.Start: START,
+    controller.Stop: STOP,
+    controller.Kill: KILL,
+    controller.Resize: RESIZE,
+    controller.WriteLog: LOG,
+    controller.ReportProgress: REPORT,
+    controller.Exit: EXIT,
 }
 ORDERS = {
-    "scale": mind.Kind.SCALE,
-    "restart": mind.Kind.RESTART,
-    "upgrade": mind.Kind.UPGRADE,
-    "down": mind.Kind.DOWN,
+    "scale": controller.Kind.SCALE,
+    "restart": controller.Kind.RESTART,
+    "upgrade": controller.Kind.UPGRADE,
+    "down": controller.Kind.DOWN,
 }
-TABLE = mind.MOVES
-Controller: TypeAlias = mind.Mind
-Event: TypeAlias = mind.Event
-Action: TypeAlias = mind.Action
-Member: TypeAlias = mind.Member
-tick, up, adopted, told, ended = mind.Tick, mind.Up, mind.Adopted, mind.Told, mind.Ended
+TABLE = controller.MOVES
+Controller: TypeAlias = controller.FleetController
+Event: TypeAlias = controller.Event
+Action: TypeAlias = controller.Action
+Member: TypeAlias = controller.Member
+tick, up, adopted, told, ended = (
+    controller.Tick,
+    controller.FleetStarted,
+    controller.MemberAdopted,
+    controller.StatusReported,
+    controller.RunEnded,
+)
 
 
 def order(number: int, kind: str, count: int) -> Event:
     """An operator's order."""
-    return mind.Order(number, ORDERS[kind], count)
+    return controller.Order(number, ORDERS[kind], count)
 
 
 def controller_of(seed: int) -> Controller:
@@ -98,9 +104,9 @@
 def record_transitions(monkeypatch: pytest.MonkeyPatch) -> set[tuple[str, str]]:
     """The pairs of state and transition that members go through from now on."""
     pairs = set[tuple[str, str]]()
-    original: Callable[[Member, mind.Move], None] = Member.move
+    original: Callable[[Member, controller.Move], None] = Member.move
 
-    def recorded(member: Member, transition: mind.Move) -> None:
+    def recorded(member: Member, transition: controller.Move) -> None:
         pairs.add((STATES[member.state], TRANSITIONS[transition]))
         original(member, transition)
 
--- a/tests/test_trace_gateway.py
+++ b/tests/test_trace_gateway.py
@@ -18,9 +18,12 @@
 import pytest
 
 from tests.trace_digest import TraceDigest
-from thymeflow import Gateway, drill
-from thymeflow import interface as api
-from thymeflow.budgets.units import StrictGateway
+from thymeflow import simulator
+from thymeflow.decision.actions import Action, StartAttempt
+from thymeflow.decision.events import Event, RequestBodyStarted, SettingsChanged
+from thymeflow.decision.gateway import Gateway
+from thymeflow.decision.settings import GatewaySettings
+from thymeflow.quota.strict import StrictGateway
 
 OK, ERROR, FULL, TIMEOUT, CONNECT_FAILED, RESET, CANCELLED, MOOT = range(1, 9)
 GONE, READY, DRAINING = range(3)
@@ -37,49 +40,49 @@
 
 def run_adapter(lines: Iterator[str], out: TextIO) -> None:
     """Feed lines to the adapter as its standard input."""
-    assert drill.main(cast(TextIO, lines), out) == 0
+    assert simulator.main(cast(TextIO, lines), out) == 0
 
 
-def plain_gateway(settings: api.Settings, seed: int) -> Gateway:
+def plain_gateway(settings: GatewaySettings, seed: int) -> Gateway:
     """A gateway whose retries, places, calls, probes and connections are bounded over the set."""
     gateway = Gateway(settings, seed, 0.25)
-    gateway.share = lambda kind: 0.4
-    gateway.wholes = {"calls": 30.0, "trials": 4.0, "connections": 12.0}
+    gateway.fraction_of = lambda kind: 0.4
+    gateway.fleet_limits = {"calls": 30.0, "trials": 4.0, "connections": 12.0}
     return gateway
 
 
-def strict_gateway(settings: api.Settings, seed: int) -> Gateway:
+def strict_gateway(settings: GatewaySettings, seed: int) -> Gateway:
     """A gateway of the strict form, as the run line makes it for units divided by tickets."""
-    return StrictGateway(settings, seed, offset=1000.25)
+    return StrictGateway(settings, seed, clock_offset=1000.25)
 
 
-def changed_settings(settings: api.Settings) -> api.Event:
+def changed_settings(settings: GatewaySettings) -> Event:
     """The event that puts other settings in force."""
-    return api.Resettled(settings)
+    return SettingsChanged(settings)
 
 
-def body_begun(rid: str) -> api.Event:
+def body_begun(rid: str) -> Event:
     """The event of a request body that is forwarded without being kept."""
-    return api.BodyBegun(rid)
+    return RequestBodyStarted(rid)
 
 
-def exact_line(action: api.Action) -> str:
+def exact_line(action: Action) -> str:
     """The wire's line, with what it leaves out of an attempt: within how many seconds it may begin."""
-    line = drill.line_for(action)
-    return f"{line} within={action.within:.6f}" if isinstance(action, api.Send) else line
+    line = simulator.line_for(action)
+    return f"{line} within={action.start_within:.6f}" if isinstance(action, StartAttempt) else line
 
 
-class ExactAdapter(drill.Drill):
+class ExactAdapter(simulator.Drill):
     """An adapter that writes down attempts with all of their terms."""
 
-    def event(self, event: api.Event) -> None:
+    def event(self, event: Event) -> None:
         """Hand an event to its instance."""
         gateway = self.gateways.get(self.instance)
         if gateway is not None:
             self.say([exact_line(action) for action in gateway.handle(self.now, event)])
 
 
-def run_directly(make: Callable[[api.Settings, int], Gateway]) -> Callable[[Iterator[str], TextIO], None]:
+def run_directly(make: Callable[[GatewaySettings, int], Gateway]) -> Callable[[Iterator[str], TextIO], None]:
     """Feed lines to an adapter whose gateways are made here; two events that its wire lacks are handed in as well."""
 
     def run(lines: Iterator[str], out: TextIO) -> None:
@@ -88,13 +91,13 @@
             kind, _, rest = line.rstrip("\n").partition(" ")
             if kind == "born":
                 fields = adapter.fields(kind, rest)
-                settings = drill.settings_from(json.loads(fields["settings"]))
+                settings = simulator.settings_from(json.loads(fields["settings"]))
                 adapter.gateways[adapter.instance] = make(settings, int(fields["salt"]))
             elif kind == "body":
                 adapter.event(body_begun(adapter.fields(kind, rest)["rid"]))
             elif kind == "settings_changed":
                 info = json.loads(adapter.fields(kind, rest)["settings"])
-                adapter.event(changed_settings(drill.settings_from(info)))
+                adapter.event(changed_settings(simulator.settings_from(info)))
             else:
                 adapter.line(line.rstrip("\n"))
 
--- a/tests/test_trace_leases.py
+++ b/tests/test_trace_leases.py
@@ -18,11 +18,11 @@
 import pytest
 
 from tests.trace_digest import TraceDigest
-from thymeflow.budgets import table
-from thymeflow.budgets.granter import State, Write
-from thymeflow.budgets.holder import Holder, Part, message_of, part_from
-from thymeflow.budgets.kinds import Kind, base_of, divided
-from thymeflow.budgets.ledger import Ledger, OverWhole
+from thymeflow.leases import grant_file
+from thymeflow.leases.holder import Allocation, LeaseHolder, allocation_from_message, message_of
+from thymeflow.leases.issuer import State, Write
+from thymeflow.leases.ledger import Ledger, OverAllocationError
+from thymeflow.leases.resources import Resource, base_amount, divide_by_demand
 
 NAMES = ("m0", "m1", "m2", "m3", "m4")
 FLEET = "fleet"
@@ -34,7 +34,7 @@
 # Builders: the only places that know the names of the code under test.
 
 STATE_LABELS = {State.ABSENT: "absent", State.UNHEARD: "unheard", State.HELD: "held", State.ASKED: "asked"}
-KIND_COUNT = len(Kind)
+KIND_COUNT = len(Resource)
 
 
 def new_ledger(whole: int) -> Ledger:
@@ -60,7 +60,7 @@
     """Whether the ledger refuses a step as more than the whole."""
     try:
         call()
-    except OverWhole:
+    except OverAllocationError:
         return True
     return False
 
@@ -69,36 +69,36 @@
     """A member's processes, the newest last; each holds an allocation."""
 
     def __init__(self) -> None:
-        self.lives: list[Holder] = []
+        self.lives: list[LeaseHolder] = []
         self.asleep = False
         self.demand = [1.0] * KIND_COUNT
 
     def start(self, message: Message) -> None:
         """Start a process with this allocation."""
-        self.lives = [Holder(part_from(message))]
+        self.lives = [LeaseHolder(allocation_from_message(message))]
 
     def hand_over(self) -> None:
         """Start a next life, which takes the allocation over."""
-        self.lives.append(Holder(self.lives[-1].hand_on()))
+        self.lives.append(LeaseHolder(self.lives[-1].hand_over()))
 
     def hand_back(self) -> None:
         """End the next life again; the one before uses the allocation under a number of its own."""
         self.lives.pop()
         last = self.lives[-1]
-        last.part = Part(last.part.era, last.part.number)
+        last.allocation = Allocation(last.allocation.epoch, last.allocation.number)
         last.take_back()
 
     def offer(self, message: Message) -> bool:
         """Hand in a grant; whether it is taken."""
-        return self.lives[-1].offered(part_from(message))
+        return self.lives[-1].on_grant(allocation_from_message(message))
 
     def message(self) -> Message:
         """What the member reports."""
-        return message_of(self.lives[-1].part)
+        return message_of(self.lives[-1].allocation)
 
     def in_force(self, now: float) -> list[int]:
         """Amounts that the member's processes may use, by kind."""
-        return [sum(life.amount(kind, now) for life in self.lives) for kind in Kind]
+        return [sum(life.amount(kind, now) for life in self.lives) for kind in Resource]
 
 
 class Issuer:
@@ -106,52 +106,52 @@
 
     def __init__(self, path: Path, now: float, living: bool) -> None:
         self.path = path
-        self.issuer, fault = table.read(path, FLEET, now, living)
+        self.issuer, fault = grant_file.read(path, FLEET, now, living)
         self.is_faulty = bool(fault)
 
     def set_size(self, size: int) -> None:
         """Set how many members the fleet is to have."""
-        self.issuer.resized(size)
+        self.issuer.resize(size)
 
     def start_member(self, name: str, now: float) -> Message:
         """The allocation that a new process of that name starts with."""
         if STATE_LABELS[self.issuer.row(name).state] in ("held", "asked"):
-            self.issuer.silent(name)
-        part, _ = self.issuer.born(name, now)
+            self.issuer.on_disconnected(name)
+        part, _ = self.issuer.on_starting(name, now)
         self.write_file()
         return message_of(part)
 
     def on_report(self, name: str, message: Message, demand: tuple[float, ...], now: float) -> None:
         """Take in what a member reports."""
-        self.issuer.hears(name, part_from(message), demand, now)
+        self.issuer.on_report(name, allocation_from_message(message), demand, now)
 
     def on_disconnected(self, name: str) -> None:
         """The connection to a member has ended."""
-        self.issuer.silent(name)
+        self.issuer.on_disconnected(name)
 
     def on_dead(self, name: str) -> None:
         """A member's processes have all ended."""
-        self.issuer.dies(name)
+        self.issuer.on_death(name)
 
     def tick(self, now: float, write: str) -> list[tuple[str, Any]]:
         """Divide; grants that may go out, and versions to write, which are written, fail, or are left undone."""
         done: list[tuple[str, Any]] = []
-        for action in self.issuer.beat(now):
+        for action in self.issuer.tick(now):
             if not isinstance(action, Write):
                 done.append((action.holder, message_of(action.part)))
                 continue
             done.append(("write", action.version))
             if write == "fails":
-                self.issuer.unwritten(action.version)
+                self.issuer.on_write_failed(action.version)
             elif write == "done":
                 self.write_file()
-                sends = self.issuer.written(action.version)
+                sends = self.issuer.on_written(action.version)
                 done.extend((send.holder, message_of(send.part)) for send in sends)
         return done
 
     def write_file(self) -> None:
         """Write the table."""
-        self.path.write_bytes(table.pack(self.issuer, FLEET))
+        self.path.write_bytes(grant_file.pack(self.issuer, FLEET))
 
     def view(self, now: float) -> list[Any]:
         """Rows and what is out and free of each kind."""
@@ -161,13 +161,13 @@
             for name, row in sorted(self.issuer.rows.items())
         ]
         out = [[ledger.out(name, now) for ledger in ledgers] for name in sorted(self.issuer.rows)]
-        return [self.issuer.era, rows, out, [ledger.free(now) for ledger in ledgers]]
+        return [self.issuer.epoch, rows, out, [ledger.free(now) for ledger in ledgers]]
 
 
 def is_rejected(message: Any) -> bool:
     """Whether an allocation's wire form is rejected."""
     try:
-        part_from(message)
+        allocation_from_message(message)
     except ValueError:
         return True
     return False
@@ -423,7 +423,7 @@
             for n in range(rng.randrange(7))
         }
         whole = rng.choice((0, 1, 7, 400_000))
-        trace.add_step(json.dumps([divided(whole, demand), base_of(len(demand))]))
+        trace.add_step(json.dumps([divide_by_demand(whole, demand), base_amount(len(demand))]))
     trace.check("lease-division")
 
 
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -25,11 +25,11 @@
 
 def ready(limiter: Limiter) -> None:
     """Wait for the yes of the copy that was started last, and its place for calls."""
-    limiter.manage = int(limiter.log("calls:").rsplit(":", 1)[1])
+    limiter.listen_for_operators = int(limiter.log("calls:").rsplit(":", 1)[1])
     end = time.monotonic() + PATIENCE
     while not limiter.call(b"readyz\n").startswith(b"200 "):
         assert time.monotonic() < end
-        time.sleep(0.02)         # callers without a pause would take all places, and the next one be reset
+        time.sleep(0.02)  # callers without a pause would take all places, and the next one be reset
 
 
 def upgrade(limiter: Limiter) -> Popen[str]:
@@ -77,19 +77,19 @@
     busy, idle = limiter.connect(), limiter.connect()
     idle.send(command(b"PING"))
     assert idle.line() == b"+PONG"
-    busy.send(request(1).replace(b"b4d65521", b"b4d65522"))   # of another customer
+    busy.send(request(1).replace(b"b4d65521", b"b4d65522"))  # of another customer
     held = limiter.servers[0].accept()
     held.words()
     old = upgrade(limiter)
     ready(limiter)
-    assert idle.ended()                          # sent away at once, and the one with a request in hand is not
+    assert idle.ended()  # sent away at once, and the one with a request in hand is not
     assert ping(limiter) == b"+PONG" and old.poll() is None
     assert first >= 4 and spent(limiter, 200) <= 4, "a copy mints no units"
     held.send(GOOD)
     assert busy.bulk() == b"value" and busy.ended()
     assert "phase: handed over" in end(old)
     assert ping(limiter) == b"+PONG"
-    old = upgrade(limiter)                       # and the next one, from the copy that took over
+    old = upgrade(limiter)  # and the next one, from the copy that took over
     ready(limiter)
     assert "hand-over: done" in end(old)
     assert ping(limiter) == b"+PONG"
@@ -109,10 +109,10 @@
     ready(limiter)
     assert waiting.ended()
     killed(limiter.succeed(old))
-    late = limiter.connect()                     # at no moment was the queue closed
+    late = limiter.connect()  # at no moment was the queue closed
     late.send(command(b"PING"))
     assert late.line() == b"+PONG"
-    upgrade(limiter)                             # and the next one goes well
+    upgrade(limiter)  # and the next one goes well
     ready(limiter)
     end(old)
     assert ping(limiter) == b"+PONG"
@@ -136,9 +136,17 @@
     return made
 
 
-@pytest.mark.parametrize("make", [
-    lambda path: path.write_text("rubbish"), lambda path: path.mkdir(), lambda path: path.symlink_to(path.name),
-    lambda path: path.symlink_to("nowhere"), lambda path: os.mkfifo(path), silent_listener])
+@pytest.mark.parametrize(
+    "make",
+    [
+        lambda path: path.write_text("rubbish"),
+        lambda path: path.mkdir(),
+        lambda path: path.symlink_to(path.name),
+        lambda path: path.symlink_to("nowhere"),
+        lambda path: os.mkfifo(path),
+        silent_listener,
+    ],
+)
 def test_whatever_lies_in_the_folder_the_next_copy_serves(limiter: Limiter, make: Callable[[Path], object]) -> None:
     killed(limiter.process)
     path = limiter.state / "n0.sock"
@@ -162,7 +170,7 @@
 
 
 def test_one_that_starts_by_itself_without_a_list_ends_when_told(limiter: Limiter) -> None:
-    killed(limiter.process)                      # its socket stays behind
+    killed(limiter.process)  # its socket stays behind
     limiter.config["known"]["instances"] = []
     new = upgrade(limiter) and limiter.process
     limiter.log("given up: this life starts by itself")
@@ -198,11 +206,12 @@
         "        if family == socket.AF_UNIX:\n"
         "            raise PermissionError(1, 'Operation not permitted')\n"
         "        super().__init__(family, *more, **named)\n"
-        "socket.socket = Refusing\n")
+        "socket.socket = Refusing\n"
+    )
     with Limiter(tmp_path, managed=True, environment={"PYTHONPATH": str(tmp_path)}) as limiter:
         assert ping(limiter) == b"+PONG"
         (limiter.state / "n0.sock").symlink_to("nowhere")
-        old = upgrade(limiter)                    # which then shares the address
+        old = upgrade(limiter)  # which then shares the address
         ready(limiter)
         end(old)
         assert ping(limiter) == b"+PONG"
--- a/thymeflow/__main__.py
+++ b/thymeflow/__main__.py
@@ -4,7 +4,7 @@
 
 import gc
 
-gc.disable()   # nothing that is imported is garbage, and looking for it was a twentieth of the start
+gc.disable()  # nothing that is imported is garbage, and looking for it was a twentieth of the start
 
 import importlib.util  # noqa: E402
 import signal  # noqa: E402
@@ -12,7 +12,8 @@
 from collections.abc import Callable  # noqa: E402
 from typing import Any  # noqa: E402
 
-from thymeflow.net import config, log  # noqa: E402
+from thymeflow.platform import configuration  # noqa: E402
+from thymeflow.runtime import log  # noqa: E402
 
 
 def lazily(package: str, name: str) -> None:
@@ -22,7 +23,7 @@
         spec.loader = importlib.util.LazyLoader(spec.loader)
         module = sys.modules[spec.name] = importlib.util.module_from_spec(spec)
         spec.loader.exec_module(module)
-        setattr(sys.modules[package], name, module)   # found there, an import looks no further into it
+        setattr(sys.modules[package], name, module)  # found there, an import looks no further into it
 
 
 def main() -> int:
@@ -31,11 +32,11 @@
     early: list[int] = []
     signal.signal(signal.SIGHUP, lambda number, _: early.append(number))
     try:
-        given = config.load()
-    except config.ConfigError as fault:
+        given = configuration.load()
+    except configuration.ConfigurationError as fault:
         print(f"thymeflow: bad configuration: {fault}", file=sys.stderr)
         return 2
-    lazily("http", "cookiejar")   # with urllib and email behind it a tenth of the start; Twisted only names it
+    lazily("http", "cookiejar")  # with urllib and email behind it a tenth of the start; Twisted only names it
     log.set_up(given.name)
     from twisted.internet import reactor
     from twisted.internet.error import CannotListenError  # of the operators' place
@@ -44,15 +45,15 @@
     running = None
     try:
         if given.management is None:
-            from thymeflow.net.assembly import Limiter
+            from thymeflow.limiter.assembly import Limiter
 
             limiter = Limiter(given, loop)
             limiter.start()
             end: Callable[[], None] = limiter.lifecycle.terminate
-        else:   # staff run it, and new versions come under load
-            from thymeflow.succession.run import Running
+        else:  # staff run it, and new versions come under load
+            from thymeflow.handover.upgradable_limiter import UpgradableLimiter
 
-            running = Running(given, loop)
+            running = UpgradableLimiter(given, loop)
             running.start()
             limiter, end = running.limiter, running.end
     except (CannotListenError, OSError) as fault:
@@ -60,10 +61,10 @@
         return 3
     for number in (signal.SIGTERM, signal.SIGINT):
         signal.signal(number, lambda *_: loop.callFromThread(end))
-    signal.signal(signal.SIGHUP, lambda *_: loop.callFromThread(limiter.lifecycle.reread))
+    signal.signal(signal.SIGHUP, lambda *_: loop.callFromThread(limiter.lifecycle.reload_settings))
     if early:
-        loop.callFromThread(limiter.lifecycle.reread)
-    gc.freeze()   # what stands by now lasts, and need not be looked through again and again; nor once, for its garbage
+        loop.callFromThread(limiter.lifecycle.reload_settings)
+    gc.freeze()  # what stands by now lasts, and need not be looked through again and again; nor once, for its garbage
     gc.enable()
     loop.run(installSignalHandlers=False)
     return limiter.code if running is None else running.finish()
@@ -73,6 +74,7 @@
     """The console's way in: sub-commands where there are any, else the platform's start."""
     if len(sys.argv) > 1:
         from thymeflow.cli import run
+
         gc.enable()
         return run()
     return main()
--- /dev/null
+++ b/thymeflow/backends/__init__.py
@@ -0,0 +1,1 @@
+"""Connections to backends, and the attempts that go over them."""
--- a/thymeflow/net/upstream.py
+++ b/thymeflow/backends/backends.py
@@ -13,27 +13,39 @@
 
 from twisted.internet.defer import Deferred
 
-from thymeflow import interface as api
-from thymeflow.net import clock, log, resp
-from thymeflow.net.call import Call
-from thymeflow.net.config import Address, Listed
-from thymeflow.net.core import Order, Outcome
-from thymeflow.net.flow import Flow
-from thymeflow.net.link import Link, dial, unread
-from thymeflow.net.table import Table
-
-IDLE_SHARE = 0.7     # of conn-idle: an idle connection is dropped then, well before the other end may
-SWEEP = 1.0          # s: between looks for connections that have been idle for long
-STALL = 1.0          # s: without a byte of an answer that has begun; servers write in pieces, and some slowly
-HUNG = 5.0           # s: the same of a long one that is being passed on, as to cut off one that moves would lose it;
+from thymeflow.core.dispatcher import AttemptResult, AttemptSpec
+from thymeflow.decision.settings import Limits
+from thymeflow.decision.types import BackendState, EndpointListKind, LoadReport, Status
+from thymeflow.platform.configuration import Address, EndpointUpdate
+from thymeflow.runtime import clock, log
+from thymeflow.runtime.slot_table import SlotTable
+from thymeflow.transport import resp
+from thymeflow.transport.commands import Call
+from thymeflow.transport.connections import Link, dial, unread
+from thymeflow.transport.flow import Flow
+
+IDLE_SHARE = 0.7  # of conn-idle: an idle connection is dropped then, well before the other end may
+SWEEP = 1.0  # s: between looks for connections that have been idle for long
+STALL = 1.0  # s: without a byte of an answer that has begun; servers write in pieces, and some slowly
+HUNG = 5.0  # s: the same of a long one that is being passed on, as to cut off one that moves would lose it;
 #                      and of a long body, without a byte taken of it
-MOST_FIGURE = 1e6    # beyond it no figure is believed: 10,000 times a quota, 17 minutes of service time
-READY = api.BackendState.READY
-WHOLE = (list, resp.Problem)   # types of an answer that came whole
-FIELDS = {b"inflight": "inflight", b"active": "inflight", b"queue": "queued", b"waiting": "queued",
-          b"util": "utilization", b"cpu": "utilization", b"latency_ms": "service_time",
-          b"avg_ms": "service_time", b"qps": "requests_per_second", b"rps": "requests_per_second",
-          b"eps": "errors_per_second", b"err_rps": "errors_per_second"}
+MOST_FIGURE = 1e6  # beyond it no figure is believed: 10,000 times a quota, 17 minutes of service time
+READY = BackendState.READY
+WHOLE = (list, resp.Problem)  # types of an answer that came whole
+FIELDS = {
+    b"inflight": "inflight",
+    b"active": "inflight",
+    b"queue": "queued",
+    b"waiting": "queued",
+    b"util": "utilization",
+    b"cpu": "utilization",
+    b"latency_ms": "service_time",
+    b"avg_ms": "service_time",
+    b"qps": "requests_per_second",
+    b"rps": "requests_per_second",
+    b"eps": "errors_per_second",
+    b"err_rps": "errors_per_second",
+}
 
 
 def _pairs(text: bytes, found: dict[bytes, float]) -> None:
@@ -50,36 +62,37 @@
             log.say("bad figures", repr(text[:60]))
 
 
-def _outcome(status: api.Status, value: bytes, figures: list[bytes]) -> Outcome:
+def _outcome(status: Status, value: bytes, figures: list[bytes]) -> AttemptResult:
     found: dict[bytes, float] = {}
     for text in figures:
         _pairs(text, found)
     used, units = found.get(b"used"), found.get(b"cost")
     load = {FIELDS[n]: v / 1000.0 if n.endswith(b"_ms") else v for n, v in found.items() if n in FIELDS}
-    return Outcome(status, value, None if used is None else used / 100.0, units or None,
-                   api.LoadReport(**load) if load else None)
+    return AttemptResult(
+        status, value, None if used is None else used / 100.0, units or None, LoadReport(**load) if load else None
+    )
 
 
-def outcome_of(reply: resp.Event) -> Outcome | None:
+def outcome_of(reply: resp.Event) -> AttemptResult | None:
     """What an application server's reply means; None for one that is no answer, after which nothing holds."""
     if isinstance(reply, list) and len(reply) == 3 and isinstance(reply[0], bytes):
-        return _outcome(api.Status.OK, reply[0], [r for r in reply[1:] if isinstance(r, bytes)])
+        return _outcome(Status.OK, reply[0], [r for r in reply[1:] if isinstance(r, bytes)])
     if isinstance(reply, resp.Problem):
         words = reply.split()
         figures = [w for w in words[1:] if b"=" in w]
         if words[:1] == [b"BUSY"]:
-            return _outcome(api.Status.FULL, b"", figures)
+            return _outcome(Status.FULL, b"", figures)
         if words[:1] == [b"ERR"]:
-            return _outcome(api.Status.ERROR, b"", figures)
+            return _outcome(Status.ERROR, b"", figures)
     return None
 
 
-class ProxyPass:
+class Attempt:
     """One pass, from the order to its outcome."""
 
     __slots__ = ("connection", "due", "ended", "order")
 
-    def __init__(self, order: Order, ended: Deferred[Outcome]) -> None:
+    def __init__(self, order: AttemptSpec, ended: Deferred[AttemptResult]) -> None:
         self.order, self.ended = order, ended
         self.connection: Connection | None = None
         self.due: clock.Entry = []
@@ -90,24 +103,24 @@
 
     __slots__ = ("address", "dialing", "id", "idle", "state", "waiting")
 
-    def __init__(self, number: int, address: Address, state: api.BackendState) -> None:
+    def __init__(self, number: int, address: Address, state: BackendState) -> None:
         self.id, self.address, self.state = number, address, state
-        self.idle: list[Connection] = []         # the warmest last
-        self.waiting: deque[int] = deque()       # passes for which a connection is being opened
+        self.idle: list[Connection] = []  # the warmest last
+        self.waiting: deque[int] = deque()  # passes for which a connection is being opened
         self.dialing = 0
 
 
 class Connection(Link):
     """A connection to an application server, which carries one pass at a time."""
 
-    def __init__(self, upstream: Upstream, pool: Pool) -> None:
+    def __init__(self, upstream: BackendConnections, pool: Pool) -> None:
         super().__init__(resp.MOST_LONG)
         self.upstream, self.pool = upstream, pool
-        self.carries = -1          # handle of the pass that is out on it
-        self.since = 0.0           # when it fell idle, or when bytes of an answer came last
-        self.begun = False         # the first bytes of an answer have come
-        self.flow: Flow | None = None    # a long answer on its way
-        self.body: Flow | None = None    # a long body that is not all written
+        self.carries = -1  # handle of the pass that is out on it
+        self.since = 0.0  # when it fell idle, or when bytes of an answer came last
+        self.begun = False  # the first bytes of an answer have come
+        self.flow: Flow | None = None  # a long answer on its way
+        self.body: Flow | None = None  # a long body that is not all written
 
     def sent(self) -> bool:
         """Whether the last byte of the pass has gone to the kernel, so that it may run."""
@@ -128,7 +141,7 @@
             self.garbled("bytes though nothing was asked")
             return
         self.since = clock.now()
-        if len(found) == 1 and type(found[0]) in WHOLE:   # what nearly all are
+        if len(found) == 1 and type(found[0]) in WHOLE:  # what nearly all are
             self._answered(found.pop(), found, fault)
             return
         while found:
@@ -156,7 +169,7 @@
     def _answered(self, event: resp.Event, more: list[resp.Event], fault: str) -> None:
         long = isinstance(event, resp.End)
         outcome = outcome_of([b"", *event.after] if isinstance(event, resp.End) else event)
-        if outcome is None or (self.body is not None and outcome.status is api.Status.OK):
+        if outcome is None or (self.body is not None and outcome.status is Status.OK):
             self.garbled(f"no answer: {str(event)[:60]}")
             return
         # What follows is a second copy or noise: the next pass over this connection would be given it.
@@ -194,27 +207,27 @@
         self.upstream.lost(self)
 
 
-class Upstream:
+class BackendConnections:
     """All application servers."""
 
-    def __init__(self, reactor: Any, deadlines: clock.Deadlines, limits: api.Limits, most: int) -> None:
+    def __init__(self, reactor: Any, deadlines: clock.Deadlines, limits: Limits, most: int) -> None:
         self._reactor, self._deadlines, self.limits, self._most = reactor, deadlines, limits, most
         self._pools: dict[int, Pool] = {}
-        self._passes: Table[ProxyPass] = Table(1 << 16)
-        self.count = 0              # connections open or being opened
-        self.look: Callable[[], None] = lambda: None   # reads what discovery has told and nobody has read
-        self.resting = False        # nothing new is expected: a connection that falls idle is closed
+        self._passes: SlotTable[Attempt] = SlotTable(1 << 16)
+        self.count = 0  # connections open or being opened
+        self.look: Callable[[], None] = lambda: None  # reads what discovery has told and nobody has read
+        self.resting = False  # nothing new is expected: a connection that falls idle is closed
         self._sweep(0)
 
-    def listed(self, listed: Listed) -> None:
+    def listed(self, listed: EndpointUpdate) -> None:
         """A change of the list, which holds from now on for all that is not written yet."""
-        if listed.membership.kind is not api.ListKind.DELTA:
-            for number in self._pools.keys() - {b.id for b in listed.membership.backends}:
-                self._retire(self._pools.pop(number), api.BackendState.GONE)
-        for entry in listed.membership.backends:
+        if listed.change.kind is not EndpointListKind.DELTA:
+            for number in self._pools.keys() - {b.id for b in listed.change.backends}:
+                self._retire(self._pools.pop(number), BackendState.GONE)
+        for entry in listed.change.backends:
             pool, address = self._pools.get(entry.id), listed.addresses.get(entry.id)
-            if pool is not None and (address != pool.address or entry.state is api.BackendState.GONE):
-                self._retire(self._pools.pop(entry.id), api.BackendState.GONE)
+            if pool is not None and (address != pool.address or entry.state is BackendState.GONE):
+                self._retire(self._pools.pop(entry.id), BackendState.GONE)
                 pool = None
             if pool is None and address is not None:
                 self._pools[entry.id] = Pool(entry.id, address, entry.state)
@@ -223,12 +236,12 @@
             elif pool is not None:
                 self._retire(pool, entry.state)
 
-    def _retire(self, pool: Pool, state: api.BackendState) -> None:
+    def _retire(self, pool: Pool, state: BackendState) -> None:
         # No new work may reach an application server that drains: passes waiting for a connection end here.
         pool.state = state
         self._close(pool)
         while pool.waiting:
-            self._end(pool.waiting.popleft(), Outcome(api.Status.CONNECT_FAILED))
+            self._end(pool.waiting.popleft(), AttemptResult(Status.CONNECT_FAILED))
 
     def _close(self, pool: Pool) -> None:
         for connection in pool.idle:
@@ -251,16 +264,16 @@
         if pool := self._pools.get(backend):
             self._close(pool)
 
-    def begin(self, order: Order) -> Deferred[Outcome]:
+    def begin(self, order: AttemptSpec) -> Deferred[AttemptResult]:
         """Make a pass; cancelling the Deferred gives it up."""
-        ended: Deferred[Outcome] = Deferred(lambda _: self._give_up(handle, api.Status.CANCELLED))
-        going = ProxyPass(order, ended)
+        ended: Deferred[AttemptResult] = Deferred(lambda _: self._give_up(handle, Status.CANCELLED))
+        going = Attempt(order, ended)
         handle = self._passes.add(going)
         pool = self._pools.get(order.backend)
         if order.deadline <= clock.now():
-            self._end(handle, Outcome(api.Status.TIMEOUT))
+            self._end(handle, AttemptResult(Status.TIMEOUT))
         elif pool is None or pool.state is not READY:
-            self._end(handle, Outcome(api.Status.CONNECT_FAILED))
+            self._end(handle, AttemptResult(Status.CONNECT_FAILED))
         else:
             if order.deadline < inf:
                 going.due = self._deadlines.at(order.deadline, self._late, handle)
@@ -271,7 +284,7 @@
                 self._dial(pool)
             else:
                 log.say("pool", f"all {self._most} connections to application servers are busy", most=self._most)
-                self._end(handle, Outcome(api.Status.CONNECT_FAILED))
+                self._end(handle, AttemptResult(Status.CONNECT_FAILED))
         return ended
 
     def _usable(self, connection: Connection) -> bool:
@@ -317,7 +330,7 @@
     def _dial_void(self, pool: Pool) -> None:
         # Each waiting pass has a dial of its own, but any connection that came free may have served it.
         if len(pool.waiting) > pool.dialing:
-            self._end(pool.waiting.popleft(), Outcome(api.Status.CONNECT_FAILED))
+            self._end(pool.waiting.popleft(), AttemptResult(Status.CONNECT_FAILED))
 
     def _release(self, connection: Connection) -> None:
         pool = connection.pool
@@ -326,7 +339,7 @@
             connection.hang_up()
             self.count -= 1
         elif not self._usable(connection):
-            self._dial_void(pool)     # it ended as it came up, and was the dial of a pass that waits
+            self._dial_void(pool)  # it ended as it came up, and was the dial of a pass that waits
         else:
             self._serve(connection)
 
@@ -337,39 +350,39 @@
             handle = pool.waiting.popleft()
             going = self._passes.get(handle)
             assert going is not None
-            if now < min(going.order.deadline, going.order.latest) and going.order.present():
+            if now < min(going.order.deadline, going.order.start_before) and going.order.is_connected():
                 self._pass_on(connection, handle)
                 break
             void.append(handle)
         else:
             connection.since = now
             pool.idle.append(connection)
-        for handle in void:     # the server did nothing wrong: it is not held against it
-            self._end(handle, Outcome(api.Status.MOOT))
+        for handle in void:  # the server did nothing wrong: it is not held against it
+            self._end(handle, AttemptResult(Status.MOOT))
 
     def _pass_on(self, connection: Connection, handle: int) -> None:
         going = self._passes.get(handle)
         assert going is not None and isinstance(going.order.payload, Call)
-        if self._deadlines.stalled(clock.now()):
+        if self._deadlines.is_stalled(clock.now()):
             # Guards a drain's grace against our own stall: the word of it may lie unread for longer than that.
             self.look()
             if connection.pool.state is not READY or self._passes.get(handle) is not going:
                 connection.hang_up()
                 self.count -= 1
                 if self._passes.get(handle) is going:
-                    self._end(handle, Outcome(api.Status.CONNECT_FAILED))
+                    self._end(handle, AttemptResult(Status.CONNECT_FAILED))
                 return
         going.connection, connection.carries, connection.begun = connection, handle, False
         call, connection.flow = going.order.payload, None
         if call.flow is None:
             connection.write(call.write(max(1, int((going.order.deadline - clock.now()) * 1000.0))))
-        else:   # the time of one that is not whole starts with its last byte
+        else:  # the time of one that is not whole starts with its last byte
             connection.body = body = call.flow
             connection.narrow()
             connection.since = clock.now()
             self._deadlines.at(connection.since + HUNG, self._stuck, handle)
             body.when_whole(lambda: self._whole(handle, body.deadline))
-            going.order.began(None)
+            going.order.on_response_started(None)
             connection.write(call.write(call.wait))
             call.flow.attach(connection)
 
@@ -392,11 +405,11 @@
         else:
             address = connection.pool.address
             log.say("body stuck", f"{address} takes nothing of a long body: never whole, it never ran", address=address)
-            self._give_up(handle, api.Status.CONNECT_FAILED)
+            self._give_up(handle, Status.CONNECT_FAILED)
 
     def cut_off(self, connection: Connection) -> None:
         """A long body stops in the middle; closing is how the application server learns that."""
-        self._give_up(connection.carries, api.Status.CANCELLED)
+        self._give_up(connection.carries, Status.CANCELLED)
 
     def long_answer(self, connection: Connection, length: int) -> None:
         """A long answer begins: its deadline is met, and it goes to whoever asked."""
@@ -410,15 +423,15 @@
             if waits:
                 transport.pauseProducing()
             else:
-                connection.since = clock.now()   # it could not move before
+                connection.since = clock.now()  # it could not move before
                 transport.resumeProducing()
 
         connection.narrow()
-        connection.flow = flow = Flow(length, pace, lambda: self._give_up(handle, api.Status.CANCELLED))
-        if not going.order.began(flow):
-            self._give_up(handle, api.Status.CANCELLED)
+        connection.flow = flow = Flow(length, pace, lambda: self._give_up(handle, Status.CANCELLED))
+        if not going.order.on_response_started(flow):
+            self._give_up(handle, Status.CANCELLED)
 
-    def answered(self, connection: Connection, outcome: Outcome, clean: bool) -> None:
+    def answered(self, connection: Connection, outcome: AttemptResult, clean: bool) -> None:
         """The pass out on this connection has its answer; if that was all, the connection is free first."""
         handle, connection.carries = connection.carries, -1
         self._unload(connection)
@@ -441,7 +454,7 @@
         flow, now = connection.flow, clock.now()
         due = connection.since + (STALL if flow is None else HUNG)
         if flow is not None and flow.waits:
-            due = now + HUNG      # its reader takes its time
+            due = now + HUNG  # its reader takes its time
         if due <= now:
             connection.garbled("an answer was begun and not ended")
         else:
@@ -464,7 +477,7 @@
         sent = connection.sent()
         self._unload(connection)
         if handle >= 0:
-            self._end(handle, Outcome(api.Status.ERROR if sent else api.Status.CONNECT_FAILED))
+            self._end(handle, AttemptResult(Status.ERROR if sent else Status.CONNECT_FAILED))
         elif connection in connection.pool.idle:
             connection.pool.idle.remove(connection)
 
@@ -477,7 +490,7 @@
         if handle >= 0:
             address = connection.pool.address
             log.say("reset", f"{address} broke a connection with a proxy pass out", address=address)
-            self._end(handle, Outcome(api.Status.RESET if sent else api.Status.CONNECT_FAILED))
+            self._end(handle, AttemptResult(Status.RESET if sent else Status.CONNECT_FAILED))
         elif connection in connection.pool.idle:
             connection.pool.idle.remove(connection)
 
@@ -485,22 +498,22 @@
         going = self._passes.get(handle)
         if going is not None:
             left = going.connection is not None and going.connection.sent()
-            self._give_up(handle, api.Status.TIMEOUT if left else api.Status.CONNECT_FAILED)
+            self._give_up(handle, Status.TIMEOUT if left else Status.CONNECT_FAILED)
 
-    def _give_up(self, handle: int, status: api.Status) -> None:
+    def _give_up(self, handle: int, status: Status) -> None:
         going = self._passes.get(handle)
         if going is None:
             return
-        if going.connection is not None:   # closing it is how the other end learns that nobody waits
+        if going.connection is not None:  # closing it is how the other end learns that nobody waits
             connection, connection.carries = going.connection, -1
             connection.hang_up()
             self.count -= 1
             self._unload(connection)
         elif pool := self._pools.get(going.order.backend):
             pool.waiting.remove(handle)
-        self._end(handle, Outcome(status))
+        self._end(handle, AttemptResult(status))
 
-    def _end(self, handle: int, outcome: Outcome) -> None:
+    def _end(self, handle: int, outcome: AttemptResult) -> None:
         going = self._passes.remove(handle)
         if going is not None:
             if going.due:
--- a/thymeflow/cli/check.py
+++ b/thymeflow/cli/check.py
@@ -20,8 +20,8 @@
 
 def platform_faults(path: str) -> list[Fault]:
     """All that is wrong with the platform's JSON, as far as it can be told one by one."""
-    from thymeflow.drill import settings_from
-    from thymeflow.net import config
+    from thymeflow.platform import configuration
+    from thymeflow.simulator import settings_from
 
     try:
         source: Any = json.loads(Path(path).read_text())
@@ -33,15 +33,25 @@
         return [Fault(path, 0, "", "", str(fault), "save it as UTF-8")]
     if not isinstance(source, dict):
         return [Fault(path, 0, "", "", "is no JSON object", "begin it with {")]
-    faults = [Fault(path, 0, "", key, "is no key of the platform's", nearest(key, TOP))
-              for key in source if key not in TOP]
+    faults = [
+        Fault(path, 0, "", key, "is no key of the platform's", nearest(key, TOP)) for key in source if key not in TOP
+    ]
     checks: dict[str, Any] = {
-        "listen": lambda v: config.address(v, 0), "discovery": config.address, "counter": config.address,
-        "known": lambda v: config.listed(v, cached=True), "seed": lambda v: int(str(v), 16),
-        "settings": settings_from}
-    mends = {"listen": "write host:port", "discovery": "write host:port", "counter": "write host:port",
-             "known": "write a list in discovery's form", "seed": "write a hexadecimal number",
-             "settings": "compare it with deploy/example.json"}
+        "listen": lambda v: configuration.address(v, 0),
+        "discovery": configuration.address,
+        "counter": configuration.address,
+        "known": lambda v: configuration.listed(v, cached=True),
+        "seed": lambda v: int(str(v), 16),
+        "settings": settings_from,
+    }
+    mends = {
+        "listen": "write host:port",
+        "discovery": "write host:port",
+        "counter": "write host:port",
+        "known": "write a list in discovery's form",
+        "seed": "write a hexadecimal number",
+        "settings": "compare it with deploy/example.json",
+    }
     for key, check in checks.items():
         if source.get(key) is None:
             continue
@@ -53,8 +63,8 @@
             faults.append(Fault(path, 0, "", key, str(fault), mends[key]))
     if not faults:
         try:
-            config.from_source(source, path, os.environ)
-        except config.ConfigError as fault:
+            configuration.from_source(source, path, os.environ)
+        except configuration.ConfigurationError as fault:
             faults.append(Fault(path, 0, "", "", str(fault).removeprefix(f"{path}: "), "mend what it names"))
     return faults
 
@@ -65,19 +75,39 @@
     if fleet.longest_wait < fleet.wait:
         faults.append(Fault("settings", 0, "fleet", "longest-wait", "is shorter than wait", "make it the longer"))
     if settings.snapshot.keep and settings.snapshot.fresh < settings.snapshot.every:
-        faults.append(Fault("settings", 0, "snapshot", "fresh", "is shorter than every, so that no snapshot taken "
-                            "in passing would be read", "make it some times as long"))
+        faults.append(
+            Fault(
+                "settings",
+                0,
+                "snapshot",
+                "fresh",
+                "is shorter than every, so that no snapshot taken in passing would be read",
+                "make it some times as long",
+            )
+        )
     port = int(fleet.listen.rpartition(":")[2])
     if port and port + fleet.instances > 65536:
-        faults.append(Fault("settings", 0, "fleet", "listen", f"member {fleet.instances - 1} would listen on port "
-                            f"{port + fleet.instances - 1}", "begin at a lower port"))
+        faults.append(
+            Fault(
+                "settings",
+                0,
+                "fleet",
+                "listen",
+                f"member {fleet.instances - 1} would listen on port {port + fleet.instances - 1}",
+                "begin at a lower port",
+            )
+        )
     return faults
 
 
 @click.command()
 @settings_option
-@click.option("--platform", type=click.Path(dir_okay=False), default=None,
-              help="The platform's JSON; [daemon] platform or BALANCER_CONFIG where it is left out.")
+@click.option(
+    "--platform",
+    type=click.Path(dir_okay=False),
+    default=None,
+    help="The platform's JSON; [daemon] platform or BALANCER_CONFIG where it is left out.",
+)
 @click.option("--show", is_flag=True, help="Print all settings in force, start values included.")
 @json_option
 def check(settings_path: str | None, platform: str | None, show: bool, as_json: bool) -> None:
@@ -99,6 +129,10 @@
             click.echo(str(one), err=True)
         if show and not faults:
             click.echo(written(settings), nl=False)
-        click.echo(f"{len(faults)} faults" if faults else
-                   f"good: {settings_path or 'start values'}{f' and {path}' if path else ''}", err=bool(faults))
+        click.echo(
+            f"{len(faults)} faults"
+            if faults
+            else f"good: {settings_path or 'start values'}{f' and {path}' if path else ''}",
+            err=bool(faults),
+        )
     sys.exit(BAD_SETTINGS if faults else 0)
--- a/thymeflow/cli/common.py
+++ b/thymeflow/cli/common.py
@@ -13,11 +13,15 @@
 
 from thymeflow.settings import Settings, SettingsError, read
 
-NOT_REACHED, BAD_SETTINGS, NOBODY = 1, 2, 6   # exit codes; see `thymeflow --help`
+NOT_REACHED, BAD_SETTINGS, NOBODY = 1, 2, 6  # exit codes; see `thymeflow --help`
 
 settings_option = click.option(
-    "--settings", "settings_path", type=click.Path(dir_okay=False), default=None,
-    help="Our INI file; start values where it is left out. THYMEFLOW_SECTION_KEY variables go before it.")
+    "--settings",
+    "settings_path",
+    type=click.Path(dir_okay=False),
+    default=None,
+    help="Our INI file; start values where it is left out. THYMEFLOW_SECTION_KEY variables go before it.",
+)
 json_option = click.option("--json", "as_json", is_flag=True, help="Print JSON, for programs.")
 
 
@@ -45,14 +49,15 @@
     return Path(folder)
 
 
-def asked(path: Path, message: dict[str, Any], patience: float,
-          heard: Callable[[dict[str, Any]], None] = lambda _: None) -> dict[str, Any]:
+def asked(
+    path: Path, message: dict[str, Any], patience: float, heard: Callable[[dict[str, Any]], None] = lambda _: None
+) -> dict[str, Any]:
     """One question over a control socket and its answer; ends the command where nobody answers."""
     from twisted.internet import reactor
     from twisted.internet.defer import Deferred
 
-    from thymeflow.net import clock
-    from thymeflow.succession.ask import Unanswered, ask
+    from thymeflow.handover.control_client import NoAnswerError, ask
+    from thymeflow.runtime import clock
 
     loop: Any = reactor
     found: list[Any] = []
@@ -66,16 +71,18 @@
     answer = found[0]
     if isinstance(answer, dict):
         return answer
-    if isinstance(getattr(answer, "value", None), Unanswered):
+    if isinstance(getattr(answer, "value", None), NoAnswerError):
         fail(str(answer.value), NOBODY)
     fail(str(answer), NOBODY)
 
 
 def progress(begun: float) -> Callable[[dict[str, Any]], None]:
     """Prints what is told on the way, with the seconds since the beginning."""
+
     def heard(message: dict[str, Any]) -> None:
         if "text" in message:
             click.echo(f"{time.monotonic() - begun:6.1f} s  {message['text']}", err=True)
+
     return heard
 
 
--- a/thymeflow/cli/fleet.py
+++ b/thymeflow/cli/fleet.py
@@ -24,7 +24,7 @@
 from thymeflow.cli.instance import PATIENCE, state_option
 from thymeflow.settings import read
 
-LONG = 3600.0   # s: what a roll over many members may take
+LONG = 3600.0  # s: what a roll over many members may take
 
 
 @click.group()
@@ -35,8 +35,12 @@
 @fleet.command()
 @settings_option
 @state_option
-@click.option("--platform", type=click.Path(dir_okay=False), default=None,
-              help="The platform's JSON for every member; [daemon] platform where it is left out.")
+@click.option(
+    "--platform",
+    type=click.Path(dir_okay=False),
+    default=None,
+    help="The platform's JSON for every member; [daemon] platform where it is left out.",
+)
 @click.option("--program", default="", help="Command line of the members; this very program where left out.")
 def up(settings_path: str | None, state: str | None, platform: str | None, program: str) -> None:
     """Start the fleet, or adopt the one that runs, and supervise it in the foreground."""
@@ -44,11 +48,20 @@
     path = platform or settings.daemon.platform or os.environ.get("BALANCER_CONFIG", "")
     if not path:
         fail("no platform configuration: set [daemon] platform, or give --platform", BAD_SETTINGS)
-    from thymeflow.fleet.supervisor import Given, supervise
+    from thymeflow.fleet.supervisor import SupervisorOptions, supervise
 
     absolute = str(Path(settings_path).absolute()) if settings_path else ""
-    sys.exit(supervise(Given(lambda: read(absolute or None), absolute, Path(path).absolute(),
-                             folder_of(settings, state).absolute(), program)))
+    sys.exit(
+        supervise(
+            SupervisorOptions(
+                lambda: read(absolute or None),
+                absolute,
+                Path(path).absolute(),
+                folder_of(settings, state).absolute(),
+                program,
+            )
+        )
+    )
 
 
 def _ordered(settings_path: str | None, state: str | None, as_json: bool, message: dict[str, Any]) -> None:
@@ -58,17 +71,23 @@
 
 def table(status: dict[str, Any]) -> str:
     """A fleet's status as a table for people."""
-    rows = [f"{status['ready']} of {status['wanted']} members are ready"
-            + (f"; {status['working']}" if status["working"] else "")]
-    rows.append(f"{'name':8} {'state':11} {'pid':>8} {'listen':22} {'up s':>8} {'open':>5} {'served':>8} "
-                f"{'refused':>8} {'failed':>6}")
+    rows = [
+        f"{status['ready']} of {status['wanted']} members are ready"
+        + (f"; {status['working']}" if status["working"] else "")
+    ]
+    rows.append(
+        f"{'name':8} {'state':11} {'pid':>8} {'listen':22} {'up s':>8} {'open':>5} {'served':>8} "
+        f"{'refused':>8} {'failed':>6}"
+    )
     for member in status["members"]:
         told = member["told"]
         answers = told.get("answers", {})
-        rows.append(f"{member['name']:8} {member['state']:11} {member['pid'] or '-':>8} {member['listen']:22} "
-                    f"{told.get('uptime_s', 0.0):8.1f} {told.get('open', 0):5} {answers.get('served', 0):8} "
-                    f"{answers.get('unavailable', 0):8} {answers.get('failed', 0):6}"
-                    + (f"  {member['why']}" if member["why"] else ""))
+        rows.append(
+            f"{member['name']:8} {member['state']:11} {member['pid'] or '-':>8} {member['listen']:22} "
+            f"{told.get('uptime_s', 0.0):8.1f} {told.get('open', 0):5} {answers.get('served', 0):8} "
+            f"{answers.get('unavailable', 0):8} {answers.get('failed', 0):6}"
+            + (f"  {member['why']}" if member["why"] else "")
+        )
     return "\n".join(rows)
 
 
--- a/thymeflow/cli/instance.py
+++ b/thymeflow/cli/instance.py
@@ -8,10 +8,14 @@
 
 from thymeflow.cli.common import asked, folder_of, json_option, printed, settings_of, settings_option
 
-PATIENCE = 5.0   # s
+PATIENCE = 5.0  # s
 
-state_option = click.option("--state", type=click.Path(file_okay=False), default=None,
-                            help="The folder of control sockets; [daemon] state where it is left out.")
+state_option = click.option(
+    "--state",
+    type=click.Path(file_okay=False),
+    default=None,
+    help="The folder of control sockets; [daemon] state where it is left out.",
+)
 
 
 def _ask(name: str, settings_path: str | None, state: str | None, message: dict[str, Any]) -> dict[str, Any]:
@@ -33,7 +37,8 @@
         f"counter   {'not heard yet' if heard is None else f'heard {heard:.1f} s ago'}; "
         f"{status['customers']} customers, pressure {status['pressure']:.2f}",
         f"snapshot  {'none yet' if snapshot['age_s'] is None else '{:.1f} s old'.format(snapshot['age_s'])}, "
-        f"{snapshot['bytes']} bytes, {snapshot['failed']} failed; remembered from {snapshot['remembered_from']}"]
+        f"{snapshot['bytes']} bytes, {snapshot['failed']} failed; remembered from {snapshot['remembered_from']}",
+    ]
     return "\n".join(lines)
 
 
@@ -50,8 +55,12 @@
 
 @click.command()
 @click.argument("name")
-@click.option("--linger", type=click.FloatRange(0.0, 60.0), default=None,
-              help="Seconds for which user agents may still come; [daemon] drain-linger where left out.")
+@click.option(
+    "--linger",
+    type=click.FloatRange(0.0, 60.0),
+    default=None,
+    help="Seconds for which user agents may still come; [daemon] drain-linger where left out.",
+)
 @settings_option
 @state_option
 @json_option
--- a/thymeflow/cli/lab.py
+++ b/thymeflow/cli/lab.py
@@ -18,12 +18,16 @@
 
 @lab.command()
 @click.argument("file", type=click.Path(exists=True, dir_okay=False))
-@click.option("--broken", type=click.Choice(["deaf", "mute", "double", "sulky", "free"]), default=None,
-              help="Break the limiters on purpose: a judge has to find it.")
+@click.option(
+    "--broken",
+    type=click.Choice(["deaf", "mute", "double", "sulky", "free"]),
+    default=None,
+    help="Break the limiters on purpose: a judge has to find it.",
+)
 def play(file: str, broken: str | None) -> None:
     """Play the schedule in FILE once; exit code 1 where a judge found something."""
-    from thymeflow.lab.between import play as player
-    from thymeflow.lab.between.schedule import ScheduleError, parse
+    from thymeflow.testkit.faults import runner as player
+    from thymeflow.testkit.faults.schedule import ScheduleError, parse
 
     try:
         schedule = parse(Path(file).read_text())
@@ -46,8 +50,7 @@
 @click.option("--units", type=click.Choice(["demand", "tickets"]), default="demand", show_default=True)
 def draw(seed: int, faults: int, limiters: int, servers: int, seconds: float, line: str, units: str) -> None:
     """Print a schedule drawn from a seed, for `play`."""
-    from thymeflow.lab.between.schedule import Schedule, drawn, text_of
+    from thymeflow.testkit.faults.schedule import Schedule, drawn, text_of
 
-    world = replace(Schedule(), seed=seed, limiters=limiters, servers=servers, seconds=seconds, line=line,
-                    units=units)
+    world = replace(Schedule(), seed=seed, limiters=limiters, servers=servers, seconds=seconds, line=line, units=units)
     click.echo(text_of(drawn(world, faults)), nl=False)
--- a/thymeflow/cli/overload.py
+++ b/thymeflow/cli/overload.py
@@ -12,15 +12,19 @@
 
 def table(answer: dict[str, Any]) -> str:
     """The cases as a table for people."""
-    rows = [f"shed is what stands under {answer['level']:.2f} of the order; pressure of the back end is "
-            f"{answer['pressure']:.2f}",
-            f"{len(answer['members'])} members speak; {answer['left_out']} words were left out; "
-            f"a condemned server is tried every {answer['every_s']:g} s by one of them"]
+    rows = [
+        f"shed is what stands under {answer['level']:.2f} of the order; pressure of the back end is "
+        f"{answer['pressure']:.2f}",
+        f"{len(answer['members'])} members speak; {answer['left_out']} words were left out; "
+        f"a condemned server is tried every {answer['every_s']:g} s by one of them",
+    ]
     rows.append(f"{'server':10} {'class':14} {'state':10} {'for s':>8} {'trial':8} {'let in':>6}  on the word of")
     for case in answer["cases"]:
         where = f"zone {case['zone']}" if case["zone"] else f"{case['server']:08x}"
-        rows.append(f"{where:10} {case['class'] or 'all':14} {case['state']:10} {case['for_s']:8.1f} "
-                    f"{case['trial'] or '-':8} {case['let_in']:6}  {', '.join(case['words'])}")
+        rows.append(
+            f"{where:10} {case['class'] or 'all':14} {case['state']:10} {case['for_s']:8.1f} "
+            f"{case['trial'] or '-':8} {case['let_in']:6}  {', '.join(case['words'])}"
+        )
     return "\n".join(rows)
 
 
--- a/thymeflow/cli/snapshot.py
+++ b/thymeflow/cli/snapshot.py
@@ -35,27 +35,30 @@
     """Show what lies in a snapshot FILE, and whether it is sound."""
     from dataclasses import asdict
 
-    from thymeflow.state import keep, record
+    from thymeflow.snapshot import atomic_file, schema
 
     try:
-        data = keep.read(Path(file))
+        data = atomic_file.read(Path(file))
         if data is None:
             fail(f"{file}: there is no such file", BAD_SETTINGS)
-        found = record.unpack(data)
-    except record.SnapshotError as fault:
+        found = schema.unpack(data)
+    except schema.SnapshotError as fault:
         fail(f"{file}: {fault}", BAD_SETTINGS)
     if as_json:
         click.echo(json.dumps(asdict(found)))
         sys.exit(0)
     age = time.time() - found.taken
     kind = "the last of its life" if found.final else "taken in passing"
-    click.echo(f"{found.name}, life {found.life}, site {found.site}: {kind}, "
-               f"{age:.1f} s old, one of {found.gateways}")
-    click.echo(f"{len(found.servers)} servers (list {found.version}), {len(found.stores)} customers, "
-               f"pressure {found.pressure:.2f}")
+    click.echo(f"{found.name}, life {found.life}, site {found.site}: {kind}, {age:.1f} s old, one of {found.gateways}")
+    click.echo(
+        f"{len(found.servers)} servers (list {found.version}), {len(found.stores)} customers, "
+        f"pressure {found.pressure:.2f}"
+    )
     for store in sorted(found.stores, key=lambda s: s.level)[:customers]:
-        click.echo(f"  {store.number:08x} {store.plan:12} level {store.level:9.2f}  asks {store.own:7.2f}/s here, "
-                   f"{store.others:7.2f}/s elsewhere; charged {store.charged:.1f}")
+        click.echo(
+            f"  {store.number:08x} {store.plan:12} level {store.level:9.2f}  asks {store.own:7.2f}/s here, "
+            f"{store.others:7.2f}/s elsewhere; charged {store.charged:.1f}"
+        )
 
 
 @snapshot.command()
--- a/thymeflow/net/tally.py
+++ b/thymeflow/core/request_counters.py
@@ -5,9 +5,9 @@
 
 from __future__ import annotations
 
-from thymeflow.net import clock, log
+from thymeflow.runtime import clock, log
 
-EVERY = 5.0   # s: between two lines; a day of a bench is a few of them, a day in service thousands
+EVERY = 5.0  # s: between two lines; a day of a bench is a few of them, a day in service thousands
 
 Counts = dict[str, int]
 
@@ -16,24 +16,28 @@
     return ", ".join(f"{name} {count}" for name, count in counts.items())
 
 
-class Tally:
+class RequestCounters:
     """Unavailable answers by reason and proxy passes by outcome, since the last line."""
 
     def __init__(self, deadlines: clock.Deadlines) -> None:
-        self.refused: Counts = {}
-        self.passes: Counts = {}
+        self.rejections: Counts = {}
+        self.attempts: Counts = {}
         self._deadlines, self._armed = deadlines, False
 
     def add(self, counts: Counts, name: str) -> None:
         """One more of that name."""
         counts[name] = counts.get(name, 0) + 1
-        if counts is self.refused and not self._armed:
+        if counts is self.rejections and not self._armed:
             self._armed = True
             self._deadlines.at(clock.now() + EVERY, self._write)
 
     def _write(self, _: int) -> None:
         self._armed = False
-        log.note("unavailable answers", f"by reason: {_listed(self.refused)}; proxy passes: {_listed(self.passes)}",
-                 refused=dict(self.refused), passes=dict(self.passes))
-        self.refused.clear()
-        self.passes.clear()
+        log.note(
+            "unavailable answers",
+            f"by reason: {_listed(self.rejections)}; proxy passes: {_listed(self.attempts)}",
+            refused=dict(self.rejections),
+            passes=dict(self.attempts),
+        )
+        self.rejections.clear()
+        self.attempts.clear()
--- /dev/null
+++ b/thymeflow/counter/__init__.py
@@ -0,0 +1,1 @@
+"""The client of the shared counter."""
--- a/thymeflow/net/counter.py
+++ b/thymeflow/counter/client.py
@@ -13,23 +13,24 @@
 
 from twisted.internet.defer import Deferred
 
-from thymeflow import interface as api
-from thymeflow.net import clock, log, resp
-from thymeflow.net.config import Address
-from thymeflow.net.link import Link, dial
-
-LINES = 3            # connections; the counter may be split over as many parts
-STALL = 0.3          # s: without a byte of an answer that has begun; some write theirs in pieces
-DEAD = 1.0           # s: nothing heard while calls wait; the host is gone without a word
-MOST_WAITING = 512   # calls in one line that are not answered
-CONNECT = 0.25       # s: to connect
-PAUSE = 0.2          # s: between a failed connect and the next
-LEAVE = 2.0          # s: for calls that are out when the counter has moved
-
-MOST_TOTAL = 1e15    # no sum of believable amounts is more
+from thymeflow.decision.types import Status
+from thymeflow.platform.configuration import Address
+from thymeflow.runtime import clock, log
+from thymeflow.transport import resp
+from thymeflow.transport.connections import Link, dial
+
+LINES = 3  # connections; the counter may be split over as many parts
+STALL = 0.3  # s: without a byte of an answer that has begun; some write theirs in pieces
+DEAD = 1.0  # s: nothing heard while calls wait; the host is gone without a word
+MOST_WAITING = 512  # calls in one line that are not answered
+CONNECT = 0.25  # s: to connect
+PAUSE = 0.2  # s: between a failed connect and the next
+LEAVE = 2.0  # s: for calls that are out when the counter has moved
+
+MOST_TOTAL = 1e15  # no sum of believable amounts is more
 _TOTAL = re.compile(rb"-?[0-9]{1,18}(\.[0-9]{1,18})?([eE][+-]?[0-9]{1,2})?")
 
-Result = tuple[api.Status, float]
+Result = tuple[Status, float]
 
 
 class Waiting:
@@ -85,9 +86,9 @@
         self._reactor, self._deadlines, self._address = reactor, deadlines, address
         self._wire: Wire | None = None
         self._dialing, self._again, self._heard = False, 0.0, 0.0
-        self._leaving = False               # the counter has moved: no new calls, and none are awaited long
+        self._leaving = False  # the counter has moved: no new calls, and none are awaited long
         self.written: deque[Waiting] = deque()
-        self.left = 0                       # how many of the written ones have gone to the kernel
+        self.left = 0  # how many of the written ones have gone to the kernel
         self._unwritten: deque[Waiting] = deque()
 
     def call(self, data: bytes, deadline: float) -> Deferred[Result]:
@@ -98,9 +99,9 @@
         if self._wire is None:
             self.connect()
         if self._wire is None and not self._dialing:
-            self._report(waiting, (api.Status.CONNECT_FAILED, 0.0))
+            self._report(waiting, (Status.CONNECT_FAILED, 0.0))
         elif len(self.written) + len(self._unwritten) >= MOST_WAITING:
-            self._report(waiting, (api.Status.FULL, 0.0))   # nothing was added, as when turned away
+            self._report(waiting, (Status.FULL, 0.0))  # nothing was added, as when turned away
         else:
             waiting.due = self._deadlines.at(deadline, lambda _: self._late(waiting))
             if self._wire is None:
@@ -150,7 +151,7 @@
 
     def _fail_unwritten(self) -> None:
         while self._unwritten:
-            self._report(self._unwritten.popleft(), (api.Status.CONNECT_FAILED, 0.0))
+            self._report(self._unwritten.popleft(), (Status.CONNECT_FAILED, 0.0))
 
     def _write(self, waiting: Waiting) -> None:
         assert self._wire is not None
@@ -165,18 +166,22 @@
 
     def _late(self, waiting: Waiting) -> None:
         now = clock.now()
-        if waiting in self._unwritten:      # never written: nothing was added
+        if waiting in self._unwritten:  # never written: nothing was added
             self._unwritten.remove(waiting)
-            self._report(waiting, (api.Status.CONNECT_FAILED, 0.0))
+            self._report(waiting, (Status.CONNECT_FAILED, 0.0))
             return
-        self._report(waiting, (api.Status.TIMEOUT, 0.0))
+        self._report(waiting, (Status.TIMEOUT, 0.0))
         if self._wire is not None and self._wire.stalled():
             self._wire.garbled("an answer was begun and not ended")
             return
         head = self.written[0] if self.written else waiting
         if self._wire is not None and now - max(self._heard, head.begun) > DEAD:
-            log.say("counter silent", f"{self._address}: no answer for {DEAD:g} s, connecting anew",
-                    address=self._address, waiting=len(self.written))
+            log.say(
+                "counter silent",
+                f"{self._address}: no answer for {DEAD:g} s, connecting anew",
+                address=self._address,
+                waiting=len(self.written),
+            )
             self._wire.hang_up()
             self.lost()
 
@@ -199,11 +204,11 @@
         if isinstance(value, resp.Problem):
             if value.startswith(b"ERR"):
                 log.say("counter odd", repr(bytes(value)[:80]))
-            return (api.Status.FULL, 0.0) if value.split()[:1] in ([b"BUSY"], [b"ERR"]) else None
+            return (Status.FULL, 0.0) if value.split()[:1] in ([b"BUSY"], [b"ERR"]) else None
         if not isinstance(value, bytes) or isinstance(value, resp.Simple) or not _TOTAL.fullmatch(value):
             return None
         total = float(value)
-        return (api.Status.OK, total) if abs(total) <= MOST_TOTAL else None
+        return (Status.OK, total) if abs(total) <= MOST_TOTAL else None
 
     def lost(self) -> None:
         """The connection ended: what had left may have been added, the rest was not."""
@@ -212,7 +217,7 @@
         self.written.clear()
         self.left = 0
         for place, waiting in enumerate(written):
-            status = api.Status.TIMEOUT if place < left else api.Status.CONNECT_FAILED
+            status = Status.TIMEOUT if place < left else Status.CONNECT_FAILED
             self._report(waiting, (status, 0.0))
         self._fail_unwritten()
 
--- a/thymeflow/daemon/activation.py
+++ b/thymeflow/daemon/activation.py
@@ -6,9 +6,9 @@
 import socket
 from collections.abc import MutableMapping
 
-from thymeflow.succession.listening import BadDescriptor, checked
+from thymeflow.handover.listening_sockets import BadDescriptorError, checked
 
-FIRST = 3          # the first descriptor handed in
+FIRST = 3  # the first descriptor handed in
 MOST = 16
 
 
@@ -20,14 +20,14 @@
     meant, count = environment.pop("LISTEN_PID", ""), environment.pop("LISTEN_FDS", "")
     environment.pop("LISTEN_FDNAMES", None)
     if not count or meant != str(pid):
-        return []     # nothing, or meant for a process before us
+        return []  # nothing, or meant for a process before us
     if not count.isascii() or not count.isdigit() or not 1 <= int(count) <= MOST:
-        raise BadDescriptor(f"LISTEN_FDS is {count[:20]!r}, no number from 1 to {MOST}")
+        raise BadDescriptorError(f"LISTEN_FDS is {count[:20]!r}, no number from 1 to {MOST}")
     found: list[socket.socket] = []
     try:
         for descriptor in range(FIRST, FIRST + int(count)):
             found.append(checked(descriptor))
-    except BadDescriptor:
+    except BadDescriptorError:
         for one in found:
             one.close()
         raise
--- a/thymeflow/daemon/lock.py
+++ b/thymeflow/daemon/lock.py
@@ -11,7 +11,7 @@
 from pathlib import Path
 
 
-class Held(Exception):
+class NameTakenError(Exception):
     """Another process holds the name."""
 
 
@@ -30,7 +30,7 @@
         except BlockingIOError:
             holder = os.read(descriptor, 100).decode("ascii", "replace").split()
             os.close(descriptor)
-            raise Held(f"{path.stem} is held by pid {holder[0] if holder else 'unknown'}") from None
+            raise NameTakenError(f"{path.stem} is held by pid {holder[0] if holder else 'unknown'}") from None
         lock = cls(path, descriptor)
         lock.sign(life)
         return lock
@@ -40,7 +40,7 @@
         """The lock as a predecessor passed it on; Held where it is of another file."""
         named, held = os.stat(path), os.fstat(descriptor)
         if (named.st_dev, named.st_ino) != (held.st_dev, held.st_ino):
-            raise Held(f"the lock passed on is not that of {path}")
+            raise NameTakenError(f"the lock passed on is not that of {path}")
         return cls(path, descriptor)
 
     def sign(self, life: str) -> None:
--- a/thymeflow/daemon/notify.py
+++ b/thymeflow/daemon/notify.py
@@ -22,8 +22,9 @@
             self._address = "\0" + address[1:]
         elif address.startswith("/"):
             self._address = address
-        self.fault = f"NOTIFY_SOCKET {address!r} is neither a path nor @name" if address and (
-            self._address is None) else ""
+        self.fault = (
+            f"NOTIFY_SOCKET {address!r} is neither a path nor @name" if address and (self._address is None) else ""
+        )
 
     def tell(self, **facts: object) -> None:
         """Send `NAME=value` lines, names in capitals; a line end within a value would forge another line."""
--- a/thymeflow/daemon/service.py
+++ b/thymeflow/daemon/service.py
@@ -19,41 +19,42 @@
 from typing import Any
 
 from thymeflow.daemon import activation
-from thymeflow.daemon.answers import Answers
-from thymeflow.daemon.lock import Held, Lock
-from thymeflow.daemon.memory import Memory
+from thymeflow.daemon.control_requests import Answers
+from thymeflow.daemon.lease_share import LeaseShare
+from thymeflow.daemon.lock import Lock, NameTakenError
 from thymeflow.daemon.notify import Notifier
-from thymeflow.daemon.part import OwnPart
-from thymeflow.net import clock, config, log
-from thymeflow.net.assembly import Limiter, made
-from thymeflow.net.discovery import FIRST
-from thymeflow.net.door import bound
-from thymeflow.net.phases import Phase
-from thymeflow.observe.structured import Logbook
-from thymeflow.overload.level import Shedding
-from thymeflow.overload.verdicts import Verdicts
-from thymeflow.policy import START_LEVEL
+from thymeflow.daemon.snapshots import Memory
+from thymeflow.decision.gateway_state import INITIAL_FILL
+from thymeflow.discovery.watch import FIRST
+from thymeflow.frontend.listener import bound
+from thymeflow.handover import listening_sockets
+from thymeflow.handover.control_socket import ControlError, ControlServer
+from thymeflow.handover.participant import RejectedHandoverError
+from thymeflow.handover.receiver import HandoverReceiver
+from thymeflow.handover.sender import OFF, HandoverSender
+from thymeflow.handover.state_machine import SenderState, Told, Word
+from thymeflow.limiter.assembly import Limiter, made
+from thymeflow.limiter.phases import Phase
+from thymeflow.logs.structured import StructuredLog
+from thymeflow.outliers.member import MemberEjections
+from thymeflow.platform import configuration
+from thymeflow.runtime import clock, log
 from thymeflow.settings import Settings, SettingsError
-from thymeflow.state import meaning, record
-from thymeflow.succession import listening
-from thymeflow.succession.control import Control, ControlError
-from thymeflow.succession.estate import Unfit
-from thymeflow.succession.giving import OFF, Giving
-from thymeflow.succession.table import Giver, Told, Word
-from thymeflow.succession.taking import Taking
+from thymeflow.shedding.threshold import LoadShedder
+from thymeflow.snapshot import restore, schema
 
-BAD_CONFIGURATION, CANNOT_LISTEN, NAME_HELD, NO_HAND_OVER = 2, 3, 4, 5   # exit codes; docs/fleet.md
+BAD_CONFIGURATION, CANNOT_LISTEN, NAME_HELD, NO_HAND_OVER = 2, 3, 4, 5  # exit codes; docs/fleet.md
 
 
 @dataclass(frozen=True, slots=True)
 class Options:
     """How this start differs from a plain one."""
 
-    joins: bool = False          # into a running set, where every slice is given out already
-    take_over: bool = False      # from a running process of the same name
+    joins: bool = False  # into a running set, where every slice is given out already
+    take_over: bool = False  # from a running process of the same name
 
 
-class CannotStart(Exception):
+class StartError(Exception):
     """The daemon does not start; the text says why in one line, `code` is the exit code."""
 
     def __init__(self, why: str, code: int) -> None:
@@ -64,25 +65,31 @@
 class Service:
     """The daemon, from its start to its end."""
 
-    def __init__(self, settings: Settings, load: Callable[[], config.Config], options: Options,
-                 reactor: Any, read: Callable[[], Settings]) -> None:
+    def __init__(
+        self,
+        settings: Settings,
+        load: Callable[[], configuration.Configuration],
+        options: Options,
+        reactor: Any,
+        read: Callable[[], Settings],
+    ) -> None:
         self.settings, self.options, self.reactor, self._load, self._read = settings, options, reactor, load, read
         self.given = load()
-        self.name, self.life, self.begun = self.given.name, secrets.token_hex(4), clock.now()
-        self.book = Logbook(settings.log, self.name, self.life)
+        self.name, self.incarnation, self.begun = self.given.name, secrets.token_hex(4), clock.now()
+        self.book = StructuredLog(settings.log, self.name, self.incarnation)
         self.notifier = Notifier(os.environ)
         self.folder = Path(settings.daemon.state or f".thymeflow-{self.name}")
-        self.memory = Memory(self.path("state"), self.name, self.life, self.given.known)
-        self.part = OwnPart(self.given.part)
-        self.verdicts: Verdicts | None = None
-        self.shedding: Shedding | None = None
+        self.memory = Memory(self.path("state"), self.name, self.incarnation, self.given.endpoints)
+        self.part = LeaseShare(self.given.allocation)
+        self.verdicts: MemberEjections | None = None
+        self.shedding: LoadShedder | None = None
         self.lock: Lock | None = None
-        self.control: Control | None = None
+        self.control: ControlServer | None = None
         self.limiter: Limiter
-        self.answers, self.giving = Answers(self), Giving(self)
-        self.taking: Taking | None = Taking(self, self.path("sock")) if options.take_over else None
+        self.answers, self.giving = Answers(self), HandoverSender(self)
+        self.taking: HandoverReceiver | None = HandoverReceiver(self, self.path("sock")) if options.take_over else None
         self.code = 0
-        self.reloaded = ""           # what the last reload came to
+        self.reloaded = ""  # what the last reload came to
 
     def path(self, kind: str) -> Path:
         """A file of this instance: `lock`, `sock` or `state`."""
@@ -90,73 +97,87 @@
 
     def start(self) -> None:
         """Take name and sockets, remember, and serve; CannotStart says why not."""
-        self.book.take_over()
-        log.note("start", f"life {self.life} of {self.name}, pid {os.getpid()}", joins=self.options.joins,
-                 take_over=self.options.take_over)
+        self.book.install()
+        log.note(
+            "start",
+            f"life {self.incarnation} of {self.name}, pid {os.getpid()}",
+            joins=self.options.joins,
+            take_over=self.options.take_over,
+        )
         if self.notifier.fault:
             log.note("notify", self.notifier.fault)
         try:
             self.folder.mkdir(mode=0o700, parents=True, exist_ok=True)
         except OSError as fault:
-            raise CannotStart(f"[daemon] state {self.folder}: {fault.strerror}", BAD_CONFIGURATION) from None
+            raise StartError(f"[daemon] state {self.folder}: {fault.strerror}", BAD_CONFIGURATION) from None
         if self.taking is not None:
             self._make(None)
             self.taking.begin()
             return
         try:
             handed = activation.handed_in(os.environ, os.getpid())
-            self.lock = Lock.take(self.path("lock"), self.life)
-        except listening.BadDescriptor as fault:
-            raise CannotStart(f"sockets handed in: {fault}", CANNOT_LISTEN) from None
-        except Held as fault:
-            raise CannotStart(str(fault), NAME_HELD) from None
+            self.lock = Lock.take(self.path("lock"), self.incarnation)
+        except listening_sockets.BadDescriptorError as fault:
+            raise StartError(f"sockets handed in: {fault}", CANNOT_LISTEN) from None
+        except NameTakenError as fault:
+            raise StartError(str(fault), NAME_HELD) from None
         except OSError as fault:
-            raise CannotStart(f"{self.path('lock')}: {fault.strerror}", NAME_HELD) from None
+            raise StartError(f"{self.path('lock')}: {fault.strerror}", NAME_HELD) from None
         kept = self.settings.snapshot
-        site = record.site_of(self.given.settings)
+        site = schema.site_of(self.given.settings)
         self._make(self.memory.read(site, kept.fresh) if kept.keep else None)
         if fault_text := self.open_control():
-            raise CannotStart(fault_text, CANNOT_LISTEN)
+            raise StartError(fault_text, CANNOT_LISTEN)
         try:
             where = self.given.listen
             self.limiter.listen(handed[0] if handed else bound(where.host, where.port), waited=bool(handed))
         except OSError as fault:
-            raise CannotStart(f"{self.given.listen}: {fault.strerror}", CANNOT_LISTEN) from None
+            raise StartError(f"{self.given.listen}: {fault.strerror}", CANNOT_LISTEN) from None
         self.limiter.connect(clock.now() + FIRST)
         for more in handed[1:]:
             log.note("sockets", f"{more.getsockname()} was handed in and is not used")
             more.close()
 
-    def _make(self, snapshot: record.Snapshot | None) -> None:
+    def _make(self, snapshot: schema.Snapshot | None) -> None:
         given = self.given
         if snapshot is not None:
-            given = replace(given, known=meaning.newer(snapshot, given.known))
+            given = replace(given, endpoints=restore.newer(snapshot, given.endpoints))
         # Members of a fleet are on one machine, whose monotonic clock does not step as that of the day does.
-        gateway = made(replace(given, units=self.settings.budgets.units), 0.0 if self.options.joins else START_LEVEL,
-                       clock.monotonic() - clock.now())
+        gateway = made(
+            replace(given, units=self.settings.budgets.units),
+            0.0 if self.options.joins else INITIAL_FILL,
+            clock.monotonic() - clock.now(),
+        )
         budgets = self.settings.budgets
-        gateway.wholes = {"calls": float(budgets.calls), "trials": float(budgets.trials)} | (
-            {"connections": float(budgets.connections)} if budgets.connections else {})
+        gateway.fleet_limits = {"calls": float(budgets.calls), "trials": float(budgets.trials)} | (
+            {"connections": float(budgets.connections)} if budgets.connections else {}
+        )
         together = self.settings.overload.together
-        self.verdicts = Verdicts(gateway) if together else None
-        self.shedding = Shedding(gateway) if together else None
+        self.verdicts = MemberEjections(gateway) if together else None
+        self.shedding = LoadShedder(gateway) if together else None
         self.memory.of(gateway)
         self.part.serve(gateway)
         if self.shedding is not None:
-            self.shedding.temper()
+            self.shedding.limit_retries()
         self.limiter = Limiter(given, self.reactor, gateway, self._load, self.settings.daemon.drain_linger)
-        self.limiter.on_list, self.limiter.on_told = self.memory.listed, self._told
-        self.memory.listed(given.known)
+        self.limiter.on_list, self.limiter.when_endpoints_ready = self.memory.listed, self._told
+        self.memory.listed(given.endpoints)
         if snapshot is not None:
             self.memory.recall(snapshot, "file")
-        self.limiter.lifecycle.entered = self._entered
+        self.limiter.lifecycle.on_phase = self._entered
 
     def open_control(self) -> str:
         """Open the control socket; the fault, or nothing."""
         daemon = self.settings.daemon
         if daemon.control:
-            self.control = Control(self.reactor, self.limiter.deadlines, self.path("sock"),
-                                   daemon.control_callers, daemon.control_patience, self.answers.served)
+            self.control = ControlServer(
+                self.reactor,
+                self.limiter.deadlines,
+                self.path("sock"),
+                daemon.control_callers,
+                daemon.control_patience,
+                self.answers.served,
+            )
             try:
                 self.control.listen()
             except (ControlError, OSError) as fault:
@@ -168,8 +189,7 @@
 
         Whoever is told READY=1 may signal at once, and the reactor runs only some moments later.
         """
-        for number, served in ((signal.SIGTERM, self.end), (signal.SIGINT, self.end),
-                               (signal.SIGHUP, self.reload)):
+        for number, served in ((signal.SIGTERM, self.end), (signal.SIGINT, self.end), (signal.SIGHUP, self.reload)):
             signal.signal(number, lambda *_, served=served: self.reactor.callFromThread(served))
 
     def run(self) -> int:
@@ -193,14 +213,14 @@
 
     def _told(self) -> None:
         if self.taking is not None:
-            self.taking.listed()
+            self.taking.on_endpoints_known()
 
     def end(self, linger: float | None = None) -> None:
         """SIGTERM, SIGINT or a word over the control socket: end in good order, however often it comes."""
-        if self.taking is not None and not self.taking.serves():
-            self.taking.told(Told.UNFIT)
+        if self.taking is not None and not self.taking.is_serving():
+            self.taking.step(Told.UNFIT)
             return
-        self.giving.heard(Word.ENDING)
+        self.giving.step(Word.ENDING)
         self.limiter.lifecycle.terminate(linger)
 
     def reload(self) -> bool:
@@ -229,31 +249,31 @@
     # What a hand-over asks of the daemon: see `succession.estate`.
 
     @property
-    def past(self) -> Memory:
+    def snapshots(self) -> Memory:
         """What is remembered."""
         return self.memory
 
     @property
-    def patience(self) -> float:
+    def step_timeout(self) -> float:
         """Seconds for a step."""
         return self.settings.daemon.hand_over
 
-    proof, strict = 0.0, True     # whoever started the successor watches it, and starts another
+    rollback_window, requires_same_site = 0.0, True  # whoever started the successor watches it, and starts another
 
     def descriptors(self) -> list[int]:
         """Listening socket and lock."""
         assert self.lock is not None
         return [self.limiter.lifecycle.port.fileno(), self.lock.descriptor]
 
-    def take_in(self, descriptors: list[int]) -> socket.socket:
+    def adopt_descriptors(self, descriptors: list[int]) -> socket.socket:
         """Listening socket and lock as they came; Unfit where they are not that."""
         try:
             if len(descriptors) != 2:
-                raise listening.BadDescriptor(f"{len(descriptors)} descriptors came with it, not 2")
-            found = listening.checked(descriptors[0])
+                raise listening_sockets.BadDescriptorError(f"{len(descriptors)} descriptors came with it, not 2")
+            found = listening_sockets.checked(descriptors[0])
             self.lock = Lock.passed_on(self.path("lock"), descriptors[1])
-        except (listening.BadDescriptor, Held, OSError) as fault:
-            raise Unfit(str(fault)) from None
+        except (listening_sockets.BadDescriptorError, NameTakenError, OSError) as fault:
+            raise RejectedHandoverError(str(fault)) from None
         return found
 
     def accept(self, taken: socket.socket) -> str:
@@ -261,43 +281,43 @@
         fault = self.open_control()
         if not fault:
             assert self.lock is not None
-            self.lock.sign(self.life)
+            self.lock.sign(self.incarnation)
             self.limiter.listen(taken)
         return fault
 
-    def hand_on(self) -> dict[str, Any] | None:
+    def hand_over_allocation(self) -> dict[str, Any] | None:
         """The part of what the fleet may do."""
         return self.part.hand_on()
 
-    def inherit(self, message: object) -> None:
+    def inherit_allocation(self, message: object) -> None:
         """The part of the life before."""
         self.part.inherit(message)
 
-    def taken_back(self, used: bool) -> None:
+    def on_taken_back(self, used: bool) -> None:
         """The state is ours again."""
         self.part.resumed(used)
 
-    def resumed(self) -> None:
+    def on_resumed(self) -> None:
         """The name is ours again."""
         if self.lock is not None:
-            self.lock.sign(self.life)
+            self.lock.sign(self.incarnation)
 
     def _now_and_then(self, _: int) -> None:
         self.limiter.deadlines.at(clock.now() + self.settings.snapshot.every, self._now_and_then)
         if self.settings.snapshot.keep and self.limiter.lifecycle.phase is Phase.SERVING:
             self.memory.write_now(self._owner)
 
-    def give_up(self) -> None:
+    def abandon(self) -> None:
         """End at once, having accepted nothing: somebody else serves under this name."""
         log.note("hand-over", "given up: the process that serves goes on")
-        self.lock = None          # the other end holds it too, and goes on holding it
+        self.lock = None  # the other end holds it too, and goes on holding it
         self.code = self.code or NO_HAND_OVER
         self.reactor.callWhenRunning(self.reactor.stop)
 
     def retreat(self) -> None:
         """End in good order, leaving name, socket and snapshot to another."""
         log.note("hand-over", "the old life took everything back: this one finishes what it took")
-        self.giving.state = Giver.GIVEN     # name and snapshot are not ours to write
+        self.giving.state = SenderState.GIVEN  # name and snapshot are not ours to write
         self.code = NO_HAND_OVER
         self.limiter.lifecycle.terminate(0.0)
 
@@ -309,11 +329,12 @@
             if self.settings.snapshot.keep:
                 self.memory.write_last()
             self.lock.release()
-        self.book.out.close()
+        self.book.file.close()
 
 
-def serve(settings: Settings, load: Callable[[], config.Config], options: Options,
-          read: Callable[[], Settings]) -> int:
+def serve(
+    settings: Settings, load: Callable[[], configuration.Configuration], options: Options, read: Callable[[], Settings]
+) -> int:
     """Run one limiter as a daemon; the exit code."""
     early: list[int] = []
     signal.signal(signal.SIGHUP, lambda number, _: early.append(number))
@@ -324,10 +345,10 @@
         service = Service(settings, load, options, loop, read)
         service.heed()
         service.start()
-    except config.ConfigError as fault:
+    except configuration.ConfigurationError as fault:
         print(f"thymeflow: bad configuration: {fault}", file=sys.stderr)
         return BAD_CONFIGURATION
-    except CannotStart as fault:
+    except StartError as fault:
         print(f"thymeflow: cannot start: {fault}", file=sys.stderr)
         return fault.code
     if early:
--- a/thymeflow/daemon/memory.py
+++ b/thymeflow/daemon/snapshots.py
@@ -9,14 +9,15 @@
 from twisted.internet.defer import Deferred
 from twisted.internet.threads import deferToThread
 
-from thymeflow.net import clock, config, log
-from thymeflow.state import keep, memory, record
+from thymeflow.platform import configuration
+from thymeflow.runtime import clock, log
+from thymeflow.snapshot import atomic_file, schema, store
 
 
-class Memory(memory.Memory):
+class Memory(store.SnapshotStore):
     """What one life writes down, and what it was given by an earlier one."""
 
-    def __init__(self, path: Path, name: str, life: str, first_list: config.Listed) -> None:
+    def __init__(self, path: Path, name: str, life: str, first_list: configuration.EndpointUpdate) -> None:
         super().__init__(name, life, first_list)
         self.path = path
         self._writing = False
@@ -24,18 +25,23 @@
 
     def told(self) -> dict[str, Any]:
         """For the status."""
-        return {"at": self._at, "age_s": round(clock.now() - self._at, 1) if self._at else None,
-                "bytes": self._bytes, "failed": self._failed, "remembered_from": self._source}
+        return {
+            "at": self._at,
+            "age_s": round(clock.now() - self._at, 1) if self._at else None,
+            "bytes": self._bytes,
+            "failed": self._failed,
+            "remembered_from": self._source,
+        }
 
-    def read(self, site: str, fresh: float) -> record.Snapshot | None:
+    def read(self, site: str, fresh: float) -> schema.Snapshot | None:
         """The snapshot in the file, where there is one to be believed."""
         try:
-            data = keep.read(self.path)
+            data = atomic_file.read(self.path)
             if data is None:
                 return None
-            snapshot = record.unpack(data)
-            record.believed(snapshot, site, self._name, clock.now(), fresh)
-        except record.SnapshotError as fault:
+            snapshot = schema.unpack(data)
+            schema.believed(snapshot, site, self._name, clock.now(), fresh)
+        except schema.SnapshotError as fault:
             log.note("snapshot", f"{self.path} is not used and the start values hold: {fault}")
             return None
         return snapshot
@@ -51,17 +57,22 @@
             self._writing = False
             if not isinstance(result, str):
                 self._failed += 1
-                log.say("snapshot", f"{self.path} was not written, the old one stands: "
-                        f"{result.getErrorMessage()}", failed=self._failed)
+                log.say(
+                    "snapshot",
+                    f"{self.path} was not written, the old one stands: {result.getErrorMessage()}",
+                    failed=self._failed,
+                )
                 return str(result.getErrorMessage())
             return result
 
         return writing.addBoth(ended)
 
-    def _write(self, snapshot: record.Snapshot) -> str:
-        data = record.pack(snapshot)
+    def _write(self, snapshot: schema.Snapshot) -> str:
+        data = schema.pack(snapshot)
         # One that was taken in passing and lost to a power cut leaves an older one, whose gap is charged for.
-        keep.write(self.path, data, keep.Lasting.ALL if snapshot.final else keep.Lasting.CONTENT)
+        atomic_file.write(
+            self.path, data, atomic_file.Durability.ALL if snapshot.final else atomic_file.Durability.CONTENT
+        )
         self._at, self._bytes = snapshot.taken, len(data)
         return ""
 
--- /dev/null
+++ b/thymeflow/decision/__init__.py
@@ -0,0 +1,1 @@
+"""The decisions of a gateway, after HIP-185: admission, balancing and retries, without I/O and without a clock."""
--- /dev/null
+++ b/thymeflow/decision/balancing.py
@@ -0,0 +1,64 @@
+"""Decides which backend an attempt goes to."""
+
+from __future__ import annotations
+
+from math import inf
+
+from thymeflow.decision.gateway_state import GatewayState
+from thymeflow.decision.request_state import RequestState
+from thymeflow.decision.settings import Idempotency, IdempotencyScope
+from thymeflow.decision.types import BackendState
+from thymeflow.health import slow_start
+from thymeflow.health.backend_stats import BackendStats
+
+MAX_EJECTED_FRACTION = 0.7  # of the backends; beyond it none is ejected, as the cause lies elsewhere
+
+
+class Balancing(GatewayState):
+    """Selection of backends: health, idempotency scope, slow start, then least expected wait."""
+
+    def select_backend(self, pending: RequestState) -> BackendStats | None:
+        """Return the permitted backend with the least expected wait, None where there is none."""
+        ready = self._ready_backends()
+        candidates = self._healthy_backends(ready, pending.request_class.name)
+        candidates = self._in_idempotency_scope(candidates, pending)
+        endpoints = [backend.endpoint for backend in candidates]
+        warming_up = slow_start.target_loads(endpoints, self.now, self.settings.rules)
+        # Slow start, sampled anew each time: budgets that hundreds of gateways save up are spent in step.
+        load = 0.0 if pending.attempts else sum(warming_up.values())
+        if load and self.rng.random() * (max(1.0, len(ready) - len(warming_up)) + load) < load:
+            return self.backends[self.rng.choices(list(warming_up), list(warming_up.values()))[0]]
+        tried = {backend.endpoint.id for backend, _ in pending.attempts}
+        candidates = [b for b in candidates if b.endpoint.id not in tried and b.endpoint.id not in warming_up]
+        # With few attempts in flight queue lengths say little, and equal ranks herd: rank a weighted sample.
+        sample_size = 2 + self.in_flight
+        if sample_size < len(candidates):
+            weights = [max(0.01, backend.endpoint.weight) for backend in candidates]
+            candidates = self.rng.choices(candidates, weights, k=sample_size)
+        zone = self.settings.zone
+        return min(candidates, key=lambda b: (b.expected_wait(zone), self.rng.random()), default=None)
+
+    def _ready_backends(self) -> list[BackendStats]:
+        backends = self.backends.values()
+        ready = [backend for backend in backends if backend.endpoint.state is BackendState.READY]
+        max_connections = self.fleet_limit("connections")  # a backend holds one for each attempt in flight
+        if max_connections == inf:
+            return ready
+        return [backend for backend in ready if backend.in_flight + 1 <= max_connections]
+
+    def _healthy_backends(self, ready: list[BackendStats], class_name: str) -> list[BackendStats]:
+        healthy = [backend for backend in ready if backend.is_healthy(class_name, self.now)]
+        healthy = self.filter_backends(ready, healthy, class_name, self.now)
+        return healthy if len(healthy) >= (1.0 - MAX_EJECTED_FRACTION) * len(ready) else ready
+
+    @staticmethod
+    def _in_idempotency_scope(candidates: list[BackendStats], pending: RequestState) -> list[BackendStats]:
+        executed = pending.possibly_executed()
+        scope = pending.request_class.idempotency_scope
+        has_key = pending.request_class.idempotency is Idempotency.WITH_KEY
+        if not executed or not has_key or scope is IdempotencyScope.ALL:
+            return candidates
+        first = executed[0].backend.endpoint
+        if scope is IdempotencyScope.ZONE:
+            return [backend for backend in candidates if backend.endpoint.zone == first.zone]
+        return [backend for backend in candidates if backend.endpoint.cell == first.cell]
--- /dev/null
+++ b/thymeflow/decision/settings.py
@@ -0,0 +1,248 @@
+"""Settings of a gateway, validated when they are made.
+
+Times are seconds and quotas are units. Each class checks its own values, so a gateway that starts at all starts with
+values that make sense.
+"""
+
+from __future__ import annotations
+
+from dataclasses import dataclass, field
+from enum import Enum
+from math import isfinite
+
+
+class Idempotency(Enum):
+    """What a second run of a request would do."""
+
+    IDEMPOTENT = "safe"
+    WITH_KEY = "keyed"
+    NOT_IDEMPOTENT = "unsafe"
+
+
+class IdempotencyScope(Enum):
+    """Which backends drop a repeat of a keyed request."""
+
+    ALL = "all"
+    ZONE = "zone"
+    CELL = "cell"
+
+
+class DiscoveryMode(Enum):
+    """Whether changes of the backend list arrive unasked."""
+
+    PUSH = "push"
+    POLL = "ask"
+
+
+class LoadReportMode(Enum):
+    """Where backends report their load."""
+
+    RESPONSES = "answers"
+    HEALTH_CHECKS = "probes"
+    NONE = "none"
+
+
+# Names under which messages tell of settings, where they differ from ours: operators search for these texts.
+_REPORTED_NAMES = {"GatewaySettings": "Settings", "limiter_count": "gateways", "timer_resolution": "tick"}
+
+
+class InvalidSettingError(ValueError):
+    """A setting makes no sense; `name` is the field's."""
+
+    def __init__(self, owner: str, name: str, value: object) -> None:
+        reported = f"{_REPORTED_NAMES.get(owner, owner)}.{_REPORTED_NAMES.get(name, name)}"
+        super().__init__(f"{reported}: {value!r} makes no sense")
+        self.name, self.value = name, value
+
+
+def _check(ok: bool, owner: str, name: str, value: object) -> None:
+    if not ok:
+        raise InvalidSettingError(owner, name, value)
+
+
+def _figure(value: object) -> bool:
+    # True is a number to Python, and no figure.
+    return isinstance(value, (int, float)) and not isinstance(value, bool) and isfinite(value)
+
+
+def _not_negative(owner: object, *names: str) -> None:
+    for name in names:
+        value = getattr(owner, name)
+        _check(_figure(value) and value >= 0, type(owner).__name__, name, value)
+
+
+def _positive(owner: object, *names: str) -> None:
+    for name in names:
+        value = getattr(owner, name)
+        _check(_figure(value) and value > 0, type(owner).__name__, name, value)
+
+
+@dataclass(frozen=True, slots=True)
+class RequestClass:
+    """One class of request."""
+
+    name: str
+    latency_objective: float
+    deadline: float
+    priority_weight: float = 1.0
+    late_weight: float = 0.0
+    idempotency: Idempotency = Idempotency.NOT_IDEMPOTENT
+    idempotency_scope: IdempotencyScope = IdempotencyScope.ALL
+    idempotency_window: float = 0.0
+    is_streamed: bool = False
+    latency_objective_stretch: float = 0.0
+
+    def __post_init__(self) -> None:
+        _positive(self, "deadline")
+        _not_negative(
+            self,
+            "latency_objective",
+            "priority_weight",
+            "late_weight",
+            "idempotency_window",
+            "latency_objective_stretch",
+        )
+
+
+@dataclass(frozen=True, slots=True)
+class Plan:
+    """Quotas of each customer of a plan, over all gateways together; a rate of 0 is no quota."""
+
+    name: str
+    rate: float = 0.0
+    burst: float = 0.0
+    max_concurrency: int = 0
+    price: float = 1.0
+    over_quota_weight: float = 0.0
+    over_quota_cost: float = 0.0
+    ceiling_rate: float = 0.0
+    ceiling_burst: float = 0.0
+    ceiling_slack: float = 0.0
+
+    def __post_init__(self) -> None:
+        _not_negative(
+            self,
+            "rate",
+            "burst",
+            "max_concurrency",
+            "price",
+            "over_quota_weight",
+            "over_quota_cost",
+            "ceiling_rate",
+            "ceiling_burst",
+            "ceiling_slack",
+        )
+
+
+@dataclass(frozen=True, slots=True)
+class Rules:
+    """Figures of the rules that hold in every run."""
+
+    drain_grace: float = 0.0
+    overload_multiple: float = 1.0
+    overload_seconds: float = 1.0
+    slow_start_fraction: float = 1.0
+    slow_start_seconds: float = 0.0
+    response_grace: float = 0.0
+    max_poll_interval: float = 10.0
+
+    def __post_init__(self) -> None:
+        _not_negative(
+            self,
+            "drain_grace",
+            "overload_multiple",
+            "overload_seconds",
+            "slow_start_fraction",
+            "slow_start_seconds",
+            "response_grace",
+            "max_poll_interval",
+        )
+
+
+@dataclass(frozen=True, slots=True)
+class Limits:
+    """What the site permits."""
+
+    cancel: bool = False
+    health_checks: bool = False
+    gossip: bool = False
+    hedged_requests: bool = False
+    retry_after: bool = False
+    max_retry_after: float = 0.0
+    max_attempts: int = 1
+    max_concurrent_requests: int = 20000
+    connect_timeout: float = 0.25
+    connection_idle: float = 30.0
+    streams_per_connection: int = 1
+
+    def __post_init__(self) -> None:
+        _not_negative(
+            self,
+            "max_retry_after",
+            "max_concurrent_requests",
+            "connect_timeout",
+            "connection_idle",
+            "streams_per_connection",
+        )
+        _positive(self, "max_attempts")
+        _check(self.max_attempts >= 1, "Limits", "max_attempts", self.max_attempts)
+
+
+@dataclass(frozen=True, slots=True)
+class Prices:
+    """Points taken off the result, each times its share or rate."""
+
+    cross_zone: float = 0.0
+    waste: float = 0.0
+    late_fail: float = 0.0
+    gossip: float = 0.0
+    health_check: float = 0.0
+    counter: float = 0.0
+
+    def __post_init__(self) -> None:
+        _not_negative(self, "cross_zone", "waste", "late_fail", "gossip", "health_check", "counter")
+
+
+@dataclass(frozen=True, slots=True)
+class Information:
+    """What gateways can learn of each other's use."""
+
+    counter: bool = False
+    counter_timeout: float = 0.05
+    meter_period: float = 0.0
+    max_units: float = 1.0
+    max_gossip_per_second: float = 0.0
+    settles_units: bool = False
+
+    def __post_init__(self) -> None:
+        _not_negative(self, "counter_timeout", "meter_period", "max_units", "max_gossip_per_second")
+
+
+@dataclass(frozen=True, slots=True)
+class GatewaySettings:
+    """All that a gateway is told at its start."""
+
+    index: int
+    limiter_count: int
+    zone: str
+    zones: tuple[str, ...]
+    classes: tuple[RequestClass, ...]
+    plans: tuple[Plan, ...]
+    rules: Rules = field(default_factory=Rules)
+    limits: Limits = field(default_factory=Limits)
+    prices: Prices = field(default_factory=Prices)
+    information: Information = field(default_factory=Information)
+    discovery: DiscoveryMode = DiscoveryMode.PUSH
+    load_report_mode: LoadReportMode = LoadReportMode.NONE
+    load_report_fields: tuple[str, ...] = ()
+    timer_resolution: float = 0.001
+
+    def __post_init__(self) -> None:
+        _positive(self, "limiter_count")
+        _not_negative(self, "index")
+        _check(self.limiter_count >= 1, "GatewaySettings", "limiter_count", self.limiter_count)
+        _check(0 <= self.index < self.limiter_count, "GatewaySettings", "index", self.index)
+        _check(len(self.zones) > 0, "GatewaySettings", "zones", self.zones)
+        _check(len({c.name for c in self.classes}) == len(self.classes), "GatewaySettings", "classes", "repeated name")
+        _check(len({p.name for p in self.plans}) == len(self.plans), "GatewaySettings", "plans", "repeated name")
+        _not_negative(self, "timer_resolution")
--- /dev/null
+++ b/thymeflow/decision/types.py
@@ -0,0 +1,63 @@
+"""Values that events and actions share: endpoint states, the status of a call, load reports.
+
+These are named tuples: a frozen dataclass takes six times as long to define and half as long again to create, and
+there are many of them.
+"""
+
+from __future__ import annotations
+
+from enum import IntEnum
+from typing import NamedTuple
+
+
+class BackendState(IntEnum):
+    """Life of a backend as discovery tells it."""
+
+    GONE = 0
+    READY = 1
+    DRAINING = 2
+
+
+class EndpointListKind(IntEnum):
+    """How a membership event relates to the list held."""
+
+    DELTA = 0
+    FULL = 1
+    CACHED = 2
+    FAILED = 3
+
+
+class Status(IntEnum):
+    """How an attempt, a probe or a counter call ended."""
+
+    OK = 1
+    ERROR = 2
+    FULL = 3
+    TIMEOUT = 4
+    CONNECT_FAILED = 5
+    RESET = 6
+    CANCELLED = 7
+    MOOT = 8
+
+
+class Backend(NamedTuple):
+    """A backend as discovery lists it; `started` is 0 when it started long ago."""
+
+    id: int
+    zone: str
+    state: BackendState = BackendState.READY
+    cell: int = 0
+    kind: str = ""
+    weight: float = 1.0
+    started: float = 0.0
+
+
+class LoadReport(NamedTuple):
+    """A backend's own report of its load; values it does not give are None."""
+
+    inflight: float | None = None
+    queued: float | None = None
+    utilization: float | None = None
+    service_time: float | None = None
+    requests_per_second: float | None = None
+    errors_per_second: float | None = None
--- /dev/null
+++ b/thymeflow/discovery/__init__.py
@@ -0,0 +1,1 @@
+"""The watch on the endpoint list."""
--- a/thymeflow/net/http.py
+++ b/thymeflow/discovery/http.py
@@ -8,9 +8,9 @@
 
 import re
 
-MOST_HEAD = 8 * 1024        # bytes of an answer's head
-MOST_CHUNK_HEAD = 1024      # bytes of a chunk's size and extensions
-MOST_MESSAGE = 4 * 2**20    # bytes of one message: a list of thousands
+MOST_HEAD = 8 * 1024  # bytes of an answer's head
+MOST_CHUNK_HEAD = 1024  # bytes of a chunk's size and extensions
+MOST_MESSAGE = 4 * 2**20  # bytes of one message: a list of thousands
 # A string that has come whole, its brackets and all; a quotation mark alone begins one that goes on in bytes to come.
 _MARK = re.compile(rb'"[^"\\]*(?:\\.[^"\\]*)*"|["{}\[\]]', re.DOTALL)
 _SPACE = b" \t\r\n"
@@ -26,8 +26,8 @@
 
     def __init__(self) -> None:
         self._held = bytearray()
-        self._seen = 0              # bytes of it that were looked through
-        self._depth = 0             # brackets that are open there
+        self._seen = 0  # bytes of it that were looked through
+        self._depth = 0  # brackets that are open there
 
     def feed(self, data: bytes) -> list[bytes]:
         """The objects that these bytes complete, and b"" for an empty line; HttpError where there is no object."""
@@ -49,7 +49,7 @@
     def _begin(self, found: list[bytes]) -> bool:
         # Over the white space before an object, to its brace.
         rest = self._held.lstrip(_SPACE)
-        if b"\n" in self._held[:len(self._held) - len(rest)]:
+        if b"\n" in self._held[: len(self._held) - len(rest)]:
             found.append(b"")
         if rest and rest[:1] != b"{":
             raise HttpError("no JSON object")
@@ -77,11 +77,11 @@
     def __init__(self) -> None:
         self._held = bytearray()
         self._head_read = False
-        self._left = 0              # bytes of the present chunk, or of the body; -1: until the end
+        self._left = 0  # bytes of the present chunk, or of the body; -1: until the end
         self._chunked = False
         self._after_chunk = False
         self._messages = Messages()
-        self.begun = False          # some of the body has come
+        self.begun = False  # some of the body has come
         self.done = False
 
     def feed(self, data: bytes) -> list[bytes]:
@@ -109,14 +109,13 @@
                 raise HttpError("head too long")
             return False
         first, *fields = bytes(self._held[:end]).split(b"\r\n")
-        del self._held[:end + 4]
+        del self._held[: end + 4]
         words = first.split(b" ", 2)
         if not words[0].startswith(b"HTTP/1.") or len(words) < 2:
             raise HttpError("no HTTP/1 answer")
         if words[1] != b"200":
             raise HttpError(f"status {words[1][:16].decode('ascii', 'replace')}")
-        named = {name.strip().lower(): value.strip().lower() for name, _, value in
-                 (f.partition(b":") for f in fields)}
+        named = {name.strip().lower(): value.strip().lower() for name, _, value in (f.partition(b":") for f in fields)}
         self._chunked = named.get(b"transfer-encoding", b"").endswith(b"chunked")
         length = named.get(b"content-length")
         if not self._chunked:
@@ -133,22 +132,22 @@
                 raise HttpError("chunk head too long")
             return False
         text = bytes(self._held[:end]).partition(b";")[0].strip()
-        if self._after_chunk and end == 0:      # the end of line that closes a chunk
+        if self._after_chunk and end == 0:  # the end of line that closes a chunk
             del self._held[:2]
             self._after_chunk = False
             return True
         if self._after_chunk or not _SIZE.fullmatch(text):
             raise HttpError("bad chunk")
         self._left = int(text, 16)
-        del self._held[:end + 2]
+        del self._held[: end + 2]
         self.done = self._left == 0
         return not self.done
 
     def _take(self, found: list[bytes]) -> bool:
         if not self._held:
             return False
-        part = bytes(self._held if self._left < 0 else self._held[:self._left])
-        del self._held[:len(part)]
+        part = bytes(self._held if self._left < 0 else self._held[: self._left])
+        del self._held[: len(part)]
         self.begun = True
         if self._left > 0:
             self._left -= len(part)
