--- a/thymeflow/net/discovery.py
+++ b/thymeflow/discovery/watch.py
@@ -19,39 +19,39 @@
 from twisted.internet.protocol import connectionDone
 from twisted.python.failure import Failure
 
-from thymeflow.net import clock, log
-from thymeflow.net.clock import STALL
-from thymeflow.net.config import Address, Listed, listed
-from thymeflow.net.http import Body, HttpError
-from thymeflow.net.link import Stream, dial, unread
-
-SILENCE = 6.0               # s: what a watch misses that has fallen silent counts as told by then
-HEARTBEATS = 4.5                 # s: two empty lines of an agent on this machine have not come: its watch is silent
-CONNECT = 1.0               # s: to connect
-FIRST = 1.0                 # s: until user agents are let in by the list as it is known, where nothing was heard
-WORD = (0.5, 2.0)           # s: without a first word, after which another watch is opened beside; pushed, asked for
-MOST_TRIES = 3              # watches open or being opened, of which the first to speak is kept
-PAUSE = 0.3                 # s: most before the next try, where lists are pushed or the set is small
-SPACING = 0.025             # s for each limiter of the set: over it first tries at a crowded service are spread
-LONGEST = SILENCE - CONNECT - FIRST   # s: most between tries: with the dial and its first word told in time
-GROWTH = 4.0                # times the bound with each failure: a crowded service also works on who has left
-MOST_LOOKS = 64             # times a socket's buffer read at once, so that a torrent does not hold the turn
+from thymeflow.discovery.http import Body, HttpError
+from thymeflow.platform.configuration import Address, EndpointUpdate, listed
+from thymeflow.runtime import clock, log
+from thymeflow.runtime.clock import STALL
+from thymeflow.transport.connections import Stream, dial, unread
+
+SILENCE = 6.0  # s: what a watch misses that has fallen silent counts as told by then
+HEARTBEATS = 4.5  # s: two empty lines of an agent on this machine have not come: its watch is silent
+CONNECT = 1.0  # s: to connect
+FIRST = 1.0  # s: until user agents are let in by the list as it is known, where nothing was heard
+WORD = (0.5, 2.0)  # s: without a first word, after which another watch is opened beside; pushed, asked for
+MOST_TRIES = 3  # watches open or being opened, of which the first to speak is kept
+PAUSE = 0.3  # s: most before the next try, where lists are pushed or the set is small
+SPACING = 0.025  # s for each limiter of the set: over it first tries at a crowded service are spread
+LONGEST = SILENCE - CONNECT - FIRST  # s: most between tries: with the dial and its first word told in time
+GROWTH = 4.0  # times the bound with each failure: a crowded service also works on who has left
+MOST_LOOKS = 64  # times a socket's buffer read at once, so that a torrent does not hold the turn
 
 
 class Reading(Stream):
     """One GET and its answer."""
 
-    def __init__(self, path: str, host: Address, message: Callable[[Reading, bytes], None],
-                 ended: Callable[[Reading, str], None]) -> None:
+    def __init__(
+        self, path: str, host: Address, message: Callable[[Reading, bytes], None], ended: Callable[[Reading, str], None]
+    ) -> None:
         self._path, self._host, self._message, self._ended = path, host, message, ended
         self._body, self._over = Body(), False
-        self.heard = 0.0            # when some of the body came last
+        self.heard = 0.0  # when some of the body came last
 
     def connectionMade(self) -> None:
         """Ask."""
         super().connectionMade()
-        self.write(f"GET {self._path} HTTP/1.1\r\nHost: {self._host}\r\n"
-                   "Accept: application/json\r\n\r\n".encode())
+        self.write(f"GET {self._path} HTTP/1.1\r\nHost: {self._host}\r\nAccept: application/json\r\n\r\n".encode())
 
     def dataReceived(self, data: bytes) -> None:
         """Pass the messages on as they are complete."""
@@ -85,7 +85,7 @@
 
     def __init__(self, limiters: int, seed: int, pushed: bool) -> None:
         self._rng, self._pushed = random.Random(seed), pushed
-        self._bound = 0.0           # s: now
+        self._bound = 0.0  # s: now
         self.resized(limiters)
 
     def resized(self, limiters: int) -> None:
@@ -117,21 +117,30 @@
 class Discovery:
     """The list as discovery tells it."""
 
-    def __init__(self, reactor: Any, deadlines: clock.Deadlines, address: Address, version: int,
-                 changed: Callable[[Listed], None], limiters: int, seed: int, pushed: bool = True) -> None:
+    def __init__(
+        self,
+        reactor: Any,
+        deadlines: clock.Deadlines,
+        address: Address,
+        version: int,
+        changed: Callable[[EndpointUpdate], None],
+        limiters: int,
+        seed: int,
+        pushed: bool = True,
+    ) -> None:
         self._reactor, self._deadlines, self._address = reactor, deadlines, address
         self.back_off = BackOff(limiters, seed, pushed)
         self._pushed = pushed
         self._silence, self._word = (HEARTBEATS, WORD[0]) if pushed else (SILENCE, WORD[1])
         self._version, self._changed = version, changed
-        self.told = False           # a first word was heard, or is not to be had: the list is as good as it gets
-        self.on_told: Callable[[], None] = lambda: None
-        self._watching: Reading | None = None   # the watch that spoke last, and is not silent
-        self._open: list[Reading] = []          # all that are open, the oldest first
+        self.is_ready = False  # a first word was heard, or is not to be had: the list is as good as it gets
+        self.on_ready: Callable[[], None] = lambda: None
+        self._watching: Reading | None = None  # the watch that spoke last, and is not silent
+        self._open: list[Reading] = []  # all that are open, the oldest first
         self._dialling = 0
-        self._turn = 0              # of the address; what is said of an earlier one is old
-        self._waiting = False       # a try is due
-        self._due: clock.Entry = []             # by when discovery has to be heard
+        self._turn = 0  # of the address; what is said of an earlier one is old
+        self._waiting = False  # a try is due
+        self._due: clock.Entry = []  # by when discovery has to be heard
 
     def start(self, by: float) -> None:
         """Begin to watch, and go on for good; `by` when to go on without a first word."""
@@ -140,25 +149,25 @@
 
     def _unheard(self, _: int) -> None:
         now = clock.now()
-        if self.told:
+        if self.is_ready:
             return
-        if self._deadlines.stalled(now):   # it may be what waits to be read
+        if self._deadlines.is_stalled(now):  # it may be what waits to be read
             self._deadlines.at(now + STALL, self._unheard)
             return
         log.note("discovery", f"no word from {self._address}: the list as it was known counts", version=self._version)
         self._tell()
 
     def _tell(self) -> None:
-        if not self.told:
-            self.told = True
-            self.on_told()
+        if not self.is_ready:
+            self.is_ready = True
+            self.on_ready()
 
     def look(self) -> None:
         """Read what waits to be read, as after a stall: it counts as told, and holds for what is sent from now on."""
         for reading in list(self._open):
             for _ in range(MOST_LOOKS):
                 if not unread(reading.transport) or reading.transport.doRead() is not None:
-                    break             # all is read; or it has ended, which the reactor finds too
+                    break  # all is read; or it has ended, which the reactor finds too
 
     def move(self, address: Address) -> None:
         """Watch at another address from now on; the list and its version stay."""
@@ -189,17 +198,22 @@
         def ended(reading: Reading, why: str) -> None:
             self._ended(turn, reading, why)
 
-        dialling = dial(self._reactor, self._deadlines, self._address, clock.now() + CONNECT,
-                       lambda: Reading(path, self._address, self._told, ended))
+        dialling = dial(
+            self._reactor,
+            self._deadlines,
+            self._address,
+            clock.now() + CONNECT,
+            lambda: Reading(path, self._address, self._told, ended),
+        )
         dialling.addCallbacks(self._up, self._not_up, callbackArgs=(turn,), errbackArgs=(turn,))
 
     def _up(self, reading: Reading, turn: int) -> None:
-        if turn != self._turn:      # moved while it was dialled
+        if turn != self._turn:  # moved while it was dialled
             reading.end("moved")
             return
         self._dialling -= 1
         self._open.append(reading)
-        if self._watching is not None:          # another has spoken meanwhile
+        if self._watching is not None:  # another has spoken meanwhile
             reading.end("there is another")
 
     def _not_up(self, failure: Failure, turn: int) -> None:
@@ -234,11 +248,15 @@
             self._hear_by(watch.heard + self._silence)
             return
         if watch is None and any(reading.heard + self._word > now for reading in self._open):
-            self._hear_by(now + self._word)     # a list comes in pieces
+            self._hear_by(now + self._word)  # a list comes in pieces
             return
         if watch is not None:
-            log.say("discovery", f"watch at {self._address} is silent for {self._silence:g} s", address=self._address,
-                    version=self._version)
+            log.say(
+                "discovery",
+                f"watch at {self._address} is silent for {self._silence:g} s",
+                address=self._address,
+                version=self._version,
+            )
             self._watching = None
             self._again(self.back_off.soon())
         self._hear_by(now + self._word)
@@ -263,7 +281,7 @@
         self._tell()
 
     @staticmethod
-    def _read(message: bytes) -> Listed | None:
+    def _read(message: bytes) -> EndpointUpdate | None:
         if not message:
             return None
         try:
@@ -272,12 +290,15 @@
             log.say("discovery", f"unreadable message: {fault!r}")
             return None
 
-    def _take(self, change: Listed) -> None:
-        version = change.membership.version
+    def _take(self, change: EndpointUpdate) -> None:
+        version = change.change.version
         if version < self._version:
             # Told by one that lags, or late: what came after it was told already, and holds.
-            log.say("discovery", f"generation {version} is behind {self._version}, which was told: not taken",
-                    version=self._version)
+            log.say(
+                "discovery",
+                f"generation {version} is behind {self._version}, which was told: not taken",
+                version=self._version,
+            )
             return
         self._version = version
         self._changed(change)
@@ -301,6 +322,11 @@
         def failed(_: Any) -> None:
             log.say("discovery", f"no list from {self._address}")
 
-        dialling = dial(self._reactor, self._deadlines, self._address, clock.now() + CONNECT,
-                       lambda: Reading("/api/targets", self._address, told, ended))
+        dialling = dial(
+            self._reactor,
+            self._deadlines,
+            self._address,
+            clock.now() + CONNECT,
+            lambda: Reading("/api/targets", self._address, told, ended),
+        )
         dialling.addCallbacks(up, failed)
--- a/thymeflow/fleet/mind.py
+++ b/thymeflow/fleet/controller.py
@@ -17,20 +17,20 @@
 
 from thymeflow.settings.sections import Fleet
 
-JITTER = 0.5         # of a wait: half is fixed, half is drawn, so that what ended together does not start so
+JITTER = 0.5  # of a wait: half is fixed, half is drawn, so that what ended together does not start so
 MOST_DOUBLINGS = 16
 
 
 class State(Enum):
     """Where a member is."""
 
-    WAITING = "waiting"          # to be started when its time has come
+    WAITING = "waiting"  # to be started when its time has come
     STARTING = "starting"
     READY = "ready"
-    REPLACING = "replacing"      # it serves, and a successor starts up beside it
+    REPLACING = "replacing"  # it serves, and a successor starts up beside it
     STOPPING = "stopping"
-    DOWN = "down"                # ended on purpose
-    LOOPING = "crash loop"       # ended too often; stays so until an order
+    DOWN = "down"  # ended on purpose
+    LOOPING = "crash loop"  # ended too often; stays so until an order
 
 
 class Move(Enum):
@@ -42,9 +42,9 @@
     ENDS = "ends"
     LOOPS = "loops"
     REPLACE = "replace"
-    SETTLE = "settle"            # a replacement is over, well or not
+    SETTLE = "settle"  # a replacement is over, well or not
     STOP = "stop"
-    AGAIN = "again"              # after an end on purpose, or out of a crash loop
+    AGAIN = "again"  # after an end on purpose, or out of a crash loop
 
 
 MOVES: dict[tuple[State, Move], State] = {
@@ -79,14 +79,14 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Up:
+class FleetStarted:
     """The supervisor has looked for members that run already, and wants so many."""
 
     count: int
 
 
 @dataclass(frozen=True, slots=True)
-class Adopted:
+class MemberAdopted:
     """A member that runs already was found."""
 
     number: int
@@ -95,7 +95,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Told:
+class StatusReported:
     """A run says how it is."""
 
     run: int
@@ -105,7 +105,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Ended:
+class RunEnded:
     """A run is over."""
 
     run: int
@@ -130,7 +130,7 @@
     count: int = 0
 
 
-Event = Tick | Up | Adopted | Told | Ended | Order
+Event = Tick | FleetStarted | MemberAdopted | StatusReported | RunEnded | Order
 
 
 # --- actions -----------------------------------------------------------------------------------------------
@@ -168,7 +168,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Say:
+class WriteLog:
     """A line for the log."""
 
     kind: str
@@ -176,7 +176,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Report:
+class ReportProgress:
     """A line for whoever gave the order; the last one has `done`."""
 
     id: int
@@ -190,7 +190,7 @@
     """The fleet is down: the supervisor ends."""
 
 
-Action = Start | Stop | Kill | Resize | Say | Report | Exit
+Action = Start | Stop | Kill | Resize | WriteLog | ReportProgress | Exit
 
 
 @dataclass(slots=True)
@@ -199,16 +199,16 @@
 
     number: int
     state: State = State.WAITING
-    due: float = 0.0                 # when to start, or when patience ends
-    run: int = -1                    # the process that counts
-    coming: int = -1                 # its successor
+    due: float = 0.0  # when to start, or when patience ends
+    run: int = -1  # the process that counts
+    coming: int = -1  # its successor
     life: str = ""
     healthy_since: float = inf
     joins: bool = False
-    again: bool = False              # start once more after the end that is under way
+    again: bool = False  # start once more after the end that is under way
     killed: bool = False
     crashes: deque[float] = field(default_factory=deque)
-    why: str = ""                    # its last unwanted end
+    why: str = ""  # its last unwanted end
 
     def move(self, move: Move) -> None:
         """Go to the next state; what is not in the table is a fault of ours."""
@@ -216,43 +216,43 @@
 
 
 @dataclass(slots=True)
-class Work:
+class OrderProgress:
     """The order that is under way."""
 
     order: Order
     queue: deque[int] = field(default_factory=deque)
-    at: int = -1                     # the member being rolled
+    at: int = -1  # the member being rolled
     total: int = 0
     failed: str = ""
-    span: range = range(0)                            # of a scale: the members that come or go
-    unspoken: set[int] = field(default_factory=set)   # those of them not reported yet
+    span: range = range(0)  # of a scale: the members that come or go
+    unspoken: set[int] = field(default_factory=set)  # those of them not reported yet
 
 
-class Mind:
+class FleetController:
     """The supervisor's decisions."""
 
     def __init__(self, settings: Fleet, rng: random.Random) -> None:
         self._settings, self._rng = settings, rng
         self.members: dict[int, Member] = {}
-        self.count = 0                                 # how many are wanted
-        self.size = 0                                  # what members are told
-        self._runs: dict[int, int] = {}                # run to number
+        self.count = 0  # how many are wanted
+        self.size = 0  # what members are told
+        self._runs: dict[int, int] = {}  # run to number
         self._next, self._now = 0, 0.0
-        self._work: Work | None = None
-        self._leaving: dict[int, float] = {}           # runs that are on their way out, and until when
+        self._work: OrderProgress | None = None
+        self._leaving: dict[int, float] = {}  # runs that are on their way out, and until when
         self._actions: list[Action] = []
 
     def handle(self, now: float, event: Event) -> list[Action]:
         """Decide on one event."""
         self._now, self._actions = now, []
         match event:
-            case Up(count):
+            case FleetStarted(count):
                 self._up(count)
-            case Adopted(number, life, serves):
+            case MemberAdopted(number, life, serves):
                 self._adopt(number, life, serves)
-            case Told(run, life, serves, healthy):
+            case StatusReported(run, life, serves, healthy):
                 self._told(run, life, serves, healthy)
-            case Ended(run, how):
+            case RunEnded(run, how):
                 self._ended(run, how)
             case Order():
                 self._order(event)
@@ -263,8 +263,11 @@
 
     def next_due(self) -> float:
         """When the next Tick would change something; now at the earliest, inf if nothing waits for time."""
-        due = [m.due for m in self.members.values()
-               if m.state in (State.WAITING, State.STARTING, State.REPLACING, State.STOPPING)]
+        due = [
+            m.due
+            for m in self.members.values()
+            if m.state in (State.WAITING, State.STARTING, State.REPLACING, State.STOPPING)
+        ]
         due += self._leaving.values()
         if self._work is not None and self._work.at >= 0:
             rolled = self.members[self._work.at]
@@ -398,7 +401,7 @@
             return
         member.run = -1
         if member.coming >= 0:
-            return   # replaced, and the successor's word is on its way; or else that one will end too
+            return  # replaced, and the successor's word is on its way; or else that one will end too
         if member.state is State.STOPPING:
             member.move(Move.ENDS)
             self._after_stop(member)
@@ -422,12 +425,14 @@
         count = len(member.crashes)
         if count >= self._settings.crashes:
             member.move(Move.LOOPS)
-            self._say("crash loop", f"member {member.number} ended {count} times within {window:g} s and is not "
-                      f"started again before an order; the last time it {how}")
+            self._say(
+                "crash loop",
+                f"member {member.number} ended {count} times within {window:g} s and is not "
+                f"started again before an order; the last time it {how}",
+            )
         else:
             member.move(Move.ENDS)
-            wait = min(self._settings.longest_wait,
-                       self._settings.wait * 2.0 ** min(MOST_DOUBLINGS, count - 1))
+            wait = min(self._settings.longest_wait, self._settings.wait * 2.0 ** min(MOST_DOUBLINGS, count - 1))
             wait *= 1.0 - JITTER * self._rng.random()
             member.due = now + wait
             self._say("member", f"{member.number} {how}; started again in {wait:.2f} s")
@@ -437,12 +442,14 @@
 
     def _order(self, order: Order) -> None:
         if self._work is not None and order.kind is not Kind.DOWN:
-            self._actions.append(Report(order.id, f"{self.working()} is under way: wait for its end", True, False))
+            self._actions.append(
+                ReportProgress(order.id, f"{self.working()} is under way: wait for its end", True, False)
+            )
             return
         if self._work is not None:
             self._stop_work("the fleet goes down")
         if order.kind is Kind.DOWN:
-            self._work = Work(order, total=len(self.members))
+            self._work = OrderProgress(order, total=len(self.members))
             for member in self.members.values():
                 self._stop(member)
         elif order.kind is Kind.SCALE:
@@ -453,7 +460,7 @@
     def _scale(self, order: Order) -> None:
         before, self.count = self.count, order.count
         span = range(min(before, order.count), max(before, order.count))
-        self._work = Work(order, total=len(span), span=span, unspoken=set(span))
+        self._work = OrderProgress(order, total=len(span), span=span, unspoken=set(span))
         if order.count > before:
             # First all are told, so that requests of customers whose set is larger by now are not refused.
             self._resize(order.count)
@@ -467,7 +474,7 @@
     def _roll(self, order: Order) -> None:
         looping = [m for m in self.members.values() if m.state is State.LOOPING]
         if order.kind is Kind.RESTART:
-            for member in looping:         # the order is what they waited for
+            for member in looping:  # the order is what they waited for
                 member.crashes.clear()
                 member.move(Move.AGAIN)
                 member.due = self._now
@@ -476,11 +483,18 @@
             unready += looping
         if unready:
             first = unready[0]
-            self._actions.append(Report(order.id, f"member {first.number} is {first.state.value}: nothing was "
-                                        "touched; all have to be ready before a roll", True, False))
+            self._actions.append(
+                ReportProgress(
+                    order.id,
+                    f"member {first.number} is {first.state.value}: nothing was "
+                    "touched; all have to be ready before a roll",
+                    True,
+                    False,
+                )
+            )
             return
         queue = deque(m.number for m in self.members.values() if m not in looping)
-        self._work = Work(order, queue, total=len(queue))
+        self._work = OrderProgress(order, queue, total=len(queue))
 
     def _roll_fails(self, member: Member, why: str) -> None:
         work = self._work
@@ -490,7 +504,7 @@
 
     def _stop_work(self, why: str) -> None:
         assert self._work is not None
-        self._actions.append(Report(self._work.order.id, why, True, False))
+        self._actions.append(ReportProgress(self._work.order.id, why, True, False))
         self._work = None
 
     def _turn(self) -> None:
@@ -501,8 +515,12 @@
                 self._leaving[run] = self._now + self._settings.stop
                 self._actions.append(Kill(run))
         if self._work is not None:
-            {Kind.DOWN: self._turn_down, Kind.SCALE: self._turn_scale, Kind.RESTART: self._turn_roll,
-             Kind.UPGRADE: self._turn_roll}[self._work.order.kind](self._work)
+            {
+                Kind.DOWN: self._turn_down,
+                Kind.SCALE: self._turn_scale,
+                Kind.RESTART: self._turn_roll,
+                Kind.UPGRADE: self._turn_roll,
+            }[self._work.order.kind](self._work)
 
     def _look(self, member: Member) -> None:
         if self._now < member.due:
@@ -526,17 +544,17 @@
         self._actions.append(Kill(member.run))
         member.due = self._now + again
 
-    def _turn_down(self, work: Work) -> None:
+    def _turn_down(self, work: OrderProgress) -> None:
         if all(m.state is State.DOWN for m in self.members.values()) and not self._leaving:
-            self._actions += [Report(work.order.id, "all have ended", True), Exit()]
+            self._actions += [ReportProgress(work.order.id, "all have ended", True), Exit()]
             self._work = None
 
-    def _turn_scale(self, work: Work) -> None:
+    def _turn_scale(self, work: OrderProgress) -> None:
         gone = [m for m in self.members.values() if m.number >= self.count]
         for member in self.members.values():
             if member.number in work.unspoken and member.state in (State.READY, State.DOWN):
                 work.unspoken.discard(member.number)
-                self._actions.append(Report(work.order.id, f"member {member.number} is {member.state.value}"))
+                self._actions.append(ReportProgress(work.order.id, f"member {member.number} is {member.state.value}"))
         fresh = [m for m in self.members.values() if m.number in work.span and m not in gone]
         looping = [m for m in fresh if m.state is State.LOOPING]
         if looping:
@@ -545,10 +563,10 @@
             for member in gone:
                 del self.members[member.number]
             self._resize(self.count)
-            self._actions.append(Report(work.order.id, f"the fleet has {self.count} members", True))
+            self._actions.append(ReportProgress(work.order.id, f"the fleet has {self.count} members", True))
             self._work = None
 
-    def _turn_roll(self, work: Work) -> None:
+    def _turn_roll(self, work: OrderProgress) -> None:
         if work.at >= 0:
             rolled = self.members[work.at]
             healthy = rolled.state is State.READY and self._now >= rolled.healthy_since + self._settings.settle
@@ -556,8 +574,9 @@
                 return
             if healthy and not work.failed:
                 done = work.total - len(work.queue)
-                self._actions.append(Report(work.order.id, f"member {rolled.number} is ready ({done} of "
-                                            f"{work.total})"))
+                self._actions.append(
+                    ReportProgress(work.order.id, f"member {rolled.number} is ready ({done} of {work.total})")
+                )
         if work.failed:
             left = [str(n) for n in work.queue]
             self._say("roll", f"{work.order.kind.value} stopped: {work.failed}")
@@ -565,7 +584,9 @@
             return
         work.at = -1
         if not work.queue:
-            self._actions.append(Report(work.order.id, f"{work.order.kind.value} done: {work.total} members", True))
+            self._actions.append(
+                ReportProgress(work.order.id, f"{work.order.kind.value} done: {work.total} members", True)
+            )
             self._work = None
             return
         work.at = work.queue.popleft()
@@ -580,4 +601,4 @@
             self._actions.append(Start(member.coming, member.number, False, True))
 
     def _say(self, kind: str, text: str) -> None:
-        self._actions.append(Say(kind, text))
+        self._actions.append(WriteLog(kind, text))
--- a/thymeflow/fleet/division.py
+++ b/thymeflow/fleet/lease_distributor.py
@@ -6,32 +6,41 @@
 from pathlib import Path
 from typing import Any
 
-from thymeflow.budgets import table
-from thymeflow.budgets.granter import Granter, State, Write
-from thymeflow.budgets.holder import Part, message_of, part_from
-from thymeflow.budgets.kinds import BASE, LENT, WHOLE, Kind
-from thymeflow.net import clock, log
-from thymeflow.succession.control import Message
+from thymeflow.handover.control_socket import Message
+from thymeflow.leases import grant_file
+from thymeflow.leases.holder import Allocation, allocation_from_message, message_of
+from thymeflow.leases.issuer import LeaseIssuer, State, Write
+from thymeflow.leases.resources import BASE, LENT, WHOLE, Resource
+from thymeflow.runtime import clock, log
 
-BEAT = 0.25     # s: between divisions
+BEAT = 0.25  # s: between divisions
 
 
-class Division:
+class LeaseDistributor:
     """What the fleet may do, divided among its members by name."""
 
-    def __init__(self, deadlines: clock.Deadlines, path: Path, fleet: str, send: Callable[[str, Message], None],
-                 size: Callable[[], int]) -> None:
+    def __init__(
+        self,
+        deadlines: clock.Deadlines,
+        path: Path,
+        fleet: str,
+        send: Callable[[str, Message], None],
+        size: Callable[[], int],
+    ) -> None:
         self._deadlines, self._path, self._fleet, self._send, self._size = deadlines, path, fleet, send, size
-        self._granter = Granter(1, clock.monotonic())
-        self.fault = ""          # why the last write of the table failed
+        self._granter = LeaseIssuer(1, clock.monotonic())
+        self.fault = ""  # why the last write of the table failed
 
     def start(self, living: bool) -> None:
         """Go on from the table of the supervisor before; `living`: members of it may run."""
-        self._granter, fault = table.read(self._path, self._fleet, clock.monotonic(), living)
+        self._granter, fault = grant_file.read(self._path, self._fleet, clock.monotonic(), living)
         if fault:
             log.note("budgets", f"nothing is granted from the table of before: {fault}")
-        log.note("budgets", f"era {self._granter.era}, {len(self._granter.rows)} members may hold parts",
-                 era=self._granter.era)
+        log.note(
+            "budgets",
+            f"era {self._granter.epoch}, {len(self._granter.rows)} members may hold parts",
+            era=self._granter.epoch,
+        )
         self._beat(0)
 
     def holders(self) -> list[str]:
@@ -40,7 +49,7 @@
 
     def _kept(self) -> bool:
         try:
-            table.write(self._path, self._granter, self._fleet)
+            grant_file.write(self._path, self._granter, self._fleet)
         except OSError as fault:
             if not self.fault:
                 log.note("budgets", f"the table is not written, so nothing new is granted: {fault}")
@@ -51,44 +60,44 @@
 
     def _beat(self, _: int) -> None:
         granter = self._granter
-        granter.resized(self._size())
-        for action in granter.beat(clock.monotonic()):
+        granter.resize(self._size())
+        for action in granter.tick(clock.monotonic()):
             if not isinstance(action, Write):
                 self._send(action.holder, {"do": "part", "part": message_of(action.part)})
             elif self._kept():
-                for send in granter.written(action.version):
+                for send in granter.on_written(action.version):
                     self._send(send.holder, {"do": "part", "part": message_of(send.part)})
             else:
-                granter.unwritten(action.version)
+                granter.on_write_failed(action.version)
         self._deadlines.at(clock.now() + BEAT, self._beat)
 
-    def born(self, name: str) -> Message:
+    def on_starting(self, name: str) -> Message:
         """The part that a process of that name is started with."""
         granter = self._granter
         if granter.row(name).state not in (State.ABSENT, State.UNHEARD):
-            granter.silent(name)
-        part, _ = granter.born(name, clock.monotonic())
+            granter.on_disconnected(name)
+        part, _ = granter.on_starting(name, clock.monotonic())
         if not self._kept():
-            part = Part(part.era, part.number)     # it begins with nothing, and is granted later
+            part = Allocation(part.epoch, part.number)  # it begins with nothing, and is granted later
         return message_of(part)
 
-    def hears(self, name: str, message: Any) -> None:
+    def on_report(self, name: str, message: Any) -> None:
         """What a member says of its part; one that claims what cannot be is left with what is known of it."""
         try:
-            part = part_from(message)
+            part = allocation_from_message(message)
             demand = tuple(float(d) for d in message["demand"])
         except (ValueError, TypeError, KeyError) as fault:
             log.say("budgets", f"{name} says of its part what cannot be read: {fault}")
             return
-        self._granter.hears(name, part, demand, clock.monotonic())
+        self._granter.on_report(name, part, demand, clock.monotonic())
 
-    def silent(self, name: str) -> None:
+    def on_disconnected(self, name: str) -> None:
         """The line to a member has ended."""
-        self._granter.silent(name)
+        self._granter.on_disconnected(name)
 
-    def dies(self, name: str) -> None:
+    def on_death(self, name: str) -> None:
         """A member's processes have all ended."""
-        self._granter.dies(name)
+        self._granter.on_death(name)
 
     def status(self) -> dict[str, Any]:
         """Whole, parts and ends, as JSON takes it; amounts in points of the whole."""
@@ -96,13 +105,23 @@
         rows = {}
         for name, row in sorted(granter.rows.items()):
             rows[name] = {
-                "state": row.state.value, "number": row.number, "told": list(row.told),
+                "state": row.state.value,
+                "number": row.number,
+                "told": list(row.told),
                 "ends_in_s": round(max(0.0, row.end - now), 2),
                 "demand": list(row.demand),
-                "base": {k.value: granter.base[n].out(name, now) for n, k in enumerate(Kind)},
-                "lease": {k.value: granter.lent[n].out(name, now) for n, k in enumerate(Kind)}}
-        return {"whole": WHOLE, "base": BASE, "pool": LENT, "era": granter.era, "fault": self.fault,
-                "free": {k.value: {"base": granter.base[n].free(now), "pool": granter.lent[n].free(now)}
-                         for n, k in enumerate(Kind)}, "members": rows}
-
-
+                "base": {k.value: granter.base[n].out(name, now) for n, k in enumerate(Resource)},
+                "lease": {k.value: granter.lent[n].out(name, now) for n, k in enumerate(Resource)},
+            }
+        return {
+            "whole": WHOLE,
+            "base": BASE,
+            "pool": LENT,
+            "era": granter.epoch,
+            "fault": self.fault,
+            "free": {
+                k.value: {"base": granter.base[n].free(now), "pool": granter.lent[n].free(now)}
+                for n, k in enumerate(Resource)
+            },
+            "members": rows,
+        }
--- a/thymeflow/fleet/run.py
+++ b/thymeflow/fleet/processes.py
@@ -14,48 +14,55 @@
 from twisted.internet.protocol import ProcessProtocol
 from twisted.python.failure import Failure
 
-from thymeflow.net import clock
-from thymeflow.succession import ask
-from thymeflow.succession.control import Message
+from thymeflow.handover import control_client
+from thymeflow.handover.control_socket import Message
+from thymeflow.runtime import clock
 
-LINK_PACE = 0.05      # s: between tries to reach a control socket that is not there yet
-SHELL = 'LISTEN_PID=$$ exec "$@"'   # the child's own pid, as sd_listen_fds(3) wants it
+LINK_PACE = 0.05  # s: between tries to reach a control socket that is not there yet
+SHELL = 'LISTEN_PID=$$ exec "$@"'  # the child's own pid, as sd_listen_fds(3) wants it
 
 
 class Run:
     """One process of a member: `heard` gets each status, `ended` its end in words, once."""
 
-    def __init__(self, reactor: Any, deadlines: clock.Deadlines, path: Path, pid: int,
-                 heard: Callable[[Message], None], ended: Callable[[str], None],
-                 silent: Callable[[], None] = lambda: None) -> None:
+    def __init__(
+        self,
+        reactor: Any,
+        deadlines: clock.Deadlines,
+        path: Path,
+        pid: int,
+        heard: Callable[[Message], None],
+        ended: Callable[[str], None],
+        silent: Callable[[], None] = lambda: None,
+    ) -> None:
         self.pid, self.over = pid, False
         self._reactor, self._deadlines, self._path, self._heard, self._ended = reactor, deadlines, path, heard, ended
         self._silent = silent
-        self._talk: ask.Talk | None = None
+        self._talk: control_client.ControlSession | None = None
         self.last: Message = {}
 
     def link(self, _: int = 0) -> None:
         """Follow it over its control socket, from the moment that there is one."""
         if self.over:
             return
-        made = ask.talk(self._reactor, self._path, self._status, self._unlinked)
+        made = control_client.talk(self._reactor, self._path, self._status, self._unlinked)
         made.addCallbacks(self._linked, lambda _: self._again())
 
     def _again(self) -> None:
         if not self.over:
             self._deadlines.at(clock.now() + LINK_PACE, self.link)
 
-    def _linked(self, talk: ask.Talk) -> None:
+    def _linked(self, talk: control_client.ControlSession) -> None:
         self._talk = talk
         if self.over:
             talk.close()
         else:
-            talk.say({"do": "watch"})
+            talk.send({"do": "watch"})
 
     def say(self, message: Message) -> None:
         """Say something to it; what does not arrive is said anew by whoever cares."""
         if self._talk is not None and not self.over:
-            self._talk.say(message)
+            self._talk.send(message)
 
     def _unlinked(self) -> None:
         self._talk = None
@@ -92,7 +99,7 @@
 
     def __init__(self) -> None:
         self._run: Run | None = None
-        self._how = ""        # its end, where that came before anybody followed it
+        self._how = ""  # its end, where that came before anybody followed it
 
     def follow(self, run: Run) -> None:
         """Tell a run of its end, which may have come already."""
@@ -145,8 +152,9 @@
     return [*(program or (sys.executable, "-m", "thymeflow")), "serve", *arguments]
 
 
-def spawn(reactor: Any, words: Sequence[str], environment: Mapping[str, str], output: int,
-          listening: socket.socket | None) -> tuple[Child, int]:
+def spawn(
+    reactor: Any, words: Sequence[str], environment: Mapping[str, str], output: int, listening: socket.socket | None
+) -> tuple[Child, int]:
     """Start a process that outlives us, its output in a file, with a listening socket as descriptor 3."""
     child, nothing = Child(), os.open(os.devnull, os.O_RDONLY)
     passed = {0: nothing, 1: output, 2: output}
@@ -159,4 +167,4 @@
         transport = reactor.spawnProcess(child, words[0], list(words), environment, childFDs=passed)
     finally:
         os.close(nothing)
-    return child, int(transport.pid or 0)   # 0: it has ended by now, which the child tells
+    return child, int(transport.pid or 0)  # 0: it has ended by now, which the child tells
--- a/thymeflow/fleet/roster.py
+++ b/thymeflow/fleet/registry.py
@@ -15,8 +15,8 @@
 
 import msgspec
 
-from thymeflow.net.config import Address, ConfigError, address, from_source
-from thymeflow.state import keep
+from thymeflow.platform.configuration import Address, ConfigurationError, address, from_source
+from thymeflow.snapshot import atomic_file
 
 MOST_BYTES = 4 << 20
 
@@ -25,8 +25,8 @@
     """What a successor of the supervisor needs to know."""
 
     count: int
-    ports: dict[str, int]         # by member's number; those that the system chose included
-    working: str = ""             # the order that was under way
+    ports: dict[str, int]  # by member's number; those that the system chose included
+    working: str = ""  # the order that was under way
 
 
 @dataclass(frozen=True, slots=True)
@@ -52,7 +52,7 @@
         """Numbers of members that have left a control socket's name, living or not."""
         found = []
         for path in self.folder.glob(f"{self.prefix}*.sock"):
-            digits = path.name[len(self.prefix):-len(".sock")]
+            digits = path.name[len(self.prefix) : -len(".sock")]
             if digits.isdigit():
                 found.append(int(digits))
         return sorted(found)
@@ -62,18 +62,19 @@
     """The platform's JSON for all members; ConfigError where no member could use it."""
     try:
         if path.stat().st_size > MOST_BYTES:
-            raise ConfigError(f"{path}: holds over {MOST_BYTES} bytes")
+            raise ConfigurationError(f"{path}: holds over {MOST_BYTES} bytes")
         source = json.loads(path.read_text())
     except (OSError, ValueError) as fault:
-        raise ConfigError(f"{path}: {fault}") from None
+        raise ConfigurationError(f"{path}: {fault}") from None
     if not isinstance(source, dict) or not isinstance(source.get("settings"), dict):
-        raise ConfigError(f"{path}: no JSON object with settings")
+        raise ConfigurationError(f"{path}: no JSON object with settings")
     from_source(member(source, "n0", "127.0.0.1:0", 0, 1), str(path), {})
     return source
 
 
-def member(source: dict[str, Any], name: str, listen: str, number: int, size: int,
-           part: dict[str, Any] | None = None) -> dict[str, Any]:
+def member(
+    source: dict[str, Any], name: str, listen: str, number: int, size: int, part: dict[str, Any] | None = None
+) -> dict[str, Any]:
     """One member's configuration; `part`: of what the fleet may do."""
     made = copy.deepcopy(source)
     made.update(name=name, listen=listen, seed=secrets.token_hex(8))
@@ -83,11 +84,12 @@
     return made
 
 
-def write_member(names: Names, source: dict[str, Any], listen: str, number: int, size: int,
-                 part: dict[str, Any] | None = None) -> None:
+def write_member(
+    names: Names, source: dict[str, Any], listen: str, number: int, size: int, part: dict[str, Any] | None = None
+) -> None:
     """Write one member's configuration, whole or not at all."""
     made = member(source, names.name(number), listen, number, size, part)
-    keep.write(names.path(number, "json"), json.dumps(made, indent=1).encode(), keep.Lasting.PROCESS)
+    atomic_file.write(names.path(number, "json"), json.dumps(made, indent=1).encode(), atomic_file.Durability.PROCESS)
 
 
 def read_roster(path: Path) -> Roster | None:
@@ -102,7 +104,7 @@
 
 def write_roster(path: Path, roster: Roster) -> None:
     """Write it, whole or not at all."""
-    keep.write(path, msgspec.json.encode(roster), keep.Lasting.PROCESS)
+    atomic_file.write(path, msgspec.json.encode(roster), atomic_file.Durability.PROCESS)
 
 
 def listen_of(base: str, number: int, known: dict[str, int]) -> Address:
--- a/thymeflow/fleet/supervisor.py
+++ b/thymeflow/fleet/supervisor.py
@@ -22,30 +22,31 @@
 
 from twisted.internet.defer import Deferred, DeferredList
 
-from thymeflow.budgets.holder import NOTHING, message_of
-from thymeflow.daemon.lock import Held, Lock, is_free
+from thymeflow.daemon.lock import Lock, NameTakenError, is_free
 from thymeflow.daemon.notify import Notifier
 from thymeflow.daemon.service import BAD_CONFIGURATION, CANNOT_LISTEN, NAME_HELD
-from thymeflow.fleet import mind, roster
-from thymeflow.fleet.court import Court
-from thymeflow.fleet.division import Division
-from thymeflow.fleet.mind import Kind, Mind, State
-from thymeflow.fleet.run import Child, Found, Run, command, spawn
-from thymeflow.net import clock, config, log
-from thymeflow.net.door import bound, opened
-from thymeflow.observe.structured import Logbook
+from thymeflow.fleet import controller, registry
+from thymeflow.fleet.controller import FleetController, Kind, State
+from thymeflow.fleet.lease_distributor import LeaseDistributor
+from thymeflow.fleet.outlier_service import OutlierService
+from thymeflow.fleet.processes import Child, Found, Run, command, spawn
+from thymeflow.frontend.listener import bound, opened
+from thymeflow.handover import control_client, listening_sockets
+from thymeflow.handover.control_socket import ControlCaller, ControlError, ControlServer, Message
+from thymeflow.leases.holder import EMPTY_ALLOCATION, message_of
+from thymeflow.logs.structured import StructuredLog
+from thymeflow.platform import configuration
+from thymeflow.runtime import clock, log
 from thymeflow.settings import Settings, SettingsError
-from thymeflow.settings.units import BadValue, Count
-from thymeflow.succession import ask, listening
-from thymeflow.succession.control import Caller, Control, ControlError, Message
+from thymeflow.settings.units import Count, InvalidValueError
 
-FIND = 1.0          # s: in which a member that runs answers
-LAST_WORDS = 0.1    # s: for the last answer to leave
+FIND = 1.0  # s: in which a member that runs answers
+LAST_WORDS = 0.1  # s: for the last answer to leave
 MOST_MEMBERS = 256
 CALLERS = 32
 
 
-class CannotSupervise(Exception):
+class SupervisorError(Exception):
     """The fleet is not begun; the text says why in one line, `code` is the exit code."""
 
     def __init__(self, why: str, code: int) -> None:
@@ -54,7 +55,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Given:
+class SupervisorOptions:
     """What a supervisor is started with: how our settings are read, and the files as members are to read them."""
 
     read: Callable[[], Settings]
@@ -67,56 +68,62 @@
 class Supervisor:
     """Runs a fleet until it is down, or until it is told to leave it alone."""
 
-    def __init__(self, given: Given, reactor: Any) -> None:
+    def __init__(self, given: SupervisorOptions, reactor: Any) -> None:
         self._given, self._reactor = given, reactor
         self.settings = given.read()
         self._fleet = self.settings.fleet
-        self._names = roster.Names(given.folder, self._fleet.name)
+        self._names = registry.Names(given.folder, self._fleet.name)
         self._deadlines = clock.Deadlines(reactor)
-        self._mind = Mind(self._fleet, random.Random(os.urandom(8)))
+        self._mind = FleetController(self._fleet, random.Random(os.urandom(8)))
         self._runs: dict[int, Run] = {}
-        self._numbers: dict[int, int] = {}            # of the member, by run
+        self._numbers: dict[int, int] = {}  # of the member, by run
         self._sockets: dict[int, socket.socket] = {}
         self._ports: dict[str, int] = {}
         self._program = given.program
-        self._program_before: dict[int, str] = {}     # by order
-        self._callers: dict[int, Caller] = {}
+        self._program_before: dict[int, str] = {}  # by order
+        self._callers: dict[int, ControlCaller] = {}
         self._orders, self._written = 0, b""
         self._tick: clock.Entry = []
         self._lock: Lock
-        self._control: Control
+        self._control: ControlServer
         self._output = -1
         self._source: dict[str, Any] = {}
-        self.book = Logbook(self.settings.log, "fleet", os.urandom(4).hex())
+        self.book = StructuredLog(self.settings.log, "fleet", os.urandom(4).hex())
         self._notifier = Notifier(os.environ)
-        self._division = Division(self._deadlines, self._names.own("grants"), self._fleet.name, self._grant,
-                                  lambda: self._mind.size)
-        self._court = Court(self._deadlines, float(self.settings.budgets.trials), self._grant)
+        self._division = LeaseDistributor(
+            self._deadlines, self._names.own("grants"), self._fleet.name, self._grant, lambda: self._mind.size
+        )
+        self._court = OutlierService(self._deadlines, float(self.settings.budgets.trials), self._grant)
         self.code = 0
 
     # --- start and end -------------------------------------------------------------------------------------
 
     def start(self) -> None:
         """Take the fleet's name, find what runs, and begin; CannotSupervise says why not."""
-        self.book.take_over()
+        self.book.install()
         try:
             self._given.folder.mkdir(mode=0o700, parents=True, exist_ok=True)
-            self._source = roster.template(self._given.platform)
+            self._source = registry.template(self._given.platform)
             self._lock = Lock.take(self._names.own("lock"), "supervisor")
-            self._output = os.open(self._names.own("out"), os.O_WRONLY | os.O_APPEND | os.O_CREAT | os.O_CLOEXEC,
-                                   0o600)
-            self._control = Control(self._reactor, self._deadlines, self._names.own("sock"), CALLERS,
-                                    self.settings.daemon.control_patience, self._served)
+            self._output = os.open(self._names.own("out"), os.O_WRONLY | os.O_APPEND | os.O_CREAT | os.O_CLOEXEC, 0o600)
+            self._control = ControlServer(
+                self._reactor,
+                self._deadlines,
+                self._names.own("sock"),
+                CALLERS,
+                self.settings.daemon.control_patience,
+                self._served,
+            )
             self._control.listen()
-        except config.ConfigError as fault:
-            raise CannotSupervise(str(fault), BAD_CONFIGURATION) from None
-        except Held as fault:
-            raise CannotSupervise(f"another supervisor runs: {fault}", NAME_HELD) from None
+        except configuration.ConfigurationError as fault:
+            raise SupervisorError(str(fault), BAD_CONFIGURATION) from None
+        except NameTakenError as fault:
+            raise SupervisorError(f"another supervisor runs: {fault}", NAME_HELD) from None
         except (ControlError, OSError) as fault:
-            raise CannotSupervise(f"{self._given.folder}: {fault}", CANNOT_LISTEN) from None
+            raise SupervisorError(f"{self._given.folder}: {fault}", CANNOT_LISTEN) from None
         count = self._fleet.instances
         try:
-            before = roster.read_roster(self._names.own("json"))
+            before = registry.read_roster(self._names.own("json"))
         except ValueError as fault:
             log.note("roster", f"not used, the settings hold: {fault}")
             before = None
@@ -132,10 +139,10 @@
             running = [number for good, number in results if good and number is not None]
             for name in self._division.holders():
                 if is_free(self._names.folder / f"{name}.lock"):
-                    self._division.dies(name)     # by the kernel's word: whoever held the name has ended
+                    self._division.on_death(name)  # by the kernel's word: whoever held the name has ended
             # What was ordered last holds on where members run by it; a fresh start goes by the settings.
             wanted = before.count if before is not None and running else count
-            self._decide(mind.Up(wanted))
+            self._decide(controller.FleetStarted(wanted))
             self._notifier.tell(ready=1, mainpid=os.getpid(), status=f"{wanted} members")
 
         DeferredList(found, consumeErrors=True).addCallback(begin)
@@ -151,27 +158,28 @@
                 found = Found(self._reactor, status["pid"])
             except OSError:
                 return None
-            actions = self._mind.handle(clock.now(), mind.Adopted(
-                number, str(status["life"]), status["phase"] == "serving"))
+            actions = self._mind.handle(
+                clock.now(), controller.MemberAdopted(number, str(status["life"]), status["phase"] == "serving")
+            )
             member = self._mind.members[number]
             self._follow(member.run, number, status["pid"], found)
             log.note("adopted", f"{self._names.name(number)}, pid {status['pid']}, {status['phase']}")
             self._carry_out(actions)
             return self._copy_socket(number, path)
 
-        asking = ask.ask(self._reactor, self._deadlines, path, {"do": "status"}, clock.now() + FIND)
+        asking = control_client.ask(self._reactor, self._deadlines, path, {"do": "status"}, clock.now() + FIND)
         return asking.addCallbacks(told, lambda _: None)
 
     def _copy_socket(self, number: int, path: Path) -> Deferred[int | None]:
         done: Deferred[int | None] = Deferred()
-        line: list[ask.Talk] = []
+        line: list[control_client.ControlSession] = []
 
         def heard(message: Message) -> None:
             talk = line[0]
             if message.get("ok") and talk.descriptors:
                 descriptor = talk.descriptors.pop()
-                with contextlib.suppress(listening.BadDescriptor, OSError):
-                    self._sockets[number] = listening.checked(descriptor)
+                with contextlib.suppress(listening_sockets.BadDescriptorError, OSError):
+                    self._sockets[number] = listening_sockets.checked(descriptor)
                 os.close(descriptor)
             talk.close()
 
@@ -179,11 +187,11 @@
             if not done.called:
                 done.callback(number)
 
-        def up(talk: ask.Talk) -> None:
+        def up(talk: control_client.ControlSession) -> None:
             line.append(talk)
-            talk.say({"do": "socket"})
+            talk.send({"do": "socket"})
 
-        ask.talk(self._reactor, path, heard, ended).addCallbacks(up, lambda _: ended())
+        control_client.talk(self._reactor, path, heard, ended).addCallbacks(up, lambda _: ended())
         return done
 
     def run(self) -> int:
@@ -194,12 +202,15 @@
         self._reactor.run()
         self._control.close()
         self._lock.release()
-        self.book.out.close()
+        self.book.file.close()
         return self.code
 
     def _take_signals(self) -> None:
-        for number, served in ((signal.SIGTERM, self._down), (signal.SIGINT, self._down),
-                               (signal.SIGHUP, self._reload)):
+        for number, served in (
+            (signal.SIGTERM, self._down),
+            (signal.SIGINT, self._down),
+            (signal.SIGHUP, self._reload),
+        ):
             signal.signal(number, lambda *_, served=served: self._reactor.callFromThread(served))
 
     def _end(self) -> None:
@@ -212,25 +223,25 @@
 
     # --- the mind ------------------------------------------------------------------------------------------
 
-    def _decide(self, event: mind.Event) -> None:
+    def _decide(self, event: controller.Event) -> None:
         self._carry_out(self._mind.handle(clock.now(), event))
 
-    def _carry_out(self, actions: list[mind.Action]) -> None:
+    def _carry_out(self, actions: list[controller.Action]) -> None:
         for action in actions:
             match action:
-                case mind.Start():
+                case controller.Start():
                     self._start(action)
-                case mind.Stop(run):
+                case controller.Stop(run):
                     self._signal(run, signal.SIGTERM)
-                case mind.Kill(run):
+                case controller.Kill(run):
                     self._signal(run, signal.SIGKILL)
-                case mind.Resize(size):
+                case controller.Resize(size):
                     self._resize(size)
-                case mind.Say(kind, text):
+                case controller.WriteLog(kind, text):
                     log.note(kind, text)
-                case mind.Report():
+                case controller.ReportProgress():
                     self._report(action)
-                case mind.Exit():
+                case controller.Exit():
                     self._notifier.tell(stopping=1)
                     self._end()
         self._keep()
@@ -239,17 +250,17 @@
             self._tick = []
         due = self._mind.next_due()
         if due < inf:
-            self._tick = self._deadlines.at(max(due, clock.now()), lambda _: self._decide(mind.Tick()))
+            self._tick = self._deadlines.at(max(due, clock.now()), lambda _: self._decide(controller.Tick()))
 
     def _keep(self) -> None:
         for number in [n for n in self._sockets if n not in self._mind.members]:
-            self._sockets.pop(number).close()     # gone for good: its address refuses from now on
-        held = roster.Roster(self._mind.count, self._ports, self._mind.working())
+            self._sockets.pop(number).close()  # gone for good: its address refuses from now on
+        held = registry.Roster(self._mind.count, self._ports, self._mind.working())
         data = repr(held).encode()
         if data != self._written and self._mind.count:
             self._written = data
             try:
-                roster.write_roster(self._names.own("json"), held)
+                registry.write_roster(self._names.own("json"), held)
             except OSError as fault:
                 log.say("roster", f"not written: {fault}")
 
@@ -267,13 +278,13 @@
     def _socket(self, number: int) -> socket.socket:
         held = self._sockets.get(number)
         if held is None:
-            where = roster.listen_of(self._fleet.listen, number, self._ports)
+            where = registry.listen_of(self._fleet.listen, number, self._ports)
             held = opened(bound(where.host, where.port))
             self._sockets[number] = held
         self._ports[str(number)] = held.getsockname()[1]
         return held
 
-    def _start(self, action: mind.Start) -> None:
+    def _start(self, action: controller.Start) -> None:
         """Start a process, or take one that runs under that name already for it."""
         if action.replaces:
             self._spawn(action)
@@ -293,28 +304,38 @@
         if not path.is_symlink():
             self._spawn(action)
             return
-        asking = ask.ask(self._reactor, self._deadlines, path, {"do": "status"}, clock.now() + FIND)
+        asking = control_client.ask(self._reactor, self._deadlines, path, {"do": "status"}, clock.now() + FIND)
         asking.addCallbacks(told, lambda _: self._spawn(action))
 
-    def _spawn(self, action: mind.Start) -> None:
+    def _spawn(self, action: controller.Start) -> None:
         number, name = action.number, self._names.name(action.number)
         try:
             listening = self._socket(number)
             where = "{}:{}".format(*listening.getsockname()[:2])
-            part = message_of(NOTHING) if action.replaces else self._division.born(name)
-            roster.write_member(self._names, self._source, where, number, self._mind.size, part)
-            words = ["--platform", str(self._names.path(number, "json")), "--state", str(self._names.folder),
-                     "--detach"]
+            part = message_of(EMPTY_ALLOCATION) if action.replaces else self._division.on_starting(name)
+            registry.write_member(self._names, self._source, where, number, self._mind.size, part)
+            words = [
+                "--platform",
+                str(self._names.path(number, "json")),
+                "--state",
+                str(self._names.folder),
+                "--detach",
+            ]
             words += ["--settings", self._given.settings_path] if self._given.settings_path else []
             words += ["--joins"] if action.joins else []
             words += ["--take-over"] if action.replaces else []
             environment = {k: v for k, v in os.environ.items() if not k.startswith(("LISTEN_", "NOTIFY_"))}
             environment["THYMEFLOW_DAEMON_DRAIN_LINGER"] = f"{self._fleet.linger:g}s"
-            child, pid = spawn(self._reactor, command(shlex.split(self._program), words), environment,
-                               self._output, None if action.replaces else listening)
+            child, pid = spawn(
+                self._reactor,
+                command(shlex.split(self._program), words),
+                environment,
+                self._output,
+                None if action.replaces else listening,
+            )
         except (OSError, ValueError) as fault:
             how = f"could not be started: {fault}"
-            self._reactor.callLater(0, lambda: self._decide(mind.Ended(action.run, how)))
+            self._reactor.callLater(0, lambda: self._decide(controller.RunEnded(action.run, how)))
             return
         log.note("started", f"{name}, pid {pid}{', to take over' if action.replaces else ''}", number=number)
         self._follow(action.run, number, pid, child)
@@ -323,18 +344,18 @@
         def heard(status: Message) -> None:
             serves = status.get("phase") == "serving"
             if status.get("part") is not None:
-                self._division.hears(self._names.name(number), status["part"])
+                self._division.on_report(self._names.name(number), status["part"])
             if status.get("evidence") is not None:
-                self._court.hears(self._names.name(number), status["evidence"])
-            self._decide(mind.Told(run, str(status.get("life")), serves, bool(status.get("healthy"))))
+                self._court.on_report(self._names.name(number), status["evidence"])
+            self._decide(controller.StatusReported(run, str(status.get("life")), serves, bool(status.get("healthy"))))
 
         def over(how: str) -> None:
             self._runs.pop(run, None)
             self._numbers.pop(run, None)
             if number not in self._numbers.values():
-                self._division.dies(self._names.name(number))
-                self._court.gone(self._names.name(number))
-            self._decide(mind.Ended(run, how))
+                self._division.on_death(self._names.name(number))
+                self._court.on_member_gone(self._names.name(number))
+            self._decide(controller.RunEnded(run, how))
 
         def ended(how: str) -> None:
             if isinstance(process, Child):
@@ -342,8 +363,9 @@
                 return
             # One that was found may have been in the middle of a hand-over that the last supervisor began: then
             # its successor answers to the name, and that is the same member.
-            asking = ask.ask(self._reactor, self._deadlines, self._names.path(number, "sock"), {"do": "status"},
-                             clock.now() + FIND)
+            asking = control_client.ask(
+                self._reactor, self._deadlines, self._names.path(number, "sock"), {"do": "status"}, clock.now() + FIND
+            )
             asking.addCallbacks(succeeded, lambda _: over(how), callbackArgs=(how,))
 
         def succeeded(status: Message, how: str) -> None:
@@ -357,8 +379,8 @@
 
         def silent() -> None:
             if number in self._numbers.values():
-                self._division.silent(self._names.name(number))
-                self._court.gone(self._names.name(number))
+                self._division.on_disconnected(self._names.name(number))
+                self._court.on_member_gone(self._names.name(number))
 
         followed = Run(self._reactor, self._deadlines, self._names.path(number, "sock"), pid, heard, ended, silent)
         self._runs[run], self._numbers[run] = followed, number
@@ -373,7 +395,7 @@
                 continue
             try:
                 where = "{}:{}".format(*held.getsockname()[:2])
-                roster.write_member(self._names, self._source, where, number, size)
+                registry.write_member(self._names, self._source, where, number, size)
             except OSError as fault:
                 log.note("resize", f"{self._names.name(number)} was not told: {fault}")
                 continue
@@ -382,8 +404,8 @@
     def _reload(self) -> str:
         """SIGHUP or an order: the platform's file is read again and passed on; a bad one changes nothing."""
         try:
-            fresh, source = self._given.read(), roster.template(self._given.platform)
-        except (SettingsError, config.ConfigError) as fault:
+            fresh, source = self._given.read(), registry.template(self._given.platform)
+        except (SettingsError, configuration.ConfigurationError) as fault:
             why = f"the old settings stay: {' | '.join(str(fault).splitlines())}"
             log.note("reload", why)
             return why
@@ -395,54 +417,54 @@
 
     # --- control -------------------------------------------------------------------------------------------
 
-    def _served(self, caller: Caller, message: Message) -> None:
+    def _served(self, caller: ControlCaller, message: Message) -> None:
         word = message.get("do")
         if word == "status":
-            caller.say({"ok": True, **self.status()})
+            caller.send({"ok": True, **self.status()})
         elif word == "budgets":
-            caller.say({"ok": True, **self._division.status()})
+            caller.send({"ok": True, **self._division.status()})
         elif word == "overload":
-            caller.say({"ok": True, **self._court.status()})
+            caller.send({"ok": True, **self._court.status()})
         elif word == "reload":
             why = self._reload()
-            caller.say({"ok": not why, "why": why})
+            caller.send({"ok": not why, "why": why})
         elif word == "leave":
             log.note("leave", "the supervisor ends, its members go on")
-            caller.say({"ok": True, "why": f"{len(self._mind.members)} members go on by themselves"})
+            caller.send({"ok": True, "why": f"{len(self._mind.members)} members go on by themselves"})
             self._end()
         elif word in [kind.value for kind in Kind]:
             self._order(caller, Kind(word), message.get("count", 0), message.get("program"))
         else:
             words = ["status", "budgets", "overload", "reload", "leave", *(kind.value for kind in Kind)]
-            caller.say({"ok": False, "why": f"'do' is {str(word)[:40]!r}; it may be {', '.join(words)}"})
+            caller.send({"ok": False, "why": f"'do' is {str(word)[:40]!r}; it may be {', '.join(words)}"})
 
-    def _order(self, caller: Caller | None, kind: Kind, count: Any, program: Any = None) -> None:
+    def _order(self, caller: ControlCaller | None, kind: Kind, count: Any, program: Any = None) -> None:
         if kind is Kind.SCALE:
             try:
                 count = Count(1, MOST_MEMBERS).read(str(count))
-            except BadValue as fault:
+            except InvalidValueError as fault:
                 raise ValueError(f"count: {fault}; {fault.mend}") from None
         if program is not None and (not isinstance(program, str) or len(program) > 4096):
             raise ValueError("program is no command line")
         self._orders += 1
         if caller is not None:
-            caller.lasting = True
+            caller.is_persistent = True
             self._callers[self._orders] = caller
         if program is not None and not self._mind.working():
             self._program_before[self._orders] = self._program
             self._program = program
         log.note("order", f"{kind.value}{f' to {count}' if kind is Kind.SCALE else ''}")
-        self._decide(mind.Order(self._orders, kind, count))
+        self._decide(controller.Order(self._orders, kind, count))
 
-    def _report(self, report: mind.Report) -> None:
+    def _report(self, report: controller.ReportProgress) -> None:
         log.note("order", report.text, done=report.done, good=report.good)
         if report.done and report.id in self._program_before:
             before = self._program_before.pop(report.id)
-            if not report.good:   # what broke must not be what the next restart begins with
+            if not report.good:  # what broke must not be what the next restart begins with
                 self._program = before
         caller = self._callers.get(report.id)
         if caller is not None and not caller.closed:
-            caller.say({"ok": report.good, "why": report.text} if report.done else {"text": report.text})
+            caller.send({"ok": report.good, "why": report.text} if report.done else {"text": report.text})
         if report.done:
             self._callers.pop(report.id, None)
 
@@ -452,17 +474,28 @@
         for number, member in sorted(self._mind.members.items()):
             run = self._runs.get(member.run)
             held = self._sockets.get(number)
-            members.append({
-                "name": self._names.name(number), "state": member.state.value, "why": member.why,
-                "crashes": len(member.crashes), "pid": run.pid if run else None,
-                "listen": "{}:{}".format(*held.getsockname()[:2]) if held else "",
-                "told": run.last if run else {}})
+            members.append(
+                {
+                    "name": self._names.name(number),
+                    "state": member.state.value,
+                    "why": member.why,
+                    "crashes": len(member.crashes),
+                    "pid": run.pid if run else None,
+                    "listen": "{}:{}".format(*held.getsockname()[:2]) if held else "",
+                    "told": run.last if run else {},
+                }
+            )
         ready = sum(m.state in (State.READY, State.REPLACING) for m in self._mind.members.values())
-        return {"wanted": self._mind.count, "ready": ready, "working": self._mind.working(),
-                "pid": os.getpid(), "members": members}
+        return {
+            "wanted": self._mind.count,
+            "ready": ready,
+            "working": self._mind.working(),
+            "pid": os.getpid(),
+            "members": members,
+        }
 
 
-def supervise(given: Given) -> int:
+def supervise(given: SupervisorOptions) -> int:
     """Run a supervisor in the foreground; the exit code."""
     from twisted.internet import reactor
 
@@ -470,8 +503,7 @@
     try:
         supervisor = Supervisor(given, loop)
         supervisor.start()
-    except CannotSupervise as fault:
+    except SupervisorError as fault:
         print(f"thymeflow: fleet cannot start: {fault}", file=sys.stderr)
         return fault.code
     return supervisor.run()
-
--- /dev/null
+++ b/thymeflow/frontend/__init__.py
@@ -0,0 +1,1 @@
+"""Clients, over RESP2."""
--- a/thymeflow/net/front.py
+++ b/thymeflow/frontend/frontend.py
@@ -17,84 +17,87 @@
 from twisted.internet.protocol import Factory, connectionDone
 from twisted.python.failure import Failure
 
-from thymeflow import interface as api
-from thymeflow.net import clock, log, resp
-from thymeflow.net.call import QUERY, SUBMIT, CallError, Reader
-from thymeflow.net.core import Answer, Core, Offer, Verdict
-from thymeflow.net.flow import Flow
-from thymeflow.net.link import Stream, unread
-from thymeflow.net.table import Table
-
-STUCK = 10.0           # s: without a byte taken of what was written, for a user agent that reads slowly
-SLOW_BODY = 4          # number of a command's word that may come slowly, in pieces; the others are its head
-MOST_PLACES = 64       # commands of one user agent that are not answered; then it is not read from
-OVERHEAD = 2048        # bytes that a request takes beside its own
+from thymeflow.core.dispatcher import IncomingRequest, RequestDispatcher, Response, ResponseKind
+from thymeflow.decision.events import RequestReceived
+from thymeflow.decision.settings import GatewaySettings
+from thymeflow.runtime import clock, log
+from thymeflow.runtime.slot_table import SlotTable
+from thymeflow.transport import resp
+from thymeflow.transport.commands import QUERY, SUBMIT, CallError, Reader
+from thymeflow.transport.connections import Stream, unread
+from thymeflow.transport.flow import Flow
+
+STUCK = 10.0  # s: without a byte taken of what was written, for a user agent that reads slowly
+SLOW_BODY = 4  # number of a command's word that may come slowly, in pieces; the others are its head
+MOST_PLACES = 64  # commands of one user agent that are not answered; then it is not read from
+OVERHEAD = 2048  # bytes that a request takes beside its own
 ATTENTION = (b"CLIENT", b"SELECT")
-SWEEP = 0.1            # s: between looks at who says nothing
-SILENT = 2.3           # s: to the first whole command, for the head of one, and without a byte of a body
-KEPT = 4.0             # s: with nothing open, for a user agent that has asked; it would come again
-IDLE = 2.0             # s: the same where places are wanted; before, it may be about to ask
-NEW = 0.05             # s: the same for one that has said nothing, as usual ones ask as they connect
-CROWDED = 0.35         # of the places: from here on they are wanted; user agents have a limit of their own
-FRESH = 0.25           # s: at the end, for one that has just connected and is about to ask
-LINGER = 1.0           # s: from an error line that ends a connection to its close
-DISCARD = 256 * 1024   # bytes that are read meanwhile and thrown away
-MORE = (resp.Part, resp.Closed, resp.End)   # of a long value
-LATE = 0.005           # s: less than that a request has waited unread in any turn
-FEW = 8                # connections looked at for one that may be dropped to make room
-MOST_GOING = 24        # connections dropped to make room whose descriptors are not free yet
-
-
-class Place:
+SWEEP = 0.1  # s: between looks at who says nothing
+SILENT = 2.3  # s: to the first whole command, for the head of one, and without a byte of a body
+KEPT = 4.0  # s: with nothing open, for a user agent that has asked; it would come again
+IDLE = 2.0  # s: the same where places are wanted; before, it may be about to ask
+NEW = 0.05  # s: the same for one that has said nothing, as usual ones ask as they connect
+CROWDED = 0.35  # of the places: from here on they are wanted; user agents have a limit of their own
+FRESH = 0.25  # s: at the end, for one that has just connected and is about to ask
+LINGER = 1.0  # s: from an error line that ends a connection to its close
+DISCARD = 256 * 1024  # bytes that are read meanwhile and thrown away
+MORE = (resp.Part, resp.Closed, resp.End)  # of a long value
+LATE = 0.005  # s: less than that a request has waited unread in any turn
+FEW = 8  # connections looked at for one that may be dropped to make room
+MOST_GOING = 24  # connections dropped to make room whose descriptors are not free yet
+
+
+class PipelineSlot:
     """A command's place in the order of answers."""
 
     __slots__ = ("answer", "body", "due", "flow", "request", "started")
 
-    def __init__(self, answer: bytes | None = None, request: api.Request | None = None,
-                 body: Flow | None = None) -> None:
+    def __init__(
+        self, answer: bytes | None = None, request: RequestReceived | None = None, body: Flow | None = None
+    ) -> None:
         self.answer, self.request = answer, request
-        self.due: Deferred[Answer] | None = None
-        self.body = body                    # a long one that has not come whole: the answer waits for its end
-        self.flow: Flow | None = None       # a long answer, whose head `answer` is
-        self.started = False                # that head has been written
+        self.due: Deferred[Response] | None = None
+        self.body = body  # a long one that has not come whole: the answer waits for its end
+        self.flow: Flow | None = None  # a long answer, whose head `answer` is
+        self.started = False  # that head has been written
 
 
-def written(answer: Answer) -> bytes:
+def written(answer: Response) -> bytes:
     """A final answer as RESP2; advice is in whole milliseconds, rounded up."""
-    if answer.verdict is Verdict.SERVED:
-        return resp.bulk(answer.value) if answer.flow is None else resp.bulk_head(answer.flow.length)
-    if answer.verdict is Verdict.FAILED:
+    if answer.kind is ResponseKind.SERVED:
+        return resp.bulk(answer.value) if answer.stream is None else resp.bulk_head(answer.stream.length)
+    if answer.kind is ResponseKind.FAILED:
         return b"-ERR failed\r\n"
-    return b"-BUSY %d\r\n" % -int(-answer.wait * 1000.0 // 1) if answer.wait > 0.0 else b"-BUSY\r\n"
+    return b"-BUSY %d\r\n" % -int(-answer.retry_after * 1000.0 // 1) if answer.retry_after > 0.0 else b"-BUSY\r\n"
 
 
-class UserAgent(Stream):
+class ClientConnection(Stream):
     """One connection."""
 
-    def __init__(self, front: Front) -> None:
+    def __init__(self, front: Frontend) -> None:
         self._front, self._parser = front, resp.Parser(resp.MOST_LONG)
-        self._begun = 0.0           # when the command that is not whole began
-        self._moved = 0.0           # when bytes came or left last
-        self._came = 0.0            # the earliest at which what is read now can have come
-        self._body: Place | None = None     # whose long body is on its way
-        self._blocked = False       # it finds no room
-        self._places: deque[Place] = deque()
+        self._begun = 0.0  # when the command that is not whole began
+        self._moved = 0.0  # when bytes came or left last
+        self._came = 0.0  # the earliest at which what is read now can have come
+        self._body: PipelineSlot | None = None  # whose long body is on its way
+        self._blocked = False  # it finds no room
+        self._places: deque[PipelineSlot] = deque()
         self.handle = -1
-        self._reading = True        # what we told the transport
-        self._last = False          # close once all is answered
-        self._ended = False         # all is said, and our end closed; what still comes is thrown away
-        self._dropped = False       # its slot was given to another
-        self._spoken = False        # a whole command has come
-        self._asked = False         # a request has come; whoever says PING alone is not served by staying
-        self._since = 0.0           # when it last did something of use, or was last answered
-        self._discarded = 0         # bytes thrown away
-        self._held = 0              # bytes of answers that wait for earlier ones, or for the user agent
+        self._reading = True  # what we told the transport
+        self._last = False  # close once all is answered
+        self._ended = False  # all is said, and our end closed; what still comes is thrown away
+        self._dropped = False  # its slot was given to another
+        self._spoken = False  # a whole command has come
+        self._asked = False  # a request has come; whoever says PING alone is not served by staying
+        self._since = 0.0  # when it last did something of use, or was last answered
+        self._discarded = 0  # bytes thrown away
+        self._held = 0  # bytes of answers that wait for earlier ones, or for the user agent
 
     def connectionMade(self) -> None:
         """Take a slot."""
         self.handle, self._since = self._front.agents.add(self), clock.now()
         self._moved = self._since
-        self._came = self._front.deadlines.since(self._since)
+        self._came = self._front.deadlines.earliest_arrival(self._since)
         super().connectionMade()
 
     def resumeProducing(self) -> None:
@@ -116,7 +119,7 @@
 
     def _pace(self) -> None:
         # From a user agent that does not take its answers, nothing more is taken.
-        if self._body is not None:      # also where nothing more is taken on
+        if self._body is not None:  # also where nothing more is taken on
             wanted = not self._blocked
         else:
             wanted = self.flushed and not self._last and len(self._places) < MOST_PLACES
@@ -140,7 +143,7 @@
         # What comes first on a connection may have come as early as that did, where that was a moment ago: a stall
         # since then is known. What comes slowly or after a rest has its time from its last byte on.
         new = not self._spoken and not amid and self._moved - self._since < clock.STALL
-        self._came = min(self._front.deadlines.since(self._moved), self._came if new else inf)
+        self._came = min(self._front.deadlines.earliest_arrival(self._moved), self._came if new else inf)
         if found or not amid:
             self._begun = self._moved
         for value in found:
@@ -151,7 +154,7 @@
             elif isinstance(value, list) and all(type(word) is bytes for word in value):
                 self._spoken, self._since = True, self._moved
                 if value:
-                    self._command(value)   # type: ignore[arg-type]
+                    self._command(value)  # type: ignore[arg-type]
             elif isinstance(value, resp.Begin):
                 self._long(value)
             else:
@@ -170,7 +173,7 @@
         self.narrow()
         words, flow = begin.before, Flow(begin.length, self._block, lambda: None)
         if all(type(word) is bytes for word in words) and len(words) == SLOW_BODY and not begin.after:
-            self._transaction([*words, b""], flow)   # type: ignore[list-item]
+            self._transaction([*words, b""], flow)  # type: ignore[list-item]
         else:
             self._say(resp.problem("ERR a value is too long for this command"))
         self._body = self._places[-1]
@@ -188,7 +191,7 @@
             body, self._body, place.body, self._blocked = place.body, None, None, False
             if place.request is not None:
                 body.deadline = self._came + place.request.remaining
-                self._front.core.whole(place.request.id, body.deadline)
+                self._front.core.body_received(place.request.id, body.deadline)
             self._since = self._moved
             body.finish()
 
@@ -245,7 +248,7 @@
         """Guards the table against those that say nothing, or never end what they say."""
         idle = self.idle(now)
         if self._front.emptying and idle > FRESH:
-            kept = 0.0              # who asks nothing at once is sent away, and who says PING often stays
+            kept = 0.0  # who asks nothing at once is sent away, and who says PING often stays
         if not self._reading and self.departed():
             self.transport.abortConnection()
         elif self._ended or not self.flushed:
@@ -257,7 +260,7 @@
         elif self._last:
             return
         elif self._parser.amid():
-            head = self._parser.item != SLOW_BODY     # a body may take its time, but not stand still
+            head = self._parser.item != SLOW_BODY  # a body may take its time, but not stand still
             if now - (self._begun if head else self._moved) > SILENT:
                 self._garbled("a command was begun and not ended")
         elif idle > (kept if self._asked else min(kept, SILENT)) and not unread(self.transport):
@@ -291,13 +294,13 @@
         core = self._front.core
         try:
             call, request = self._front.reader.read(words)
-            if core.known(request.id):
+            if core.is_open(request.id):
                 raise CallError("that id is in hand")
         except CallError as fault:
             log.say("user agent wrong", str(fault))
             self._say(resp.problem(f"ERR {fault}"))
             return
-        place, self._asked = Place(None, request, body), True
+        place, self._asked = PipelineSlot(None, request, body), True
         self._places.append(place)
         if body is not None:
             call = call._replace(flow=body)
@@ -307,7 +310,7 @@
             # Its time runs from when it reached this machine: what a stall took of it is gone, as is what comes
             # after the end of a process that was told to end.
             request = request._replace(remaining=deadline - self._moved)
-        place.due = core.take(Offer(request, deadline, call, size, self.present))
+        place.due = core.submit(IncomingRequest(request, deadline, call, size, self.present))
         place.due.addCallbacks(self._answered, lambda _: None, callbackArgs=(place,))
 
     def present(self) -> bool:
@@ -315,11 +318,11 @@
         return not self.departed()
 
     def _say(self, line: bytes) -> None:
-        self._places.append(Place(line))
+        self._places.append(PipelineSlot(line))
 
-    def _answered(self, answer: Answer, place: Place) -> None:
-        place.answer, place.flow = written(answer), answer.flow
-        if place.body is not None and answer.flow is None:
+    def _answered(self, answer: Response, place: PipelineSlot) -> None:
+        place.answer, place.flow = written(answer), answer.stream
+        if place.body is not None and answer.stream is None:
             place.body.discard()
         self._hold(len(place.answer))
         if self._places and self._places[0] is place:
@@ -327,8 +330,11 @@
         if self._front.held > self._front.most_held:
             # Guards the memory limit, past which the whole limiter would be killed: one user agent that
             # asks behind its own slow request, or takes no answers, is let go instead.
-            log.say("backlog", f"{self._front.held} bytes of answers are held; a connection was closed",
-                    held=self._front.held)
+            log.say(
+                "backlog",
+                f"{self._front.held} bytes of answers are held; a connection was closed",
+                held=self._front.held,
+            )
             self.transport.abortConnection()
 
     def _flush(self) -> None:
@@ -351,7 +357,7 @@
             if not self._places:
                 self._since = self._moved
         if long is not None:
-            long.attach(self)      # may write it to its end, and come back here
+            long.attach(self)  # may write it to its end, and come back here
         elif self._last and not self._places and not self._ended:
             self._end()
         else:
@@ -416,57 +422,73 @@
                 place.flow.abandon()
 
 
-class Front(Factory):
+class Frontend(Factory):
     """The listening side."""
 
     noisy = False
 
-    def __init__(self, core: Core, settings: api.Settings, deadlines: clock.Deadlines, most: int,
-                 most_held: int, most_input: int) -> None:
+    def __init__(
+        self,
+        core: RequestDispatcher,
+        settings: GatewaySettings,
+        deadlines: clock.Deadlines,
+        most: int,
+        most_held: int,
+        most_input: int,
+    ) -> None:
         self.core, self.reader, self.deadlines = core, Reader(settings), deadlines
-        self.held, self.most_held = 0, most_held   # bytes of answers not taken yet; closing begins beyond
-        self._input, self._most_input = 0, most_input   # bytes of commands that are not whole, likewise
+        self.held, self.most_held = 0, most_held  # bytes of answers not taken yet; closing begins beyond
+        self._input, self._most_input = 0, most_input  # bytes of commands that are not whole, likewise
         self._most = most
-        self.agents: Table[UserAgent] = Table(most)
+        self.agents: SlotTable[ClientConnection] = SlotTable(most)
         self.going = 0
-        self.met = 0                # connections accepted so far, those closed at once included
-        self.emptying = False       # a connection ends with its last answer, or as it falls idle
-        self.closing = False        # and no new one is taken
-        self.until = inf            # when this process ends, however long a request may wait
-        self.able: Any = lambda: False      # set by the lifecycle: whether PING is answered with yes
+        self.met = 0  # connections accepted so far, those closed at once included
+        self.emptying = False  # a connection ends with its last answer, or as it falls idle
+        self.closing = False  # and no new one is taken
+        self.until = inf  # when this process ends, however long a request may wait
+        self.able: Any = lambda: False  # set by the lifecycle: whether PING is answered with yes
         self.why: Any = lambda: "starting"  # likewise: why not
-        self.gone: Any = lambda: None       # likewise: a user agent has left
+        self.gone: Any = lambda: None  # likewise: a user agent has left
         self._sweep(0)
 
-    def buildProtocol(self, addr: Any) -> UserAgent | None:
+    def buildProtocol(self, addr: Any) -> ClientConnection | None:
         """A new connection, unless the descriptors are used up or we are about to end."""
         self.met += 1
         if self.closing:
             return None
-        if self.agents.full():
+        if self.agents.is_full():
             # Many user agents ask once and stay, and others say nothing: who has least use of its place goes.
             now = clock.now()
             # Bytes that wait there may be a request, which a close would lose.
-            least = next((agent for agent in nlargest(FEW, self.agents.all(), key=lambda agent: agent.spare(now))
-                          if agent.spare(now) and not unread(agent.transport)), None)
+            least = next(
+                (
+                    agent
+                    for agent in nlargest(FEW, self.agents.all(), key=lambda agent: agent.spare(now))
+                    if agent.spare(now) and not unread(agent.transport)
+                ),
+                None,
+            )
             if least is None or self.going >= MOST_GOING:
-                log.say("user agents", f"all {len(self.agents)} connections are in use; a new one was closed",
-                        connections=len(self.agents))
+                log.say(
+                    "user agents",
+                    f"all {len(self.agents)} connections are in use; a new one was closed",
+                    connections=len(self.agents),
+                )
                 return None
             least.drop()
-        return UserAgent(self)
+        return ClientConnection(self)
 
     def limit(self, most: int, most_held: int, most_input: int) -> None:
         """Other bounds hold for what comes from now on."""
         self._most, self.most_held, self._most_input = most, most_held, most_input
-        self.agents.limit(most)
+        self.agents.set_limit(most)
 
     def taken_in(self, change: int) -> None:
         """Guards the memory limit against commands that are begun and not ended, on many connections."""
         self._input += change
         if change > 0 and self._input > self._most_input:
             log.say("input", f"{self._input} bytes of unfinished commands are held; the longest was let go")
-            max(self.agents.all(), key=UserAgent.begun).drop()
+            max(self.agents.all(), key=ClientConnection.begun).drop()
 
     def _sweep(self, _: int) -> None:
         now = clock.now()
@@ -503,7 +525,7 @@
             self._finish(agent)
 
     @staticmethod
-    def _finish(agent: UserAgent) -> None:
+    def _finish(agent: ClientConnection) -> None:
         # What has come is read first, and answered before the end.
         if not agent.amid() and not unread(agent.transport):
             agent.finish()
--- a/thymeflow/net/door.py
+++ b/thymeflow/frontend/listener.py
@@ -4,7 +4,7 @@
 
 import socket
 
-BACKLOG = 511      # connections that wait to be accepted
+BACKLOG = 511  # connections that wait to be accepted
 
 
 def bound(host: str, port: int, shared: bool = False) -> socket.socket:
--- a/thymeflow/succession/ask.py
+++ b/thymeflow/handover/control_client.py
@@ -10,20 +10,20 @@
 from twisted.internet.protocol import ClientFactory
 from twisted.python.failure import Failure
 
-from thymeflow.net import clock
-from thymeflow.succession.control import Line, Message
+from thymeflow.handover.control_socket import ControlConnection, Message
+from thymeflow.runtime import clock
 
 
-class Unanswered(Exception):
+class NoAnswerError(Exception):
     """Nobody listens there, or no answer came by the deadline."""
 
 
-class Talk(Line):
+class ControlSession(ControlConnection):
     """A conversation: messages go to `heard`, the end to `ended`."""
 
     def __init__(self, heard: Callable[[Message], None], ended: Callable[[], None]) -> None:
         super().__init__()
-        self.heard, self.ended = heard, ended
+        self.on_message, self.on_ended = heard, ended
 
     def connectionMade(self) -> None:
         """The other end is there."""
@@ -31,50 +31,57 @@
 
     def message(self, message: Message) -> None:
         """Pass it on."""
-        self.heard(message)
+        self.on_message(message)
 
-    def gone(self) -> None:
+    def on_closed(self) -> None:
         """Pass it on."""
-        self.ended()
+        self.on_ended()
 
 
 class _Dialler(ClientFactory):
     noisy = False
 
-    def __init__(self, talk: Talk, made: Deferred[Talk]) -> None:
+    def __init__(self, talk: ControlSession, made: Deferred[ControlSession]) -> None:
         self._talk, self._made = talk, made
 
-    def buildProtocol(self, addr: Any) -> Talk:
+    def buildProtocol(self, addr: Any) -> ControlSession:
         self._talk.factory = self
         return self._talk
 
-    def up(self, talk: Talk) -> None:
+    def up(self, talk: ControlSession) -> None:
         self._made.callback(talk)
 
     def clientConnectionFailed(self, connector: Any, reason: Failure) -> None:
-        self._made.errback(Unanswered(reason.getErrorMessage()))
+        self._made.errback(NoAnswerError(reason.getErrorMessage()))
 
 
-def talk(reactor: Any, path: Path, heard: Callable[[Message], None],
-         ended: Callable[[], None] = lambda: None) -> Deferred[Talk]:
+def talk(
+    reactor: Any, path: Path, heard: Callable[[Message], None], ended: Callable[[], None] = lambda: None
+) -> Deferred[ControlSession]:
     """Open a conversation; fails with Unanswered where nobody listens."""
-    made: Deferred[Talk] = Deferred()
-    reactor.connectUNIX(str(path), _Dialler(Talk(heard, ended), made), timeout=5)
+    made: Deferred[ControlSession] = Deferred()
+    reactor.connectUNIX(str(path), _Dialler(ControlSession(heard, ended), made), timeout=5)
     return made
 
 
-def ask(reactor: Any, deadlines: clock.Deadlines, path: Path, message: Message, deadline: float,
-        heard: Callable[[Message], None] = lambda _: None) -> Deferred[Message]:
+def ask(
+    reactor: Any,
+    deadlines: clock.Deadlines,
+    path: Path,
+    message: Message,
+    deadline: float,
+    heard: Callable[[Message], None] = lambda _: None,
+) -> Deferred[Message]:
     """One question and its last answer, the first that has `ok`; others go to `heard` on the way."""
     result: Deferred[Message] = Deferred()
-    line: list[Talk] = []
+    line: list[ControlSession] = []
 
-    def settle(value: Message | Unanswered) -> None:
+    def settle(value: Message | NoAnswerError) -> None:
         deadlines.cancel(entry)
         if line:
             line[0].close()
         if not result.called:
-            if isinstance(value, Unanswered):
+            if isinstance(value, NoAnswerError):
                 result.errback(value)
             else:
                 result.callback(value)
@@ -85,14 +92,14 @@
         else:
             heard(answer)
 
-    def up(made: Talk) -> None:
+    def up(made: ControlSession) -> None:
         line.append(made)
         if result.called:
             made.close()
         else:
-            made.say(message)
+            made.send(message)
 
-    entry = deadlines.at(deadline, lambda _: settle(Unanswered(f"{path}: no answer in time")))
-    made = talk(reactor, path, came, lambda: settle(Unanswered(f"{path}: the other end closed without an answer")))
-    made.addCallbacks(up, lambda failure: settle(Unanswered(f"{path}: {failure.getErrorMessage()}")))
+    entry = deadlines.at(deadline, lambda _: settle(NoAnswerError(f"{path}: no answer in time")))
+    made = talk(reactor, path, came, lambda: settle(NoAnswerError(f"{path}: the other end closed without an answer")))
+    made.addCallbacks(up, lambda failure: settle(NoAnswerError(f"{path}: {failure.getErrorMessage()}")))
     return result
--- a/thymeflow/succession/control.py
+++ b/thymeflow/handover/control_socket.py
@@ -21,16 +21,16 @@
 from twisted.python.failure import Failure
 from zope.interface import implementer
 
-from thymeflow.net import clock
-from thymeflow.net.table import Table
+from thymeflow.runtime import clock
+from thymeflow.runtime.slot_table import SlotTable
 
 MOST_LINE = 64 * 1024
-MOST_OWED = 1 << 20       # bytes of answers that a caller has not taken; a watch that hangs ends there
-MOST_DESCRIPTORS = 4      # passed in and not asked for yet
-MOST_PATH = 100           # bytes of a Unix socket's path; the kernel takes 107 (unix(7))
+MOST_OWED = 1 << 20  # bytes of answers that a caller has not taken; a watch that hangs ends there
+MOST_DESCRIPTORS = 4  # passed in and not asked for yet
+MOST_PATH = 100  # bytes of a Unix socket's path; the kernel takes 107 (unix(7))
 
 Message = dict[str, Any]
-Served = Callable[["Caller", Message], None]
+Served = Callable[["ControlCaller", Message], None]
 
 
 class ControlError(Exception):
@@ -38,7 +38,7 @@
 
 
 @implementer(IFileDescriptorReceiver)
-class Line(Protocol):
+class ControlConnection(Protocol):
     """One connection that carries JSON objects, a line each, and descriptors beside them."""
 
     transport: Any
@@ -46,15 +46,15 @@
 
     def __init__(self) -> None:
         self._held = bytearray()
-        self.descriptors: list[int] = []     # passed in, in order; whoever takes one owns it
+        self.descriptors: list[int] = []  # passed in, in order; whoever takes one owns it
         self.closed = False
 
-    def ours(self) -> bool:
+    def is_same_user(self) -> bool:
         """Whether the other end runs as the same user (SO_PEERCRED, unix(7))."""
         told = self.transport.getHandle().getsockopt(socket.SOL_SOCKET, socket.SO_PEERCRED, struct.calcsize("3i"))
         return bool(struct.unpack("3i", told)[1] == os.geteuid())
 
-    def say(self, message: Message, *descriptors: int) -> None:
+    def send(self, message: Message, *descriptors: int) -> None:
         """Write a message; the descriptors go with its first bytes."""
         if self.closed:
             return
@@ -101,7 +101,7 @@
 
     def fault(self, why: str) -> None:
         """What came cannot be followed: one line, and the end."""
-        self.say({"ok": False, "why": why})
+        self.send({"ok": False, "why": why})
         self.close()
 
     def close(self) -> None:
@@ -114,25 +114,25 @@
         for descriptor in self.descriptors:
             os.close(descriptor)
         self.descriptors.clear()
-        self.gone()
+        self.on_closed()
 
-    def gone(self) -> None:
+    def on_closed(self) -> None:
         """The connection has ended."""
 
 
-class Caller(Line):
+class ControlCaller(ControlConnection):
     """Somebody who asks."""
 
-    def __init__(self, control: Control) -> None:
+    def __init__(self, control: ControlServer) -> None:
         super().__init__()
         self._control, self.handle = control, -1
-        self.lasting = False                           # it watches or takes over: no line is owed
+        self.is_persistent = False  # it watches or takes over: no line is owed
         self.since = clock.now()
-        self.on_gone: Callable[[], None] = lambda: None
+        self.on_disconnected: Callable[[], None] = lambda: None
 
     def connectionMade(self) -> None:
         """Take a place; where none is left, say so and close."""
-        if self._control.callers.full():
+        if self._control.callers.is_full():
             self.fault("all places for callers are taken; try again in a moment")
             return
         self.handle = self._control.callers.add(self)
@@ -142,49 +142,50 @@
         """Hand it on; a fault of ours must not end the limiter."""
         self.since = clock.now()
         try:
-            self._control.served(self, message)
+            self._control.handler(self, message)
         except (KeyError, ValueError, TypeError) as fault:
-            self.say({"ok": False, "why": f"{type(fault).__name__}: {fault}"})
+            self.send({"ok": False, "why": f"{type(fault).__name__}: {fault}"})
 
     def overdue(self, patience: float) -> bool:
         """Whether it has held its place too long without a whole line, or does not take its answers."""
-        return (not self.lasting and clock.now() - self.since > patience) or self.owed() > MOST_OWED
+        return (not self.is_persistent and clock.now() - self.since > patience) or self.unsent_bytes() > MOST_OWED
 
-    def owed(self) -> int:
+    def unsent_bytes(self) -> int:
         """Bytes that it has not taken."""
         transport = self.transport
         return len(transport.dataBuffer) + sum(map(len, transport._tempDataBuffer))
 
-    def gone(self) -> None:
+    def on_closed(self) -> None:
         """Its place is free."""
         self._control.callers.remove(self.handle)
-        self.on_gone()
+        self.on_disconnected()
 
 
-class Control(Factory):
+class ControlServer(Factory):
     """The listening side."""
 
     noisy = False
 
-    def __init__(self, reactor: Any, deadlines: clock.Deadlines, path: Path, most: int, patience: float,
-                 served: Served) -> None:
+    def __init__(
+        self, reactor: Any, deadlines: clock.Deadlines, path: Path, most: int, patience: float, served: Served
+    ) -> None:
         self._reactor, self._deadlines, self._path, self._patience = reactor, deadlines, path, patience
-        self.callers: Table[Caller] = Table(most)
-        self.served = served
+        self.callers: SlotTable[ControlCaller] = SlotTable(most)
+        self.handler = served
         self._own = path.with_name(f"{path.stem}.{os.getpid()}.sock")
         self._port: Any = None
         self._looking = False
 
-    def buildProtocol(self, addr: Any) -> Caller:
+    def buildProtocol(self, addr: Any) -> ControlCaller:
         """A new caller."""
-        return Caller(self)
+        return ControlCaller(self)
 
     def listen(self) -> None:
         """Open the socket under a path of our own, then let the name point to it in one step."""
         if len(os.fsencode(self._own)) > MOST_PATH:
             raise ControlError(f"{self._own} is longer than {MOST_PATH} bytes; set a shorter [daemon] state")
         with contextlib.suppress(OSError):
-            target = os.readlink(self._path)        # what a killed process left behind; a living one's stays
+            target = os.readlink(self._path)  # what a killed process left behind; a living one's stays
             stale = self._path.with_name(target)
             if not answers(stale):
                 stale.unlink()
@@ -192,7 +193,7 @@
             self._own.unlink()
         try:
             self._port = self._reactor.listenUNIX(str(self._own), self, mode=0o600)
-        except CannotListenError as fault:      # no OSError, though it stands for one
+        except CannotListenError as fault:  # no OSError, though it stands for one
             raise ControlError(f"{self._own}: {fault.socketError}") from None
         self.point()
 
@@ -242,7 +243,7 @@
         try:
             probe.connect(str(path))
         except BlockingIOError:
-            return True      # its queue is full: it lives
+            return True  # its queue is full: it lives
         except OSError:
             return False
     return True
--- a/thymeflow/succession/run.py
+++ b/thymeflow/handover/upgradable_limiter.py
@@ -13,48 +13,49 @@
 from pathlib import Path
 from typing import Any
 
-from thymeflow.net import clock, config, log
-from thymeflow.net.assembly import CANNOT_LISTEN, Limiter
-from thymeflow.net.discovery import FIRST
-from thymeflow.net.door import bound
-from thymeflow.net.phases import Phase
-from thymeflow.state.memory import Memory
-from thymeflow.succession import listening
-from thymeflow.succession.control import Caller, Control, ControlError, Message
-from thymeflow.succession.estate import Unfit
-from thymeflow.succession.giving import OFF, Giving
-from thymeflow.succession.table import Told, Word
-from thymeflow.succession.taking import Taking
-
-PLACES = 4            # callers at the socket: a successor, and some that should not be there
-
-
-class Running:
+from thymeflow.discovery.watch import FIRST
+from thymeflow.frontend.listener import bound
+from thymeflow.handover import listening_sockets
+from thymeflow.handover.control_socket import ControlCaller, ControlError, ControlServer, Message
+from thymeflow.handover.participant import RejectedHandoverError
+from thymeflow.handover.receiver import HandoverReceiver
+from thymeflow.handover.sender import OFF, HandoverSender
+from thymeflow.handover.state_machine import Told, Word
+from thymeflow.limiter.assembly import CANNOT_LISTEN, Limiter
+from thymeflow.limiter.phases import Phase
+from thymeflow.platform import configuration
+from thymeflow.runtime import clock, log
+from thymeflow.snapshot.store import SnapshotStore
+
+PLACES = 4  # callers at the socket: a successor, and some that should not be there
+
+
+class UpgradableLimiter:
     """One copy, from its start to its end."""
 
-    patience = 1.5    # s: for a step of a hand-over; the whole start has 6 s
-    proof = 30.0      # s: for which the old copy stays to come back; the platform ends it long before
-    strict = False    # a release may bring other plans: what fits of the state is taken
-
-    def __init__(self, given: config.Config, reactor: Any) -> None:
-        self.limiter, self.life, self.code = Limiter(given, reactor), secrets.token_hex(4), 0
-        self.past = Memory(given.name, self.life, given.known)
-        self.past.of(self.limiter.gateway)
-        self.past.listed(given.known)
-        self.limiter.on_list = self.past.listed
-        self.limiter.on_told = self._told
+    step_timeout = 1.5  # s: for a step of a hand-over; the whole start has 6 s
+    rollback_window = 30.0  # s: for which the old copy stays to come back; the platform ends it long before
+    requires_same_site = False  # a release may bring other plans: what fits of the state is taken
+
+    def __init__(self, given: configuration.Configuration, reactor: Any) -> None:
+        self.limiter, self.incarnation, self.code = Limiter(given, reactor), secrets.token_hex(4), 0
+        self.snapshots = SnapshotStore(given.name, self.incarnation, given.endpoints)
+        self.snapshots.of(self.limiter.gateway)
+        self.snapshots.listed(given.endpoints)
+        self.limiter.on_list = self.snapshots.listed
+        self.limiter.when_endpoints_ready = self._told
         folder = os.environ.get("TMPDIR")
         self._path = Path(folder) / f"{given.name.replace('/', '_')}.sock" if folder else None
-        self._control: Control | None = None
+        self._control: ControlServer | None = None
         self._ending = False
-        self.giving = Giving(self)
-        self._taking: Taking | None = None
+        self.giving = HandoverSender(self)
+        self._taking: HandoverReceiver | None = None
 
     def start(self) -> None:
         """Listen for operators; take over where there is a predecessor, else begin to serve."""
-        self.limiter.manage()
+        self.limiter.listen_for_operators()
         if self._path is not None and os.path.lexists(self._path):
-            self._taking = Taking(self, self._path)
+            self._taking = HandoverReceiver(self, self._path)
             self._taking.begin()
         else:
             self._alone()
@@ -62,10 +63,10 @@
     def end(self) -> None:
         """SIGTERM or SIGINT."""
         self._ending = True
-        if self._taking is not None and not self._taking.serves():
-            self._taking.told(Told.UNFIT)
+        if self._taking is not None and not self._taking.is_serving():
+            self._taking.step(Told.UNFIT)
             return
-        self.giving.heard(Word.ENDING)
+        self.giving.step(Word.ENDING)
         self.limiter.lifecycle.terminate(0.0 if self.giving.state in OFF else None)
 
     def finish(self) -> int:
@@ -76,10 +77,10 @@
 
     def _told(self) -> None:
         if self._taking is not None:
-            self._taking.listed()
+            self._taking.on_endpoints_known()
 
     def _alone(self) -> None:
-        where = self.limiter.given.listen
+        where = self.limiter.configuration.listen
         try:
             made = bound(where.host, where.port, shared=True)
         except OSError as fault:
@@ -95,18 +96,18 @@
         if self._path is None:
             return
         limiter = self.limiter
-        control = Control(limiter.reactor, limiter.deadlines, self._path, PLACES, self.patience, self._served)
+        control = ControlServer(limiter.reactor, limiter.deadlines, self._path, PLACES, self.step_timeout, self._served)
         try:
             control.listen()
-        except (ControlError, OSError, ValueError) as fault:   # where Unix sockets are refused, all else goes on
+        except (ControlError, OSError, ValueError) as fault:  # where Unix sockets are refused, all else goes on
             log.note("hand-over", f"no successor can take over from this life: {fault}")
             return
         self._control = control
-        limiter.lifecycle.entered = lambda phase: control.close() if phase is Phase.STOPPED else None
+        limiter.lifecycle.on_phase = lambda phase: control.close() if phase is Phase.STOPPED else None
 
-    def _served(self, caller: Caller, message: Message) -> None:
-        if not self.giving.served(caller, message):
-            caller.say({"ok": False, "why": "only a successor has anything to ask here"})
+    def _served(self, caller: ControlCaller, message: Message) -> None:
+        if not self.giving.handle(caller, message):
+            caller.send({"ok": False, "why": "only a successor has anything to ask here"})
 
     # What a hand-over asks: see `succession.estate`.
 
@@ -114,18 +115,18 @@
         """The listening socket."""
         return [self.limiter.lifecycle.port.fileno()]
 
-    def take_in(self, descriptors: list[int]) -> socket.socket:
+    def adopt_descriptors(self, descriptors: list[int]) -> socket.socket:
         """The listening socket as it came; Unfit where it is none, or listens elsewhere."""
         try:
             if len(descriptors) != 1:
-                raise listening.BadDescriptor(f"{len(descriptors)} descriptors came with it, not 1")
-            found = listening.checked(descriptors[0])
-        except (listening.BadDescriptor, OSError) as fault:
-            raise Unfit(str(fault)) from None
-        where, wanted = found.getsockname()[:2], self.limiter.given.listen
+                raise listening_sockets.BadDescriptorError(f"{len(descriptors)} descriptors came with it, not 1")
+            found = listening_sockets.checked(descriptors[0])
+        except (listening_sockets.BadDescriptorError, OSError) as fault:
+            raise RejectedHandoverError(str(fault)) from None
+        where, wanted = found.getsockname()[:2], self.limiter.configuration.listen
         if where[0] != wanted.host or wanted.port not in (0, where[1]):
             found.close()
-            raise Unfit(f"it listens at {where[0]}:{where[1]}, and {wanted} is wanted")
+            raise RejectedHandoverError(f"it listens at {where[0]}:{where[1]}, and {wanted} is wanted")
         return found
 
     def accept(self, taken: socket.socket) -> str:
@@ -134,21 +135,21 @@
         self.limiter.listen(taken)
         return ""
 
-    def hand_on(self) -> None:
+    def hand_over_allocation(self) -> None:
         """The platform divides nothing."""
 
-    def inherit(self, message: object) -> None:
+    def inherit_allocation(self, message: object) -> None:
         """The platform divides nothing."""
 
-    def taken_back(self, used: bool) -> None:
+    def on_taken_back(self, used: bool) -> None:
         """The platform divides nothing."""
 
-    def resumed(self) -> None:
+    def on_resumed(self) -> None:
         """Successors may ask here again."""
         if self._control is not None:
             self._control.point()
 
-    def give_up(self) -> None:
+    def abandon(self) -> None:
         """Nothing was taken over: serve alone, at the address as it is shared."""
         if self._ending:
             self.limiter.reactor.callWhenRunning(self.limiter.reactor.stop)
--- a/thymeflow/budgets/table.py
+++ b/thymeflow/leases/grant_file.py
@@ -12,23 +12,23 @@
 
 import msgspec
 
-from thymeflow.budgets.granter import WRITTEN, Granter, State
-from thymeflow.budgets.kinds import BASE, LENT, Kind
-from thymeflow.state import keep
+from thymeflow.leases.issuer import WRITTEN, LeaseIssuer, State
+from thymeflow.leases.resources import BASE, LENT, Resource
+from thymeflow.snapshot import atomic_file
 
 VERSION = 2
-OLDER = {1: 2}            # versions that are read, and how many kinds they have: the first ones
+OLDER = {1: 2}  # versions that are read, and how many kinds they have: the first ones
 MOST_BYTES = 1 << 20
 BOOT = Path("/proc/sys/kernel/random/boot_id")
 
 
-class TableError(Exception):
+class GrantFileError(Exception):
     """The table cannot be believed; the text says why in one line."""
 
 
 class _Row(msgspec.Struct, forbid_unknown_fields=True):
     number: int
-    noted: list[int]          # bases by kind, then leases by kind: the most that may be in force
+    noted: list[int]  # bases by kind, then leases by kind: the most that may be in force
 
 
 class _Table(msgspec.Struct, forbid_unknown_fields=True):
@@ -36,7 +36,7 @@
     fleet: str
     boot: str
     era: int
-    until: float              # s on the machine's monotonic clock: no lease lasts longer
+    until: float  # s on the machine's monotonic clock: no lease lasts longer
     rows: dict[str, _Row]
 
 
@@ -48,11 +48,14 @@
         return ""
 
 
-def pack(granter: Granter, fleet: str) -> bytes:
+def pack(granter: LeaseIssuer, fleet: str) -> bytes:
     """The table as it is to be written: a line with its digest, then its content."""
-    rows = {h: _Row(r.number, list(granter.noted[h])) for h, r in granter.rows.items()
-            if r.state is not State.ABSENT and h in granter.noted}
-    body = msgspec.json.encode(_Table(VERSION, fleet, boot(), granter.era, granter.until, rows))
+    rows = {
+        h: _Row(r.number, list(granter.durable_amounts[h]))
+        for h, r in granter.rows.items()
+        if r.state is not State.ABSENT and h in granter.durable_amounts
+    }
+    body = msgspec.json.encode(_Table(VERSION, fleet, boot(), granter.epoch, granter.durable_until, rows))
     return hashlib.blake2b(body, digest_size=16).hexdigest().encode() + b"\n" + body
 
 
@@ -60,32 +63,35 @@
     """The table in a file's bytes; TableError where it is not whole, newer than this program, or another fleet's."""
     digest, mark, body = data.partition(b"\n")
     if not mark or hashlib.blake2b(body, digest_size=16).hexdigest().encode() != digest:
-        raise TableError("its digest does not fit its content")
+        raise GrantFileError("its digest does not fit its content")
     try:
         version = msgspec.json.decode(body, type=dict)["version"]
         if version != VERSION and version not in OLDER:
-            raise TableError(f"it is of version {str(version)[:20]}, and this program reads version {VERSION}")
+            raise GrantFileError(f"it is of version {str(version)[:20]}, and this program reads version {VERSION}")
         table = msgspec.json.decode(body, type=_Table)
     except (msgspec.DecodeError, KeyError) as fault:
-        raise TableError(f"it cannot be read: {fault}") from None
+        raise GrantFileError(f"it cannot be read: {fault}") from None
     if table.fleet != fleet:
-        raise TableError(f"it is of the fleet {table.fleet[:40]!r}, and this one is {fleet!r}")
-    kinds = OLDER.get(table.version, len(Kind))
+        raise GrantFileError(f"it is of the fleet {table.fleet[:40]!r}, and this one is {fleet!r}")
+    kinds = OLDER.get(table.version, len(Resource))
     for row in table.rows.values():
         if len(row.noted) == 2 * kinds:
-            lacks = [0] * (len(Kind) - kinds)
+            lacks = [0] * (len(Resource) - kinds)
             row.noted = [*row.noted[:kinds], *lacks, *row.noted[kinds:], *lacks]
-    if not isfinite(table.until) or table.era < 0 or any(
-            len(r.noted) != 2 * len(Kind) or min(r.noted) < 0 for r in table.rows.values()):
-        raise TableError("a row is not of its form")
-    for place in range(2 * len(Kind)):
-        total, whole = sum(r.noted[place] for r in table.rows.values()), BASE if place < len(Kind) else LENT
+    if (
+        not isfinite(table.until)
+        or table.era < 0
+        or any(len(r.noted) != 2 * len(Resource) or min(r.noted) < 0 for r in table.rows.values())
+    ):
+        raise GrantFileError("a row is not of its form")
+    for place in range(2 * len(Resource)):
+        total, whole = sum(r.noted[place] for r in table.rows.values()), BASE if place < len(Resource) else LENT
         if total > whole:
-            raise TableError(f"its parts come to {total} of {whole}")
+            raise GrantFileError(f"its parts come to {total} of {whole}")
     return table
 
 
-def read(path: Path, fleet: str, now: float, living: bool) -> tuple[Granter, str]:
+def read(path: Path, fleet: str, now: float, living: bool) -> tuple[LeaseIssuer, str]:
     """The granter that comes after the one of this table, and the fault where the table could not be used.
 
     `living`: members of an earlier granter run. Where its table is lost, leases are granted once all that it may have
@@ -95,22 +101,22 @@
     try:
         data = path.read_bytes()
         if len(data) > MOST_BYTES:
-            raise TableError(f"it holds over {MOST_BYTES} bytes")
+            raise GrantFileError(f"it holds over {MOST_BYTES} bytes")
         table = unpack(data, fleet)
-    except (OSError, TableError) as fault:
+    except (OSError, GrantFileError) as fault:
         if isinstance(fault, FileNotFoundError) and not living:
-            return Granter(1, now), ""
-        made = Granter(1 << 40 | int(now), now)
+            return LeaseIssuer(1, now), ""
+        made = LeaseIssuer(1 << 40 | int(now), now)
         if living:
-            made.sealed(now)
+            made.on_grants_lost(now)
         return made, f"{path}: {fault}"
-    made = Granter(table.era + 1, now)
+    made = LeaseIssuer(table.era + 1, now)
     if table.boot and table.boot == boot():
         for holder, row in table.rows.items():
-            made.recalled(holder, row.number, tuple(row.noted), min(table.until, now + WRITTEN), now)
+            made.restore_grant(holder, row.number, tuple(row.noted), min(table.until, now + WRITTEN), now)
     return made, ""
 
 
-def write(path: Path, granter: Granter, fleet: str) -> None:
+def write(path: Path, granter: LeaseIssuer, fleet: str) -> None:
     """Write it, whole or not at all; OSError where it was not written."""
-    keep.write(path, pack(granter, fleet), keep.Lasting.PROCESS)
+    atomic_file.write(path, pack(granter, fleet), atomic_file.Durability.PROCESS)
--- a/thymeflow/budgets/ledger.py
+++ b/thymeflow/leases/ledger.py
@@ -20,7 +20,7 @@
     end: float
 
 
-class OverWhole(Exception):
+class OverAllocationError(Exception):
     """A grant that would have broken the rule; a fault of ours."""
 
 
@@ -53,7 +53,7 @@
     def grant(self, holder: str, number: int, amount: int, end: float, now: float) -> None:
         """Note a grant, before it is sent; OverWhole where it is more than is free."""
         if amount < 0 or amount > self.out(holder, now) + self.free(now):
-            raise OverWhole(f"{amount} for {holder}, with {self.free(now)} of {self.whole} free")
+            raise OverAllocationError(f"{amount} for {holder}, with {self.free(now)} of {self.whole} free")
         claims = [c for c in self.rows.get(holder, ()) if c.end > now]
         # A renewal of the same amount swallows what it outlasts: nothing is known less by it.
         claims = [c for c in claims if not (c.amount == amount and c.end <= end)]
--- a/thymeflow/budgets/kinds.py
+++ b/thymeflow/leases/resources.py
@@ -8,28 +8,28 @@
 
 from enum import Enum
 
-WHOLE = 1_000_000      # points
-BASE = 600_000         # of them, without an end: what is left in all to those who hear nothing; docs/design/budgets.md
-LENT = WHOLE - BASE    # the pool: lent for a while, by demand
-LEAST = 0.25           # of an even share: weight of a holder that asks for nothing now, as it may at any moment
+WHOLE = 1_000_000  # points
+BASE = 600_000  # of them, without an end: what is left in all to those who hear nothing; docs/design/budgets.md
+LENT = WHOLE - BASE  # the pool: lent for a while, by demand
+LEAST = 0.25  # of an even share: weight of a holder that asks for nothing now, as it may at any moment
 
 
-class Kind(Enum):
+class Resource(Enum):
     """What is bounded over the whole fleet."""
 
-    PLACES = "places"          # proxy passes that may be out: the settings' capacity that is present
-    ATTEMPTS = "attempts"      # further attempts that may run twice, as many as may be saved up
-    CALLS = "calls"            # counter calls a second, as [budgets] has it
-    TRIALS = "trials"          # passes a second to a server that has failed, to each: [budgets]
-    CONNECTIONS = "connections"    # that one server holds: [budgets]
+    CONCURRENCY = "places"  # proxy passes that may be out: the settings' capacity that is present
+    RETRIES = "attempts"  # further attempts that may run twice, as many as may be saved up
+    COUNTER_CALLS = "calls"  # counter calls a second, as [budgets] has it
+    HALF_OPEN_PROBES = "trials"  # passes a second to a server that has failed, to each: [budgets]
+    CONNECTIONS = "connections"  # that one server holds: [budgets]
 
 
-def base_of(holders: int) -> int:
+def base_amount(holders: int) -> int:
     """The base part of one of so many."""
     return BASE // max(1, holders)
 
 
-def divided(whole: int, demand: dict[str, float]) -> dict[str, int]:
+def divide_by_demand(whole: int, demand: dict[str, float]) -> dict[str, int]:
     """The whole by demand, at most the whole in sum; a holder that asks nothing keeps a little."""
     if not demand:
         return {}
--- /dev/null
+++ b/thymeflow/limiter/__init__.py
@@ -0,0 +1,1 @@
+"""One running limiter: its parts, phases, reload and operators' calls."""
--- a/thymeflow/net/management.py
+++ b/thymeflow/limiter/management.py
@@ -12,13 +12,13 @@
 from twisted.internet.protocol import Factory, Protocol, connectionDone
 from twisted.python.failure import Failure
 
-from thymeflow.net import clock, log
-from thymeflow.net.phases import Word
-from thymeflow.net.table import Table
+from thymeflow.limiter.phases import Word
+from thymeflow.runtime import clock, log
+from thymeflow.runtime.slot_table import SlotTable
 
-MOST_LINE = 256     # bytes of a call; the longest word has eight
-PLACES = 16         # callers at a time, out of the spare descriptors of the configuration
-PATIENCE = 10.0     # s: from connecting to the end of the line, and again from the answer to the caller's close
+MOST_LINE = 256  # bytes of a call; the longest word has eight
+PLACES = 16  # callers at a time, out of the spare descriptors of the configuration
+PATIENCE = 10.0  # s: from connecting to the end of the line, and again from the answer to the caller's close
 
 Call = Callable[[Word], tuple[bool, str]]
 
@@ -27,7 +27,7 @@
     """Whether the answer to one line is yes, and the reason in words."""
     try:
         word = Word(line.decode("ascii").strip())
-    except ValueError:   # also what is no ASCII
+    except ValueError:  # also what is no ASCII
         known = ", ".join(word.value for word in Word)
         return False, f"{line[:40]!r} is no call; it may be one of: {known}"
     return call(word)
@@ -54,13 +54,13 @@
         self._held += data
         line, ended, rest = self._held.partition(b"\n")
         if len(line) > MOST_LINE:
-            self.say(False, f"a call is one line of {MOST_LINE} bytes at most")
+            self.send(False, f"a call is one line of {MOST_LINE} bytes at most")
         elif ended and rest.strip():
-            self.say(False, "a connection carries one call")
+            self.send(False, "a connection carries one call")
         elif ended:
-            self.say(*answer(line, self._management.call))
+            self.send(*answer(line, self._management.call))
 
-    def say(self, yes: bool, why: str) -> None:
+    def send(self, yes: bool, why: str) -> None:
         """Answer, and let the caller close: a close with bytes unread would take the answer away."""
         self._answered, self._held, self.since = True, b"", clock.now()
         self.transport.write(b"%d %b\r\n" % (200 if yes else 400, why.encode("ascii", "replace")))
@@ -80,11 +80,11 @@
 
     def __init__(self, deadlines: clock.Deadlines, call: Call) -> None:
         self._deadlines, self.call = deadlines, call
-        self.callers: Table[Caller] = Table(PLACES)
+        self.callers: SlotTable[Caller] = SlotTable(PLACES)
 
     def buildProtocol(self, addr: Any) -> Caller:
         """A new caller; where no place is left, whoever has been silent for longest goes."""
-        if self.callers.full():
+        if self.callers.is_full():
             oldest = min(self.callers.all(), key=lambda caller: caller.since)
             log.say("calls", f"all {PLACES} places are taken; the caller that was silent for longest was closed")
             self._drop(oldest.handle)
--- a/thymeflow/net/phases.py
+++ b/thymeflow/limiter/phases.py
@@ -8,11 +8,11 @@
 class Phase(Enum):
     """Where the program is in its life."""
 
-    STARTING = "starting"      # no list yet, or not listening
+    STARTING = "starting"  # no list yet, or not listening
     SERVING = "serving"
-    EVACUATED = "evacuated"    # told to send user agents away; listens on, and comes back when told to
-    HANDED = "handed over"     # a successor accepts at the address; it comes back should that one die
-    DRAINING = "draining"      # told to end; serves for a moment, then finishes what it took
+    EVACUATED = "evacuated"  # told to send user agents away; listens on, and comes back when told to
+    HANDED_OVER = "handed over"  # a successor accepts at the address; it comes back should that one die
+    DRAINING = "draining"  # told to end; serves for a moment, then finishes what it took
     STOPPED = "stopped"
 
 
@@ -36,7 +36,7 @@
     Phase.STARTING: "it is starting and takes no user agents yet",
     Phase.SERVING: "it takes user agents",
     Phase.EVACUATED: "it is evacuated; activate brings it back",
-    Phase.HANDED: "its successor takes user agents at the address",
+    Phase.HANDED_OVER: "its successor takes user agents at the address",
     Phase.DRAINING: "it was told to end and finishes what it took",
     Phase.STOPPED: "it has ended",
 }
--- a/thymeflow/net/reload.py
+++ b/thymeflow/limiter/reload.py
@@ -10,20 +10,26 @@
 
 from collections.abc import Callable
 
-from thymeflow import interface as api
-from thymeflow.net import config, log
-from thymeflow.net.counter import Counter
-from thymeflow.net.discovery import Discovery
+from thymeflow.counter.client import Counter
+from thymeflow.decision.settings import GatewaySettings
+from thymeflow.discovery.watch import Discovery
+from thymeflow.platform import configuration
+from thymeflow.runtime import log
 
 
-def differences(old: api.Settings, new: api.Settings) -> str:
+def differences(old: GatewaySettings, new: GatewaySettings) -> str:
     """What has changed of the settings, in words for the log."""
     before, after = ({c.name: c for c in s.classes} for s in (old, new))
-    parts = [(" ".join(after.keys() - before.keys()), "added"), (" ".join(before.keys() - after.keys()), "dropped"),
-             (" ".join(n for n in before.keys() & after.keys() if before[n] != after[n]), "changed")]
+    parts = [
+        (" ".join(after.keys() - before.keys()), "added"),
+        (" ".join(before.keys() - after.keys()), "dropped"),
+        (" ".join(n for n in before.keys() & after.keys() if before[n] != after[n]), "changed"),
+    ]
     told = [f"classes {what}: {names}" for names, what in parts if names]
-    for name, was, now in (("attempts", old.limits.max_attempts, new.limits.max_attempts),
-                           ("limiters", old.gateways, new.gateways)):
+    for name, was, now in (
+        ("attempts", old.limits.max_attempts, new.limits.max_attempts),
+        ("limiters", old.limiter_count, new.limiter_count),
+    ):
         if was != now:
             told.append(f"{name}: {was} to {now}")
     return "; ".join(told) or "other values than before"
@@ -32,18 +38,24 @@
 class Reload:
     """What was read last, and who is told of what has changed."""
 
-    def __init__(self, given: config.Config, discovery: Discovery, counter: Counter | None,
-                 resettled: Callable[[api.Settings], None], load: Callable[[], config.Config]) -> None:
+    def __init__(
+        self,
+        given: configuration.Configuration,
+        discovery: Discovery,
+        counter: Counter | None,
+        resettled: Callable[[GatewaySettings], None],
+        load: Callable[[], configuration.Configuration],
+    ) -> None:
         self._given, self._discovery, self._counter = given, discovery, counter
         self._resettled, self._load = resettled, load
-        self.last = ""   # what the last one came to, for whoever asks
+        self.last = ""  # what the last one came to, for whoever asks
 
     def now(self) -> bool:
         """Read the file again; one that cannot be used leaves everything as it is. Whether it could."""
         try:
             given = self._load()
-            config.complete(given, self._given)
-        except config.ConfigError as fault:
+            configuration.complete(given, self._given)
+        except configuration.ConfigurationError as fault:
             self.last = f"the old settings stay: {fault}"
             log.note("reload", self.last)
             return False
--- a/thymeflow/observe/shared.py
+++ b/thymeflow/logs/shared_file.py
@@ -25,7 +25,7 @@
         self._path, self._most, self._now = path, most_line, now
         self._looked = -LOOK
         self._descriptor = 2 if path is None else self._open(path)
-        self.lost = 0   # lines that could not be written, as the disk is full
+        self.dropped_lines = 0   # lines that could not be written, as the disk is full
 
     @staticmethod
     def _open(path: Path) -> int:
@@ -58,7 +58,7 @@
         try:
             os.write(self._descriptor, data + b"\n")
         except OSError:
-            self.lost += 1   # a log that cannot be written must not end what it tells of
+            self.dropped_lines += 1   # a log that cannot be written must not end what it tells of
 
     def close(self) -> None:
         """Let go of the file; standard error stays."""
--- a/thymeflow/observe/structured.py
+++ b/thymeflow/logs/structured.py
@@ -15,8 +15,8 @@
 
 import structlog
 
-from thymeflow.net import clock, log
-from thymeflow.observe.shared import SharedFile
+from thymeflow.runtime import clock, log
+from thymeflow.logs.shared_file import SharedFile
 from thymeflow.settings.sections import Log
 
 LEVELS = {"debug": logging.DEBUG, "info": logging.INFO, "warning": logging.WARNING, "error": logging.ERROR}
@@ -63,7 +63,7 @@
 class _FromLibrary(logging.Handler):
     """Lines of the standard library's logging, Twisted's errors among them, take the same way."""
 
-    def __init__(self, book: Logbook) -> None:
+    def __init__(self, book: StructuredLog) -> None:
         super().__init__()
         self._book = book
 
@@ -75,11 +75,11 @@
                          fields, record.levelno)
 
 
-class Logbook:
+class StructuredLog:
     """This process's lines, in one form, to one place."""
 
     def __init__(self, settings: Log, instance: str, life: str) -> None:
-        self.out = SharedFile(Path(settings.file) if settings.file else None, settings.most_line, clock.now)
+        self.file = SharedFile(Path(settings.file) if settings.file else None, settings.most_line, clock.now)
         self.level = LEVELS[settings.level]
         render: Any = as_text if settings.form == "text" else structlog.processors.JSONRenderer()
         self._logger = structlog.wrap_logger(
@@ -89,7 +89,7 @@
 
     def msg(self, line: str) -> None:
         """What structlog calls with the finished line."""
-        self.out.write(line)
+        self.file.write(line)
 
     info = msg
 
@@ -108,7 +108,7 @@
         """Write from this level on."""
         self.level = LEVELS[name]
 
-    def take_over(self) -> None:
+    def install(self) -> None:
         """Send every line of this process here, Twisted's errors and the standard library's included."""
         from twisted.python.log import PythonLoggingObserver
 
--- /dev/null
+++ b/thymeflow/platform/__init__.py
@@ -0,0 +1,1 @@
+"""Formats of the platform: its configuration, its settings and its endpoint lists."""
--- /dev/null
+++ b/thymeflow/quota/__init__.py
@@ -0,0 +1,1 @@
+"""Customers' quotas: token buckets, counter encoding and ledger, reservations."""
--- /dev/null
+++ b/thymeflow/quota/counter_encoding.py
@@ -0,0 +1,76 @@
+"""Customer ids, rendezvous nodes, and names and amounts at the counter: stateless arithmetic, no decisions.
+
+A customer's total lives for a window, and then under another name, so that the first reading already tells a rate.
+Windows of different customers begin at different times: all would move to new names at once.
+
+A total holds two amounts in one number: steps of requested units, and above them, from STEPS_REQUESTED on, steps of
+charged units. The sum of such numbers is the number of the sums. A step goes by the quota, as a power of two that is
+part of the name: limiters that know another quota of a plan never read one another's steps.
+"""
+
+from __future__ import annotations
+
+import hashlib
+from math import frexp
+
+WINDOW_SECONDS = 10.0  # how long a counter name is in use
+STEPS_REQUESTED = 4096  # 16 times what a quota gives in a window
+STEPS_CHARGED = 2048  # twice that; with STEPS_REQUESTED within the seven digits of a total (PROTOCOL, counter)
+REQUESTED_STEP = 16.0 / STEPS_REQUESTED  # of the scale
+CHARGED_STEP = 2.0 / STEPS_CHARGED  # of the scale
+UNIT_EXPONENT = 32  # the scale 1 in a name: other scales lie below and above, and none is 0
+HASH_MULTIPLIER = 0x9E3779B97F4A7C15
+MIX_MULTIPLIER = 0xBF58476D1CE4E5B9
+
+
+def customer_id(customer: str) -> int:
+    """Return the number by which every gateway knows a customer."""
+    return int.from_bytes(hashlib.blake2b(customer.encode(), digest_size=4).digest(), "big")
+
+
+def rendezvous_order(customer: int, first_limiter: int, count: int, limiter_count: int) -> list[int]:
+    """Return a customer's set in rendezvous order, the same at every gateway."""
+    members = [(first_limiter + k) % limiter_count for k in range(count)]
+    return sorted(members, key=lambda member: (customer ^ member * HASH_MULTIPLIER) * MIX_MULTIPLIER % 2**64)
+
+
+def _windows(customer: int, now: float) -> float:
+    return now / WINDOW_SECONDS + customer % 1000 / 1000.0
+
+
+def _scale(name: int) -> float:
+    return float(2.0 ** ((name >> 56) - UNIT_EXPONENT))
+
+
+def counter_name(customer: int, now: float, rate: float, burst: float) -> int:
+    """Return the name in use now for a customer with this quota."""
+    exponent = frexp(rate * WINDOW_SECONDS + burst)[1] + UNIT_EXPONENT
+    scale = min(2 * UNIT_EXPONENT - 1, max(1, exponent))
+    return scale << 56 | customer << 24 | int(_windows(customer, now)) % 2**24
+
+
+def encode(name: int, requested: float, charged: float) -> int:
+    """Return one amount to add for requested and charged units; `decode` tells which part of them it holds."""
+    scale = _scale(name)
+    # More steps would be read as a charge: the rest is reported with the next call.
+    steps = min(STEPS_REQUESTED - 1, int(max(0.0, requested) / scale / REQUESTED_STEP))
+    charged_steps = round(min(CHARGED_STEP * STEPS_CHARGED, max(-1.0, charged / scale)) / CHARGED_STEP)
+    return steps + STEPS_REQUESTED * charged_steps
+
+
+def decode(name: int, amount: float) -> tuple[float, float]:
+    """Return the requested and charged units in such an amount, or in a sum or difference of several."""
+    scale = _scale(name)
+    charged, requested = divmod(round(amount), STEPS_REQUESTED)
+    return requested * REQUESTED_STEP * scale, charged * CHARGED_STEP * scale
+
+
+def is_reset(increase: float) -> bool:
+    """Return whether a total changed as no amounts can, since requests never fall: the counter lost its totals."""
+    too_low = -STEPS_REQUESTED * STEPS_CHARGED / 8
+    return round(increase) % STEPS_REQUESTED > STEPS_REQUESTED // 2 or increase < too_low
+
+
+def window_age(customer: int, now: float) -> float:
+    """Return the seconds since the present window began."""
+    return _windows(customer, now) % 1.0 * WINDOW_SECONDS
--- /dev/null
+++ b/thymeflow/quota/strict.py
@@ -0,0 +1,273 @@
+"""Customers' units by base and reservations, in place of slices by demand and estimates.
+
+A `StrictGateway` never admits more of a quota, over all limiters together, than one true bucket would: see
+`reservations`. Its price is a counter call for most requests that the base does not cover, for which they wait. No
+I/O, no clock.
+"""
+
+from __future__ import annotations
+
+from math import exp, inf, isfinite
+from typing import NamedTuple
+
+from thymeflow.decision.actions import AddToCounter
+from thymeflow.decision.admission import RETRY_MARGIN
+from thymeflow.decision.events import ClientDisconnected, CounterReplied, RequestReceived
+from thymeflow.decision.gateway import IDLE_BUCKET_TTL, Gateway
+from thymeflow.decision.gateway_state import INITIAL_FILL, CounterCall
+from thymeflow.decision.settings import GatewaySettings, Plan
+from thymeflow.decision.types import Status
+from thymeflow.quota import counter_encoding, reservations
+from thymeflow.quota.counter_updates import NO_CALL
+from thymeflow.quota.token_bucket import DEMAND_MEMORY_SECONDS, TokenBucket
+
+MAX_RESERVATIONS = 2  # that a request waits for: one of each window that may have units left
+RESERVED_WINDOWS = 2.0  # windows for which a counter name is reserved from
+LATE_CALL_SECONDS = 1.0  # that a counter name lives longer, for calls that are late
+MIN_REMAINING_SECONDS = 0.5  # that a request must have left, for the counter to be waited for
+PAUSE_AFTER_LOST_CALL = 1.0  # s: in which no request waits for another call
+
+
+class WaitingRequest(NamedTuple):
+    """A request that waits for the counter."""
+
+    since: float
+    reservations: int  # that it has waited for, this one included
+    request: RequestReceived
+
+
+class StrictTokenBucket(TokenBucket):
+    """A customer's base slice, in `level`, and its reservations."""
+
+    def __init__(
+        self,
+        plan: Plan,
+        customer_id: int,
+        now: float,
+        started_at: float,
+        initial_fill: float,
+        *,
+        index: int,
+        clock_offset: float,
+    ) -> None:
+        """`clock_offset`: seconds from the clock of events to the one that the set shares."""
+        self._index = index
+        self._clock_offset = clock_offset
+        self._initial_fill = initial_fill
+        self._split_of = (plan, 1)
+        self._current_split = reservations.split_quota(plan.rate, plan.burst, 1)
+        self._pool = reservations.ReservationPool(self._current_split, customer_id)
+        super().__init__(plan, customer_id, now, started_at, initial_fill)
+
+    def _split(self) -> reservations.QuotaSplit:
+        plan, member_count = self._split_of
+        if plan is not self.plan or member_count != self.member_count:  # what was reserved before is void
+            self._split_of = (self.plan, self.member_count)
+            self._current_split = reservations.split_quota(self.plan.rate, self.plan.burst, self.member_count)
+            self._pool = reservations.ReservationPool(self._current_split, self.customer_id)
+        return self._current_split
+
+    def _base_fraction(self) -> float:
+        return 1.0 / self.member_count if self._index in self.members else 0.0
+
+    def _moment(self) -> float:
+        return self.updated_at + self._clock_offset
+
+    @property
+    def local_rate_memory(self) -> float:
+        """Seconds over which local demand is remembered, whatever the size of the set."""
+        return DEMAND_MEMORY_SECONDS
+
+    def join_set(self, first_limiter: int, set_size: int, limiter_count: int, started_at: float) -> None:
+        """Take the base slice of a set: filled as since the start; in another set it never grows.
+
+        The bucket of a limiter that is alone begins part full, as what an earlier incarnation spent is not known.
+        """
+        was_member_of_set = bool(self.members)
+        was_inside = self._index in self.members
+        previous_count = self.member_count
+        self.set_changed = False
+        self.member_count = min(max(1, set_size), limiter_count)
+        self.members = counter_encoding.rendezvous_order(
+            self.customer_id, first_limiter, self.member_count, limiter_count
+        )
+        split = self._split()
+        elapsed = max(0.0, self.updated_at - started_at)
+        if not was_member_of_set:
+            # A customer that was dropped had asked nothing for the time-to-live, and no longer is known of it.
+            filled = self._initial_fill * split.base_burst if self.member_count == 1 else 0.0
+            filled += split.base_rate * min(IDLE_BUCKET_TTL, elapsed)
+            self.level = self._base_fraction() * min(split.base_burst, filled)
+        elif not was_inside:
+            self.level = min(self.level, 0.0)
+        else:
+            self.level = min(self.level, self.level * previous_count / self.member_count)
+        ceiling = min(self.plan.ceiling_burst, self.plan.ceiling_rate * elapsed) / self.member_count
+        self.ceiling_level = min(self.ceiling_level, ceiling) if was_member_of_set else ceiling
+
+    def quota_fraction(self, local_rate: float) -> float:
+        """Return the fraction of the burst that the base slice holds when it is full."""
+        return self._split().base_burst * self._base_fraction() / max(1e-9, self.plan.burst)
+
+    def refresh(self, now: float) -> None:
+        """Refill for the time that has passed."""
+        elapsed = max(0.0, now - self.updated_at)
+        self.updated_at = now
+        self.local_rate *= exp(-elapsed / self.local_rate_memory)
+        if self.members:
+            split = self._split()
+            fraction = self._base_fraction()
+            self.level = min(fraction * split.base_burst, self.level + fraction * split.base_rate * elapsed)
+            self.ceiling_level = min(
+                self.plan.ceiling_burst / self.member_count,
+                self.ceiling_level + self.plan.ceiling_rate / self.member_count * elapsed,
+            )
+
+    def missing_units(self, units: float) -> float:
+        """Return the units that are not there for a request, which would be admitted with them."""
+        active = self._pool.active_units(self._moment()) if self._split().pool_rate else 0.0
+        return max(0.0, units - max(0.0, self.level) - active - 1e-9) if self.plan.rate > 0 else 0.0
+
+    def can_admit(self, units: float, sample: float) -> bool:
+        """Return whether base and reservations, hard ceiling and concurrency cap admit a request."""
+        plan = self.plan
+        max_in_flight = max(1, plan.max_concurrency // self.member_count) if plan.max_concurrency else inf
+        if self.attempts_in_flight >= max_in_flight or (plan.ceiling_rate > 0 and units > self.ceiling_level):
+            return False
+        return self.missing_units(units) <= 0.0
+
+    def charge(self, units: float) -> None:
+        """Charge the base first, as it fills by itself; what is settled below its charge comes back to it."""
+        self.charged_units += units
+        owed = units - max(0.0, min(units, self.level))
+        used = self._pool.use(owed, self._moment()) if owed > 0.0 and self._split().pool_rate else 0.0
+        self.level -= units - used
+
+    def is_counter_update_due(self, now: float) -> bool:
+        """Return False: units are reserved when a request wants them."""
+        return False
+
+    def reservation_call(self, missing: float) -> AddToCounter | None:
+        """Return the counter call that may bring what is missing, None where none can."""
+        split = self._split()
+        if not split.pool_rate:
+            return None
+        demand = max(0.0, self.local_rate - split.base_rate * self._base_fraction())
+        reservation = self._pool.plan_reservation(missing, demand, self._moment())
+        if reservation is None:
+            return None
+        name_lifetime = RESERVED_WINDOWS * split.window_seconds + LATE_CALL_SECONDS
+        return AddToCounter(self._window_name(reservation.window), reservation.units, name_lifetime)
+
+    def _window_name(self, window: int) -> int:
+        return reservations.window_name(self.customer_id, self.plan.rate, self.plan.burst, window)
+
+    def on_counter_total(self, name: int, amount: float, total: float, now: float) -> None:
+        """Take in the total after a reservation."""
+        moment = now + self._clock_offset
+        self._split()
+        self._pool.advance(moment)
+        for window in (self._pool.window - 1, self._pool.window):
+            if name == self._window_name(window):
+                self._pool.on_reserved(window, amount, total, moment)
+
+    def on_counter_uncertain(self, name: int, amount: float) -> None:
+        """Do nothing: what the call reserved is nobody's, and expires soon."""
+
+    def on_counter_rejected(self, name: int, amount: float) -> None:
+        """Do nothing: nothing was reserved."""
+
+
+class StrictGateway(Gateway):
+    """A gateway whose customers' units are bounded over the complete fleet."""
+
+    def __init__(
+        self, settings: GatewaySettings, seed: int, initial_fill: float = INITIAL_FILL, clock_offset: float = 0.0
+    ) -> None:
+        """`clock_offset`: seconds from the clock of events to the one that the set shares."""
+        super().__init__(settings, seed, initial_fill)
+        self._clock_offset = clock_offset
+        self.bucket_factory = self._create_bucket
+        self.counter_ignored_until = -inf
+        self.waiting: dict[int, list[WaitingRequest]] = {}  # by customer id
+
+    def _create_bucket(
+        self, plan: Plan, customer_id: int, now: float, started_at: float, initial_fill: float
+    ) -> StrictTokenBucket:
+        return StrictTokenBucket(
+            plan,
+            customer_id,
+            now,
+            started_at,
+            initial_fill,
+            index=self.settings.index,
+            clock_offset=self._clock_offset,
+        )
+
+    def on_request(self, event: RequestReceived) -> None:
+        """Let a request wait for the counter where it lacks units that a reservation may bring."""
+        plan = self.plans.get(event.plan)
+        has_valid_units = isfinite(event.units) and event.units > 0
+        if plan is None or not has_valid_units or not self._waits_for_reservation(event, plan, 0):
+            self._decide(event)
+
+    def _decide(self, event: RequestReceived) -> None:
+        super().on_request(event)
+        customer_id = counter_encoding.customer_id(event.customer)
+        # Units are reserved when a request wants them: there is nothing to report.
+        self.updates_due.pop(customer_id, None)
+        self.deferred_updates.pop(customer_id, None)
+
+    def _waits_for_reservation(self, event: RequestReceived, plan: Plan, previous: int) -> bool:
+        customer_id = counter_encoding.customer_id(event.customer)
+        bucket = self.get_bucket(customer_id, plan)
+        if not isinstance(bucket, StrictTokenBucket) or previous >= MAX_RESERVATIONS:
+            return False
+        bucket.refresh(self.now)
+        if not bucket.members or bucket.set_changed:
+            bucket.join_set(event.first_limiter, event.set_size, self.settings.limiter_count, self.started_at)
+        missing = bucket.missing_units(event.units)
+        if missing <= 0.0 or event.remaining < MIN_REMAINING_SECONDS or self.now < self.counter_ignored_until:
+            return False
+        waiting = self.waiting.get(customer_id)
+        if waiting is None:
+            if not self._reserve(bucket, missing):
+                return False
+            waiting = self.waiting[customer_id] = []
+        waiting.append(WaitingRequest(self.now, previous + 1, event))
+        return True
+
+    def _reserve(self, bucket: StrictTokenBucket, missing: float) -> bool:
+        if not self.settings.information.counter or self.call_credit < 1.0:
+            return False
+        call = bucket.reservation_call(missing)
+        if call is None:
+            return False
+        self.call_credit -= 1.0
+        self.actions.append(call)
+        self.counter_calls[call.name] = CounterCall(bucket.customer_id, call.amount)
+        return True
+
+    def on_counter_replied(self, event: CounterReplied) -> None:
+        """Admit the requests that waited for this reply, let them wait once more, or reject them."""
+        customer_id = self.counter_calls.get(event.name, NO_CALL).customer_id
+        super().on_counter_replied(event)
+        if event.status in (Status.TIMEOUT, Status.CONNECT_FAILED):
+            self.counter_ignored_until = self.now + PAUSE_AFTER_LOST_CALL
+        elif event.status is Status.OK:
+            self.counter_ignored_until = -inf
+        for row in self.waiting.pop(customer_id, []):
+            request = row.request._replace(remaining=row.request.remaining - (self.now - row.since))
+            plan = self.plans.get(request.plan)
+            has_time = request.remaining > RETRY_MARGIN
+            if not has_time or plan is None or not self._waits_for_reservation(request, plan, row.reservations):
+                self._decide(request)
+
+    def on_client_disconnected(self, event: ClientDisconnected) -> None:
+        """End the request, also where it waits for the counter, whose reply is still waited for."""
+        self.waiting = {
+            customer_id: [row for row in rows if row.request.id != event.id]
+            for customer_id, rows in self.waiting.items()
+            if rows
+        }
+        super().on_client_disconnected(event)
--- /dev/null
+++ b/thymeflow/runtime/__init__.py
@@ -0,0 +1,1 @@
+"""Clock, deadlines, slot tables and log lines."""
--- a/thymeflow/net/clock.py
+++ b/thymeflow/runtime/clock.py
@@ -16,13 +16,13 @@
 from typing import Any
 
 _OFFSET = time.time() - time.monotonic()
-_COMPACT = 256   # cancelled deadlines that may lie about before they are swept out
-STALL = 0.1      # s: without a turn, from which what waits may have been decided on by what is old
-SETTLING = 8     # turns after a stall: connections that waited are accepted some at a time, and read a turn later
+_COMPACT = 256  # cancelled deadlines that may lie about before they are swept out
+STALL = 0.1  # s: without a turn, from which what waits may have been decided on by what is old
+SETTLING = 8  # turns after a stall: connections that waited are accepted some at a time, and read a turn later
 
-BORN = time.time()   # Unix time in seconds at which this life began, but for the interpreter's own start
+BORN = time.time()  # Unix time in seconds at which this life began, but for the interpreter's own start
 
-Entry = list[Any]   # [when, order, callback, argument]; callback None: cancelled or past
+Entry = list[Any]  # [when, order, callback, argument]; callback None: cancelled or past
 
 
 def now() -> float:
@@ -46,9 +46,9 @@
         self._timer: Any = None
         self._armed = 0.0
         self._running = False
-        self._behind: float | None = None   # since when what is read in this turn may have waited
+        self._behind: float | None = None  # since when what is read in this turn may have waited
         self._settling = 0
-        self.on_stall: Callable[[float], None] = lambda seconds: None   # who tells of one
+        self.on_stall: Callable[[float], None] = lambda seconds: None  # who tells of one
 
     def at(self, when: float, callback: Callable[[int], None], argument: int = 0) -> Entry:
         """Call back with the argument once `when` has come; the result is what `cancel` takes."""
@@ -77,17 +77,17 @@
             self._dead -= 1
         return heap[0] if heap else None
 
-    def since(self, moment: float) -> float:
+    def earliest_arrival(self, moment: float) -> float:
         """The earliest time at which what is read at this moment can have come; the moment itself but for stalls."""
         head = self._head()
         waited = moment if head is None else min(moment, head[0])
         return waited if self._behind is None else min(waited, self._behind)
 
-    def stalled(self, moment: float) -> bool:
+    def is_stalled(self, moment: float) -> bool:
         """Whether there was no turn for so long that lists and leases are to be looked at before anything is sent."""
-        return moment - self.since(moment) > STALL
+        return moment - self.earliest_arrival(moment) > STALL
 
-    def waited(self, since: float) -> None:
+    def mark_waiting(self, since: float) -> None:
         """What is read in the next turns may have waited since then."""
         settles, self._settling = self._behind is not None, SETTLING
         self._behind = min(since, self._behind) if self._behind is not None else since
@@ -97,7 +97,7 @@
     def _settle(self, _: int) -> None:
         self._settling -= 1
         if self._settling:
-            self.at(now(), self._settle)   # in the next turn
+            self.at(now(), self._settle)  # in the next turn
         else:
             self._behind = None
 
@@ -124,7 +124,7 @@
             head = self._head()
             if head is not None and due - head[0] > STALL:
                 self.on_stall(due - head[0])
-                self.waited(head[0])
+                self.mark_waiting(head[0])
             while self._heap and self._heap[0][0] <= due:
                 entry = heapq.heappop(self._heap)
                 callback, entry[2] = entry[2], None
--- a/thymeflow/net/log.py
+++ b/thymeflow/runtime/log.py
@@ -12,12 +12,12 @@
 from collections.abc import Callable
 from typing import Any
 
-from thymeflow.net import clock
+from thymeflow.runtime import clock
 
-PACE = 1.0   # s: least time between two lines of one kind
+PACE = 1.0  # s: least time between two lines of one kind
 MOST_TEXT = 300
 
-Sink = Callable[[str, str, int, dict[str, Any]], None]   # kind, text, lines left out before it, typed fields
+Sink = Callable[[str, str, int, dict[str, Any]], None]  # kind, text, lines left out before it, typed fields
 
 _log = logging.getLogger("thymeflow")
 _last: dict[str, float] = {}
@@ -60,4 +60,4 @@
 
     logging.basicConfig(level=logging.INFO, format=f"%(asctime)s {name} %(message)s")
     logging.getLogger("twisted").setLevel(logging.ERROR)
-    PythonLoggingObserver().start()   # type: ignore[no-untyped-call]
+    PythonLoggingObserver().start()  # type: ignore[no-untyped-call]
--- a/thymeflow/net/table.py
+++ b/thymeflow/runtime/slot_table.py
@@ -10,10 +10,10 @@
 
 T = TypeVar("T")
 
-WIDTH = 1 << 20   # slots of a table at most; a handle is generation * WIDTH + slot
+WIDTH = 1 << 20  # slots of a table at most; a handle is generation * WIDTH + slot
 
 
-class Table(Generic[T]):
+class SlotTable(Generic[T]):
     """What is open of one kind, by handle."""
 
     def __init__(self, most: int) -> None:
@@ -23,20 +23,20 @@
         self._free: list[int] = []
         self._count = 0
 
-    def limit(self, most: int) -> None:
+    def set_limit(self, most: int) -> None:
         """Hold so many at most from now on; what is over that stays until it ends."""
         self._most = min(most, WIDTH)
 
     def __len__(self) -> int:
         return self._count
 
-    def full(self) -> bool:
+    def is_full(self) -> bool:
         """Whether no slot is left."""
         return self._count >= self._most
 
     def add(self, item: T) -> int:
         """Put something into a slot; the caller has seen that the table is not full."""
-        if self.full():
+        if self.is_full():
             raise OverflowError("table is full")
         if self._free:
             slot = self._free.pop()
--- a/thymeflow/settings/reader.py
+++ b/thymeflow/settings/reader.py
@@ -15,10 +15,10 @@
 from typing import Any, get_args, get_type_hints
 
 from thymeflow.settings.sections import Settings
-from thymeflow.settings.units import BadValue, Kind
+from thymeflow.settings.units import InvalidValueError, Kind
 
 PREFIX = "THYMEFLOW_"
-MOST_BYTES = 1 << 20   # of a settings file; a larger one is something else
+MOST_BYTES = 1 << 20  # of a settings file; a larger one is something else
 
 
 @dataclass(frozen=True, slots=True)
@@ -69,7 +69,7 @@
     for number, line in enumerate(text.splitlines(), 1):
         bare = line.strip()
         if bare.startswith("[") and "]" in bare:
-            section = bare[1:bare.index("]")]
+            section = bare[1 : bare.index("]")]
             found.setdefault((section, ""), number)
         elif bare and bare[0] not in "#;" and "=" in bare and not line[:1].isspace():
             found.setdefault((section, bare.partition("=")[0].strip().lower()), number)
@@ -77,24 +77,46 @@
 
 
 def _parsed(text: str, file: str) -> dict[str, dict[str, str]]:
-    parser = configparser.ConfigParser(interpolation=None, delimiters=("=",), comment_prefixes=("#", ";"),
-                                       inline_comment_prefixes=(";", "#"), default_section="\0",
-                                       empty_lines_in_values=False)
+    parser = configparser.ConfigParser(
+        interpolation=None,
+        delimiters=("=",),
+        comment_prefixes=("#", ";"),
+        inline_comment_prefixes=(";", "#"),
+        default_section="\0",
+        empty_lines_in_values=False,
+    )
     try:
         parser.read_string(text)
     except configparser.DuplicateOptionError as fault:
-        raise SettingsError([Fault(file, fault.lineno or 0, fault.section, fault.option, "is set twice",
-                                   "keep one of the two")]) from None
+        raise SettingsError(
+            [Fault(file, fault.lineno or 0, fault.section, fault.option, "is set twice", "keep one of the two")]
+        ) from None
     except configparser.DuplicateSectionError as fault:
-        raise SettingsError([Fault(file, fault.lineno or 0, fault.section, "", "stands twice",
-                                   "write its keys under one head")]) from None
+        raise SettingsError(
+            [Fault(file, fault.lineno or 0, fault.section, "", "stands twice", "write its keys under one head")]
+        ) from None
     except configparser.MissingSectionHeaderError as fault:
-        raise SettingsError([Fault(file, fault.lineno, "", "", "a line stands before any section",
-                                   "begin with a head such as [daemon]")]) from None
+        raise SettingsError(
+            [
+                Fault(
+                    file, fault.lineno, "", "", "a line stands before any section", "begin with a head such as [daemon]"
+                )
+            ]
+        ) from None
     except configparser.ParsingError as fault:
-        raise SettingsError([Fault(file, number, "", "", f"{line.strip()!r} is no key = value",
-                                   "write key = value, or begin the line with # to leave it out")
-                             for number, line in fault.errors]) from None
+        raise SettingsError(
+            [
+                Fault(
+                    file,
+                    number,
+                    "",
+                    "",
+                    f"{line.strip()!r} is no key = value",
+                    "write key = value, or begin the line with # to leave it out",
+                )
+                for number, line in fault.errors
+            ]
+        ) from None
     return {name: dict(parser[name]) for name in parser.sections()}
 
 
@@ -102,15 +124,26 @@
     try:
         data = path.read_bytes()
     except OSError as fault:
-        raise SettingsError([Fault(str(path), 0, "", "", f"cannot be read ({fault.strerror})",
-                                   "name a file that is there and may be read")]) from None
+        raise SettingsError(
+            [
+                Fault(
+                    str(path),
+                    0,
+                    "",
+                    "",
+                    f"cannot be read ({fault.strerror})",
+                    "name a file that is there and may be read",
+                )
+            ]
+        ) from None
     if len(data) > MOST_BYTES:
-        raise SettingsError([Fault(str(path), 0, "", "", f"holds {len(data)} bytes",
-                                   "settings are shorter; name another file")])
+        raise SettingsError(
+            [Fault(str(path), 0, "", "", f"holds {len(data)} bytes", "settings are shorter; name another file")]
+        )
     try:
         return data.decode()
     except UnicodeDecodeError as fault:
-        line = data[:fault.start].count(b"\n") + 1
+        line = data[: fault.start].count(b"\n") + 1
         raise SettingsError([Fault(str(path), line, "", "", "is no UTF-8 text", "save it as UTF-8")]) from None
 
 
@@ -121,8 +154,9 @@
     known = {name: kinds(section) for name, section in SECTIONS.items()}
     for section, keys in given.items():
         if section not in known:
-            faults.append(Fault(file, lines.get((section, ""), 0), section, "", "is no section",
-                                nearest(section, known)))
+            faults.append(
+                Fault(file, lines.get((section, ""), 0), section, "", "is no section", nearest(section, known))
+            )
             continue
         for key, raw in keys.items():
             place = (file, lines.get((section, key), 0), section, key)
@@ -131,7 +165,7 @@
                 continue
             try:
                 values[section][key] = known[section][key].read(raw.strip())
-            except BadValue as fault:
+            except InvalidValueError as fault:
                 faults.append(Fault(*place, str(fault), fault.mend))
     names = {f"{PREFIX}{s}_{k}".upper().replace("-", "_"): (s, k) for s in known for k in known[s]}
     for variable in sorted(v for v in environment if v.startswith(PREFIX)):
@@ -141,12 +175,13 @@
         section, key = names[variable]
         try:
             values[section][key] = known[section][key].read(environment[variable].strip())
-        except BadValue as fault:
+        except InvalidValueError as fault:
             faults.append(Fault("environment", 0, section, variable, str(fault), fault.mend))
     if faults:
         raise SettingsError(faults)
-    return Settings(**{name: SECTIONS[name](**{k.replace("-", "_"): v for k, v in values[name].items()})
-                       for name in SECTIONS})
+    return Settings(
+        **{name: SECTIONS[name](**{k.replace("-", "_"): v for k, v in values[name].items()}) for name in SECTIONS}
+    )
 
 
 def read(path: str | Path | None, environment: Mapping[str, str] = os.environ) -> Settings:
@@ -161,7 +196,9 @@
     parts = []
     for name, section in SECTIONS.items():
         held = getattr(settings, name)
-        rows = [f"{key} = {kind.show(getattr(held, key.replace('-', '_')))}".rstrip()
-                for key, kind in kinds(section).items()]
+        rows = [
+            f"{key} = {kind.show(getattr(held, key.replace('-', '_')))}".rstrip()
+            for key, kind in kinds(section).items()
+        ]
         parts.append("\n".join([f"[{name}]", *rows]))
     return "\n\n".join(parts) + "\n"
--- a/thymeflow/settings/units.py
+++ b/thymeflow/settings/units.py
@@ -12,12 +12,12 @@
 from typing import Any, Protocol
 
 _AMOUNT = re.compile(r"([0-9]+(?:\.[0-9]+)?)\s*([a-zA-Z]*)")
-DURATIONS = {"us": 1e6, "ms": 1e3, "s": 1.0, "m": 1 / 60.0, "h": 1 / 3600.0}   # of each in a second
+DURATIONS = {"us": 1e6, "ms": 1e3, "s": 1.0, "m": 1 / 60.0, "h": 1 / 3600.0}  # of each in a second
 SIZES = {"B": 1, "KB": 1 << 10, "MB": 1 << 20, "GB": 1 << 30}
 WORDS = {"yes": True, "on": True, "true": True, "no": False, "off": False, "false": False}
 
 
-class BadValue(ValueError):
+class InvalidValueError(ValueError):
     """The text is no value of its kind; `mend` says what would be."""
 
     def __init__(self, why: str, mend: str) -> None:
@@ -35,18 +35,18 @@
 def _amount(text: str, units: dict[str, float] | dict[str, int], mend: str) -> tuple[float, str]:
     found = _AMOUNT.fullmatch(text)
     if found is None:
-        raise BadValue(f"{text!r} is no amount with a unit", mend)
+        raise InvalidValueError(f"{text!r} is no amount with a unit", mend)
     digits, unit = found.groups()
     if not unit:
-        raise BadValue(f"{text!r} has no unit", mend)
+        raise InvalidValueError(f"{text!r} has no unit", mend)
     if unit not in units:
-        raise BadValue(f"{text!r} has the unknown unit {unit!r}", mend)
+        raise InvalidValueError(f"{text!r} has the unknown unit {unit!r}", mend)
     return float(digits), unit
 
 
 def _within(text: str, value: float, least: float, most: float, mend: str) -> None:
     if not isfinite(value) or not least <= value <= most:
-        raise BadValue(f"{text!r} is out of range", mend)
+        raise InvalidValueError(f"{text!r} is out of range", mend)
 
 
 @dataclass(frozen=True, slots=True)
@@ -59,7 +59,7 @@
     def read(self, text: str) -> float:
         mend = f"write a time from {self.show(self.least)} to {self.show(self.most)}, such as 500ms or 2s"
         number, unit = _amount(text, DURATIONS, mend)
-        value = number / DURATIONS[unit]     # divided, 700ms is 0.7 to the last bit
+        value = number / DURATIONS[unit]  # divided, 700ms is 0.7 to the last bit
         _within(text, value, self.least, self.most, mend)
         return value
 
@@ -101,7 +101,7 @@
     def read(self, text: str) -> int:
         mend = f"write a whole number from {self.least} to {self.most}"
         if not text.isascii() or not text.isdigit() or len(text) > 12:
-            raise BadValue(f"{text!r} is no whole number", mend)
+            raise InvalidValueError(f"{text!r} is no whole number", mend)
         _within(text, int(text), self.least, self.most, mend)
         return int(text)
 
@@ -115,7 +115,7 @@
 
     def read(self, text: str) -> bool:
         if text.lower() not in WORDS:
-            raise BadValue(f"{text!r} is neither yes nor no", "write yes or no")
+            raise InvalidValueError(f"{text!r} is neither yes nor no", "write yes or no")
         return WORDS[text.lower()]
 
     def show(self, value: bool) -> str:
@@ -130,7 +130,7 @@
 
     def read(self, text: str) -> str:
         if text not in self.words:
-            raise BadValue(f"{text!r} is not known here", f"write one of {', '.join(self.words)}")
+            raise InvalidValueError(f"{text!r} is not known here", f"write one of {', '.join(self.words)}")
         return text
 
     def show(self, value: str) -> str:
@@ -146,7 +146,7 @@
 
     def read(self, text: str) -> str:
         if self.form and not re.fullmatch(self.form, text):
-            raise BadValue(f"{text!r} has not the form wanted", f"write it like {self.example}")
+            raise InvalidValueError(f"{text!r} has not the form wanted", f"write it like {self.example}")
         return text
 
     def show(self, value: str) -> str:
--- /dev/null
+++ b/thymeflow/shedding/__init__.py
@@ -0,0 +1,1 @@
+"""Load shedding with one admission threshold for the fleet."""
--- a/thymeflow/state/keep.py
+++ b/thymeflow/snapshot/atomic_file.py
@@ -12,18 +12,18 @@
 from enum import Enum
 from pathlib import Path
 
-from thymeflow.state.record import MOST_BYTES, SnapshotError
+from thymeflow.snapshot.schema import MOST_BYTES, SnapshotError
 
 
-class Lasting(Enum):
+class Durability(Enum):
     """What a file outlasts once `write` has returned."""
 
-    PROCESS = "process"    # it can be made again after a power cut
-    CONTENT = "content"    # after one, the old file or the new one is there, each whole
-    ALL = "all"            # after one, the new file is there
+    PROCESS = "process"  # it can be made again after a power cut
+    CONTENT = "content"  # after one, the old file or the new one is there, each whole
+    ALL = "all"  # after one, the new file is there
 
 
-def write(path: Path, data: bytes, lasting: Lasting = Lasting.ALL) -> None:
+def write(path: Path, data: bytes, lasting: Durability = Durability.ALL) -> None:
     """Put the bytes in the place of the old file; OSError where that failed, with the old file standing."""
     temporary = path.with_name(f".{path.name}.{os.getpid()}")
     descriptor = os.open(temporary, os.O_WRONLY | os.O_CREAT | os.O_TRUNC | os.O_CLOEXEC, 0o600)
@@ -31,8 +31,8 @@
         try:
             rest = memoryview(data)
             while rest:
-                rest = rest[os.write(descriptor, rest):]
-            if lasting is not Lasting.PROCESS:
+                rest = rest[os.write(descriptor, rest) :]
+            if lasting is not Durability.PROCESS:
                 os.fsync(descriptor)
         finally:
             os.close(descriptor)
@@ -41,7 +41,7 @@
         with contextlib.suppress(OSError):
             os.unlink(temporary)
         raise
-    if lasting is not Lasting.ALL:
+    if lasting is not Durability.ALL:
         return
     folder = os.open(path.parent, os.O_RDONLY | os.O_DIRECTORY)
     try:
--- a/thymeflow/state/record.py
+++ b/thymeflow/snapshot/schema.py
@@ -15,21 +15,32 @@
 from dataclasses import asdict, dataclass, field
 from typing import Any
 
-from thymeflow import interface as api
-from thymeflow.account import Account
-from thymeflow.state.typed import BadValue, typed
+from thymeflow.decision.settings import GatewaySettings, Plan
+from thymeflow.snapshot.validation import InvalidValueError, typed
 
 MAGIC = "thymeflow-snapshot"
-VERSION = 2               # 2: counts hold charges beside demand
-MOST_BYTES = 64 << 20      # a larger file is no snapshot of ours
+VERSION = 2  # 2: counts hold charges beside demand
+MOST_BYTES = 64 << 20  # a larger file is no snapshot of ours
 MOST_HEAD = 200
-AHEAD = 1.0                # s: by how much a snapshot may be newer than our clock, for clocks that step
+AHEAD = 1.0  # s: by how much a snapshot may be newer than our clock, for clocks that step
 
 
 class SnapshotError(Exception):
     """The snapshot is not used; the text says why in one line."""
 
 
+@dataclass(frozen=True, slots=True)
+class AccountRecord:
+    """A customer's counter ledger: see `quota.counter_ledger.CounterLedger`."""
+
+    read: float
+    told: float = 0.0
+    spent: float = 0.0
+    name: int = -1
+    total: float = 0.0
+    unsure: tuple[int, float] = (-1, 0.0)
+
+
 @dataclass(frozen=True, slots=True)
 class StoreRecord:
     """A customer's store at one limiter. Amounts are units, times Unix seconds."""
@@ -51,8 +62,8 @@
     count: int
     members: tuple[int, ...]
     gathers: bool
-    ahead: float              # what others may have charged since the last reading
-    account: Account          # what the counter was told, and told
+    ahead: float  # what others may have charged since the last reading
+    account: AccountRecord
 
 
 @dataclass(frozen=True, slots=True)
@@ -90,22 +101,45 @@
     name: str
     life: str
     taken: float
-    final: bool               # written when nothing more could be sent on
+    final: bool  # written when nothing more could be sent on
     gateways: int
     pressure: float
     usual: float
     budget: float
     call_rate: float
-    version: int              # of the list
+    version: int  # of the list
     servers: tuple[ServerRecord, ...]
     health: tuple[HealthRecord, ...]
     stores: tuple[StoreRecord, ...]
 
 
-def site_of(settings: api.Settings) -> str:
-    """What must be equal for a store to mean the same: the plans and the place, not classes or the set's size."""
-    told = repr((settings.plans, settings.zone, settings.index))
-    return hashlib.blake2b(told.encode(), digest_size=8).hexdigest()
+class _Verbatim(str):
+    """Text that stands in a `repr` as it is."""
+
+    __repr__ = str.__str__
+
+
+def _plan_text(plan: Plan) -> _Verbatim:
+    # The format that site digests have been made of since version 1; its names are not those of the code.
+    values = {
+        "name": plan.name,
+        "rate": plan.rate,
+        "burst": plan.burst,
+        "open_limit": plan.max_concurrency,
+        "price": plan.price,
+        "over_worth": plan.over_quota_weight,
+        "over_cost": plan.over_quota_cost,
+        "ceiling_rate": plan.ceiling_rate,
+        "ceiling_burst": plan.ceiling_burst,
+        "ceiling_slack": plan.ceiling_slack,
+    }
+    return _Verbatim(f"Plan({', '.join(f'{name}={value!r}' for name, value in values.items())})")
+
+
+def site_of(settings: GatewaySettings) -> str:
+    """Digest of what must be equal for a bucket to mean the same: plans, zone and index, not classes or set size."""
+    text = repr((tuple(_plan_text(plan) for plan in settings.plans), settings.zone, settings.index))
+    return hashlib.blake2b(text.encode(), digest_size=8).hexdigest()
 
 
 def pack(snapshot: Snapshot) -> bytes:
@@ -146,7 +180,7 @@
     try:
         found = json.loads(body)
         snapshot: Snapshot = typed(Snapshot, _renewed(found) if words[1] == "1" else found, "snapshot")
-    except (BadValue, ValueError, RecursionError) as fault:
+    except (InvalidValueError, ValueError, RecursionError) as fault:
         raise SnapshotError(f"a value is not of its type: {fault}") from None
     if words[2] != snapshot.site or words[3] != f"{snapshot.taken:.6f}":
         raise SnapshotError("its first line and its content differ")
--- a/thymeflow/lab/demo.py
+++ b/thymeflow/testkit/demo.py
@@ -26,16 +26,16 @@
 from rich.text import Text
 from twisted.internet.defer import Deferred, inlineCallbacks
 
-from thymeflow.lab.standins import Customer, World
-from thymeflow.lab.standins.site import CLASSES, PLANS
-from thymeflow.net import clock
-from thymeflow.succession.ask import Unanswered, ask
+from thymeflow.handover.control_client import NoAnswerError, ask
+from thymeflow.runtime import clock
+from thymeflow.testkit.fakes import Customer, World
+from thymeflow.testkit.fakes.site import CLASSES, PLANS
 
 LIMITERS, SERVERS = 3, 4
-DEMAND = {"kedai": 0.6, "biasa": 0.8, "rangkaian": 1.0, "korporat": 1.6}   # of the quota: the last asks too much
-CUSTOMERS = 3         # of each plan
-REFRESH = 0.25        # s
-VICTIM = 1            # the server that is killed
+DEMAND = {"kedai": 0.6, "biasa": 0.8, "rangkaian": 1.0, "korporat": 1.6}  # of the quota: the last asks too much
+CUSTOMERS = 3  # of each plan
+REFRESH = 0.25  # s
+VICTIM = 1  # the server that is killed
 
 Steps = Generator[Deferred[Any], Any, Any]
 
@@ -47,11 +47,11 @@
     plan: str
     asked: int
     served: int
-    beyond: int       # refused, its customer's quota being used up
-    with_room: int    # refused though the customer had room: servers busy or away, or a slice too small
+    beyond: int  # refused, its customer's quota being used up
+    with_room: int  # refused though the customer had room: servers busy or away, or a slice too small
     failed: int
-    median: float     # s, of the served
-    slowest: float    # s, the 99th percentile
+    median: float  # s, of the served
+    slowest: float  # s, the 99th percentile
 
 
 def rows(world: World) -> list[PlanRow]:
@@ -68,8 +68,9 @@
         def at(share: float, times: list[float] = served) -> float:
             return times[min(len(times) - 1, int(share * len(times)))] if times else 0.0
 
-        found.append(PlanRow(plan, len(results), len(served), len(refused) - with_room, with_room, len(other),
-                             at(0.5), at(0.99)))
+        found.append(
+            PlanRow(plan, len(results), len(served), len(refused) - with_room, with_room, len(other), at(0.5), at(0.99))
+        )
     return found
 
 
@@ -98,21 +99,42 @@
     def view(self) -> Group:
         """The live view."""
         plans = Table("plan", title="what user agents saw", title_justify="left")
-        for name in ("asked", "served", "refused: quota used up", "refused: with room", "failed", "median ms",
-                     "p99 ms"):
+        for name in (
+            "asked",
+            "served",
+            "refused: quota used up",
+            "refused: with room",
+            "failed",
+            "median ms",
+            "p99 ms",
+        ):
             plans.add_column(name, justify="right")
         for row in rows(self.world):
-            plans.add_row(row.plan, str(row.asked), str(row.served), str(row.beyond), str(row.with_room),
-                          str(row.failed), f"{row.median * 1e3:.0f}", f"{row.slowest * 1e3:.0f}")
+            plans.add_row(
+                row.plan,
+                str(row.asked),
+                str(row.served),
+                str(row.beyond),
+                str(row.with_room),
+                str(row.failed),
+                f"{row.median * 1e3:.0f}",
+                f"{row.slowest * 1e3:.0f}",
+            )
         limiters = Table("limiter", "state", title="limiters", title_justify="left")
         for name in ("served", "refused", "open", "customers", "servers ready"):
             limiters.add_column(name, justify="right")
         for member in self._members:
             told = member.get("told") or {}
             answers = told.get("answers", {})
-            limiters.add_row(member["name"], member["state"], str(answers.get("served", 0)),
-                             str(answers.get("unavailable", 0)), str(told.get("open", 0)),
-                             str(told.get("customers", 0)), str(told.get("servers", {}).get("ready", 0)))
+            limiters.add_row(
+                member["name"],
+                member["state"],
+                str(answers.get("served", 0)),
+                str(answers.get("unavailable", 0)),
+                str(told.get("open", 0)),
+                str(told.get("customers", 0)),
+                str(told.get("servers", {}).get("ready", 0)),
+            )
         servers = Table("server", "state", title="servers (stand-ins)", title_justify="left")
         servers.add_column("calls", justify="right")
         for server in self.world.servers:
@@ -121,8 +143,9 @@
         return Group(plans, limiters, servers, Text("\n".join(self._happened[-6:])))
 
     def _ask(self, patience: float, **message: Any) -> Deferred[dict[str, Any]]:
-        return ask(self._reactor, self.world.deadlines, self._folder / "s" / "fleet.sock", message,
-                   clock.now() + patience)
+        return ask(
+            self._reactor, self.world.deadlines, self._folder / "s" / "fleet.sock", message, clock.now() + patience
+        )
 
     def _beat(self) -> None:
         def told(answer: dict[str, Any]) -> None:
@@ -141,7 +164,7 @@
     def _ready(self) -> Steps:
         end = time.monotonic() + 30.0
         while time.monotonic() < end:
-            with contextlib.suppress(Unanswered):
+            with contextlib.suppress(NoAnswerError):
                 answer = yield self._ask(2.0, do="status")
                 self._members = answer.get("members", [])
                 if answer.get("ready") == LIMITERS:
@@ -158,19 +181,44 @@
         self.world.start()
         platform = self._folder / "platform.json"
         platform.write_text(json.dumps(self.world.config(LIMITERS)))
-        environment = {**os.environ, "THYMEFLOW_FLEET_INSTANCES": str(LIMITERS), "THYMEFLOW_FLEET_SPREAD": "200ms",
-                       "THYMEFLOW_FLEET_SETTLE": "300ms", "THYMEFLOW_LOG_FILE": str(self._folder / "log")}
+        environment = {
+            **os.environ,
+            "THYMEFLOW_FLEET_INSTANCES": str(LIMITERS),
+            "THYMEFLOW_FLEET_SPREAD": "200ms",
+            "THYMEFLOW_FLEET_SETTLE": "300ms",
+            "THYMEFLOW_LOG_FILE": str(self._folder / "log"),
+        }
         self._supervisor = subprocess.Popen(
-            [sys.executable, "-m", "thymeflow", "fleet", "up", "--platform", str(platform), "--state",
-             str(self._folder / "s")], env=environment, stdout=subprocess.DEVNULL, start_new_session=True)
+            [
+                sys.executable,
+                "-m",
+                "thymeflow",
+                "fleet",
+                "up",
+                "--platform",
+                str(platform),
+                "--state",
+                str(self._folder / "s"),
+            ],
+            env=environment,
+            stdout=subprocess.DEVNULL,
+            start_new_session=True,
+        )
         yield self._ready()
         self.say(f"{LIMITERS} limiters serve at {', '.join(m['listen'] for m in self._members)}")
         number = 0
         for plan, share in DEMAND.items():
             for _ in range(CUSTOMERS):
                 number += 1
-                customer = Customer(number, plan, share * PLANS[plan][0], first=number % LIMITERS, spread=LIMITERS,
-                                    of=LIMITERS, favourite=0.4)
+                customer = Customer(
+                    number,
+                    plan,
+                    share * PLANS[plan][0],
+                    first=number % LIMITERS,
+                    spread=LIMITERS,
+                    of=LIMITERS,
+                    favourite=0.4,
+                )
                 self.world.agents.begin(customer, CLASSES)
         victim = self.world.servers[VICTIM]
         yield self._pause(0.25)
@@ -214,8 +262,7 @@
 
         signal.signal(signal.SIGINT, lambda *_: self._reactor.callFromThread(self.interrupt))
         signal.signal(signal.SIGTERM, lambda *_: self._reactor.callFromThread(self.interrupt))
-        self._reactor.callWhenRunning(
-            lambda: self.play().addErrback(failed).addBoth(lambda _: self._reactor.stop()))
+        self._reactor.callWhenRunning(lambda: self.play().addErrback(failed).addBoth(lambda _: self._reactor.stop()))
         LoopingCall(self._beat).start(REFRESH, now=False)
         live = Live(self.view(), console=self._console, auto_refresh=False) if self._console.is_terminal else None
         try:
@@ -236,15 +283,16 @@
         unanswered = len(self.world.unanswered())
         for fault in self.world.unlawful()[:5]:
             self._console.print(f"sent as the rules forbid: {fault}", highlight=False)
-        self._console.print(f"{len(results)} requests, {unanswered} without an answer, {twice} answered or sent "
-                            "twice", highlight=False)
+        self._console.print(
+            f"{len(results)} requests, {unanswered} without an answer, {twice} answered or sent twice", highlight=False
+        )
         self.code = self.code or int(bool(unanswered or twice))
 
     def _clean(self) -> None:
         if self._supervisor is not None:
             with contextlib.suppress(subprocess.TimeoutExpired):
                 self._supervisor.wait(0.5 if self.code == 0 else 0.0)
-            for path in (self._folder / "s").glob("n*.lock"):   # whoever did not end: the lock names its process
+            for path in (self._folder / "s").glob("n*.lock"):  # whoever did not end: the lock names its process
                 words = path.read_text().split()
                 if self.code and words and words[0].isdigit():
                     with contextlib.suppress(ProcessLookupError):
--- a/thymeflow/lab/standins/__init__.py
+++ b/thymeflow/testkit/fakes/__init__.py
@@ -4,10 +4,10 @@
 can be held against what the others saw. They misbehave only when told to.
 """
 
-from thymeflow.lab.standins.agents import Agents, Customer, Result
-from thymeflow.lab.standins.counter import Counter
-from thymeflow.lab.standins.discovery import Discovery
-from thymeflow.lab.standins.server import Arrival, Meter, Server
-from thymeflow.lab.standins.world import World
+from thymeflow.testkit.fakes.backend import Arrival, Meter, Server
+from thymeflow.testkit.fakes.counter import Counter
+from thymeflow.testkit.fakes.discovery import Discovery
+from thymeflow.testkit.fakes.environment import World
+from thymeflow.testkit.fakes.load_generator import Agents, Customer, Result
 
 __all__ = ["Agents", "Arrival", "Counter", "Customer", "Discovery", "Meter", "Result", "Server", "World"]
--- a/thymeflow/lab/standins/server.py
+++ b/thymeflow/testkit/fakes/backend.py
@@ -12,8 +12,9 @@
 from twisted.internet.protocol import Factory, Protocol, connectionDone
 from twisted.python.failure import Failure
 
-from thymeflow.lab.ports import free_port
-from thymeflow.net import clock, resp
+from thymeflow.runtime import clock
+from thymeflow.testkit.ports import free_port
+from thymeflow.transport import resp
 
 VERBS = (b"SVC.QUERY", b"SVC.SUBMIT")
 
@@ -30,7 +31,7 @@
     cls: str
     units: float
     keyed: bool
-    over: float = inf     # when its answer was written, or its connection ended: until then it is out
+    over: float = inf  # when its answer was written, or its connection ended: until then it is out
 
 
 class Keys:
@@ -50,7 +51,7 @@
 class Meter:
     """Use of each customer over all servers, as they tell it: percent of its rate over the last seconds."""
 
-    SPAN = 2.0   # s
+    SPAN = 2.0  # s
 
     def __init__(self, rates: dict[str, float]) -> None:
         self._rates, self._seen = rates, dict[str, deque[tuple[float, float]]]()
@@ -78,7 +79,7 @@
 
     def __init__(self, server: Server) -> None:
         self._server, self._parser = server, resp.Parser()
-        self._answers: deque[list[bytes | None]] = deque()   # in the order of their calls
+        self._answers: deque[list[bytes | None]] = deque()  # in the order of their calls
         self._out: list[Arrival] = []
         self.closed = False
 
@@ -95,8 +96,11 @@
 
     def _call(self, words: resp.Event) -> None:
         if not isinstance(words, list) or len(words) < 4 or words[0] not in VERBS:
-            self._put(b"+OK\r\n" if isinstance(words, list) and words[:1] in ([b"CLIENT"], [b"SELECT"])
-                      else b"-ERR unknown\r\n")
+            self._put(
+                b"+OK\r\n"
+                if isinstance(words, list) and words[:1] in ([b"CLIENT"], [b"SELECT"])
+                else b"-ERR unknown\r\n"
+            )
             return
         _, customer, request, text = words[:4]
         assert isinstance(customer, bytes) and isinstance(request, bytes) and isinstance(text, bytes)
@@ -125,7 +129,7 @@
         self.closed = True
         self._server.connections.discard(self)
         for arrival in self._out:
-            arrival.over = min(arrival.over, self._server.since())
+            arrival.over = min(arrival.over, self._server.last_sent_at())
 
 
 class Server(Factory):
@@ -133,19 +137,30 @@
 
     noisy = False
 
-    def __init__(self, reactor: Any, deadlines: clock.Deadlines, number: int, meter: Meter, keys: Keys,
-                 rng: random.Random, slots: int = 8, room: int = 64, mean: float = 0.02, cost: float = 1.0) -> None:
+    def __init__(
+        self,
+        reactor: Any,
+        deadlines: clock.Deadlines,
+        number: int,
+        meter: Meter,
+        keys: Keys,
+        rng: random.Random,
+        slots: int = 8,
+        room: int = 64,
+        mean: float = 0.02,
+        cost: float = 1.0,
+    ) -> None:
         self.number, self.arrivals, self.connections = number, list[Arrival](), set[_Connection]()
-        self.mean, self.cost = mean, cost            # s of work; true units for a declared one
-        self.thrash = 0.0                            # how much longer work takes for each one that waits for a slot
+        self.mean, self.cost = mean, cost  # s of work; true units for a declared one
+        self.thrash = 0.0  # how much longer work takes for each one that waits for a slot
         self.error_rate = 0.0
-        self.long: dict[str, int] = {}               # by class: bytes that a value is filled up to
+        self.long: dict[str, int] = {}  # by class: bytes that a value is filled up to
         self._reactor, self._deadlines, self._meter, self._keys, self._rng = reactor, deadlines, meter, keys, rng
         self.slots, self._room, self._busy = slots, room, 0
         self._waiting: deque[tuple[Arrival, Callable[[], None]]] = deque()
         self._port: Any = None
         self.address = ("127.0.0.1", 0)
-        self.generation = 0                          # of its life; work of an earlier one is not answered
+        self.generation = 0  # of its life; work of an earlier one is not answered
 
     def buildProtocol(self, addr: Any) -> _Connection:
         """A new connection."""
@@ -157,9 +172,9 @@
         self._port = self._reactor.listenTCP(port, self, interface=self.address[0], backlog=511)
         self.address = ("127.0.0.1", self._port.getHost().port)
 
-    def since(self) -> float:
+    def last_sent_at(self) -> float:
         """The earliest at which what is read now can have come."""
-        return self._deadlines.since(clock.now())
+        return self._deadlines.earliest_arrival(clock.now())
 
     def up(self) -> bool:
         """Whether it listens."""
@@ -180,16 +195,18 @@
         port, self._port = self._port, None
         return port.stopListening() if port else None
 
-    def take(self, customer: str, request: str, terms: dict[str, str], keyed: bool,
-             answered: Callable[[bytes], None]) -> Arrival | None:
+    def take(
+        self, customer: str, request: str, terms: dict[str, str], keyed: bool, answered: Callable[[bytes], None]
+    ) -> Arrival | None:
         """A call has come; None where it is turned away."""
         now = clock.now()
         units = float(terms.get("units", "1"))
         if self._busy >= self.slots and len(self._waiting) >= self._room:
             answered(b"-BUSY\r\n")
             return None
-        arrival = Arrival(now, self._deadlines.since(now), self.number, request, customer, terms.get("c", ""), units,
-                          keyed)
+        arrival = Arrival(
+            now, self._deadlines.earliest_arrival(now), self.number, request, customer, terms.get("c", ""), units, keyed
+        )
         self.arrivals.append(arrival)
         used = self._meter.add(customer, terms.get("t", ""), units, now)
         life = self.generation
@@ -215,7 +232,7 @@
                 answered(b"*3\r\n" + resp.bulk(value) + resp.bulk(figures) + resp.bulk(b"avg_ms=%.2f" % (work * 1e3)))
             while self._waiting and self._busy < self.slots:
                 waits, go_on = self._waiting.popleft()
-                if waits.over == inf:     # one whose connection has ended meanwhile was called off
+                if waits.over == inf:  # one whose connection has ended meanwhile was called off
                     go_on()
 
         if self._busy < self.slots:
@@ -224,8 +241,15 @@
             self._waiting.append((arrival, begin))
         return arrival
 
-    def entry(self, lifecycle: str = "active") -> dict[str, Any]:
+    def endpoint(self, lifecycle: str = "active") -> dict[str, Any]:
         """As discovery lists it."""
-        return {"instanceId": f"s-{self.number + 1:08x}", "hostPort": "{}:{}".format(*self.address),
-                "zone": "floor-2", "machineType": "std", "cell": 0, "lifecycle": lifecycle, "weight": 1.0,
-                "startedAtMs": 0}
+        return {
+            "instanceId": f"s-{self.number + 1:08x}",
+            "hostPort": "{}:{}".format(*self.address),
+            "zone": "floor-2",
+            "machineType": "std",
+            "cell": 0,
+            "lifecycle": lifecycle,
+            "weight": 1.0,
+            "startedAtMs": 0,
+        }
--- a/thymeflow/lab/standins/counter.py
+++ b/thymeflow/testkit/fakes/counter.py
@@ -8,12 +8,13 @@
 from twisted.internet.protocol import Factory, Protocol, connectionDone
 from twisted.python.failure import Failure
 
-from thymeflow.lab.ports import free_port
-from thymeflow.net import clock, resp
+from thymeflow.runtime import clock
+from thymeflow.testkit.ports import free_port
+from thymeflow.transport import resp
 
-MOST_LIFE = 60.0     # s
+MOST_LIFE = 60.0  # s
 MOST_AMOUNT = 1e9
-SWEEP = 5.0          # s: between looks for names that have ended
+SWEEP = 5.0  # s: between looks for names that have ended
 
 
 class _Connection(Protocol):
@@ -46,11 +47,11 @@
 
     def __init__(self, reactor: Any, deadlines: clock.Deadlines, capacity: float = 540.0, room: int = 400) -> None:
         self.connections: list[_Connection] = []
-        self.names: dict[bytes, tuple[float, float]] = {}    # total, end of life
+        self.names: dict[bytes, tuple[float, float]] = {}  # total, end of life
         self.calls, self.turned_away, self.worst_wait = 0, 0, 0.0
         self._reactor, self._deadlines, self._capacity, self._room = reactor, deadlines, capacity, room
         self._free_at, self._armed, self._swept = 0.0, False, 0.0
-        self.closed = False                 # it turns every call away
+        self.closed = False  # it turns every call away
         self._port: Any = None
         self.address = ("127.0.0.1", 0)
 
--- a/thymeflow/lab/standins/discovery.py
+++ b/thymeflow/testkit/fakes/discovery.py
@@ -9,9 +9,9 @@
 from twisted.internet.protocol import Factory, Protocol, connectionDone
 from twisted.python.failure import Failure
 
-from thymeflow.net import clock
+from thymeflow.runtime import clock
 
-BEAT = 2.0        # s: an empty line while nothing changes
+BEAT = 2.0  # s: an empty line while nothing changes
 MOST_HEAD = 8192
 
 
@@ -62,7 +62,7 @@
     def __init__(self, reactor: Any, deadlines: clock.Deadlines) -> None:
         self.watches: list[_Connection] = []
         self._reactor, self._deadlines = reactor, deadlines
-        self._entries: dict[str, tuple[int, dict[str, Any]]] = {}    # last change, entry
+        self._entries: dict[str, tuple[int, dict[str, Any]]] = {}  # last change, entry
         self.generation = 1
         self._port: Any = None
         self.address = ("127.0.0.1", 0)
@@ -92,8 +92,11 @@
 
     def whole(self) -> dict[str, Any]:
         """The whole list."""
-        return {"generation": self.generation, "reset": True,
-                "instances": [e for _, e in self._entries.values() if e["lifecycle"] != "left"]}
+        return {
+            "generation": self.generation,
+            "reset": True,
+            "instances": [e for _, e in self._entries.values() if e["lifecycle"] != "left"],
+        }
 
     def since(self, version: int) -> dict[str, Any]:
         """What has changed after a version, or the whole list where that is not known."""
--- a/thymeflow/lab/standins/world.py
+++ b/thymeflow/testkit/fakes/environment.py
@@ -6,14 +6,14 @@
 from collections.abc import Callable
 from typing import Any
 
-from thymeflow.lab.standins import site
-from thymeflow.lab.standins.agents import Agents, Customer, Result
-from thymeflow.lab.standins.counter import Counter
-from thymeflow.lab.standins.discovery import Discovery
-from thymeflow.lab.standins.server import Arrival, Keys, Meter, Server
-from thymeflow.net import clock
+from thymeflow.runtime import clock
+from thymeflow.testkit.fakes import site
+from thymeflow.testkit.fakes.backend import Arrival, Keys, Meter, Server
+from thymeflow.testkit.fakes.counter import Counter
+from thymeflow.testkit.fakes.discovery import Discovery
+from thymeflow.testkit.fakes.load_generator import Agents, Customer, Result
 
-SLACK = 0.05     # s: on every limit of time (PROTOCOL, rules on sockets)
+SLACK = 0.05  # s: on every limit of time (PROTOCOL, rules on sockets)
 
 
 class TrueStore:
@@ -36,15 +36,23 @@
 class World:
     """Servers, counter, discovery and user agents in one reactor."""
 
-    def __init__(self, reactor: Any, seed: int, servers: int = 6, plans: dict[str, tuple[float, float]] | None = None,
-                 capacity: float = 540.0) -> None:
+    def __init__(
+        self,
+        reactor: Any,
+        seed: int,
+        servers: int = 6,
+        plans: dict[str, tuple[float, float]] | None = None,
+        capacity: float = 540.0,
+    ) -> None:
         self.reactor, self.rng = reactor, random.Random(seed)
         self.plans = plans or site.PLANS
         self.deadlines = clock.Deadlines(reactor)
         self.meter = Meter({name: rate for name, (rate, _) in self.plans.items()})
         self.keys = Keys(site.WINDOW)
-        self.servers = [Server(reactor, self.deadlines, n, self.meter, self.keys, random.Random(seed * 1000 + n))
-                        for n in range(servers)]
+        self.servers = [
+            Server(reactor, self.deadlines, n, self.meter, self.keys, random.Random(seed * 1000 + n))
+            for n in range(servers)
+        ]
         self.counter = Counter(reactor, self.deadlines, capacity)
         self.discovery = Discovery(reactor, self.deadlines)
         self.addresses: dict[int, tuple[str, int]] = {}
@@ -60,14 +68,20 @@
             server.start()
         self.counter.start()
         self.discovery.start()
-        self.discovery.put(*(s.entry() for s in self.servers))
+        self.discovery.put(*(s.endpoint() for s in self.servers))
 
     def config(self, gateways: int, memory_mb: int = 192, sockets: int = 1024) -> dict[str, Any]:
         """The platform's JSON for limiters of this world."""
-        return {"name": "n0", "listen": "127.0.0.1:0", "discovery": "{}:{}".format(*self.discovery.address),
-                "counter": "{}:{}".format(*self.counter.address), "seed": f"{self.rng.getrandbits(64):016x}",
-                "limits": {"cores": 1.0, "memory_mb": memory_mb, "sockets": sockets},
-                "known": self.discovery.whole(), "settings": site.settings(gateways, self.plans)}
+        return {
+            "name": "n0",
+            "listen": "127.0.0.1:0",
+            "discovery": "{}:{}".format(*self.discovery.address),
+            "counter": "{}:{}".format(*self.counter.address),
+            "seed": f"{self.rng.getrandbits(64):016x}",
+            "limits": {"cores": 1.0, "memory_mb": memory_mb, "sockets": sockets},
+            "known": self.discovery.whole(),
+            "settings": site.settings(gateways, self.plans),
+        }
 
     def store(self, customer: Customer) -> TrueStore:
         """The customer's quota."""
@@ -95,8 +109,11 @@
 
         `excused`: requests on whose way something kept bytes back, so that servers saw them later than they were sent.
         """
-        faults = [f"{request}: {count} effects" for request, count in self.keys.effects.items()
-                  if count > 1 and not excused(request)]
+        faults = [
+            f"{request}: {count} effects"
+            for request, count in self.keys.effects.items()
+            if count > 1 and not excused(request)
+        ]
         first: dict[str, Arrival] = {}
         before: dict[str, Arrival] = {}
         for arrival in self.arrivals():
@@ -120,6 +137,7 @@
 
     def room_share(self, limiters: set[int], since: float, until: float, without: str = "") -> float:
         """Of what was asked of some limiters in a span, the share not served though its customer had room."""
+
         def counts(at: float, result: Result) -> bool:
             return result.limiter in limiters and since <= at < until and result.customer.plan != without
 
