--- a/thymeflow/lab/standins/agents.py
+++ b/thymeflow/testkit/fakes/load_generator.py
@@ -15,11 +15,12 @@
 from twisted.internet.protocol import ClientFactory, Protocol, connectionDone
 from twisted.python.failure import Failure
 
-from thymeflow.lab.standins.site import KEYED
-from thymeflow.net import clock, resp
+from thymeflow.runtime import clock
+from thymeflow.testkit.fakes.site import KEYED
+from thymeflow.transport import resp
 
-CONNECT = 2.0    # s
-SLACK = 1.0      # s past its deadline, after which a request without an answer is unanswered
+CONNECT = 2.0  # s
+SLACK = 1.0  # s past its deadline, after which a request without an answer is unanswered
 
 
 @dataclass(slots=True)
@@ -28,12 +29,12 @@
 
     number: int
     plan: str
-    rate: float               # requests a second
+    rate: float  # requests a second
     units: float = 1.0
     first: int = 0
     spread: int = 1
-    of: int = 1               # limiters, round which its set is counted
-    favourite: float = 0.0    # share that goes through the first of its set, beside its even part
+    of: int = 1  # limiters, round which its set is counted
+    favourite: float = 0.0  # share that goes through the first of its set, beside its even part
 
     @property
     def name(self) -> str:
@@ -52,12 +53,12 @@
     begun: float
     deadline: float
     ended: float = 0.0
-    verdict: str = ""          # served, refused, failed, unanswered, refused connect; "" while open
-    wait: float = 0.0          # advice, s
-    answers: int = 0           # whole answers that came
-    wrong: bool = False        # a value that no server made for it
+    verdict: str = ""  # served, refused, failed, unanswered, refused connect; "" while open
+    wait: float = 0.0  # advice, s
+    answers: int = 0  # whole answers that came
+    wrong: bool = False  # a value that no server made for it
     resent: bool = False
-    killed: bool = False       # the limiter was killed while it was open
+    killed: bool = False  # the limiter was killed while it was open
     notes: list[str] = field(default_factory=list)
 
 
@@ -66,7 +67,7 @@
 
     def __init__(self, agents: Agents, limiter: int) -> None:
         self._agents, self.limiter, self._parser = agents, limiter, resp.Parser(resp.MOST_LONG)
-        self._long = b""       # the first bytes of a long value
+        self._long = b""  # the first bytes of a long value
         self.result: Result | None = None
         self.last: Result | None = None
         self.used, self.closed, self.begun = False, False, False
@@ -98,7 +99,7 @@
     def _answer(self, value: resp.Event) -> None:
         result, self.result = self.result, None
         if result is None:
-            if self.last is not None:      # bytes that nobody asked for: a second answer to the last one
+            if self.last is not None:  # bytes that nobody asked for: a second answer to the last one
                 self.last.answers += 1
             return
         self.last, self.used = result, True
@@ -129,15 +130,16 @@
 class Agents:
     """All user agents, and what became of all that they asked."""
 
-    def __init__(self, reactor: Any, deadlines: clock.Deadlines, rng: random.Random,
-                 address: Callable[[int], tuple[str, int]]) -> None:
+    def __init__(
+        self, reactor: Any, deadlines: clock.Deadlines, rng: random.Random, address: Callable[[int], tuple[str, int]]
+    ) -> None:
         self.results: list[Result] = []
         self.open: dict[str, Result] = {}
         self.dialled: dict[_Connection, tuple[Result, bytes]] = {}
         self.on_end: Callable[[Result], None] = lambda result: None
-        self.not_taken: Callable[[int, int], bool] = lambda limiter, port: False   # a relay was refused for that port
+        self.not_taken: Callable[[int, int], bool] = lambda limiter, port: False  # a relay was refused for that port
         self.stopped = False
-        self.pace: dict[str, float] = {}   # by class: bytes a second that are taken of a long answer
+        self.pace: dict[str, float] = {}  # by class: bytes a second that are taken of a long answer
         self._reactor, self._deadlines, self._rng, self._address = reactor, deadlines, rng, address
         self._idle: dict[int, list[_Connection]] = {}
         self._connections: set[_Connection] = set()
@@ -185,21 +187,24 @@
     def _line(self, result: Result) -> bytes:
         customer, keyed = result.customer, result.cls == KEYED
         left = max(1, int((result.deadline - clock.now()) * 1000))
-        terms = (f"c={result.cls},t={customer.plan},d={left}{f',k={result.id}' if keyed else ''},"
-                 f"units={customer.units:g},spread={customer.spread},first={customer.first}")
+        terms = (
+            f"c={result.cls},t={customer.plan},d={left}{f',k={result.id}' if keyed else ''},"
+            f"units={customer.units:g},spread={customer.spread},first={customer.first}"
+        )
         words = [b"SVC.SUBMIT" if keyed else b"SVC.QUERY", customer.name.encode(), result.id.encode(), terms.encode()]
         return resp.command(*words, *([b"table for two"] if keyed else []))
 
     def _send(self, result: Result) -> None:
         idle = self._idle.setdefault(result.limiter, [])
-        while idle and not result.resent:     # what is written once more goes over a new connection
+        while idle and not result.resent:  # what is written once more goes over a new connection
             connection = idle.pop()
             if not connection.closed:
                 connection.ask(result, self._line(result))
                 return
         host, port = self._address(result.limiter)
-        self._reactor.connectTCP(host, port, _Dialler(self, result.limiter, result, self._line(result)),
-                                 timeout=CONNECT)
+        self._reactor.connectTCP(
+            host, port, _Dialler(self, result.limiter, result, self._line(result)), timeout=CONNECT
+        )
 
     def up(self, connection: _Connection) -> None:
         """A connection is up: its request goes out."""
@@ -230,7 +235,7 @@
             self._end(result, "failed")
 
     def _end(self, result: Result, verdict: str) -> None:
-        result.verdict, result.ended = verdict, self._deadlines.since(clock.now())
+        result.verdict, result.ended = verdict, self._deadlines.earliest_arrival(clock.now())
         self.open.pop(result.id, None)
         self.on_end(result)
 
@@ -254,8 +259,10 @@
             self._send(result)
         else:
             state = "used before" if connection.used else "new"
-            result.notes.append(f"the connection ({state}{', a second one' if result.resent else ''}) ended without an "
-                                f"answer {clock.now() - result.begun:.3f} s after the request")
+            result.notes.append(
+                f"the connection ({state}{', a second one' if result.resent else ''}) ended without an "
+                f"answer {clock.now() - result.begun:.3f} s after the request"
+            )
             self._end(result, "unanswered")
 
     def _overdue(self, result: Result) -> None:
--- a/thymeflow/lab/between/rig.py
+++ b/thymeflow/testkit/faults/cluster.py
@@ -10,16 +10,16 @@
 from twisted.internet.protocol import ClientFactory, Protocol, connectionDone
 from twisted.python.failure import Failure
 
-from thymeflow.lab.between.process import Process
-from thymeflow.lab.between.relay import Address, Relay
-from thymeflow.lab.between.schedule import ON_LINKS, Do, Link, Schedule, Step
-from thymeflow.lab.ports import free_port
-from thymeflow.lab.standins import Customer, Discovery, World
-from thymeflow.lab.standins.site import CLASSES
-from thymeflow.lab.steps import Steps, sleep
-from thymeflow.net import clock
-
-PATIENCE = 30.0     # s: for progress; only a failing run waits so long
+from thymeflow.runtime import clock
+from thymeflow.testkit.async_steps import Steps, sleep
+from thymeflow.testkit.fakes import Customer, Discovery, World
+from thymeflow.testkit.fakes.site import CLASSES
+from thymeflow.testkit.faults.process import Process
+from thymeflow.testkit.faults.proxy import Address, Relay
+from thymeflow.testkit.faults.schedule import ON_LINKS, Do, Link, Schedule, Step
+from thymeflow.testkit.ports import free_port
+
+PATIENCE = 30.0  # s: for progress; only a failing run waits so long
 SIGNALS = {Do.KILL: signal.SIGKILL, Do.END: signal.SIGTERM, Do.STOP: signal.SIGSTOP, Do.GO_ON: signal.SIGCONT}
 
 
@@ -87,10 +87,10 @@
         self.world = World(reactor, schedule.seed, servers=schedule.servers)
         self.deadlines = self.world.deadlines
         self.trouble = Trouble()
-        self.told: dict[tuple[int, int], float] = {}      # limiter, server: since when it knows of a drain
-        self._untold: set[tuple[int, int]] = set()        # on the way, behind a link that is not well
+        self.told: dict[tuple[int, int], float] = {}  # limiter, server: since when it knows of a drain
+        self._untold: set[tuple[int, int]] = set()  # on the way, behind a link that is not well
         self.done: list[tuple[float, Step]] = []
-        self.stuck: list[str] = []                        # progress that did not come
+        self.stuck: list[str] = []  # progress that did not come
         self.discoveries: list[Discovery] = []
         self.relays: dict[tuple[Link, int], list[Relay]] = {}
         self.processes: list[Process] = []
@@ -104,7 +104,7 @@
 
     def _entry(self, limiter: int, server: int, lifecycle: str = "active") -> dict[str, Any]:
         host, port = self.relays[Link.SERVERS, limiter][server].address
-        return {**self.world.servers[server].entry(lifecycle), "hostPort": f"{host}:{port}"}
+        return {**self.world.servers[server].endpoint(lifecycle), "hostPort": f"{host}:{port}"}
 
     def open(self) -> None:
         """Open stand-ins and relays, and start the processes."""
@@ -126,8 +126,14 @@
             world.addresses[number] = self._relay(Link.AGENTS, number, ("127.0.0.1", own)).address
             world.agents.not_taken = lambda n, port: port in self.relays[Link.AGENTS, n][0].refused
             config = world.config(schedule.limiters)
-            config |= {"name": f"n{number}", "listen": f"127.0.0.1:{own}", "discovery": "{}:{}".format(*told),
-                       "counter": "{}:{}".format(*counter), "known": discovery.whole(), "units": schedule.units}
+            config |= {
+                "name": f"n{number}",
+                "listen": f"127.0.0.1:{own}",
+                "discovery": "{}:{}".format(*told),
+                "counter": "{}:{}".format(*counter),
+                "known": discovery.whole(),
+                "units": schedule.units,
+            }
             config["settings"] = {**config["settings"], "index": number}
             self.processes.append(Process(number, self.folder, schedule.line, config, self._broken))
         for process in self.processes:
@@ -251,8 +257,17 @@
             plan = list(plans)[n % len(plans)]
             spread = max(1, min(schedule.limiters, 2 + n % 3))
             self.world.agents.begin(
-                Customer(1 + n, plan, max(1e-3, schedule.demand) * plans[plan][0], first=n % schedule.limiters,
-                         spread=spread, of=schedule.limiters, favourite=0.5), CLASSES)
+                Customer(
+                    1 + n,
+                    plan,
+                    max(1e-3, schedule.demand) * plans[plan][0],
+                    first=n % schedule.limiters,
+                    spread=spread,
+                    of=schedule.limiters,
+                    favourite=0.5,
+                ),
+                CLASSES,
+            )
 
     @inlineCallbacks
     def play(self) -> Steps:
@@ -263,12 +278,12 @@
             self.begun = clock.now()
             self.load()
             for step in self.schedule.steps:
-                self.deadlines.at(self.begun + step.at, lambda _, step=step: self.act(step))   # type: ignore[misc]
+                self.deadlines.at(self.begun + step.at, lambda _, step=step: self.act(step))  # type: ignore[misc]
             while clock.now() < self.begun + self.schedule.seconds:
                 yield sleep(0.05)
             self.world.agents.stop()
             self._heal()
-            while self.world.agents.open:      # each has a deadline of its own
+            while self.world.agents.open:  # each has a deadline of its own
                 yield sleep(0.02)
             yield self.ready("after all was healed")
             yield self._serves()
--- a/thymeflow/lab/between/broken.py
+++ b/thymeflow/testkit/faults/fault_modes.py
@@ -1,6 +1,6 @@
 """Limiters broken on purpose, one way each, so that every judge is seen catching something.
 
-    python -m thymeflow.lab.between.broken NAME [the arguments of thymeflow]
+python -m thymeflow.testkit.faults.fault_modes NAME [the arguments of thymeflow]
 """
 
 from __future__ import annotations
@@ -12,44 +12,46 @@
 from twisted.internet.defer import Deferred
 
 from thymeflow import __main__ as program
-from thymeflow.budgets.units import StrictStore
-from thymeflow.net import discovery, front, upstream
-from thymeflow.net.call import SUBMIT, Call
-from thymeflow.net.config import Listed
-from thymeflow.net.core import Order, Outcome
+from thymeflow.backends import backends
+from thymeflow.core.dispatcher import AttemptResult, AttemptSpec
+from thymeflow.discovery import watch
+from thymeflow.frontend import frontend
+from thymeflow.platform.configuration import EndpointUpdate
+from thymeflow.quota.strict import StrictTokenBucket
+from thymeflow.transport.commands import SUBMIT, Call
 
-SOME = 10     # every so many
+SOME = 10  # every so many
 
 
 def deaf() -> None:
     """Takes the first word of discovery and none that comes later."""
-    take = discovery.Discovery._take
+    take = watch.Discovery._take
 
-    def once(self: discovery.Discovery, change: Listed) -> None:
-        if not self.told:
+    def once(self: watch.Discovery, change: EndpointUpdate) -> None:
+        if not self.is_ready:
             take(self, change)
 
-    discovery.Discovery._take = once   # type: ignore[method-assign]
+    watch.Discovery._take = once  # type: ignore[method-assign]
 
 
 def mute() -> None:
     """Ends the connection in place of an answer, for some requests and whenever they come."""
-    answered = front.UserAgent._answered
+    answered = frontend.ClientConnection._answered
 
-    def some(self: front.UserAgent, answer: Any, place: front.Place) -> None:
+    def some(self: frontend.ClientConnection, answer: Any, place: frontend.PipelineSlot) -> None:
         if place.request is None or int(place.request.id, 16) % SOME:
             answered(self, answer, place)
         else:
             self.transport.abortConnection()
 
-    front.UserAgent._answered = some   # type: ignore[method-assign]
+    frontend.ClientConnection._answered = some  # type: ignore[method-assign]
 
 
 def double() -> None:
     """Sends calls with a key to a second server as well, now and then."""
-    begin, count = upstream.Upstream.begin, [0]
+    begin, count = backends.BackendConnections.begin, [0]
 
-    def twice(self: upstream.Upstream, order: Order) -> Deferred[Outcome]:
+    def twice(self: backends.BackendConnections, order: AttemptSpec) -> Deferred[AttemptResult]:
         going = begin(self, order)
         count[0] += isinstance(order.payload, Call) and order.payload.verb == SUBMIT
         others = [n for n in self._pools if n != order.backend]
@@ -57,7 +59,7 @@
             begin(self, order._replace(backend=others[0]))
         return going
 
-    upstream.Upstream.begin = twice   # type: ignore[method-assign]
+    backends.BackendConnections.begin = twice  # type: ignore[method-assign]
 
 
 def sulky() -> None:
@@ -68,7 +70,7 @@
 
 def free() -> None:
     """Has of each customer's base what the whole set has."""
-    StrictStore._slice = lambda self: 1.0   # type: ignore[method-assign]
+    StrictTokenBucket._base_fraction = lambda self: 1.0  # type: ignore[method-assign]
 
 
 WAYS: dict[str, Callable[[], None]] = {"deaf": deaf, "mute": mute, "double": double, "sulky": sulky, "free": free}
--- a/thymeflow/lab/between/fleet.py
+++ b/thymeflow/testkit/faults/fleet_cluster.py
@@ -14,35 +14,57 @@
 
 from twisted.internet.defer import Deferred, inlineCallbacks
 
-from thymeflow.lab.standins import World
-from thymeflow.lab.steps import Steps, reactor, sleep
-from thymeflow.net import clock
-from thymeflow.succession.ask import Unanswered, ask
+from thymeflow.handover.control_client import NoAnswerError, ask
+from thymeflow.runtime import clock
+from thymeflow.testkit.async_steps import Steps, reactor, sleep
+from thymeflow.testkit.fakes import World
 
-PATIENCE = 60.0           # s: for members to be ready; only a failing run waits so long
+PATIENCE = 60.0  # s: for members to be ready; only a failing run waits so long
 
 
 class Fleet:
     """One fleet. Only processes that it started, or that its supervisor told of, are signalled, by their ids."""
 
-    def __init__(self, world: World, folder: Path, members: int, settings: str = "", code: str = "",
-                 wait: float = 0.5, members_code: str = "") -> None:
+    def __init__(
+        self,
+        world: World,
+        folder: Path,
+        members: int,
+        settings: str = "",
+        code: str = "",
+        wait: float = 0.5,
+        members_code: str = "",
+    ) -> None:
         """`settings`: more of our INI; `code`, `members_code`: a program in place of the supervisor's own, and of the
         members', to break it on purpose; `wait`: s before the first restart of a member that ended."""
         self._world, self.folder, self.state, self._code = world, folder, folder / "s", code
         self._members = ["--program", shlex.join([sys.executable, "-c", members_code])] if members_code else []
         (folder / "platform.json").write_text(json.dumps(world.config(members)))
-        (folder / "f.ini").write_text(f"[log]\nfile = {folder}/log\n{settings}[fleet]\ninstances = {members}\n"
-                                      f"spread = 500ms\nsettle = 100ms\nwait = {wait:g}s\n")
+        (folder / "f.ini").write_text(
+            f"[log]\nfile = {folder}/log\n{settings}[fleet]\ninstances = {members}\n"
+            f"spread = 500ms\nsettle = 100ms\nwait = {wait:g}s\n"
+        )
         self.supervisor: subprocess.Popen[bytes] | None = None
 
     def up(self) -> None:
         """Start a supervisor."""
         program = ["-c", self._code] if self._code else ["-m", "thymeflow"]
         self.supervisor = subprocess.Popen(
-            [sys.executable, *program, "fleet", "up", "--settings", str(self.folder / "f.ini"), "--platform",
-             str(self.folder / "platform.json"), "--state", str(self.state), *self._members],
-            stdout=subprocess.DEVNULL)
+            [
+                sys.executable,
+                *program,
+                "fleet",
+                "up",
+                "--settings",
+                str(self.folder / "f.ini"),
+                "--platform",
+                str(self.folder / "platform.json"),
+                "--state",
+                str(self.state),
+                *self._members,
+            ],
+            stdout=subprocess.DEVNULL,
+        )
 
     def kill_supervisor(self) -> None:
         """SIGKILL; its members go on."""
@@ -59,10 +81,13 @@
         """Wait until so many members are ready, and know their addresses; their pids."""
         end = clock.now() + PATIENCE
         while clock.now() < end:
-            with contextlib.suppress(Unanswered):
+            with contextlib.suppress(NoAnswerError):
                 status = yield self.order(do="status")
-                if status.get("ready") == count and not status.get("working") and all(
-                        m["listen"] for m in status["members"]):   # one that is replaced says none for a while
+                if (
+                    status.get("ready") == count
+                    and not status.get("working")
+                    and all(m["listen"] for m in status["members"])
+                ):  # one that is replaced says none for a while
                     for number, member in enumerate(status["members"]):
                         host, _, port = member["listen"].rpartition(":")
                         self._world.addresses[number] = (host, int(port))
@@ -73,7 +98,7 @@
     @inlineCallbacks
     def pids(self) -> Steps:
         """The members that run, as far as a supervisor says."""
-        with contextlib.suppress(Unanswered):
+        with contextlib.suppress(NoAnswerError):
             status = yield self.order(do="status")
             return [m["pid"] for m in status.get("members", []) if m["pid"]]
         return []
--- a/thymeflow/lab/between/judges.py
+++ b/thymeflow/testkit/faults/invariants.py
@@ -10,15 +10,15 @@
 from math import inf
 from typing import Any
 
-from thymeflow.budgets.tickets import BASE_BURST
-from thymeflow.lab.between.quota import Worst, firsts, worst
-from thymeflow.lab.between.rig import Rig
-from thymeflow.lab.between.schedule import Do, Link
-from thymeflow.lab.standins.agents import SLACK as ANSWER_SLACK
-from thymeflow.lab.standins.agents import Result
-from thymeflow.lab.standins.world import SLACK
-
-DRAIN_GRACE = 1.0     # s, as the settings of the stand-ins' site have it
+from thymeflow.quota.reservations import BASE_BURST_FRACTION
+from thymeflow.testkit.fakes.environment import SLACK
+from thymeflow.testkit.fakes.load_generator import SLACK as ANSWER_SLACK
+from thymeflow.testkit.fakes.load_generator import Result
+from thymeflow.testkit.faults.cluster import Rig
+from thymeflow.testkit.faults.quota_checks import Worst, firsts, worst
+from thymeflow.testkit.faults.schedule import Do, Link
+
+DRAIN_GRACE = 1.0  # s, as the settings of the stand-ins' site have it
 MOST_PERCENT = 105.0  # of what the true store gives: what a customer may get where units are divided strictly
 
 
@@ -28,14 +28,20 @@
 
 def answers(rig: Rig) -> list[str]:
     """Each request that was taken has one final answer of its own, in time."""
-    found = [f"{r.id} has {r.answers} answers{', one of another request' if r.wrong else ''}"
-             for r in rig.world.answered_twice()]
+    found = [
+        f"{r.id} has {r.answers} answers{', one of another request' if r.wrong else ''}"
+        for r in rig.world.answered_twice()
+    ]
     for result in rig.world.unanswered():
         until = result.deadline + ANSWER_SLACK
-        if not (rig.trouble.during("process", result.limiter, result.begun, until)
-                or rig.trouble.during(Link.AGENTS.value, result.limiter, result.begun, until)):
-            found.append(f"{result.id}, asked of n{result.limiter} {result.begun - rig.begun:.2f} s after the "
-                         f"beginning, has no answer: {'; '.join(result.notes)}")
+        if not (
+            rig.trouble.during("process", result.limiter, result.begun, until)
+            or rig.trouble.during(Link.AGENTS.value, result.limiter, result.begun, until)
+        ):
+            found.append(
+                f"{result.id}, asked of n{result.limiter} {result.begun - rig.begun:.2f} s after the "
+                f"beginning, has no answer: {'; '.join(result.notes)}"
+            )
     return found
 
 
@@ -45,8 +51,9 @@
 
     def excused(request: str) -> bool:
         result = results.get(request)
-        return result is None or rig.trouble.during(Link.SERVERS.value, result.limiter, result.begun,
-                                                    result.deadline + ANSWER_SLACK)
+        return result is None or rig.trouble.during(
+            Link.SERVERS.value, result.limiter, result.begun, result.deadline + ANSWER_SLACK
+        )
 
     return rig.world.unlawful(excused)
 
@@ -60,15 +67,21 @@
         if result is None or told is None or arrival.since <= told + DRAIN_GRACE + SLACK:
             continue
         if not rig.trouble.during(Link.SERVERS.value, result.limiter, told, arrival.at):
-            found.append(f"{arrival.request} went to s{arrival.server} {arrival.since - told:.2f} s after "
-                         f"n{result.limiter} was told that it drains")
+            found.append(
+                f"{arrival.request} went to s{arrival.server} {arrival.since - told:.2f} s after "
+                f"n{result.limiter} was told that it drains"
+            )
     return found
 
 
 def ends(rig: Rig) -> list[str]:
     """Every limiter came back, served again, and ended in good order."""
-    return rig.stuck + [f"n{process.number} ended with code {code}; its log is {process.log.name}"
-                        for process in rig.processes for code in process.codes if code]
+    return rig.stuck + [
+        f"n{process.number} ended with code {code}; its log is {process.log.name}"
+        for process in rig.processes
+        for code in process.codes
+        if code
+    ]
 
 
 def got(rig: Rig, until: float = inf) -> Worst:
@@ -83,11 +96,14 @@
 
     def in_time(arrival: Any) -> bool:
         result = results.get(arrival.request)
-        return result is not None and arrival.at < until and not rig.trouble.during(
-            Link.SERVERS.value, result.limiter, result.begun, result.deadline + ANSWER_SLACK)
+        return (
+            result is not None
+            and arrival.at < until
+            and not rig.trouble.during(Link.SERVERS.value, result.limiter, result.begun, result.deadline + ANSWER_SLACK)
+        )
 
-    def anew(since: float, until: float) -> float:     # a counter that forgets gives out a window's tickets again
-        return (1.0 - BASE_BURST) * sum(since - SLACK <= at <= until for at in forgot)
+    def anew(since: float, until: float) -> float:  # a counter that forgets gives out a window's tickets again
+        return (1.0 - BASE_BURST_FRACTION) * sum(since - SLACK <= at <= until for at in forgot)
 
     return worst(firsts(rig.world.arrivals(), in_time), quota, anew)
 
@@ -97,12 +113,19 @@
     if rig.schedule.units != "tickets":
         return []
     most = got(rig)
-    return [f"{most.customer} got {most.percent:.1f}% of its quota in the {most.seconds:.1f} s from "
-            f"{most.since - rig.begun:.2f} s on"] * (most.percent > MOST_PERCENT)
-
-
-JUDGES: dict[str, Callable[[Rig], list[str]]] = {"answers": answers, "effects": effects, "drains": drains, "ends": ends,
-                                                 "quotas": quotas}
+    return [
+        f"{most.customer} got {most.percent:.1f}% of its quota in the {most.seconds:.1f} s from "
+        f"{most.since - rig.begun:.2f} s on"
+    ] * (most.percent > MOST_PERCENT)
+
+
+JUDGES: dict[str, Callable[[Rig], list[str]]] = {
+    "answers": answers,
+    "effects": effects,
+    "drains": drains,
+    "ends": ends,
+    "quotas": quotas,
+}
 
 
 def judged(rig: Rig) -> dict[str, list[str]]:
--- a/thymeflow/lab/between/process.py
+++ b/thymeflow/testkit/faults/process.py
@@ -11,7 +11,7 @@
 from pathlib import Path
 from typing import Any
 
-WAIT = 20.0     # s: for a process to end; only a failing run waits so long
+WAIT = 20.0  # s: for a process to end; only a failing run waits so long
 
 
 class Process:
@@ -19,12 +19,12 @@
 
     def __init__(self, number: int, folder: Path, line: str, config: dict[str, Any], broken: str = "") -> None:
         self.number, self._folder, self._line = number, folder, line
-        self._program = ["thymeflow.lab.between.broken", broken] if broken else ["thymeflow"]
+        self._program = ["thymeflow.testkit.faults.fault_modes", broken] if broken else ["thymeflow"]
         self.stopped, self.killed, self.starts = False, False, 0
         self._popen: subprocess.Popen[bytes] | None = None
         self._path, self.log = folder / f"n{number}.json", folder / f"n{number}.log"
         self.config = config
-        self.codes: list[int] = []      # of lives that ended by themselves
+        self.codes: list[int] = []  # of lives that ended by themselves
 
     def up(self) -> bool:
         """Whether it runs, stopped or not."""
@@ -39,9 +39,17 @@
         words = ["serve", "--state", str(self._folder / f"s{self.number}")] if self._line == "serve" else []
         with self.log.open("ab") as log:
             self._popen = subprocess.Popen(
-                [sys.executable, "-m", *self._program, *words], stdout=log, stderr=log, cwd=Path(__file__).parents[3],
-                env={**os.environ, "BALANCER_CONFIG": str(self._path), "PYTHONPATH": str(Path(__file__).parents[3]),
-                     "THYMEFLOW_BUDGETS_UNITS": str(self.config["units"])})
+                [sys.executable, "-m", *self._program, *words],
+                stdout=log,
+                stderr=log,
+                cwd=Path(__file__).parents[3],
+                env={
+                    **os.environ,
+                    "BALANCER_CONFIG": str(self._path),
+                    "PYTHONPATH": str(Path(__file__).parents[3]),
+                    "THYMEFLOW_BUDGETS_UNITS": str(self.config["units"]),
+                },
+            )
         self.stopped = self.killed = False
         self.starts += 1
 
@@ -73,5 +81,5 @@
             self.reap()
         if self._popen is not None:
             self.signal(signal.SIGKILL)
-            self.codes.append(-signal.SIGKILL)     # it did not end when told to
+            self.codes.append(-signal.SIGKILL)  # it did not end when told to
             self._popen = None
--- a/thymeflow/lab/between/relay.py
+++ b/thymeflow/testkit/faults/proxy.py
@@ -12,12 +12,12 @@
 from twisted.internet.protocol import ClientFactory, Factory, Protocol, connectionDone
 from twisted.python.failure import Failure
 
-from thymeflow.lab.between.schedule import Do, Way
-from thymeflow.lab.ports import free_port
-from thymeflow.net import clock
+from thymeflow.runtime import clock
+from thymeflow.testkit.faults.schedule import Do, Way
+from thymeflow.testkit.ports import free_port
 
 Address = tuple[str, int]
-UNBOUND = -1    # bytes that may still pass before a stall: any number
+UNBOUND = -1  # bytes that may still pass before a stall: any number
 
 
 class _End(Protocol):
@@ -80,16 +80,17 @@
 
     noisy = False
 
-    def __init__(self, reactor: Any, deadlines: clock.Deadlines, target: Callable[[], Address],
-                 opened_by_limiter: bool = True) -> None:
+    def __init__(
+        self, reactor: Any, deadlines: clock.Deadlines, target: Callable[[], Address], opened_by_limiter: bool = True
+    ) -> None:
         self._reactor, self._deadlines, self._target = reactor, deadlines, target
         self._near = Way.OUT if opened_by_limiter else Way.IN
         self._far = Way.IN if opened_by_limiter else Way.OUT
         self.ends: set[_End] = set()
         self.silent: set[Way] = set()
         self.delay, self.left, self.cut = 0.0, UNBOUND, False
-        self.refused: set[int] = set()               # ports of who was not let through, as nobody listens there
-        self._held: list[tuple[_End, bytes]] = []    # what a silence or a stall holds back, in order
+        self.refused: set[int] = set()  # ports of who was not let through, as nobody listens there
+        self._held: list[tuple[_End, bytes]] = []  # what a silence or a stall holds back, in order
         self._port: Any = None
         self.address: Address = ("127.0.0.1", 0)
 
@@ -127,7 +128,7 @@
             self._held.append((end, data))
             return
         if self.left != UNBOUND:
-            data, rest = data[:self.left], data[self.left:]
+            data, rest = data[: self.left], data[self.left :]
             self.left -= len(data)
             if rest:
                 self._held.append((end, rest))
--- a/thymeflow/lab/between/quota.py
+++ b/thymeflow/testkit/faults/quota_checks.py
@@ -10,10 +10,10 @@
 from collections.abc import Callable, Iterable, Mapping
 from dataclasses import dataclass
 
-from thymeflow.lab.standins.server import Arrival
-from thymeflow.lab.standins.world import TrueStore
+from thymeflow.testkit.fakes.backend import Arrival
+from thymeflow.testkit.fakes.environment import TrueStore
 
-SPANS = (5.0, 20.0)     # s: shorter ones are all jitter; longer ones say no more
+SPANS = (5.0, 20.0)  # s: shorter ones are all jitter; longer ones say no more
 
 
 @dataclass(frozen=True, slots=True)
@@ -36,10 +36,12 @@
     return found
 
 
-def worst(found: Mapping[str, list[Arrival]], quota: Callable[[str], tuple[float, float]],
-          more: Callable[[float, float], float] = lambda since, until: 0.0) -> Worst:
-    """The worst span of any customer. `quota`: rate and burst; `more`: parts of the burst that a span may have beside.
-    """
+def worst(
+    found: Mapping[str, list[Arrival]],
+    quota: Callable[[str], tuple[float, float]],
+    more: Callable[[float, float], float] = lambda since, until: 0.0,
+) -> Worst:
+    """Return the worst span of any customer; `more` is what a span may have beyond its quota, in bursts."""
     most = Worst()
     for customer, calls in found.items():
         rate, burst = quota(customer)
--- a/thymeflow/lab/between/play.py
+++ b/thymeflow/testkit/faults/runner.py
@@ -4,15 +4,15 @@
 
 import shutil
 import tempfile
-from collections import Counter as Tally
+from collections import Counter as RequestCounters
 from pathlib import Path
 from typing import Any
 
-from thymeflow.lab.between.judges import judged
-from thymeflow.lab.between.rig import Rig
-from thymeflow.lab.between.schedule import Schedule, text_of
+from thymeflow.testkit.faults.cluster import Rig
+from thymeflow.testkit.faults.invariants import judged
+from thymeflow.testkit.faults.schedule import Schedule, text_of
 
-SHOWN = 5     # faults of a judge that are written out
+SHOWN = 5  # faults of a judge that are written out
 
 
 def play(schedule: Schedule, say: Any = print, broken: str = "") -> int:
@@ -37,13 +37,17 @@
             say(f"{judge}: {fault}")
         if len(faults) > SHOWN:
             say(f"{judge}: and {len(faults) - SHOWN} more")
-    verdicts = Tally(r.verdict.replace(" ", "_") for r in rig.world.agents.results)
+    verdicts = RequestCounters(r.verdict.replace(" ", "_") for r in rig.world.agents.results)
     bad = any(found.values())
     if bad:
         say(f"the schedule, to play it again with `thymeflow lab play FILE` (logs in {folder}):\n{text_of(schedule)}")
     else:
         shutil.rmtree(folder, ignore_errors=True)
-    said = [f"requests={sum(verdicts.values())}", *(f"{k}={n}" for k, n in sorted(verdicts.items())),
-            f"steps={len(rig.done)}", *(f"{k}={len(f)}" for k, f in found.items())]
+    said = [
+        f"requests={sum(verdicts.values())}",
+        *(f"{k}={n}" for k, n in sorted(verdicts.items())),
+        f"steps={len(rig.done)}",
+        *(f"{k}={len(f)}" for k, f in found.items()),
+    ]
     say(f"lab play: {' '.join(said)}")
     return int(bad)
--- a/thymeflow/lab/between/schedule.py
+++ b/thymeflow/testkit/faults/schedule.py
@@ -20,32 +20,32 @@
 from typing import Any, TypeGuard
 
 MOST_LIMITERS, MOST_SERVERS, MOST_SECONDS, MOST_STEPS = 64, 64, 600.0, 2000
-LINES = ("run", "serve")    # the platform's run line, or our daemon
+LINES = ("run", "serve")  # the platform's run line, or our daemon
 WORDS = {"line": LINES, "units": ("demand", "tickets")}
 
 
 class Do(Enum):
     """What a step does. Of a process: `who` are limiters. Of a link: `who` are the limiters at whose end it is."""
 
-    KILL = "kill"              # SIGKILL
-    END = "end"                # SIGTERM
-    START = "start"            # again, with what it left on disk
-    STOP = "stop"              # SIGSTOP
-    GO_ON = "go on"            # SIGCONT
-    CUT = "cut"                # the link: reset, and refused from then on
-    SILENCE = "silence"        # nothing passes, and nobody is told; `way` says in which direction
-    DELAY = "delay"            # by `amount` seconds
-    STALL = "stall"            # after `amount` bytes more, in the middle of whatever that is
+    KILL = "kill"  # SIGKILL
+    END = "end"  # SIGTERM
+    START = "start"  # again, with what it left on disk
+    STOP = "stop"  # SIGSTOP
+    GO_ON = "go on"  # SIGCONT
+    CUT = "cut"  # the link: reset, and refused from then on
+    SILENCE = "silence"  # nothing passes, and nobody is told; `way` says in which direction
+    DELAY = "delay"  # by `amount` seconds
+    STALL = "stall"  # after `amount` bytes more, in the middle of whatever that is
     HEAL = "heal"
-    SERVER_DIES = "server dies"        # `who` are servers here and below
+    SERVER_DIES = "server dies"  # `who` are servers here and below
     SERVER_BACK = "server back"
-    SERVER_DRAINS = "server drains"    # and stays in the list
+    SERVER_DRAINS = "server drains"  # and stays in the list
     SERVER_GONE = "server gone"
-    SERVER_BAD = "server bad"          # `amount`: share of answers that are errors
+    SERVER_BAD = "server bad"  # `amount`: share of answers that are errors
     COUNTER_DIES = "counter dies"
     COUNTER_BACK = "counter back"
     COUNTER_FORGETS = "counter forgets"
-    COUNTER_FULL = "counter full"      # turns every call away
+    COUNTER_FULL = "counter full"  # turns every call away
     COUNTER_WELL = "counter well"
 
 
@@ -84,7 +84,7 @@
 class Step:
     """One fault, or the end of one."""
 
-    at: float                     # s after the load has begun
+    at: float  # s after the load has begun
     do: Do
     who: tuple[int, ...] = ()
     link: Link | None = None
@@ -98,13 +98,13 @@
 
     limiters: int = 3
     servers: int = 4
-    seconds: float = 6.0          # of load
+    seconds: float = 6.0  # of load
     seed: int = 1
     line: str = "run"
-    units: str = "demand"         # how limiters divide customers' units
-    demand: float = 0.6           # of each customer's quota
+    units: str = "demand"  # how limiters divide customers' units
+    demand: float = 0.6  # of each customer's quota
     customers: int = 12
-    work: float = 0.02            # s: mean of a call at a server
+    work: float = 0.02  # s: mean of a call at a server
     steps: tuple[Step, ...] = ()
 
 
@@ -154,9 +154,14 @@
         raise ScheduleError([str(fault)]) from None
     faults, values = list[str](), dict[str, Any]()
     bounds: dict[str, tuple[type, float, float]] = {
-        "limiters": (int, 1, MOST_LIMITERS), "servers": (int, 1, MOST_SERVERS), "seconds": (float, 0.1, MOST_SECONDS),
-        "seed": (int, 0, 2**48), "demand": (float, 0.0, 100.0), "customers": (int, 1, 100_000),
-        "work": (float, 0.0001, 10.0)}
+        "limiters": (int, 1, MOST_LIMITERS),
+        "servers": (int, 1, MOST_SERVERS),
+        "seconds": (float, 0.1, MOST_SECONDS),
+        "seed": (int, 0, 2**48),
+        "demand": (float, 0.0, 100.0),
+        "customers": (int, 1, 100_000),
+        "work": (float, 0.0001, 10.0),
+    }
     for key, value in source.items():
         if key in WORDS and value in WORDS[key]:
             values[key] = value
@@ -183,8 +188,11 @@
 
 def text_of(schedule: Schedule) -> str:
     """The file that `parse` reads back as this schedule."""
-    lines = [f"{f.name} = {value if not isinstance(value, str) else chr(34) + value + chr(34)}"
-             for f in fields(Schedule) if (value := getattr(schedule, f.name)) is not None and f.name != "steps"]
+    lines = [
+        f"{f.name} = {value if not isinstance(value, str) else chr(34) + value + chr(34)}"
+        for f in fields(Schedule)
+        if (value := getattr(schedule, f.name)) is not None and f.name != "steps"
+    ]
     for step in schedule.steps:
         lines += ["[[step]]", f"at = {step.at}", f'do = "{step.do.value}"']
         lines += [f"who = {list(step.who)}"] if step.who else []
@@ -201,8 +209,13 @@
     def some(of: int, share: float = 0.4) -> tuple[int, ...]:
         return tuple(sorted(rng.sample(range(of), rng.randint(1, max(1, int(share * of))))))
 
-    ends = {Do.KILL: Do.START, Do.STOP: Do.GO_ON, Do.SERVER_DIES: Do.SERVER_BACK, Do.COUNTER_DIES: Do.COUNTER_BACK,
-            Do.COUNTER_FULL: Do.COUNTER_WELL}
+    ends = {
+        Do.KILL: Do.START,
+        Do.STOP: Do.GO_ON,
+        Do.SERVER_DIES: Do.SERVER_BACK,
+        Do.COUNTER_DIES: Do.COUNTER_BACK,
+        Do.COUNTER_FULL: Do.COUNTER_WELL,
+    }
     for _ in range(faults):
         begin = round(rng.uniform(0.05, 0.7) * world.seconds, 3)
         end = round(min(0.95 * world.seconds, begin + rng.uniform(0.2, 0.3 * world.seconds)), 3)
--- a/thymeflow/lab/budget_model.py
+++ b/thymeflow/testkit/lease_model.py
@@ -11,16 +11,16 @@
 from dataclasses import dataclass, field, replace
 from math import inf
 
-from thymeflow.budgets.granter import HEARD, LEASE, WRITTEN, Granter, Move, Send, State, Write
-from thymeflow.budgets.holder import Holder, Part
-from thymeflow.budgets.kinds import WHOLE, Kind
-from thymeflow.budgets.ledger import Ledger
-from thymeflow.lab.explore import explored
+from thymeflow.leases.holder import Allocation, LeaseHolder
+from thymeflow.leases.issuer import HEARD, LEASE, WRITTEN, LeaseIssuer, Move, Send, State, Write
+from thymeflow.leases.ledger import Ledger
+from thymeflow.leases.resources import WHOLE, Resource
+from thymeflow.testkit.model_checker import explored
 
 NAMES = ("a", "b", "c")
-DEMAND = {"a": (4.0,) * len(Kind), "b": (1.0,) * len(Kind), "c": (0.0,) * len(Kind)}
+DEMAND = {"a": (4.0,) * len(Resource), "b": (1.0,) * len(Resource), "c": (0.0,) * len(Resource)}
 OTHERWISE = {"a": DEMAND["b"], "b": DEMAND["a"], "c": DEMAND["c"]}
-MOST_MAIL = 2      # messages on the way, more are lost
+MOST_MAIL = 2  # messages on the way, more are lost
 
 
 @dataclass
@@ -37,12 +37,12 @@
 
     def __init__(self) -> None:
         self.now, self.disk = 0.0, Disk()
-        self.granter: Granter | None = None
-        self.lives: dict[str, list[Holder]] = {name: [] for name in NAMES}    # the last one has the name
+        self.granter: LeaseIssuer | None = None
+        self.lives: dict[str, list[LeaseHolder]] = {name: [] for name in NAMES}  # the last one has the name
         self.asleep: set[str] = set()
-        self.down: list[tuple[str, Part]] = []     # parts on their way to holders
-        self.up: list[tuple[str, Part]] = []       # words of holders on their way to the granter
-        self.swapped = False                       # who asks most is another
+        self.down: list[tuple[str, Allocation]] = []  # parts on their way to holders
+        self.up: list[tuple[str, Allocation]] = []  # words of holders on their way to the granter
+        self.swapped = False  # who asks most is another
         self.take_over()
 
     @classmethod
@@ -70,38 +70,44 @@
             made.granter = granter = copy.copy(self.granter)
             granter.rows = {h: replace(r, base=list(r.base), lease=list(r.lease)) for h, r in granter.rows.items()}
             granter.base, granter.lent = [x.copied() for x in granter.base], [x.copied() for x in granter.lent]
-            granter._waiting, granter.noted = dict(granter._waiting), dict(granter.noted)
+            granter._waiting, granter.durable_amounts = dict(granter._waiting), dict(granter.durable_amounts)
         return made
 
     # --- what may happen -----------------------------------------------------------------------------------
 
     def take_over(self) -> None:
         """A granter begins, by the table on the disk; it knows who is dead by the kernel's word."""
-        self.granter = made = Granter(self.disk.era + 1, self.now)
-        made.resized(len(NAMES))
+        self.granter = made = LeaseIssuer(self.disk.era + 1, self.now)
+        made.resize(len(NAMES))
         for name, (number, noted) in self.disk.rows.items():
-            made.recalled(name, number, noted, min(self.disk.until, self.now + WRITTEN), self.now)
+            made.restore_grant(name, number, noted, min(self.disk.until, self.now + WRITTEN), self.now)
             if not self.lives[name]:
-                made.dies(name)
+                made.on_death(name)
 
     def write(self) -> None:
         """Its table is written."""
         made = self.granter
         assert made is not None
-        self.disk = Disk(made.era, made.until, {
-            name: (row.number, made.noted[name]) for name, row in made.rows.items()
-            if row.state is not State.ABSENT and name in made.noted})
+        self.disk = Disk(
+            made.epoch,
+            made.durable_until,
+            {
+                name: (row.number, made.durable_amounts[name])
+                for name, row in made.rows.items()
+                if row.state is not State.ABSENT and name in made.durable_amounts
+            },
+        )
 
     def beat(self, dies: str = "") -> None:
         """It divides; `dies`: before its table is written, or after."""
         made = self.granter
         assert made is not None
-        for action in made.beat(self.now):
+        for action in made.tick(self.now):
             if isinstance(action, Write):
                 if dies == "before":
                     break
                 self.write()
-                for send in () if dies else made.written(action.version):
+                for send in () if dies else made.on_written(action.version):
                     self._post(send)
             elif not dies:
                 self._post(action)
@@ -116,25 +122,25 @@
         """A process is started under a name whose last one is dead."""
         made = self.granter
         assert made is not None
-        part, _ = made.born(name, self.now)
+        part, _ = made.on_starting(name, self.now)
         self.write()
-        self.lives[name] = [Holder(part)]
+        self.lives[name] = [LeaseHolder(part)]
 
     def die(self, name: str) -> None:
         """All processes of a name end."""
         self.lives[name] = []
         self.asleep.discard(name)
-        self.up = [(n, part) for n, part in self.up if n != name]   # what is told of a life that is over counts not
+        self.up = [(n, part) for n, part in self.up if n != name]  # what is told of a life that is over counts not
         if self.granter is not None:
-            self.granter.dies(name)
+            self.granter.on_death(name)
 
     def hand_over(self, name: str) -> None:
         """A next life takes over; the one before goes on with what it took."""
-        self.lives[name].append(Holder(self.lives[name][-1].hand_on()))
+        self.lives[name].append(LeaseHolder(self.lives[name][-1].hand_over()))
 
     def speak(self, name: str) -> None:
         """A holder says what it has; it arrives later."""
-        self.up.append((name, self.lives[name][-1].part))
+        self.up.append((name, self.lives[name][-1].allocation))
 
     def tell(self, name: str) -> None:
         """A holder says what it has, and is heard."""
@@ -145,13 +151,13 @@
         """A part arrives; `keep`: and will once more."""
         name, part = self.down[place] if keep else self.down.pop(place)
         if self.lives[name] and name not in self.asleep:
-            self.lives[name][-1].offered(part)
+            self.lives[name][-1].on_grant(part)
 
     def heard(self, place: int) -> None:
         """What a holder said arrives."""
         name, part = self.up.pop(place)
         if self.granter is not None:
-            self.granter.hears(name, part, (OTHERWISE if self.swapped else DEMAND)[name], self.now)
+            self.granter.on_report(name, part, (OTHERWISE if self.swapped else DEMAND)[name], self.now)
 
     def steps(self) -> Iterable[tuple[str, Callable[[Model], None]]]:
         """All that may happen next."""
@@ -166,68 +172,103 @@
         for name in NAMES:
             if not self.lives[name]:
                 if self.granter is not None:
-                    yield f"start {name}", lambda w, name=name: w.start(name)   # type: ignore[misc]
+                    yield f"start {name}", lambda w, name=name: w.start(name)  # type: ignore[misc]
                 continue
-            yield f"die {name}", lambda w, name=name: w.die(name)   # type: ignore[misc]
+            yield f"die {name}", lambda w, name=name: w.die(name)  # type: ignore[misc]
             if self.granter is not None:
-                yield f"tell {name}", lambda w, name=name: w.tell(name)   # type: ignore[misc]
-                yield f"line {name} ends", lambda w, name=name: w.granter.silent(name)   # type: ignore[misc]
+                yield f"tell {name}", lambda w, name=name: w.tell(name)  # type: ignore[misc]
+                yield f"line {name} ends", lambda w, name=name: w.granter.on_disconnected(name)  # type: ignore[misc]
             if len(self.up) < MOST_MAIL and not any(n == name for n, _ in self.up):
-                yield f"speak {name}", lambda w, name=name: w.speak(name)   # type: ignore[misc]
+                yield f"speak {name}", lambda w, name=name: w.speak(name)  # type: ignore[misc]
             if len(self.lives[name]) == 1 and name == "a":
-                yield f"hand over {name}", lambda w, name=name: w.hand_over(name)   # type: ignore[misc]
+                yield f"hand over {name}", lambda w, name=name: w.hand_over(name)  # type: ignore[misc]
             if name == "b":
-                yield f"sleep or wake {name}", lambda w, name=name: w.asleep.__ixor__({name})   # type: ignore[misc]
+                yield f"sleep or wake {name}", lambda w, name=name: w.asleep.__ixor__({name})  # type: ignore[misc]
         for place in range(len(self.down)):
-            yield f"part {place}", lambda w, place=place: w.told(place, False)   # type: ignore[misc]
-            yield f"part {place}, again later", lambda w, place=place: w.told(place, True)   # type: ignore[misc]
-            yield f"part {place} lost", lambda w, place=place: w.down.pop(place)   # type: ignore[misc]
+            yield f"part {place}", lambda w, place=place: w.told(place, False)  # type: ignore[misc]
+            yield f"part {place}, again later", lambda w, place=place: w.told(place, True)  # type: ignore[misc]
+            yield f"part {place} lost", lambda w, place=place: w.down.pop(place)  # type: ignore[misc]
         for place in range(len(self.up)):
-            yield f"word {place}", lambda w, place=place: w.heard(place)   # type: ignore[misc]
+            yield f"word {place}", lambda w, place=place: w.heard(place)  # type: ignore[misc]
 
     # --- what must never be --------------------------------------------------------------------------------
 
     def wrong(self) -> str:
         """Whether more is in force than there is, now or at any later moment though nothing more arrives."""
-        for kind in Kind:
+        for kind in Resource:
             for later in (0.0, LEASE / 2, LEASE):
-                held = {name: sum(life.amount(kind, self.now + later) for life in lives)
-                        for name, lives in self.lives.items()}
+                held = {
+                    name: sum(life.amount(kind, self.now + later) for life in lives)
+                    for name, lives in self.lives.items()
+                }
                 if sum(held.values()) > WHOLE:
                     return f"{kind.value}: {held} at {self.now + later:g} s"
         return ""
 
     def look(self) -> Hashable:
         """All that makes a difference; times as distances from now."""
-        def part(one: Part) -> tuple[object, ...]:
-            return (one.era, one.number, one.base[0], one.lease[0], max(0.0, one.end - self.now))
+
+        def part(one: Allocation) -> tuple[object, ...]:
+            return (one.epoch, one.number, one.base[0], one.lease[0], max(0.0, one.ends_at - self.now))
 
         made = self.granter
-        rows: object = None if made is None else (
-            made.era, max(0.0, made.until - self.now),
-            tuple(sorted((h, r.state.value, r.number, r.base[0], r.lease[0], max(0.0, r.end - self.now), r.told,
-                          r.demand[0], max(0.0, r.heard + HEARD - self.now),
-                          max(0.0, r.answered + LEASE - self.now))
-                         for h, r in made.rows.items())),
-            tuple(sorted((h, c.number, c.amount, c.end if c.end == inf else c.end - self.now)
-                         for ledger in (made.base[0], made.lent[0]) for h, cs in ledger.rows.items() for c in cs
-                         if c.end > self.now)))
-        return (rows, self.disk.era, max(0.0, self.disk.until - self.now), tuple(sorted(self.disk.rows.items())),
-                tuple(tuple((part(life.part), life.passed) for life in self.lives[name]) for name in NAMES),
-                frozenset(self.asleep), self.swapped, tuple((n, part(p)) for n, p in self.down),
-                tuple((n, part(p)) for n, p in self.up))
-
-
-def _any_word(granter: Granter, holder: str, part: Part, demand: tuple[float, ...], now: float) -> None:
+        rows: object = (
+            None
+            if made is None
+            else (
+                made.epoch,
+                max(0.0, made.durable_until - self.now),
+                tuple(
+                    sorted(
+                        (
+                            h,
+                            r.state.value,
+                            r.number,
+                            r.base[0],
+                            r.lease[0],
+                            max(0.0, r.end - self.now),
+                            r.told,
+                            r.demand[0],
+                            max(0.0, r.heard + HEARD - self.now),
+                            max(0.0, r.answered + LEASE - self.now),
+                        )
+                        for h, r in made.rows.items()
+                    )
+                ),
+                tuple(
+                    sorted(
+                        (h, c.number, c.amount, c.end if c.end == inf else c.end - self.now)
+                        for ledger in (made.base[0], made.lent[0])
+                        for h, cs in ledger.rows.items()
+                        for c in cs
+                        if c.end > self.now
+                    )
+                ),
+            )
+        )
+        return (
+            rows,
+            self.disk.era,
+            max(0.0, self.disk.until - self.now),
+            tuple(sorted(self.disk.rows.items())),
+            tuple(tuple((part(life.allocation), life.handed_over) for life in self.lives[name]) for name in NAMES),
+            frozenset(self.asleep),
+            self.swapped,
+            tuple((n, part(p)) for n, p in self.down),
+            tuple((n, part(p)) for n, p in self.up),
+        )
+
+
+def _any_word(granter: LeaseIssuer, holder: str, part: Allocation, demand: tuple[float, ...], now: float) -> None:
     row = granter._move(holder, Move.SPEAKS)
-    row.demand, row.told, row.heard = demand, (granter.era, row.number), now
+    row.demand, row.told, row.heard = demand, (granter.epoch, row.number), now
     granter._move(holder, Move.ACK)
     for ledger in (*granter.base, *granter.lent):
         ledger.acked(holder, row.number)
 
 
-def _taken(holder: Holder, part: Part) -> bool:
-    holder.part = part
+def _taken(holder: LeaseHolder, part: Allocation) -> bool:
+    holder.allocation = part
     return True
 
 
@@ -243,23 +284,38 @@
 
 RULES = {
     "a grant that replaces another counts beside it until it is known to have come": Rule(
-        Ledger, "out", lambda self, holder, now: self.last(holder), frozenset({"swap", "tell", "beat", "part"})),
+        Ledger, "out", lambda self, holder, now: self.last(holder), frozenset({"swap", "tell", "beat", "part"})
+    ),
     "a lease is not used past its end": Rule(
-        Holder, "amount", lambda self, kind, now: 0 if self.passed else self.part.base[0] + self.part.lease[0],
-        frozenset({"line a", "time", "tell b", "tell c", "beat", "part"})),
+        LeaseHolder,
+        "amount",
+        lambda self, kind, now: 0 if self.handed_over else self.allocation.base[0] + self.allocation.lease[0],
+        frozenset({"line a", "time", "tell b", "tell c", "beat", "part"}),
+    ),
     "only what is newer is taken": Rule(
-        Holder, "offered", _taken, frozenset({"die", "start", "beat", "part", "tell", "swap", "time"})),
+        LeaseHolder, "on_grant", _taken, frozenset({"die", "start", "beat", "part", "tell", "swap", "time"})
+    ),
     "a part that is handed on is used no more": Rule(
-        Holder, "hand_on", lambda self: self.part, frozenset({"hand", "beat", "part", "tell"})),
+        LeaseHolder, "hand_over", lambda self: self.allocation, frozenset({"hand", "beat", "part", "tell"})
+    ),
     "what is sent was written before": Rule(
-        Granter, "_covered", lambda self, send: True,
-        frozenset({"swap", "tell", "die", "beat", "take", "start", "part"})),
+        LeaseIssuer,
+        "_covered",
+        lambda self, send: True,
+        frozenset({"swap", "tell", "die", "beat", "take", "start", "part"}),
+    ),
     "only a word of the newest grant frees what is older": Rule(
-        Granter, "hears", _any_word, frozenset({"swap", "tell", "beat", "part"})),
+        LeaseIssuer, "on_report", _any_word, frozenset({"swap", "tell", "beat", "part"})
+    ),
     "what the table of before allows for may be out": Rule(
-        Granter, "recalled", lambda self, *row: None, frozenset({"beat", "take", "tell", "part", "swap"})),
+        LeaseIssuer, "restore_grant", lambda self, *row: None, frozenset({"beat", "take", "tell", "part", "swap"})
+    ),
     "silence is no death": Rule(
-        Granter, "silent", lambda self, holder: self.dies(holder), frozenset({"line", "beat", "part", "tell"})),
+        LeaseIssuer,
+        "on_disconnected",
+        lambda self, holder: self.on_death(holder),
+        frozenset({"line", "beat", "part", "tell"}),
+    ),
 }
 
 
--- a/thymeflow/lab/explore.py
+++ b/thymeflow/testkit/model_checker.py
@@ -34,9 +34,9 @@
     """What came of it."""
 
     states: int
-    depth: int                      # to which all was explored
-    fault: str                      # the first fault, or nothing
-    path: tuple[str, ...] = ()      # the steps that lead to it
+    depth: int  # to which all was explored
+    fault: str  # the first fault, or nothing
+    path: tuple[str, ...] = ()  # the steps that lead to it
 
 
 def explored(first: W, depth: int, most: int = 10**9, words: frozenset[str] = frozenset()) -> Found[W]:
--- a/thymeflow/lab/ports.py
+++ b/thymeflow/testkit/ports.py
@@ -6,11 +6,11 @@
 import random
 import socket
 
-PORTS = (15000, 32000)    # under those that a system gives to who connects: an address that is left for a while, as
+PORTS = (15000, 32000)  # under those that a system gives to who connects: an address that is left for a while, as
 #                           by a process that was killed or a link that is cut, must not be taken by a connection
 TRIES = 500
 
-_claims: list[socket.socket] = []     # ours until this process ends, whether anybody listens or not
+_claims: list[socket.socket] = []  # ours until this process ends, whether anybody listens or not
 
 
 def _claimed(port: int) -> bool:
@@ -28,7 +28,7 @@
 
 def free_port() -> int:
     """A port at which nobody listens, and which no other laboratory of this machine is given while we run."""
-    draw = random.SystemRandom()      # others may look for ports as we do, so not by the schedule's seed
+    draw = random.SystemRandom()  # others may look for ports as we do, so not by the schedule's seed
     for _ in range(TRIES):
         port = draw.randrange(*PORTS)
         if _claimed(port):
--- a/thymeflow/net/call.py
+++ b/thymeflow/transport/commands.py
@@ -9,12 +9,13 @@
 import re
 from typing import NamedTuple
 
-from thymeflow import interface as api
-from thymeflow.net import resp
-from thymeflow.net.flow import Flow
+from thymeflow.decision.events import RequestReceived
+from thymeflow.decision.settings import GatewaySettings, Idempotency
+from thymeflow.transport import resp
+from thymeflow.transport.flow import Flow
 
 QUERY, SUBMIT = b"SVC.QUERY", b"SVC.SUBMIT"
-MOST_CUSTOMERS = 1 << 33   # numbers of customers are under this
+MOST_CUSTOMERS = 1 << 33  # numbers of customers are under this
 _HEX = re.compile(rb"[0-9a-fA-F]{16}")
 _NUMBER = re.compile(rb"[0-9]{1,9}(\.[0-9]{1,9})?")
 _WHOLE = re.compile(rb"[0-9]{1,9}")
@@ -30,11 +31,11 @@
     verb: bytes
     customer: bytes
     id: bytes
-    before: bytes   # the list up to the value of d, and from there on
+    before: bytes  # the list up to the value of d, and from there on
     after: bytes
     body: bytes | None
-    wait: int = 0               # ms that its sender waits from the last byte on
-    flow: Flow | None = None    # a long body, in place of one that is held
+    wait: int = 0  # ms that its sender waits from the last byte on
+    flow: Flow | None = None  # a long body, in place of one that is held
 
     def write(self, wait: int) -> bytes:
         """The command for an application server; `wait` is how long we will wait, in milliseconds."""
@@ -49,12 +50,12 @@
 class Reader:
     """Reads calls under the site's classes and plans."""
 
-    def __init__(self, settings: api.Settings) -> None:
+    def __init__(self, settings: GatewaySettings) -> None:
         self._classes = {c.name.encode(): c for c in settings.classes}
         self._plans = {p.name.encode(): p.name for p in settings.plans}
-        self._gateways, self._most_units = settings.gateways, settings.information.max_units
+        self._gateways, self._most_units = settings.limiter_count, settings.information.max_units
 
-    def read(self, words: list[bytes]) -> tuple[Call, api.Request]:
+    def read(self, words: list[bytes]) -> tuple[Call, RequestReceived]:
         """The call and what the module is told of it."""
         verb = words[0].upper()
         if len(words) != (4 if verb == QUERY else 5):
@@ -71,9 +72,9 @@
         cls, plan = self._classes.get(terms.get(b"c", b"")), self._plans.get(terms.get(b"t", b""))
         if cls is None or plan is None:
             raise CallError("unknown class" if cls is None else "unknown plan")
-        if (verb == QUERY) != (cls.effect is api.Effect.SAFE):
+        if (verb == QUERY) != (cls.idempotency is Idempotency.IDEMPOTENT):
             raise CallError(f"class {cls.name} is not served by {verb.decode()}")
-        if cls.effect is api.Effect.KEYED and not terms.get(b"k"):
+        if cls.idempotency is Idempotency.WITH_KEY and not terms.get(b"k"):
             raise CallError("a keyed class needs k")
         if b"d" not in terms:
             raise CallError("d is missing")
@@ -85,16 +86,32 @@
             raise CallError("units, spread or first out of range")
         if int(customer, 16) >= MOST_CUSTOMERS:
             raise CallError("no such customer")
-        request = api.Request(name.decode(), cls.name, plan, customer.decode().lower(), wait / 1000.0, units,
-                              spread, first, terms.get(b"r") == b"1", verb == SUBMIT)
+        request = RequestReceived(
+            name.decode(),
+            cls.name,
+            plan,
+            customer.decode().lower(),
+            wait / 1000.0,
+            units,
+            spread,
+            first,
+            terms.get(b"r") == b"1",
+            verb == SUBMIT,
+        )
         start = 2 if text.startswith(b"d=") else text.index(b",d=") + 3
-        call = Call(verb, customer, name, text[:start], text[start + len(terms[b"d"]):],
-                    words[4] if verb == SUBMIT else None, max(1, int(wait)))
+        call = Call(
+            verb,
+            customer,
+            name,
+            text[:start],
+            text[start + len(terms[b"d"]) :],
+            words[4] if verb == SUBMIT else None,
+            max(1, int(wait)),
+        )
         return call, request
 
     @staticmethod
-    def _number(terms: dict[bytes, bytes], key: bytes, default: bytes,
-                form: re.Pattern[bytes] = _NUMBER) -> float:
+    def _number(terms: dict[bytes, bytes], key: bytes, default: bytes, form: re.Pattern[bytes] = _NUMBER) -> float:
         text = terms.get(key, default)
         if not form.fullmatch(text):
             raise CallError(f"bad number for {key.decode()}")
--- a/thymeflow/net/link.py
+++ b/thymeflow/transport/connections.py
@@ -21,10 +21,11 @@
 from twisted.python.failure import Failure
 from zope.interface import implementer
 
-from thymeflow.net import clock, resp
-from thymeflow.net.clock import Deadlines
-from thymeflow.net.config import Address
-from thymeflow.net.flow import CHUNK
+from thymeflow.platform.configuration import Address
+from thymeflow.runtime import clock
+from thymeflow.runtime.clock import Deadlines
+from thymeflow.transport import resp
+from thymeflow.transport.flow import CHUNK
 
 
 def unread(transport: Any) -> bool:
@@ -48,8 +49,8 @@
     """A connection, made by us or to us."""
 
     transport: Any
-    flushed = True   # all that was written has gone to the kernel
-    connected_to: Callable[[Any], None] | None = None   # who waits for the connection to be up
+    flushed = True  # all that was written has gone to the kernel
+    connected_to: Callable[[Any], None] | None = None  # who waits for the connection to be up
 
     def connectionMade(self) -> None:
         """Small messages leave at once; see the module's text for the producer."""
@@ -88,7 +89,7 @@
         """Write behind what was written."""
         if self.flushed:
             sent = 0
-            with contextlib.suppress(OSError):   # what is broken shows when the transport tries the rest
+            with contextlib.suppress(OSError):  # what is broken shows when the transport tries the rest
                 sent = self.transport.getHandle().send(data)
             if sent == len(data):
                 return
@@ -102,7 +103,7 @@
 class Link(Stream):
     """A connection on which we ask in RESP2; subclasses take the messages and the end."""
 
-    closed = False   # ended, or given up by us
+    closed = False  # ended, or given up by us
 
     def __init__(self, longest: int = resp.MOST_VALUE) -> None:
         self._parser = resp.Parser(longest)
@@ -113,7 +114,7 @@
         for value in found:
             if self.closed:
                 return
-            self.message(value)   # type: ignore[arg-type]   # events of long values come only where asked for
+            self.message(value)  # type: ignore[arg-type]   # events of long values come only where asked for
         if fault and not self.closed:
             self.garbled(fault)
 
@@ -165,8 +166,7 @@
         self._settled.errback(reason)
 
 
-def dial(reactor: Any, deadlines: Deadlines, address: Address, deadline: float,
-         build: Callable[[], S]) -> Deferred[S]:
+def dial(reactor: Any, deadlines: Deadlines, address: Address, deadline: float, build: Callable[[], S]) -> Deferred[S]:
     """Connect; fails if refused or not up by the deadline, on the one heap and not a timer of its own.
 
     A deadline that comes due in a turn that came late says nothing of the other end: the reactor begins to connect in
@@ -179,7 +179,7 @@
     def late(_: int) -> None:
         nonlocal entry
         now = clock.now()
-        if deadlines.stalled(now):
+        if deadlines.is_stalled(now):
             entry = deadlines.at(now + clock.STALL, late)
         else:
             connector.stopConnecting()
--- a/thymeflow/net/flow.py
+++ b/thymeflow/transport/flow.py
@@ -10,7 +10,7 @@
 from collections.abc import Callable
 from typing import Protocol
 
-CHUNK = 32 * 1024   # bytes read at a time from a connection that brings a long value: what waits here is bounded
+CHUNK = 32 * 1024  # bytes read at a time from a connection that brings a long value: what waits here is bounded
 
 
 class Sink(Protocol):
@@ -51,9 +51,9 @@
 
     def __init__(self, length: int, pace: Callable[[bool], None], abandoned: Callable[[], None]) -> None:
         self.length = length
-        self.deadline = 0.0         # once it has come whole, for a body: until when its sender waits
-        self.over = False           # whole or broken, and the sink was told
-        self.waits = False          # the source is paused
+        self.deadline = 0.0  # once it has come whole, for a body: until when its sender waits
+        self.over = False  # whole or broken, and the sink was told
+        self.waits = False  # the source is paused
         self._pace, self._abandoned = pace, abandoned
         self._held: deque[bytes] = deque()
         self._ended = self._broken = False
--- a/thymeflow/net/resp.py
+++ b/thymeflow/transport/resp.py
@@ -10,11 +10,11 @@
 
 from typing import Union
 
-MOST_VALUE = 64 * 1024         # bytes of one bulk string that is held whole
-MOST_LONG = 4 * 2**20          # bytes of one that passes through in parts, as the days in service have it
-MOST_MESSAGE = MOST_VALUE + 8 * 1024   # bytes of one message: a value and its small companions
-MOST_ITEMS = 32                # items of one array; the longest that anybody sends has five
-MOST_LINE = 1024               # bytes of a simple string, an error or a length
+MOST_VALUE = 64 * 1024  # bytes of one bulk string that is held whole
+MOST_LONG = 4 * 2**20  # bytes of one that passes through in parts, as the days in service have it
+MOST_MESSAGE = MOST_VALUE + 8 * 1024  # bytes of one message: a value and its small companions
+MOST_ITEMS = 32  # items of one array; the longest that anybody sends has five
+MOST_LINE = 1024  # bytes of a simple string, an error or a length
 
 
 class ProtocolError(Exception):
@@ -104,10 +104,10 @@
     def __init__(self, longest: int = MOST_VALUE) -> None:
         self._held = bytearray()
         self._longest = longest
-        self._left = -1              # bytes of a long value that are still to come; -1: none is on its way
+        self._left = -1  # bytes of a long value that are still to come; -1: none is on its way
         self._after: list[Value] = []
-        self._missing = -1           # items that follow the long value and have not come; -1: none is on its way
-        self.item = -1               # of an array that is not whole: the bulk string that bytes are awaited for
+        self._missing = -1  # items that follow the long value and have not come; -1: none is on its way
+        self.item = -1  # of an array that is not whole: the bulk string that bytes are awaited for
 
     def held(self) -> int:
         """Bytes of a message that has begun and is not whole."""
@@ -156,14 +156,14 @@
     def _long(self, source: bytes | bytearray, place: int, found: list[Event]) -> int:
         # One step of a message with a long value: bytes of the value, its end, or an item behind it.
         if self._left > 0:
-            data = bytes(source[place:place + self._left])
+            data = bytes(source[place : place + self._left])
             self._left -= len(data)
             found.append(Part(data))
             return place + len(data)
         if self._left == 0:
             if len(source) < place + 2:
                 raise _Incomplete
-            if source[place:place + 2] != b"\r\n":
+            if source[place : place + 2] != b"\r\n":
                 raise ProtocolError("value not closed")
             place, self._left = place + 2, -1
             found.append(Closed())
@@ -189,7 +189,7 @@
         return bytes(source[place:end]), end + 2
 
     def _value(self, source: bytes | bytearray, place: int, depth: int) -> tuple[Value, int]:
-        kind = source[place:place + 1]
+        kind = source[place : place + 1]
         if not kind:
             raise _Incomplete
         if kind not in b"$*+-:":
@@ -231,9 +231,9 @@
         end = place + length
         if len(source) < end + 2:
             missing = _Incomplete()
-            missing.item = 0     # whoever reads the array says which
+            missing.item = 0  # whoever reads the array says which
             raise missing
-        if source[end:end + 2] != b"\r\n":
+        if source[end : end + 2] != b"\r\n":
             raise ProtocolError("value not closed")
         return bytes(source[place:end]), end + 2
 
@@ -245,8 +245,11 @@
 
 def command_head(length: int, *words: bytes) -> bytes:
     """A command up to its last bulk string, of that length, which is written behind it."""
-    return b"*%d\r\n" % (len(words) + 1) + b"".join([b"$%d\r\n%b\r\n" % (len(word), word) for word in words]) + (
-        bulk_head(length))
+    return (
+        b"*%d\r\n" % (len(words) + 1)
+        + b"".join([b"$%d\r\n%b\r\n" % (len(word), word) for word in words])
+        + (bulk_head(length))
+    )
 
 
 def bulk_head(length: int) -> bytes:
