--- a/benchmarks/prove_overload.py
+++ b/benchmarks/prove_overload.py
@@ -41,7 +41,7 @@
 REPEATS, REST = 0.5, 0.1  # share of the refused that come again; s before that, at least
 NOTHING_SHED = (
     "import sys; from thymeflow.health import pressure; from thymeflow.shedding.threshold import AdmissionThreshold; "
-    "pressure.concurrency_limit = lambda *_: 1e9; pressure.shed_fraction = lambda *_: 0.0; "
+    "pressure.concurrency_limit = lambda *_: 1e9; pressure.shedding_fraction = lambda *_: 0.0; "
     "AdmissionThreshold.tick = lambda self, now: 0.0; from thymeflow.cli import run; sys.exit(run())"
 )  # in both
 
--- a/tests/test_bad_configuration_texts.py
+++ b/tests/test_bad_configuration_texts.py
@@ -17,7 +17,7 @@
 from tests.limiter import ROOT, SETTINGS
 from thymeflow.cli import thymeflow as main
 from thymeflow.platform import configuration
-from thymeflow.simulator import settings_from
+from thymeflow.platform.settings import settings_from
 
 DATA = Path(__file__).resolve().parent / "data" / "before-rename"
 GOOD: dict[str, Any] = {
--- a/tests/test_bad_input.py
+++ b/tests/test_bad_input.py
@@ -13,7 +13,7 @@
 from tests.test_net_parts import words
 from thymeflow.decision.settings import Idempotency
 from thymeflow.platform.configuration import ConfigurationError, from_source
-from thymeflow.simulator import settings_from
+from thymeflow.platform.settings import settings_from
 from thymeflow.transport.commands import CallError, Reader
 
 GOOD = b"*3\r\n$5\r\nvalue\r\n$-1\r\n$-1\r\n"
--- a/tests/test_daemon.py
+++ b/tests/test_daemon.py
@@ -20,7 +20,7 @@
 import pytest
 
 from tests.limiter import PATIENCE, ROOT, Limiter, command, request
-from thymeflow.simulator import settings_from
+from thymeflow.platform.settings import settings_from
 from thymeflow.snapshot.schema import site_of
 
 GOOD = b"*3\r\n$5\r\nvalue\r\n$6\r\ncost=1\r\n$-1\r\n"
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -16,7 +16,7 @@
 from thymeflow.decision.types import BackendState
 from thymeflow.discovery.http import Body, HttpError, Messages
 from thymeflow.discovery.watch import CONNECT, FIRST, HEARTBEATS, LONGEST, PAUSE, SILENCE, WORD, BackOff, Discovery
-from thymeflow.platform.configuration import Address, EndpointUpdate, listed
+from thymeflow.platform.endpoints import Address, EndpointUpdate, endpoint_update
 from thymeflow.runtime import clock, log
 
 HEAD = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
@@ -186,7 +186,7 @@
 
 
 def test_an_unknown_lifecycle_is_sent_nothing_new_and_spoils_no_other_entry() -> None:
-    news = listed(json.loads(message(43, entry(1, "resting"), entry(2, "leaving"), entry(3))))
+    news = endpoint_update(json.loads(message(43, entry(1, "resting"), entry(2, "leaving"), entry(3))))
     assert [b.state for b in news.change.backends] == [BackendState.DRAINING, BackendState.DRAINING, BackendState.READY]
 
 
--- a/tests/test_information.py
+++ b/tests/test_information.py
@@ -198,7 +198,7 @@
     for n in range(300):
         gateway.handle(10.0 + n / 10.0, request(f"r{n}", 0.3, customer=f"c{n}"))  # a hundredth of the burst
         assert not [a for a in ticks(gateway, 10.0 + n / 10.0, 0.1) if isinstance(a, AddToCounter)]
-    assert max(len(gateway.buckets), len(gateway.updates_due), len(gateway.deferred_updates)) <= 250
+    assert max(len(gateway.buckets), len(gateway.pending_updates), len(gateway.deferred_updates)) <= 250
     gateway.handle(41.0, request("more", 4.0, customer="c299"))
     more = call(gateway, 41.0)
     assert counter_encoding.decode(more.name, more.amount)[0] == pytest.approx(4.3, abs=0.5)
--- a/tests/test_net_parts.py
+++ b/tests/test_net_parts.py
@@ -15,14 +15,8 @@
 from tests.limiter import SETTINGS, command, request
 from thymeflow.backends.backends import HUNG, BackendConnections, outcome_of
 from thymeflow.backends.backends import STALL as ANSWER_STALL
-from thymeflow.core.dispatcher import (
-    AttemptResult,
-    AttemptSpec,
-    IncomingRequest,
-    RequestDispatcher,
-    Response,
-    ResponseKind,
-)
+from thymeflow.core.dispatcher import RequestDispatcher
+from thymeflow.core.types import AttemptResult, AttemptSpec, IncomingRequest, Response, ResponseKind
 from thymeflow.counter.client import DEAD, STALL, Line, Result
 from thymeflow.decision.actions import Action, AddToCounter
 from thymeflow.decision.events import Event
@@ -32,11 +26,12 @@
 from thymeflow.discovery.http import Body, HttpError
 from thymeflow.discovery.watch import Discovery
 from thymeflow.limiter.assembly import LEAST_ROOM, Limiter
-from thymeflow.platform.configuration import Address, EndpointUpdate, from_source, listed
+from thymeflow.platform.configuration import from_source
+from thymeflow.platform.endpoints import Address, EndpointUpdate, endpoint_update
+from thymeflow.platform.settings import settings_from
 from thymeflow.quota.token_bucket import MIN_CALL_INTERVAL
 from thymeflow.runtime import clock
 from thymeflow.runtime.slot_table import SlotTable
-from thymeflow.simulator import settings_from
 from thymeflow.transport import resp
 from thymeflow.transport.commands import Call, Reader
 from thymeflow.transport.flow import Flow
@@ -133,7 +128,7 @@
 
 def change(lifecycle: str, reset: bool = False) -> EndpointUpdate:
     entry = {"instanceId": "s-00000001", "hostPort": "127.0.0.1:9", "lifecycle": lifecycle}
-    return listed({"generation": 1, "reset": reset, "instances": [entry]})
+    return endpoint_update({"generation": 1, "reset": reset, "instances": [entry]})
 
 
 @pytest.mark.parametrize("news", ["leaving", "left"])
@@ -412,7 +407,7 @@
 def test_a_senseless_entry_of_the_list_is_refused(change: dict[str, Any]) -> None:
     good = {"instanceId": "s-00000001", "hostPort": "127.0.0.1:9", "lifecycle": "active"}
     with pytest.raises((ValueError, KeyError, TypeError)):
-        listed({"generation": 1, "instances": [{**good, **change}]})
+        endpoint_update({"generation": 1, "instances": [{**good, **change}]})
 
 
 class Odd:
@@ -475,7 +470,7 @@
 
     def budgets() -> tuple[int, ...]:
         front, core = limiter.front, limiter.core
-        return front._most, limiter.upstream._most, front.most_held, front._most_input, core._memory
+        return front._most, limiter.upstream._most, front.most_held, front._most_input, core._requests.memory_limit
 
     alone = budgets()
     limiter.limit_beside_predecessor(held)
--- a/tests/test_start.py
+++ b/tests/test_start.py
@@ -23,7 +23,8 @@
 from thymeflow.frontend.listener import opened as opened_at
 from thymeflow.limiter.assembly import Limiter as Assembled
 from thymeflow.limiter.phases import Phase
-from thymeflow.platform.configuration import Address, from_source
+from thymeflow.platform.configuration import from_source
+from thymeflow.platform.endpoints import Address
 from thymeflow.runtime import clock
 from thymeflow.transport.connections import Stream, dial
 
--- a/tests/test_state.py
+++ b/tests/test_state.py
@@ -21,7 +21,7 @@
 from thymeflow.decision.settings import Information, Plan
 from thymeflow.decision.types import Backend, EndpointListKind, Status
 from thymeflow.health.backend_stats import FailureStreak
-from thymeflow.platform.configuration import Address
+from thymeflow.platform.endpoints import Address
 from thymeflow.snapshot import atomic_file, restore, schema
 
 SITE = schema.site_of(settings())
--- a/tests/test_stored_formats.py
+++ b/tests/test_stored_formats.py
@@ -28,7 +28,7 @@
 from thymeflow.fleet import registry
 from thymeflow.leases import grant_file
 from thymeflow.platform import configuration
-from thymeflow.platform.configuration import Address
+from thymeflow.platform.endpoints import Address
 from thymeflow.runtime import clock
 from thymeflow.snapshot import restore, schema
 
--- a/tests/test_trace_gateway.py
+++ b/tests/test_trace_gateway.py
@@ -23,6 +23,7 @@
 from thymeflow.decision.events import Event, RequestBodyStarted, SettingsChanged
 from thymeflow.decision.gateway import Gateway
 from thymeflow.decision.settings import GatewaySettings
+from thymeflow.platform.settings import settings_from
 from thymeflow.quota.strict import StrictGateway
 
 OK, ERROR, FULL, TIMEOUT, CONNECT_FAILED, RESET, CANCELLED, MOOT = range(1, 9)
@@ -72,14 +73,14 @@
     return f"{line} within={action.start_within:.6f}" if isinstance(action, StartAttempt) else line
 
 
-class ExactAdapter(simulator.Drill):
+class ExactAdapter(simulator.SimulatorAdapter):
     """An adapter that writes down attempts with all of their terms."""
 
-    def event(self, event: Event) -> None:
+    def handle_event(self, event: Event) -> None:
         """Hand an event to its instance."""
         gateway = self.gateways.get(self.instance)
         if gateway is not None:
-            self.say([exact_line(action) for action in gateway.handle(self.now, event)])
+            self.write([exact_line(action) for action in gateway.handle(self.now, event)])
 
 
 def run_directly(make: Callable[[GatewaySettings, int], Gateway]) -> Callable[[Iterator[str], TextIO], None]:
@@ -90,16 +91,16 @@
         for line in lines:
             kind, _, rest = line.rstrip("\n").partition(" ")
             if kind == "born":
-                fields = adapter.fields(kind, rest)
-                settings = simulator.settings_from(json.loads(fields["settings"]))
+                fields = simulator.fields_of(kind, rest)
+                settings = settings_from(json.loads(fields["settings"]))
                 adapter.gateways[adapter.instance] = make(settings, int(fields["salt"]))
             elif kind == "body":
-                adapter.event(body_begun(adapter.fields(kind, rest)["rid"]))
+                adapter.handle_event(body_begun(simulator.fields_of(kind, rest)["rid"]))
             elif kind == "settings_changed":
-                info = json.loads(adapter.fields(kind, rest)["settings"])
-                adapter.event(changed_settings(simulator.settings_from(info)))
+                info = json.loads(simulator.fields_of(kind, rest)["settings"])
+                adapter.handle_event(changed_settings(settings_from(info)))
             else:
-                adapter.line(line.rstrip("\n"))
+                adapter.handle_line(line.rstrip("\n"))
 
     return run
 
--- a/thymeflow/backends/backends.py
+++ b/thymeflow/backends/backends.py
@@ -13,10 +13,10 @@
 
 from twisted.internet.defer import Deferred
 
-from thymeflow.core.dispatcher import AttemptResult, AttemptSpec
+from thymeflow.core.types import AttemptResult, AttemptSpec
 from thymeflow.decision.settings import Limits
 from thymeflow.decision.types import BackendState, EndpointListKind, LoadReport, Status
-from thymeflow.platform.configuration import Address, EndpointUpdate
+from thymeflow.platform.endpoints import Address, EndpointUpdate
 from thymeflow.runtime import clock, log
 from thymeflow.runtime.slot_table import SlotTable
 from thymeflow.transport import resp
--- a/thymeflow/cli/check.py
+++ b/thymeflow/cli/check.py
@@ -20,8 +20,8 @@
 
 def platform_faults(path: str) -> list[Fault]:
     """All that is wrong with the platform's JSON, as far as it can be told one by one."""
-    from thymeflow.platform import configuration
-    from thymeflow.simulator import settings_from
+    from thymeflow.platform import configuration, endpoints
+    from thymeflow.platform.settings import settings_from
 
     try:
         source: Any = json.loads(Path(path).read_text())
@@ -37,10 +37,10 @@
         Fault(path, 0, "", key, "is no key of the platform's", nearest(key, TOP)) for key in source if key not in TOP
     ]
     checks: dict[str, Any] = {
-        "listen": lambda v: configuration.address(v, 0),
-        "discovery": configuration.address,
-        "counter": configuration.address,
-        "known": lambda v: configuration.listed(v, cached=True),
+        "listen": lambda v: endpoints.address(v, 0),
+        "discovery": endpoints.address,
+        "counter": endpoints.address,
+        "known": lambda v: endpoints.endpoint_update(v, cached=True),
         "seed": lambda v: int(str(v), 16),
         "settings": settings_from,
     }
--- a/thymeflow/counter/client.py
+++ b/thymeflow/counter/client.py
@@ -14,7 +14,7 @@
 from twisted.internet.defer import Deferred
 
 from thymeflow.decision.types import Status
-from thymeflow.platform.configuration import Address
+from thymeflow.platform.endpoints import Address
 from thymeflow.runtime import clock, log
 from thymeflow.transport import resp
 from thymeflow.transport.connections import Link, dial
--- a/thymeflow/daemon/snapshots.py
+++ b/thymeflow/daemon/snapshots.py
@@ -9,7 +9,7 @@
 from twisted.internet.defer import Deferred
 from twisted.internet.threads import deferToThread
 
-from thymeflow.platform import configuration
+from thymeflow.platform import endpoints
 from thymeflow.runtime import clock, log
 from thymeflow.snapshot import atomic_file, schema, store
 
@@ -17,7 +17,7 @@
 class Memory(store.SnapshotStore):
     """What one life writes down, and what it was given by an earlier one."""
 
-    def __init__(self, path: Path, name: str, life: str, first_list: configuration.EndpointUpdate) -> None:
+    def __init__(self, path: Path, name: str, life: str, first_list: endpoints.EndpointUpdate) -> None:
         super().__init__(name, life, first_list)
         self.path = path
         self._writing = False
--- a/thymeflow/decision/admission.py
+++ b/thymeflow/decision/admission.py
@@ -52,15 +52,16 @@
 
     def waits_for_counter(self, pending: RequestState, sample: float) -> bool:
         """Return whether `admit` is called later, with the counter's reply; never so in this class."""
+        del pending, sample
         return False
 
-    def admit(self, pending: RequestState, fits_quota: bool) -> None:
+    def admit(self, pending: RequestState, is_within_quota: bool) -> None:
         """Charge a request and start its first attempt, or reject it."""
         event = pending.request
         bucket = pending.bucket
-        reason = self.rejection_reason(pending, bucket) if fits_quota else "quota"
+        reason = self.rejection_reason(pending, bucket) if is_within_quota else "quota"
         backend = None if reason else self.select_backend(pending)
-        updates = self.deferred_updates if backend is None else self.updates_due
+        updates = self.deferred_updates if backend is None else self.pending_updates
         updates[bucket.customer_id] = None
         if backend is None:
             advice = self.retry_after(bucket, event.units)
@@ -90,7 +91,7 @@
         if self.in_flight >= pressure.concurrency_limit(backends, deficit, self.pressure):
             return "places"
         sample = self.rng.random()
-        fraction = self.adjust_shedding(pending, pressure.shed_fraction(deficit, self.pressure))
+        fraction = self.adjust_shedding(pending, pressure.shedding_fraction(deficit, self.pressure))
         return "pressure" if sample < fraction else ""
 
     def start_attempt(self, pending: RequestState, backend: BackendStats, start_within: float = inf) -> None:
--- a/thymeflow/decision/gateway.py
+++ b/thymeflow/decision/gateway.py
@@ -173,7 +173,7 @@
             self.gossip_allowance = min(capacity, allowance)
             self.publish_gossip(is_round)
         elif self.settings.information.counter:
-            self.report_due_updates(TICK_INTERVAL)
+            self.send_pending_updates(TICK_INTERVAL)
 
     def _drop_idle_buckets(self) -> None:
         self.buckets = {
@@ -182,6 +182,6 @@
             if self.now - bucket.last_seen_at <= IDLE_BUCKET_TTL or bucket.attempts_in_flight
         }
         # Most customers come once: what is cached of them must end, or memory and CPU time grow all day.
-        due = self.updates_due | self.deferred_updates
-        self.updates_due = {customer_id: None for customer_id in due if customer_id in self.buckets}
+        updates = self.pending_updates | self.deferred_updates
+        self.pending_updates = {customer_id: None for customer_id in updates if customer_id in self.buckets}
         self.deferred_updates = {}
--- a/thymeflow/decision/gateway_state.py
+++ b/thymeflow/decision/gateway_state.py
@@ -55,15 +55,31 @@
     amount: float
 
 
+# Ready and healthy backends, class name and time, to the backends that may be used.
+BackendFilter = Callable[[list[BackendStats], list[BackendStats], str, float], list[BackendStats]]
+
+
+def _keep_healthy(
+    ready: list[BackendStats], healthy: list[BackendStats], class_name: str, now: float
+) -> list[BackendStats]:
+    del ready, class_name, now
+    return healthy
+
+
+def _keep_fraction(pending: RequestState, fraction: float) -> float:
+    del pending
+    return fraction
+
+
 class GatewayState:
     """Backends, token buckets, pending requests and running means of one gateway."""
 
     def __init__(self, settings: GatewaySettings, seed: int, initial_fill: float = INITIAL_FILL) -> None:
         """`initial_fill` is a fraction of the burst: 0 for a limiter that joins a set whose units are all allocated."""
         self.rng = random.Random(seed)
-        self.fraction_of: Callable[[str], float] = lambda resource: 1.0 / self.settings.limiter_count
-        self.filter_backends: Callable[..., list[BackendStats]] = lambda ready, healthy, class_name, now: healthy
-        self.adjust_shedding: Callable[[RequestState, float], float] = lambda pending, fraction: fraction
+        self.fraction_of: Callable[[str], float] = self._even_fraction
+        self.filter_backends: BackendFilter = _keep_healthy
+        self.adjust_shedding: Callable[[RequestState, float], float] = _keep_fraction
         self.fleet_limits: dict[str, float] = {}  # by resource, where it is bounded over the fleet
         self.bucket_factory: Callable[[Plan, int, float, float, float], TokenBucket] = TokenBucket
         self.apply_settings(settings)
@@ -79,7 +95,7 @@
         self.in_flight = 0  # attempts
         self.warmed_up_backends = 0.0  # what the ready ones come to
         self.retry_budget = self.max_retry_budget()
-        self.updates_due: dict[int, None] = {}  # customers to be reported now
+        self.pending_updates: dict[int, None] = {}  # customers to be reported now
         self.deferred_updates: dict[int, None] = {}  # customers to be reported in the next round
         self.counter_calls: dict[int, CounterCall] = {}  # by counter name
         initial_call_rate = INITIAL_FLEET_CALL_RATE / settings.limiter_count
@@ -88,7 +104,9 @@
         self.call_rate_growth = CALL_RATE_GROWTH
         self.reserved_calls = 0.0  # calls that are left to requests that wait for the counter
         self.pressure = 0.0  # mean latency over the objective, 1 at most
-        self.mean_latency_ratio = pressure.PRESSURE_THRESHOLD / 2.0  # the same without a bound, over a longer time
+        self.mean_latency_ratio = (
+            pressure.PRESSURE_THRESHOLD / 2.0
+        )  # the same without a bound, over a longer time
         self.last_latency_at = -inf
         self.last_gossip_at = -inf  # when a peer or the counter was last heard of
         self.peer_sequences: dict[int, tuple[int, int]] = {}  # incarnation and last sequence number
@@ -98,6 +116,10 @@
         self.sequence = 0
         self.last_round_at = -inf
 
+    def _even_fraction(self, resource: str) -> float:
+        del resource
+        return 1.0 / self.settings.limiter_count
+
     def apply_settings(self, settings: GatewaySettings) -> None:
         """Take settings into use, with all that is derived from them."""
         self.settings = settings
@@ -139,7 +161,9 @@
     def bucket_for(self, plan: Plan, event: RequestReceived) -> TokenBucket:
         """Return the bucket of a request's customer, refilled up to now."""
         bucket = self.get_bucket(counter_encoding.customer_id(event.customer), plan)
-        bucket.last_gossip_at = self.last_gossip_at  # peers that are heard of report the customers that matter
+        bucket.last_gossip_at = (
+            self.last_gossip_at
+        )  # peers that are heard of report the customers that matter
         bucket.refresh(self.now)
         if not bucket.members or bucket.set_changed:
             bucket.join_set(event.first_limiter, event.set_size, self.settings.limiter_count, self.started_at)
@@ -157,7 +181,9 @@
 
     def report_to_counter(self, bucket: TokenBucket) -> None:
         """Add to the counter what was requested and charged since the last report."""
-        name = counter_encoding.counter_name(bucket.customer_id, self.now, bucket.plan.rate, bucket.plan.burst)
+        name = counter_encoding.counter_name(
+            bucket.customer_id, self.now, bucket.plan.rate, bucket.plan.burst
+        )
         amount = bucket.counter_ledger.report(name, bucket.requested_units, bucket.charged_units)
         self.actions.append(AddToCounter(name, amount, 2.0 * counter_encoding.WINDOW_SECONDS))
         self.counter_calls[name] = CounterCall(bucket.customer_id, amount)
--- a/thymeflow/decision/results.py
+++ b/thymeflow/decision/results.py
@@ -66,5 +66,7 @@
         bucket.last_update_at = self.now
         bucket.usage_ratio = max(MIN_USAGE_RATIO, quota_usage)
         ledger = bucket.counter_ledger
-        if ledger.counter_name < 0 or self.now - ledger.read_at > REPORT_TTL:  # else the counter's total is newer
+        if (
+            ledger.counter_name < 0 or self.now - ledger.read_at > REPORT_TTL
+        ):  # else the counter's total is newer
             bucket.remote_rate = max(bucket.remote_rate, quota_usage * bucket.plan.rate - bucket.local_rate)
--- a/thymeflow/decision/settings.py
+++ b/thymeflow/decision/settings.py
@@ -52,7 +52,8 @@
     def __init__(self, owner: str, name: str, value: object) -> None:
         reported = f"{_REPORTED_NAMES.get(owner, owner)}.{_REPORTED_NAMES.get(name, name)}"
         super().__init__(f"{reported}: {value!r} makes no sense")
-        self.name, self.value = name, value
+        self.name = name
+        self.value = value
 
 
 def _check(ok: bool, owner: str, name: str, value: object) -> None:
@@ -243,6 +244,13 @@
         _check(self.limiter_count >= 1, "GatewaySettings", "limiter_count", self.limiter_count)
         _check(0 <= self.index < self.limiter_count, "GatewaySettings", "index", self.index)
         _check(len(self.zones) > 0, "GatewaySettings", "zones", self.zones)
-        _check(len({c.name for c in self.classes}) == len(self.classes), "GatewaySettings", "classes", "repeated name")
-        _check(len({p.name for p in self.plans}) == len(self.plans), "GatewaySettings", "plans", "repeated name")
+        _check(
+            len({c.name for c in self.classes}) == len(self.classes),
+            "GatewaySettings",
+            "classes",
+            "repeated name",
+        )
+        _check(
+            len({p.name for p in self.plans}) == len(self.plans), "GatewaySettings", "plans", "repeated name"
+        )
         _not_negative(self, "timer_resolution")
--- a/thymeflow/discovery/watch.py
+++ b/thymeflow/discovery/watch.py
@@ -20,7 +20,7 @@
 from twisted.python.failure import Failure
 
 from thymeflow.discovery.http import Body, HttpError
-from thymeflow.platform.configuration import Address, EndpointUpdate, listed
+from thymeflow.platform.endpoints import Address, EndpointUpdate, endpoint_update
 from thymeflow.runtime import clock, log
 from thymeflow.runtime.clock import STALL
 from thymeflow.transport.connections import Stream, dial, unread
@@ -285,7 +285,7 @@
         if not message:
             return None
         try:
-            return listed(json.loads(message))
+            return endpoint_update(json.loads(message))
         except (ValueError, KeyError, TypeError, AttributeError, OverflowError, RecursionError) as fault:
             log.say("discovery", f"unreadable message: {fault!r}")
             return None
--- a/thymeflow/fleet/registry.py
+++ b/thymeflow/fleet/registry.py
@@ -15,7 +15,8 @@
 
 import msgspec
 
-from thymeflow.platform.configuration import Address, ConfigurationError, address, from_source
+from thymeflow.platform.configuration import ConfigurationError, from_source
+from thymeflow.platform.endpoints import Address, address
 from thymeflow.snapshot import atomic_file
 
 MOST_BYTES = 4 << 20
--- a/thymeflow/frontend/frontend.py
+++ b/thymeflow/frontend/frontend.py
@@ -17,7 +17,8 @@
 from twisted.internet.protocol import Factory, connectionDone
 from twisted.python.failure import Failure
 
-from thymeflow.core.dispatcher import IncomingRequest, RequestDispatcher, Response, ResponseKind
+from thymeflow.core.dispatcher import RequestDispatcher
+from thymeflow.core.types import IncomingRequest, Response, ResponseKind
 from thymeflow.decision.events import RequestReceived
 from thymeflow.decision.settings import GatewaySettings
 from thymeflow.runtime import clock, log
--- a/thymeflow/gossip/publisher.py
+++ b/thymeflow/gossip/publisher.py
@@ -25,7 +25,8 @@
     entries: dict[int, list[codec.Entry]] = field(default_factory=dict)
 
     def add(self, peer: int, bucket: TokenBucket, is_aggregate: bool, first: float, second: float) -> None:
-        if bucket.plan in self.plans:  # else the plan was dropped, and peers have no number for it
+        """Add an entry for a peer, unless the bucket's plan is not in force any more."""
+        if bucket.plan in self.plans:
             plan_number = self.plans.index(bucket.plan)
             entry = codec.Entry(bucket.customer_id, plan_number, is_aggregate, first, second)
             self.entries.setdefault(peer, []).append(entry)
@@ -43,7 +44,7 @@
             self._request_replies()
         if has_allowance:
             self._add_replies(outbox)
-        self.updates_due = {}
+        self.pending_updates = {}
         self.pending_replies = {}
         if is_round:
             # Silence means that no customer is busy only while some limiters send messages.
@@ -53,7 +54,7 @@
         self._send(outbox)
 
     def _add_reports(self, outbox: _Outbox) -> None:
-        for customer_id in self.updates_due:
+        for customer_id in self.pending_updates:
             bucket = self.buckets.get(customer_id)
             if bucket is not None:
                 for peer in bucket.members[:AGGREGATOR_COUNT]:
@@ -66,8 +67,8 @@
             reports = bucket.peer_reports.items()
             peers = [peer for peer, report in reports if self.now - report.received_at < ACTIVE_SECONDS]
             is_first_member = bucket.members[:1] == [self.settings.index]
-            is_set_due = is_first_member and self.now - bucket.set_notified_at >= SET_NOTIFICATION_SECONDS
-            if is_set_due and bucket.local_rate + bucket.remote_rate > bucket.plan.rate:
+            is_notification_needed = is_first_member and self.now - bucket.set_notified_at >= SET_NOTIFICATION_SECONDS
+            if is_notification_needed and bucket.local_rate + bucket.remote_rate > bucket.plan.rate:
                 # Members that have not seen the customer yet are notified as well.
                 bucket.set_notified_at = self.now
                 peers = bucket.members
--- a/thymeflow/health/pressure.py
+++ b/thymeflow/health/pressure.py
@@ -34,6 +34,6 @@
     return limit + 2.0 * sqrt(limit) + 1.0
 
 
-def shed_fraction(deficit: float, pressure: float) -> float:
+def shedding_fraction(deficit: float, pressure: float) -> float:
     """Return the fraction of requests that is rejected."""
     return SHEDDING_SLOPE * max(0.0, pressure - PRESSURE_THRESHOLD) * (0.5 + deficit)
--- a/thymeflow/limiter/assembly.py
+++ b/thymeflow/limiter/assembly.py
@@ -20,7 +20,7 @@
 from thymeflow.limiter.management import PLACES, Management
 from thymeflow.limiter.phases import Phase
 from thymeflow.limiter.reload import Reload
-from thymeflow.platform import configuration
+from thymeflow.platform import configuration, endpoints
 from thymeflow.runtime import clock, log
 from thymeflow.transport.commands import Reader
 
@@ -40,7 +40,7 @@
 
 def made(given: configuration.Configuration, start: float = INITIAL_FILL, offset: float = 0.0) -> Gateway:
     """The gateway of a configuration. `offset`: from our clock to one that all of the set share, seconds."""
-    if given.units == configuration.TICKETS and given.settings.information.counter:
+    if given.units == configuration.UNITS_BY_RESERVATION and given.settings.information.counter:
         from thymeflow.quota.strict import StrictGateway  # elsewhere it is not used, and not loaded
 
         return StrictGateway(given.settings, given.seed, start, offset)
@@ -76,7 +76,7 @@
         self.upstream = self.core.upstream = BackendConnections(reactor, self.deadlines, limits, servers)
         self.front = Frontend(self.core, settings, self.deadlines, agents, answers, commands)
         self.lifecycle = Lifecycle(self.deadlines, self.core, self.front, longest_of(settings), reactor.stop, linger)
-        self.on_list: Callable[[configuration.EndpointUpdate], None] = lambda news: None  # who keeps the list beside us
+        self.on_list: Callable[[endpoints.EndpointUpdate], None] = lambda news: None  # who keeps the list beside us
         self.on_endpoints_changed(given.endpoints)
         self.discovery = Discovery(
             reactor,
@@ -97,7 +97,7 @@
         self.reload = Reload(given, self.discovery, self.counter, self.apply_settings, load)
         self.lifecycle.reload = self.reload.now
 
-    def on_endpoints_changed(self, news: configuration.EndpointUpdate) -> None:
+    def on_endpoints_changed(self, news: endpoints.EndpointUpdate) -> None:
         """A change of the list of application servers holds from now on."""
         self.core.apply_endpoints(news.change, lambda: self.upstream.listed(news))
         self.on_list(news)
@@ -148,7 +148,7 @@
 
     def _budgets(self, held: int | None) -> tuple[int, int, int, int, int]:
         # Connections of user agents and to servers; bytes of requests, of answers and of unfinished commands.
-        room, memory = self.configuration.sockets - configuration.SPARE_SOCKETS, self.configuration.memory
+        room, memory = self.configuration.sockets - configuration.RESERVED_SOCKETS, self.configuration.memory
         if held is not None:
             room, memory = max(LEAST_ROOM, room - held - OTHERS), memory // 2
         agents = int(room * AGENT_SHARE)
--- a/thymeflow/limiter/reload.py
+++ b/thymeflow/limiter/reload.py
@@ -54,7 +54,7 @@
         """Read the file again; one that cannot be used leaves everything as it is. Whether it could."""
         try:
             given = self._load()
-            configuration.complete(given, self._given)
+            configuration.check_reload(given, self._given)
         except configuration.ConfigurationError as fault:
             self.last = f"the old settings stay: {fault}"
             log.note("reload", self.last)
--- a/thymeflow/logs/shared_file.py
+++ b/thymeflow/logs/shared_file.py
@@ -14,7 +14,7 @@
 from collections.abc import Callable
 from pathlib import Path
 
-LOOK = 1.0   # s: between looks at whether the file was rotated
+LOOK = 1.0  # s: between looks at whether the file was rotated
 TAIL = b'...cut"}\n'
 
 
@@ -25,7 +25,7 @@
         self._path, self._most, self._now = path, most_line, now
         self._looked = -LOOK
         self._descriptor = 2 if path is None else self._open(path)
-        self.dropped_lines = 0   # lines that could not be written, as the disk is full
+        self.dropped_lines = 0  # lines that could not be written, as the disk is full
 
     @staticmethod
     def _open(path: Path) -> int:
@@ -37,7 +37,7 @@
             return
         self._looked = now
         held = os.fstat(self._descriptor)
-        with contextlib.suppress(OSError):   # the folder may be away for a moment: the old file takes lines
+        with contextlib.suppress(OSError):  # the folder may be away for a moment: the old file takes lines
             try:
                 named = os.stat(self._path)
                 same = (named.st_dev, named.st_ino) == (held.st_dev, held.st_ino)
@@ -53,12 +53,12 @@
         data = line.replace("\n", " ").encode(errors="replace")
         if len(data) + 1 > self._most:
             # Cut JSON would not be read by anything: it ends as one string, which most readers survive.
-            data = data[:self._most - len(TAIL)].decode(errors="ignore").encode() + TAIL[:-1]
+            data = data[: self._most - len(TAIL)].decode(errors="ignore").encode() + TAIL[:-1]
         self._look()
         try:
             os.write(self._descriptor, data + b"\n")
         except OSError:
-            self.dropped_lines += 1   # a log that cannot be written must not end what it tells of
+            self.dropped_lines += 1  # a log that cannot be written must not end what it tells of
 
     def close(self) -> None:
         """Let go of the file; standard error stays."""
--- a/thymeflow/logs/structured.py
+++ b/thymeflow/logs/structured.py
@@ -15,14 +15,14 @@
 
 import structlog
 
-from thymeflow.runtime import clock, log
 from thymeflow.logs.shared_file import SharedFile
+from thymeflow.runtime import clock, log
 from thymeflow.settings.sections import Log
 
 LEVELS = {"debug": logging.DEBUG, "info": logging.INFO, "warning": logging.WARNING, "error": logging.ERROR}
-HEAD = ("at", "level", "instance", "life", "pid", "kind", "text")   # the order of a line's first fields
+HEAD = ("at", "level", "instance", "life", "pid", "kind", "text")  # the order of a line's first fields
 PLAIN = (str, int, float, bool, type(None))
-MOST_FIELD = 1000   # characters of one value; a trace is longer, and has a bound by the line's
+MOST_FIELD = 1000  # characters of one value; a trace is longer, and has a bound by the line's
 
 Event = MutableMapping[str, Any]
 
@@ -71,8 +71,9 @@
         fields: dict[str, Any] = {"logger": record.name}
         if record.exc_info and record.exc_info[1] is not None:
             fields["trace"] = " | ".join(logging.Formatter().formatException(record.exc_info).splitlines())
-        self._book.write("fault" if record.levelno >= logging.ERROR else "library", record.getMessage(), 0,
-                         fields, record.levelno)
+        self._book.write(
+            "fault" if record.levelno >= logging.ERROR else "library", record.getMessage(), 0, fields, record.levelno
+        )
 
 
 class StructuredLog:
@@ -83,8 +84,10 @@
         self.level = LEVELS[settings.level]
         render: Any = as_text if settings.form == "text" else structlog.processors.JSONRenderer()
         self._logger = structlog.wrap_logger(
-            self, processors=[stamp, typed, ordered, render],
-            wrapper_class=structlog.BoundLogger, cache_logger_on_first_use=True,
+            self,
+            processors=[stamp, typed, ordered, render],
+            wrapper_class=structlog.BoundLogger,
+            cache_logger_on_first_use=True,
         ).bind(instance=instance, life=life, pid=os.getpid())
 
     def msg(self, line: str) -> None:
@@ -93,8 +96,7 @@
 
     info = msg
 
-    def write(self, kind: str, text: str, skipped: int, fields: dict[str, Any],
-              level: int = logging.INFO) -> None:
+    def write(self, kind: str, text: str, skipped: int, fields: dict[str, Any], level: int = logging.INFO) -> None:
         """One line; `fields` may not take the head's names."""
         if level < self.level:
             return
@@ -116,5 +118,5 @@
         root.handlers[:] = [_FromLibrary(self)]
         root.setLevel(logging.INFO)
         logging.getLogger("twisted").setLevel(logging.ERROR)
-        PythonLoggingObserver().start()   # type: ignore[no-untyped-call]
+        PythonLoggingObserver().start()  # type: ignore[no-untyped-call]
         log.to(self.write)
--- a/thymeflow/quota/counter_first.py
+++ b/thymeflow/quota/counter_first.py
@@ -102,7 +102,7 @@
             bucket = waiting[0].pending.bucket
             unreported = abs(bucket.charged_units - bucket.counter_ledger.reported_charges)
             if unreported < MIN_UNREPORTED_FRACTION * bucket.plan.burst:
-                self.updates_due.pop(customer_id, None)  # all is reported already
+                self.pending_updates.pop(customer_id, None)  # all is reported already
 
     def on_timer(self, event: TimerFired) -> None:
         """Decide by the estimate the requests for which the counter's time is over."""
--- a/thymeflow/quota/counter_ledger.py
+++ b/thymeflow/quota/counter_ledger.py
@@ -76,7 +76,8 @@
         self.last_total = total
         self.read_at = now
         self.uncertain = NOTHING_UNCERTAIN
-        requested, charged = (0.0, 0.0)
-        if not counter_encoding.is_reset(increase):
-            requested, charged = counter_encoding.decode(name, increase)
-        return RemoteUsage(requested, charged, max(0.0, now - since))
+        seconds = max(0.0, now - since)
+        if counter_encoding.is_reset(increase):
+            return RemoteUsage(0.0, 0.0, seconds)
+        requested, charged = counter_encoding.decode(name, increase)
+        return RemoteUsage(requested, charged, seconds)
--- a/thymeflow/quota/counter_updates.py
+++ b/thymeflow/quota/counter_updates.py
@@ -17,17 +17,17 @@
 class CounterUpdates(GatewayState):
     """Paces counter calls by the counter's replies, as a crowded counter serves nobody."""
 
-    def report_due_updates(self, elapsed: float) -> None:
-        """Report the customers that are due, those with the most unreported demand over their rate first."""
+    def send_pending_updates(self, elapsed: float) -> None:
+        """Report the customers that are unsent, those with the most unreported demand over their rate first."""
         # One call may always be saved up: a credit that never holds a complete call would end them for good.
         rate = min(self.call_rate, self.fleet_limit("calls"))
         self.call_credit = min(max(1.0, rate), self.call_credit + rate * elapsed)
-        buckets = map(self.buckets.get, self.updates_due)
-        due = [bucket for bucket in buckets if bucket and bucket.is_counter_update_due(self.now)]
-        due.sort(key=_negative_unreported_ratio)
-        for bucket in due[: max(0, int(self.call_credit - self.reserved_calls))]:
+        buckets = map(self.buckets.get, self.pending_updates)
+        unsent = [bucket for bucket in buckets if bucket and bucket.needs_counter_update(self.now)]
+        unsent.sort(key=_negative_unreported_ratio)
+        for bucket in unsent[: max(0, int(self.call_credit - self.reserved_calls))]:
             self.report_to_counter(bucket)
-            del self.updates_due[bucket.customer_id]
+            del self.pending_updates[bucket.customer_id]
 
     def on_counter_replied(self, event: CounterReplied) -> None:
         """Adapt the rate of calls, and update the bucket that the call was about."""
--- a/thymeflow/quota/reservations.py
+++ b/thymeflow/quota/reservations.py
@@ -153,13 +153,13 @@
     def on_reserved(self, window: int, units: float, total: float, moment: float) -> None:
         """Take in the counter's total after a reservation; in a window that is two back all has expired."""
         self.advance(moment)
-        place = window - self.window + 1
-        if place not in (0, 1):
+        position = window - self.window + 1
+        if position not in (0, 1):
             return
-        self._totals[place] = total
+        self._totals[position] = total
         rate = self.split.pool_rate
         length = self.split.window_seconds
-        started_at = self._window_started_at - (1 - place) * length
+        started_at = self._window_started_at - (1 - position) * length
         first = max(started_at + (total - units) / rate, moment - length)
         last = min(started_at + total / rate, started_at + length)
         if last > first:
--- a/thymeflow/quota/strict.py
+++ b/thymeflow/quota/strict.py
@@ -105,7 +105,7 @@
         ceiling = min(self.plan.ceiling_burst, self.plan.ceiling_rate * elapsed) / self.member_count
         self.ceiling_level = min(self.ceiling_level, ceiling) if was_member_of_set else ceiling
 
-    def quota_fraction(self, local_rate: float) -> float:
+    def quota_fraction(self, local_rate: float) -> float:  # noqa: ARG002 (overrides)
         """Return the fraction of the burst that the base slice holds when it is full."""
         return self._split().base_burst * self._base_fraction() / max(1e-9, self.plan.burst)
 
@@ -128,7 +128,7 @@
         active = self._pool.active_units(self._moment()) if self._split().pool_rate else 0.0
         return max(0.0, units - max(0.0, self.level) - active - 1e-9) if self.plan.rate > 0 else 0.0
 
-    def can_admit(self, units: float, sample: float) -> bool:
+    def can_admit(self, units: float, sample: float) -> bool:  # noqa: ARG002 (overrides)
         """Return whether base and reservations, hard ceiling and concurrency cap admit a request."""
         plan = self.plan
         max_in_flight = max(1, plan.max_concurrency // self.member_count) if plan.max_concurrency else inf
@@ -139,11 +139,11 @@
     def charge(self, units: float) -> None:
         """Charge the base first, as it fills by itself; what is settled below its charge comes back to it."""
         self.charged_units += units
-        owed = units - max(0.0, min(units, self.level))
-        used = self._pool.use(owed, self._moment()) if owed > 0.0 and self._split().pool_rate else 0.0
+        uncovered = units - max(0.0, min(units, self.level))
+        used = self._pool.use(uncovered, self._moment()) if uncovered > 0.0 and self._split().pool_rate else 0.0
         self.level -= units - used
 
-    def is_counter_update_due(self, now: float) -> bool:
+    def needs_counter_update(self, now: float) -> bool:  # noqa: ARG002 (overrides)
         """Return False: units are reserved when a request wants them."""
         return False
 
@@ -215,7 +215,7 @@
         super().on_request(event)
         customer_id = counter_encoding.customer_id(event.customer)
         # Units are reserved when a request wants them: there is nothing to report.
-        self.updates_due.pop(customer_id, None)
+        self.pending_updates.pop(customer_id, None)
         self.deferred_updates.pop(customer_id, None)
 
     def _waits_for_reservation(self, event: RequestReceived, plan: Plan, previous: int) -> bool:
--- a/thymeflow/quota/token_bucket.py
+++ b/thymeflow/quota/token_bucket.py
@@ -189,7 +189,7 @@
         is_in_debt = self.usage_ratio > 1.0 and self.level <= 0.0  # no level is known: debt is all there is to go by
         return lent <= self.global_level - units and not is_in_debt
 
-    def is_counter_update_due(self, now: float) -> bool:
+    def needs_counter_update(self, now: float) -> bool:
         """Return whether a counter call would report enough to be worth its price."""
         unreported = self.requested_units - self.counter_ledger.reported_units
         demand = self.local_rate + self.remote_rate
--- a/thymeflow/simulator.py
+++ b/thymeflow/simulator.py
@@ -1,8 +1,8 @@
-"""Adapter between the bench's text wire and the decision module: translation and nothing else.
+"""Adapter between the bench's text wire and the decisions: translation and nothing else.
 
-Reads batches of events from standard input and writes one reply, with one flush, for each. Every
-instance is a Gateway of its own and nothing is shared between them. Unknown kinds of line and
-unknown keys are ignored; a malformed line ends the program with one message on standard error.
+Reads batches of events from standard input and writes one reply, with one flush, for each. Every instance is a gateway
+of its own and nothing is shared between them. Unknown kinds of line and unknown keys are ignored; a malformed line ends
+the program with one message on standard error. The names of fields are the wire's.
 """
 
 from __future__ import annotations
@@ -10,8 +10,7 @@
 import json
 import sys
 from collections.abc import Callable
-from dataclasses import MISSING, fields
-from typing import Any, TextIO
+from typing import TextIO
 
 from thymeflow.decision.actions import (
     Action,
@@ -42,160 +41,16 @@
 )
 from thymeflow.decision.factory import create_gateway
 from thymeflow.decision.gateway import Gateway
-from thymeflow.decision.settings import (
-    DiscoveryMode,
-    GatewaySettings,
-    Idempotency,
-    IdempotencyScope,
-    Information,
-    InvalidSettingError,
-    Limits,
-    LoadReportMode,
-    Plan,
-    Prices,
-    RequestClass,
-    Rules,
-)
 from thymeflow.decision.types import Backend, BackendState, EndpointListKind, LoadReport, Status
+from thymeflow.platform.settings import JsonObject, settings_from
 
 Fields = dict[str, str]
 
-EFFECTS = {"retryable": Idempotency.IDEMPOTENT, "dedup": Idempotency.WITH_KEY, "fragile": Idempotency.NOT_IDEMPOTENT}
-SCOPES = {"all": IdempotencyScope.ALL, "zone": IdempotencyScope.ZONE, "cell": IdempotencyScope.CELL}
-DISCOVERY = {"pushed": DiscoveryMode.PUSH, "on_request": DiscoveryMode.POLL}
-REPORTS = {"inline": LoadReportMode.RESPONSES, "on_probe": LoadReportMode.HEALTH_CHECKS, "off": LoadReportMode.NONE}
-
+MAX_SHOWN_LINE = 200  # characters of a malformed line in its message
 
-def settings_from(info: dict[str, Any]) -> GatewaySettings:
-    """Translate the settings object; absent keys take the interface's defaults. ValueError names key and value."""
 
-    def part(cls: type[Any], where: str, source: dict[str, Any], names: dict[str, str], **more: Any) -> Any:
-        try:
-            return cls(**{ours: source[theirs] for ours, theirs in names.items() if theirs in source}, **more)
-        except InvalidSettingError as fault:
-            raise ValueError(
-                f"settings.{where}.{names.get(fault.name, fault.name)}: {fault.value!r} makes no sense"
-            ) from None
-        except TypeError as fault:
-            lacking = [names[f.name] for f in fields(cls) if f.default is MISSING and names[f.name] not in source]
-            raise ValueError(f"settings.{where}: {f'{lacking[0]} is missing' if lacking else fault}") from None
-
-    classes = tuple(
-        part(
-            RequestClass,
-            f"classes[{n}]",
-            c,
-            {
-                "name": "name",
-                "latency_objective": "on-time",
-                "deadline": "deadline",
-                "priority_weight": "credit",
-                "late_weight": "late-share",
-                "idempotency_window": "window",
-                "is_streamed": "stream",
-                "latency_objective_stretch": "aim-stretch",
-            },
-            idempotency=EFFECTS.get(c.get("effect", ""), Idempotency.NOT_IDEMPOTENT),
-            idempotency_scope=SCOPES.get(c.get("key-scope", "all"), IdempotencyScope.CELL),
-        )
-        for n, c in enumerate(info.get("classes", []))
-    )
-    plans = tuple(
-        part(
-            Plan,
-            f"tiers-of-service[{n}]",
-            p,
-            {
-                "name": "name",
-                "rate": "refill",
-                "burst": "most-at-once",
-                "max_concurrency": "parallel",
-                "price": "pays",
-                "over_quota_weight": "over-worth",
-                "over_quota_cost": "over-cost",
-                "ceiling_rate": "never-over-rate",
-                "ceiling_burst": "never-over-depth",
-                "ceiling_slack": "cap-slack",
-            },
-        )
-        for n, p in enumerate(info.get("tiers-of-service", []))
-    )
-    rules = part(
-        Rules,
-        "rules",
-        info.get("rules", {}),
-        {
-            "drain_grace": "drain-grace",
-            "overload_multiple": "fall-multiple",
-            "overload_seconds": "fall",
-            "slow_start_fraction": "cold-share",
-            "slow_start_seconds": "cold",
-            "response_grace": "grace-to-answer",
-            "max_poll_interval": "must-ask-in",
-        },
-    )
-    limits = part(
-        Limits,
-        "caps",
-        info.get("caps", {}),
-        {
-            "cancel": "cancel",
-            "health_checks": "probes",
-            "gossip": "may-tell",
-            "hedged_requests": "second-copies",
-            "retry_after": "retry-after",
-            "max_retry_after": "max-retry-after",
-            "max_attempts": "max-attempts",
-            "max_concurrent_requests": "open-cap",
-            "connect_timeout": "dial-timeout",
-            "connection_idle": "conn-idle",
-            "streams_per_connection": "multiplex",
-        },
-    )
-    family = info.get("family-info", {})
-    prices = part(
-        Prices,
-        "costs",
-        {**info.get("costs", {}), "counter-price": family.get("counter-price", 0.0)},
-        {
-            "cross_zone": "cross-zone",
-            "waste": "waste",
-            "late_fail": "late-fail",
-            "gossip": "peer",
-            "health_check": "probe",
-            "counter": "counter-price",
-        },
-    )
-    information = part(
-        Information,
-        "family-info",
-        family,
-        {
-            "counter": "may-count",
-            "counter_timeout": "counter-timeout",
-            "meter_period": "meter",
-            "max_units": "most-units",
-            "max_gossip_per_second": "peer-intake",
-            "settles_units": "trued-up",
-        },
-    )
-    report = info.get("report", {})
-    return GatewaySettings(
-        index=info.get("index", 0),
-        limiter_count=info.get("balancers", 1),
-        zone=info.get("zone", ""),
-        zones=tuple(info.get("azs", ())),
-        classes=classes,
-        plans=plans,
-        rules=rules,
-        limits=limits,
-        prices=prices,
-        information=information,
-        discovery=DISCOVERY.get(info.get("discovery", "pushed"), DiscoveryMode.PUSH),
-        load_report_mode=REPORTS.get(report.get("how", "off"), LoadReportMode.NONE),
-        load_report_fields=tuple(report.get("fields", ())),
-        timer_resolution=info.get("step", 0.001),
-    )
+class MalformedLineError(ValueError):
+    """A line is not of the wire's form."""
 
 
 def load_report(text: str | None) -> LoadReport | None:
@@ -234,8 +89,9 @@
     return b"" if text == "-" else bytes.fromhex(text)
 
 
-def _ended(f: Fields) -> AttemptEnded:
-    used, units = int(f.get("fleet-use", "0")), float(f.get("billed", "0"))
+def _attempt_ended(f: Fields) -> AttemptEnded:
+    used = int(f.get("fleet-use", "0"))
+    units = float(f.get("billed", "0"))
     return AttemptEnded(
         f["rid"],
         int(f["round-no"]),
@@ -265,7 +121,7 @@
     "head_received": lambda f: ResponseStarted(
         f["rid"], int(f["round-no"]), int(f["backend"]), float(f.get("spent", "0"))
     ),
-    "attempt_end": _ended,
+    "attempt_end": _attempt_ended,
     "left": lambda f: ClientDisconnected(f["rid"]),
     "reminder": lambda f: TimerFired(int(f["cookie"])),
     "probe_done": lambda f: HealthCheckEnded(
@@ -282,143 +138,181 @@
     return f"{value:.6f}"
 
 
+def _start_attempt(action: StartAttempt) -> str:
+    timeout = f" try-for={_seconds(action.timeout)}" if action.timeout else ""
+    return f"issue rid={action.id} backend={action.backend}{timeout}"
+
+
+def _reject(action: RejectRequest) -> str:
+    advice = f" not-before-for={_seconds(action.retry_after)}" if action.retry_after > 0 else ""
+    return f"bounce rid={action.id}{advice}"
+
+
+def _add_to_counter(action: AddToCounter) -> str:
+    return f"add ttl={_seconds(action.ttl)} qty={action.amount:.6g} book={action.name}"
+
+
+ACTION_LINES: dict[type, Callable[..., str]] = {
+    StartAttempt: _start_attempt,
+    RejectRequest: _reject,
+    FailRequest: lambda action: f"error rid={action.id}",
+    CancelAttempt: lambda action: f"call_off rid={action.id} round-no={action.attempt}",
+    SetTimer: lambda action: f"arm cookie={action.token} from-now={_seconds(action.delay)}",
+    CheckHealth: lambda action: f"sound_out backend={action.backend}",
+    CloseIdleConnections: lambda action: f"release backend={action.backend}",
+    SendGossip: lambda action: f"share whom={action.peer} data={action.data.hex() or '-'}",
+    AddToCounter: _add_to_counter,
+    SubscribeEndpoints: lambda action: f"subscribe want={int(action.on)}",
+    FetchEndpoints: lambda _: "fetch",
+    WriteLog: lambda action: "emit text=" + " ".join(action.text.split()),
+}
+
+
 def line_for(action: Action) -> str:
     """Translate one action."""
-    match action:
-        case StartAttempt(rid, backend, timeout):
-            tail = f" try-for={_seconds(timeout)}" if timeout else ""
-            return f"issue rid={rid} backend={backend}{tail}"
-        case RejectRequest(rid, wait):
-            return f"bounce rid={rid}" + (f" not-before-for={_seconds(wait)}" if wait > 0 else "")
-        case FailRequest(rid):
-            return f"error rid={rid}"
-        case CancelAttempt(rid, attempt):
-            return f"call_off rid={rid} round-no={attempt}"
-        case SetTimer(token, delay):
-            return f"arm cookie={token} from-now={_seconds(delay)}"
-        case CheckHealth(backend):
-            return f"sound_out backend={backend}"
-        case CloseIdleConnections(backend):
-            return f"release backend={backend}"
-        case SendGossip(peer, data):
-            return f"share whom={peer} data={data.hex() or '-'}"
-        case AddToCounter(name, amount, ttl):
-            return f"add ttl={_seconds(ttl)} qty={amount:.6g} book={name}"
-        case SubscribeEndpoints(on):
-            return f"subscribe want={int(on)}"
-        case FetchEndpoints():
-            return "fetch"
-        case WriteLog(text):
-            return "emit text=" + " ".join(text.split())
-
-
-class Drill:
-    """The instances hosted by this process and the tables the wire has named."""
+    return ACTION_LINES[type(action)](action)
+
+
+def fields_of(kind: str, rest: str) -> Fields:
+    """Split name=value pairs; a text field runs to the end of the line."""
+    found: Fields = {}
+    while rest:
+        name, separator, after = rest.partition("=")
+        if not separator or " " in name or not name:
+            message = "not name=value"
+            raise MalformedLineError(message)
+        if name == "settings" or (name == "text" and kind in ("emit", "exception")):
+            found[name] = after
+            break
+        found[name], _, rest = after.partition(" ")
+    return found
+
+
+class SimulatorAdapter:
+    """The instances hosted by this process and the endpoint tables that the wire has named."""
 
     def __init__(self, out: TextIO) -> None:
         self.out = out
         self.gateways: dict[int, Gateway] = {}
-        self.tables: dict[str, tuple[Backend, ...]] = {}
-        self.reply: list[str] = []
+        self._tables: dict[str, tuple[Backend, ...]] = {}
+        self._reply: list[str] = []
         self.now = 0.0
         self.instance = 0
-        self.speaking: int | None = None
-        self.table = ""
-        self.missing = 0
-        self.entries: list[Backend] = []
-
-    def line(self, line: str) -> None:
-        """Take in one line of a batch."""
+        self._replying: int | None = None  # the instance that the last line of the reply is about
+        self._table = ""
+        self._missing_entries = 0
+        self._entries: list[Backend] = []
+        self._line_handlers: dict[str, Callable[[Fields], None]] = {
+            "clock": self._set_clock,
+            "at": self._set_instance,
+            "table": self._begin_table,
+            "halt": self._halt,
+            "born": self._start_instance,
+            "membership": self._on_membership,
+        }
+
+    def handle_line(self, line: str) -> None:
+        """Take in one line of a batch.
+
+        :raises ValueError, KeyError, TypeError, AttributeError: where the line is malformed.
+        """
         kind, _, rest = line.partition(" ")
-        if self.missing:
-            if kind != "backend":
-                raise ValueError("a backend line was due")
-            self.entries.append(backend_from(self.fields(kind, rest)))
-            self.missing -= 1
-            if not self.missing:
-                self.tables[self.table] = tuple(self.entries)
+        if self._missing_entries:
+            self._add_entry(kind, rest)
             return
         if kind == "end":
-            self.reply.append("ready\n")
-            self.out.write("\n".join(self.reply))
-            self.out.flush()
-            self.reply, self.speaking = [], None
+            self._end_batch()
             return
-        fields = self.fields(kind, rest)
-        if kind == "clock":
-            self.now = float(fields["wall"])
-        elif kind == "at":
-            self.instance = int(fields["i"])
-        elif kind == "table":
-            self.table, self.missing, self.entries = fields["page"], int(fields["nodes-list"]), []
-            if self.missing <= 0:
-                self.missing = 0
-                self.tables[self.table] = ()
-        elif kind == "halt":
-            self.gateways.pop(self.instance, None)
-        elif kind == "born":
-            info, seed = json.loads(fields["settings"]), int(fields["salt"])
-            if not isinstance(info, dict):
-                raise ValueError("settings are no object")
-            self.guard(lambda: self.born(info, seed))
-        elif kind == "membership":
-            how = EndpointListKind(int(fields["how"]))
-            entries = () if how is EndpointListKind.FAILED else self.tables[fields["page"]]
-            self.event(EndpointsChanged(how, entries, int(fields.get("revision", "0"))))
+        fields = fields_of(kind, rest)
+        handler = self._line_handlers.get(kind)
+        if handler is not None:
+            handler(fields)
         elif kind in EVENTS:
-            self.event(EVENTS[kind](fields))
-
-    @staticmethod
-    def fields(kind: str, rest: str) -> Fields:
-        """Split name=value pairs; a text field runs to the end of the line."""
-        found: Fields = {}
-        while rest:
-            name, mark, after = rest.partition("=")
-            if not mark or " " in name or not name:
-                raise ValueError("not name=value")
-            if name == "settings" or (name == "text" and kind in ("emit", "exception")):
-                found[name] = after
-                break
-            found[name], _, rest = after.partition(" ")
-        return found
-
-    def born(self, info: dict[str, Any], seed: int) -> None:
-        """Start an instance that holds nothing."""
+            self.handle_event(EVENTS[kind](fields))
+
+    def _add_entry(self, kind: str, rest: str) -> None:
+        if kind != "backend":
+            message = "a backend line was due"
+            raise MalformedLineError(message)
+        self._entries.append(backend_from(fields_of(kind, rest)))
+        self._missing_entries -= 1
+        if not self._missing_entries:
+            self._tables[self._table] = tuple(self._entries)
+
+    def _end_batch(self) -> None:
+        self._reply.append("ready\n")
+        self.out.write("\n".join(self._reply))
+        self.out.flush()
+        self._reply = []
+        self._replying = None
+
+    def _set_clock(self, fields: Fields) -> None:
+        self.now = float(fields["wall"])
+
+    def _set_instance(self, fields: Fields) -> None:
+        self.instance = int(fields["i"])
+
+    def _begin_table(self, fields: Fields) -> None:
+        self._table = fields["page"]
+        self._missing_entries = int(fields["nodes-list"])
+        self._entries = []
+        if self._missing_entries <= 0:
+            self._missing_entries = 0
+            self._tables[self._table] = ()
+
+    def _halt(self, _: Fields) -> None:
         self.gateways.pop(self.instance, None)
-        self.gateways[self.instance] = create_gateway(settings_from(info), seed)
 
-    def event(self, event: Event) -> None:
+    def _start_instance(self, fields: Fields) -> None:
+        source = json.loads(fields["settings"])
+        seed = int(fields["salt"])
+        if not isinstance(source, dict):
+            message = "settings are no object"
+            raise MalformedLineError(message)
+        self._report_faults(lambda: self._create_gateway(source, seed))
+
+    def _create_gateway(self, source: JsonObject, seed: int) -> None:
+        self.gateways.pop(self.instance, None)
+        self.gateways[self.instance] = create_gateway(settings_from(source), seed)
+
+    def _on_membership(self, fields: Fields) -> None:
+        kind = EndpointListKind(int(fields["how"]))
+        entries = () if kind is EndpointListKind.FAILED else self._tables[fields["page"]]
+        self.handle_event(EndpointsChanged(kind, entries, int(fields.get("revision", "0"))))
+
+    def handle_event(self, event: Event) -> None:
         """Hand an event to its instance and write down what it does."""
         gateway = self.gateways.get(self.instance)
         if gateway is not None:
-            self.guard(lambda: self.say([line_for(a) for a in gateway.handle(self.now, event)]))
+            self._report_faults(lambda: self.write([line_for(a) for a in gateway.handle(self.now, event)]))
 
-    def guard(self, work: Callable[[], None]) -> None:
-        """Report an exception of the module as the wire's own fault action."""
+    def _report_faults(self, work: Callable[[], None]) -> None:
+        # An exception of the decisions is reported as the wire's own fault action.
         try:
             work()
         except Exception as fault:
-            self.say(["exception text=" + " ".join(f"{type(fault).__name__}: {fault}".split())])
+            self.write(["exception text=" + " ".join(f"{type(fault).__name__}: {fault}".split())])
 
-    def say(self, lines: list[str]) -> None:
+    def write(self, lines: list[str]) -> None:
         """Add actions to the reply under their instance."""
-        if lines and self.speaking != self.instance:
-            self.reply.append(f"for i={self.instance}")
-            self.speaking = self.instance
-        self.reply.extend(lines)
+        if lines and self._replying != self.instance:
+            self._reply.append(f"for i={self.instance}")
+            self._replying = self.instance
+        self._reply.extend(lines)
 
 
 def main(source: TextIO = sys.stdin, out: TextIO = sys.stdout) -> int:
-    """Answer batches until the input ends."""
-    drill = Drill(out)
+    """Answer batches until the input ends; return the exit code."""
+    adapter = SimulatorAdapter(out)
     for number, raw in enumerate(source, 1):
         line = raw.rstrip("\r\n")
         if not line:
             continue
         try:
-            drill.line(line)
+            adapter.handle_line(line)
         except (ValueError, KeyError, TypeError, AttributeError) as fault:
-            print(f"thymeflow.simulator: line {number} is malformed ({fault}): {line[:200]}", file=sys.stderr)
+            shown = line[:MAX_SHOWN_LINE]
+            print(f"thymeflow.simulator: line {number} is malformed ({fault}): {shown}", file=sys.stderr)
             return 1
     return 0
 
--- a/thymeflow/snapshot/restore.py
+++ b/thymeflow/snapshot/restore.py
@@ -24,7 +24,7 @@
 from thymeflow.decision.settings import Plan
 from thymeflow.decision.types import Backend, BackendState, EndpointListKind
 from thymeflow.health.backend_stats import BackendStats, FailureStreak
-from thymeflow.platform.configuration import Address, EndpointUpdate
+from thymeflow.platform.endpoints import Address, EndpointUpdate
 from thymeflow.quota.counter_ledger import CounterLedger, UncertainAmount
 from thymeflow.quota.token_bucket import TokenBucket
 from thymeflow.snapshot.schema import AccountRecord, HealthRecord, ServerRecord, Snapshot, StoreRecord, site_of
--- a/thymeflow/snapshot/store.py
+++ b/thymeflow/snapshot/store.py
@@ -4,7 +4,7 @@
 
 from thymeflow.decision.gateway import Gateway
 from thymeflow.decision.types import EndpointListKind
-from thymeflow.platform import configuration
+from thymeflow.platform import endpoints
 from thymeflow.runtime import clock, log
 from thymeflow.snapshot import restore, schema
 
@@ -12,10 +12,10 @@
 class SnapshotStore:
     """What one life could write down, and what it was given by an earlier one."""
 
-    def __init__(self, name: str, life: str, first_list: configuration.EndpointUpdate) -> None:
+    def __init__(self, name: str, life: str, first_list: endpoints.EndpointUpdate) -> None:
         self._name, self._life = name, life
         self.version = first_list.change.version
-        self._addresses: dict[int, configuration.Address] = {}
+        self._addresses: dict[int, endpoints.Address] = {}
         self._gateway: Gateway | None = None
         self._seen: schema.Snapshot | None = None  # whose word on servers waits for the list
         self._source = "none"
@@ -40,7 +40,7 @@
         )
         self._see()
 
-    def listed(self, news: configuration.EndpointUpdate) -> None:
+    def listed(self, news: endpoints.EndpointUpdate) -> None:
         """A change of the list, kept beside the gateway, which knows no addresses."""
         if news.change.kind is not EndpointListKind.DELTA:
             self._addresses.clear()
--- a/thymeflow/testkit/faults/fault_modes.py
+++ b/thymeflow/testkit/faults/fault_modes.py
@@ -13,10 +13,10 @@
 
 from thymeflow import __main__ as program
 from thymeflow.backends import backends
-from thymeflow.core.dispatcher import AttemptResult, AttemptSpec
+from thymeflow.core.types import AttemptResult, AttemptSpec
 from thymeflow.discovery import watch
 from thymeflow.frontend import frontend
-from thymeflow.platform.configuration import EndpointUpdate
+from thymeflow.platform.endpoints import EndpointUpdate
 from thymeflow.quota.strict import StrictTokenBucket
 from thymeflow.transport.commands import SUBMIT, Call
 
--- a/thymeflow/transport/connections.py
+++ b/thymeflow/transport/connections.py
@@ -21,7 +21,7 @@
 from twisted.python.failure import Failure
 from zope.interface import implementer
 
-from thymeflow.platform.configuration import Address
+from thymeflow.platform.endpoints import Address
 from thymeflow.runtime import clock
 from thymeflow.runtime.clock import Deadlines
 from thymeflow.transport import resp
