--- a/tests/test_state.py
+++ b/tests/snapshot/test_restore.py
@@ -15,14 +15,12 @@
 from hypothesis import strategies as st
 
 from tests.helpers import PLAN, fleet, request, sends, settings
+from thymeflow import Gateway
 from thymeflow.decision.events import AttemptEnded, EndpointsChanged, SettingsChanged
-from thymeflow.decision.gateway import Gateway
-from thymeflow.decision.gateway_state import CounterCall
 from thymeflow.decision.settings import Information, Plan
 from thymeflow.decision.types import Backend, EndpointListKind, Status
-from thymeflow.health.backend_stats import FailureStreak
-from thymeflow.platform.endpoints import Address
-from thymeflow.snapshot import atomic_file, restore, schema
+from thymeflow.platform.configuration import Address
+from thymeflow.snapshot import atomic_file, late_charges, restore, schema
 
 SITE = schema.site_of(settings())
 WHERE = {n: Address("127.0.0.1", 7000 + n) for n in range(1, 5)}
@@ -130,15 +128,15 @@
     one = gateway()
     spend(one, 10.0, 0.5, 4.0)
     (store,) = one.buckets.values()
-    one.counter_calls[5] = CounterCall(store.customer_id, 3.0)
+    one.counter_calls[5] = (store.customer_id, 3.0)
     (kept,) = again(snapshot(one, 11.0), 11.0).buckets.values()
     assert kept.counter_ledger.uncertain == (5, 3.0)
 
 
 def test_health_is_remembered_of_the_same_life_only() -> None:
     one = gateway()
-    one.backends[1].failures["read"] = FailureStreak(3, 100.0)
-    one.backends[2].failures["read"] = FailureStreak(3, 100.0)
+    one.backends[1].failures["read"] = (3, 100.0)
+    one.backends[2].failures["read"] = (3, 100.0)
     found = snapshot(one, 60.0)
     fresh = Gateway(settings(), 1)
     fresh.handle(60.0, EndpointsChanged(EndpointListKind.CACHED, (*fleet()[:1], Backend(2, "b", started=59.0))))
@@ -156,14 +154,14 @@
 def test_late_charges_count_once_and_never_fill_beyond_the_slice() -> None:
     one = gateway()
     spend(one, 10.0, 0.5, 4.0)
-    found, since = snapshot(one, 10.5), restore.Since(one, 10.5)
+    found, since = snapshot(one, 10.5), late_charges.LateCharges(one, 10.5)
     successor = again(found, 10.5)
     sent, _ = spend(one, 10.5, 0.5, 4.0, "late")
     late = since.units()
     (store,) = successor.buckets.values()
     before = store.level
-    assert restore.charge_late(successor, late) == 1 and store.level == pytest.approx(before - sent)
-    assert restore.charge_late(successor, {store.customer_id: -1e6, 12345: 1.0}) == 1
+    assert late_charges.charge_late(successor, late) == 1 and store.level == pytest.approx(before - sent)
+    assert late_charges.charge_late(successor, {store.customer_id: -1e6, 12345: 1.0}) == 1
     assert store.level <= PLAN.burst
 
 
--- a/thymeflow/handover/__init__.py
+++ b/thymeflow/handover/__init__.py
@@ -1,1 +1,1 @@
-"""One limiter after another at the same address: who accepts, with what state, and who takes it back."""
+"""Hot restart: a running limiter hands its listening socket and state over to its successor, and can take them back."""
--- a/thymeflow/handover/control_client.py
+++ b/thymeflow/handover/control_client.py
@@ -1,105 +1,160 @@
-"""Asking over a control socket: one question, or a conversation that lasts."""
+"""The client side of a control socket: a single request with its reply, or a session that stays open."""
 
 from __future__ import annotations
 
 from collections.abc import Callable
 from pathlib import Path
-from typing import Any
 
 from twisted.internet.defer import Deferred
+from twisted.internet.interfaces import IAddress, IConnector
 from twisted.internet.protocol import ClientFactory
 from twisted.python.failure import Failure
 
 from thymeflow.handover.control_socket import ControlConnection, Message
+from thymeflow.handover.errors import NoAnswerError as NoAnswerError
+from thymeflow.handover.reactor_types import UnixReactor
 from thymeflow.runtime import clock
 
+CONNECT_TIMEOUT_SECONDS = 5
 
-class NoAnswerError(Exception):
-    """Nobody listens there, or no answer came by the deadline."""
+
+def _ignore_message(_: Message) -> None:
+    """Drop an intermediate message."""
+
+
+def _ignore_close() -> None:
+    """Do nothing when the connection closes."""
 
 
 class ControlSession(ControlConnection):
-    """A conversation: messages go to `heard`, the end to `ended`."""
+    """An open connection to a control socket; messages and the end go to callbacks."""
 
-    def __init__(self, heard: Callable[[Message], None], ended: Callable[[], None]) -> None:
+    def __init__(self, message_handler: Callable[[Message], None], close_handler: Callable[[], None]) -> None:
         super().__init__()
-        self.on_message, self.on_ended = heard, ended
+        self._message_handler = message_handler
+        self._close_handler = close_handler
 
     def connectionMade(self) -> None:
-        """The other end is there."""
-        self.factory.up(self)
+        """Notify the factory that the connection is established."""
+        self.factory.on_connected(self)
 
     def message(self, message: Message) -> None:
-        """Pass it on."""
-        self.on_message(message)
+        """Pass the message to the session's handler."""
+        self._message_handler(message)
 
     def on_closed(self) -> None:
-        """Pass it on."""
-        self.on_ended()
+        """Notify the session's handler."""
+        self._close_handler()
+
 
+class _SessionFactory(ClientFactory):
+    """Makes the one connection of a session."""
 
-class _Dialler(ClientFactory):
     noisy = False
 
-    def __init__(self, talk: ControlSession, made: Deferred[ControlSession]) -> None:
-        self._talk, self._made = talk, made
+    def __init__(self, session: ControlSession, connected: Deferred[ControlSession]) -> None:
+        self._session = session
+        self._connected = connected
 
-    def buildProtocol(self, addr: Any) -> ControlSession:
-        self._talk.factory = self
-        return self._talk
+    def buildProtocol(self, addr: IAddress | None) -> ControlSession:  # noqa: ARG002 (Twisted's signature)
+        """Return the session."""
+        self._session.factory = self
+        return self._session
 
-    def up(self, talk: ControlSession) -> None:
-        self._made.callback(talk)
+    def on_connected(self, session: ControlSession) -> None:
+        """Fire the Deferred of `talk`."""
+        self._connected.callback(session)
 
-    def clientConnectionFailed(self, connector: Any, reason: Failure) -> None:
-        self._made.errback(NoAnswerError(reason.getErrorMessage()))
+    def clientConnectionFailed(self, connector: IConnector, reason: Failure) -> None:  # noqa: ARG002 (Twisted's signature)
+        """Fail the Deferred of `talk`."""
+        self._connected.errback(NoAnswerError(reason.getErrorMessage()))
 
 
 def talk(
-    reactor: Any, path: Path, heard: Callable[[Message], None], ended: Callable[[], None] = lambda: None
+    reactor: UnixReactor,
+    path: Path,
+    message_handler: Callable[[Message], None],
+    close_handler: Callable[[], None] = _ignore_close,
 ) -> Deferred[ControlSession]:
-    """Open a conversation; fails with Unanswered where nobody listens."""
-    made: Deferred[ControlSession] = Deferred()
-    reactor.connectUNIX(str(path), _Dialler(ControlSession(heard, ended), made), timeout=5)
-    return made
+    """Open a session; the Deferred fails with NoAnswerError where nobody listens."""
+    connected: Deferred[ControlSession] = Deferred()
+    session = ControlSession(message_handler, close_handler)
+    reactor.connectUNIX(str(path), _SessionFactory(session, connected), timeout=CONNECT_TIMEOUT_SECONDS)
+    return connected
+
+
+class _Request:
+    """One request that is in flight, until its final reply, a fault or the deadline."""
+
+    def __init__(
+        self,
+        deadlines: clock.Deadlines,
+        path: Path,
+        message: Message,
+        deadline: float,
+        on_intermediate: Callable[[Message], None],
+    ) -> None:
+        self.reply: Deferred[Message] = Deferred()
+        self._deadlines = deadlines
+        self._path = path
+        self._message = message
+        self._on_intermediate = on_intermediate
+        self._session: ControlSession | None = None
+        self._timer = deadlines.at(deadline, self._on_timeout)
+
+    def on_connected(self, session: ControlSession) -> None:
+        """Send the request, unless it has ended already."""
+        self._session = session
+        if self.reply.called:
+            session.close()
+        else:
+            session.send(self._message)
+
+    def on_connect_failed(self, failure: Failure) -> None:
+        """Fail, as there is no connection."""
+        self._fail(failure.getErrorMessage())
+
+    def on_message(self, message: Message) -> None:
+        """Take the final reply, which has `ok`; pass on any other message."""
+        if "ok" in message:
+            self._finish()
+            if not self.reply.called:
+                self.reply.callback(message)
+        else:
+            self._on_intermediate(message)
+
+    def on_closed(self) -> None:
+        """Fail, as the other end closed first."""
+        self._fail("the other end closed without an answer")
+
+    def _on_timeout(self, _: int) -> None:
+        self._fail("no answer in time")
+
+    def _fail(self, cause: str) -> None:
+        self._finish()
+        if not self.reply.called:
+            self.reply.errback(NoAnswerError(f"{self._path}: {cause}"))
+
+    def _finish(self) -> None:
+        self._deadlines.cancel(self._timer)
+        if self._session is not None:
+            self._session.close()
 
 
 def ask(
-    reactor: Any,
+    reactor: UnixReactor,
     deadlines: clock.Deadlines,
     path: Path,
     message: Message,
     deadline: float,
-    heard: Callable[[Message], None] = lambda _: None,
+    on_intermediate: Callable[[Message], None] = _ignore_message,
 ) -> Deferred[Message]:
-    """One question and its last answer, the first that has `ok`; others go to `heard` on the way."""
-    result: Deferred[Message] = Deferred()
-    line: list[ControlSession] = []
-
-    def settle(value: Message | NoAnswerError) -> None:
-        deadlines.cancel(entry)
-        if line:
-            line[0].close()
-        if not result.called:
-            if isinstance(value, NoAnswerError):
-                result.errback(value)
-            else:
-                result.callback(value)
-
-    def came(answer: Message) -> None:
-        if "ok" in answer:
-            settle(answer)
-        else:
-            heard(answer)
-
-    def up(made: ControlSession) -> None:
-        line.append(made)
-        if result.called:
-            made.close()
-        else:
-            made.send(message)
-
-    entry = deadlines.at(deadline, lambda _: settle(NoAnswerError(f"{path}: no answer in time")))
-    made = talk(reactor, path, came, lambda: settle(NoAnswerError(f"{path}: the other end closed without an answer")))
-    made.addCallbacks(up, lambda failure: settle(NoAnswerError(f"{path}: {failure.getErrorMessage()}")))
-    return result
+    """Send a request and return its final reply, the first message that has `ok`.
+
+    Messages before it go to `on_intermediate`. `deadline` is a time in Unix seconds; the Deferred fails with
+    NoAnswerError where no final reply arrives before it.
+    """
+    request = _Request(deadlines, path, message, deadline, on_intermediate)
+    connected = talk(reactor, path, request.on_message, request.on_closed)
+    connected.addCallbacks(request.on_connected, request.on_connect_failed)
+    return request.reply
--- a/thymeflow/handover/control_socket.py
+++ b/thymeflow/handover/control_socket.py
@@ -1,7 +1,7 @@
-"""The control socket: one JSON object a line each way, on a Unix socket that only its owner may open.
+"""The control socket: JSON objects, one a line in each direction, on a Unix socket that only its owner may open.
 
-Bounded on every side: callers, bytes of a line, bytes that a caller does not take, and the time in which a line
-must be whole. A caller that hangs holds a place until then, and nothing else.
+Every resource is bounded: the number of callers, the length of a line, the bytes that a caller has not read yet, and
+the time within which a line must be complete. A caller that hangs occupies one slot until then, and nothing else.
 """
 
 from __future__ import annotations
@@ -16,46 +16,53 @@
 from typing import Any
 
 from twisted.internet.error import CannotListenError
-from twisted.internet.interfaces import IFileDescriptorReceiver
+from twisted.internet.interfaces import IAddress, IFileDescriptorReceiver
 from twisted.internet.protocol import Factory, Protocol, connectionDone
 from twisted.python.failure import Failure
 from zope.interface import implementer
 
+from thymeflow.handover.errors import ControlError as ControlError
+from thymeflow.handover.reactor_types import ListeningPort, UnixReactor
 from thymeflow.runtime import clock
 from thymeflow.runtime.slot_table import SlotTable
 
-MOST_LINE = 64 * 1024
-MOST_OWED = 1 << 20  # bytes of answers that a caller has not taken; a watch that hangs ends there
-MOST_DESCRIPTORS = 4  # passed in and not asked for yet
-MOST_PATH = 100  # bytes of a Unix socket's path; the kernel takes 107 (unix(7))
+MAX_LINE_BYTES = 64 * 1024
+MAX_UNSENT_BYTES = 1 << 20  # a caller that leaves more than these unread, such as a hung watch, is disconnected
+MAX_DESCRIPTORS = 4  # received on one connection and not claimed yet
+MAX_PATH_BYTES = 100  # of a Unix socket's path; the kernel's limit is 107 (unix(7))
+OVERDUE_CHECKS_PER_TIMEOUT = 4.0
+SOCKET_MODE = 0o600
+PEER_CREDENTIALS_FORMAT = "3i"  # struct ucred: pid, uid, gid (unix(7))
 
-Message = dict[str, Any]
-Served = Callable[["ControlCaller", Message], None]
+Message = dict[str, Any]  # a JSON object; its keys are the format of each command
+MessageHandler = Callable[["ControlCaller", Message], None]
 
 
-class ControlError(Exception):
-    """The control socket cannot be opened; the text says why and what to do."""
+def _do_nothing() -> None:
+    """Ignore the end of a connection."""
 
 
 @implementer(IFileDescriptorReceiver)
 class ControlConnection(Protocol):
-    """One connection that carries JSON objects, a line each, and descriptors beside them."""
+    """One connection that carries JSON objects, a line each, and file descriptors beside them."""
 
-    transport: Any
-    factory: Any
+    transport: Any  # Twisted's Unix server or client, whose type does not declare the attributes used here
+    factory: Any  # the factory that made the connection; each subclass knows its own
 
     def __init__(self) -> None:
-        self._held = bytearray()
-        self.descriptors: list[int] = []  # passed in, in order; whoever takes one owns it
+        self._buffer = bytearray()
+        self.descriptors: list[int] = []  # received, in order; code that removes one has to close it
         self.closed = False
 
     def is_same_user(self) -> bool:
-        """Whether the other end runs as the same user (SO_PEERCRED, unix(7))."""
-        told = self.transport.getHandle().getsockopt(socket.SOL_SOCKET, socket.SO_PEERCRED, struct.calcsize("3i"))
-        return bool(struct.unpack("3i", told)[1] == os.geteuid())
+        """Return whether the other end runs as the same user (SO_PEERCRED, unix(7))."""
+        size = struct.calcsize(PEER_CREDENTIALS_FORMAT)
+        credentials = self.transport.getHandle().getsockopt(socket.SOL_SOCKET, socket.SO_PEERCRED, size)
+        _, user_id, _ = struct.unpack(PEER_CREDENTIALS_FORMAT, credentials)
+        return bool(user_id == os.geteuid())
 
     def send(self, message: Message, *descriptors: int) -> None:
-        """Write a message; the descriptors go with its first bytes."""
+        """Write a message, unless the connection is closed; the descriptors go with its first bytes."""
         if self.closed:
             return
         for descriptor in descriptors:
@@ -63,53 +70,53 @@
         self.transport.write(json.dumps(message, separators=(",", ":")).encode() + b"\n")
 
     def fileDescriptorReceived(self, descriptor: int) -> None:
-        """Keep a descriptor for the message that names it; more than are ever named are closed at once."""
-        if len(self.descriptors) >= MOST_DESCRIPTORS:
+        """Keep a descriptor for the message that refers to it; close it at once if too many are unclaimed."""
+        if len(self.descriptors) >= MAX_DESCRIPTORS:
             os.close(descriptor)
         else:
             os.set_inheritable(descriptor, False)
             self.descriptors.append(descriptor)
 
     def dataReceived(self, data: bytes) -> None:
-        """Cut into lines."""
-        *whole, rest = (bytes(self._held) + data).split(b"\n")
-        self._held = bytearray(rest)
-        for line in whole:
+        """Split the bytes into lines and handle each complete one."""
+        *lines, remainder = (bytes(self._buffer) + data).split(b"\n")
+        self._buffer = bytearray(remainder)
+        for line in lines:
             if self.closed:
                 return
-            self._line(line)
-        if len(self._held) > MOST_LINE:
-            self.fault(f"a line is longer than {MOST_LINE} bytes")
+            self._on_line(line)
+        if len(self._buffer) > MAX_LINE_BYTES:
+            self.reject(f"a line is longer than {MAX_LINE_BYTES} bytes")
 
-    def _line(self, line: bytes) -> None:
-        if len(line) > MOST_LINE:
-            self.fault(f"a line is longer than {MOST_LINE} bytes")
+    def _on_line(self, line: bytes) -> None:
+        if len(line) > MAX_LINE_BYTES:
+            self.reject(f"a line is longer than {MAX_LINE_BYTES} bytes")
             return
         try:
             message = json.loads(line)
         except (ValueError, RecursionError):
-            self.fault("a line is no JSON")
+            self.reject("a line is no JSON")
             return
         if not isinstance(message, dict):
-            self.fault("a line is no JSON object")
+            self.reject("a line is no JSON object")
             return
         self.message(message)
 
     def message(self, message: Message) -> None:
-        """A whole message."""
+        """Handle a complete message."""
         raise NotImplementedError
 
-    def fault(self, why: str) -> None:
-        """What came cannot be followed: one line, and the end."""
-        self.send({"ok": False, "why": why})
+    def reject(self, cause: str) -> None:
+        """Reply that the input cannot be processed, and close."""
+        self.send({"ok": False, "why": cause})
         self.close()
 
     def close(self) -> None:
-        """End it; what was written still goes."""
+        """Close the connection once what was written has been sent."""
         self.transport.loseConnection()
 
-    def connectionLost(self, reason: Failure = connectionDone) -> None:
-        """It has ended: descriptors that nobody took are closed."""
+    def connectionLost(self, reason: Failure = connectionDone) -> None:  # noqa: ARG002 (Twisted's signature)
+        """Close the descriptors that were not claimed, and notify the subclass."""
         self.closed = True
         for descriptor in self.descriptors:
             os.close(descriptor)
@@ -117,98 +124,123 @@
         self.on_closed()
 
     def on_closed(self) -> None:
-        """The connection has ended."""
+        """Handle the end of the connection."""
 
 
 class ControlCaller(ControlConnection):
-    """Somebody who asks."""
+    """A client of the control server."""
 
-    def __init__(self, control: ControlServer) -> None:
+    def __init__(self, server: ControlServer) -> None:
         super().__init__()
-        self._control, self.handle = control, -1
-        self.is_persistent = False  # it watches or takes over: no line is owed
-        self.since = clock.now()
-        self.on_disconnected: Callable[[], None] = lambda: None
+        self._server = server
+        self.handle = -1
+        self.is_persistent = False  # it watches or takes over, and need not send another line
+        self.last_message_at = clock.now()
+        self.on_disconnected: Callable[[], None] = _do_nothing
 
     def connectionMade(self) -> None:
-        """Take a place; where none is left, say so and close."""
-        if self._control.callers.is_full():
-            self.fault("all places for callers are taken; try again in a moment")
+        """Occupy a slot; reject the connection if none is free."""
+        if self._server.callers.is_full():
+            self.reject("all places for callers are taken; try again in a moment")
             return
-        self.handle = self._control.callers.add(self)
-        self._control.look_later()
+        self.handle = self._server.callers.add(self)
+        self._server.schedule_overdue_check()
 
     def message(self, message: Message) -> None:
-        """Hand it on; a fault of ours must not end the limiter."""
-        self.since = clock.now()
+        """Pass the message to the server's handler; a malformed one is answered and does not end the process."""
+        self.last_message_at = clock.now()
         try:
-            self._control.handler(self, message)
+            self._server.handler(self, message)
         except (KeyError, ValueError, TypeError) as fault:
             self.send({"ok": False, "why": f"{type(fault).__name__}: {fault}"})
 
-    def overdue(self, patience: float) -> bool:
-        """Whether it has held its place too long without a whole line, or does not take its answers."""
-        return (not self.is_persistent and clock.now() - self.since > patience) or self.unsent_bytes() > MOST_OWED
+    def is_overdue(self, timeout_seconds: float) -> bool:
+        """Return whether no complete line came within the timeout, or too much that was sent is unread."""
+        if not self.is_persistent and clock.now() - self.last_message_at > timeout_seconds:
+            return True
+        return self.unsent_bytes() > MAX_UNSENT_BYTES
 
     def unsent_bytes(self) -> int:
-        """Bytes that it has not taken."""
+        """Return the number of bytes that the caller has not read yet."""
         transport = self.transport
         return len(transport.dataBuffer) + sum(map(len, transport._tempDataBuffer))
 
     def on_closed(self) -> None:
-        """Its place is free."""
-        self._control.callers.remove(self.handle)
+        """Free the slot."""
+        self._server.callers.remove(self.handle)
         self.on_disconnected()
 
 
 class ControlServer(Factory):
-    """The listening side."""
+    """The listening side of a control socket.
+
+    Each process listens at a path of its own; the public path is a symbolic link to it, so that the name moves
+    from one process to the next in one atomic step.
+    """
 
     noisy = False
 
     def __init__(
-        self, reactor: Any, deadlines: clock.Deadlines, path: Path, most: int, patience: float, served: Served
+        self,
+        reactor: UnixReactor,
+        deadlines: clock.Deadlines,
+        path: Path,
+        max_callers: int,
+        timeout_seconds: float,
+        handler: MessageHandler,
     ) -> None:
-        self._reactor, self._deadlines, self._path, self._patience = reactor, deadlines, path, patience
-        self.callers: SlotTable[ControlCaller] = SlotTable(most)
-        self.handler = served
-        self._own = path.with_name(f"{path.stem}.{os.getpid()}.sock")
-        self._port: Any = None
-        self._looking = False
-
-    def buildProtocol(self, addr: Any) -> ControlCaller:
-        """A new caller."""
+        self._reactor = reactor
+        self._deadlines = deadlines
+        self._path = path
+        self._timeout_seconds = timeout_seconds
+        self.callers: SlotTable[ControlCaller] = SlotTable(max_callers)
+        self.handler = handler
+        self._socket_path = path.with_name(f"{path.stem}.{os.getpid()}.sock")
+        self._port: ListeningPort | None = None
+        self._is_check_scheduled = False
+
+    def buildProtocol(self, addr: IAddress | None) -> ControlCaller:  # noqa: ARG002 (Twisted's signature)
+        """Return the protocol of a new caller."""
         return ControlCaller(self)
 
     def listen(self) -> None:
-        """Open the socket under a path of our own, then let the name point to it in one step."""
-        if len(os.fsencode(self._own)) > MOST_PATH:
-            raise ControlError(f"{self._own} is longer than {MOST_PATH} bytes; set a shorter [daemon] state")
-        with contextlib.suppress(OSError):
-            target = os.readlink(self._path)  # what a killed process left behind; a living one's stays
-            stale = self._path.with_name(target)
-            if not answers(stale):
-                stale.unlink()
+        """Open the socket at this process's path, then let the public path point to it.
+
+        :raises ControlError: if the path is too long or cannot be listened at.
+        :raises OSError: if a file beside it cannot be written.
+        """
+        if len(os.fsencode(self._socket_path)) > MAX_PATH_BYTES:
+            message = f"{self._socket_path} is longer than {MAX_PATH_BYTES} bytes; set a shorter [daemon] state"
+            raise ControlError(message)
+        self._remove_stale_socket()
         with contextlib.suppress(FileNotFoundError):
-            self._own.unlink()
+            self._socket_path.unlink()
         try:
-            self._port = self._reactor.listenUNIX(str(self._own), self, mode=0o600)
-        except CannotListenError as fault:  # no OSError, though it stands for one
-            raise ControlError(f"{self._own}: {fault.socketError}") from None
-        self.point()
+            self._port = self._reactor.listenUNIX(str(self._socket_path), self, mode=SOCKET_MODE)
+        except CannotListenError as fault:  # not an OSError, though it wraps one
+            message = f"{self._socket_path}: {fault.socketError}"
+            raise ControlError(message) from None
+        self.publish_link()
+
+    def _remove_stale_socket(self) -> None:
+        # A killed process leaves its socket behind; the socket of a running one stays.
+        with contextlib.suppress(OSError):
+            previous_socket = self._path.with_name(os.readlink(self._path))
+            if not is_listening(previous_socket):
+                previous_socket.unlink()
 
-    def point(self) -> None:
-        """Let the name point to our socket, in one step."""
+    def publish_link(self) -> None:
+        """Let the public path point to this process's socket, in one atomic step."""
         link = self._path.with_name(f".{self._path.name}.{os.getpid()}")
         with contextlib.suppress(FileNotFoundError):
             link.unlink()
-        link.symlink_to(self._own.name)
+        link.symlink_to(self._socket_path.name)
         os.replace(link, self._path)
 
     def close(self) -> None:
-        """Close, and take the name away where it still is ours."""
+        """Close the socket and all connections, and remove the public path if it still points here."""
         with contextlib.suppress(OSError):
-            if os.readlink(self._path) == self._own.name:
+            if os.readlink(self._path) == self._socket_path.name:
                 self._path.unlink()
         if self._port is not None:
             self._port.stopListening()
@@ -216,34 +248,35 @@
         for caller in self.callers.all():
             caller.close()
 
-    def tidy(self) -> None:
-        """After the reactor: nothing of ours stays in the folder, however soon it ended after `close`."""
+    def remove_socket_file(self) -> None:
+        """Remove this process's socket file after the reactor has stopped, in case `close` had no time to."""
         with contextlib.suppress(OSError):
-            self._own.unlink()
+            self._socket_path.unlink()
 
-    def look_later(self) -> None:
-        """Guards the places against callers that hang; nothing runs while there are none."""
-        if not self._looking:
-            self._looking = True
-            self._deadlines.at(clock.now() + self._patience / 4.0, self._look)
+    def schedule_overdue_check(self) -> None:
+        """Schedule the next check for callers that hang; no timer runs while there are no callers."""
+        if not self._is_check_scheduled:
+            self._is_check_scheduled = True
+            interval = self._timeout_seconds / OVERDUE_CHECKS_PER_TIMEOUT
+            self._deadlines.at(clock.now() + interval, self._disconnect_overdue_callers)
 
-    def _look(self, _: int) -> None:
-        self._looking = False
+    def _disconnect_overdue_callers(self, _: int) -> None:
+        self._is_check_scheduled = False
         for caller in self.callers.all():
-            if caller.overdue(self._patience):
+            if caller.is_overdue(self._timeout_seconds):
                 caller.transport.abortConnection()
         if len(self.callers):
-            self.look_later()
+            self.schedule_overdue_check()
 
 
-def answers(path: Path) -> bool:
-    """Whether somebody listens at a Unix socket; asked once at a start, never waits."""
-    with socket.socket(socket.AF_UNIX, socket.SOCK_STREAM) as probe:
-        probe.setblocking(False)
+def is_listening(path: Path) -> bool:
+    """Return whether a process listens at a Unix socket; never blocks."""
+    with socket.socket(socket.AF_UNIX, socket.SOCK_STREAM) as connection:
+        connection.setblocking(False)
         try:
-            probe.connect(str(path))
+            connection.connect(str(path))
         except BlockingIOError:
-            return True  # its queue is full: it lives
+            return True  # its queue is full, so there is a listener
         except OSError:
             return False
     return True
--- a/thymeflow/handover/listening_sockets.py
+++ b/thymeflow/handover/listening_sockets.py
@@ -1,30 +1,38 @@
-"""Listening sockets that outlive a process: checked where they were passed on."""
+"""Checks of listening sockets that another process passed in."""
 
 from __future__ import annotations
 
 import os
 import socket
 
-
-class BadDescriptorError(Exception):
-    """What was handed in is no listening stream socket; the text names it."""
+from thymeflow.handover.errors import BadDescriptorError as BadDescriptorError
 
 
 def checked(descriptor: int) -> socket.socket:
-    """The listening socket behind a descriptor, not blocking and not inherited further on."""
+    """Return a duplicate of a passed descriptor as a non-blocking socket that child processes do not inherit.
+
+    :raises BadDescriptorError: if the descriptor is not a listening TCP socket.
+    """
     try:
-        found = socket.socket(fileno=os.dup(descriptor))
+        candidate = socket.socket(fileno=os.dup(descriptor))
     except OSError as fault:
-        raise BadDescriptorError(f"descriptor {descriptor} is no socket ({fault.strerror})") from None
+        message = f"descriptor {descriptor} is no socket ({fault.strerror})"
+        raise BadDescriptorError(message) from None
     try:
-        listens = found.getsockopt(socket.SOL_SOCKET, socket.SO_ACCEPTCONN)
-        family, kind = found.family, found.type
-        if not listens or kind != socket.SOCK_STREAM:
-            raise BadDescriptorError(f"descriptor {descriptor} is a socket that does not listen for streams")
-        if family not in (socket.AF_INET, socket.AF_INET6):
-            raise BadDescriptorError(f"descriptor {descriptor} is of the family {family.name}, not AF_INET or AF_INET6")
+        _check_listening_stream(candidate, descriptor)
     except (OSError, BadDescriptorError):
-        found.close()
+        candidate.close()
         raise
-    found.setblocking(False)
-    return found
+    candidate.setblocking(False)
+    return candidate
+
+
+def _check_listening_stream(candidate: socket.socket, descriptor: int) -> None:
+    is_listening = candidate.getsockopt(socket.SOL_SOCKET, socket.SO_ACCEPTCONN)
+    family = candidate.family
+    if not is_listening or candidate.type != socket.SOCK_STREAM:
+        message = f"descriptor {descriptor} is a socket that does not listen for streams"
+        raise BadDescriptorError(message)
+    if family not in (socket.AF_INET, socket.AF_INET6):
+        message = f"descriptor {descriptor} is of the family {family.name}, not AF_INET or AF_INET6"
+        raise BadDescriptorError(message)
--- a/thymeflow/handover/participant.py
+++ b/thymeflow/handover/participant.py
@@ -1,4 +1,4 @@
-"""What is handed over from one life of a limiter to the next, as both sides of a hand-over see it."""
+"""What both sides of a handover require of the limiter process that they belong to."""
 
 from __future__ import annotations
 
@@ -6,64 +6,64 @@
 from typing import Protocol
 
 from thymeflow.handover.control_socket import Message
+from thymeflow.handover.errors import RejectedHandoverError as RejectedHandoverError
 from thymeflow.limiter.assembly import Limiter
 from thymeflow.snapshot.store import SnapshotStore
 
 
-class RejectedHandoverError(Exception):
-    """What was offered cannot be used; the text says why."""
-
-
 class HandoverParticipant(Protocol):
-    """One limiter with what it needs to take over and to be taken over from: the daemon's, or the platform's run."""
+    """A limiter process that can take over from another and be taken over: the daemon, or the platform's run."""
 
     incarnation: str
     limiter: Limiter
 
     @property
     def snapshots(self) -> SnapshotStore:
-        """What is remembered of the limiter."""
+        """The store that takes and restores the limiter's snapshots."""
 
     @property
     def step_timeout(self) -> float:
-        """Seconds that a step of a hand-over may take."""
+        """The time limit of one step of a handover, in seconds."""
 
     @property
     def rollback_window(self) -> float:
-        """Seconds for which the old one, once the new one accepts, stays to come back should that one die."""
+        """The seconds for which the old process can still take over again once the new one accepts."""
 
     @property
     def requires_same_site(self) -> bool:
-        """Whether plans and place in the set have to be equal; else what fits of the state is taken."""
+        """Whether plans and index have to be equal; otherwise the part of the state that applies is restored."""
 
     def descriptors(self) -> list[int]:
-        """What goes with the offer, the listening socket first."""
+        """Return the descriptors that the sender passes, the listening socket first."""
 
     def adopt_descriptors(self, descriptors: list[int]) -> socket.socket:
-        """The listening socket among what came with the offer; Unfit says why it cannot be used."""
+        """Take ownership of the passed descriptors and return the listening socket among them.
+
+        :raises RejectedHandoverError: if they cannot be used.
+        """
 
     def accept(self, listening: socket.socket) -> str:
-        """Accept from now on; the fault, or nothing."""
+        """Start to accept connections; return the fault as text, empty if there is none."""
 
     def hand_over_allocation(self) -> Message | None:
-        """What else goes with the state, and is not ours to use from then on; None where there is nothing."""
+        """Give up the allocation of fleet limits and return it as a message; None if there is none."""
 
     def inherit_allocation(self, message: object) -> None:
-        """What went with the state of the life before."""
+        """Take over the allocation of the previous process."""
 
     def on_taken_back(self, used: bool) -> None:
-        """The state is ours again; `used`: by another in between, which may not have ended."""
+        """Handle a rollback of the state; `used` if the other process was permitted to use it and may still run."""
 
     def on_resumed(self) -> None:
-        """The limiter is ours again."""
+        """Handle a completed rollback: this process accepts again."""
 
     def abandon(self) -> None:
-        """Nothing was taken over, and nothing accepted yet."""
+        """Handle a failed handover in a receiver that has not accepted any connection."""
 
     def retreat(self) -> None:
-        """The old one's line ended before it gave its last word, and we accept already."""
+        """Handle the loss of the sender in a receiver that accepts already."""
 
 
-def held(limiter: Limiter) -> int:
-    """How many descriptors a limiter holds, beside a few that every process has."""
+def count_open_connections(limiter: Limiter) -> int:
+    """Return how many descriptors a limiter uses for connections of clients and to backends."""
     return len(limiter.front.agents) + limiter.upstream.count
--- a/thymeflow/handover/receiver.py
+++ b/thymeflow/handover/receiver.py
@@ -1,194 +1,234 @@
-"""The new side of a hand-over: the hands for `table.TAKING`."""
+"""The receiver of a handover: carries out the actions of `state_machine.RECEIVER_TRANSITIONS`.
+
+The keys and commands of the messages are a format: two versions of the program talk to each other.
+"""
 
 from __future__ import annotations
 
 import os
 import socket
 from pathlib import Path
-from typing import Any
+
+from twisted.python.failure import Failure
 
 from thymeflow.discovery.watch import FIRST
-from thymeflow.handover import control_client, state_machine
+from thymeflow.handover import control_client
 from thymeflow.handover.control_socket import ControlConnection, Message
 from thymeflow.handover.participant import HandoverParticipant, RejectedHandoverError
-from thymeflow.handover.sender import Steps
-from thymeflow.handover.state_machine import Move, ReceiverState, Told
+from thymeflow.handover.state_machine import ReceiverAction, ReceiverState, Told, advance_receiver
+from thymeflow.handover.step_timer import StepTimer
 from thymeflow.runtime import clock, log
-from thymeflow.snapshot import restore, schema
+from thymeflow.snapshot import schema
+from thymeflow.snapshot.late_charges import charge_late
 
-FIRST_SHARE = 0.5  # of a step's time: for the first word of discovery, at most
-MOST_LATE = 1e9  # units of one customer's late charges that are believed
+MAX_DISCOVERY_WAIT_FRACTION = 0.5  # of a step's time limit: for the first reply of discovery
+MAX_LATE_UNITS = 1e9  # of one customer; larger late charges are ignored
+MAX_REJECTION_LENGTH = 200  # characters of the sender's text that are logged
+# The key by which a message is recognized, in the order in which they are looked for.
+EVENTS_BY_KEY = {
+    "offer": Told.DESCRIPTORS_RECEIVED,
+    "state": Told.STATE_RECEIVED,
+    "yours": Told.ACCEPT_PERMITTED,
+    "draining": Told.DELEGATION_CONFIRMED,
+}
 
 
 class HandoverReceiver:
-    """Takes listening socket and state from the process that holds them, or leaves it as it was."""
-
-    def __init__(self, estate: HandoverParticipant, path: Path) -> None:
-        self._estate, self._path = estate, path
-        self.state = ReceiverState.ASKING
-        self._old: ControlConnection | None = None
-        self._listening: socket.socket | None = None
-        self._steps = Steps(estate)
-        self._part: object = None  # what goes with the state; ours once the state is
-        self._moves = {
-            Move.LOAD: self._load,
-            Move.SAY_READY: self._say_ready,
-            Move.ADOPT_STATE: self._adopt,
-            Move.ACCEPT: self._accept,
-            Move.SETTLE: self._settle,
-            Move.QUIT: self._quit,
-            Move.RETREAT: estate.retreat,
+    """Takes listening socket and state over from the process that has them, or leaves that process as it was."""
+
+    def __init__(self, participant: HandoverParticipant, path: Path) -> None:
+        self._participant = participant
+        self._path = path
+        self.state = ReceiverState.REQUESTING
+        self._sender: ControlConnection | None = None
+        self._listening_socket: socket.socket | None = None
+        self._step_timer = StepTimer(participant)
+        self._allocation: object = None  # arrives with the state; used once the state is
+        self._actions = {
+            ReceiverAction.START_UP: self._start_up,
+            ReceiverAction.SEND_READY: self._send_ready,
+            ReceiverAction.RESTORE_STATE: self._restore_state,
+            ReceiverAction.START_ACCEPTING: self._start_accepting,
+            ReceiverAction.COMPLETE: self._complete,
+            ReceiverAction.ABANDON: self._abandon,
+            ReceiverAction.RETREAT: participant.retreat,
         }
 
     def begin(self) -> None:
-        """Ask the process that holds the name."""
-        self._arm()
+        """Request a handover from the process that listens at the path."""
+        self._restart_step_timer()
+        reactor = self._participant.limiter.reactor
         try:
-            asking = control_client.talk(self._estate.limiter.reactor, self._path, self._heard, self._broken)
-        except OSError as fault:  # the system refuses such sockets
-            self._unfit(f"nobody to take over from: {fault}")
+            connecting = control_client.talk(reactor, self._path, self._on_message, self._on_disconnected)
+        except OSError as fault:  # the system forbids Unix sockets
+            self._give_up(f"nobody to take over from: {fault}")
             return
-        asking.addCallbacks(
-            self._up, lambda failure: self._unfit(f"nobody to take over from: {failure.getErrorMessage()}")
-        )
+        connecting.addCallbacks(self._on_connected, self._on_connect_failed)
+
+    def _restart_step_timer(self) -> None:
+        self._step_timer.start(clock.now() + self._participant.step_timeout, self._on_timeout)
 
-    def _arm(self) -> None:
-        self._steps.arm(clock.now() + self._estate.step_timeout, lambda: self.step(Told.LATE))
+    def _on_timeout(self) -> None:
+        self.step(Told.TIMED_OUT)
 
-    def _broken(self) -> None:
-        self._estate.limiter.limit_beside_predecessor(None)
-        self.step(Told.BROKEN)
+    def _on_disconnected(self) -> None:
+        self._participant.limiter.limit_beside_predecessor(None)
+        self.step(Told.DISCONNECTED)
 
     def is_serving(self) -> bool:
-        """Whether this process accepts by now, or starts by itself: it ends as any other."""
-        return self.state in (ReceiverState.PROVING, ReceiverState.HOLDING, ReceiverState.FAILED)
+        """Return whether this process accepts, or starts without a handover: it ends like any other limiter."""
+        return self.state in (ReceiverState.AWAITING_CONFIRMATION, ReceiverState.COMPLETED, ReceiverState.FAILED)
 
     def on_endpoints_known(self) -> None:
-        """The list is told, or not to be had."""
-        if self.state is ReceiverState.LOADING:
-            self.step(Told.LOADED)
-
-    def step(self, what: Told) -> None:
-        """Take a step."""
-        before = self.state
-        self.state, moves = state_machine.told(before, what)
-        if self.state in (ReceiverState.HOLDING, ReceiverState.FAILED):
-            self._steps.cancel()
-        elif before is not self.state:
-            self._arm()
-        if self.state is ReceiverState.FAILED and before is not self.state:
-            log.note("hand-over", f"came to no end ({before.value}, {what.value})")
-        for move in moves:
-            self._moves[move]()
-
-    def _up(self, talk: control_client.ControlSession) -> None:
-        self._old = talk
-        if not talk.is_same_user():
-            self._unfit("who listens there runs as another user")
+        """Continue once the endpoint list has arrived, or is known to be unavailable."""
+        if self.state is ReceiverState.STARTING_UP:
+            self.step(Told.STARTED_UP)
+
+    def step(self, event: Told) -> None:
+        """Make the transition for an input, and carry out its actions."""
+        previous = self.state
+        self.state, actions = advance_receiver(previous, event)
+        if self.state in (ReceiverState.COMPLETED, ReceiverState.FAILED):
+            self._step_timer.cancel()
+        elif previous is not self.state:
+            self._restart_step_timer()
+        if self.state is ReceiverState.FAILED and previous is not self.state:
+            log.note("hand-over", f"came to no end ({previous.value}, {event.value})")
+        for action in actions:
+            self._actions[action]()
+
+    def _on_connect_failed(self, failure: Failure) -> None:
+        self._give_up(f"nobody to take over from: {failure.getErrorMessage()}")
+
+    def _on_connected(self, session: control_client.ControlSession) -> None:
+        self._sender = session
+        if not session.is_same_user():
+            self._give_up("who listens there runs as another user")
         elif self.state is ReceiverState.FAILED:
-            talk.close()  # it took too long to connect
+            session.close()  # it took too long to connect
         else:
-            log.note("hand-over", f"asked for, at {self._path}")
-            talk.send(
-                {
-                    "do": "take",
-                    "life": self._estate.incarnation,
-                    "pid": os.getpid(),
-                    "site": schema.site_of(self._estate.limiter.configuration.settings),
-                }
-            )
-
-    def _unfit(self, why: str) -> None:
-        log.note("hand-over", why)
+            self._send_request(session)
+
+    def _send_request(self, session: control_client.ControlSession) -> None:
+        log.note("hand-over", f"asked for, at {self._path}")
+        session.send(
+            {
+                "do": "take",
+                "life": self._participant.incarnation,
+                "pid": os.getpid(),
+                "site": schema.site_of(self._participant.limiter.configuration.settings),
+            }
+        )
+
+    def _give_up(self, cause: str) -> None:
+        log.note("hand-over", cause)
         self.step(Told.UNFIT)
 
-    def _heard(self, message: Message) -> None:
+    def _on_message(self, message: Message) -> None:
         if type(message.get("held")) is int:
-            self._estate.limiter.limit_beside_predecessor(message["held"])
+            self._participant.limiter.limit_beside_predecessor(message["held"])
         if message.get("part") is not None:
-            self._part = message["part"]
-        for word, what in (
-            ("offer", Told.OFFER),
-            ("state", Told.STATE),
-            ("yours", Told.YOURS),
-            ("draining", Told.DRAINING),
-        ):
-            if word in message:
-                self.step(what)
+            self._allocation = message["part"]
+        for key, event in EVENTS_BY_KEY.items():
+            if key in message:
+                self.step(event)
                 return
         if "late" in message:
-            self._late(message["late"])
-        elif "bye" in message and self._old is not None:
-            self._old.close()
+            self._charge_late(message["late"])
+        elif "bye" in message and self._sender is not None:
+            self._sender.close()
         elif message.get("ok") is False:
-            self._unfit(f"refused: {str(message.get('why'))[:200]}")
+            self._give_up(f"refused: {str(message.get('why'))[:MAX_REJECTION_LENGTH]}")
 
-    def _line(self) -> ControlConnection:
-        assert self._old is not None
-        return self._old
+    def _connection(self) -> ControlConnection:
+        assert self._sender is not None
+        return self._sender
 
-    def _load(self) -> None:
-        line, limiter = self._line(), self._estate.limiter
+    def _start_up(self) -> None:
+        connection = self._connection()
         try:
-            self._listening = self._estate.adopt_descriptors(line.descriptors)
+            self._listening_socket = self._participant.adopt_descriptors(connection.descriptors)
         except RejectedHandoverError as fault:
-            self._unfit(f"what was offered cannot be used: {fault}")
+            self._give_up(f"what was offered cannot be used: {fault}")
             return
-        os.close(line.descriptors[0])
-        line.descriptors.clear()
-        limiter.connect(clock.now() + min(FIRST, FIRST_SHARE * self._estate.step_timeout))
+        os.close(connection.descriptors[0])
+        connection.descriptors.clear()
+        discovery_wait = min(FIRST, MAX_DISCOVERY_WAIT_FRACTION * self._participant.step_timeout)
+        self._participant.limiter.connect(clock.now() + discovery_wait)
 
-    def _say_ready(self) -> None:
-        self._line().send({"do": "ready"})
+    def _send_ready(self) -> None:
+        self._connection().send({"do": "ready"})
 
-    def _adopt(self) -> None:
-        line, estate = self._line(), self._estate
+    def _restore_state(self) -> None:
+        connection = self._connection()
         try:
-            if len(line.descriptors) != 1:
-                raise schema.SnapshotError(f"{len(line.descriptors)} descriptors came with it, not 1")
-            with os.fdopen(line.descriptors.pop(), "rb") as file:
-                file.seek(0)
-                snapshot = schema.unpack(file.read(schema.MOST_BYTES + 1))
-            given = estate.limiter.configuration
-            site = schema.site_of(given.settings) if estate.requires_same_site else snapshot.site
-            schema.believed(snapshot, site, given.name, clock.now(), estate.step_timeout)
+            snapshot = self._read_snapshot(connection)
         except (schema.SnapshotError, OSError) as fault:
-            self._unfit(f"the state cannot be used: {fault}")
+            self._give_up(f"the state cannot be used: {fault}")
             return
-        estate.snapshots.recall(snapshot, "hand-over")
-        line.send({"do": "took"})
-
-    def _accept(self) -> None:
-        assert self._listening is not None
-        if self._part is not None:
-            self._estate.inherit_allocation(self._part)
-        fault = self._estate.accept(self._listening)
+        self._participant.snapshots.recall(snapshot, "hand-over")
+        connection.send({"do": "took"})
+
+    def _read_snapshot(self, connection: ControlConnection) -> schema.Snapshot:
+        """Read and check the snapshot in the descriptor that came with it.
+
+        :raises SnapshotError: if there is not exactly one descriptor, or its content cannot be used.
+        :raises OSError: if it cannot be read.
+        """
+        if len(connection.descriptors) != 1:
+            message = f"{len(connection.descriptors)} descriptors came with it, not 1"
+            raise schema.SnapshotError(message)
+        with os.fdopen(connection.descriptors.pop(), "rb") as file:
+            file.seek(0)
+            snapshot = schema.unpack(file.read(schema.MAX_SNAPSHOT_BYTES + 1))
+        participant = self._participant
+        configuration = participant.limiter.configuration
+        site = schema.site_of(configuration.settings) if participant.requires_same_site else snapshot.site
+        schema.believed(snapshot, site, configuration.name, clock.now(), participant.step_timeout)
+        return snapshot
+
+    def _start_accepting(self) -> None:
+        assert self._listening_socket is not None
+        if self._allocation is not None:
+            self._participant.inherit_allocation(self._allocation)
+        fault = self._participant.accept(self._listening_socket)
         if fault:
             log.note("hand-over", fault)
             self.state = ReceiverState.FAILED
-            self._line().close()  # the old one hears that, and accepts again
-            self._quit()
+            self._connection().close()  # on which the sender accepts again
+            self._abandon()
             return
-        self._line().send({"do": "serving"})
+        self._connection().send({"do": "serving"})
 
-    def _settle(self) -> None:
-        log.note(
-            "hand-over", f"done: this life holds name, socket and state of {self._estate.limiter.configuration.name}"
-        )
+    def _complete(self) -> None:
+        name = self._participant.limiter.configuration.name
+        log.note("hand-over", f"done: this life holds name, socket and state of {name}")
 
-    def _late(self, units: Any) -> None:
+    def _charge_late(self, value: object) -> None:
         try:
-            late = {int(number): float(amount) for number, amount in units.items()}
+            charges = _parse_late_charges(value)
         except (ValueError, TypeError, AttributeError):
             log.note("hand-over", "late charges that cannot be read; none of them is taken")
             return
-        late = {number: amount for number, amount in late.items() if abs(amount) < MOST_LATE}
-        found = restore.charge_late(self._estate.limiter.gateway, late)
-        log.note("hand-over", f"{found} of {len(late)} customers charged for what came after the state")
-
-    def _quit(self) -> None:
-        if self._listening is not None:
-            self._listening.close()
-        if self._old is not None:
-            self._old.close()
-        self._estate.abandon()
+        charges = {customer_id: units for customer_id, units in charges.items() if abs(units) < MAX_LATE_UNITS}
+        charged = charge_late(self._participant.limiter.gateway, charges)
+        log.note("hand-over", f"{charged} of {len(charges)} customers charged for what came after the state")
+
+    def _abandon(self) -> None:
+        if self._listening_socket is not None:
+            self._listening_socket.close()
+        if self._sender is not None:
+            self._sender.close()
+        self._participant.abandon()
+
+
+def _parse_late_charges(value: object) -> dict[int, float]:
+    """Return units by customer.
+
+    :raises ValueError: if a key or an amount is not a number.
+    :raises TypeError: if the value is not an object, or an amount has another type.
+    """
+    if not isinstance(value, dict):
+        message = "late charges are not an object"
+        raise TypeError(message)
+    return {int(customer_id): float(units) for customer_id, units in value.items()}
--- a/thymeflow/handover/sender.py
+++ b/thymeflow/handover/sender.py
@@ -1,199 +1,225 @@
-"""The old side of a hand-over: the hands for `table.GIVING`."""
+"""The sender of a handover: carries out the actions of `state_machine.SENDER_TRANSITIONS`.
+
+The keys and commands of the messages are a format: two versions of the program talk to each other.
+"""
 
 from __future__ import annotations
 
 import os
-from collections.abc import Callable
-from typing import Any
 
-from twisted.internet.defer import succeed
+from twisted.internet.defer import Deferred, succeed
 
 from thymeflow.decision.types import Status
-from thymeflow.handover import state_machine
 from thymeflow.handover.control_socket import ControlCaller, Message
-from thymeflow.handover.participant import HandoverParticipant, held
-from thymeflow.handover.state_machine import Act, SenderState, Word
+from thymeflow.handover.participant import HandoverParticipant, count_open_connections
+from thymeflow.handover.state_machine import SenderAction, SenderState, Word, advance_sender
+from thymeflow.handover.step_timer import StepTimer
 from thymeflow.limiter.phases import Phase
 from thymeflow.runtime import clock, log
-from thymeflow.snapshot import restore, schema
+from thymeflow.snapshot import schema
+from thymeflow.snapshot.late_charges import LateCharges
 
-LATE_ENTRIES = 500  # customers in one message of late charges
-BYE = 0.2  # s: for the last messages to leave before the process ends
-TELL_HELD = 0.2  # s: pace at which the successor is told what is still held here
-OFF = (SenderState.HANDED, SenderState.GIVEN)  # where the other end is the limiter
+MAX_LATE_CHARGES_PER_MESSAGE = 500  # customers
+FLUSH_SECONDS = 0.2  # for the last messages to leave before the process ends
+CONNECTION_REPORT_INTERVAL_SECONDS = 0.2  # at which the receiver is notified of the connections still open here
+MAX_LOGGED_INCARNATION_LENGTH = 20
+MAX_LOGGED_PID_LENGTH = 10
+OFF = (SenderState.DELEGATED, SenderState.GIVEN)  # states in which the receiver is the active process
+RECEIVER_EVENTS = (Word.RECEIVER_READY.value, Word.STATE_ACCEPTED.value, Word.RECEIVER_SERVING.value)
 
 
-class MutedCounter:
-    """A counter that adds nothing: once the state is handed over, the successor tells what was asked."""
+class RejectingCounter:
+    """A counter that adds nothing: once the state is handed over, the receiver reports the demand."""
 
-    def add(self, name: int, amount: float, ttl: float, deadline: float) -> Any:
-        """Turned away, as by a counter's `-BUSY`."""
+    def add(self, name: int, amount: float, ttl: float, deadline: float) -> Deferred[tuple[Status, float]]:  # noqa: ARG002 (interface of a counter)
+        """Reject the call, as a counter does that replies `-BUSY`."""
         return succeed((Status.FULL, 0.0))
 
 
-class Steps:
-    """One deadline for the step that is under way."""
-
-    def __init__(self, estate: HandoverParticipant) -> None:
-        self._estate = estate
-        self._entry: clock.Entry = []
+def _no_last_messages() -> float:
+    """Need no time before the process stops."""
+    return 0.0
 
-    def arm(self, end: float, late: Callable[[], None]) -> None:
-        """The step begins anew, and should have ended by then."""
-        self.cancel()
-        self._entry = self._estate.limiter.deadlines.at(end, lambda _: late())
 
-    def cancel(self) -> None:
-        """No step is under way."""
-        if self._entry:
-            self._estate.limiter.deadlines.cancel(self._entry)
+def _ignore_disconnect() -> None:
+    """Ignore the end of a connection that this side closed."""
 
 
 class HandoverSender:
-    """Hands the listening socket and the state to a successor, and takes them back where it fails."""
+    """Hands the listening socket and the state to a receiver, and rolls back where it fails."""
 
-    def __init__(self, estate: HandoverParticipant) -> None:
-        self._estate = estate
-        self.state = SenderState.WHOLE
+    def __init__(self, participant: HandoverParticipant) -> None:
+        self._participant = participant
+        self.state = SenderState.SERVING
         self.peer: ControlCaller | None = None
-        self._since: restore.Since | None = None
-        self._memfd = -1
-        self._handed, self._granted = False, False  # the part went with the state; the other end may use it
-        self._steps = Steps(estate)
-        self._acts = {
-            Act.OFFER: self._offer,
-            Act.YIELD: self._yield,
-            Act.GRANT: self._grant,
-            Act.HAND: self._hand,
-            Act.CONFIRM: self._confirm,
-            Act.DRAIN: self._drain,
-            Act.RESUME: self._resume,
-            Act.FORGET: self._forget,
-            Act.REFUSE: self._refuse,
+        self._late_charges: LateCharges | None = None
+        self._state_descriptor = -1
+        self._is_allocation_handed_over = False
+        self._is_accept_permitted = False
+        self._step_timer = StepTimer(participant)
+        self._actions = {
+            SenderAction.SEND_DESCRIPTORS: self._send_descriptors,
+            SenderAction.PAUSE_LISTENER: self._pause_listener,
+            SenderAction.PERMIT_ACCEPT: self._permit_accept,
+            SenderAction.DELEGATE: self._delegate,
+            SenderAction.CONFIRM_DELEGATION: self._confirm_delegation,
+            SenderAction.DRAIN: self._drain,
+            SenderAction.RESUME: self._resume,
+            SenderAction.DISCONNECT_RECEIVER: self._disconnect_receiver,
+            SenderAction.REJECT_INPUT: self._reject_input,
         }
 
     def handle(self, caller: ControlCaller, message: Message) -> bool:
-        """Take a message that is a word of a hand-over; whether it was one."""
-        word = message.get("do")
-        if word == Word.TAKE.value:
-            self._asked(caller, message)
-        elif caller is self.peer and word in (Word.READY.value, Word.TOOK.value, Word.SERVING.value):
-            self.step(Word(word))
+        """Process a message if it belongs to a handover; return whether it does."""
+        command = message.get("do")
+        if command == Word.REQUESTED.value:
+            self._on_request(caller, message)
+        elif caller is self.peer and command in RECEIVER_EVENTS:
+            self.step(Word(command))
         else:
             return False
         return True
 
-    def _asked(self, caller: ControlCaller, message: Message) -> None:
-        estate = self._estate
-        limiter = estate.limiter
+    def _on_request(self, caller: ControlCaller, message: Message) -> None:
+        rejection = self._find_rejection(message)
+        if rejection is not None:
+            caller.send({"ok": False, "why": rejection})
+            return
+        self.peer = caller
+        caller.is_persistent = True
+        caller.on_disconnected = self._on_disconnected
+        incarnation = str(message.get("life"))[:MAX_LOGGED_INCARNATION_LENGTH]
+        pid = str(message.get("pid"))[:MAX_LOGGED_PID_LENGTH]
+        log.note("hand-over", f"to life {incarnation}, pid {pid}")
+        self.step(Word.REQUESTED)
+
+    def _find_rejection(self, message: Message) -> str | None:
+        limiter = self._participant.limiter
         phase = limiter.lifecycle.phase
         if phase not in (Phase.SERVING, Phase.EVACUATED):
-            caller.send({"ok": False, "why": f"it is {phase.value}"})
-        elif estate.requires_same_site and message.get("site") != schema.site_of(limiter.gateway.settings):
-            caller.send({"ok": False, "why": "plans or place in the set differ: restart it instead"})
-        elif self.state is not SenderState.WHOLE:
-            caller.send({"ok": False, "why": f"a hand-over is under way ({self.state.value})"})
-        else:
-            self.peer, caller.is_persistent = caller, True
-            caller.on_disconnected = lambda: self.step(Word.BROKEN)
-            log.note("hand-over", f"to life {str(message.get('life'))[:20]}, pid {str(message.get('pid'))[:10]}")
-            self.step(Word.TAKE)
-
-    def step(self, word: Word) -> None:
-        """Take a step."""
-        before = self.state
-        self.state, acts = state_machine.heard(before, word)
-        if self.state is SenderState.WHOLE:
-            self._steps.cancel()
-            if before is not self.state:
-                log.note("hand-over", f"came to no end ({before.value}, {word.value}): this life serves on")
-        elif before is not self.state:
-            wait = self._estate.rollback_window if self.state is SenderState.HANDED else self._estate.step_timeout
-            self._steps.arm(clock.now() + wait, lambda: self.step(Word.LATE))
-        if before is SenderState.HANDED and Act.RESUME in acts and self._since is not None:
-            self._since.doubt(clock.now())
-        for act in acts:
-            self._acts[act]()
-
-    def _say(self, message: Message, *descriptors: int) -> None:
+            return f"it is {phase.value}"
+        requires_same_site = self._participant.requires_same_site
+        if requires_same_site and message.get("site") != schema.site_of(limiter.gateway.settings):
+            return "plans or place in the set differ: restart it instead"
+        if self.state is not SenderState.SERVING:
+            return f"a hand-over is under way ({self.state.value})"
+        return None
+
+    def _on_disconnected(self) -> None:
+        self.step(Word.DISCONNECTED)
+
+    def _on_timeout(self) -> None:
+        self.step(Word.TIMED_OUT)
+
+    def step(self, event: Word) -> None:
+        """Make the transition for an input, and carry out its actions."""
+        previous = self.state
+        self.state, actions = advance_sender(previous, event)
+        if self.state is SenderState.SERVING:
+            self._step_timer.cancel()
+            if previous is not self.state:
+                log.note("hand-over", f"came to no end ({previous.value}, {event.value}): this life serves on")
+        elif previous is not self.state:
+            self._step_timer.start(clock.now() + self._state_timeout(), self._on_timeout)
+        is_rollback = previous is SenderState.DELEGATED and SenderAction.RESUME in actions
+        if is_rollback and self._late_charges is not None:
+            self._late_charges.charge_unreported(clock.now())
+        for action in actions:
+            self._actions[action]()
+
+    def _state_timeout(self) -> float:
+        if self.state is SenderState.DELEGATED:
+            return self._participant.rollback_window
+        return self._participant.step_timeout
+
+    def _send(self, message: Message, *descriptors: int) -> None:
         if self.peer is not None:
             self.peer.send(message, *descriptors)
 
-    def _offer(self) -> None:
-        self._say(
-            {"offer": self._estate.limiter.lifecycle.where, "life": self._estate.incarnation},
-            *self._estate.descriptors(),
-        )
+    def _send_descriptors(self) -> None:
+        participant = self._participant
+        message = {"offer": participant.limiter.lifecycle.where, "life": participant.incarnation}
+        self._send(message, *participant.descriptors())
 
-    def _yield(self) -> None:
-        limiter = self._estate.limiter
-        limiter.lifecycle.port.stopReading()  # what connects now waits in the kernel's queue
+    def _pause_listener(self) -> None:
+        limiter = self._participant.limiter
+        limiter.lifecycle.port.stopReading()  # new connections wait in the kernel's queue
         if limiter.counter is not None:
-            limiter.core.counter = MutedCounter()
-        data = schema.pack(self._estate.snapshots.snapshot(True))
-        self._since = restore.Since(limiter.gateway, clock.now())
-        limiter.lifecycle.on_stopping = self._tell_late
-        self._memfd = os.memfd_create("thymeflow-state")
-        with os.fdopen(os.dup(self._memfd), "wb") as file:
-            file.write(data)
-        self._handed = True
-        self._say({"state": len(data), "held": held(limiter), "part": self._estate.hand_over_allocation()}, self._memfd)
-
-    def _close_state(self) -> None:
-        if self._memfd >= 0:
-            os.close(self._memfd)
-            self._memfd = -1
-
-    def _grant(self) -> None:
-        self._close_state()
-        self._granted = True
-        self._say({"yours": True})
-
-    def _confirm(self) -> None:
-        self._say({"draining": True})
-
-    def _hand(self) -> None:
+            limiter.core.counter = RejectingCounter()
+        state = schema.pack(self._participant.snapshots.snapshot(True))
+        self._late_charges = LateCharges(limiter.gateway, clock.now())
+        limiter.lifecycle.on_stopping = self._send_late_charges
+        self._state_descriptor = os.memfd_create("thymeflow-state")
+        with os.fdopen(os.dup(self._state_descriptor), "wb") as file:
+            file.write(state)
+        self._is_allocation_handed_over = True
+        message = {
+            "state": len(state),
+            "held": count_open_connections(limiter),
+            "part": self._participant.hand_over_allocation(),
+        }
+        self._send(message, self._state_descriptor)
+
+    def _close_state_descriptor(self) -> None:
+        if self._state_descriptor >= 0:
+            os.close(self._state_descriptor)
+            self._state_descriptor = -1
+
+    def _permit_accept(self) -> None:
+        self._close_state_descriptor()
+        self._is_accept_permitted = True
+        self._send({"yours": True})
+
+    def _confirm_delegation(self) -> None:
+        self._send({"draining": True})
+
+    def _delegate(self) -> None:
         log.note("hand-over", "done: the next life accepts, this one finishes what it took")
-        self._confirm()
-        self._estate.limiter.on_handed_over(True)
-        self._tell_held()
+        self._confirm_delegation()
+        self._participant.limiter.on_handed_over(True)
+        self._report_open_connections()
 
-    def _tell_held(self, _: int = 0) -> None:
+    def _report_open_connections(self, _: int = 0) -> None:
         if self.state in OFF and self.peer is not None and not self.peer.closed:
-            self._say({"held": held(self._estate.limiter)})
-            self._estate.limiter.deadlines.at(clock.now() + TELL_HELD, self._tell_held)
+            limiter = self._participant.limiter
+            self._send({"held": count_open_connections(limiter)})
+            next_at = clock.now() + CONNECTION_REPORT_INTERVAL_SECONDS
+            limiter.deadlines.at(next_at, self._report_open_connections)
 
     def _drain(self) -> None:
-        self._estate.limiter.lifecycle.terminate(0.0)
+        self._participant.limiter.lifecycle.terminate(0.0)
 
-    def _tell_late(self) -> float:
-        # What was charged since the state, told in portions; how long its leaving may take.
-        if self._since is None or self.peer is None or self.peer.closed:
+    def _send_late_charges(self) -> float:
+        """Send what was charged since the snapshot; return the seconds that the messages need to leave."""
+        if self._late_charges is None or self.peer is None or self.peer.closed:
             return 0.0
-        late = list(self._since.units().items())
-        for start in range(0, len(late), LATE_ENTRIES):
-            self._say({"late": {str(n): units for n, units in late[start : start + LATE_ENTRIES]}})
-        self._say({"bye": len(late)})
-        return BYE
+        charges = list(self._late_charges.units().items())
+        for start in range(0, len(charges), MAX_LATE_CHARGES_PER_MESSAGE):
+            chunk = charges[start : start + MAX_LATE_CHARGES_PER_MESSAGE]
+            self._send({"late": {str(customer_id): units for customer_id, units in chunk}})
+        self._send({"bye": len(charges)})
+        return FLUSH_SECONDS
 
     def _resume(self) -> None:
-        self._close_state()
-        limiter = self._estate.limiter
-        if self._handed:
-            self._handed = False
-            self._estate.on_taken_back(self._granted)
-        self._since, self._granted = None, False
-        limiter.lifecycle.on_stopping = lambda: 0.0
+        self._close_state_descriptor()
+        limiter = self._participant.limiter
+        if self._is_allocation_handed_over:
+            self._is_allocation_handed_over = False
+            self._participant.on_taken_back(self._is_accept_permitted)
+        self._late_charges = None
+        self._is_accept_permitted = False
+        limiter.lifecycle.on_stopping = _no_last_messages
         if limiter.counter is not None:
             limiter.core.counter = limiter.counter
         limiter.on_handed_over(False)
-        self._estate.on_resumed()
+        self._participant.on_resumed()
 
-    def _forget(self) -> None:
-        if self.peer is not None:
-            other, self.peer = self.peer, None
-            other.on_disconnected = lambda: None
-            other.transport.abortConnection()
+    def _disconnect_receiver(self) -> None:
+        receiver = self.peer
+        if receiver is not None:
+            self.peer = None
+            receiver.on_disconnected = _ignore_disconnect
+            receiver.transport.abortConnection()
 
-    def _refuse(self) -> None:
-        self._say({"ok": False, "why": f"out of turn while {self.state.value}"})
+    def _reject_input(self) -> None:
+        self._send({"ok": False, "why": f"out of turn while {self.state.value}"})
--- a/thymeflow/handover/state_machine.py
+++ b/thymeflow/handover/state_machine.py
@@ -1,150 +1,208 @@
-"""The hand-over of a listening socket and its state, as two tables: no I/O, no clock.
+"""The handover of a listening socket and its state as two transition tables, without I/O and without a clock.
 
-    new  TAKE ->            old  offers the listening socket and the lock (descriptors)
-    new  READY ->           old  stops accepting, tells its state
-    new  TOOK ->            old  gives its word
-    new  SERVING ->         old  sends its user agents away; drains once it is told to end, or the new one has proved
-                                 itself; at the end tells what it charged since the state
+    receiver  REQUESTED ->         sender  sends the descriptors of the listening socket and the lock
+    receiver  RECEIVER_READY ->    sender  pauses its listener and sends its state
+    receiver  STATE_ACCEPTED ->    sender  permits the receiver to accept
+    receiver  RECEIVER_SERVING ->  sender  delegates: closes idle clients, and drains once it is asked to end or the
+                                           rollback window has passed; at the end sends what it charged since the state
 
-Whatever breaks, hangs or dies before the old one drains gives everything back: the old one accepts again.
-At no moment do both accept, and connections that come while neither does wait in the kernel's queue. What is
-not in a table is refused and changes nothing.
+Whatever fails, hangs or dies before the sender drains rolls everything back: the sender accepts again. The two never
+accept at the same time, and connections that arrive while neither does wait in the kernel's queue. An input that is
+not in a table changes nothing; the sender rejects it.
+
+The values of the enums are sent to the other process, printed in the status or logged; they are a format and stay.
 """
 
 from __future__ import annotations
 
 from enum import Enum
+from typing import NamedTuple
 
 
 class SenderState(Enum):
-    """Where the old process is."""
+    """The state of the old process."""
 
-    WHOLE = "whole"  # it serves, nobody asks
-    OFFERED = "offered"  # the other end has the descriptors and starts up; this one serves
-    YIELDING = "yielding"  # it accepts nothing; the other end reads its state
-    YIELDED = "yielded"  # the other end may accept
-    HANDED = "handed"  # the other end accepts; this one sends away, and would come back
+    SERVING = "whole"  # it serves, and no handover is under way
+    DESCRIPTORS_SENT = "offered"  # the receiver starts up with the descriptors; the sender serves
+    TRANSFERRING_STATE = "yielding"  # the listener is paused; the receiver reads the state
+    LISTENER_PAUSED = "yielded"  # the receiver is permitted to accept
+    DELEGATED = "handed"  # the receiver accepts; the sender closes idle clients, and could still take over again
     GIVEN = "given"  # it drains
 
 
 class Word(Enum):
-    """What the old process hears."""
+    """An input of the sender."""
 
-    TAKE = "take"
-    READY = "ready"
-    TOOK = "took"
-    SERVING = "serving"
-    BROKEN = "broken"  # the connection ended
-    LATE = "late"  # a step took too long
-    ENDING = "ending"  # it was told to end meanwhile
+    REQUESTED = "take"
+    RECEIVER_READY = "ready"
+    STATE_ACCEPTED = "took"
+    RECEIVER_SERVING = "serving"
+    DISCONNECTED = "broken"
+    TIMED_OUT = "late"  # a step took too long
+    ENDING = "ending"  # the process was asked to end
 
 
-class Act(Enum):
-    """What the old process does."""
+class SenderAction(Enum):
+    """An action of the sender."""
 
-    OFFER = "offer"
-    YIELD = "yield"
-    GRANT = "grant"
-    HAND = "hand"  # send user agents away, and say that the other end holds all
-    CONFIRM = "confirm"  # only say so
+    SEND_DESCRIPTORS = "offer"
+    PAUSE_LISTENER = "yield"  # and send the state
+    PERMIT_ACCEPT = "grant"
+    DELEGATE = "hand"  # close idle clients, and confirm the delegation
+    CONFIRM_DELEGATION = "confirm"
     DRAIN = "drain"
     RESUME = "resume"  # accept again
-    FORGET = "forget"  # close the connection of the other end
-    REFUSE = "refuse"
-
-
-GIVING: dict[tuple[SenderState, Word], tuple[SenderState, tuple[Act, ...]]] = {
-    (SenderState.WHOLE, Word.TAKE): (SenderState.OFFERED, (Act.OFFER,)),
-    (SenderState.WHOLE, Word.ENDING): (SenderState.WHOLE, ()),
-    (SenderState.OFFERED, Word.READY): (SenderState.YIELDING, (Act.YIELD,)),
-    (SenderState.OFFERED, Word.BROKEN): (SenderState.WHOLE, ()),
-    (SenderState.OFFERED, Word.LATE): (SenderState.WHOLE, (Act.FORGET,)),
-    (SenderState.OFFERED, Word.ENDING): (SenderState.WHOLE, (Act.FORGET,)),
-    (SenderState.YIELDING, Word.TOOK): (SenderState.YIELDED, (Act.GRANT,)),
-    (SenderState.YIELDING, Word.BROKEN): (SenderState.WHOLE, (Act.RESUME,)),
-    (SenderState.YIELDING, Word.LATE): (SenderState.WHOLE, (Act.FORGET, Act.RESUME)),
-    (SenderState.YIELDING, Word.ENDING): (SenderState.WHOLE, (Act.FORGET, Act.RESUME)),
-    (SenderState.YIELDED, Word.SERVING): (SenderState.HANDED, (Act.HAND,)),
-    (SenderState.YIELDED, Word.BROKEN): (SenderState.WHOLE, (Act.RESUME,)),
-    (SenderState.YIELDED, Word.LATE): (SenderState.WHOLE, (Act.FORGET, Act.RESUME)),
-    (SenderState.YIELDED, Word.ENDING): (SenderState.GIVEN, ()),  # the other end accepts by now, or is about to
-    (SenderState.HANDED, Word.BROKEN): (SenderState.WHOLE, (Act.RESUME,)),  # the other end is dead: nobody else accepts
-    (SenderState.HANDED, Word.LATE): (SenderState.GIVEN, (Act.DRAIN,)),  # it has proved itself
-    (SenderState.HANDED, Word.ENDING): (SenderState.GIVEN, ()),
-    (SenderState.GIVEN, Word.SERVING): (
-        SenderState.GIVEN,
-        (Act.CONFIRM,),
-    ),  # it was told to end first: the word crossed
-    (SenderState.GIVEN, Word.BROKEN): (SenderState.GIVEN, ()),
-    (SenderState.GIVEN, Word.LATE): (SenderState.GIVEN, ()),
-    (SenderState.GIVEN, Word.ENDING): (SenderState.GIVEN, ()),
+    DISCONNECT_RECEIVER = "forget"
+    REJECT_INPUT = "refuse"
+
+
+class SenderTransition(NamedTuple):
+    """The next state of the sender, and its actions in order."""
+
+    state: SenderState
+    actions: tuple[SenderAction, ...] = ()
+
+
+SENDER_TRANSITIONS: dict[tuple[SenderState, Word], SenderTransition] = {
+    (SenderState.SERVING, Word.REQUESTED): SenderTransition(
+        SenderState.DESCRIPTORS_SENT, (SenderAction.SEND_DESCRIPTORS,)
+    ),
+    (SenderState.SERVING, Word.ENDING): SenderTransition(SenderState.SERVING),
+    (SenderState.DESCRIPTORS_SENT, Word.RECEIVER_READY): SenderTransition(
+        SenderState.TRANSFERRING_STATE, (SenderAction.PAUSE_LISTENER,)
+    ),
+    (SenderState.DESCRIPTORS_SENT, Word.DISCONNECTED): SenderTransition(SenderState.SERVING),
+    (SenderState.DESCRIPTORS_SENT, Word.TIMED_OUT): SenderTransition(
+        SenderState.SERVING, (SenderAction.DISCONNECT_RECEIVER,)
+    ),
+    (SenderState.DESCRIPTORS_SENT, Word.ENDING): SenderTransition(
+        SenderState.SERVING, (SenderAction.DISCONNECT_RECEIVER,)
+    ),
+    (SenderState.TRANSFERRING_STATE, Word.STATE_ACCEPTED): SenderTransition(
+        SenderState.LISTENER_PAUSED, (SenderAction.PERMIT_ACCEPT,)
+    ),
+    (SenderState.TRANSFERRING_STATE, Word.DISCONNECTED): SenderTransition(SenderState.SERVING, (SenderAction.RESUME,)),
+    (SenderState.TRANSFERRING_STATE, Word.TIMED_OUT): SenderTransition(
+        SenderState.SERVING, (SenderAction.DISCONNECT_RECEIVER, SenderAction.RESUME)
+    ),
+    (SenderState.TRANSFERRING_STATE, Word.ENDING): SenderTransition(
+        SenderState.SERVING, (SenderAction.DISCONNECT_RECEIVER, SenderAction.RESUME)
+    ),
+    (SenderState.LISTENER_PAUSED, Word.RECEIVER_SERVING): SenderTransition(
+        SenderState.DELEGATED, (SenderAction.DELEGATE,)
+    ),
+    (SenderState.LISTENER_PAUSED, Word.DISCONNECTED): SenderTransition(SenderState.SERVING, (SenderAction.RESUME,)),
+    (SenderState.LISTENER_PAUSED, Word.TIMED_OUT): SenderTransition(
+        SenderState.SERVING, (SenderAction.DISCONNECT_RECEIVER, SenderAction.RESUME)
+    ),
+    # The receiver accepts by now, or is about to.
+    (SenderState.LISTENER_PAUSED, Word.ENDING): SenderTransition(SenderState.GIVEN),
+    # The receiver is dead, so no other process accepts.
+    (SenderState.DELEGATED, Word.DISCONNECTED): SenderTransition(SenderState.SERVING, (SenderAction.RESUME,)),
+    # The receiver outlived the rollback window.
+    (SenderState.DELEGATED, Word.TIMED_OUT): SenderTransition(SenderState.GIVEN, (SenderAction.DRAIN,)),
+    (SenderState.DELEGATED, Word.ENDING): SenderTransition(SenderState.GIVEN),
+    # The sender was asked to end before this message arrived.
+    (SenderState.GIVEN, Word.RECEIVER_SERVING): SenderTransition(SenderState.GIVEN, (SenderAction.CONFIRM_DELEGATION,)),
+    (SenderState.GIVEN, Word.DISCONNECTED): SenderTransition(SenderState.GIVEN),
+    (SenderState.GIVEN, Word.TIMED_OUT): SenderTransition(SenderState.GIVEN),
+    (SenderState.GIVEN, Word.ENDING): SenderTransition(SenderState.GIVEN),
 }
 
 
-def heard(at: SenderState, word: Word) -> tuple[SenderState, tuple[Act, ...]]:
-    """The old process's next state and what it does."""
-    return GIVING.get((at, word), (at, (Act.REFUSE,)))
+def advance_sender(state: SenderState, event: Word) -> SenderTransition:
+    """Return the sender's transition; an input that is not in the table is rejected and keeps the state."""
+    rejection = SenderTransition(state, (SenderAction.REJECT_INPUT,))
+    return SENDER_TRANSITIONS.get((state, event), rejection)
 
 
 class ReceiverState(Enum):
-    """Where the new process is."""
-
-    ASKING = "asking"
-    LOADING = "loading"  # it has the descriptors, and starts up
-    READING = "reading"  # it said that it is ready, and waits for the state
-    CLAIMING = "claiming"  # it holds the state, and waits for the old one's word
-    PROVING = "proving"  # it accepts, and waits to hear that the old one drains
-    HOLDING = "holding"  # all is its own
+    """The state of the new process."""
+
+    REQUESTING = "asking"
+    STARTING_UP = "loading"  # it has the descriptors, and starts up
+    AWAITING_STATE = "reading"  # it is ready, and waits for the state
+    AWAITING_PERMISSION = "claiming"  # it has restored the state, and waits for the permission to accept
+    AWAITING_CONFIRMATION = "proving"  # it accepts, and waits for the confirmation of the delegation
+    COMPLETED = "holding"  # it owns socket, state and name
     FAILED = "failed"
 
 
 class Told(Enum):
-    """What the new process is told."""
-
-    OFFER = "offer"
-    LOADED = "loaded"  # by itself: the list is known, counter and discovery are connected
-    STATE = "state"
-    YOURS = "yours"
-    DRAINING = "draining"
-    BROKEN = "broken"
-    LATE = "late"
-    UNFIT = "unfit"  # by itself: what it was given cannot be used
-
-
-class Move(Enum):
-    """What the new process does."""
-
-    LOAD = "load"
-    SAY_READY = "ready"
-    ADOPT_STATE = "adopt state"  # and say that it took it
-    ACCEPT = "accept"  # and say that it serves
-    SETTLE = "settle"  # it is what the name means from now on
-    QUIT = "quit"  # it never accepted: end at once
-    RETREAT = "retreat"  # it accepts already: end in good order
-
-
-TAKING: dict[tuple[ReceiverState, Told], tuple[ReceiverState, tuple[Move, ...]]] = {
-    (ReceiverState.ASKING, Told.OFFER): (ReceiverState.LOADING, (Move.LOAD,)),
-    (ReceiverState.LOADING, Told.LOADED): (ReceiverState.READING, (Move.SAY_READY,)),
-    (ReceiverState.READING, Told.STATE): (ReceiverState.CLAIMING, (Move.ADOPT_STATE,)),
-    (ReceiverState.CLAIMING, Told.YOURS): (ReceiverState.PROVING, (Move.ACCEPT,)),
-    (ReceiverState.PROVING, Told.DRAINING): (ReceiverState.HOLDING, (Move.SETTLE,)),
-    (ReceiverState.PROVING, Told.BROKEN): (ReceiverState.FAILED, (Move.RETREAT,)),
-    # The old one may have drained already, its word on the way: only the end of the connection tells that it has
-    # not, as what it said before comes first. To retreat on a guess could leave nobody who accepts.
-    (ReceiverState.PROVING, Told.LATE): (ReceiverState.PROVING, ()),
-    (ReceiverState.HOLDING, Told.BROKEN): (ReceiverState.HOLDING, ()),
-    (ReceiverState.HOLDING, Told.LATE): (ReceiverState.HOLDING, ()),
-    (ReceiverState.FAILED, Told.BROKEN): (ReceiverState.FAILED, ()),
-    (ReceiverState.FAILED, Told.LATE): (ReceiverState.FAILED, ()),
+    """An input of the receiver."""
+
+    DESCRIPTORS_RECEIVED = "offer"
+    STARTED_UP = "loaded"  # locally: the endpoint list is known, counter and discovery are connected
+    STATE_RECEIVED = "state"
+    ACCEPT_PERMITTED = "yours"
+    DELEGATION_CONFIRMED = "draining"
+    DISCONNECTED = "broken"
+    TIMED_OUT = "late"
+    UNFIT = "unfit"  # locally: the receiver gives up, as what it was sent cannot be used or it was asked to end
+
+
+class ReceiverAction(Enum):
+    """An action of the receiver."""
+
+    START_UP = "load"
+    SEND_READY = "say ready"
+    RESTORE_STATE = "adopt state"  # and acknowledge it
+    START_ACCEPTING = "accept"  # and notify the sender
+    COMPLETE = "settle"
+    ABANDON = "quit"  # it never accepted: end at once
+    RETREAT = "retreat"  # it accepts already: shut down gracefully
+
+
+class ReceiverTransition(NamedTuple):
+    """The next state of the receiver, and its actions in order."""
+
+    state: ReceiverState
+    actions: tuple[ReceiverAction, ...] = ()
+
+
+STATES_BEFORE_ACCEPTING = (
+    ReceiverState.REQUESTING,
+    ReceiverState.STARTING_UP,
+    ReceiverState.AWAITING_STATE,
+    ReceiverState.AWAITING_PERMISSION,
+)
+FAULTS = (Told.DISCONNECTED, Told.TIMED_OUT, Told.UNFIT)
+
+RECEIVER_TRANSITIONS: dict[tuple[ReceiverState, Told], ReceiverTransition] = {
+    (ReceiverState.REQUESTING, Told.DESCRIPTORS_RECEIVED): ReceiverTransition(
+        ReceiverState.STARTING_UP, (ReceiverAction.START_UP,)
+    ),
+    (ReceiverState.STARTING_UP, Told.STARTED_UP): ReceiverTransition(
+        ReceiverState.AWAITING_STATE, (ReceiverAction.SEND_READY,)
+    ),
+    (ReceiverState.AWAITING_STATE, Told.STATE_RECEIVED): ReceiverTransition(
+        ReceiverState.AWAITING_PERMISSION, (ReceiverAction.RESTORE_STATE,)
+    ),
+    (ReceiverState.AWAITING_PERMISSION, Told.ACCEPT_PERMITTED): ReceiverTransition(
+        ReceiverState.AWAITING_CONFIRMATION, (ReceiverAction.START_ACCEPTING,)
+    ),
+    (ReceiverState.AWAITING_CONFIRMATION, Told.DELEGATION_CONFIRMED): ReceiverTransition(
+        ReceiverState.COMPLETED, (ReceiverAction.COMPLETE,)
+    ),
+    (ReceiverState.AWAITING_CONFIRMATION, Told.DISCONNECTED): ReceiverTransition(
+        ReceiverState.FAILED, (ReceiverAction.RETREAT,)
+    ),
+    # The sender may have delegated already, with its confirmation on the way: only the end of the connection shows
+    # that it has not, since earlier messages arrive before it. To retreat on a guess could leave no process that
+    # accepts.
+    (ReceiverState.AWAITING_CONFIRMATION, Told.TIMED_OUT): ReceiverTransition(ReceiverState.AWAITING_CONFIRMATION),
+    (ReceiverState.COMPLETED, Told.DISCONNECTED): ReceiverTransition(ReceiverState.COMPLETED),
+    (ReceiverState.COMPLETED, Told.TIMED_OUT): ReceiverTransition(ReceiverState.COMPLETED),
+    (ReceiverState.FAILED, Told.DISCONNECTED): ReceiverTransition(ReceiverState.FAILED),
+    (ReceiverState.FAILED, Told.TIMED_OUT): ReceiverTransition(ReceiverState.FAILED),
     **{
-        (at, told): (ReceiverState.FAILED, (Move.QUIT,))
-        for at in (ReceiverState.ASKING, ReceiverState.LOADING, ReceiverState.READING, ReceiverState.CLAIMING)
-        for told in (Told.BROKEN, Told.LATE, Told.UNFIT)
+        (state, fault): ReceiverTransition(ReceiverState.FAILED, (ReceiverAction.ABANDON,))
+        for state in STATES_BEFORE_ACCEPTING
+        for fault in FAULTS
     },
 }
 
 
-def told(at: ReceiverState, what: Told) -> tuple[ReceiverState, tuple[Move, ...]]:
-    """The new process's next state and what it does; what comes out of turn changes nothing."""
-    return TAKING.get((at, what), (at, ()))
+def advance_receiver(state: ReceiverState, event: Told) -> ReceiverTransition:
+    """Return the receiver's transition; an input that is not in the table changes nothing."""
+    return RECEIVER_TRANSITIONS.get((state, event), ReceiverTransition(state))
--- a/thymeflow/handover/upgradable_limiter.py
+++ b/thymeflow/handover/upgradable_limiter.py
@@ -1,7 +1,7 @@
-"""The platform's run where operators call: two copies side by side during an upgrade, one limiter to all others.
+"""The platform's run with an operators' port: two copies side by side during an upgrade.
 
-A copy finds its predecessor by a Unix socket in `$TMPDIR`, which an upgrade keeps. Where there is none, or the
-one there does not answer as a predecessor would, this copy starts as any other, at an address that is shared.
+A copy finds its predecessor by a Unix socket in `$TMPDIR`, which an upgrade keeps. Where there is none, or its
+process does not reply as a predecessor would, this copy starts without a handover, at an address that is shared.
 """
 
 from __future__ import annotations
@@ -11,13 +11,13 @@
 import socket
 import sys
 from pathlib import Path
-from typing import Any
 
 from thymeflow.discovery.watch import FIRST
 from thymeflow.frontend.listener import bound
 from thymeflow.handover import listening_sockets
 from thymeflow.handover.control_socket import ControlCaller, ControlError, ControlServer, Message
 from thymeflow.handover.participant import RejectedHandoverError
+from thymeflow.handover.reactor_types import UnixReactor
 from thymeflow.handover.receiver import HandoverReceiver
 from thymeflow.handover.sender import OFF, HandoverSender
 from thymeflow.handover.state_machine import Told, Word
@@ -27,136 +27,161 @@
 from thymeflow.runtime import clock, log
 from thymeflow.snapshot.store import SnapshotStore
 
-PLACES = 4  # callers at the socket: a successor, and some that should not be there
+MAX_CALLERS = 4  # at the control socket: a successor, and some that should not be there
+INCARNATION_BYTES = 4  # of the random identifier of one process
 
 
 class UpgradableLimiter:
-    """One copy, from its start to its end."""
+    """One copy of the limiter, from its start to its end."""
 
-    step_timeout = 1.5  # s: for a step of a hand-over; the whole start has 6 s
-    rollback_window = 30.0  # s: for which the old copy stays to come back; the platform ends it long before
-    requires_same_site = False  # a release may bring other plans: what fits of the state is taken
+    step_timeout = 1.5  # seconds, for a step of a handover; the whole start has 6 s
+    rollback_window = 30.0  # seconds for which the old copy can take over again; the platform ends it long before
+    requires_same_site = False  # a release may bring other plans: the part of the state that applies is restored
 
-    def __init__(self, given: configuration.Configuration, reactor: Any) -> None:
-        self.limiter, self.incarnation, self.code = Limiter(given, reactor), secrets.token_hex(4), 0
+    def __init__(self, given: configuration.Configuration, reactor: UnixReactor) -> None:
+        self.limiter = Limiter(given, reactor)
+        self.incarnation = secrets.token_hex(INCARNATION_BYTES)
+        self.code = 0  # exit code
         self.snapshots = SnapshotStore(given.name, self.incarnation, given.endpoints)
         self.snapshots.of(self.limiter.gateway)
         self.snapshots.listed(given.endpoints)
         self.limiter.on_list = self.snapshots.listed
-        self.limiter.when_endpoints_ready = self._told
-        folder = os.environ.get("TMPDIR")
-        self._path = Path(folder) / f"{given.name.replace('/', '_')}.sock" if folder else None
+        self.limiter.when_endpoints_ready = self._on_endpoints_ready
+        self._path = _socket_path(given.name)
         self._control: ControlServer | None = None
-        self._ending = False
-        self.giving = HandoverSender(self)
-        self._taking: HandoverReceiver | None = None
+        self._is_ending = False
+        self._sender = HandoverSender(self)
+        self._receiver: HandoverReceiver | None = None
 
     def start(self) -> None:
-        """Listen for operators; take over where there is a predecessor, else begin to serve."""
+        """Listen for operators; take over if there is a predecessor, else begin to serve."""
         self.limiter.listen_for_operators()
         if self._path is not None and os.path.lexists(self._path):
-            self._taking = HandoverReceiver(self, self._path)
-            self._taking.begin()
+            self._receiver = HandoverReceiver(self, self._path)
+            self._receiver.begin()
         else:
-            self._alone()
+            self._start_without_predecessor()
 
     def end(self) -> None:
-        """SIGTERM or SIGINT."""
-        self._ending = True
-        if self._taking is not None and not self._taking.is_serving():
-            self._taking.step(Told.UNFIT)
+        """Shut down gracefully, on SIGTERM or SIGINT."""
+        self._is_ending = True
+        if self._receiver is not None and not self._receiver.is_serving():
+            self._receiver.step(Told.UNFIT)
             return
-        self.giving.step(Word.ENDING)
-        self.limiter.lifecycle.terminate(0.0 if self.giving.state in OFF else None)
+        self._sender.step(Word.ENDING)
+        self.limiter.lifecycle.terminate(0.0 if self._sender.state in OFF else None)
 
     def finish(self) -> int:
-        """After the reactor; the exit code."""
+        """Clean up after the reactor has stopped, and return the exit code."""
         if self._control is not None:
-            self._control.tidy()
+            self._control.remove_socket_file()
         return self.code or self.limiter.code
 
-    def _told(self) -> None:
-        if self._taking is not None:
-            self._taking.on_endpoints_known()
+    def _on_endpoints_ready(self) -> None:
+        if self._receiver is not None:
+            self._receiver.on_endpoints_known()
 
-    def _alone(self) -> None:
-        where = self.limiter.configuration.listen
+    def _start_without_predecessor(self) -> None:
+        address = self.limiter.configuration.listen
         try:
-            made = bound(where.host, where.port, shared=True)
+            listening_socket = bound(address.host, address.port, shared=True)
         except OSError as fault:
-            print(f"thymeflow: cannot listen: {where}: {fault.strerror}", file=sys.stderr)
+            print(f"thymeflow: cannot listen: {address}: {fault.strerror}", file=sys.stderr)
             self.code = CANNOT_LISTEN
             self.limiter.reactor.callWhenRunning(self.limiter.reactor.stop)
             return
-        self._open_control()
-        self.limiter.listen(made)
+        self._open_control_socket()
+        self.limiter.listen(listening_socket)
         self.limiter.connect(clock.now() + FIRST)
 
-    def _open_control(self) -> None:
+    def _open_control_socket(self) -> None:
         if self._path is None:
             return
         limiter = self.limiter
-        control = ControlServer(limiter.reactor, limiter.deadlines, self._path, PLACES, self.step_timeout, self._served)
+        control = ControlServer(
+            limiter.reactor, limiter.deadlines, self._path, MAX_CALLERS, self.step_timeout, self._on_control_message
+        )
         try:
             control.listen()
-        except (ControlError, OSError, ValueError) as fault:  # where Unix sockets are refused, all else goes on
+        except (ControlError, OSError, ValueError) as fault:  # where Unix sockets are forbidden, all else works
             log.note("hand-over", f"no successor can take over from this life: {fault}")
             return
         self._control = control
-        limiter.lifecycle.on_phase = lambda phase: control.close() if phase is Phase.STOPPED else None
+        limiter.lifecycle.on_phase = self._on_phase
 
-    def _served(self, caller: ControlCaller, message: Message) -> None:
-        if not self.giving.handle(caller, message):
+    def _on_phase(self, phase: Phase) -> None:
+        if phase is Phase.STOPPED and self._control is not None:
+            self._control.close()
+
+    def _on_control_message(self, caller: ControlCaller, message: Message) -> None:
+        if not self._sender.handle(caller, message):
             caller.send({"ok": False, "why": "only a successor has anything to ask here"})
 
-    # What a hand-over asks: see `succession.estate`.
+    # The methods of `participant.HandoverParticipant`.
 
     def descriptors(self) -> list[int]:
-        """The listening socket."""
+        """Return the descriptor of the listening socket."""
         return [self.limiter.lifecycle.port.fileno()]
 
     def adopt_descriptors(self, descriptors: list[int]) -> socket.socket:
-        """The listening socket as it came; Unfit where it is none, or listens elsewhere."""
+        """Return the listening socket that was passed.
+
+        :raises RejectedHandoverError: if it is not a listening socket, or listens at another address.
+        """
         try:
-            if len(descriptors) != 1:
-                raise listening_sockets.BadDescriptorError(f"{len(descriptors)} descriptors came with it, not 1")
-            found = listening_sockets.checked(descriptors[0])
+            listening_socket = _checked_listening_socket(descriptors)
         except (listening_sockets.BadDescriptorError, OSError) as fault:
             raise RejectedHandoverError(str(fault)) from None
-        where, wanted = found.getsockname()[:2], self.limiter.configuration.listen
-        if where[0] != wanted.host or wanted.port not in (0, where[1]):
-            found.close()
-            raise RejectedHandoverError(f"it listens at {where[0]}:{where[1]}, and {wanted} is wanted")
-        return found
-
-    def accept(self, taken: socket.socket) -> str:
-        """Accept from now on."""
-        self._open_control()
-        self.limiter.listen(taken)
+        host, port = listening_socket.getsockname()[:2]
+        expected = self.limiter.configuration.listen
+        if host != expected.host or expected.port not in (0, port):
+            listening_socket.close()
+            message = f"it listens at {host}:{port}, and {expected} is wanted"
+            raise RejectedHandoverError(message)
+        return listening_socket
+
+    def accept(self, listening: socket.socket) -> str:
+        """Start to accept connections; there is no fault to return."""
+        self._open_control_socket()
+        self.limiter.listen(listening)
         return ""
 
     def hand_over_allocation(self) -> None:
-        """The platform divides nothing."""
+        """Return no allocation: the platform grants none."""
 
     def inherit_allocation(self, message: object) -> None:
-        """The platform divides nothing."""
+        """Ignore an allocation: the platform grants none."""
 
     def on_taken_back(self, used: bool) -> None:
-        """The platform divides nothing."""
+        """Do nothing: there is no allocation to take back."""
 
     def on_resumed(self) -> None:
-        """Successors may ask here again."""
+        """Let successors find this process again."""
         if self._control is not None:
-            self._control.point()
+            self._control.publish_link()
 
     def abandon(self) -> None:
-        """Nothing was taken over: serve alone, at the address as it is shared."""
-        if self._ending:
+        """Start without a handover, at the shared address, unless the process was asked to end."""
+        if self._is_ending:
             self.limiter.reactor.callWhenRunning(self.limiter.reactor.stop)
         else:
             log.note("hand-over", "given up: this life starts by itself")
-            self._alone()
+            self._start_without_predecessor()
 
     def retreat(self) -> None:
-        """The old copy is gone, or serves as well; this one goes on."""
+        """Continue to serve: the old copy is gone, or serves as well."""
         log.note("hand-over", "the earlier life ended before its last word: this one serves on")
+
+
+def _socket_path(name: str) -> Path | None:
+    folder = os.environ.get("TMPDIR")
+    if not folder:
+        return None
+    return Path(folder) / f"{name.replace('/', '_')}.sock"
+
+
+def _checked_listening_socket(descriptors: list[int]) -> socket.socket:
+    if len(descriptors) != 1:
+        message = f"{len(descriptors)} descriptors came with it, not 1"
+        raise listening_sockets.BadDescriptorError(message)
+    return listening_sockets.checked(descriptors[0])
--- a/thymeflow/snapshot/__init__.py
+++ b/thymeflow/snapshot/__init__.py
@@ -1,1 +1,1 @@
-"""State that outlives a process: what is remembered, what it means at a start, and the file it lies in."""
+"""Snapshots of a limiter's state: the file, its schema, and how a later process restores it."""
--- a/thymeflow/snapshot/atomic_file.py
+++ b/thymeflow/snapshot/atomic_file.py
@@ -1,8 +1,8 @@
-"""Files written whole or not at all: the snapshot's, and others that must never be seen half written.
+"""Files that are replaced atomically: a reader sees the old content or the new, never a part of it.
 
-Temporary file beside it, written, fsync, renamed over the old one. Whatever goes wrong on the way leaves the old
-file as it was. How far a write has to outlast the machine itself is the caller's to say, as each fsync waits for
-the disk that all instances share.
+The content goes to a temporary file beside the target, which is synchronized and then renamed over it. A failure on
+the way leaves the old file as it was. The caller decides what a write has to survive, since each fsync waits for the
+disk that all instances share.
 """
 
 from __future__ import annotations
@@ -12,27 +12,32 @@
 from enum import Enum
 from pathlib import Path
 
-from thymeflow.snapshot.schema import MOST_BYTES, SnapshotError
+from thymeflow.snapshot.errors import SnapshotError
+from thymeflow.snapshot.schema import MAX_SNAPSHOT_BYTES
+
+FILE_MODE = 0o600
 
 
 class Durability(Enum):
-    """What a file outlasts once `write` has returned."""
+    """What a file survives once `write` has returned."""
+
+    PROCESS = "process"  # the end of the process; after a power cut the file can be made again
+    CONTENT = "content"  # a power cut, after which the old content or the new one is complete
+    ALL = "all"  # a power cut, after which the new content is there
 
-    PROCESS = "process"  # it can be made again after a power cut
-    CONTENT = "content"  # after one, the old file or the new one is there, each whole
-    ALL = "all"  # after one, the new file is there
 
+def write(path: Path, data: bytes, durability: Durability = Durability.ALL) -> None:
+    """Replace the file's content.
 
-def write(path: Path, data: bytes, lasting: Durability = Durability.ALL) -> None:
-    """Put the bytes in the place of the old file; OSError where that failed, with the old file standing."""
+    :raises OSError: if that failed; the old file is unchanged, except that a failed fsync of the folder leaves the
+        new file in place.
+    """
     temporary = path.with_name(f".{path.name}.{os.getpid()}")
-    descriptor = os.open(temporary, os.O_WRONLY | os.O_CREAT | os.O_TRUNC | os.O_CLOEXEC, 0o600)
+    descriptor = os.open(temporary, os.O_WRONLY | os.O_CREAT | os.O_TRUNC | os.O_CLOEXEC, FILE_MODE)
     try:
         try:
-            rest = memoryview(data)
-            while rest:
-                rest = rest[os.write(descriptor, rest) :]
-            if lasting is not Durability.PROCESS:
+            _write_all(descriptor, data)
+            if durability is not Durability.PROCESS:
                 os.fsync(descriptor)
         finally:
             os.close(descriptor)
@@ -41,21 +46,35 @@
         with contextlib.suppress(OSError):
             os.unlink(temporary)
         raise
-    if lasting is not Durability.ALL:
-        return
-    folder = os.open(path.parent, os.O_RDONLY | os.O_DIRECTORY)
+    if durability is Durability.ALL:
+        _sync_folder(path.parent)
+
+
+def _write_all(descriptor: int, data: bytes) -> None:
+    remainder = memoryview(data)
+    while remainder:
+        written = os.write(descriptor, remainder)
+        remainder = remainder[written:]
+
+
+def _sync_folder(path: Path) -> None:
+    descriptor = os.open(path, os.O_RDONLY | os.O_DIRECTORY)
     try:
-        os.fsync(folder)
+        os.fsync(descriptor)
     finally:
-        os.close(folder)
+        os.close(descriptor)
 
 
 def read(path: Path) -> bytes | None:
-    """The file's bytes, None where there is none; SnapshotError where it cannot be read."""
+    """Return the file's content, at most one byte more than a snapshot may have; None if there is no file.
+
+    :raises SnapshotError: if it cannot be read.
+    """
     try:
         with path.open("rb") as file:
-            return file.read(MOST_BYTES + 1)
+            return file.read(MAX_SNAPSHOT_BYTES + 1)
     except FileNotFoundError:
         return None
     except OSError as fault:
-        raise SnapshotError(f"it cannot be read: {fault.strerror}") from None
+        message = f"it cannot be read: {fault.strerror}"
+        raise SnapshotError(message) from None
--- /dev/null
+++ b/thymeflow/snapshot/late_charges.py
@@ -0,0 +1,57 @@
+"""Charges that a limiter made after its snapshot was handed over, which its successor has to learn of."""
+
+from __future__ import annotations
+
+from collections.abc import Mapping
+
+from thymeflow.decision.policy import Gateway, TokenBucket
+
+MIN_REPORTED_UNITS = 1e-9  # smaller differences are rounding
+
+
+class LateCharges:
+    """The charges of each customer since a snapshot was taken."""
+
+    def __init__(self, gateway: Gateway, now: float) -> None:
+        self._gateway = gateway
+        self._started_at = now
+        self._charged_before = {customer_id: bucket.charged_units for customer_id, bucket in gateway.buckets.items()}
+        self._local_rates = {customer_id: bucket.local_rate for customer_id, bucket in gateway.buckets.items()}
+
+    def charge_unreported(self, now: float) -> None:
+        """Charge what a successor that died may have spent without reporting it.
+
+        As with a snapshot of a running limiter, each customer is charged its own demand since then.
+        """
+        elapsed_seconds = max(0.0, now - self._started_at)
+        for customer_id, local_rate in self._local_rates.items():
+            if bucket := self._gateway.buckets.get(customer_id):
+                bucket.refresh(now)
+                spend(bucket, local_rate * elapsed_seconds)
+
+    def units(self) -> dict[int, float]:
+        """Return by customer the units charged since the snapshot, less what was settled below its charge."""
+        charges = {
+            customer_id: bucket.charged_units - self._charged_before.get(customer_id, 0.0)
+            for customer_id, bucket in self._gateway.buckets.items()
+        }
+        return {customer_id: units for customer_id, units in charges.items() if abs(units) > MIN_REPORTED_UNITS}
+
+
+def charge_late(gateway: Gateway, units: Mapping[int, float]) -> int:
+    """Charge what the predecessor forwarded after its snapshot; return how many buckets that concerned."""
+    charged_count = 0
+    for customer_id, amount in units.items():
+        bucket = gateway.buckets.get(customer_id)
+        if bucket is not None:
+            # Settled units return only to a bucket that knows of the charge, and never beyond its share of the burst.
+            bucket.charge(amount)
+            bucket.level = min(bucket.level, bucket.plan.burst * bucket.quota_fraction(bucket.local_rate))
+            charged_count += 1
+    return charged_count
+
+
+def spend(bucket: TokenBucket, units: float) -> None:
+    """Take units from a bucket, without going below empty."""
+    bucket.level -= min(units, max(0.0, bucket.level))
+    bucket.global_level -= min(units, max(0.0, bucket.global_level))
--- a/thymeflow/snapshot/restore.py
+++ b/thymeflow/snapshot/restore.py
@@ -1,16 +1,18 @@
-"""What is remembered of a gateway, and what that means to the next life: no I/O and no clock.
+"""Takes snapshots of a gateway and restores them; without I/O and without a clock.
 
-The rule is that a restart mints no units. What was spent stays spent, debt stays debt, and what may have been
-spent without our knowing counts as spent:
+A restart must not create units. What was spent stays spent, debt stays debt, and what may have been spent without
+being recorded counts as spent:
 
-- from a *final* snapshot, taken when nothing more could be sent on, every store goes on as it stood and fills
-  for the time that has passed;
-- from one taken in passing, a store may have gone on spending until the process died. It is charged its own
-  demand over the whole gap, never below empty. What a customer that was quiet at the snapshot spent between
-  it and the death is the margin: at most what its slice held, once.
+- after a *final* snapshot, taken when nothing more could be forwarded, each bucket continues at its old level and
+  refills for the time that has passed;
+- after one of a running limiter, the customer may have gone on spending until the process died. Its bucket is charged
+  its own demand over the whole gap, but never below empty. The margin is what a customer that was idle at the
+  snapshot spent between it and the death: at most its share of the burst, once.
 
-A slice is bounded by the burst as the settings have it now. In a set of another size it shrinks and never
-grows. Word of others is not carried over: until the counter answers, the even slice holds, as at any start.
+A bucket's share is bounded by the burst of the current settings. In a set of another size it shrinks and never grows.
+The demand at other limiters is not restored: until the counter replies, the even share applies, as at any start.
+
+This module translates between the field names of `schema`, which are a format, and those of the code.
 """
 
 from __future__ import annotations
@@ -18,230 +20,249 @@
 from collections.abc import Mapping
 from dataclasses import replace
 from math import inf
+from typing import NamedTuple
 
 from thymeflow.decision.events import EndpointsChanged
-from thymeflow.decision.gateway import Gateway
+from thymeflow.decision.policy import BackendStats, Gateway, TokenBucket
 from thymeflow.decision.settings import Plan
 from thymeflow.decision.types import Backend, BackendState, EndpointListKind
-from thymeflow.health.backend_stats import BackendStats, FailureStreak
-from thymeflow.platform.endpoints import Address, EndpointUpdate
-from thymeflow.quota.counter_ledger import CounterLedger, UncertainAmount
-from thymeflow.quota.token_bucket import TokenBucket
+from thymeflow.platform.configuration import Address, EndpointUpdate
+from thymeflow.quota.counter_ledger import CounterLedger
+from thymeflow.snapshot.late_charges import spend
 from thymeflow.snapshot.schema import AccountRecord, HealthRecord, ServerRecord, Snapshot, StoreRecord, site_of
 
-MOST_FAILURES = 64  # in a row that are remembered of a server; beyond it the wait is the longest anyway
+MAX_CONSECUTIVE_FAILURES = 64  # that are restored of a backend; with more, the backoff is at its maximum anyway
+MAX_EJECTION_SECONDS = 60.0  # from the restore on
+MIN_RELATIVE_LATENCY = 0.1
+MAX_RELATIVE_LATENCY = 10.0
+MIN_MEAN_LATENCY_RATIO = 1e-3
+MIN_CALL_RATE_FACTOR = 0.1  # of the new gateway's counter call rate
+MAX_CALL_RATE_FACTOR = 4.0
+
 
+class RestoreResult(NamedTuple):
+    """How many buckets of a snapshot were restored, and how many were skipped."""
 
-def _figure(value: float, least: float = 0.0) -> float:
-    # Minus infinity stands for "never" in the module; a snapshot holds only finite figures.
-    return least if value == -inf else value
+    restored: int
+    skipped: int
 
 
 def _account_record(ledger: CounterLedger) -> AccountRecord:
     return AccountRecord(
-        ledger.read_at,
-        ledger.reported_units,
-        ledger.reported_charges,
-        ledger.counter_name,
-        ledger.last_total,
-        ledger.uncertain,
+        read=ledger.read_at,
+        told=ledger.reported_units,
+        spent=ledger.reported_charges,
+        name=ledger.counter_name,
+        total=ledger.last_total,
+        unsure=ledger.uncertain,
     )
 
 
-def _ledger(record: AccountRecord) -> CounterLedger:
-    return CounterLedger(
-        record.read, record.told, record.spent, record.name, record.total, UncertainAmount(*record.unsure)
-    )
+def _counter_ledger(record: AccountRecord) -> CounterLedger:
+    return CounterLedger(record.read, record.told, record.spent, record.name, record.total, record.unsure)
 
 
-def _store(store: TokenBucket, out: Mapping[int, tuple[int, float]]) -> StoreRecord:
-    account = replace(store.counter_ledger)
-    for name, (number, mine) in out.items():  # a call that is out may have been added, or may yet be
-        if number == store.customer_id:
-            account.mark_uncertain(name, mine)
+def _store_record(bucket: TokenBucket, counter_calls: Mapping[int, tuple[int, float]]) -> StoreRecord:
+    ledger = replace(bucket.counter_ledger)
+    for counter_name, (customer_id, amount) in counter_calls.items():
+        if customer_id == bucket.customer_id:  # the call is in flight and may have been added already
+            ledger.mark_uncertain(counter_name, amount)
     return StoreRecord(
-        store.customer_id,
-        store.plan.name,
-        store.updated_at,
-        store.last_seen_at,
-        store.level,
-        store.global_level,
-        store.ceiling_level,
-        store.local_rate,
-        store.remote_rate,
-        store.requested_units,
-        store.charged_units,
-        store.mean_cost,
-        store.usage_ratio,
-        store.remote_rate_memory,
-        store.member_count,
-        tuple(store.members),
-        store.is_aggregator,
-        store.predicted_remote_usage,
-        _account_record(account),
+        number=bucket.customer_id,
+        plan=bucket.plan.name,
+        at=bucket.updated_at,
+        seen=bucket.last_seen_at,
+        level=bucket.level,
+        fleet=bucket.global_level,
+        guard=bucket.ceiling_level,
+        own=bucket.local_rate,
+        others=bucket.remote_rate,
+        asked=bucket.requested_units,
+        charged=bucket.charged_units,
+        lump=bucket.mean_cost,
+        excess=bucket.usage_ratio,
+        memory=bucket.remote_rate_memory,
+        count=bucket.member_count,
+        members=tuple(bucket.members),
+        gathers=bucket.is_aggregator,
+        ahead=bucket.predicted_remote_usage,
+        account=_account_record(ledger),
     )
 
 
-def _health(server: BackendStats) -> HealthRecord:
+def _ejection_end(ejected_until: float) -> float:
+    # The gateway has minus infinity for "never"; a snapshot holds finite numbers only.
+    return 0.0 if ejected_until == -inf else ejected_until
+
+
+def _health_record(stats: BackendStats) -> HealthRecord:
     return HealthRecord(
-        server.endpoint.id,
-        server.endpoint.started,
-        server.relative_latency,
-        server.send_interval,
-        {name: (min(count, MOST_FAILURES), _figure(end)) for name, (count, end) in server.failures.items()},
+        id=stats.endpoint.id,
+        started=stats.endpoint.started,
+        pace=stats.relative_latency,
+        gap=stats.send_interval,
+        failures={
+            class_name: (min(failure_count, MAX_CONSECUTIVE_FAILURES), _ejection_end(ejected_until))
+            for class_name, (failure_count, ejected_until) in stats.failures.items()
+        },
+    )
+
+
+def _server_record(backend: Backend, address: Address) -> ServerRecord:
+    return ServerRecord(
+        id=backend.id,
+        host=address.host,
+        port=address.port,
+        zone=backend.zone,
+        state=int(backend.state),
+        cell=backend.cell,
+        kind=backend.kind,
+        weight=backend.weight,
+        started=backend.started,
     )
 
 
 def remember(
-    gateway: Gateway, name: str, life: str, now: float, final: bool, version: int, addresses: Mapping[int, Address]
+    gateway: Gateway,
+    name: str,
+    incarnation: str,
+    now: float,
+    final: bool,
+    version: int,
+    addresses: Mapping[int, Address],
 ) -> Snapshot:
-    """All that is worth remembering, at the time `now`."""
+    """Return a snapshot of the gateway at `now`, with the endpoint list's version and the addresses of backends."""
     servers = tuple(
-        ServerRecord(
-            s.endpoint.id,
-            addresses[s.endpoint.id].host,
-            addresses[s.endpoint.id].port,
-            s.endpoint.zone,
-            int(s.endpoint.state),
-            s.endpoint.cell,
-            s.endpoint.kind,
-            s.endpoint.weight,
-            s.endpoint.started,
-        )
-        for s in gateway.backends.values()
-        if s.endpoint.id in addresses
+        _server_record(stats.endpoint, addresses[stats.endpoint.id])
+        for stats in gateway.backends.values()
+        if stats.endpoint.id in addresses
     )
     return Snapshot(
-        site_of(gateway.settings),
-        name,
-        life,
-        now,
-        final,
-        gateway.settings.limiter_count,
-        gateway.pressure,
-        gateway.mean_latency_ratio,
-        gateway.retry_budget,
-        gateway.call_rate,
-        version,
-        servers,
-        tuple(_health(s) for s in gateway.backends.values()),
-        tuple(_store(s, gateway.counter_calls) for s in gateway.buckets.values() if s.members),
+        site=site_of(gateway.settings),
+        name=name,
+        life=incarnation,
+        taken=now,
+        final=final,
+        gateways=gateway.settings.limiter_count,
+        pressure=gateway.pressure,
+        usual=gateway.mean_latency_ratio,
+        budget=gateway.retry_budget,
+        call_rate=gateway.call_rate,
+        version=version,
+        servers=servers,
+        health=tuple(_health_record(stats) for stats in gateway.backends.values()),
+        stores=tuple(
+            _store_record(bucket, gateway.counter_calls) for bucket in gateway.buckets.values() if bucket.members
+        ),
     )
 
 
 def listed(snapshot: Snapshot) -> EndpointUpdate:
-    """The list as it was known, in the form of one told at a start; it may be old."""
+    """Return the snapshot's endpoint list, marked as cached since it may be old."""
     backends = tuple(
-        Backend(s.id, s.zone, BackendState(s.state), s.cell, s.kind, s.weight, s.started) for s in snapshot.servers
+        Backend(
+            record.id,
+            record.zone,
+            BackendState(record.state),
+            record.cell,
+            record.kind,
+            record.weight,
+            record.started,
+        )
+        for record in snapshot.servers
     )
     return EndpointUpdate(
         EndpointsChanged(EndpointListKind.CACHED, backends, snapshot.version),
-        {s.id: Address(s.host, s.port) for s in snapshot.servers},
+        {record.id: Address(record.host, record.port) for record in snapshot.servers},
     )
 
 
 def newer(snapshot: Snapshot, known: EndpointUpdate) -> EndpointUpdate:
-    """The newer of the list that the platform told and the one that was remembered."""
-    return listed(snapshot) if snapshot.servers and snapshot.version > known.change.version else known
-
-
-def _spend(store: TokenBucket, units: float) -> None:
-    store.level -= min(units, max(0.0, store.level))
-    store.global_level -= min(units, max(0.0, store.global_level))
-
-
-def _recalled(record: StoreRecord, plan: Plan, snapshot: Snapshot, now: float, made: Gateway) -> TokenBucket:
-    store = made.bucket_factory(plan, record.number, now, now, 0.0)
-    at = min(record.at, now)  # a clock that has stepped back must not fill twice
-    store.updated_at, store.last_seen_at = at, now
-    store.level, store.global_level = min(record.level, plan.burst), min(record.fleet, plan.burst)
-    store.local_rate, store.remote_rate = max(0.0, record.own), max(0.0, record.others)
-    store.requested_units, store.charged_units, store.counter_ledger = (
-        record.asked,
-        record.charged,
-        _ledger(record.account),
-    )
-    store.mean_cost, store.usage_ratio, store.remote_rate_memory = record.lump, record.excess, record.memory
-    store.members, store.member_count, store.is_aggregator = list(record.members), max(1, record.count), record.gathers
-    store.ceiling_level = min(record.guard, plan.ceiling_burst / store.member_count)
-    store.counter_ledger.read_at = min(store.counter_ledger.read_at, now)
-    store.predicted_remote_usage = max(0.0, record.ahead)
-    own, gap = store.local_rate, max(0.0, now - at)
-    store.refresh(now)
+    """Return the newer of the snapshot's endpoint list and a known one."""
+    if snapshot.servers and snapshot.version > known.change.version:
+        return listed(snapshot)
+    return known
+
+
+def _restored_bucket(record: StoreRecord, plan: Plan, snapshot: Snapshot, now: float, gateway: Gateway) -> TokenBucket:
+    bucket = gateway.bucket_factory(plan, record.number, now, now, 0.0)
+    updated_at = min(record.at, now)  # a clock that was stepped back must not refill twice
+    _restore_fields(bucket, record, plan, updated_at)
+    bucket.last_seen_at = now
+    bucket.counter_ledger.read_at = min(bucket.counter_ledger.read_at, now)
+    local_rate = bucket.local_rate
+    gap_seconds = max(0.0, now - updated_at)
+    bucket.refresh(now)
     if not snapshot.final:
-        # It may have spent to the last moment before this one: its demand then is the best guess, and what
-        # is not there cannot have been spent. The ceiling is a rule, so there nothing is left to a guess.
-        _spend(store, own * gap)
-        store.ceiling_level = min(store.ceiling_level, 0.0)
-    return store
-
-
-def recall(gateway: Gateway, snapshot: Snapshot, now: float) -> tuple[int, int]:
-    """Give a new gateway what an earlier life remembered; stores recalled and left out."""
-    left = 0
+        # It may have spent until just now: its demand is the best estimate, and what is not in the bucket cannot
+        # have been spent. The ceiling is a hard limit, so nothing there is left to an estimate.
+        spend(bucket, local_rate * gap_seconds)
+        bucket.ceiling_level = min(bucket.ceiling_level, 0.0)
+    return bucket
+
+
+def _restore_fields(bucket: TokenBucket, record: StoreRecord, plan: Plan, updated_at: float) -> None:
+    bucket.updated_at = updated_at
+    bucket.level = min(record.level, plan.burst)
+    bucket.global_level = min(record.fleet, plan.burst)
+    bucket.local_rate = max(0.0, record.own)
+    bucket.remote_rate = max(0.0, record.others)
+    bucket.requested_units = record.asked
+    bucket.charged_units = record.charged
+    bucket.counter_ledger = _counter_ledger(record.account)
+    bucket.mean_cost = record.lump
+    bucket.usage_ratio = record.excess
+    bucket.remote_rate_memory = record.memory
+    bucket.members = list(record.members)
+    bucket.member_count = max(1, record.count)
+    bucket.is_aggregator = record.gathers
+    bucket.ceiling_level = min(record.guard, plan.ceiling_burst / bucket.member_count)
+    bucket.predicted_remote_usage = max(0.0, record.ahead)
+
+
+def recall(gateway: Gateway, snapshot: Snapshot, now: float) -> RestoreResult:
+    """Restore a new gateway's state, except that of backends; buckets of unknown plans are skipped."""
+    skipped = 0
     plans = gateway.plans
     for record in snapshot.stores:
         plan = plans.get(record.plan)
         if plan is None or record.number in gateway.buckets:
-            left += 1
+            skipped += 1
             continue
-        store = _recalled(record, plan, snapshot, now, gateway)
-        store.set_changed = snapshot.gateways != gateway.settings.limiter_count
-        gateway.buckets[record.number] = store
+        bucket = _restored_bucket(record, plan, snapshot, now, gateway)
+        bucket.set_changed = snapshot.gateways != gateway.settings.limiter_count
+        gateway.buckets[record.number] = bucket
     gateway.pressure = min(1.0, max(0.0, snapshot.pressure))
-    gateway.mean_latency_ratio = max(1e-3, snapshot.usual)
+    gateway.mean_latency_ratio = max(MIN_MEAN_LATENCY_RATIO, snapshot.usual)
     gateway.retry_budget = min(gateway.max_retry_budget(), max(0.0, snapshot.budget))
-    gateway.call_rate = min(max(gateway.call_rate * 0.1, snapshot.call_rate), gateway.call_rate * 4.0)
-    return len(snapshot.stores) - left, left
+    min_call_rate = gateway.call_rate * MIN_CALL_RATE_FACTOR
+    max_call_rate = gateway.call_rate * MAX_CALL_RATE_FACTOR
+    gateway.call_rate = min(max(min_call_rate, snapshot.call_rate), max_call_rate)
+    return RestoreResult(len(snapshot.stores) - skipped, skipped)
 
 
 def health(gateway: Gateway, snapshot: Snapshot, now: float) -> int:
-    """Once the list is known: what was seen of servers that are still in the life it was seen in."""
-    found = 0
+    """Restore the health of backends that have not restarted since; return how many there are.
+
+    The endpoint list has to be known by then.
+    """
+    restored = 0
     for record in snapshot.health:
-        server = gateway.backends.get(record.id)
-        if server is not None and server.endpoint.started == record.started:
-            server.relative_latency, server.send_interval = min(10.0, max(0.1, record.pace)), max(0.0, record.gap)
-            server.failures = {
-                name: FailureStreak(min(max(0, count), MOST_FAILURES), min(end, now + 60.0) or -inf)
-                for name, (count, end) in record.failures.items()
-            }
-            found += 1
-    return found
-
-
-class Since:
-    """What was charged after a state was handed over, by customer: told to the successor at the end."""
-
-    def __init__(self, gateway: Gateway, now: float) -> None:
-        self._gateway, self._at = gateway, now
-        self._before = {number: store.charged_units for number, store in gateway.buckets.items()}
-        self._own = {number: store.local_rate for number, store in gateway.buckets.items()}
-
-    def doubt(self, now: float) -> None:
-        """The successor died with what it spent untold: as from a snapshot taken in passing, nothing is minted."""
-        for number, own in self._own.items():
-            if store := self._gateway.buckets.get(number):
-                store.refresh(now)
-                _spend(store, own * max(0.0, now - self._at))
-
-    def units(self) -> dict[int, float]:
-        """By customer's number: units charged since, less what was settled below its charge."""
-        late = {
-            number: store.charged_units - self._before.get(number, 0.0)
-            for number, store in self._gateway.buckets.items()
-        }
-        return {number: units for number, units in late.items() if abs(units) > 1e-9}
-
-
-def charge_late(gateway: Gateway, units: Mapping[int, float]) -> int:
-    """Charge what the predecessor sent on after its state was taken; how many stores that concerned."""
-    found = 0
-    for number, amount in units.items():
-        store = gateway.buckets.get(number)
-        if store is not None:
-            # Settled units come back only to a store that knows of the charge, and never beyond its slice.
-            store.charge(amount)
-            store.level = min(store.level, store.plan.burst * store.quota_fraction(store.local_rate))
-            found += 1
-    return found
+        stats = gateway.backends.get(record.id)
+        if stats is not None and stats.endpoint.started == record.started:
+            _restore_health_record(stats, record, now)
+            restored += 1
+    return restored
+
+
+def _restore_health_record(stats: BackendStats, record: HealthRecord, now: float) -> None:
+    stats.relative_latency = min(MAX_RELATIVE_LATENCY, max(MIN_RELATIVE_LATENCY, record.pace))
+    stats.send_interval = max(0.0, record.gap)
+    stats.failures = {
+        class_name: (min(max(0, failure_count), MAX_CONSECUTIVE_FAILURES), _ejected_until(ejection_end, now))
+        for class_name, (failure_count, ejection_end) in record.failures.items()
+    }
+
+
+def _ejected_until(ejection_end: float, now: float) -> float:
+    return min(ejection_end, now + MAX_EJECTION_SECONDS) or -inf
--- a/thymeflow/snapshot/schema.py
+++ b/thymeflow/snapshot/schema.py
@@ -1,11 +1,14 @@
-"""The snapshot as it is written: typed records, and bytes with a head that tells whether to believe them.
+r"""The format of snapshots: typed records, and bytes with a header that shows whether they can be trusted.
 
     thymeflow-snapshot VERSION SITE TAKEN LENGTH DIGEST\n
     {...}
 
-Everything is checked before anything is used: the head, the length, the digest (BLAKE2b), then each value's
-type (`typed`). Whoever reads gets one `SnapshotError` with a line that says what is wrong and where. The
-standard library is enough for it: the platform's run line hands its state over and imports nothing more.
+Everything is checked before anything is used: the header, the length, the digest (BLAKE2b), then each value's type
+(`validation`). All faults are reported as one SnapshotError. The module needs the standard library only, since the
+platform's run hands its state over too and imports nothing more.
+
+The names of the records' fields are the keys of the file, a format that earlier versions wrote and later ones read;
+they stay as they are. `restore` translates them to the names of the code.
 """
 
 from __future__ import annotations
@@ -13,25 +16,30 @@
 import hashlib
 import json
 from dataclasses import asdict, dataclass, field
-from typing import Any
+from typing import NamedTuple
 
 from thymeflow.decision.settings import GatewaySettings, Plan
-from thymeflow.snapshot.validation import InvalidValueError, typed
+from thymeflow.snapshot.errors import InvalidValueError
+from thymeflow.snapshot.errors import SnapshotError as SnapshotError
+from thymeflow.snapshot.validation import convert_record
 
 MAGIC = "thymeflow-snapshot"
-VERSION = 2  # 2: counts hold charges beside demand
-MOST_BYTES = 64 << 20  # a larger file is no snapshot of ours
-MOST_HEAD = 200
-AHEAD = 1.0  # s: by how much a snapshot may be newer than our clock, for clocks that step
-
-
-class SnapshotError(Exception):
-    """The snapshot is not used; the text says why in one line."""
+VERSION = 2  # since 2, records hold charges beside demand
+UNCHARGED_VERSION = 1
+MAX_SNAPSHOT_BYTES = 64 << 20
+MAX_HEADER_BYTES = 200
+HEADER_FIELD_COUNT = 6
+MIN_HEADER_FIELD_COUNT = 2  # up to the version, by which the rest is read
+BODY_BYTES_INDEX = 4  # of the header's fields
+MAX_CLOCK_SKEW_SECONDS = 1.0  # by which a snapshot may be newer than the clock, as clocks are stepped
+SITE_DIGEST_BYTES = 8
+BODY_DIGEST_BYTES = 16
+MAX_QUOTED_VERSION_LENGTH = 20
 
 
 @dataclass(frozen=True, slots=True)
 class AccountRecord:
-    """A customer's counter ledger: see `quota.counter_ledger.CounterLedger`."""
+    """A customer's counter ledger; see `quota.counter_ledger.CounterLedger`."""
 
     read: float
     told: float = 0.0
@@ -43,7 +51,7 @@
 
 @dataclass(frozen=True, slots=True)
 class StoreRecord:
-    """A customer's store at one limiter. Amounts are units, times Unix seconds."""
+    """A customer's token bucket at one limiter; amounts are in units, times in Unix seconds."""
 
     number: int
     plan: str
@@ -62,25 +70,25 @@
     count: int
     members: tuple[int, ...]
     gathers: bool
-    ahead: float  # what others may have charged since the last reading
+    ahead: float  # what other limiters may have charged since the counter was read
     account: AccountRecord
 
 
 @dataclass(frozen=True, slots=True)
 class HealthRecord:
-    """What was seen of one application server in its present life."""
+    """The health of one backend, as observed since it started."""
 
     id: int
     started: float
     pace: float
     gap: float
-    # By class: failures in a row, end of the ejection or 0.
+    # By request class: consecutive failures, and the end of the ejection or 0.
     failures: dict[str, tuple[int, float]] = field(default_factory=dict)
 
 
 @dataclass(frozen=True, slots=True)
 class ServerRecord:
-    """An application server of the list."""
+    """A backend of the endpoint list."""
 
     id: int
     host: str
@@ -95,26 +103,26 @@
 
 @dataclass(frozen=True, slots=True)
 class Snapshot:
-    """All that a limiter remembers of one life."""
+    """The state of a limiter."""
 
     site: str
     name: str
     life: str
     taken: float
-    final: bool  # written when nothing more could be sent on
+    final: bool  # taken when nothing more could be forwarded
     gateways: int
     pressure: float
     usual: float
     budget: float
     call_rate: float
-    version: int  # of the list
+    version: int  # of the endpoint list
     servers: tuple[ServerRecord, ...]
     health: tuple[HealthRecord, ...]
     stores: tuple[StoreRecord, ...]
 
 
 class _Verbatim(str):
-    """Text that stands in a `repr` as it is."""
+    """Text that a `repr` of its container shows without quotes."""
 
     __repr__ = str.__str__
 
@@ -137,64 +145,123 @@
 
 
 def site_of(settings: GatewaySettings) -> str:
-    """Digest of what must be equal for a bucket to mean the same: plans, zone and index, not classes or set size."""
+    """Return a digest of what gives a bucket its meaning: plans, zone and index, but not classes or set size."""
     text = repr((tuple(_plan_text(plan) for plan in settings.plans), settings.zone, settings.index))
-    return hashlib.blake2b(text.encode(), digest_size=8).hexdigest()
+    return hashlib.blake2b(text.encode(), digest_size=SITE_DIGEST_BYTES).hexdigest()
+
+
+class Header(NamedTuple):
+    """The first line of a snapshot."""
+
+    version: str
+    site: str
+    taken: str
+    body_bytes: str
+    digest: str
+
+
+def _body_digest(body: bytes) -> str:
+    return hashlib.blake2b(body, digest_size=BODY_DIGEST_BYTES).hexdigest()
+
+
+def _taken_text(taken: float) -> str:
+    return f"{taken:.6f}"
 
 
 def pack(snapshot: Snapshot) -> bytes:
-    """The file's bytes."""
+    """Return the snapshot as the bytes of a file."""
     body = json.dumps(asdict(snapshot), separators=(",", ":")).encode()
-    digest = hashlib.blake2b(body, digest_size=16).hexdigest()
-    head = f"{MAGIC} {VERSION} {snapshot.site} {snapshot.taken:.6f} {len(body)} {digest}\n"
-    return head.encode() + body
+    taken = _taken_text(snapshot.taken)
+    header = f"{MAGIC} {VERSION} {snapshot.site} {taken} {len(body)} {_body_digest(body)}\n"
+    return header.encode() + body
 
 
-def _renewed(found: Any) -> Any:
-    # Version 1 is what an upgrade from before 2 hands over: its counts held no charges, and had other names.
-    for store in found["stores"] if isinstance(found, dict) and isinstance(found.get("stores"), list) else ():
-        if isinstance(store, dict):
-            account = {"told": store.pop("told", None), "read": store.pop("read", 0.0), "spent": store.get("charged")}
-            for name in ("window", "total", "unsure_window", "unsure"):
-                store.pop(name, None)
-            store.update(account=account, ahead=0.0)
-    return found
+def unpack(data: bytes) -> Snapshot:
+    """Return the snapshot that the bytes of a file hold.
+
+    :raises SnapshotError: if they are incomplete, damaged or of an unknown version.
+    """
+    if len(data) > MAX_SNAPSHOT_BYTES:
+        message = f"it holds {len(data)} bytes, over the {MAX_SNAPSHOT_BYTES} that one may have"
+        raise SnapshotError(message)
+    line, newline, body = data.partition(b"\n")
+    header = _parse_header(line, has_newline=bool(newline))
+    _check_body(header, body)
+    snapshot = _parse_body(header, body)
+    if header.site != snapshot.site or header.taken != _taken_text(snapshot.taken):
+        message = "its first line and its content differ"
+        raise SnapshotError(message)
+    return snapshot
 
 
-def unpack(data: bytes) -> Snapshot:
-    """The snapshot in a file's bytes; SnapshotError where they are not whole and sound."""
-    if len(data) > MOST_BYTES:
-        raise SnapshotError(f"it holds {len(data)} bytes, over the {MOST_BYTES} that one may have")
-    head, mark, body = data.partition(b"\n")
-    words = head[:MOST_HEAD].decode("ascii", "replace").split(" ")
-    if not mark or words[0] != MAGIC or len(words) < 2:
-        raise SnapshotError(f"it does not begin with the line '{MAGIC} VERSION ...'")
-    if words[1] not in ("1", str(VERSION)):
-        raise SnapshotError(f"it is of version {words[1][:20]}, and this program reads versions 1 and {VERSION}")
-    if len(words) != 6 or not words[4].isdigit():
-        raise SnapshotError("its first line is damaged")
-    if len(body) != int(words[4]):
-        raise SnapshotError(f"it was cut: {len(body)} bytes of {words[4]} are there")
-    if hashlib.blake2b(body, digest_size=16).hexdigest() != words[5]:
-        raise SnapshotError("its checksum does not fit its content")
+def _parse_header(line: bytes, *, has_newline: bool) -> Header:
+    header_fields = line[:MAX_HEADER_BYTES].decode("ascii", "replace").split(" ")
+    if not has_newline or header_fields[0] != MAGIC or len(header_fields) < MIN_HEADER_FIELD_COUNT:
+        message = f"it does not begin with the line '{MAGIC} VERSION ...'"
+        raise SnapshotError(message)
+    version = header_fields[1]
+    if version not in (str(UNCHARGED_VERSION), str(VERSION)):
+        quoted = version[:MAX_QUOTED_VERSION_LENGTH]
+        message = f"it is of version {quoted}, and this program reads versions {UNCHARGED_VERSION} and {VERSION}"
+        raise SnapshotError(message)
+    if len(header_fields) != HEADER_FIELD_COUNT or not header_fields[BODY_BYTES_INDEX].isdigit():
+        message = "its first line is damaged"
+        raise SnapshotError(message)
+    return Header(*header_fields[1:])
+
+
+def _check_body(header: Header, body: bytes) -> None:
+    if len(body) != int(header.body_bytes):
+        message = f"it was cut: {len(body)} bytes of {header.body_bytes} are there"
+        raise SnapshotError(message)
+    if _body_digest(body) != header.digest:
+        message = "its checksum does not fit its content"
+        raise SnapshotError(message)
+
+
+def _parse_body(header: Header, body: bytes) -> Snapshot:
     try:
-        found = json.loads(body)
-        snapshot: Snapshot = typed(Snapshot, _renewed(found) if words[1] == "1" else found, "snapshot")
+        content: object = json.loads(body)
+        if header.version == str(UNCHARGED_VERSION):
+            _upgrade_uncharged_version(content)
+        return convert_record(Snapshot, content, "snapshot")
     except (InvalidValueError, ValueError, RecursionError) as fault:
-        raise SnapshotError(f"a value is not of its type: {fault}") from None
-    if words[2] != snapshot.site or words[3] != f"{snapshot.taken:.6f}":
-        raise SnapshotError("its first line and its content differ")
-    return snapshot
+        message = f"a value is not of its type: {fault}"
+        raise SnapshotError(message) from None
+
+
+def _upgrade_uncharged_version(content: object) -> None:
+    # An upgrade from a program before version 2 hands version 1 over: its records held no charges and had other names.
+    stores = content.get("stores") if isinstance(content, dict) else None
+    if not isinstance(stores, list):
+        return
+    for store in stores:
+        if isinstance(store, dict):
+            _upgrade_uncharged_store(store)
+
+
+def _upgrade_uncharged_store(store: dict[str, object]) -> None:
+    account = {"told": store.pop("told", None), "read": store.pop("read", 0.0), "spent": store.get("charged")}
+    for name in ("window", "total", "unsure_window", "unsure"):
+        store.pop(name, None)
+    store.update(account=account, ahead=0.0)
+
 
+def believed(snapshot: Snapshot, site: str, name: str, now: float, max_age_seconds: float) -> None:
+    """Check that a valid snapshot is of this limiter and recent.
 
-def believed(snapshot: Snapshot, site: str, name: str, now: float, fresh: float) -> None:
-    """Whether a sound snapshot is ours and of now; SnapshotError says why it is not."""
+    :raises SnapshotError: if it is of another site or limiter, from the future or too old.
+    """
     if snapshot.site != site:
-        raise SnapshotError(f"it is of another site or place in the set ({snapshot.site}, here {site})")
+        message = f"it is of another site or place in the set ({snapshot.site}, here {site})"
+        raise SnapshotError(message)
     if snapshot.name != name:
-        raise SnapshotError(f"it is of the limiter {snapshot.name!r}, here {name!r}")
-    age = now - snapshot.taken
-    if age < -AHEAD:
-        raise SnapshotError(f"it was taken {-age:.1f} s in the future")
-    if age > fresh:
-        raise SnapshotError(f"it is {age:.1f} s old, and is read within {fresh:g} s")
+        message = f"it is of the limiter {snapshot.name!r}, here {name!r}"
+        raise SnapshotError(message)
+    age_seconds = now - snapshot.taken
+    if age_seconds < -MAX_CLOCK_SKEW_SECONDS:
+        message = f"it was taken {-age_seconds:.1f} s in the future"
+        raise SnapshotError(message)
+    if age_seconds > max_age_seconds:
+        message = f"it is {age_seconds:.1f} s old, and is read within {max_age_seconds:g} s"
+        raise SnapshotError(message)
--- a/thymeflow/snapshot/store.py
+++ b/thymeflow/snapshot/store.py
@@ -1,65 +1,68 @@
-"""What one life knows that the next should: the list beside the gateway, and how an earlier life is recalled."""
+"""The snapshots of one limiter process: taken from its gateway, and restored from an earlier process."""
 
 from __future__ import annotations
 
-from thymeflow.decision.gateway import Gateway
+from thymeflow import Gateway
 from thymeflow.decision.types import EndpointListKind
-from thymeflow.platform import endpoints
+from thymeflow.platform import configuration
 from thymeflow.runtime import clock, log
 from thymeflow.snapshot import restore, schema
 
 
 class SnapshotStore:
-    """What one life could write down, and what it was given by an earlier one."""
+    """Takes snapshots of a gateway, and restores one that an earlier process took."""
 
-    def __init__(self, name: str, life: str, first_list: endpoints.EndpointUpdate) -> None:
-        self._name, self._life = name, life
+    def __init__(self, name: str, incarnation: str, first_list: configuration.EndpointUpdate) -> None:
+        self._name = name
+        self._incarnation = incarnation
         self.version = first_list.change.version
-        self._addresses: dict[int, endpoints.Address] = {}
+        self._addresses: dict[int, configuration.Address] = {}
         self._gateway: Gateway | None = None
-        self._seen: schema.Snapshot | None = None  # whose word on servers waits for the list
+        self._awaiting_endpoints: schema.Snapshot | None = None  # its health records wait for the endpoint list
         self._source = "none"
 
     def of(self, gateway: Gateway) -> None:
-        """Whose memory this is."""
+        """Set the gateway whose state this is."""
         self._gateway = gateway
 
     def recall(self, snapshot: schema.Snapshot, source: str) -> None:
-        """Give the gateway what the snapshot remembers."""
+        """Restore the gateway's state from a snapshot that came from `source`."""
         assert self._gateway is not None
-        known, left = restore.recall(self._gateway, snapshot, clock.now())
-        self._seen, self._source = snapshot, source
+        result = restore.recall(self._gateway, snapshot, clock.now())
+        self._awaiting_endpoints = snapshot
+        self._source = source
         log.note(
             "snapshot",
-            f"{known} customers remembered from the {source} of life {snapshot.life}, taken "
+            f"{result.restored} customers remembered from the {source} of life {snapshot.life}, taken "
             f"{clock.now() - snapshot.taken:.1f} s ago{'' if snapshot.final else ' in passing'}; "
-            f"{left} left out",
-            customers=known,
-            left=left,
+            f"{result.skipped} left out",
+            customers=result.restored,
+            left=result.skipped,
             final=snapshot.final,
         )
-        self._see()
+        self._restore_health()
 
-    def listed(self, news: endpoints.EndpointUpdate) -> None:
-        """A change of the list, kept beside the gateway, which knows no addresses."""
-        if news.change.kind is not EndpointListKind.DELTA:
+    def listed(self, update: configuration.EndpointUpdate) -> None:
+        """Keep the addresses of an update of the endpoint list, as the gateway has none."""
+        if update.change.kind is not EndpointListKind.DELTA:
             self._addresses.clear()
-        for entry in news.change.backends:
-            if entry.id in news.addresses:
-                self._addresses[entry.id] = news.addresses[entry.id]
+        for backend in update.change.backends:
+            if backend.id in update.addresses:
+                self._addresses[backend.id] = update.addresses[backend.id]
             else:
-                self._addresses.pop(entry.id, None)
-        self.version = max(self.version, news.change.version)
-        self._see()
+                self._addresses.pop(backend.id, None)
+        self.version = max(self.version, update.change.version)
+        self._restore_health()
 
-    def _see(self) -> None:
-        if self._seen is not None and self._gateway is not None and self._gateway.backends:
-            snapshot, self._seen = self._seen, None
+    def _restore_health(self) -> None:
+        snapshot = self._awaiting_endpoints
+        if snapshot is not None and self._gateway is not None and self._gateway.backends:
+            self._awaiting_endpoints = None
             restore.health(self._gateway, snapshot, clock.now())
 
     def snapshot(self, final: bool) -> schema.Snapshot:
-        """All that there is to remember now."""
+        """Return the state as it is now; `final` if nothing more can be forwarded."""
         assert self._gateway is not None
         return restore.remember(
-            self._gateway, self._name, self._life, clock.now(), final, self.version, self._addresses
+            self._gateway, self._name, self._incarnation, clock.now(), final, self.version, self._addresses
         )
--- a/thymeflow/snapshot/validation.py
+++ b/thymeflow/snapshot/validation.py
@@ -1,54 +1,97 @@
-"""Values read from JSON made into frozen dataclasses: each of its type, nothing missing and nothing more."""
+"""Conversion of values read from JSON to frozen dataclasses: each of its type, with no field missing or unknown."""
 
 from __future__ import annotations
 
 from dataclasses import MISSING, fields, is_dataclass
 from functools import lru_cache
 from math import isfinite
-from typing import Any, get_args, get_origin, get_type_hints
+from typing import TYPE_CHECKING, NamedTuple, TypeVar, get_args, get_origin, get_type_hints
 
-MOST = 1e15  # no amount, time or total is more
+from thymeflow.snapshot.errors import InvalidValueError as InvalidValueError
 
+if TYPE_CHECKING:
+    from _typeshed import DataclassInstance
 
-class InvalidValueError(Exception):
-    """A value is not what its place wants; the text says where."""
+MAX_MAGNITUDE = 1e15  # of any amount, time or total
+MAX_QUOTED_LENGTH = 40  # characters of a value that an error text quotes
+MAX_CACHED_CLASSES = 32
+PLAIN_TYPES = (int, bool, str)
 
+Record = TypeVar("Record")
 
-@lru_cache(maxsize=32)
-def _wanted(cls: Any) -> dict[str, tuple[Any, bool]]:
+
+class FieldSpec(NamedTuple):
+    """What a field of a record requires."""
+
+    kind: object  # a type, or a generic alias as tuple[int, ...]
+    is_required: bool
+
+
+def convert_record(cls: type[Record], value: object, where: str) -> Record:
+    """Return the value, read from JSON, as an instance of a dataclass; `where` is its name in error texts.
+
+    :raises InvalidValueError: if a value is not of its field's type, or a field is missing or unknown.
+    """
+    record = _convert(cls, value, where)
+    assert isinstance(record, cls)
+    return record
+
+
+@lru_cache(maxsize=MAX_CACHED_CLASSES)
+def _field_specs(cls: type[DataclassInstance]) -> dict[str, FieldSpec]:
     hints = get_type_hints(cls)
-    return {f.name: (hints[f.name], f.default is MISSING and f.default_factory is MISSING) for f in fields(cls)}
-
-
-def typed(kind: Any, value: Any, where: str) -> Any:
-    """The value as the kind asks: a dataclass, tuple, dict by text, or a plain type; BadValue says what is not."""
-    if kind is float and type(value) in (int, float):
-        if not isfinite(value) or abs(value) > MOST:
-            raise InvalidValueError(f"{where} is {value}, which no amount can be")
-        return float(value)
-    if kind in (int, bool, str):
-        if type(value) is not kind:
-            raise InvalidValueError(f"{where} is {str(value)[:40]!r}, no {kind.__name__}")
-        return value
+    return {
+        field.name: FieldSpec(hints[field.name], field.default is MISSING and field.default_factory is MISSING)
+        for field in fields(cls)
+    }
+
+
+def _convert(kind: object, value: object, where: str) -> object:
+    if kind is float and isinstance(value, int | float) and not isinstance(value, bool):
+        return _convert_number(value, where)
+    if isinstance(kind, type) and kind in PLAIN_TYPES:
+        return _check_plain(kind, value, where)
     if isinstance(kind, type) and is_dataclass(kind) and isinstance(value, dict):
-        return _record(kind, value, where)
-    origin, of = get_origin(kind), get_args(kind)
-    if origin is tuple and isinstance(value, list | tuple):
-        if of[-1] is ...:
-            return tuple([typed(of[0], part, f"{where}[{n}]") for n, part in enumerate(value)])
-        if len(of) == len(value):
-            return tuple([typed(o, part, f"{where}[{n}]") for n, (o, part) in enumerate(zip(of, value, strict=True))])
+        return _convert_fields(kind, value, where)
+    origin = get_origin(kind)
+    arguments = get_args(kind)
+    if origin is tuple and isinstance(value, list | tuple) and arguments[-1] is ...:
+        return tuple([_convert(arguments[0], item, f"{where}[{index}]") for index, item in enumerate(value)])
+    if origin is tuple and isinstance(value, list | tuple) and len(arguments) == len(value):
+        pairs = enumerate(zip(arguments, value, strict=True))
+        return tuple([_convert(item_kind, item, f"{where}[{index}]") for index, (item_kind, item) in pairs])
     if origin is dict and isinstance(value, dict):
-        return {key: typed(of[1], part, f"{where}[{key!r}]") for key, part in value.items()}
-    raise InvalidValueError(f"{where} is {str(value)[:40]!r}, not what belongs there")
+        return {key: _convert(arguments[1], item, f"{where}[{key!r}]") for key, item in value.items()}
+    message = f"{where} is {_quote(value)}, not what belongs there"
+    raise InvalidValueError(message)
+
+
+def _convert_number(value: float, where: str) -> float:
+    if not isfinite(value) or abs(value) > MAX_MAGNITUDE:
+        message = f"{where} is {value}, which no amount can be"
+        raise InvalidValueError(message)
+    return float(value)
+
 
+def _check_plain(kind: type, value: object, where: str) -> object:
+    if type(value) is not kind:  # exactly, as a bool is an int too
+        message = f"{where} is {_quote(value)}, no {kind.__name__}"
+        raise InvalidValueError(message)
+    return value
 
-def _record(cls: Any, value: dict[str, Any], where: str) -> Any:
-    wanted = _wanted(cls)
+
+def _convert_fields(cls: type[DataclassInstance], value: dict[str, object], where: str) -> object:
+    specs = _field_specs(cls)
     for name in value:
-        if name not in wanted:
-            raise InvalidValueError(f"{where} has {name[:40]!r}, which is not known")
-    for name, (_, needed) in wanted.items():
-        if needed and name not in value:
-            raise InvalidValueError(f"{where}.{name} is missing")
-    return cls(**{name: typed(wanted[name][0], part, f"{where}.{name}") for name, part in value.items()})
+        if name not in specs:
+            message = f"{where} has {name[:MAX_QUOTED_LENGTH]!r}, which is not known"
+            raise InvalidValueError(message)
+    for name, spec in specs.items():
+        if spec.is_required and name not in value:
+            message = f"{where}.{name} is missing"
+            raise InvalidValueError(message)
+    return cls(**{name: _convert(specs[name].kind, item, f"{where}.{name}") for name, item in value.items()})
+
+
+def _quote(value: object) -> str:
+    return repr(str(value)[:MAX_QUOTED_LENGTH])
