--- a/tests/handover/test_state_machine.py
+++ b/tests/handover/test_state_machine.py
@@ -1,7 +1,9 @@
-"""The hand-over's tables, walked pair by pair and then played by both sides with every step going wrong."""
+"""The handover's transition tables: every pair of state and input, and both sides together under faults."""
 
 from __future__ import annotations
 
+from enum import Enum
+
 import pytest
 from hypothesis import given
 from hypothesis import strategies as st
@@ -19,135 +21,171 @@
     advance_sender,
 )
 
-ACCEPTS_OLD = (SenderState.SERVING, SenderState.DESCRIPTORS_SENT)
-
-
-@pytest.mark.parametrize("at", SenderState)
-@pytest.mark.parametrize("word", Word)
-def test_every_pair_of_the_old_side_keeps_its_promises(at: SenderState, word: Word) -> None:
-    after, acts = advance_sender(at, word)
-    if (at, word) not in SENDER_TRANSITIONS:
-        assert (after, acts) == (at, (SenderAction.REJECT_INPUT,))
-    if at in (SenderState.TRANSFERRING_STATE, SenderState.LISTENER_PAUSED) and after is SenderState.SERVING:
-        assert SenderAction.RESUME in acts  # whoever stopped accepting and takes back accepts again
-    assert (SenderAction.DELEGATE in acts) == (at is SenderState.LISTENER_PAUSED and word is Word.RECEIVER_SERVING)
-    assert (SenderAction.DRAIN in acts) == (at is SenderState.DELEGATED and word is Word.TIMED_OUT)
-    if at is SenderState.GIVEN:
-        assert after is SenderState.GIVEN  # what is given is never taken back
-    if at is SenderState.DELEGATED and word is Word.DISCONNECTED:  # but what is handed is, where the other end died
-        assert after is SenderState.SERVING and SenderAction.RESUME in acts
-    if word is Word.TIMED_OUT and at not in (SenderState.SERVING, SenderState.DELEGATED, SenderState.GIVEN):
-        assert after is SenderState.SERVING and SenderAction.DISCONNECT_RECEIVER in acts
-
-
-@pytest.mark.parametrize("at", ReceiverState)
-@pytest.mark.parametrize("what", Told)
-def test_every_pair_of_the_new_side_keeps_its_promises(at: ReceiverState, what: Told) -> None:
-    after, moves = advance_receiver(at, what)
-    if (at, what) not in RECEIVER_TRANSITIONS:
-        assert (after, moves) == (at, ())
-    accepted = at is ReceiverState.AWAITING_CONFIRMATION
-    if (what is Told.DISCONNECTED and at not in (ReceiverState.COMPLETED, ReceiverState.FAILED)) or (
-        what is Told.TIMED_OUT
-        and at
-        in (
-            ReceiverState.REQUESTING,
-            ReceiverState.STARTING_UP,
-            ReceiverState.AWAITING_STATE,
-            ReceiverState.AWAITING_PERMISSION,
-        )
+STATES_BEFORE_ACCEPTING = (
+    ReceiverState.REQUESTING,
+    ReceiverState.STARTING_UP,
+    ReceiverState.AWAITING_STATE,
+    ReceiverState.AWAITING_PERMISSION,
+)
+
+
+@pytest.mark.parametrize("state", SenderState)
+@pytest.mark.parametrize("event", Word)
+def test_sender_keeps_its_guarantees_for_every_state_and_event(state: SenderState, event: Word) -> None:
+    next_state, actions = advance_sender(state, event)
+    if (state, event) not in SENDER_TRANSITIONS:
+        assert (next_state, actions) == (state, (SenderAction.REJECT_INPUT,))
+    if state in (SenderState.TRANSFERRING_STATE, SenderState.LISTENER_PAUSED) and next_state is SenderState.SERVING:
+        assert SenderAction.RESUME in actions  # a rollback accepts again
+    assert (SenderAction.DELEGATE in actions) == (
+        state is SenderState.LISTENER_PAUSED and event is Word.RECEIVER_SERVING
+    )
+    assert (SenderAction.DRAIN in actions) == (state is SenderState.DELEGATED and event is Word.TIMED_OUT)
+    if state is SenderState.GIVEN:
+        assert next_state is SenderState.GIVEN  # there is no rollback once it drains
+    if state is SenderState.DELEGATED and event is Word.DISCONNECTED:  # but there is one while the receiver may die
+        assert next_state is SenderState.SERVING and SenderAction.RESUME in actions
+    if event is Word.TIMED_OUT and state not in (SenderState.SERVING, SenderState.DELEGATED, SenderState.GIVEN):
+        assert next_state is SenderState.SERVING and SenderAction.DISCONNECT_RECEIVER in actions
+
+
+@pytest.mark.parametrize("state", ReceiverState)
+@pytest.mark.parametrize("event", Told)
+def test_receiver_keeps_its_guarantees_for_every_state_and_event(state: ReceiverState, event: Told) -> None:
+    next_state, actions = advance_receiver(state, event)
+    if (state, event) not in RECEIVER_TRANSITIONS:
+        assert (next_state, actions) == (state, ())
+    is_accepting = state is ReceiverState.AWAITING_CONFIRMATION
+    if (event is Told.DISCONNECTED and state not in (ReceiverState.COMPLETED, ReceiverState.FAILED)) or (
+        event is Told.TIMED_OUT and state in STATES_BEFORE_ACCEPTING
     ):
-        assert after is ReceiverState.FAILED and moves == (
-            (ReceiverAction.RETREAT,) if accepted else (ReceiverAction.ABANDON,)
-        )
-    assert (ReceiverAction.START_ACCEPTING in moves) == (
-        at is ReceiverState.AWAITING_PERMISSION and what is Told.ACCEPT_PERMITTED
+        expected = (ReceiverAction.RETREAT,) if is_accepting else (ReceiverAction.ABANDON,)
+        assert next_state is ReceiverState.FAILED and actions == expected
+    assert (ReceiverAction.START_ACCEPTING in actions) == (
+        state is ReceiverState.AWAITING_PERMISSION and event is Told.ACCEPT_PERMITTED
     )
 
 
-WORDS = {
+class Fault(Enum):
+    """What can go wrong at a step of a handover."""
+
+    SENDER_TIMEOUT = "sender timeout"
+    RECEIVER_TIMEOUT = "receiver timeout"
+    RECEIVER_DEATH = "receiver death"
+    RECEIVER_ABORT = "receiver abort"
+    CONNECTION_CUT = "connection cut"
+    SENDER_SHUTDOWN = "sender shutdown"
+
+
+MESSAGES_TO_RECEIVER = {
     SenderAction.SEND_DESCRIPTORS: Told.DESCRIPTORS_RECEIVED,
     SenderAction.PAUSE_LISTENER: Told.STATE_RECEIVED,
     SenderAction.PERMIT_ACCEPT: Told.ACCEPT_PERMITTED,
     SenderAction.DELEGATE: Told.DELEGATION_CONFIRMED,
     SenderAction.CONFIRM_DELEGATION: Told.DELEGATION_CONFIRMED,
 }
-REPLIES = {
+MESSAGES_TO_SENDER = {
     ReceiverAction.SEND_READY: Word.RECEIVER_READY,
     ReceiverAction.RESTORE_STATE: Word.STATE_ACCEPTED,
     ReceiverAction.START_ACCEPTING: Word.RECEIVER_SERVING,
 }
-Fault = st.sampled_from(["old late", "new late", "new dies", "new unfit", "cut", "old ends"])
-
-
-@given(st.lists(st.tuples(st.integers(0, 8), Fault), max_size=2))
-def test_whatever_goes_wrong_exactly_one_of_them_ends_up_accepting(faults: list[tuple[int, str]]) -> None:
-    old, new, cut, new_dead, old_ends = SenderState.SERVING, ReceiverState.REQUESTING, False, False, False
-    to_old: list[Word] = [Word.REQUESTED]
-    to_new: list[Told] = []
-    accepts_old, accepts_new = True, False
-    at = dict(faults)
-
-    def old_hears(word: Word) -> None:
-        nonlocal old, accepts_old, cut
-        old, acts = advance_sender(old, word)
-        for act in acts:
-            if act is SenderAction.PAUSE_LISTENER:
-                accepts_old = False
-            elif act is SenderAction.RESUME:
-                accepts_old = True
-            elif act is SenderAction.DISCONNECT_RECEIVER:
-                cut = True
-            if act in WORDS and not cut:
-                to_new.append(WORDS[act])
-
-    def new_hears(what: Told) -> None:
-        nonlocal new, accepts_new
-        if new_dead:
+STEP_COUNT = 14
+
+
+class Handover:
+    """Both state machines, the messages between them and whether each side accepts."""
+
+    def __init__(self) -> None:
+        self.sender = SenderState.SERVING
+        self.receiver = ReceiverState.REQUESTING
+        self.is_cut = False
+        self.is_receiver_dead = False
+        self.is_sender_shutting_down = False
+        self.sender_accepts = True
+        self.receiver_accepts = False
+        self.to_sender: list[Word] = [Word.REQUESTED]
+        self.to_receiver: list[Told] = []
+
+    def advance_sender(self, event: Word) -> None:
+        """Hand an input to the sender and carry out its actions."""
+        self.sender, actions = advance_sender(self.sender, event)
+        for action in actions:
+            if action is SenderAction.PAUSE_LISTENER:
+                self.sender_accepts = False
+            elif action is SenderAction.RESUME:
+                self.sender_accepts = True
+            elif action is SenderAction.DISCONNECT_RECEIVER:
+                self.is_cut = True
+            if action in MESSAGES_TO_RECEIVER and not self.is_cut:
+                self.to_receiver.append(MESSAGES_TO_RECEIVER[action])
+
+    def advance_receiver(self, event: Told) -> None:
+        """Hand an input to the receiver, unless it is dead, and carry out its actions."""
+        if self.is_receiver_dead:
             return
-        new, moves = advance_receiver(new, what)
-        for move in moves:
-            if move is ReceiverAction.START_UP:
-                new_hears(Told.STARTED_UP)
-            elif move is ReceiverAction.START_ACCEPTING:
-                accepts_new = True
-            elif move in (ReceiverAction.ABANDON, ReceiverAction.RETREAT):
-                accepts_new = False
-            if move in REPLIES and not cut:
-                to_old.append(REPLIES[move])
-
-    for step in range(14):
-        fault = at.get(step)
-        if fault == "old late":
-            old_hears(Word.TIMED_OUT)
-        elif fault == "old ends" and old is not SenderState.SERVING:
-            old_ends = True
-            old_hears(Word.ENDING)
-        elif fault == "new late":
-            new_hears(Told.TIMED_OUT)
-        elif fault == "new unfit":
-            new_hears(Told.UNFIT)
-        elif fault == "new dies" and new is not ReceiverState.COMPLETED:
-            new_dead, accepts_new, cut = True, False, True
-        elif fault == "cut":
-            cut = True
-            # The line of two that have agreed is cut by death alone: neither closes it while it lives.
-            new_dead = new_dead or old is SenderState.DELEGATED
-            accepts_new = accepts_new and not new_dead
-        if cut or new is ReceiverState.FAILED:  # both see the end of the connection, after what was sent before
-            while to_old and not cut:
-                old_hears(to_old.pop(0))
-            to_old.clear()
-            to_new.clear()
-            old_hears(Word.DISCONNECTED)
-            new_hears(Told.DISCONNECTED)
-        elif to_old:
-            old_hears(to_old.pop(0))
-        elif to_new:
-            new_hears(to_new.pop(0))
-        if new is not ReceiverState.AWAITING_CONFIRMATION:  # only until the cut is seen may both think it theirs
-            assert not (accepts_old and accepts_new and old is SenderState.SERVING and not cut)
-    if old not in (SenderState.DELEGATED, SenderState.GIVEN):
-        assert accepts_old and not accepts_new
-    elif not new_dead and not (old_ends and cut):
-        assert accepts_new and new is ReceiverState.COMPLETED
+        self.receiver, actions = advance_receiver(self.receiver, event)
+        for action in actions:
+            if action is ReceiverAction.START_UP:
+                self.advance_receiver(Told.STARTED_UP)
+            elif action is ReceiverAction.START_ACCEPTING:
+                self.receiver_accepts = True
+            elif action in (ReceiverAction.ABANDON, ReceiverAction.RETREAT):
+                self.receiver_accepts = False
+            if action in MESSAGES_TO_SENDER and not self.is_cut:
+                self.to_sender.append(MESSAGES_TO_SENDER[action])
+
+    def inject(self, fault: Fault | None) -> None:
+        """Let something go wrong."""
+        if fault is Fault.SENDER_TIMEOUT:
+            self.advance_sender(Word.TIMED_OUT)
+        elif fault is Fault.SENDER_SHUTDOWN and self.sender is not SenderState.SERVING:
+            self.is_sender_shutting_down = True
+            self.advance_sender(Word.ENDING)
+        elif fault is Fault.RECEIVER_TIMEOUT:
+            self.advance_receiver(Told.TIMED_OUT)
+        elif fault is Fault.RECEIVER_ABORT:
+            self.advance_receiver(Told.UNFIT)
+        elif fault is Fault.RECEIVER_DEATH and self.receiver is not ReceiverState.COMPLETED:
+            self.is_receiver_dead = True
+            self.receiver_accepts = False
+            self.is_cut = True
+        elif fault is Fault.CONNECTION_CUT:
+            self.is_cut = True
+            # Once the sender has delegated, only death cuts the connection: neither side closes it while it runs.
+            self.is_receiver_dead = self.is_receiver_dead or self.sender is SenderState.DELEGATED
+            self.receiver_accepts = self.receiver_accepts and not self.is_receiver_dead
+
+    def deliver(self) -> None:
+        """Deliver one message, or the end of the connection to both sides."""
+        if self.is_cut or self.receiver is ReceiverState.FAILED:
+            self._close()
+        elif self.to_sender:
+            self.advance_sender(self.to_sender.pop(0))
+        elif self.to_receiver:
+            self.advance_receiver(self.to_receiver.pop(0))
+
+    def _close(self) -> None:
+        # What was sent before the end arrives before it.
+        while self.to_sender and not self.is_cut:
+            self.advance_sender(self.to_sender.pop(0))
+        self.to_sender.clear()
+        self.to_receiver.clear()
+        self.advance_sender(Word.DISCONNECTED)
+        self.advance_receiver(Told.DISCONNECTED)
+
+
+@given(st.lists(st.tuples(st.integers(0, 8), st.sampled_from(Fault)), max_size=2))
+def test_exactly_one_side_accepts_in_the_end_when_faults_occur(faults: list[tuple[int, Fault]]) -> None:
+    handover = Handover()
+    faults_by_step = dict(faults)
+    for step in range(STEP_COUNT):
+        handover.inject(faults_by_step.get(step))
+        handover.deliver()
+        if handover.receiver is not ReceiverState.AWAITING_CONFIRMATION:
+            # Only until the cut is noticed may both consider themselves the active process.
+            both_accept = handover.sender_accepts and handover.receiver_accepts
+            assert not (both_accept and handover.sender is SenderState.SERVING and not handover.is_cut)
+    if handover.sender not in (SenderState.DELEGATED, SenderState.GIVEN):
+        assert handover.sender_accepts and not handover.receiver_accepts
+    elif not handover.is_receiver_dead and not (handover.is_sender_shutting_down and handover.is_cut):
+        assert handover.receiver_accepts and handover.receiver is ReceiverState.COMPLETED
