--- a/benchmarks/prove_fleet.py
+++ b/benchmarks/prove_fleet.py
@@ -24,7 +24,7 @@
 import psutil
 from twisted.internet.defer import Deferred, inlineCallbacks
 
-from thymeflow.handover.control_client import NoAnswerError, ask
+from thymeflow.handover.control_client import NoAnswerError, send_request
 from thymeflow.runtime import clock
 from thymeflow.testkit.async_steps import Steps, reactor, sleep
 from thymeflow.testkit.fakes import Customer, World
@@ -90,7 +90,9 @@
 
     def order(self, patience: float = 90.0, **message: Any) -> Deferred[dict[str, Any]]:
         """Ask the supervisor; progress is not printed, only the end counts."""
-        return ask(reactor, self.world.deadlines, self.folder / "s" / "fleet.sock", message, clock.now() + patience)
+        return send_request(
+            reactor, self.world.deadlines, self.folder / "s" / "fleet.sock", message, clock.now() + patience
+        )
 
     @inlineCallbacks
     def status(self) -> Steps:
--- a/tests/handover/test_state_machine.py
+++ b/tests/handover/test_state_machine.py
@@ -12,11 +12,11 @@
     RECEIVER_TRANSITIONS,
     SENDER_TRANSITIONS,
     ReceiverAction,
+    ReceiverEvent,
     ReceiverState,
     SenderAction,
+    SenderEvent,
     SenderState,
-    Told,
-    Word,
     advance_receiver,
     advance_sender,
 )
@@ -30,45 +30,51 @@
 
 
 @pytest.mark.parametrize("state", SenderState)
-@pytest.mark.parametrize("event", Word)
-def test_sender_keeps_its_guarantees_for_every_state_and_event(state: SenderState, event: Word) -> None:
+@pytest.mark.parametrize("event", SenderEvent)
+def test_sender_keeps_its_guarantees_for_every_state_and_event(state: SenderState, event: SenderEvent) -> None:
     next_state, actions = advance_sender(state, event)
     if (state, event) not in SENDER_TRANSITIONS:
         assert (next_state, actions) == (state, (SenderAction.REJECT_INPUT,))
     if state in (SenderState.TRANSFERRING_STATE, SenderState.LISTENER_PAUSED) and next_state is SenderState.SERVING:
         assert SenderAction.RESUME in actions  # a rollback accepts again
     assert (SenderAction.DELEGATE in actions) == (
-        state is SenderState.LISTENER_PAUSED and event is Word.RECEIVER_SERVING
+        state is SenderState.LISTENER_PAUSED and event is SenderEvent.RECEIVER_SERVING
     )
-    assert (SenderAction.DRAIN in actions) == (state is SenderState.DELEGATED and event is Word.TIMED_OUT)
-    if state is SenderState.GIVEN:
-        assert next_state is SenderState.GIVEN  # there is no rollback once it drains
-    if state is SenderState.DELEGATED and event is Word.DISCONNECTED:  # but there is one while the receiver may die
+    assert (SenderAction.DRAIN in actions) == (state is SenderState.DELEGATED and event is SenderEvent.TIMED_OUT)
+    if state is SenderState.DRAINING:
+        assert next_state is SenderState.DRAINING  # there is no rollback once it drains
+    if (
+        state is SenderState.DELEGATED and event is SenderEvent.DISCONNECTED
+    ):  # but there is one while the receiver may die
         assert next_state is SenderState.SERVING and SenderAction.RESUME in actions
-    if event is Word.TIMED_OUT and state not in (SenderState.SERVING, SenderState.DELEGATED, SenderState.GIVEN):
+    if event is SenderEvent.TIMED_OUT and state not in (
+        SenderState.SERVING,
+        SenderState.DELEGATED,
+        SenderState.DRAINING,
+    ):
         assert next_state is SenderState.SERVING and SenderAction.DISCONNECT_RECEIVER in actions
 
 
 @pytest.mark.parametrize("state", ReceiverState)
-@pytest.mark.parametrize("event", Told)
-def test_receiver_keeps_its_guarantees_for_every_state_and_event(state: ReceiverState, event: Told) -> None:
+@pytest.mark.parametrize("event", ReceiverEvent)
+def test_receiver_keeps_its_guarantees_for_every_state_and_event(state: ReceiverState, event: ReceiverEvent) -> None:
     next_state, actions = advance_receiver(state, event)
     if (state, event) not in RECEIVER_TRANSITIONS:
         assert (next_state, actions) == (state, ())
     is_accepting = state is ReceiverState.AWAITING_CONFIRMATION
-    if (event is Told.DISCONNECTED and state not in (ReceiverState.COMPLETED, ReceiverState.FAILED)) or (
-        event is Told.TIMED_OUT and state in STATES_BEFORE_ACCEPTING
+    if (event is ReceiverEvent.DISCONNECTED and state not in (ReceiverState.COMPLETED, ReceiverState.FAILED)) or (
+        event is ReceiverEvent.TIMED_OUT and state in STATES_BEFORE_ACCEPTING
     ):
         expected = (ReceiverAction.RETREAT,) if is_accepting else (ReceiverAction.ABANDON,)
         assert next_state is ReceiverState.FAILED and actions == expected
     assert (ReceiverAction.START_ACCEPTING in actions) == (
-        state is ReceiverState.AWAITING_PERMISSION and event is Told.ACCEPT_PERMITTED
+        state is ReceiverState.AWAITING_PERMISSION and event is ReceiverEvent.ACCEPT_PERMITTED
     )
 
 
 def test_receiver_keeps_accepting_when_the_confirmation_is_late() -> None:
     # The sender may drain already; to retreat could leave no process that accepts.
-    transition = advance_receiver(ReceiverState.AWAITING_CONFIRMATION, Told.TIMED_OUT)
+    transition = advance_receiver(ReceiverState.AWAITING_CONFIRMATION, ReceiverEvent.TIMED_OUT)
     assert transition == (ReceiverState.AWAITING_CONFIRMATION, ())
 
 
@@ -84,16 +90,16 @@
 
 
 MESSAGES_TO_RECEIVER = {
-    SenderAction.SEND_DESCRIPTORS: Told.DESCRIPTORS_RECEIVED,
-    SenderAction.PAUSE_LISTENER: Told.STATE_RECEIVED,
-    SenderAction.PERMIT_ACCEPT: Told.ACCEPT_PERMITTED,
-    SenderAction.DELEGATE: Told.DELEGATION_CONFIRMED,
-    SenderAction.CONFIRM_DELEGATION: Told.DELEGATION_CONFIRMED,
+    SenderAction.SEND_DESCRIPTORS: ReceiverEvent.DESCRIPTORS_RECEIVED,
+    SenderAction.PAUSE_LISTENER: ReceiverEvent.STATE_RECEIVED,
+    SenderAction.PERMIT_ACCEPT: ReceiverEvent.ACCEPT_PERMITTED,
+    SenderAction.DELEGATE: ReceiverEvent.DELEGATION_CONFIRMED,
+    SenderAction.CONFIRM_DELEGATION: ReceiverEvent.DELEGATION_CONFIRMED,
 }
 MESSAGES_TO_SENDER = {
-    ReceiverAction.SEND_READY: Word.RECEIVER_READY,
-    ReceiverAction.RESTORE_STATE: Word.STATE_ACCEPTED,
-    ReceiverAction.START_ACCEPTING: Word.RECEIVER_SERVING,
+    ReceiverAction.SEND_READY: SenderEvent.RECEIVER_READY,
+    ReceiverAction.RESTORE_STATE: SenderEvent.STATE_ACCEPTED,
+    ReceiverAction.START_ACCEPTING: SenderEvent.RECEIVER_SERVING,
 }
 STEP_COUNT = 14
 
@@ -109,10 +115,10 @@
         self.is_sender_shutting_down = False
         self.sender_accepts = True
         self.receiver_accepts = False
-        self.to_sender: list[Word] = [Word.REQUESTED]
-        self.to_receiver: list[Told] = []
+        self.to_sender: list[SenderEvent] = [SenderEvent.REQUESTED]
+        self.to_receiver: list[ReceiverEvent] = []
 
-    def advance_sender(self, event: Word) -> None:
+    def advance_sender(self, event: SenderEvent) -> None:
         """Hand an input to the sender and carry out its actions."""
         self.sender, actions = advance_sender(self.sender, event)
         for action in actions:
@@ -125,14 +131,14 @@
             if action in MESSAGES_TO_RECEIVER and not self.is_cut:
                 self.to_receiver.append(MESSAGES_TO_RECEIVER[action])
 
-    def advance_receiver(self, event: Told) -> None:
+    def advance_receiver(self, event: ReceiverEvent) -> None:
         """Hand an input to the receiver, unless it is dead, and carry out its actions."""
         if self.is_receiver_dead:
             return
         self.receiver, actions = advance_receiver(self.receiver, event)
         for action in actions:
             if action is ReceiverAction.START_UP:
-                self.advance_receiver(Told.STARTED_UP)
+                self.advance_receiver(ReceiverEvent.STARTED_UP)
             elif action is ReceiverAction.START_ACCEPTING:
                 self.receiver_accepts = True
             elif action in (ReceiverAction.ABANDON, ReceiverAction.RETREAT):
@@ -143,14 +149,14 @@
     def inject(self, fault: Fault | None) -> None:
         """Let something go wrong."""
         if fault is Fault.SENDER_TIMEOUT:
-            self.advance_sender(Word.TIMED_OUT)
+            self.advance_sender(SenderEvent.TIMED_OUT)
         elif fault is Fault.SENDER_SHUTDOWN and self.sender is not SenderState.SERVING:
             self.is_sender_shutting_down = True
-            self.advance_sender(Word.ENDING)
+            self.advance_sender(SenderEvent.SHUTDOWN_REQUESTED)
         elif fault is Fault.RECEIVER_TIMEOUT:
-            self.advance_receiver(Told.TIMED_OUT)
+            self.advance_receiver(ReceiverEvent.TIMED_OUT)
         elif fault is Fault.RECEIVER_ABORT:
-            self.advance_receiver(Told.UNFIT)
+            self.advance_receiver(ReceiverEvent.ABORTED)
         elif fault is Fault.RECEIVER_DEATH and self.receiver is not ReceiverState.COMPLETED:
             self.is_receiver_dead = True
             self.receiver_accepts = False
@@ -176,8 +182,8 @@
             self.advance_sender(self.to_sender.pop(0))
         self.to_sender.clear()
         self.to_receiver.clear()
-        self.advance_sender(Word.DISCONNECTED)
-        self.advance_receiver(Told.DISCONNECTED)
+        self.advance_sender(SenderEvent.DISCONNECTED)
+        self.advance_receiver(ReceiverEvent.DISCONNECTED)
 
 
 @given(st.lists(st.tuples(st.integers(0, 8), st.sampled_from(Fault)), max_size=2))
@@ -191,7 +197,7 @@
             # Only until the cut is noticed may both consider themselves the active process.
             both_accept = handover.sender_accepts and handover.receiver_accepts
             assert not (both_accept and handover.sender is SenderState.SERVING and not handover.is_cut)
-    if handover.sender not in (SenderState.DELEGATED, SenderState.GIVEN):
+    if handover.sender not in (SenderState.DELEGATED, SenderState.DRAINING):
         assert handover.sender_accepts and not handover.receiver_accepts
     elif not handover.is_receiver_dead and not (handover.is_sender_shutting_down and handover.is_cut):
         assert handover.receiver_accepts and handover.receiver is ReceiverState.COMPLETED
--- a/tests/snapshot/support.py
+++ b/tests/snapshot/support.py
@@ -5,11 +5,11 @@
 from typing import Any, NamedTuple
 
 from tests.helpers import fleet, request, sends, settings
-from thymeflow import Gateway
 from thymeflow.decision.events import AttemptEnded, EndpointsChanged
-from thymeflow.decision.policy import TokenBucket
+from thymeflow.decision.gateway import Gateway
 from thymeflow.decision.types import EndpointListKind, Status
-from thymeflow.platform.configuration import Address
+from thymeflow.platform.endpoints import Address
+from thymeflow.quota.token_bucket import TokenBucket
 from thymeflow.snapshot import restore, schema
 
 LIST_VERSION = 7
@@ -49,13 +49,13 @@
 
 def take_snapshot(gateway: Gateway, now: float, final: bool = True) -> schema.Snapshot:
     """Return the gateway's snapshot under the name n0."""
-    return restore.remember(gateway, "n0", "life", now, final, LIST_VERSION, ADDRESSES)
+    return restore.take_snapshot(gateway, "n0", "life", now, final, LIST_VERSION, ADDRESSES)
 
 
 def restored_gateway(snapshot: schema.Snapshot, now: float, **changes: Any) -> Gateway:
     """Return a new gateway that restored the snapshot."""
     gateway = make_gateway(**changes)
-    restore.recall(gateway, snapshot, now)
+    restore.restore_gateway(gateway, snapshot, now)
     return gateway
 
 
--- a/tests/snapshot/test_restore.py
+++ b/tests/snapshot/test_restore.py
@@ -8,10 +8,12 @@
 
 from tests.helpers import PLAN, fleet, request, sends, settings
 from tests.snapshot.support import ADDRESSES, make_gateway, only_bucket, restored_gateway, spend, take_snapshot
-from thymeflow import Gateway
 from thymeflow.decision.events import EndpointsChanged, SettingsChanged
+from thymeflow.decision.gateway import Gateway
+from thymeflow.decision.gateway_state import CounterCall
 from thymeflow.decision.settings import Information, Plan
 from thymeflow.decision.types import Backend, EndpointListKind
+from thymeflow.health.backend_stats import FailureStreak
 from thymeflow.snapshot import restore, schema
 
 RESTORED_FIELDS = (
@@ -94,30 +96,30 @@
 def test_counter_call_is_uncertain_when_in_flight_at_the_snapshot() -> None:
     gateway = make_gateway()
     spend(gateway, 10.0, 0.5, 4.0)
-    gateway.counter_calls[5] = (only_bucket(gateway).customer_id, 3.0)
+    gateway.counter_calls[5] = CounterCall(only_bucket(gateway).customer_id, 3.0)
     restored = only_bucket(restored_gateway(take_snapshot(gateway, 11.0), 11.0))
     assert restored.counter_ledger.uncertain == (5, 3.0)
 
 
 def test_health_is_restored_only_when_the_backend_has_not_restarted() -> None:
     gateway = make_gateway()
-    gateway.backends[1].failures["read"] = (3, 100.0)
-    gateway.backends[2].failures["read"] = (3, 100.0)
+    gateway.backends[1].failures["read"] = FailureStreak(3, 100.0)
+    gateway.backends[2].failures["read"] = FailureStreak(3, 100.0)
     snapshot = take_snapshot(gateway, 60.0)
     fresh = Gateway(settings(), 1)
     backends = (*fleet()[:1], Backend(2, "b", started=59.0))
     fresh.handle(60.0, EndpointsChanged(EndpointListKind.CACHED, backends))
-    assert restore.health(fresh, snapshot, 60.0) == 1
+    assert restore.restore_health(fresh, snapshot, 60.0) == 1
     assert not fresh.backends[1].is_healthy("read", 61.0) and fresh.backends[2].is_healthy("read", 61.0)
 
 
 def test_newer_endpoint_list_is_used_when_versions_differ() -> None:
     snapshot = take_snapshot(make_gateway(), 1.0)
-    same_version = restore.listed(take_snapshot(make_gateway(), 1.0))
-    assert restore.newer(snapshot, same_version) is same_version
+    same_version = restore.endpoint_update_of(take_snapshot(make_gateway(), 1.0))
+    assert restore.newest_endpoint_update(snapshot, same_version) is same_version
     older_change = EndpointsChanged(EndpointListKind.CACHED, same_version.change.backends[:1], 3)
     older = type(same_version)(older_change, {1: ADDRESSES[1]})
-    assert len(restore.newer(snapshot, older).change.backends) == 4
+    assert len(restore.newest_endpoint_update(snapshot, older).change.backends) == 4
 
 
 def test_bucket_shrinks_and_never_refills_when_the_set_size_changes() -> None:
--- a/tests/snapshot/test_schema.py
+++ b/tests/snapshot/test_schema.py
@@ -13,7 +13,7 @@
 from tests.snapshot.support import make_gateway, only_bucket, restored_gateway, spend, take_snapshot
 from thymeflow.snapshot import schema
 
-SITE = schema.site_of(settings())
+SITE = schema.site_digest(settings())
 
 
 def snapshot_with_bucket() -> schema.Snapshot:
@@ -46,7 +46,7 @@
 ) -> None:
     snapshot = replace(take_snapshot(make_gateway(), 0.0), **change)
     with pytest.raises(schema.SnapshotError, match=cause):
-        schema.believed(schema.unpack(schema.pack(snapshot)), SITE, "n0", 0.0, 30.0)
+        schema.check_applicable(schema.unpack(schema.pack(snapshot)), SITE, "n0", 0.0, 30.0)
 
 
 def test_error_names_the_value_when_it_is_out_of_range() -> None:
--- a/tests/test_daemon.py
+++ b/tests/test_daemon.py
@@ -21,7 +21,7 @@
 
 from tests.limiter import PATIENCE, ROOT, Limiter, command, request
 from thymeflow.platform.settings import settings_from
-from thymeflow.snapshot.schema import site_of
+from thymeflow.snapshot.schema import site_digest
 
 GOOD = b"*3\r\n$5\r\nvalue\r\n$6\r\ncost=1\r\n$-1\r\n"
 SMALL: dict[str, Any] = {"tiers-of-service": [{"name": "basic", "refill": 0.01, "most-at-once": 20.0}]}
@@ -304,7 +304,7 @@
         self.line.settimeout(PATIENCE)
         self.line.connect(str(limiter.state / "n0.sock"))
         self.descriptors: list[int] = []
-        self.say(do="take", life="x", pid=1, site=site_of(settings_from(limiter.config["settings"])))
+        self.say(do="take", life="x", pid=1, site=site_digest(settings_from(limiter.config["settings"])))
 
     def say(self, **message: Any) -> None:
         self.line.sendall(json.dumps(message).encode() + b"\n")
--- a/tests/test_message_formats.py
+++ b/tests/test_message_formats.py
@@ -144,7 +144,7 @@
         super().__init__()
         self.transport, self.heard = Transport(), list[Any]()
 
-    def message(self, message: dict[str, Any]) -> None:
+    def on_message(self, message: dict[str, Any]) -> None:
         """Keep it."""
         self.heard.append(message)
 
--- a/tests/test_stored_formats.py
+++ b/tests/test_stored_formats.py
@@ -50,19 +50,19 @@
 
 def site_digest() -> str:
     """The digest by which a snapshot tells under which plans and at which place it was taken."""
-    return schema.site_of(settings())
+    return schema.site_digest(settings())
 
 
 def restored(snapshot: Any) -> tuple[Gateway, list[int]]:
     """The gateway after a restore, and how many buckets and backends that concerned."""
     gateway = restarted_gateway()
-    known, left = restore.recall(gateway, snapshot, RESTORED_AT)
-    return gateway, [known, left, restore.health(gateway, snapshot, RESTORED_AT)]
+    known, left = restore.restore_gateway(gateway, snapshot, RESTORED_AT)
+    return gateway, [known, left, restore.restore_health(gateway, snapshot, RESTORED_AT)]
 
 
 def snapshot_of(gateway: Gateway) -> bytes:
     """The snapshot of a gateway as its file holds it."""
-    return schema.pack(restore.remember(gateway, "n0", "0b1c2d3e", RESTORED_AT, False, 9, ADDRESSES))
+    return schema.pack(restore.take_snapshot(gateway, "n0", "0b1c2d3e", RESTORED_AT, False, 9, ADDRESSES))
 
 
 def member_configuration(folder: Path) -> bytes:
@@ -132,7 +132,7 @@
 
 def test_site_digest_is_the_same_when_the_settings_are() -> None:
     assert site_digest() == expected("site")
-    schema.believed(schema.unpack(stored("snapshot-v2-final")), site_digest(), "n0", RESTORED_AT, 30.0)
+    schema.check_applicable(schema.unpack(stored("snapshot-v2-final")), site_digest(), "n0", RESTORED_AT, 30.0)
 
 
 @pytest.mark.parametrize("name", SNAPSHOTS)
@@ -143,7 +143,7 @@
 
 
 def test_endpoint_list_is_the_same_when_it_comes_from_a_snapshot() -> None:
-    assert plain(restore.listed(schema.unpack(stored("snapshot-v2-final")))) == expected("endpoint list")
+    assert plain(restore.endpoint_update_of(schema.unpack(stored("snapshot-v2-final")))) == expected("endpoint list")
 
 
 def test_state_file_is_read_and_reported_alike_when_an_earlier_version_wrote_it(
@@ -151,15 +151,15 @@
 ) -> None:
     monkeypatch.setattr(clock, "now", lambda: RESTORED_AT)
     (tmp_path / "n0.state").write_bytes(stored("snapshot-v2-final"))
-    known = restore.listed(schema.unpack(stored("snapshot-v2-final")))
+    known = restore.endpoint_update_of(schema.unpack(stored("snapshot-v2-final")))
     memory = Memory(tmp_path / "n0.state", "n0", "0b1c2d3e", known)
     gateway = restarted_gateway()
-    memory.of(gateway)
-    memory.listed(known)
+    memory.set_gateway(gateway)
+    memory.on_endpoint_update(known)
     before = memory.told()
     found = memory.read(site_digest(), 30.0)
     assert found is not None and plain(found) == expected("snapshot-v2-final")
-    memory.recall(found, "file")
+    memory.restore(found, "file")
     memory.write_last()
     assert [before, memory.told()] == expected("snapshot status")
     assert (tmp_path / "n0.state").read_bytes() == stored("snapshot-v2-last")
--- a/thymeflow/cli/common.py
+++ b/thymeflow/cli/common.py
@@ -56,14 +56,14 @@
     from twisted.internet import reactor
     from twisted.internet.defer import Deferred
 
-    from thymeflow.handover.control_client import NoAnswerError, ask
+    from thymeflow.handover.control_client import NoAnswerError, send_request
     from thymeflow.runtime import clock
 
     loop: Any = reactor
     found: list[Any] = []
 
     def begin() -> None:
-        result: Deferred[Any] = ask(loop, clock.Deadlines(loop), path, message, clock.now() + patience, heard)
+        result: Deferred[Any] = send_request(loop, clock.Deadlines(loop), path, message, clock.now() + patience, heard)
         result.addBoth(found.append).addBoth(lambda _: loop.stop())
 
     loop.callWhenRunning(begin)
--- a/thymeflow/daemon/activation.py
+++ b/thymeflow/daemon/activation.py
@@ -6,7 +6,7 @@
 import socket
 from collections.abc import MutableMapping
 
-from thymeflow.handover.listening_sockets import BadDescriptorError, checked
+from thymeflow.handover.listening_sockets import BadDescriptorError, duplicate_listening_socket
 
 FIRST = 3  # the first descriptor handed in
 MOST = 16
@@ -26,7 +26,7 @@
     found: list[socket.socket] = []
     try:
         for descriptor in range(FIRST, FIRST + int(count)):
-            found.append(checked(descriptor))
+            found.append(duplicate_listening_socket(descriptor))
     except BadDescriptorError:
         for one in found:
             one.close()
--- a/thymeflow/daemon/service.py
+++ b/thymeflow/daemon/service.py
@@ -31,8 +31,8 @@
 from thymeflow.handover.control_socket import ControlError, ControlServer
 from thymeflow.handover.participant import RejectedHandoverError
 from thymeflow.handover.receiver import HandoverReceiver
-from thymeflow.handover.sender import OFF, HandoverSender
-from thymeflow.handover.state_machine import SenderState, Told, Word
+from thymeflow.handover.sender import DELEGATED_STATES, HandoverSender
+from thymeflow.handover.state_machine import ReceiverEvent, SenderEvent, SenderState
 from thymeflow.limiter.assembly import Limiter, made
 from thymeflow.limiter.phases import Phase
 from thymeflow.logs.structured import StructuredLog
@@ -124,7 +124,7 @@
         except OSError as fault:
             raise StartError(f"{self.path('lock')}: {fault.strerror}", NAME_HELD) from None
         kept = self.settings.snapshot
-        site = schema.site_of(self.given.settings)
+        site = schema.site_digest(self.given.settings)
         self._make(self.memory.read(site, kept.fresh) if kept.keep else None)
         if fault_text := self.open_control():
             raise StartError(fault_text, CANNOT_LISTEN)
@@ -141,7 +141,7 @@
     def _make(self, snapshot: schema.Snapshot | None) -> None:
         given = self.given
         if snapshot is not None:
-            given = replace(given, endpoints=restore.newer(snapshot, given.endpoints))
+            given = replace(given, endpoints=restore.newest_endpoint_update(snapshot, given.endpoints))
         # Members of a fleet are on one machine, whose monotonic clock does not step as that of the day does.
         gateway = made(
             replace(given, units=self.settings.budgets.units),
@@ -155,15 +155,15 @@
         together = self.settings.overload.together
         self.verdicts = MemberEjections(gateway) if together else None
         self.shedding = LoadShedder(gateway) if together else None
-        self.memory.of(gateway)
+        self.memory.set_gateway(gateway)
         self.part.serve(gateway)
         if self.shedding is not None:
             self.shedding.limit_retries()
         self.limiter = Limiter(given, self.reactor, gateway, self._load, self.settings.daemon.drain_linger)
-        self.limiter.on_list, self.limiter.when_endpoints_ready = self.memory.listed, self._told
-        self.memory.listed(given.endpoints)
+        self.limiter.on_list, self.limiter.when_endpoints_ready = self.memory.on_endpoint_update, self._told
+        self.memory.on_endpoint_update(given.endpoints)
         if snapshot is not None:
-            self.memory.recall(snapshot, "file")
+            self.memory.restore(snapshot, "file")
         self.limiter.lifecycle.on_phase = self._entered
 
     def open_control(self) -> str:
@@ -218,9 +218,9 @@
     def end(self, linger: float | None = None) -> None:
         """SIGTERM, SIGINT or a word over the control socket: end in good order, however often it comes."""
         if self.taking is not None and not self.taking.is_serving():
-            self.taking.step(Told.UNFIT)
+            self.taking.step(ReceiverEvent.ABORTED)
             return
-        self.giving.step(Word.ENDING)
+        self.giving.step(SenderEvent.SHUTDOWN_REQUESTED)
         self.limiter.lifecycle.terminate(linger)
 
     def reload(self) -> bool:
@@ -244,7 +244,7 @@
         return good and not ours
 
     def _owner(self) -> bool:
-        return self.giving.state not in OFF and self.lock is not None
+        return self.giving.state not in DELEGATED_STATES and self.lock is not None
 
     # What a hand-over asks of the daemon: see `succession.estate`.
 
@@ -270,7 +270,7 @@
         try:
             if len(descriptors) != 2:
                 raise listening_sockets.BadDescriptorError(f"{len(descriptors)} descriptors came with it, not 2")
-            found = listening_sockets.checked(descriptors[0])
+            found = listening_sockets.duplicate_listening_socket(descriptors[0])
             self.lock = Lock.passed_on(self.path("lock"), descriptors[1])
         except (listening_sockets.BadDescriptorError, NameTakenError, OSError) as fault:
             raise RejectedHandoverError(str(fault)) from None
@@ -317,7 +317,7 @@
     def retreat(self) -> None:
         """End in good order, leaving name, socket and snapshot to another."""
         log.note("hand-over", "the old life took everything back: this one finishes what it took")
-        self.giving.state = SenderState.GIVEN  # name and snapshot are not ours to write
+        self.giving.state = SenderState.DRAINING  # name and snapshot are not ours to write
         self.code = NO_HAND_OVER
         self.limiter.lifecycle.terminate(0.0)
 
--- a/thymeflow/daemon/snapshots.py
+++ b/thymeflow/daemon/snapshots.py
@@ -40,7 +40,7 @@
             if data is None:
                 return None
             snapshot = schema.unpack(data)
-            schema.believed(snapshot, site, self._name, clock.now(), fresh)
+            schema.check_applicable(snapshot, site, self._name, clock.now(), fresh)
         except schema.SnapshotError as fault:
             log.note("snapshot", f"{self.path} is not used and the start values hold: {fault}")
             return None
@@ -51,7 +51,7 @@
         if self._writing or not owner():
             return None
         self._writing = True
-        writing: Deferred[str] = deferToThread(self._write, self.snapshot(False))
+        writing: Deferred[str] = deferToThread(self._write, self.take_snapshot(False))
 
         def ended(result: Any) -> str:
             self._writing = False
@@ -79,6 +79,6 @@
     def write_last(self) -> None:
         """Write at the end, when nothing more can be sent on."""
         try:
-            self._write(self.snapshot(True))
+            self._write(self.take_snapshot(True))
         except OSError as fault:
             log.note("snapshot", f"the last one was not written, the old one stands: {fault}")
--- a/thymeflow/fleet/processes.py
+++ b/thymeflow/fleet/processes.py
@@ -45,7 +45,7 @@
         """Follow it over its control socket, from the moment that there is one."""
         if self.over:
             return
-        made = control_client.talk(self._reactor, self._path, self._status, self._unlinked)
+        made = control_client.open_session(self._reactor, self._path, self._status, self._unlinked)
         made.addCallbacks(self._linked, lambda _: self._again())
 
     def _again(self) -> None:
--- a/thymeflow/fleet/supervisor.py
+++ b/thymeflow/fleet/supervisor.py
@@ -167,7 +167,7 @@
             self._carry_out(actions)
             return self._copy_socket(number, path)
 
-        asking = control_client.ask(self._reactor, self._deadlines, path, {"do": "status"}, clock.now() + FIND)
+        asking = control_client.send_request(self._reactor, self._deadlines, path, {"do": "status"}, clock.now() + FIND)
         return asking.addCallbacks(told, lambda _: None)
 
     def _copy_socket(self, number: int, path: Path) -> Deferred[int | None]:
@@ -179,7 +179,7 @@
             if message.get("ok") and talk.descriptors:
                 descriptor = talk.descriptors.pop()
                 with contextlib.suppress(listening_sockets.BadDescriptorError, OSError):
-                    self._sockets[number] = listening_sockets.checked(descriptor)
+                    self._sockets[number] = listening_sockets.duplicate_listening_socket(descriptor)
                 os.close(descriptor)
             talk.close()
 
@@ -191,7 +191,7 @@
             line.append(talk)
             talk.send({"do": "socket"})
 
-        control_client.talk(self._reactor, path, heard, ended).addCallbacks(up, lambda _: ended())
+        control_client.open_session(self._reactor, path, heard, ended).addCallbacks(up, lambda _: ended())
         return done
 
     def run(self) -> int:
@@ -304,7 +304,7 @@
         if not path.is_symlink():
             self._spawn(action)
             return
-        asking = control_client.ask(self._reactor, self._deadlines, path, {"do": "status"}, clock.now() + FIND)
+        asking = control_client.send_request(self._reactor, self._deadlines, path, {"do": "status"}, clock.now() + FIND)
         asking.addCallbacks(told, lambda _: self._spawn(action))
 
     def _spawn(self, action: controller.Start) -> None:
@@ -363,7 +363,7 @@
                 return
             # One that was found may have been in the middle of a hand-over that the last supervisor began: then
             # its successor answers to the name, and that is the same member.
-            asking = control_client.ask(
+            asking = control_client.send_request(
                 self._reactor, self._deadlines, self._names.path(number, "sock"), {"do": "status"}, clock.now() + FIND
             )
             asking.addCallbacks(succeeded, lambda _: over(how), callbackArgs=(how,))
@@ -463,7 +463,7 @@
             if not report.good:  # what broke must not be what the next restart begins with
                 self._program = before
         caller = self._callers.get(report.id)
-        if caller is not None and not caller.closed:
+        if caller is not None and not caller.is_closed:
             caller.send({"ok": report.good, "why": report.text} if report.done else {"text": report.text})
         if report.done:
             self._callers.pop(report.id, None)
--- a/thymeflow/handover/control_client.py
+++ b/thymeflow/handover/control_client.py
@@ -38,7 +38,7 @@
         """Notify the factory that the connection is established."""
         self.factory.on_connected(self)
 
-    def message(self, message: Message) -> None:
+    def on_message(self, message: Message) -> None:
         """Pass the message to the session's handler."""
         self._message_handler(message)
 
@@ -62,15 +62,15 @@
         return self._session
 
     def on_connected(self, session: ControlSession) -> None:
-        """Fire the Deferred of `talk`."""
+        """Fire the Deferred of `open_session`."""
         self._connected.callback(session)
 
     def clientConnectionFailed(self, connector: IConnector, reason: Failure) -> None:  # noqa: ARG002 (Twisted's signature)
-        """Fail the Deferred of `talk`."""
+        """Fail the Deferred of `open_session`."""
         self._connected.errback(NoAnswerError(reason.getErrorMessage()))
 
 
-def talk(
+def open_session(
     reactor: UnixReactor,
     path: Path,
     message_handler: Callable[[Message], None],
@@ -141,7 +141,7 @@
             self._session.close()
 
 
-def ask(
+def send_request(
     reactor: UnixReactor,
     deadlines: clock.Deadlines,
     path: Path,
@@ -155,6 +155,6 @@
     NoAnswerError where no final reply arrives before it.
     """
     request = _Request(deadlines, path, message, deadline, on_intermediate)
-    connected = talk(reactor, path, request.on_message, request.on_closed)
+    connected = open_session(reactor, path, request.on_message, request.on_closed)
     connected.addCallbacks(request.on_connected, request.on_connect_failed)
     return request.reply
--- a/thymeflow/handover/control_socket.py
+++ b/thymeflow/handover/control_socket.py
@@ -52,7 +52,7 @@
     def __init__(self) -> None:
         self._buffer = bytearray()
         self.descriptors: list[int] = []  # received, in order; code that removes one has to close it
-        self.closed = False
+        self.is_closed = False
 
     def is_same_user(self) -> bool:
         """Return whether the other end runs as the same user (SO_PEERCRED, unix(7))."""
@@ -63,7 +63,7 @@
 
     def send(self, message: Message, *descriptors: int) -> None:
         """Write a message, unless the connection is closed; the descriptors go with its first bytes."""
-        if self.closed:
+        if self.is_closed:
             return
         for descriptor in descriptors:
             self.transport.sendFileDescriptor(descriptor)
@@ -82,7 +82,7 @@
         *lines, remainder = (bytes(self._buffer) + data).split(b"\n")
         self._buffer = bytearray(remainder)
         for line in lines:
-            if self.closed:
+            if self.is_closed:
                 return
             self._on_line(line)
         if len(self._buffer) > MAX_LINE_BYTES:
@@ -100,9 +100,9 @@
         if not isinstance(message, dict):
             self.reject("a line is no JSON object")
             return
-        self.message(message)
+        self.on_message(message)
 
-    def message(self, message: Message) -> None:
+    def on_message(self, message: Message) -> None:
         """Handle a complete message."""
         raise NotImplementedError
 
@@ -117,7 +117,7 @@
 
     def connectionLost(self, reason: Failure = connectionDone) -> None:  # noqa: ARG002 (Twisted's signature)
         """Close the descriptors that were not claimed, and notify the subclass."""
-        self.closed = True
+        self.is_closed = True
         for descriptor in self.descriptors:
             os.close(descriptor)
         self.descriptors.clear()
@@ -146,7 +146,7 @@
         self.handle = self._server.callers.add(self)
         self._server.schedule_overdue_check()
 
-    def message(self, message: Message) -> None:
+    def on_message(self, message: Message) -> None:
         """Pass the message to the server's handler; a malformed one is answered and does not end the process."""
         self.last_message_at = clock.now()
         try:
--- a/thymeflow/handover/listening_sockets.py
+++ b/thymeflow/handover/listening_sockets.py
@@ -8,7 +8,7 @@
 from thymeflow.handover.errors import BadDescriptorError as BadDescriptorError
 
 
-def checked(descriptor: int) -> socket.socket:
+def duplicate_listening_socket(descriptor: int) -> socket.socket:
     """Return a duplicate of a passed descriptor as a non-blocking socket that child processes do not inherit.
 
     :raises BadDescriptorError: if the descriptor is not a listening TCP socket.
--- a/thymeflow/handover/receiver.py
+++ b/thymeflow/handover/receiver.py
@@ -15,7 +15,7 @@
 from thymeflow.handover import control_client
 from thymeflow.handover.control_socket import ControlConnection, Message
 from thymeflow.handover.participant import HandoverParticipant, RejectedHandoverError
-from thymeflow.handover.state_machine import ReceiverAction, ReceiverState, Told, advance_receiver
+from thymeflow.handover.state_machine import ReceiverAction, ReceiverEvent, ReceiverState, advance_receiver
 from thymeflow.handover.step_timer import StepTimer
 from thymeflow.runtime import clock, log
 from thymeflow.snapshot import schema
@@ -26,10 +26,10 @@
 MAX_REJECTION_LENGTH = 200  # characters of the sender's text that are logged
 # The key by which a message is recognized, in the order in which they are looked for.
 EVENTS_BY_KEY = {
-    "offer": Told.DESCRIPTORS_RECEIVED,
-    "state": Told.STATE_RECEIVED,
-    "yours": Told.ACCEPT_PERMITTED,
-    "draining": Told.DELEGATION_CONFIRMED,
+    "offer": ReceiverEvent.DESCRIPTORS_RECEIVED,
+    "state": ReceiverEvent.STATE_RECEIVED,
+    "yours": ReceiverEvent.ACCEPT_PERMITTED,
+    "draining": ReceiverEvent.DELEGATION_CONFIRMED,
 }
 
 
@@ -59,7 +59,7 @@
         self._restart_step_timer()
         reactor = self._participant.limiter.reactor
         try:
-            connecting = control_client.talk(reactor, self._path, self._on_message, self._on_disconnected)
+            connecting = control_client.open_session(reactor, self._path, self._on_message, self._on_disconnected)
         except OSError as fault:  # the system forbids Unix sockets
             self._give_up(f"nobody to take over from: {fault}")
             return
@@ -69,11 +69,11 @@
         self._step_timer.start(clock.now() + self._participant.step_timeout, self._on_timeout)
 
     def _on_timeout(self) -> None:
-        self.step(Told.TIMED_OUT)
+        self.step(ReceiverEvent.TIMED_OUT)
 
     def _on_disconnected(self) -> None:
         self._participant.limiter.limit_beside_predecessor(None)
-        self.step(Told.DISCONNECTED)
+        self.step(ReceiverEvent.DISCONNECTED)
 
     def is_serving(self) -> bool:
         """Return whether this process accepts, or starts without a handover: it ends like any other limiter."""
@@ -82,9 +82,9 @@
     def on_endpoints_known(self) -> None:
         """Continue once the endpoint list has arrived, or is known to be unavailable."""
         if self.state is ReceiverState.STARTING_UP:
-            self.step(Told.STARTED_UP)
+            self.step(ReceiverEvent.STARTED_UP)
 
-    def step(self, event: Told) -> None:
+    def step(self, event: ReceiverEvent) -> None:
         """Make the transition for an input, and carry out its actions."""
         previous = self.state
         self.state, actions = advance_receiver(previous, event)
@@ -116,13 +116,13 @@
                 "do": "take",
                 "life": self._participant.incarnation,
                 "pid": os.getpid(),
-                "site": schema.site_of(self._participant.limiter.configuration.settings),
+                "site": schema.site_digest(self._participant.limiter.configuration.settings),
             }
         )
 
     def _give_up(self, cause: str) -> None:
         log.note("hand-over", cause)
-        self.step(Told.UNFIT)
+        self.step(ReceiverEvent.ABORTED)
 
     def _on_message(self, message: Message) -> None:
         if type(message.get("held")) is int:
@@ -166,7 +166,7 @@
         except (schema.SnapshotError, OSError) as fault:
             self._give_up(f"the state cannot be used: {fault}")
             return
-        self._participant.snapshots.recall(snapshot, "hand-over")
+        self._participant.snapshots.restore(snapshot, "hand-over")
         connection.send({"do": "took"})
 
     def _read_snapshot(self, connection: ControlConnection) -> schema.Snapshot:
@@ -183,8 +183,8 @@
             snapshot = schema.unpack(file.read(schema.MAX_SNAPSHOT_BYTES + 1))
         participant = self._participant
         configuration = participant.limiter.configuration
-        site = schema.site_of(configuration.settings) if participant.requires_same_site else snapshot.site
-        schema.believed(snapshot, site, configuration.name, clock.now(), participant.step_timeout)
+        site = schema.site_digest(configuration.settings) if participant.requires_same_site else snapshot.site
+        schema.check_applicable(snapshot, site, configuration.name, clock.now(), participant.step_timeout)
         return snapshot
 
     def _start_accepting(self) -> None:
--- a/thymeflow/handover/sender.py
+++ b/thymeflow/handover/sender.py
@@ -12,7 +12,7 @@
 from thymeflow.decision.types import Status
 from thymeflow.handover.control_socket import ControlCaller, Message
 from thymeflow.handover.participant import HandoverParticipant, count_open_connections
-from thymeflow.handover.state_machine import SenderAction, SenderState, Word, advance_sender
+from thymeflow.handover.state_machine import SenderAction, SenderEvent, SenderState, advance_sender
 from thymeflow.handover.step_timer import StepTimer
 from thymeflow.limiter.phases import Phase
 from thymeflow.runtime import clock, log
@@ -24,8 +24,12 @@
 CONNECTION_REPORT_INTERVAL_SECONDS = 0.2  # at which the receiver is notified of the connections still open here
 MAX_LOGGED_INCARNATION_LENGTH = 20
 MAX_LOGGED_PID_LENGTH = 10
-OFF = (SenderState.DELEGATED, SenderState.GIVEN)  # states in which the receiver is the active process
-RECEIVER_EVENTS = (Word.RECEIVER_READY.value, Word.STATE_ACCEPTED.value, Word.RECEIVER_SERVING.value)
+DELEGATED_STATES = (SenderState.DELEGATED, SenderState.DRAINING)  # states in which the receiver is the active process
+RECEIVER_EVENTS = (
+    SenderEvent.RECEIVER_READY.value,
+    SenderEvent.STATE_ACCEPTED.value,
+    SenderEvent.RECEIVER_SERVING.value,
+)
 
 
 class RejectingCounter:
@@ -73,10 +77,10 @@
     def handle(self, caller: ControlCaller, message: Message) -> bool:
         """Process a message if it belongs to a handover; return whether it does."""
         command = message.get("do")
-        if command == Word.REQUESTED.value:
+        if command == SenderEvent.REQUESTED.value:
             self._on_request(caller, message)
         elif caller is self.peer and command in RECEIVER_EVENTS:
-            self.step(Word(command))
+            self.step(SenderEvent(command))
         else:
             return False
         return True
@@ -92,7 +96,7 @@
         incarnation = str(message.get("life"))[:MAX_LOGGED_INCARNATION_LENGTH]
         pid = str(message.get("pid"))[:MAX_LOGGED_PID_LENGTH]
         log.note("hand-over", f"to life {incarnation}, pid {pid}")
-        self.step(Word.REQUESTED)
+        self.step(SenderEvent.REQUESTED)
 
     def _find_rejection(self, message: Message) -> str | None:
         limiter = self._participant.limiter
@@ -100,19 +104,19 @@
         if phase not in (Phase.SERVING, Phase.EVACUATED):
             return f"it is {phase.value}"
         requires_same_site = self._participant.requires_same_site
-        if requires_same_site and message.get("site") != schema.site_of(limiter.gateway.settings):
+        if requires_same_site and message.get("site") != schema.site_digest(limiter.gateway.settings):
             return "plans or place in the set differ: restart it instead"
         if self.state is not SenderState.SERVING:
             return f"a hand-over is under way ({self.state.value})"
         return None
 
     def _on_disconnected(self) -> None:
-        self.step(Word.DISCONNECTED)
+        self.step(SenderEvent.DISCONNECTED)
 
     def _on_timeout(self) -> None:
-        self.step(Word.TIMED_OUT)
+        self.step(SenderEvent.TIMED_OUT)
 
-    def step(self, event: Word) -> None:
+    def step(self, event: SenderEvent) -> None:
         """Make the transition for an input, and carry out its actions."""
         previous = self.state
         self.state, actions = advance_sender(previous, event)
@@ -147,7 +151,7 @@
         limiter.lifecycle.port.stopReading()  # new connections wait in the kernel's queue
         if limiter.counter is not None:
             limiter.core.counter = RejectingCounter()
-        state = schema.pack(self._participant.snapshots.snapshot(True))
+        state = schema.pack(self._participant.snapshots.take_snapshot(True))
         self._late_charges = LateCharges(limiter.gateway, clock.now())
         limiter.lifecycle.on_stopping = self._send_late_charges
         self._state_descriptor = os.memfd_create("thymeflow-state")
@@ -181,7 +185,7 @@
         self._report_open_connections()
 
     def _report_open_connections(self, _: int = 0) -> None:
-        if self.state in OFF and self.peer is not None and not self.peer.closed:
+        if self.state in DELEGATED_STATES and self.peer is not None and not self.peer.is_closed:
             limiter = self._participant.limiter
             self._send({"held": count_open_connections(limiter)})
             next_at = clock.now() + CONNECTION_REPORT_INTERVAL_SECONDS
@@ -192,7 +196,7 @@
 
     def _send_late_charges(self) -> float:
         """Send what was charged since the snapshot; return the seconds that the messages need to leave."""
-        if self._late_charges is None or self.peer is None or self.peer.closed:
+        if self._late_charges is None or self.peer is None or self.peer.is_closed:
             return 0.0
         charges = list(self._late_charges.units().items())
         for start in range(0, len(charges), MAX_LATE_CHARGES_PER_MESSAGE):
--- a/thymeflow/handover/state_machine.py
+++ b/thymeflow/handover/state_machine.py
@@ -27,10 +27,10 @@
     TRANSFERRING_STATE = "yielding"  # the listener is paused; the receiver reads the state
     LISTENER_PAUSED = "yielded"  # the receiver is permitted to accept
     DELEGATED = "handed"  # the receiver accepts; the sender closes idle clients, and could still take over again
-    GIVEN = "given"  # it drains
+    DRAINING = "given"  # it drains
 
 
-class Word(Enum):
+class SenderEvent(Enum):
     """An input of the sender."""
 
     REQUESTED = "take"
@@ -39,7 +39,7 @@
     RECEIVER_SERVING = "serving"
     DISCONNECTED = "broken"
     TIMED_OUT = "late"  # a step took too long
-    ENDING = "ending"  # the process was asked to end
+    SHUTDOWN_REQUESTED = "ending"  # the process was asked to end
 
 
 class SenderAction(Enum):
@@ -63,54 +63,60 @@
     actions: tuple[SenderAction, ...] = ()
 
 
-SENDER_TRANSITIONS: dict[tuple[SenderState, Word], SenderTransition] = {
-    (SenderState.SERVING, Word.REQUESTED): SenderTransition(
+SENDER_TRANSITIONS: dict[tuple[SenderState, SenderEvent], SenderTransition] = {
+    (SenderState.SERVING, SenderEvent.REQUESTED): SenderTransition(
         SenderState.DESCRIPTORS_SENT, (SenderAction.SEND_DESCRIPTORS,)
     ),
-    (SenderState.SERVING, Word.ENDING): SenderTransition(SenderState.SERVING),
-    (SenderState.DESCRIPTORS_SENT, Word.RECEIVER_READY): SenderTransition(
+    (SenderState.SERVING, SenderEvent.SHUTDOWN_REQUESTED): SenderTransition(SenderState.SERVING),
+    (SenderState.DESCRIPTORS_SENT, SenderEvent.RECEIVER_READY): SenderTransition(
         SenderState.TRANSFERRING_STATE, (SenderAction.PAUSE_LISTENER,)
     ),
-    (SenderState.DESCRIPTORS_SENT, Word.DISCONNECTED): SenderTransition(SenderState.SERVING),
-    (SenderState.DESCRIPTORS_SENT, Word.TIMED_OUT): SenderTransition(
+    (SenderState.DESCRIPTORS_SENT, SenderEvent.DISCONNECTED): SenderTransition(SenderState.SERVING),
+    (SenderState.DESCRIPTORS_SENT, SenderEvent.TIMED_OUT): SenderTransition(
         SenderState.SERVING, (SenderAction.DISCONNECT_RECEIVER,)
     ),
-    (SenderState.DESCRIPTORS_SENT, Word.ENDING): SenderTransition(
+    (SenderState.DESCRIPTORS_SENT, SenderEvent.SHUTDOWN_REQUESTED): SenderTransition(
         SenderState.SERVING, (SenderAction.DISCONNECT_RECEIVER,)
     ),
-    (SenderState.TRANSFERRING_STATE, Word.STATE_ACCEPTED): SenderTransition(
+    (SenderState.TRANSFERRING_STATE, SenderEvent.STATE_ACCEPTED): SenderTransition(
         SenderState.LISTENER_PAUSED, (SenderAction.PERMIT_ACCEPT,)
     ),
-    (SenderState.TRANSFERRING_STATE, Word.DISCONNECTED): SenderTransition(SenderState.SERVING, (SenderAction.RESUME,)),
-    (SenderState.TRANSFERRING_STATE, Word.TIMED_OUT): SenderTransition(
+    (SenderState.TRANSFERRING_STATE, SenderEvent.DISCONNECTED): SenderTransition(
+        SenderState.SERVING, (SenderAction.RESUME,)
+    ),
+    (SenderState.TRANSFERRING_STATE, SenderEvent.TIMED_OUT): SenderTransition(
         SenderState.SERVING, (SenderAction.DISCONNECT_RECEIVER, SenderAction.RESUME)
     ),
-    (SenderState.TRANSFERRING_STATE, Word.ENDING): SenderTransition(
+    (SenderState.TRANSFERRING_STATE, SenderEvent.SHUTDOWN_REQUESTED): SenderTransition(
         SenderState.SERVING, (SenderAction.DISCONNECT_RECEIVER, SenderAction.RESUME)
     ),
-    (SenderState.LISTENER_PAUSED, Word.RECEIVER_SERVING): SenderTransition(
+    (SenderState.LISTENER_PAUSED, SenderEvent.RECEIVER_SERVING): SenderTransition(
         SenderState.DELEGATED, (SenderAction.DELEGATE,)
     ),
-    (SenderState.LISTENER_PAUSED, Word.DISCONNECTED): SenderTransition(SenderState.SERVING, (SenderAction.RESUME,)),
-    (SenderState.LISTENER_PAUSED, Word.TIMED_OUT): SenderTransition(
+    (SenderState.LISTENER_PAUSED, SenderEvent.DISCONNECTED): SenderTransition(
+        SenderState.SERVING, (SenderAction.RESUME,)
+    ),
+    (SenderState.LISTENER_PAUSED, SenderEvent.TIMED_OUT): SenderTransition(
         SenderState.SERVING, (SenderAction.DISCONNECT_RECEIVER, SenderAction.RESUME)
     ),
     # The receiver accepts by now, or is about to.
-    (SenderState.LISTENER_PAUSED, Word.ENDING): SenderTransition(SenderState.GIVEN),
+    (SenderState.LISTENER_PAUSED, SenderEvent.SHUTDOWN_REQUESTED): SenderTransition(SenderState.DRAINING),
     # The receiver is dead, so no other process accepts.
-    (SenderState.DELEGATED, Word.DISCONNECTED): SenderTransition(SenderState.SERVING, (SenderAction.RESUME,)),
+    (SenderState.DELEGATED, SenderEvent.DISCONNECTED): SenderTransition(SenderState.SERVING, (SenderAction.RESUME,)),
     # The receiver outlived the rollback window.
-    (SenderState.DELEGATED, Word.TIMED_OUT): SenderTransition(SenderState.GIVEN, (SenderAction.DRAIN,)),
-    (SenderState.DELEGATED, Word.ENDING): SenderTransition(SenderState.GIVEN),
+    (SenderState.DELEGATED, SenderEvent.TIMED_OUT): SenderTransition(SenderState.DRAINING, (SenderAction.DRAIN,)),
+    (SenderState.DELEGATED, SenderEvent.SHUTDOWN_REQUESTED): SenderTransition(SenderState.DRAINING),
     # The sender was asked to end before this message arrived.
-    (SenderState.GIVEN, Word.RECEIVER_SERVING): SenderTransition(SenderState.GIVEN, (SenderAction.CONFIRM_DELEGATION,)),
-    (SenderState.GIVEN, Word.DISCONNECTED): SenderTransition(SenderState.GIVEN),
-    (SenderState.GIVEN, Word.TIMED_OUT): SenderTransition(SenderState.GIVEN),
-    (SenderState.GIVEN, Word.ENDING): SenderTransition(SenderState.GIVEN),
+    (SenderState.DRAINING, SenderEvent.RECEIVER_SERVING): SenderTransition(
+        SenderState.DRAINING, (SenderAction.CONFIRM_DELEGATION,)
+    ),
+    (SenderState.DRAINING, SenderEvent.DISCONNECTED): SenderTransition(SenderState.DRAINING),
+    (SenderState.DRAINING, SenderEvent.TIMED_OUT): SenderTransition(SenderState.DRAINING),
+    (SenderState.DRAINING, SenderEvent.SHUTDOWN_REQUESTED): SenderTransition(SenderState.DRAINING),
 }
 
 
-def advance_sender(state: SenderState, event: Word) -> SenderTransition:
+def advance_sender(state: SenderState, event: SenderEvent) -> SenderTransition:
     """Return the sender's transition; an input that is not in the table is rejected and keeps the state."""
     rejection = SenderTransition(state, (SenderAction.REJECT_INPUT,))
     return SENDER_TRANSITIONS.get((state, event), rejection)
@@ -128,7 +134,7 @@
     FAILED = "failed"
 
 
-class Told(Enum):
+class ReceiverEvent(Enum):
     """An input of the receiver."""
 
     DESCRIPTORS_RECEIVED = "offer"
@@ -138,7 +144,7 @@
     DELEGATION_CONFIRMED = "draining"
     DISCONNECTED = "broken"
     TIMED_OUT = "late"
-    UNFIT = "unfit"  # locally: the receiver gives up, as what it was sent cannot be used or it was asked to end
+    ABORTED = "unfit"  # locally: the receiver gives up, as what it was sent cannot be used or it was asked to end
 
 
 class ReceiverAction(Enum):
@@ -166,35 +172,37 @@
     ReceiverState.AWAITING_STATE,
     ReceiverState.AWAITING_PERMISSION,
 )
-FAULTS = (Told.DISCONNECTED, Told.TIMED_OUT, Told.UNFIT)
+FAULTS = (ReceiverEvent.DISCONNECTED, ReceiverEvent.TIMED_OUT, ReceiverEvent.ABORTED)
 
-RECEIVER_TRANSITIONS: dict[tuple[ReceiverState, Told], ReceiverTransition] = {
-    (ReceiverState.REQUESTING, Told.DESCRIPTORS_RECEIVED): ReceiverTransition(
+RECEIVER_TRANSITIONS: dict[tuple[ReceiverState, ReceiverEvent], ReceiverTransition] = {
+    (ReceiverState.REQUESTING, ReceiverEvent.DESCRIPTORS_RECEIVED): ReceiverTransition(
         ReceiverState.STARTING_UP, (ReceiverAction.START_UP,)
     ),
-    (ReceiverState.STARTING_UP, Told.STARTED_UP): ReceiverTransition(
+    (ReceiverState.STARTING_UP, ReceiverEvent.STARTED_UP): ReceiverTransition(
         ReceiverState.AWAITING_STATE, (ReceiverAction.SEND_READY,)
     ),
-    (ReceiverState.AWAITING_STATE, Told.STATE_RECEIVED): ReceiverTransition(
+    (ReceiverState.AWAITING_STATE, ReceiverEvent.STATE_RECEIVED): ReceiverTransition(
         ReceiverState.AWAITING_PERMISSION, (ReceiverAction.RESTORE_STATE,)
     ),
-    (ReceiverState.AWAITING_PERMISSION, Told.ACCEPT_PERMITTED): ReceiverTransition(
+    (ReceiverState.AWAITING_PERMISSION, ReceiverEvent.ACCEPT_PERMITTED): ReceiverTransition(
         ReceiverState.AWAITING_CONFIRMATION, (ReceiverAction.START_ACCEPTING,)
     ),
-    (ReceiverState.AWAITING_CONFIRMATION, Told.DELEGATION_CONFIRMED): ReceiverTransition(
+    (ReceiverState.AWAITING_CONFIRMATION, ReceiverEvent.DELEGATION_CONFIRMED): ReceiverTransition(
         ReceiverState.COMPLETED, (ReceiverAction.COMPLETE,)
     ),
-    (ReceiverState.AWAITING_CONFIRMATION, Told.DISCONNECTED): ReceiverTransition(
+    (ReceiverState.AWAITING_CONFIRMATION, ReceiverEvent.DISCONNECTED): ReceiverTransition(
         ReceiverState.FAILED, (ReceiverAction.RETREAT,)
     ),
     # The sender may have delegated already, with its confirmation on the way: only the end of the connection shows
     # that it has not, since earlier messages arrive before it. To retreat on a guess could leave no process that
     # accepts.
-    (ReceiverState.AWAITING_CONFIRMATION, Told.TIMED_OUT): ReceiverTransition(ReceiverState.AWAITING_CONFIRMATION),
-    (ReceiverState.COMPLETED, Told.DISCONNECTED): ReceiverTransition(ReceiverState.COMPLETED),
-    (ReceiverState.COMPLETED, Told.TIMED_OUT): ReceiverTransition(ReceiverState.COMPLETED),
-    (ReceiverState.FAILED, Told.DISCONNECTED): ReceiverTransition(ReceiverState.FAILED),
-    (ReceiverState.FAILED, Told.TIMED_OUT): ReceiverTransition(ReceiverState.FAILED),
+    (ReceiverState.AWAITING_CONFIRMATION, ReceiverEvent.TIMED_OUT): ReceiverTransition(
+        ReceiverState.AWAITING_CONFIRMATION
+    ),
+    (ReceiverState.COMPLETED, ReceiverEvent.DISCONNECTED): ReceiverTransition(ReceiverState.COMPLETED),
+    (ReceiverState.COMPLETED, ReceiverEvent.TIMED_OUT): ReceiverTransition(ReceiverState.COMPLETED),
+    (ReceiverState.FAILED, ReceiverEvent.DISCONNECTED): ReceiverTransition(ReceiverState.FAILED),
+    (ReceiverState.FAILED, ReceiverEvent.TIMED_OUT): ReceiverTransition(ReceiverState.FAILED),
     **{
         (state, fault): ReceiverTransition(ReceiverState.FAILED, (ReceiverAction.ABANDON,))
         for state in STATES_BEFORE_ACCEPTING
@@ -203,6 +211,6 @@
 }
 
 
-def advance_receiver(state: ReceiverState, event: Told) -> ReceiverTransition:
+def advance_receiver(state: ReceiverState, event: ReceiverEvent) -> ReceiverTransition:
     """Return the receiver's transition; an input that is not in the table changes nothing."""
     return RECEIVER_TRANSITIONS.get((state, event), ReceiverTransition(state))
--- a/thymeflow/handover/upgradable_limiter.py
+++ b/thymeflow/handover/upgradable_limiter.py
@@ -19,8 +19,8 @@
 from thymeflow.handover.participant import RejectedHandoverError
 from thymeflow.handover.reactor_types import UnixReactor
 from thymeflow.handover.receiver import HandoverReceiver
-from thymeflow.handover.sender import OFF, HandoverSender
-from thymeflow.handover.state_machine import Told, Word
+from thymeflow.handover.sender import DELEGATED_STATES, HandoverSender
+from thymeflow.handover.state_machine import ReceiverEvent, SenderEvent
 from thymeflow.limiter.assembly import CANNOT_LISTEN, Limiter
 from thymeflow.limiter.phases import Phase
 from thymeflow.platform import configuration
@@ -43,9 +43,9 @@
         self.incarnation = secrets.token_hex(INCARNATION_BYTES)
         self.code = 0  # exit code
         self.snapshots = SnapshotStore(given.name, self.incarnation, given.endpoints)
-        self.snapshots.of(self.limiter.gateway)
-        self.snapshots.listed(given.endpoints)
-        self.limiter.on_list = self.snapshots.listed
+        self.snapshots.set_gateway(self.limiter.gateway)
+        self.snapshots.on_endpoint_update(given.endpoints)
+        self.limiter.on_list = self.snapshots.on_endpoint_update
         self.limiter.when_endpoints_ready = self._on_endpoints_ready
         self._path = _socket_path(given.name)
         self._control: ControlServer | None = None
@@ -66,10 +66,10 @@
         """Shut down gracefully, on SIGTERM or SIGINT."""
         self._is_ending = True
         if self._receiver is not None and not self._receiver.is_serving():
-            self._receiver.step(Told.UNFIT)
+            self._receiver.step(ReceiverEvent.ABORTED)
             return
-        self._sender.step(Word.ENDING)
-        self.limiter.lifecycle.terminate(0.0 if self._sender.state in OFF else None)
+        self._sender.step(SenderEvent.SHUTDOWN_REQUESTED)
+        self.limiter.lifecycle.terminate(0.0 if self._sender.state in DELEGATED_STATES else None)
 
     def finish(self) -> int:
         """Clean up after the reactor has stopped, and return the exit code."""
@@ -184,4 +184,4 @@
     if len(descriptors) != 1:
         message = f"{len(descriptors)} descriptors came with it, not 1"
         raise listening_sockets.BadDescriptorError(message)
-    return listening_sockets.checked(descriptors[0])
+    return listening_sockets.duplicate_listening_socket(descriptors[0])
--- a/thymeflow/snapshot/late_charges.py
+++ b/thymeflow/snapshot/late_charges.py
@@ -4,7 +4,8 @@
 
 from collections.abc import Mapping
 
-from thymeflow.decision.policy import Gateway, TokenBucket
+from thymeflow.decision.gateway import Gateway
+from thymeflow.quota.token_bucket import TokenBucket
 
 MIN_REPORTED_UNITS = 1e-9  # smaller differences are rounding
 
--- a/thymeflow/snapshot/restore.py
+++ b/thymeflow/snapshot/restore.py
@@ -23,13 +23,15 @@
 from typing import NamedTuple
 
 from thymeflow.decision.events import EndpointsChanged
-from thymeflow.decision.policy import BackendStats, Gateway, TokenBucket
+from thymeflow.decision.gateway import Gateway
 from thymeflow.decision.settings import Plan
 from thymeflow.decision.types import Backend, BackendState, EndpointListKind
-from thymeflow.platform.configuration import Address, EndpointUpdate
-from thymeflow.quota.counter_ledger import CounterLedger
+from thymeflow.health.backend_stats import BackendStats, FailureStreak
+from thymeflow.platform.endpoints import Address, EndpointUpdate
+from thymeflow.quota.counter_ledger import CounterLedger, UncertainAmount
+from thymeflow.quota.token_bucket import TokenBucket
 from thymeflow.snapshot.late_charges import spend
-from thymeflow.snapshot.schema import AccountRecord, HealthRecord, ServerRecord, Snapshot, StoreRecord, site_of
+from thymeflow.snapshot.schema import AccountRecord, HealthRecord, ServerRecord, Snapshot, StoreRecord, site_digest
 
 MAX_CONSECUTIVE_FAILURES = 64  # that are restored of a backend; with more, the backoff is at its maximum anyway
 MAX_EJECTION_SECONDS = 60.0  # from the restore on
@@ -59,7 +61,9 @@
 
 
 def _counter_ledger(record: AccountRecord) -> CounterLedger:
-    return CounterLedger(record.read, record.told, record.spent, record.name, record.total, record.unsure)
+    return CounterLedger(
+        record.read, record.told, record.spent, record.name, record.total, UncertainAmount(*record.unsure)
+    )
 
 
 def _store_record(bucket: TokenBucket, counter_calls: Mapping[int, tuple[int, float]]) -> StoreRecord:
@@ -122,7 +126,7 @@
     )
 
 
-def remember(
+def take_snapshot(
     gateway: Gateway,
     name: str,
     incarnation: str,
@@ -138,7 +142,7 @@
         if stats.endpoint.id in addresses
     )
     return Snapshot(
-        site=site_of(gateway.settings),
+        site=site_digest(gateway.settings),
         name=name,
         life=incarnation,
         taken=now,
@@ -157,7 +161,7 @@
     )
 
 
-def listed(snapshot: Snapshot) -> EndpointUpdate:
+def endpoint_update_of(snapshot: Snapshot) -> EndpointUpdate:
     """Return the snapshot's endpoint list, marked as cached since it may be old."""
     backends = tuple(
         Backend(
@@ -177,10 +181,10 @@
     )
 
 
-def newer(snapshot: Snapshot, known: EndpointUpdate) -> EndpointUpdate:
+def newest_endpoint_update(snapshot: Snapshot, known: EndpointUpdate) -> EndpointUpdate:
     """Return the newer of the snapshot's endpoint list and a known one."""
     if snapshot.servers and snapshot.version > known.change.version:
-        return listed(snapshot)
+        return endpoint_update_of(snapshot)
     return known
 
 
@@ -220,7 +224,7 @@
     bucket.predicted_remote_usage = max(0.0, record.ahead)
 
 
-def recall(gateway: Gateway, snapshot: Snapshot, now: float) -> RestoreResult:
+def restore_gateway(gateway: Gateway, snapshot: Snapshot, now: float) -> RestoreResult:
     """Restore a new gateway's state, except that of backends; buckets of unknown plans are skipped."""
     skipped = 0
     plans = gateway.plans
@@ -241,7 +245,7 @@
     return RestoreResult(len(snapshot.stores) - skipped, skipped)
 
 
-def health(gateway: Gateway, snapshot: Snapshot, now: float) -> int:
+def restore_health(gateway: Gateway, snapshot: Snapshot, now: float) -> int:
     """Restore the health of backends that have not restarted since; return how many there are.
 
     The endpoint list has to be known by then.
@@ -259,7 +263,9 @@
     stats.relative_latency = min(MAX_RELATIVE_LATENCY, max(MIN_RELATIVE_LATENCY, record.pace))
     stats.send_interval = max(0.0, record.gap)
     stats.failures = {
-        class_name: (min(max(0, failure_count), MAX_CONSECUTIVE_FAILURES), _ejected_until(ejection_end, now))
+        class_name: FailureStreak(
+            min(max(0, failure_count), MAX_CONSECUTIVE_FAILURES), _ejected_until(ejection_end, now)
+        )
         for class_name, (failure_count, ejection_end) in record.failures.items()
     }
 
--- a/thymeflow/snapshot/schema.py
+++ b/thymeflow/snapshot/schema.py
@@ -144,7 +144,7 @@
     return _Verbatim(f"Plan({', '.join(f'{name}={value!r}' for name, value in values.items())})")
 
 
-def site_of(settings: GatewaySettings) -> str:
+def site_digest(settings: GatewaySettings) -> str:
     """Return a digest of what gives a bucket its meaning: plans, zone and index, but not classes or set size."""
     text = repr((tuple(_plan_text(plan) for plan in settings.plans), settings.zone, settings.index))
     return hashlib.blake2b(text.encode(), digest_size=SITE_DIGEST_BYTES).hexdigest()
@@ -247,7 +247,7 @@
     store.update(account=account, ahead=0.0)
 
 
-def believed(snapshot: Snapshot, site: str, name: str, now: float, max_age_seconds: float) -> None:
+def check_applicable(snapshot: Snapshot, site: str, name: str, now: float, max_age_seconds: float) -> None:
     """Check that a valid snapshot is of this limiter and recent.
 
     :raises SnapshotError: if it is of another site or limiter, from the future or too old.
--- a/thymeflow/snapshot/store.py
+++ b/thymeflow/snapshot/store.py
@@ -2,9 +2,9 @@
 
 from __future__ import annotations
 
-from thymeflow import Gateway
+from thymeflow.decision.gateway import Gateway
 from thymeflow.decision.types import EndpointListKind
-from thymeflow.platform import configuration
+from thymeflow.platform import endpoints
 from thymeflow.runtime import clock, log
 from thymeflow.snapshot import restore, schema
 
@@ -12,23 +12,23 @@
 class SnapshotStore:
     """Takes snapshots of a gateway, and restores one that an earlier process took."""
 
-    def __init__(self, name: str, incarnation: str, first_list: configuration.EndpointUpdate) -> None:
+    def __init__(self, name: str, incarnation: str, first_list: endpoints.EndpointUpdate) -> None:
         self._name = name
         self._incarnation = incarnation
         self.version = first_list.change.version
-        self._addresses: dict[int, configuration.Address] = {}
+        self._addresses: dict[int, endpoints.Address] = {}
         self._gateway: Gateway | None = None
         self._awaiting_endpoints: schema.Snapshot | None = None  # its health records wait for the endpoint list
         self._source = "none"
 
-    def of(self, gateway: Gateway) -> None:
+    def set_gateway(self, gateway: Gateway) -> None:
         """Set the gateway whose state this is."""
         self._gateway = gateway
 
-    def recall(self, snapshot: schema.Snapshot, source: str) -> None:
+    def restore(self, snapshot: schema.Snapshot, source: str) -> None:
         """Restore the gateway's state from a snapshot that came from `source`."""
         assert self._gateway is not None
-        result = restore.recall(self._gateway, snapshot, clock.now())
+        result = restore.restore_gateway(self._gateway, snapshot, clock.now())
         self._awaiting_endpoints = snapshot
         self._source = source
         log.note(
@@ -42,7 +42,7 @@
         )
         self._restore_health()
 
-    def listed(self, update: configuration.EndpointUpdate) -> None:
+    def on_endpoint_update(self, update: endpoints.EndpointUpdate) -> None:
         """Keep the addresses of an update of the endpoint list, as the gateway has none."""
         if update.change.kind is not EndpointListKind.DELTA:
             self._addresses.clear()
@@ -58,11 +58,11 @@
         snapshot = self._awaiting_endpoints
         if snapshot is not None and self._gateway is not None and self._gateway.backends:
             self._awaiting_endpoints = None
-            restore.health(self._gateway, snapshot, clock.now())
+            restore.restore_health(self._gateway, snapshot, clock.now())
 
-    def snapshot(self, final: bool) -> schema.Snapshot:
+    def take_snapshot(self, final: bool) -> schema.Snapshot:
         """Return the state as it is now; `final` if nothing more can be forwarded."""
         assert self._gateway is not None
-        return restore.remember(
+        return restore.take_snapshot(
             self._gateway, self._name, self._incarnation, clock.now(), final, self.version, self._addresses
         )
--- a/thymeflow/testkit/demo.py
+++ b/thymeflow/testkit/demo.py
@@ -26,7 +26,7 @@
 from rich.text import Text
 from twisted.internet.defer import Deferred, inlineCallbacks
 
-from thymeflow.handover.control_client import NoAnswerError, ask
+from thymeflow.handover.control_client import NoAnswerError, send_request
 from thymeflow.runtime import clock
 from thymeflow.testkit.fakes import Customer, World
 from thymeflow.testkit.fakes.site import CLASSES, PLANS
@@ -143,7 +143,7 @@
         return Group(plans, limiters, servers, Text("\n".join(self._happened[-6:])))
 
     def _ask(self, patience: float, **message: Any) -> Deferred[dict[str, Any]]:
-        return ask(
+        return send_request(
             self._reactor, self.world.deadlines, self._folder / "s" / "fleet.sock", message, clock.now() + patience
         )
 
--- a/thymeflow/testkit/faults/fleet_cluster.py
+++ b/thymeflow/testkit/faults/fleet_cluster.py
@@ -14,7 +14,7 @@
 
 from twisted.internet.defer import Deferred, inlineCallbacks
 
-from thymeflow.handover.control_client import NoAnswerError, ask
+from thymeflow.handover.control_client import NoAnswerError, send_request
 from thymeflow.runtime import clock
 from thymeflow.testkit.async_steps import Steps, reactor, sleep
 from thymeflow.testkit.fakes import World
@@ -74,7 +74,7 @@
 
     def order(self, **message: Any) -> Deferred[dict[str, Any]]:
         """Ask the supervisor."""
-        return ask(reactor, self._world.deadlines, self.state / "fleet.sock", message, clock.now() + PATIENCE)
+        return send_request(reactor, self._world.deadlines, self.state / "fleet.sock", message, clock.now() + PATIENCE)
 
     @inlineCallbacks
     def ready(self, count: int) -> Steps:
