--- a/tests/test_fleet_mind.py
+++ b/tests/test_fleet_mind.py
@@ -1,4 +1,4 @@
-"""The supervisor's decisions, without a process: rolls, scales, crashes and what a roll never does."""
+"""The fleet controller, without a process: rolls, scales, crashes and what a roll never does."""
 
 from __future__ import annotations
 
@@ -12,324 +12,334 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, initialize, invariant, precondition, rule
 
-from thymeflow.fleet import controller
-from thymeflow.fleet.controller import MOVES, FleetController, Kind, Member, Move, State
+from thymeflow.fleet import actions, events
+from thymeflow.fleet.controller import FleetController
+from thymeflow.fleet.events import OperationKind
+from thymeflow.fleet.member_state import TRANSITIONS, Member, MemberState, Transition
 from thymeflow.settings.sections import Fleet
 
-SET = Fleet(
+SETTINGS = Fleet(
     instances=3, spread=1.0, ready=5.0, settle=0.5, stop=4.0, wait=0.5, longest_wait=8.0, crashes=3, crash_window=30.0
 )
 
 
-class Play:
-    """A mind and the processes that it asked for."""
+class FleetModel:
+    """A controller, and the processes that it asked for."""
 
     def __init__(self, count: int = 3, start: bool = True) -> None:
-        self.mind, self.now = FleetController(SET, random.Random(1)), 100.0
-        self.alive: dict[int, controller.Start] = {}
+        self.controller, self.now = FleetController(SETTINGS, random.Random(1)), 100.0
+        self.alive: dict[int, actions.StartProcess] = {}
         self.stopping: set[int] = set()
-        self.said: list[controller.Action] = []
-        self.size, self.orders = 0, 0
+        self.actions: list[actions.Action] = []
+        self.size, self.operations = 0, 0
         if start:
-            self.tell(controller.FleetStarted(count))
-            self.settle()
-
-    def tell(self, event: controller.Event) -> list[controller.Action]:
-        actions = self.mind.handle(self.now, event)
-        for action in actions:
-            if isinstance(action, controller.Start):
-                self.alive[action.run] = action
-            elif isinstance(action, controller.Stop | controller.Kill) and action.run in self.alive:
-                self.stopping.add(action.run)
-            elif isinstance(action, controller.Resize):
-                self.size = action.gateways
-        self.said += actions
-        return actions
-
-    def ready(self, run: int, healthy: bool = True) -> None:
-        self.tell(controller.StatusReported(run, f"life{run}", True, healthy))
-
-    def end(self, run: int, how: str = "ended with code 0") -> None:
-        self.alive.pop(run)
-        self.stopping.discard(run)
-        self.tell(controller.RunEnded(run, how))
+            self.handle(events.FleetStarted(count))
+            self.run_until_settled()
+
+    def handle(self, event: events.Event) -> list[actions.Action]:
+        decided = self.controller.handle(self.now, event)
+        for action in decided:
+            if isinstance(action, actions.StartProcess):
+                self.alive[action.run_id] = action
+            elif isinstance(action, actions.StopProcess | actions.KillProcess) and action.run_id in self.alive:
+                self.stopping.add(action.run_id)
+            elif isinstance(action, actions.ResizeFleet):
+                self.size = action.size
+        self.actions += decided
+        return decided
+
+    def report_status(self, run_id: int, healthy: bool = True) -> None:
+        self.handle(events.StatusReported(run_id, f"incarnation{run_id}", True, healthy))
+
+    def end(self, run_id: int, reason: str = "ended with code 0") -> None:
+        self.alive.pop(run_id)
+        self.stopping.discard(run_id)
+        self.handle(events.RunEnded(run_id, reason))
 
     def pass_time(self, seconds: float) -> None:
         end, ticks = self.now + seconds, 0
-        while (due := self.mind.next_due()) <= end:
+        while (due := self.controller.next_due_at()) <= end:
             self.now = max(self.now, due)
-            self.tell(controller.Tick())
+            self.handle(events.Tick())
             ticks += 1
-            assert ticks < 200 or self.mind.next_due() > self.now, f"it spins: {self.mind.members}"
+            assert ticks < 200 or self.controller.next_due_at() > self.now, f"it spins: {self.controller.members}"
         self.now = end
-        self.tell(controller.Tick())
+        self.handle(events.Tick())
 
-    def settle(self, rounds: int = 60) -> None:
-        """Everything goes well: what is asked to end ends, what starts serves."""
+    def run_until_settled(self, rounds: int = 60) -> None:
+        """Let every stop and every start succeed."""
         for _ in range(rounds):
             for run in list(self.stopping):
                 if run in self.alive:
                     self.end(run)
             for run, start in list(self.alive.items()):
-                member = self.mind.members.get(start.number)
-                if member and run in (member.run, member.coming):
-                    if start.replaces and member.coming == run and member.run in self.alive:
-                        old = member.run
-                        self.ready(run)
+                member = self.controller.members.get(start.number)
+                if member and run in (member.run_id, member.successor_run_id):
+                    if start.is_replacement and member.successor_run_id == run and member.run_id in self.alive:
+                        old = member.run_id
+                        self.report_status(run)
                         self.stopping.add(old)
                     else:
-                        self.ready(run)
+                        self.report_status(run)
             self.pass_time(0.3)
 
-    def states(self) -> dict[int, State]:
-        return {n: m.state for n, m in self.mind.members.items()}
+    def states(self) -> dict[int, MemberState]:
+        return {n: m.state for n, m in self.controller.members.items()}
 
-    def order(self, kind: Kind, count: int = 0) -> int:
-        self.orders += 1
-        self.tell(controller.Order(self.orders, kind, count))
-        return self.orders
+    def begin(self, kind: OperationKind, count: int = 0) -> int:
+        self.operations += 1
+        self.handle(events.Operation(self.operations, kind, count))
+        return self.operations
 
-    def done(self, order: int) -> controller.ReportProgress:
-        (report,) = [a for a in self.said if isinstance(a, controller.ReportProgress) and a.id == order and a.done]
+    def last_report(self, order: int) -> actions.ReportProgress:
+        (report,) = [
+            a for a in self.actions if isinstance(a, actions.ReportProgress) and a.operation_id == order and a.is_done
+        ]
         return report
 
     def serving(self) -> int:
-        return sum(m.state in (State.READY, State.REPLACING) for m in self.mind.members.values())
+        return sum(m.state in (MemberState.READY, MemberState.REPLACING) for m in self.controller.members.values())
 
 
-def test_every_move_that_is_not_in_the_table_raises() -> None:
-    for state in State:
-        for move in Move:
+def test_transition_raises_when_it_is_not_in_the_table() -> None:
+    for state in MemberState:
+        for transition in Transition:
             member = Member(0, state)
-            if (state, move) in MOVES:
-                member.move(move)
-                assert member.state is MOVES[state, move]
+            if (state, transition) in TRANSITIONS:
+                member.apply(transition)
+                assert member.state is TRANSITIONS[state, transition]
             else:
                 with pytest.raises(KeyError):
-                    member.move(move)
+                    member.apply(transition)
 
 
-def test_a_start_is_spread_and_the_size_told_before() -> None:
-    play = Play(start=False)
-    first = play.tell(controller.FleetStarted(3))
-    assert first[0] == controller.Resize(3)
+def test_starts_are_spread_and_members_notified_of_the_size_before() -> None:
+    model = FleetModel(start=False)
+    first = model.handle(events.FleetStarted(3))
+    assert first[0] == actions.ResizeFleet(3)
     starts: dict[int, float] = {}
     for _ in range(200):
-        play.pass_time(0.01)
-        for run in play.alive:
-            starts.setdefault(run, play.now)
+        model.pass_time(0.01)
+        for run in model.alive:
+            starts.setdefault(run, model.now)
     times = sorted(starts.values())
-    assert len(times) == 3 and times[-1] - times[0] <= SET.spread + 0.02
+    assert len(times) == 3 and times[-1] - times[0] <= SETTINGS.spread + 0.02
     assert all(b > a for a, b in pairwise(times))
-    assert not any(s.joins for s in play.alive.values())
+    assert not any(s.is_joining for s in model.alive.values())
 
 
-def test_a_restart_rolls_one_by_one_and_waits_for_health() -> None:
-    play = Play()
-    order = play.order(Kind.RESTART)
+def test_restart_rolls_one_by_one_and_waits_for_health() -> None:
+    model = FleetModel()
+    order = model.begin(OperationKind.RESTART)
     for number in range(3):
-        assert [n for n, s in play.states().items() if s is State.STOPPING] == [number]
-        play.end(play.mind.members[number].run)
-        play.pass_time(0.01)
-        run = play.mind.members[number].run
-        play.ready(run, healthy=False)
-        play.pass_time(3.0)
-        assert play.serving() == 3 and play.mind.working()  # ready is not yet healthy
-        play.ready(run)
-        play.pass_time(SET.settle + 0.01)
-    assert play.done(order).good and play.states() == dict.fromkeys(range(3), State.READY)
-
-
-def test_an_upgrade_keeps_the_old_until_the_new_serves() -> None:
-    play = Play()
-    order = play.order(Kind.UPGRADE)
-    member = play.mind.members[0]
-    old, new = member.run, member.coming
-    assert play.alive[new].replaces and old in play.alive and not play.stopping
-    play.ready(new)
-    assert member.run == new and play.mind.members[1].state is State.READY
-    play.end(old)
-    assert member.state is State.READY and member.run == new
-    play.settle()
-    assert play.done(order).good
-
-
-def test_the_old_one_may_end_before_the_new_ones_word_comes() -> None:
-    play = Play()
-    order = play.order(Kind.UPGRADE)
-    member = play.mind.members[0]
-    new = member.coming
-    play.end(member.run)
-    assert play.states()[0] is State.REPLACING and new in play.alive
-    play.ready(new)
-    assert play.states()[0] is State.READY and member.run == new
-    play.settle()
-    assert play.done(order).good
+        assert [n for n, s in model.states().items() if s is MemberState.STOPPING] == [number]
+        model.end(model.controller.members[number].run_id)
+        model.pass_time(0.01)
+        run = model.controller.members[number].run_id
+        model.report_status(run, healthy=False)
+        model.pass_time(3.0)
+        assert model.serving() == 3 and model.controller.describe_operation()  # ready is not yet healthy
+        model.report_status(run)
+        model.pass_time(SETTINGS.settle + 0.01)
+    assert model.last_report(order).is_successful and model.states() == dict.fromkeys(range(3), MemberState.READY)
+
+
+def test_upgrade_keeps_the_old_run_until_its_successor_serves() -> None:
+    model = FleetModel()
+    order = model.begin(OperationKind.UPGRADE)
+    member = model.controller.members[0]
+    old, new = member.run_id, member.successor_run_id
+    assert model.alive[new].is_replacement and old in model.alive and not model.stopping
+    model.report_status(new)
+    assert member.run_id == new and model.controller.members[1].state is MemberState.READY
+    model.end(old)
+    assert member.state is MemberState.READY and member.run_id == new
+    model.run_until_settled()
+    assert model.last_report(order).is_successful
+
+
+def test_upgrade_succeeds_when_the_old_run_ends_before_the_successor_reports() -> None:
+    model = FleetModel()
+    order = model.begin(OperationKind.UPGRADE)
+    member = model.controller.members[0]
+    new = member.successor_run_id
+    model.end(member.run_id)
+    assert model.states()[0] is MemberState.REPLACING and new in model.alive
+    model.report_status(new)
+    assert model.states()[0] is MemberState.READY and member.run_id == new
+    model.run_until_settled()
+    assert model.last_report(order).is_successful
 
 
 @pytest.mark.parametrize("way", ["ends", "hangs", "both"])
-def test_a_broken_program_stops_the_upgrade_and_the_old_ones_serve_on(way: str) -> None:
-    play = Play()
-    runs = [m.run for m in play.mind.members.values()]
-    order = play.order(Kind.UPGRADE)
-    member = play.mind.members[0]
+def test_upgrade_stops_and_old_runs_serve_on_when_the_successor_fails(way: str) -> None:
+    model = FleetModel()
+    runs = [m.run_id for m in model.controller.members.values()]
+    order = model.begin(OperationKind.UPGRADE)
+    member = model.controller.members[0]
     if way == "hangs":
-        play.pass_time(SET.ready + 0.1)
-        assert member.coming == -1
+        model.pass_time(SETTINGS.ready + 0.1)
+        assert member.successor_run_id == -1
     else:
-        coming = member.coming
+        coming = member.successor_run_id
         if way == "both":
-            play.end(member.run)
-        play.end(coming, "ended with code 1")
-    report = play.done(order)
-    assert not report.good and "member 0" in report.text and "not touched: 1, 2" in report.text
-    assert [m.run for m in play.mind.members.values()][1:] == runs[1:]
+            model.end(member.run_id)
+        model.end(coming, "ended with code 1")
+    report = model.last_report(order)
+    assert not report.is_successful and "member 0" in report.text and "not touched: 1, 2" in report.text
+    assert [m.run_id for m in model.controller.members.values()][1:] == runs[1:]
     if way != "both":
-        assert play.states() == dict.fromkeys(range(3), State.READY) and member.run == runs[0]
+        assert model.states() == dict.fromkeys(range(3), MemberState.READY) and member.run_id == runs[0]
     else:
-        assert member.state is State.WAITING
-    play.settle()
-    assert play.states() == dict.fromkeys(range(3), State.READY)
-
-
-def test_a_crash_elsewhere_stops_a_roll() -> None:
-    play = Play()
-    order = play.order(Kind.RESTART)
-    play.end(play.mind.members[2].run, "was ended by SIGKILL")
-    assert not play.done(order).good
-    play.settle()
-    assert play.states() == dict.fromkeys(range(3), State.READY)
-
-
-def test_waits_grow_and_a_crash_loop_is_a_named_state_until_an_order() -> None:
-    play, waits = Play(), []
-    for _ in range(SET.crashes):
-        member = play.mind.members[1]
-        play.end(member.run, "ended with code 1")
-        waits.append(member.due - play.now)
-        play.pass_time(SET.longest_wait if member.state is State.WAITING else 0.0)
+        assert member.state is MemberState.WAITING
+    model.run_until_settled()
+    assert model.states() == dict.fromkeys(range(3), MemberState.READY)
+
+
+def test_roll_stops_when_another_member_crashes() -> None:
+    model = FleetModel()
+    order = model.begin(OperationKind.RESTART)
+    model.end(model.controller.members[2].run_id, "was ended by SIGKILL")
+    assert not model.last_report(order).is_successful
+    model.run_until_settled()
+    assert model.states() == dict.fromkeys(range(3), MemberState.READY)
+
+
+def test_backoff_grows_and_a_crash_loop_lasts_until_a_restart_is_ordered() -> None:
+    model, waits = FleetModel(), []
+    for _ in range(SETTINGS.crashes):
+        member = model.controller.members[1]
+        model.end(member.run_id, "ended with code 1")
+        waits.append(member.due_at - model.now)
+        model.pass_time(SETTINGS.longest_wait if member.state is MemberState.WAITING else 0.0)
     assert 0.25 <= waits[0] <= 0.5 <= waits[1] <= 1.0
-    assert play.states()[1] is State.LOOPING
-    play.pass_time(500.0)
-    assert play.states()[1] is State.LOOPING and play.mind.next_due() > play.now
-    assert not play.done(play.order(Kind.UPGRADE)).good
-    order = play.order(Kind.RESTART)
-    play.settle()
-    assert play.done(order).good and play.states()[1] is State.READY
-
-
-def test_scaling_tells_the_size_before_it_starts_and_after_it_stopped() -> None:
-    play = Play()
-    up = play.order(Kind.SCALE, 5)
-    assert play.size == 5
-    play.pass_time(SET.spread)
-    assert sorted(s.number for s in play.alive.values() if s.joins) == [3, 4]
-    play.settle()
-    assert play.done(up).good and len(play.states()) == 5
-    joined = play.mind.members[4]
-    play.end(joined.run, "was ended by SIGKILL")
-    play.settle()
-    assert not play.alive[joined.run].joins  # only the first start is a joining
-    down = play.order(Kind.SCALE, 2)
-    assert play.size == 5 and {play.alive[r].number for r in play.stopping} == {2, 3, 4}
-    play.settle()
-    assert play.done(down).good and play.size == 2 and list(play.states()) == [0, 1]
-
-
-def test_a_successor_adopts_and_starts_only_what_is_missing() -> None:
-    play = Play(start=False)
-    play.tell(controller.MemberAdopted(0, "a", True))
-    play.tell(controller.MemberAdopted(2, "c", False))
-    play.tell(controller.FleetStarted(3))
-    assert [s.number for s in play.alive.values()] == [1]  # and at once
-    play.tell(controller.StatusReported(play.mind.members[2].run, "c", True, True))
-    assert play.states()[0] is State.READY and play.states()[2] is State.READY
-
-
-def test_who_never_ends_or_never_gets_ready_is_killed() -> None:
-    play = Play()
-    play.order(Kind.SCALE, 2)
-    play.stopping.clear()
-    play.pass_time(SET.stop + 0.1)
-    assert controller.Kill(play.mind.members[2].run) in play.said
-    play = Play(start=False)
-    play.tell(controller.FleetStarted(1))
-    play.pass_time(SET.spread + SET.ready + 0.1)
-    assert controller.Kill(play.mind.members[0].run) in play.said
-
-
-def test_orders_wait_for_each_other_and_going_down_for_nobody() -> None:
-    play = Play()
-    roll = play.order(Kind.RESTART)
-    assert "under way" in play.done(play.order(Kind.SCALE, 9)).text
-    down = play.order(Kind.DOWN)
-    assert not play.done(roll).good
-    play.settle()
-    assert play.done(down).good and controller.Exit() in play.said and not play.alive
-
-
-class Fuzz(RuleBasedStateMachine):
-    """Anything at any time, against what must hold always."""
+    assert model.states()[1] is MemberState.CRASH_LOOP
+    model.pass_time(500.0)
+    assert model.states()[1] is MemberState.CRASH_LOOP and model.controller.next_due_at() > model.now
+    assert not model.last_report(model.begin(OperationKind.UPGRADE)).is_successful
+    order = model.begin(OperationKind.RESTART)
+    model.run_until_settled()
+    assert model.last_report(order).is_successful and model.states()[1] is MemberState.READY
+
+
+def test_scaling_notifies_members_before_starts_and_after_stops() -> None:
+    model = FleetModel()
+    up = model.begin(OperationKind.SCALE, 5)
+    assert model.size == 5
+    model.pass_time(SETTINGS.spread)
+    assert sorted(s.number for s in model.alive.values() if s.is_joining) == [3, 4]
+    model.run_until_settled()
+    assert model.last_report(up).is_successful and len(model.states()) == 5
+    joined = model.controller.members[4]
+    model.end(joined.run_id, "was ended by SIGKILL")
+    model.run_until_settled()
+    assert not model.alive[joined.run_id].is_joining  # only the first start is a joining
+    down = model.begin(OperationKind.SCALE, 2)
+    assert model.size == 5 and {model.alive[r].number for r in model.stopping} == {2, 3, 4}
+    model.run_until_settled()
+    assert model.last_report(down).is_successful and model.size == 2 and list(model.states()) == [0, 1]
+
+
+def test_new_supervisor_starts_only_missing_members_when_others_are_adopted() -> None:
+    model = FleetModel(start=False)
+    model.handle(events.MemberAdopted(0, "a", True))
+    model.handle(events.MemberAdopted(2, "c", False))
+    model.handle(events.FleetStarted(3))
+    assert [s.number for s in model.alive.values()] == [1]  # and at once
+    model.handle(events.StatusReported(model.controller.members[2].run_id, "c", True, True))
+    assert model.states()[0] is MemberState.READY and model.states()[2] is MemberState.READY
+
+
+def test_member_is_killed_when_it_never_ends_or_never_gets_ready() -> None:
+    model = FleetModel()
+    model.begin(OperationKind.SCALE, 2)
+    model.stopping.clear()
+    model.pass_time(SETTINGS.stop + 0.1)
+    assert actions.KillProcess(model.controller.members[2].run_id) in model.actions
+    model = FleetModel(start=False)
+    model.handle(events.FleetStarted(1))
+    model.pass_time(SETTINGS.spread + SETTINGS.ready + 0.1)
+    assert actions.KillProcess(model.controller.members[0].run_id) in model.actions
+
+
+def test_operation_is_rejected_while_another_runs_but_a_shutdown_is_not() -> None:
+    model = FleetModel()
+    roll = model.begin(OperationKind.RESTART)
+    assert "under way" in model.last_report(model.begin(OperationKind.SCALE, 9)).text
+    down = model.begin(OperationKind.SHUTDOWN)
+    assert not model.last_report(roll).is_successful
+    model.run_until_settled()
+    assert model.last_report(down).is_successful and actions.Exit() in model.actions and not model.alive
+
+
+class ControllerMachine(RuleBasedStateMachine):
+    """Any event at any time, against the invariants of the controller."""
 
     def __init__(self) -> None:
         super().__init__()
-        self.play = Play(start=False)
+        self.model = FleetModel(start=False)
 
     @initialize(count=st.integers(1, 4))
     def up(self, count: int) -> None:
-        self.play.tell(controller.FleetStarted(count))
+        self.model.handle(events.FleetStarted(count))
 
     def pick(self, number: int) -> int:
-        return sorted(self.play.alive)[number % len(self.play.alive)]
+        return sorted(self.model.alive)[number % len(self.model.alive)]
 
-    @precondition(lambda self: self.play.alive)
+    @precondition(lambda self: self.model.alive)
     @rule(number=st.integers(0, 9), healthy=st.booleans())
-    def told(self, number: int, healthy: bool) -> None:
-        self.play.ready(self.pick(number), healthy)
+    def status_is_reported(self, number: int, healthy: bool) -> None:
+        self.model.report_status(self.pick(number), healthy)
 
-    @precondition(lambda self: self.play.alive)
+    @precondition(lambda self: self.model.alive)
     @rule(number=st.integers(0, 9))
-    def ends(self, number: int) -> None:
-        self.play.end(self.pick(number), "ended with code 1")
+    def run_ends(self, number: int) -> None:
+        self.model.end(self.pick(number), "ended with code 1")
 
     @rule(seconds=st.sampled_from([0.01, 0.6, 3.0, 9.0]))
-    def time(self, seconds: float) -> None:
-        self.play.pass_time(seconds)
+    def time_passes(self, seconds: float) -> None:
+        self.model.pass_time(seconds)
 
-    @rule(kind=st.sampled_from([Kind.SCALE, Kind.RESTART, Kind.UPGRADE]), count=st.integers(1, 5))
-    def order(self, kind: Kind, count: int) -> None:
-        self.play.order(kind, count)
+    @rule(
+        kind=st.sampled_from([OperationKind.SCALE, OperationKind.RESTART, OperationKind.UPGRADE]),
+        count=st.integers(1, 5),
+    )
+    def operation_begins(self, kind: OperationKind, count: int) -> None:
+        self.model.begin(kind, count)
 
     @invariant()
     def one_at_a_time(self) -> None:
         touched = [
             m
-            for m in self.play.mind.members.values()
-            if m.state is State.REPLACING or (m.state is State.STOPPING and m.again)
+            for m in self.model.controller.members.values()
+            if m.state is MemberState.REPLACING or (m.state is MemberState.STOPPING and m.is_restarting)
         ]
         assert len(touched) <= 1
 
     @invariant()
     def no_member_has_two_runs_that_count(self) -> None:
-        runs: list[Any] = [m.run for m in self.play.mind.members.values() if m.run >= 0]
-        runs += [m.coming for m in self.play.mind.members.values() if m.coming >= 0]
+        runs: list[Any] = [m.run_id for m in self.model.controller.members.values() if m.run_id >= 0]
+        runs += [m.successor_run_id for m in self.model.controller.members.values() if m.successor_run_id >= 0]
         assert len(runs) == len(set(runs))
 
     @invariant()
     def the_size_covers_every_member(self) -> None:
-        assert all(m.number < self.play.mind.size for m in self.play.mind.members.values())
+        assert all(m.number < self.model.controller.fleet_size for m in self.model.controller.members.values())
 
     def teardown(self) -> None:
-        """From anywhere, when things go well again, the fleet comes to rest as it was last wanted."""
-        play = self.play
-        if play.mind.members:
-            play.settle(150)
-            assert not play.mind.working()
-            assert set(play.states().values()) <= {State.READY, State.LOOPING}
-            assert sorted(play.states()) == list(range(play.mind.count)) and play.mind.size == play.mind.count
-
-
-TestFuzz = Fuzz.TestCase
+        """Check that from any state, once nothing fails, the fleet gets to the size that was ordered last."""
+        model = self.model
+        if model.controller.members:
+            model.run_until_settled(150)
+            assert not model.controller.describe_operation()
+            assert set(model.states().values()) <= {MemberState.READY, MemberState.CRASH_LOOP}
+            assert (
+                sorted(model.states()) == list(range(model.controller.wanted_count))
+                and model.controller.fleet_size == model.controller.wanted_count
+            )
+
+
+TestFuzz = ControllerMachine.TestCase
 TestFuzz.settings = profile(
     max_examples=40, stateful_step_count=25, deadline=None, derandomize=True, phases=[Phase.explicit, Phase.generate]
 )
--- a/tests/test_trace_fleet.py
+++ b/tests/test_trace_fleet.py
@@ -15,64 +15,65 @@
 import pytest
 
 from tests.golden_trace import Trace, assert_golden, golden
-from thymeflow.fleet import controller
+from thymeflow.fleet import actions, events, member_state
+from thymeflow.fleet.controller import FleetController
 from thymeflow.settings.sections import Fleet
 
 # --- the controller's names, all of them in this part ----------------------------------------------------------
 
 STATES = {
-    controller.State.WAITING: "waiting",
-    controller.State.STARTING: "starting",
-    controller.State.READY: "ready",
-    controller.State.REPLACING: "replacing",
-    controller.State.STOPPING: "stopping",
-    controller.State.DOWN: "down",
-    controller.State.LOOPING: "crash loop",
+    member_state.MemberState.WAITING: "waiting",
+    member_state.MemberState.STARTING: "starting",
+    member_state.MemberState.READY: "ready",
+    member_state.MemberState.REPLACING: "replacing",
+    member_state.MemberState.STOPPING: "stopping",
+    member_state.MemberState.STOPPED: "down",
+    member_state.MemberState.CRASH_LOOP: "crash loop",
 }
 TRANSITIONS = {
-    controller.Move.START: "start",
-    controller.Move.ADOPT: "adopt",
-    controller.Move.SERVES: "serves",
-    controller.Move.ENDS: "ends",
-    controller.Move.LOOPS: "loops",
-    controller.Move.REPLACE: "replace",
-    controller.Move.SETTLE: "settle",
-    controller.Move.STOP: "stop",
-    controller.Move.AGAIN: "again",
+    member_state.Transition.START: "start",
+    member_state.Transition.ADOPT: "adopt",
+    member_state.Transition.BECOME_READY: "serves",
+    member_state.Transition.END: "ends",
+    member_state.Transition.ENTER_CRASH_LOOP: "loops",
+    member_state.Transition.REPLACE: "replace",
+    member_state.Transition.FINISH_REPLACEMENT: "settle",
+    member_state.Transition.STOP: "stop",
+    member_state.Transition.RESET: "again",
 }
 START, STOP, KILL, RESIZE, LOG, REPORT, EXIT = "start", "stop", "kill", "resize", "log", "report", "exit"
 ACTIONS: dict[type, str] = {
-    controller.Start: START,
-    controller.Stop: STOP,
-    controller.Kill: KILL,
-    controller.Resize: RESIZE,
-    controller.WriteLog: LOG,
-    controller.ReportProgress: REPORT,
-    controller.Exit: EXIT,
+    actions.StartProcess: START,
+    actions.StopProcess: STOP,
+    actions.KillProcess: KILL,
+    actions.ResizeFleet: RESIZE,
+    actions.WriteLog: LOG,
+    actions.ReportProgress: REPORT,
+    actions.Exit: EXIT,
 }
 ORDERS = {
-    "scale": controller.Kind.SCALE,
-    "restart": controller.Kind.RESTART,
-    "upgrade": controller.Kind.UPGRADE,
-    "down": controller.Kind.DOWN,
+    "scale": events.OperationKind.SCALE,
+    "restart": events.OperationKind.RESTART,
+    "upgrade": events.OperationKind.UPGRADE,
+    "down": events.OperationKind.SHUTDOWN,
 }
-TABLE = controller.MOVES
-Controller: TypeAlias = controller.FleetController
-Event: TypeAlias = controller.Event
-Action: TypeAlias = controller.Action
-Member: TypeAlias = controller.Member
+TABLE = member_state.TRANSITIONS
+Controller: TypeAlias = FleetController
+Event: TypeAlias = events.Event
+Action: TypeAlias = actions.Action
+Member: TypeAlias = member_state.Member
 tick, up, adopted, told, ended = (
-    controller.Tick,
-    controller.FleetStarted,
-    controller.MemberAdopted,
-    controller.StatusReported,
-    controller.RunEnded,
+    events.Tick,
+    events.FleetStarted,
+    events.MemberAdopted,
+    events.StatusReported,
+    events.RunEnded,
 )
 
 
 def order(number: int, kind: str, count: int) -> Event:
     """An operator's order."""
-    return controller.Order(number, ORDERS[kind], count)
+    return events.Operation(number, ORDERS[kind], count)
 
 
 def controller_of(seed: int) -> Controller:
@@ -93,7 +94,7 @@
 
 def states_of(controller: Controller) -> list[list[object]]:
     """Each member's number, state, and the runs that serve and start up."""
-    return [[n, STATES[m.state], m.run, m.coming] for n, m in controller.members.items()]
+    return [[n, STATES[m.state], m.run_id, m.successor_run_id] for n, m in controller.members.items()]
 
 
 def values_of(action: Action) -> list[Any]:
@@ -104,9 +105,9 @@
 def record_transitions(monkeypatch: pytest.MonkeyPatch) -> set[tuple[str, str]]:
     """The pairs of state and transition that members go through from now on."""
     pairs = set[tuple[str, str]]()
-    original: Callable[[Member, controller.Move], None] = Member.move
+    original: Callable[[Member, member_state.Transition], None] = Member.apply
 
-    def recorded(member: Member, transition: controller.Move) -> None:
+    def recorded(member: Member, transition: member_state.Transition) -> None:
         pairs.add((STATES[member.state], TRANSITIONS[transition]))
         original(member, transition)
 
@@ -157,10 +158,12 @@
         actions = [values_of(action) for action in self.controller.handle(self.now, event)]
         for action in actions:
             self._carry_out(action)
-        due = self.controller.next_due()
+        due = self.controller.next_due_at()
         plain = [_without_text(action) for action in actions]
         self.decisions.add(label, round(self.now, 6), plain, states_of(self.controller), round(due, 6))
-        self.texts.add([action for action in actions if action[0] in (LOG, REPORT)], self.controller.working())
+        self.texts.add(
+            [action for action in actions if action[0] in (LOG, REPORT)], self.controller.describe_operation()
+        )
 
     def _carry_out(self, action: list[Any]) -> None:
         if action[0] == START:
@@ -199,7 +202,7 @@
         """The next thing that happens: a process's change, a due time, an order, or chance."""
         serves = min(((p.serves_at, run) for run, p in self.processes.items() if not p.serves), default=(NEVER, -1))
         ends = min(((p.ends_at, run) for run, p in self.processes.items()), default=(NEVER, -1))
-        due = (max(self.now, self.controller.next_due()), -1)
+        due = (max(self.now, self.controller.next_due_at()), -1)
         chance = (self.now + self.rng.expovariate(1.5), -1)
         at, run = min(serves, ends, due, chance)
         self.now = max(self.now, at)
--- /dev/null
+++ b/thymeflow/fleet/member_lifecycle.py
@@ -0,0 +1,278 @@
+"""The lifecycle of fleet members: starts, adoptions, stops, replacements and crashes.
+
+A *run* is one process of a member, identified by a number; reports about a run that is over change nothing.
+"""
+
+from __future__ import annotations
+
+from collections.abc import Callable
+from math import inf
+
+from thymeflow.fleet.actions import Decisions, KillProcess, ResizeFleet, StartProcess, StopProcess
+from thymeflow.fleet.events import StatusReported
+from thymeflow.fleet.member_state import NO_RUN, Member, MemberState, Transition
+from thymeflow.fleet.restart_policy import RestartPolicy
+from thymeflow.settings.sections import Fleet
+
+_TIMED_STATES = (MemberState.WAITING, MemberState.STARTING, MemberState.REPLACING, MemberState.STOPPING)
+
+
+class MemberLifecycle:
+    """All members of a fleet and their runs; `on_fault` is called with each member that fails and the reason."""
+
+    def __init__(
+        self,
+        settings: Fleet,
+        policy: RestartPolicy,
+        decisions: Decisions,
+        on_fault: Callable[[Member, str], None],
+    ) -> None:
+        self.members: dict[int, Member] = {}
+        self.fleet_size = 0  # as members are notified of it
+        self._settings = settings
+        self._policy = policy
+        self._decisions = decisions
+        self._on_fault = on_fault
+        self._last_run_id = 0
+        self._member_numbers: dict[int, int] = {}  # by run
+        self._retiring_until: dict[int, float] = {}  # runs that are to end, and when they are killed
+
+    # --- queries -------------------------------------------------------------------------------------------
+
+    def has_retiring_runs(self) -> bool:
+        """Return whether replaced runs or abandoned successors have yet to end."""
+        return bool(self._retiring_until)
+
+    def due_times(self) -> list[float]:
+        """Return the times at which `on_tick` would change something."""
+        due = [member.due_at for member in self.members.values() if member.state in _TIMED_STATES]
+        return [*due, *self._retiring_until.values()]
+
+    def in_state(self, state: MemberState) -> list[Member]:
+        """Return the members in a state."""
+        return [member for member in self.members.values() if member.state is state]
+
+    def _member_of(self, run_id: int) -> Member | None:
+        number = self._member_numbers.get(run_id)
+        return None if number is None else self.members.get(number)
+
+    # --- starts --------------------------------------------------------------------------------------------
+
+    def start_fleet(self, count: int) -> None:
+        """Schedule the members that are missing of `count`, and stop those beyond it."""
+        adopted_count = len(self.members)
+        missing = [number for number in range(count) if number not in self.members]
+        for position, number in enumerate(missing):
+            # Spread, so that counter, discovery and servers are not loaded in one instant. Where members were
+            # adopted, the missing ones died while no supervisor ran: they are started at once.
+            delay = 0.0 if adopted_count else self._policy.spread_delay_seconds(position, len(missing))
+            self.members[number] = Member(number, due_at=self._decisions.now + delay)
+        surplus = [member for member in self.members.values() if member.number >= count]
+        self.resize(max([count, *(member.number + 1 for member in surplus)]))
+        for member in surplus:
+            self.stop(member)
+        if adopted_count:
+            text = f"{adopted_count} members were running and are adopted, {len(missing)} are started"
+            self._decisions.log("fleet", text)
+
+    def add_joining(self, numbers: range) -> None:
+        """Schedule the start of new members that join a running set."""
+        for position, number in enumerate(numbers):
+            delay = self._policy.spread_delay_seconds(position, len(numbers))
+            self.members[number] = Member(number, due_at=self._decisions.now + delay, is_joining=True)
+
+    def resize(self, size: int) -> None:
+        """Notify all members of the fleet's size, if it has changed."""
+        if size != self.fleet_size:
+            self.fleet_size = size
+            self._decisions.add(ResizeFleet(size))
+
+    def adopt(self, number: int, incarnation: str, is_serving: bool) -> None:
+        """Add a member that runs already."""
+        member = Member(number)
+        self.members[number] = member
+        member.run_id = self._new_run(member)
+        member.incarnation = incarnation
+        member.due_at = self._decisions.now + self._settings.ready
+        member.apply(Transition.ADOPT)
+        if is_serving:
+            member.apply(Transition.BECOME_READY)
+            member.healthy_since = self._decisions.now
+
+    def reset(self, member: Member) -> None:
+        """Start a member that ended on purpose or is in a crash loop, at the next tick."""
+        member.apply(Transition.RESET)
+        member.due_at = self._decisions.now
+
+    def start_replacement(self, member: Member) -> None:
+        """Start a successor that takes over from the run that serves."""
+        member.apply(Transition.REPLACE)
+        member.successor_run_id = self._new_run(member)
+        member.due_at = self._decisions.now + self._settings.ready
+        member.healthy_since = inf
+        action = StartProcess(member.successor_run_id, member.number, is_joining=False, is_replacement=True)
+        self._decisions.add(action)
+
+    def _new_run(self, member: Member) -> int:
+        self._last_run_id += 1
+        self._member_numbers[self._last_run_id] = member.number
+        return self._last_run_id
+
+    def _start(self, member: Member) -> None:
+        member.apply(Transition.START)
+        member.run_id = self._new_run(member)
+        member.due_at = self._decisions.now + self._settings.ready
+        member.healthy_since = inf
+        member.is_killed = False
+        action = StartProcess(member.run_id, member.number, is_joining=member.is_joining, is_replacement=False)
+        self._decisions.add(action)
+        # Only the first start joins the set; after a crash the member's slice is its own already.
+        member.is_joining = False
+
+    # --- stops ---------------------------------------------------------------------------------------------
+
+    def stop(self, member: Member, *, restart: bool = False) -> None:
+        """Ask a member to end, and to start again afterwards where `restart` is set."""
+        member.is_restarting = restart
+        if member.successor_run_id != NO_RUN:
+            self._abandon_replacement(member)
+        if member.state in (MemberState.WAITING, MemberState.CRASH_LOOP):
+            member.apply(Transition.STOP)
+            self._after_stop(member)
+        elif member.state not in (MemberState.STOPPING, MemberState.STOPPED):
+            member.apply(Transition.STOP)
+            member.due_at = self._decisions.now + self._settings.stop
+            member.is_killed = False
+            self._decisions.add(StopProcess(member.run_id))
+
+    def _abandon_replacement(self, member: Member) -> None:
+        # The progress of the handover is not known here. Either process ends gracefully when asked to, while
+        # killing one could lose requests.
+        if member.run_id == NO_RUN:
+            member.run_id = member.successor_run_id
+        else:
+            self._retire(member.successor_run_id)
+            self._decisions.add(StopProcess(member.successor_run_id))
+        member.successor_run_id = NO_RUN
+
+    def _after_stop(self, member: Member) -> None:
+        if member.is_restarting:
+            member.is_restarting = False
+            self.reset(member)
+
+    def _retire(self, run_id: int) -> None:
+        self._retiring_until[run_id] = self._decisions.now + self._settings.stop
+
+    # --- events --------------------------------------------------------------------------------------------
+
+    def on_status(self, status: StatusReported) -> None:
+        """Handle the status report of a run."""
+        member = self._member_of(status.run_id)
+        if member is None or status.run_id in self._retiring_until:
+            return
+        if status.run_id == member.successor_run_id:
+            if status.is_serving:
+                self._finish_replacement(member, status)
+        elif status.run_id == member.run_id:
+            self._update_health(member, status)
+
+    def _update_health(self, member: Member, status: StatusReported) -> None:
+        member.incarnation = status.incarnation
+        if status.is_serving and member.state is MemberState.STARTING:
+            member.apply(Transition.BECOME_READY)
+            member.healthy_since = self._decisions.now if status.is_healthy else inf
+        elif member.state in (MemberState.READY, MemberState.REPLACING):
+            if not status.is_healthy:
+                member.healthy_since = inf
+            elif member.healthy_since == inf:
+                member.healthy_since = self._decisions.now
+
+    def _finish_replacement(self, member: Member, status: StatusReported) -> None:
+        if member.run_id != NO_RUN:
+            self._retire(member.run_id)
+        member.run_id = member.successor_run_id
+        member.successor_run_id = NO_RUN
+        member.incarnation = status.incarnation
+        member.healthy_since = self._decisions.now if status.is_healthy else inf
+        member.apply(Transition.FINISH_REPLACEMENT)
+
+    def on_run_ended(self, run_id: int, reason: str) -> None:
+        """Handle the end of a run."""
+        number = self._member_numbers.pop(run_id, None)
+        if run_id in self._retiring_until:
+            del self._retiring_until[run_id]
+            return
+        member = None if number is None else self.members.get(number)
+        if member is None:
+            return
+        if run_id == member.successor_run_id:
+            self._on_replacement_failed(member, reason)
+        elif run_id == member.run_id:
+            self._on_serving_run_ended(member, reason)
+
+    def _on_serving_run_ended(self, member: Member, reason: str) -> None:
+        member.run_id = NO_RUN
+        if member.successor_run_id != NO_RUN:
+            return  # the successor either reports that it serves, or ends too
+        if member.state is MemberState.STOPPING:
+            member.apply(Transition.END)
+            self._after_stop(member)
+            return
+        self._on_crash(member, reason)
+
+    def _on_replacement_failed(self, member: Member, reason: str) -> None:
+        member.successor_run_id = NO_RUN
+        if member.run_id == NO_RUN:
+            self._on_crash(member, f"ended with its successor, which {reason}")
+        else:
+            member.apply(Transition.FINISH_REPLACEMENT)
+            self._on_fault(member, f"its successor {reason}")
+
+    def _on_crash(self, member: Member, reason: str) -> None:
+        member.healthy_since = inf
+        crash_count = self._policy.record_crash(member, reason, self._decisions.now)
+        if self._policy.is_crash_loop(crash_count):
+            member.apply(Transition.ENTER_CRASH_LOOP)
+            text = (
+                f"member {member.number} ended {crash_count} times within {self._settings.crash_window:g} s and is "
+                f"not started again before an order; the last time it {reason}"
+            )
+            self._decisions.log("crash loop", text)
+        else:
+            member.apply(Transition.END)
+            backoff = self._policy.backoff_seconds(crash_count)
+            member.due_at = self._decisions.now + backoff
+            self._decisions.log("member", f"{member.number} {reason}; started again in {backoff:.2f} s")
+        self._on_fault(member, f"it {reason}")
+
+    # --- time ----------------------------------------------------------------------------------------------
+
+    def on_tick(self) -> None:
+        """Start the members whose time has come, and kill the runs that have taken too long."""
+        for member in list(self.members.values()):
+            if self._decisions.now >= member.due_at:
+                self._on_due(member)
+        for run_id, until in self._retiring_until.items():
+            if self._decisions.now >= until:
+                self._retire(run_id)
+                self._decisions.add(KillProcess(run_id))
+
+    def _on_due(self, member: Member) -> None:
+        if member.state is MemberState.WAITING:
+            self._start(member)
+        elif member.state is MemberState.STARTING:
+            self._kill(member, f"was not ready within {self._settings.ready:g} s", self._settings.ready)
+        elif member.state is MemberState.STOPPING:
+            self._kill(member, f"did not end within {self._settings.stop:g} s", self._settings.stop)
+        elif member.state is MemberState.REPLACING and member.successor_run_id != NO_RUN:
+            self._decisions.add(KillProcess(member.successor_run_id))
+            self._member_numbers.pop(member.successor_run_id, None)
+            self._on_replacement_failed(member, f"was not ready within {self._settings.ready:g} s")
+
+    def _kill(self, member: Member, reason: str, retry_seconds: float) -> None:
+        # A process in the middle of a disk write cannot die at once: it is killed again later, not waited for.
+        if not member.is_killed:
+            member.is_killed = True
+            self._decisions.log("member", f"{member.number} {reason}: killed")
+        self._decisions.add(KillProcess(member.run_id))
+        member.due_at = self._decisions.now + retry_seconds
--- /dev/null
+++ b/thymeflow/fleet/restart_policy.py
@@ -0,0 +1,41 @@
+"""When members are started: spread starts, exponential backoff after crashes, and crash loops."""
+
+from __future__ import annotations
+
+import random
+
+from thymeflow.fleet.member_state import Member
+from thymeflow.settings.sections import Fleet
+
+JITTER = 0.5  # fraction of a backoff that is random, so that members that ended together start apart
+MAX_DOUBLINGS = 16
+
+
+class RestartPolicy:
+    """Delays before starts, drawn from the given random source."""
+
+    def __init__(self, settings: Fleet, rng: random.Random) -> None:
+        self._settings = settings
+        self._rng = rng
+
+    def spread_delay_seconds(self, position: int, total: int) -> float:
+        """Return the delay of the start at a position among `total` starts that are spread over time."""
+        return self._settings.spread * (position + self._rng.random()) / total
+
+    def record_crash(self, member: Member, reason: str, now: float) -> int:
+        """Note a crash and return how many crashes lie within the crash window."""
+        member.last_crash_reason = reason
+        member.crashed_at.append(now)
+        while member.crashed_at and now - member.crashed_at[0] > self._settings.crash_window:
+            member.crashed_at.popleft()
+        return len(member.crashed_at)
+
+    def is_crash_loop(self, crash_count: int) -> bool:
+        """Return whether so many crashes within the window make a crash loop."""
+        return crash_count >= self._settings.crashes
+
+    def backoff_seconds(self, crash_count: int) -> float:
+        """Return the jittered delay before the start that follows the last of `crash_count` crashes."""
+        doublings = min(MAX_DOUBLINGS, crash_count - 1)
+        backoff = min(self._settings.longest_wait, self._settings.wait * 2.0**doublings)
+        return backoff * (1.0 - JITTER * self._rng.random())
--- /dev/null
+++ b/thymeflow/fleet/rollout.py
@@ -0,0 +1,222 @@
+"""The operations that operators order: scaling, rolling restarts and upgrades, and shutdown; one at a time.
+
+A roll touches one member at a time. It goes on only when that member is ready and has been healthy for a while, and
+stops when any member fails meanwhile.
+"""
+
+from __future__ import annotations
+
+from collections import deque
+from dataclasses import dataclass, field
+from math import inf
+
+from thymeflow.fleet.actions import Decisions, Exit
+from thymeflow.fleet.events import Operation, OperationKind
+from thymeflow.fleet.member_lifecycle import MemberLifecycle
+from thymeflow.fleet.member_state import Member, MemberState
+from thymeflow.settings.sections import Fleet
+
+NO_MEMBER = -1  # in place of a member's number
+ROLLING_KINDS = (OperationKind.RESTART, OperationKind.UPGRADE)
+
+
+@dataclass(slots=True)
+class OperationProgress:
+    """The operation that is in progress."""
+
+    operation: Operation
+    total: int
+    queue: deque[int] = field(default_factory=deque)  # members that a roll has yet to touch
+    rolling_number: int = NO_MEMBER
+    failure: str = ""
+    scaled_numbers: range = range(0)  # members that a scale adds or removes
+    unreported: set[int] = field(default_factory=set)  # those of them that are not reported yet
+
+    def describe(self) -> str:
+        """Return the kind of the operation and how many members are done."""
+        done = self.total - len(self.queue) - (self.rolling_number != NO_MEMBER)
+        return f"{self.operation.kind.value}, {done} of {self.total} done"
+
+
+class OperationRunner:
+    """Runs one operation at a time over the members of a fleet."""
+
+    def __init__(self, settings: Fleet, lifecycle: MemberLifecycle, decisions: Decisions) -> None:
+        self.wanted_count = 0
+        self._settings = settings
+        self._lifecycle = lifecycle
+        self._decisions = decisions
+        self._progress: OperationProgress | None = None
+
+    # --- queries -------------------------------------------------------------------------------------------
+
+    def describe(self) -> str:
+        """Return the operation in progress as text, empty where there is none."""
+        return "" if self._progress is None else self._progress.describe()
+
+    def due_times(self) -> list[float]:
+        """Return the time at which the member being rolled has been healthy for long enough, if it is ready."""
+        if self._progress is None or self._progress.rolling_number == NO_MEMBER:
+            return []
+        member = self._lifecycle.members[self._progress.rolling_number]
+        if member.state is not MemberState.READY:
+            return []
+        return [member.healthy_since + self._settings.settle]
+
+    # --- begin ---------------------------------------------------------------------------------------------
+
+    def begin(self, operation: Operation) -> None:
+        """Begin an operation; all but a shutdown are rejected while another is in progress."""
+        if self._progress is not None and operation.kind is not OperationKind.SHUTDOWN:
+            self._decisions.report_failure(operation.id, f"{self.describe()} is under way: wait for its end")
+            return
+        if self._progress is not None:
+            self._abort("the fleet goes down")
+        if operation.kind is OperationKind.SHUTDOWN:
+            self._begin_shutdown(operation)
+        elif operation.kind is OperationKind.SCALE:
+            self._begin_scale(operation)
+        else:
+            self._begin_roll(operation)
+
+    def _begin_shutdown(self, operation: Operation) -> None:
+        members = self._lifecycle.members
+        self._progress = OperationProgress(operation, total=len(members))
+        for member in members.values():
+            self._lifecycle.stop(member)
+
+    def _begin_scale(self, operation: Operation) -> None:
+        previous_count = self.wanted_count
+        self.wanted_count = operation.count
+        numbers = range(min(previous_count, operation.count), max(previous_count, operation.count))
+        self._progress = OperationProgress(
+            operation, total=len(numbers), scaled_numbers=numbers, unreported=set(numbers)
+        )
+        if operation.count > previous_count:
+            # All are notified first, so that no request is rejected of a customer whose set is larger by now.
+            self._lifecycle.resize(operation.count)
+            self._lifecycle.add_joining(numbers)
+        else:
+            for number in numbers:
+                self._lifecycle.stop(self._lifecycle.members[number])
+
+    def _begin_roll(self, operation: Operation) -> None:
+        crash_looping = self._lifecycle.in_state(MemberState.CRASH_LOOP)
+        if operation.kind is OperationKind.RESTART:
+            for member in crash_looping:  # a restart is the order that ends a crash loop
+                member.crashed_at.clear()
+                self._lifecycle.reset(member)
+        members = self._lifecycle.members.values()
+        others = [member for member in members if member not in crash_looping]
+        unready = [member for member in others if member.state is not MemberState.READY]
+        if operation.kind is OperationKind.UPGRADE:
+            unready += crash_looping
+        if unready:
+            self._reject_roll(operation, unready[0])
+            return
+        self._progress = OperationProgress(
+            operation, total=len(others), queue=deque(member.number for member in others)
+        )
+
+    def _reject_roll(self, operation: Operation, unready: Member) -> None:
+        text = (
+            f"member {unready.number} is {unready.state.value}: nothing was touched; all have to be ready before a roll"
+        )
+        self._decisions.report_failure(operation.id, text)
+
+    def on_member_fault(self, member: Member, reason: str) -> None:
+        """Let a roll in progress fail, whichever member it is that failed."""
+        progress = self._progress
+        if progress is None or progress.operation.kind not in ROLLING_KINDS:
+            return
+        progress.failure = progress.failure or f"member {member.number}: {reason}"
+
+    # --- advance -------------------------------------------------------------------------------------------
+
+    def advance(self) -> None:
+        """Take the next step of the operation in progress, if its time has come."""
+        if self._progress is None:
+            return
+        match self._progress.operation.kind:
+            case OperationKind.SHUTDOWN:
+                self._advance_shutdown(self._progress)
+            case OperationKind.SCALE:
+                self._advance_scale(self._progress)
+            case OperationKind.RESTART | OperationKind.UPGRADE:
+                self._advance_roll(self._progress)
+
+    def _abort(self, reason: str) -> None:
+        if self._progress is not None:
+            self._decisions.report_failure(self._progress.operation.id, reason)
+            self._progress = None
+
+    def _complete(self, progress: OperationProgress, text: str) -> None:
+        self._decisions.report_success(progress.operation.id, text)
+        self._progress = None
+
+    def _advance_shutdown(self, progress: OperationProgress) -> None:
+        is_stopped = all(member.state is MemberState.STOPPED for member in self._lifecycle.members.values())
+        if is_stopped and not self._lifecycle.has_retiring_runs():
+            self._complete(progress, "all have ended")
+            self._decisions.add(Exit())
+
+    def _advance_scale(self, progress: OperationProgress) -> None:
+        members = self._lifecycle.members
+        removed = [member for member in members.values() if member.number >= self.wanted_count]
+        self._report_scaled_members(progress)
+        scaled = [member for member in members.values() if member.number in progress.scaled_numbers]
+        added = [member for member in scaled if member not in removed]
+        crash_looping = [member for member in added if member.state is MemberState.CRASH_LOOP]
+        if crash_looping:
+            first = crash_looping[0]
+            self._abort(f"member {first.number} is in a crash loop: {first.last_crash_reason}")
+            return
+        is_removal_done = all(member.state is MemberState.STOPPED for member in removed)
+        if is_removal_done and all(member.state is MemberState.READY for member in added):
+            for member in removed:
+                del members[member.number]
+            self._lifecycle.resize(self.wanted_count)
+            self._complete(progress, f"the fleet has {self.wanted_count} members")
+
+    def _report_scaled_members(self, progress: OperationProgress) -> None:
+        for member in self._lifecycle.members.values():
+            is_done = member.state in (MemberState.READY, MemberState.STOPPED)
+            if member.number in progress.unreported and is_done:
+                progress.unreported.discard(member.number)
+                text = f"member {member.number} is {member.state.value}"
+                self._decisions.report(progress.operation.id, text)
+
+    def _advance_roll(self, progress: OperationProgress) -> None:
+        if progress.rolling_number != NO_MEMBER and not progress.failure:
+            member = self._lifecycle.members[progress.rolling_number]
+            if not self._is_settled(member):
+                return
+            done = progress.total - len(progress.queue)
+            text = f"member {member.number} is ready ({done} of {progress.total})"
+            self._decisions.report(progress.operation.id, text)
+        if progress.failure:
+            self._fail_roll(progress)
+            return
+        progress.rolling_number = NO_MEMBER
+        if not progress.queue:
+            self._complete(progress, f"{progress.operation.kind.value} done: {progress.total} members")
+            return
+        self._roll_next(progress)
+
+    def _is_settled(self, member: Member) -> bool:
+        is_ready = member.state is MemberState.READY
+        return is_ready and self._decisions.now >= member.healthy_since + self._settings.settle
+
+    def _fail_roll(self, progress: OperationProgress) -> None:
+        untouched = ", ".join(str(number) for number in progress.queue)
+        self._decisions.log("roll", f"{progress.operation.kind.value} stopped: {progress.failure}")
+        self._abort(f"stopped: {progress.failure}; not touched: {untouched or 'none'}")
+
+    def _roll_next(self, progress: OperationProgress) -> None:
+        progress.rolling_number = progress.queue.popleft()
+        member = self._lifecycle.members[progress.rolling_number]
+        if progress.operation.kind is OperationKind.RESTART:
+            member.healthy_since = inf
+            self._lifecycle.stop(member, restart=True)
+        else:
+            self._lifecycle.start_replacement(member)
--- a/thymeflow/fleet/supervisor.py
+++ b/thymeflow/fleet/supervisor.py
@@ -25,9 +25,12 @@
 from thymeflow.daemon.lock import Lock, NameTakenError, is_free
 from thymeflow.daemon.notify import Notifier
 from thymeflow.daemon.service import BAD_CONFIGURATION, CANNOT_LISTEN, NAME_HELD
-from thymeflow.fleet import controller, registry
-from thymeflow.fleet.controller import FleetController, Kind, State
+from thymeflow.fleet import actions as fleet_actions
+from thymeflow.fleet import events, registry
+from thymeflow.fleet.controller import FleetController
+from thymeflow.fleet.events import OperationKind
 from thymeflow.fleet.lease_distributor import LeaseDistributor
+from thymeflow.fleet.member_state import NO_RUN, MemberState
 from thymeflow.fleet.outlier_service import OutlierService
 from thymeflow.fleet.processes import Child, Found, Run, command, spawn
 from thymeflow.frontend.listener import bound, opened
@@ -91,7 +94,7 @@
         self.book = StructuredLog(self.settings.log, "fleet", os.urandom(4).hex())
         self._notifier = Notifier(os.environ)
         self._division = LeaseDistributor(
-            self._deadlines, self._names.own("grants"), self._fleet.name, self._grant, lambda: self._mind.size
+            self._deadlines, self._names.own("grants"), self._fleet.name, self._grant, lambda: self._mind.fleet_size
         )
         self._court = OutlierService(self._deadlines, float(self.settings.budgets.trials), self._grant)
         self.code = 0
@@ -142,7 +145,7 @@
                     self._division.on_death(name)  # by the kernel's word: whoever held the name has ended
             # What was ordered last holds on where members run by it; a fresh start goes by the settings.
             wanted = before.count if before is not None and running else count
-            self._decide(controller.FleetStarted(wanted))
+            self._decide(events.FleetStarted(wanted))
             self._notifier.tell(ready=1, mainpid=os.getpid(), status=f"{wanted} members")
 
         DeferredList(found, consumeErrors=True).addCallback(begin)
@@ -159,15 +162,15 @@
             except OSError:
                 return None
             actions = self._mind.handle(
-                clock.now(), controller.MemberAdopted(number, str(status["life"]), status["phase"] == "serving")
+                clock.now(), events.MemberAdopted(number, str(status["life"]), status["phase"] == "serving")
             )
             member = self._mind.members[number]
-            self._follow(member.run, number, status["pid"], found)
+            self._follow(member.run_id, number, status["pid"], found)
             log.note("adopted", f"{self._names.name(number)}, pid {status['pid']}, {status['phase']}")
             self._carry_out(actions)
             return self._copy_socket(number, path)
 
-        asking = control_client.send_request(self._reactor, self._deadlines, path, {"do": "status"}, clock.now() + FIND)
+        asking = control_client.ask(self._reactor, self._deadlines, path, {"do": "status"}, clock.now() + FIND)
         return asking.addCallbacks(told, lambda _: None)
 
     def _copy_socket(self, number: int, path: Path) -> Deferred[int | None]:
@@ -179,7 +182,7 @@
             if message.get("ok") and talk.descriptors:
                 descriptor = talk.descriptors.pop()
                 with contextlib.suppress(listening_sockets.BadDescriptorError, OSError):
-                    self._sockets[number] = listening_sockets.duplicate_listening_socket(descriptor)
+                    self._sockets[number] = listening_sockets.checked(descriptor)
                 os.close(descriptor)
             talk.close()
 
@@ -191,7 +194,7 @@
             line.append(talk)
             talk.send({"do": "socket"})
 
-        control_client.open_session(self._reactor, path, heard, ended).addCallbacks(up, lambda _: ended())
+        control_client.talk(self._reactor, path, heard, ended).addCallbacks(up, lambda _: ended())
         return done
 
     def run(self) -> int:
@@ -219,45 +222,45 @@
         self._reactor.callLater(0, self._reactor.callLater, LAST_WORDS, self._reactor.stop)
 
     def _down(self) -> None:
-        self._order(None, Kind.DOWN, 0)
+        self._order(None, OperationKind.SHUTDOWN, 0)
 
     # --- the mind ------------------------------------------------------------------------------------------
 
-    def _decide(self, event: controller.Event) -> None:
+    def _decide(self, event: events.Event) -> None:
         self._carry_out(self._mind.handle(clock.now(), event))
 
-    def _carry_out(self, actions: list[controller.Action]) -> None:
+    def _carry_out(self, actions: list[fleet_actions.Action]) -> None:
         for action in actions:
             match action:
-                case controller.Start():
+                case fleet_actions.StartProcess():
                     self._start(action)
-                case controller.Stop(run):
+                case fleet_actions.StopProcess(run):
                     self._signal(run, signal.SIGTERM)
-                case controller.Kill(run):
+                case fleet_actions.KillProcess(run):
                     self._signal(run, signal.SIGKILL)
-                case controller.Resize(size):
+                case fleet_actions.ResizeFleet(size):
                     self._resize(size)
-                case controller.WriteLog(kind, text):
+                case fleet_actions.WriteLog(kind, text):
                     log.note(kind, text)
-                case controller.ReportProgress():
+                case fleet_actions.ReportProgress():
                     self._report(action)
-                case controller.Exit():
+                case fleet_actions.Exit():
                     self._notifier.tell(stopping=1)
                     self._end()
         self._keep()
         if self._tick:
             self._deadlines.cancel(self._tick)
             self._tick = []
-        due = self._mind.next_due()
+        due = self._mind.next_due_at()
         if due < inf:
-            self._tick = self._deadlines.at(max(due, clock.now()), lambda _: self._decide(controller.Tick()))
+            self._tick = self._deadlines.at(max(due, clock.now()), lambda _: self._decide(events.Tick()))
 
     def _keep(self) -> None:
         for number in [n for n in self._sockets if n not in self._mind.members]:
             self._sockets.pop(number).close()  # gone for good: its address refuses from now on
-        held = registry.Roster(self._mind.count, self._ports, self._mind.working())
+        held = registry.Roster(self._mind.wanted_count, self._ports, self._mind.describe_operation())
         data = repr(held).encode()
-        if data != self._written and self._mind.count:
+        if data != self._written and self._mind.wanted_count:
             self._written = data
             try:
                 registry.write_roster(self._names.own("json"), held)
@@ -284,9 +287,9 @@
         self._ports[str(number)] = held.getsockname()[1]
         return held
 
-    def _start(self, action: controller.Start) -> None:
+    def _start(self, action: fleet_actions.StartProcess) -> None:
         """Start a process, or take one that runs under that name already for it."""
-        if action.replaces:
+        if action.is_replacement:
             self._spawn(action)
             return
 
@@ -298,22 +301,22 @@
                 self._spawn(action)
             else:
                 log.note("adopted", f"{self._names.name(action.number)}, pid {status['pid']}")
-                self._follow(action.run, action.number, status["pid"], found)
+                self._follow(action.run_id, action.number, status["pid"], found)
 
         path = self._names.path(action.number, "sock")
         if not path.is_symlink():
             self._spawn(action)
             return
-        asking = control_client.send_request(self._reactor, self._deadlines, path, {"do": "status"}, clock.now() + FIND)
+        asking = control_client.ask(self._reactor, self._deadlines, path, {"do": "status"}, clock.now() + FIND)
         asking.addCallbacks(told, lambda _: self._spawn(action))
 
-    def _spawn(self, action: controller.Start) -> None:
+    def _spawn(self, action: fleet_actions.StartProcess) -> None:
         number, name = action.number, self._names.name(action.number)
         try:
             listening = self._socket(number)
             where = "{}:{}".format(*listening.getsockname()[:2])
-            part = message_of(EMPTY_ALLOCATION) if action.replaces else self._division.on_starting(name)
-            registry.write_member(self._names, self._source, where, number, self._mind.size, part)
+            part = message_of(EMPTY_ALLOCATION) if action.is_replacement else self._division.on_starting(name)
+            registry.write_member(self._names, self._source, where, number, self._mind.fleet_size, part)
             words = [
                 "--platform",
                 str(self._names.path(number, "json")),
@@ -322,8 +325,8 @@
                 "--detach",
             ]
             words += ["--settings", self._given.settings_path] if self._given.settings_path else []
-            words += ["--joins"] if action.joins else []
-            words += ["--take-over"] if action.replaces else []
+            words += ["--joins"] if action.is_joining else []
+            words += ["--take-over"] if action.is_replacement else []
             environment = {k: v for k, v in os.environ.items() if not k.startswith(("LISTEN_", "NOTIFY_"))}
             environment["THYMEFLOW_DAEMON_DRAIN_LINGER"] = f"{self._fleet.linger:g}s"
             child, pid = spawn(
@@ -331,14 +334,14 @@
                 command(shlex.split(self._program), words),
                 environment,
                 self._output,
-                None if action.replaces else listening,
+                None if action.is_replacement else listening,
             )
         except (OSError, ValueError) as fault:
             how = f"could not be started: {fault}"
-            self._reactor.callLater(0, lambda: self._decide(controller.RunEnded(action.run, how)))
+            self._reactor.callLater(0, lambda: self._decide(events.RunEnded(action.run_id, how)))
             return
-        log.note("started", f"{name}, pid {pid}{', to take over' if action.replaces else ''}", number=number)
-        self._follow(action.run, number, pid, child)
+        log.note("started", f"{name}, pid {pid}{', to take over' if action.is_replacement else ''}", number=number)
+        self._follow(action.run_id, number, pid, child)
 
     def _follow(self, run: int, number: int, pid: int, process: Child | Found) -> None:
         def heard(status: Message) -> None:
@@ -347,7 +350,7 @@
                 self._division.on_report(self._names.name(number), status["part"])
             if status.get("evidence") is not None:
                 self._court.on_report(self._names.name(number), status["evidence"])
-            self._decide(controller.StatusReported(run, str(status.get("life")), serves, bool(status.get("healthy"))))
+            self._decide(events.StatusReported(run, str(status.get("life")), serves, bool(status.get("healthy"))))
 
         def over(how: str) -> None:
             self._runs.pop(run, None)
@@ -355,7 +358,7 @@
             if number not in self._numbers.values():
                 self._division.on_death(self._names.name(number))
                 self._court.on_member_gone(self._names.name(number))
-            self._decide(controller.RunEnded(run, how))
+            self._decide(events.RunEnded(run, how))
 
         def ended(how: str) -> None:
             if isinstance(process, Child):
@@ -363,7 +366,7 @@
                 return
             # One that was found may have been in the middle of a hand-over that the last supervisor began: then
             # its successor answers to the name, and that is the same member.
-            asking = control_client.send_request(
+            asking = control_client.ask(
                 self._reactor, self._deadlines, self._names.path(number, "sock"), {"do": "status"}, clock.now() + FIND
             )
             asking.addCallbacks(succeeded, lambda _: over(how), callbackArgs=(how,))
@@ -391,7 +394,7 @@
     def _resize(self, size: int) -> None:
         for number, member in self._mind.members.items():
             held = self._sockets.get(number)
-            if held is None or member.run < 0:
+            if held is None or member.run_id == NO_RUN:
                 continue
             try:
                 where = "{}:{}".format(*held.getsockname()[:2])
@@ -399,7 +402,7 @@
             except OSError as fault:
                 log.note("resize", f"{self._names.name(number)} was not told: {fault}")
                 continue
-            self._signal(member.run, signal.SIGHUP)
+            self._signal(member.run_id, signal.SIGHUP)
 
     def _reload(self) -> str:
         """SIGHUP or an order: the platform's file is read again and passed on; a bad one changes nothing."""
@@ -411,7 +414,7 @@
             return why
         self._source = source
         self.book.set_level(fresh.log.level)
-        self._resize(self._mind.size)
+        self._resize(self._mind.fleet_size)
         log.note("reload", "passed on to every member")
         return ""
 
@@ -432,14 +435,14 @@
             log.note("leave", "the supervisor ends, its members go on")
             caller.send({"ok": True, "why": f"{len(self._mind.members)} members go on by themselves"})
             self._end()
-        elif word in [kind.value for kind in Kind]:
-            self._order(caller, Kind(word), message.get("count", 0), message.get("program"))
+        elif word in [kind.value for kind in OperationKind]:
+            self._order(caller, OperationKind(word), message.get("count", 0), message.get("program"))
         else:
-            words = ["status", "budgets", "overload", "reload", "leave", *(kind.value for kind in Kind)]
+            words = ["status", "budgets", "overload", "reload", "leave", *(kind.value for kind in OperationKind)]
             caller.send({"ok": False, "why": f"'do' is {str(word)[:40]!r}; it may be {', '.join(words)}"})
 
-    def _order(self, caller: ControlCaller | None, kind: Kind, count: Any, program: Any = None) -> None:
-        if kind is Kind.SCALE:
+    def _order(self, caller: ControlCaller | None, kind: OperationKind, count: Any, program: Any = None) -> None:
+        if kind is OperationKind.SCALE:
             try:
                 count = Count(1, MOST_MEMBERS).read(str(count))
             except InvalidValueError as fault:
@@ -450,46 +453,46 @@
         if caller is not None:
             caller.is_persistent = True
             self._callers[self._orders] = caller
-        if program is not None and not self._mind.working():
+        if program is not None and not self._mind.describe_operation():
             self._program_before[self._orders] = self._program
             self._program = program
-        log.note("order", f"{kind.value}{f' to {count}' if kind is Kind.SCALE else ''}")
-        self._decide(controller.Order(self._orders, kind, count))
-
-    def _report(self, report: controller.ReportProgress) -> None:
-        log.note("order", report.text, done=report.done, good=report.good)
-        if report.done and report.id in self._program_before:
-            before = self._program_before.pop(report.id)
-            if not report.good:  # what broke must not be what the next restart begins with
+        log.note("order", f"{kind.value}{f' to {count}' if kind is OperationKind.SCALE else ''}")
+        self._decide(events.Operation(self._orders, kind, count))
+
+    def _report(self, report: fleet_actions.ReportProgress) -> None:
+        log.note("order", report.text, done=report.is_done, good=report.is_successful)
+        if report.is_done and report.operation_id in self._program_before:
+            before = self._program_before.pop(report.operation_id)
+            if not report.is_successful:  # what broke must not be what the next restart begins with
                 self._program = before
-        caller = self._callers.get(report.id)
-        if caller is not None and not caller.is_closed:
-            caller.send({"ok": report.good, "why": report.text} if report.done else {"text": report.text})
-        if report.done:
-            self._callers.pop(report.id, None)
+        caller = self._callers.get(report.operation_id)
+        if caller is not None and not caller.closed:
+            caller.send({"ok": report.is_successful, "why": report.text} if report.is_done else {"text": report.text})
+        if report.is_done:
+            self._callers.pop(report.operation_id, None)
 
     def status(self) -> dict[str, Any]:
         """What there is to say of the fleet, as JSON takes it."""
         members = []
         for number, member in sorted(self._mind.members.items()):
-            run = self._runs.get(member.run)
+            run = self._runs.get(member.run_id)
             held = self._sockets.get(number)
             members.append(
                 {
                     "name": self._names.name(number),
                     "state": member.state.value,
-                    "why": member.why,
-                    "crashes": len(member.crashes),
+                    "why": member.last_crash_reason,
+                    "crashes": len(member.crashed_at),
                     "pid": run.pid if run else None,
                     "listen": "{}:{}".format(*held.getsockname()[:2]) if held else "",
                     "told": run.last if run else {},
                 }
             )
-        ready = sum(m.state in (State.READY, State.REPLACING) for m in self._mind.members.values())
+        ready = sum(m.state in (MemberState.READY, MemberState.REPLACING) for m in self._mind.members.values())
         return {
-            "wanted": self._mind.count,
+            "wanted": self._mind.wanted_count,
             "ready": ready,
-            "working": self._mind.working(),
+            "working": self._mind.describe_operation(),
             "pid": os.getpid(),
             "members": members,
         }
