--- a/tests/test_fleet_mind.py
+++ b/tests/test_fleet_mind.py
@@ -58,11 +58,11 @@
 
     def pass_time(self, seconds: float) -> None:
         end, ticks = self.now + seconds, 0
-        while (due := self.controller.next_due_at()) <= end:
+        while (due := self.controller.next_deadline()) <= end:
             self.now = max(self.now, due)
             self.handle(events.Tick())
             ticks += 1
-            assert ticks < 200 or self.controller.next_due_at() > self.now, f"it spins: {self.controller.members}"
+            assert ticks < 200 or self.controller.next_deadline() > self.now, f"it spins: {self.controller.members}"
         self.now = end
         self.handle(events.Tick())
 
@@ -210,12 +210,12 @@
     for _ in range(SETTINGS.crashes):
         member = model.controller.members[1]
         model.end(member.run_id, "ended with code 1")
-        waits.append(member.due_at - model.now)
+        waits.append(member.deadline - model.now)
         model.pass_time(SETTINGS.longest_wait if member.state is MemberState.WAITING else 0.0)
     assert 0.25 <= waits[0] <= 0.5 <= waits[1] <= 1.0
     assert model.states()[1] is MemberState.CRASH_LOOP
     model.pass_time(500.0)
-    assert model.states()[1] is MemberState.CRASH_LOOP and model.controller.next_due_at() > model.now
+    assert model.states()[1] is MemberState.CRASH_LOOP and model.controller.next_deadline() > model.now
     assert not model.last_report(model.begin(OperationKind.UPGRADE)).is_successful
     order = model.begin(OperationKind.RESTART)
     model.run_until_settled()
--- a/tests/test_trace_fleet.py
+++ b/tests/test_trace_fleet.py
@@ -158,7 +158,7 @@
         actions = [values_of(action) for action in self.controller.handle(self.now, event)]
         for action in actions:
             self._carry_out(action)
-        due = self.controller.next_due_at()
+        due = self.controller.next_deadline()
         plain = [_without_text(action) for action in actions]
         self.decisions.add(label, round(self.now, 6), plain, states_of(self.controller), round(due, 6))
         self.texts.add(
@@ -202,7 +202,7 @@
         """The next thing that happens: a process's change, a due time, an order, or chance."""
         serves = min(((p.serves_at, run) for run, p in self.processes.items() if not p.serves), default=(NEVER, -1))
         ends = min(((p.ends_at, run) for run, p in self.processes.items()), default=(NEVER, -1))
-        due = (max(self.now, self.controller.next_due_at()), -1)
+        due = (max(self.now, self.controller.next_deadline()), -1)
         chance = (self.now + self.rng.expovariate(1.5), -1)
         at, run = min(serves, ends, due, chance)
         self.now = max(self.now, at)
--- a/thymeflow/fleet/__init__.py
+++ b/thymeflow/fleet/__init__.py
@@ -1,1 +1,1 @@
-"""Many limiters from one settings file: who is started, rolled, scaled and stopped, and when."""
+"""The supervisor of a fleet: many limiters that one settings file starts, rolls, scales and stops."""
--- /dev/null
+++ b/thymeflow/fleet/adoption.py
@@ -0,0 +1,101 @@
+"""Adopts members that run already when a supervisor starts, each with a copy of its listening socket."""
+
+from __future__ import annotations
+
+from collections.abc import Callable
+from functools import partial
+
+from twisted.internet.defer import Deferred
+from twisted.python.failure import Failure
+
+from thymeflow.fleet.actions import Action
+from thymeflow.fleet.controller import FleetController
+from thymeflow.fleet.events import MemberAdopted
+from thymeflow.fleet.member_processes import SERVING_PHASE, MemberProcesses
+from thymeflow.fleet.member_sockets import MemberSockets
+from thymeflow.fleet.processes import AdoptedProcess
+from thymeflow.fleet.reactor import FleetReactor
+from thymeflow.fleet.registry import Names
+from thymeflow.handover import control_client
+from thymeflow.handover.control_socket import Message
+from thymeflow.runtime import clock, log
+
+
+class MemberAdopter:
+    """Finds running members by their control sockets; the actions decided on go to `carry_out`."""
+
+    def __init__(
+        self,
+        reactor: FleetReactor,
+        names: Names,
+        controller: FleetController,
+        processes: MemberProcesses,
+        sockets: MemberSockets,
+        carry_out: Callable[[list[Action]], None],
+    ) -> None:
+        self._reactor = reactor
+        self._names = names
+        self._controller = controller
+        self._processes = processes
+        self._sockets = sockets
+        self._carry_out = carry_out
+
+    def adopt(self, number: int) -> Deferred[int | None]:
+        """Adopt a member if it runs; the Deferred gives its number, or None where no process answered."""
+        requested = self._processes.request_status(number)
+        return requested.addCallbacks(partial(self._on_status, number), _ignore_failure)
+
+    def _on_status(self, number: int, status: Message) -> Deferred[int | None] | None:
+        if not status.get("ok") or not isinstance(status.get("pid"), int):
+            return None
+        try:
+            process = AdoptedProcess(self._reactor, status["pid"])
+        except OSError:
+            return None
+        is_serving = status["phase"] == SERVING_PHASE
+        actions = self._controller.handle(clock.now(), MemberAdopted(number, str(status["life"]), is_serving))
+        self._processes.follow(self._controller.members[number].run_id, number, status["pid"], process)
+        log.note("adopted", f"{self._names.name(number)}, pid {status['pid']}, {status['phase']}")
+        self._carry_out(actions)
+        return _SocketCopy(self._reactor, self._names, self._sockets, number).begin()
+
+
+class _SocketCopy:
+    """Requests a copy of one member's listening socket over its control socket."""
+
+    def __init__(self, reactor: FleetReactor, names: Names, sockets: MemberSockets, number: int) -> None:
+        self._reactor = reactor
+        self._path = names.path(number, "sock")
+        self._sockets = sockets
+        self._number = number
+        self._session: control_client.ControlSession | None = None
+        self._finished: Deferred[int | None] = Deferred()
+
+    def begin(self) -> Deferred[int | None]:
+        """Send the request; the Deferred gives the member's number once the connection has ended."""
+        connected = control_client.talk(self._reactor, self._path, self._on_message, self._on_ended)
+        connected.addCallbacks(self._on_connected, self._on_connect_failure)
+        return self._finished
+
+    def _on_connected(self, session: control_client.ControlSession) -> None:
+        self._session = session
+        session.send({"do": "socket"})
+
+    def _on_connect_failure(self, _: Failure) -> None:
+        self._on_ended()
+
+    def _on_message(self, message: Message) -> None:
+        session = self._session
+        if session is None:
+            return
+        if message.get("ok") and session.descriptors:
+            self._sockets.adopt(self._number, session.descriptors.pop())
+        session.close()
+
+    def _on_ended(self) -> None:
+        if not self._finished.called:
+            self._finished.callback(self._number)
+
+
+def _ignore_failure(_: Failure) -> None:
+    return None
--- /dev/null
+++ b/thymeflow/fleet/control_requests.py
@@ -0,0 +1,142 @@
+"""The requests on the supervisor's control socket, and the operations that they order."""
+
+from __future__ import annotations
+
+from collections.abc import Callable
+from dataclasses import dataclass
+
+from thymeflow.fleet.actions import ReportProgress
+from thymeflow.fleet.controller import FleetController
+from thymeflow.fleet.events import Event, Operation, OperationKind
+from thymeflow.fleet.member_processes import ProcessEnvironment
+from thymeflow.handover.control_socket import ControlCaller, Message
+from thymeflow.runtime import log
+from thymeflow.settings.units import Count, InvalidValueError
+
+MAX_MEMBERS = 256
+MAX_PROGRAM_CHARACTERS = 4096
+OPERATION_COMMANDS = tuple(kind.value for kind in OperationKind)
+
+
+@dataclass(frozen=True, slots=True)
+class RequestHandlers:
+    """What answers the requests that order no operation; `reload` returns an error text, empty for success."""
+
+    status: Callable[[], dict[str, object]]
+    lease_status: Callable[[], dict[str, object]]
+    outlier_status: Callable[[], dict[str, object]]
+    reload: Callable[[], str]
+    leave: Callable[[], None]
+
+
+class ControlRequests:
+    """Answers callers, and reports the progress of operations to those who ordered them."""
+
+    def __init__(
+        self,
+        controller: FleetController,
+        environment: ProcessEnvironment,
+        handlers: RequestHandlers,
+        decide: Callable[[Event], None],
+    ) -> None:
+        self._controller = controller
+        self._environment = environment
+        self._handlers = handlers
+        self._decide = decide
+        self._last_operation_id = 0
+        self._callers: dict[int, ControlCaller] = {}  # by operation
+        self._previous_programs: dict[int, str] = {}  # by operation that replaced the program
+        # The keys are the values of a request's `do`.
+        self._commands: dict[str, Callable[[ControlCaller], None]] = {
+            "status": self._send_status,
+            "budgets": self._send_lease_status,
+            "overload": self._send_outlier_status,
+            "reload": self._reload,
+            "leave": self._leave,
+        }
+
+    def handle(self, caller: ControlCaller, message: Message) -> None:
+        """Answer one request.
+
+        :raises ValueError: an argument is invalid.
+        """
+        command = message.get("do")
+        if isinstance(command, str) and command in self._commands:
+            self._commands[command](caller)
+        elif command in OPERATION_COMMANDS:
+            kind = OperationKind(command)
+            self.begin_operation(caller, kind, message.get("count", 0), message.get("program"))
+        else:
+            commands = ", ".join([*self._commands, *OPERATION_COMMANDS])
+            caller.send({"ok": False, "why": f"'do' is {str(command)[:40]!r}; it may be {commands}"})
+
+    def begin_operation(
+        self, caller: ControlCaller | None, kind: OperationKind, count: object = 0, program: object = None
+    ) -> None:
+        """Order an operation, for a caller or for the supervisor itself.
+
+        :raises ValueError: the count or the program is invalid.
+        """
+        # Plain ValueErrors: the control socket shows callers the name of the type.
+        wanted_count = _parse_count(count) if kind is OperationKind.SCALE else 0
+        if program is not None and (not isinstance(program, str) or len(program) > MAX_PROGRAM_CHARACTERS):
+            text = "program is no command line"
+            raise ValueError(text)
+        self._last_operation_id += 1
+        operation_id = self._last_operation_id
+        if caller is not None:
+            caller.is_persistent = True
+            self._callers[operation_id] = caller
+        if program is not None and not self._controller.describe_operation():
+            self._previous_programs[operation_id] = self._environment.program
+            self._environment.program = program
+        log.note("order", f"{kind.value}{f' to {wanted_count}' if kind is OperationKind.SCALE else ''}")
+        self._decide(Operation(operation_id, kind, wanted_count))
+
+    def report(self, report: ReportProgress) -> None:
+        """Log a report of an operation, and send it to the caller who ordered it."""
+        log.note("order", report.text, done=report.is_done, good=report.is_successful)
+        if report.is_done:
+            self._restore_program(report)
+        caller = self._callers.get(report.operation_id)
+        if caller is not None and not caller.closed:
+            caller.send(_progress_message(report))
+        if report.is_done:
+            self._callers.pop(report.operation_id, None)
+
+    def _restore_program(self, report: ReportProgress) -> None:
+        previous = self._previous_programs.pop(report.operation_id, None)
+        if previous is not None and not report.is_successful:
+            self._environment.program = previous  # the next restart must not use a program that failed
+
+    def _send_status(self, caller: ControlCaller) -> None:
+        caller.send({"ok": True, **self._handlers.status()})
+
+    def _send_lease_status(self, caller: ControlCaller) -> None:
+        caller.send({"ok": True, **self._handlers.lease_status()})
+
+    def _send_outlier_status(self, caller: ControlCaller) -> None:
+        caller.send({"ok": True, **self._handlers.outlier_status()})
+
+    def _reload(self, caller: ControlCaller) -> None:
+        error = self._handlers.reload()
+        caller.send({"ok": not error, "why": error})
+
+    def _leave(self, caller: ControlCaller) -> None:
+        log.note("leave", "the supervisor ends, its members go on")
+        caller.send({"ok": True, "why": f"{len(self._controller.members)} members go on by themselves"})
+        self._handlers.leave()
+
+
+def _parse_count(count: object) -> int:
+    try:
+        return Count(1, MAX_MEMBERS).read(str(count))
+    except InvalidValueError as error:
+        text = f"count: {error}; {error.mend}"
+        raise ValueError(text) from None
+
+
+def _progress_message(report: ReportProgress) -> Message:
+    if report.is_done:
+        return {"ok": report.is_successful, "why": report.text}
+    return {"text": report.text}
--- a/thymeflow/fleet/controller.py
+++ b/thymeflow/fleet/controller.py
@@ -71,9 +71,9 @@
         self._operations.advance()
         return self._decisions.actions
 
-    def next_due_at(self) -> float:
+    def next_deadline(self) -> float:
         """Return when the next Tick would change something; inf if nothing waits for time."""
-        return min([*self._lifecycle.due_times(), *self._operations.due_times()], default=inf)
+        return min([*self._lifecycle.deadlines(), *self._operations.deadlines()], default=inf)
 
     def describe_operation(self) -> str:
         """Return the operation in progress as text, empty where there is none."""
--- /dev/null
+++ b/thymeflow/fleet/errors.py
@@ -0,0 +1,25 @@
+"""The exceptions of the fleet package."""
+
+from __future__ import annotations
+
+from thymeflow.errors import ThymeflowError
+
+
+class FleetError(ThymeflowError):
+    """Base class of the fleet's exceptions."""
+
+
+class SupervisorError(FleetError):
+    """The supervisor cannot start; the text gives the reason in one line."""
+
+    def __init__(self, reason: str, exit_code: int) -> None:
+        super().__init__(reason)
+        self.exit_code = exit_code
+
+
+class RegistryError(FleetError, ValueError):
+    """A file of the fleet cannot be read, or an address of a member is out of range."""
+
+
+class MalformedReportError(FleetError, ValueError):
+    """A member's report holds a value that is out of its domain."""
--- a/thymeflow/fleet/lease_distributor.py
+++ b/thymeflow/fleet/lease_distributor.py
@@ -1,10 +1,9 @@
-"""The supervisor's hands round `budgets.granter`: the table on the disk, what members say, and grants to them."""
+"""The supervisor's adapter of the lease issuer: its table on the disk, members' reports, and grants to them."""
 
 from __future__ import annotations
 
 from collections.abc import Callable
 from pathlib import Path
-from typing import Any
 
 from thymeflow.handover.control_socket import Message
 from thymeflow.leases import grant_file
@@ -13,115 +12,129 @@
 from thymeflow.leases.resources import BASE, LENT, WHOLE, Resource
 from thymeflow.runtime import clock, log
 
-BEAT = 0.25  # s: between divisions
+TICK_SECONDS = 0.25  # between divisions of the fleet's limits
 
 
 class LeaseDistributor:
-    """What the fleet may do, divided among its members by name."""
+    """Divides the fleet's limits among its members, which it knows by name."""
 
     def __init__(
         self,
         deadlines: clock.Deadlines,
         path: Path,
-        fleet: str,
+        fleet_name: str,
         send: Callable[[str, Message], None],
-        size: Callable[[], int],
+        fleet_size: Callable[[], int],
     ) -> None:
-        self._deadlines, self._path, self._fleet, self._send, self._size = deadlines, path, fleet, send, size
-        self._granter = LeaseIssuer(1, clock.monotonic())
-        self.fault = ""  # why the last write of the table failed
-
-    def start(self, living: bool) -> None:
-        """Go on from the table of the supervisor before; `living`: members of it may run."""
-        self._granter, fault = grant_file.read(self._path, self._fleet, clock.monotonic(), living)
-        if fault:
-            log.note("budgets", f"nothing is granted from the table of before: {fault}")
+        self.write_error = ""  # of the last write of the table
+        self._deadlines = deadlines
+        self._path = path
+        self._fleet_name = fleet_name
+        self._send = send
+        self._fleet_size = fleet_size
+        self._issuer = LeaseIssuer(1, clock.monotonic())
+
+    def start(self, may_have_members: bool) -> None:
+        """Continue from the previous supervisor's table, members of which may run."""
+        self._issuer, error = grant_file.read(self._path, self._fleet_name, clock.monotonic(), may_have_members)
+        if error:
+            log.note("budgets", f"nothing is granted from the table of before: {error}")
         log.note(
             "budgets",
-            f"era {self._granter.epoch}, {len(self._granter.rows)} members may hold parts",
-            era=self._granter.epoch,
+            f"era {self._issuer.epoch}, {len(self._issuer.rows)} members may hold parts",
+            era=self._issuer.epoch,
         )
         self._beat(0)
 
     def holders(self) -> list[str]:
-        """Members that may hold something."""
-        return [name for name, row in self._granter.rows.items() if row.state is not State.ABSENT]
-
-    def _kept(self) -> bool:
-        try:
-            grant_file.write(self._path, self._granter, self._fleet)
-        except OSError as fault:
-            if not self.fault:
-                log.note("budgets", f"the table is not written, so nothing new is granted: {fault}")
-            self.fault = str(fault)
-            return False
-        self.fault = ""
-        return True
-
-    def _beat(self, _: int) -> None:
-        granter = self._granter
-        granter.resize(self._size())
-        for action in granter.tick(clock.monotonic()):
-            if not isinstance(action, Write):
-                self._send(action.holder, {"do": "part", "part": message_of(action.part)})
-            elif self._kept():
-                for send in granter.on_written(action.version):
-                    self._send(send.holder, {"do": "part", "part": message_of(send.part)})
-            else:
-                granter.on_write_failed(action.version)
-        self._deadlines.at(clock.now() + BEAT, self._beat)
+        """Return the members that may hold an allocation."""
+        return [name for name, row in self._issuer.rows.items() if row.state is not State.ABSENT]
 
     def on_starting(self, name: str) -> Message:
-        """The part that a process of that name is started with."""
-        granter = self._granter
-        if granter.row(name).state not in (State.ABSENT, State.UNHEARD):
-            granter.on_disconnected(name)
-        part, _ = granter.on_starting(name, clock.monotonic())
-        if not self._kept():
-            part = Allocation(part.epoch, part.number)  # it begins with nothing, and is granted later
-        return message_of(part)
-
-    def on_report(self, name: str, message: Any) -> None:
-        """What a member says of its part; one that claims what cannot be is left with what is known of it."""
+        """Return the allocation that a new process of a member starts with."""
+        if self._issuer.row(name).state not in (State.ABSENT, State.UNHEARD):
+            self._issuer.on_disconnected(name)
+        allocation, _ = self._issuer.on_starting(name, clock.monotonic())
+        if not self._write_table():
+            allocation = Allocation(allocation.epoch, allocation.number)  # starts with nothing, is granted later
+        return message_of(allocation)
+
+    def on_report(self, name: str, message: Message) -> None:
+        """Handle a member's report of its allocation; a malformed one changes nothing."""
         try:
-            part = allocation_from_message(message)
-            demand = tuple(float(d) for d in message["demand"])
-        except (ValueError, TypeError, KeyError) as fault:
-            log.say("budgets", f"{name} says of its part what cannot be read: {fault}")
+            allocation = allocation_from_message(message)
+            demand = tuple(float(value) for value in message["demand"])
+        except (ValueError, TypeError, KeyError) as error:
+            log.say("budgets", f"{name} says of its part what cannot be read: {error}")
             return
-        self._granter.on_report(name, part, demand, clock.monotonic())
+        self._issuer.on_report(name, allocation, demand, clock.monotonic())
 
     def on_disconnected(self, name: str) -> None:
-        """The line to a member has ended."""
-        self._granter.on_disconnected(name)
+        """Handle the end of the connection to a member."""
+        self._issuer.on_disconnected(name)
 
     def on_death(self, name: str) -> None:
-        """A member's processes have all ended."""
-        self._granter.on_death(name)
-
-    def status(self) -> dict[str, Any]:
-        """Whole, parts and ends, as JSON takes it; amounts in points of the whole."""
-        granter, now = self._granter, clock.monotonic()
-        rows = {}
-        for name, row in sorted(granter.rows.items()):
-            rows[name] = {
-                "state": row.state.value,
-                "number": row.number,
-                "told": list(row.told),
-                "ends_in_s": round(max(0.0, row.end - now), 2),
-                "demand": list(row.demand),
-                "base": {k.value: granter.base[n].out(name, now) for n, k in enumerate(Resource)},
-                "lease": {k.value: granter.lent[n].out(name, now) for n, k in enumerate(Resource)},
-            }
+        """Handle the end of all processes of a member."""
+        self._issuer.on_death(name)
+
+    def status(self) -> dict[str, object]:
+        """Return the limits, allocations and their ends as JSON takes them; amounts in points of the whole."""
+        now = clock.monotonic()
         return {
             "whole": WHOLE,
             "base": BASE,
             "pool": LENT,
-            "era": granter.epoch,
-            "fault": self.fault,
+            "era": self._issuer.epoch,
+            "fault": self.write_error,
             "free": {
-                k.value: {"base": granter.base[n].free(now), "pool": granter.lent[n].free(now)}
-                for n, k in enumerate(Resource)
+                resource.value: {
+                    "base": self._issuer.base[index].free(now),
+                    "pool": self._issuer.lent[index].free(now),
+                }
+                for index, resource in enumerate(Resource)
             },
-            "members": rows,
+            "members": {name: self._member_status(name, now) for name in sorted(self._issuer.rows)},
+        }
+
+    def _member_status(self, name: str, now: float) -> dict[str, object]:
+        issuer = self._issuer
+        row = issuer.rows[name]
+        return {
+            "state": row.state.value,
+            "number": row.number,
+            "told": list(row.told),
+            "ends_in_s": round(max(0.0, row.end - now), 2),
+            "demand": list(row.demand),
+            "base": {resource.value: issuer.base[index].out(name, now) for index, resource in enumerate(Resource)},
+            "lease": {resource.value: issuer.lent[index].out(name, now) for index, resource in enumerate(Resource)},
         }
+
+    def _write_table(self) -> bool:
+        try:
+            grant_file.write(self._path, self._issuer, self._fleet_name)
+        except OSError as error:
+            if not self.write_error:
+                log.note("budgets", f"the table is not written, so nothing new is granted: {error}")
+            self.write_error = str(error)
+            return False
+        self.write_error = ""
+        return True
+
+    def _beat(self, _: int) -> None:
+        self._issuer.resize(self._fleet_size())
+        for action in self._issuer.tick(clock.monotonic()):
+            if isinstance(action, Write):
+                self._write_and_grant(action)
+            else:
+                self._send_allocation(action.holder, action.part)
+        self._deadlines.at(clock.now() + TICK_SECONDS, self._beat)
+
+    def _write_and_grant(self, action: Write) -> None:
+        if not self._write_table():
+            self._issuer.on_write_failed(action.version)
+            return
+        for grant in self._issuer.on_written(action.version):
+            self._send_allocation(grant.holder, grant.part)
+
+    def _send_allocation(self, name: str, allocation: Allocation) -> None:
+        self._send(name, {"do": "part", "part": message_of(allocation)})
--- a/thymeflow/fleet/member_lifecycle.py
+++ b/thymeflow/fleet/member_lifecycle.py
@@ -43,10 +43,10 @@
         """Return whether replaced runs or abandoned successors have yet to end."""
         return bool(self._retiring_until)
 
-    def due_times(self) -> list[float]:
+    def deadlines(self) -> list[float]:
         """Return the times at which `on_tick` would change something."""
-        due = [member.due_at for member in self.members.values() if member.state in _TIMED_STATES]
-        return [*due, *self._retiring_until.values()]
+        pending = [member.deadline for member in self.members.values() if member.state in _TIMED_STATES]
+        return [*pending, *self._retiring_until.values()]
 
     def in_state(self, state: MemberState) -> list[Member]:
         """Return the members in a state."""
@@ -66,7 +66,7 @@
             # Spread, so that counter, discovery and servers are not loaded in one instant. Where members were
             # adopted, the missing ones died while no supervisor ran: they are started at once.
             delay = 0.0 if adopted_count else self._policy.spread_delay_seconds(position, len(missing))
-            self.members[number] = Member(number, due_at=self._decisions.now + delay)
+            self.members[number] = Member(number, deadline=self._decisions.now + delay)
         surplus = [member for member in self.members.values() if member.number >= count]
         self.resize(max([count, *(member.number + 1 for member in surplus)]))
         for member in surplus:
@@ -79,7 +79,7 @@
         """Schedule the start of new members that join a running set."""
         for position, number in enumerate(numbers):
             delay = self._policy.spread_delay_seconds(position, len(numbers))
-            self.members[number] = Member(number, due_at=self._decisions.now + delay, is_joining=True)
+            self.members[number] = Member(number, deadline=self._decisions.now + delay, is_joining=True)
 
     def resize(self, size: int) -> None:
         """Notify all members of the fleet's size, if it has changed."""
@@ -93,7 +93,7 @@
         self.members[number] = member
         member.run_id = self._new_run(member)
         member.incarnation = incarnation
-        member.due_at = self._decisions.now + self._settings.ready
+        member.deadline = self._decisions.now + self._settings.ready
         member.apply(Transition.ADOPT)
         if is_serving:
             member.apply(Transition.BECOME_READY)
@@ -102,13 +102,13 @@
     def reset(self, member: Member) -> None:
         """Start a member that ended on purpose or is in a crash loop, at the next tick."""
         member.apply(Transition.RESET)
-        member.due_at = self._decisions.now
+        member.deadline = self._decisions.now
 
     def start_replacement(self, member: Member) -> None:
         """Start a successor that takes over from the run that serves."""
         member.apply(Transition.REPLACE)
         member.successor_run_id = self._new_run(member)
-        member.due_at = self._decisions.now + self._settings.ready
+        member.deadline = self._decisions.now + self._settings.ready
         member.healthy_since = inf
         action = StartProcess(member.successor_run_id, member.number, is_joining=False, is_replacement=True)
         self._decisions.add(action)
@@ -121,7 +121,7 @@
     def _start(self, member: Member) -> None:
         member.apply(Transition.START)
         member.run_id = self._new_run(member)
-        member.due_at = self._decisions.now + self._settings.ready
+        member.deadline = self._decisions.now + self._settings.ready
         member.healthy_since = inf
         member.is_killed = False
         action = StartProcess(member.run_id, member.number, is_joining=member.is_joining, is_replacement=False)
@@ -141,7 +141,7 @@
             self._after_stop(member)
         elif member.state not in (MemberState.STOPPING, MemberState.STOPPED):
             member.apply(Transition.STOP)
-            member.due_at = self._decisions.now + self._settings.stop
+            member.deadline = self._decisions.now + self._settings.stop
             member.is_killed = False
             self._decisions.add(StopProcess(member.run_id))
 
@@ -241,7 +241,7 @@
         else:
             member.apply(Transition.END)
             backoff = self._policy.backoff_seconds(crash_count)
-            member.due_at = self._decisions.now + backoff
+            member.deadline = self._decisions.now + backoff
             self._decisions.log("member", f"{member.number} {reason}; started again in {backoff:.2f} s")
         self._on_fault(member, f"it {reason}")
 
@@ -250,14 +250,14 @@
     def on_tick(self) -> None:
         """Start the members whose time has come, and kill the runs that have taken too long."""
         for member in list(self.members.values()):
-            if self._decisions.now >= member.due_at:
-                self._on_due(member)
+            if self._decisions.now >= member.deadline:
+                self._on_deadline(member)
         for run_id, until in self._retiring_until.items():
             if self._decisions.now >= until:
                 self._retire(run_id)
                 self._decisions.add(KillProcess(run_id))
 
-    def _on_due(self, member: Member) -> None:
+    def _on_deadline(self, member: Member) -> None:
         if member.state is MemberState.WAITING:
             self._start(member)
         elif member.state is MemberState.STARTING:
@@ -275,4 +275,4 @@
             member.is_killed = True
             self._decisions.log("member", f"{member.number} {reason}: killed")
         self._decisions.add(KillProcess(member.run_id))
-        member.due_at = self._decisions.now + retry_seconds
+        member.deadline = self._decisions.now + retry_seconds
--- /dev/null
+++ b/thymeflow/fleet/member_sockets.py
@@ -0,0 +1,64 @@
+"""The listening sockets of all members, which the supervisor keeps open.
+
+A member's address accepts connections while the member restarts, as the supervisor passes the same socket on to each
+of its processes (LISTEN_FDS).
+"""
+
+from __future__ import annotations
+
+import contextlib
+import os
+import socket
+from collections.abc import Container
+
+from thymeflow.fleet.registry import listen_address
+from thymeflow.frontend.listener import bound, opened
+from thymeflow.handover import listening_sockets
+
+
+class MemberSockets:
+    """Listening sockets by member's number, from a base address on."""
+
+    def __init__(self, base_address: str) -> None:
+        self.ports: dict[str, int] = {}  # by member's number, as the registry's file has them
+        self._base_address = base_address
+        self._sockets: dict[int, socket.socket] = {}
+
+    def __contains__(self, number: int) -> bool:
+        return number in self._sockets
+
+    def open(self, number: int) -> socket.socket:
+        """Return a member's socket, opened if it is not open yet.
+
+        :raises OSError: the address cannot be bound.
+        :raises RegistryError: the port would be out of range.
+        """
+        listening = self._sockets.get(number)
+        if listening is None:
+            address = listen_address(self._base_address, number, self.ports)
+            listening = opened(bound(address.host, address.port))
+            self._sockets[number] = listening
+        self.ports[str(number)] = listening.getsockname()[1]
+        return listening
+
+    def adopt(self, number: int, descriptor: int) -> None:
+        """Use a copy of a descriptor as a member's socket, unless it is no listening socket; closes the descriptor."""
+        with contextlib.suppress(listening_sockets.BadDescriptorError, OSError):
+            self._sockets[number] = listening_sockets.checked(descriptor)
+        os.close(descriptor)
+
+    def address_text(self, number: int) -> str:
+        """Return a member's address as host:port, empty where no socket is open."""
+        listening = self._sockets.get(number)
+        return "" if listening is None else format_address(listening)
+
+    def close_all_but(self, numbers: Container[int]) -> None:
+        """Close the sockets of members that are gone for good; their addresses reject connections from now on."""
+        for number in [number for number in self._sockets if number not in numbers]:
+            self._sockets.pop(number).close()
+
+
+def format_address(listening: socket.socket) -> str:
+    """Return a socket's own address as host:port."""
+    host, port = listening.getsockname()[:2]
+    return f"{host}:{port}"
--- a/thymeflow/fleet/outlier_service.py
+++ b/thymeflow/fleet/outlier_service.py
@@ -1,86 +1,130 @@
-"""The supervisor's hands round `overload.jury`: what members say of servers, and verdicts to them."""
+"""The supervisor's adapter of the outlier coordinator and the admission threshold.
+
+It takes members' reports about servers, and sends them ejections and the fleet's load shedding level.
+"""
 
 from __future__ import annotations
 
 from collections.abc import Callable
-from dataclasses import replace
-from typing import Any
+from dataclasses import dataclass, field, replace
 
+from thymeflow.fleet.errors import MalformedReportError
 from thymeflow.handover.control_socket import Message
-from thymeflow.outliers.coordinator import ZONE, Ejection, OutlierCoordinator, State
+from thymeflow.outliers.coordinator import ZONE, Case, Ejection, Key, OutlierCoordinator, State
 from thymeflow.outliers.member import keys_from_message, message_of, probes_from_message, zones_from_message
 from thymeflow.runtime import clock, log
 from thymeflow.shedding.threshold import AdmissionThreshold
 
-BEAT = 0.25  # s: between looks
-RENEW = 1.0  # s: a verdict that has not changed is said again, a third of its length
+TICK_SECONDS = 0.25
+RENEWAL_SECONDS = 1.0  # ejections and levels that have not changed are sent again, a third of an ejection's length
+
+
+@dataclass(frozen=True, slots=True)
+class _SentLevel:
+    level: float
+    sent_at: float
+
+
+@dataclass(frozen=True, slots=True)
+class _SentEjections:
+    sent_at: float
+    ejections: list[Ejection] = field(default_factory=list)
 
 
 class OutlierService:
     """What the fleet knows of servers that fail, by the members' names."""
 
-    def __init__(self, deadlines: clock.Deadlines, trials: float, send: Callable[[str, Message], None]) -> None:
-        self._deadlines, self._send = deadlines, send
-        self._jury, self._level = OutlierCoordinator(trials), AdmissionThreshold()
-        self._shed: dict[str, tuple[float, float]] = {}  # by member: the level that was said last, and when
-        self._sent: dict[str, tuple[list[Ejection], float]] = {}  # by member: what was said last, and when
+    def __init__(
+        self,
+        deadlines: clock.Deadlines,
+        probes_per_second: float,
+        send: Callable[[str, Message], None],
+    ) -> None:
+        self._deadlines = deadlines
+        self._send = send
+        self._coordinator = OutlierCoordinator(probes_per_second)
+        self._level = AdmissionThreshold()
+        self._sent_levels: dict[str, _SentLevel] = {}  # by member
+        self._sent_ejections: dict[str, _SentEjections] = {}  # by member
 
     def start(self) -> None:
-        """Look now and then from now on."""
-        self._beat(0)
+        """Begin to evaluate the reports, every `TICK_SECONDS`."""
+        self._tick(0)
 
-    def on_report(self, name: str, message: Any) -> None:
-        """What a member says of servers; what cannot be true is left out and counted."""
+    def on_report(self, name: str, message: Message) -> None:
+        """Handle a member's report about servers; a malformed one is counted and left out."""
         try:
-            against, good = keys_from_message(message["against"]), keys_from_message(message["good"])
-            trials, servers = probes_from_message(message["trials"]), message["servers"]
-            if type(servers) is not int or servers < 0:
-                raise ValueError(f"servers is {str(servers)[:40]!r}, no count")
+            against = keys_from_message(message["against"])
+            good = keys_from_message(message["good"])
+            probes = probes_from_message(message["trials"])
+            server_count = _server_count_of(message)
             zones = zones_from_message(message.get("zones", {}))
-            if "pressure" in message:  # members of the version before tell neither of them
+            if "pressure" in message:  # members of the previous version report neither zones nor pressure
                 self._level.on_report(name, message["pressure"], clock.monotonic())
-        except (ValueError, TypeError, KeyError, AttributeError) as fault:
-            self._jury.invalid_reports += 1
-            log.say("overload", f"{name} says of servers what cannot be: {fault}")
+        except (ValueError, TypeError, KeyError, AttributeError) as error:
+            self._coordinator.invalid_reports += 1
+            log.say("overload", f"{name} says of servers what cannot be: {error}")
             return
-        self._jury.on_endpoint_list(name, servers, zones)
-        self._jury.on_report(name, against, good, trials, clock.monotonic())
+        self._coordinator.on_endpoint_list(name, server_count, zones)
+        self._coordinator.on_report(name, against, good, probes, clock.monotonic())
 
     def on_member_gone(self, name: str) -> None:
-        """A member has ended, or its line has."""
-        self._jury.on_member_gone(name)
+        """Handle the end of a member, or of the connection to it."""
+        self._coordinator.on_member_gone(name)
         self._level.on_member_gone(name)
-        self._sent.pop(name, None)
-        self._shed.pop(name, None)
-
-    def _beat(self, _: int) -> None:
-        jury, now = self._jury, clock.monotonic()
-        before = {key: case.state for key, case in jury.ejected.items()}
-        for key in jury.tick(now):
-            words = ", ".join(sorted(jury.ejected[key].words))
-            log.note("overload", f"{_named(key)} is left alone by all, on the word of {words}", server=key[0])
-        for key, state in before.items():
-            case = jury.ejected.get(key)
-            if case is None and jury.is_covered_by_zone(key):
-                continue  # its zone's case has taken its place, and says so
-            if case is None:
-                log.note("overload", f"{_named(key)} is back with all", server=key[0])
-            elif case.state is not state:
-                log.note("overload", f"{_named(key)} is {case.state.value}", server=key[0])
-        for name in jury.reports:
-            verdicts = [replace(v, end=0.0) for v in jury.ejections_for(name, now)]
-            sent, at = self._sent.get(name, ([], now))
-            if verdicts != sent or (verdicts and now - at >= RENEW):
-                self._sent[name] = verdicts, now
-                rows = [message_of(v) for v in jury.ejections_for(name, now)]
-                self._send(name, {"do": "verdicts", "verdicts": rows})
+        self._sent_ejections.pop(name, None)
+        self._sent_levels.pop(name, None)
+
+    def status(self) -> dict[str, object]:
+        """Return the level, and the ejections with the members that reported them, as JSON takes them."""
+        now = clock.monotonic()
+        return {
+            "level": round(self._level.level, 3),
+            "pressure": round(self._level.pressure, 3),
+            "every_s": self._coordinator.probe_interval,
+            "left_out": self._coordinator.invalid_reports,
+            "members": sorted(self._coordinator.reports),
+            "cases": [
+                _ejection_status(key, ejected, now) for key, ejected in sorted(self._coordinator.ejected.items())
+            ],
+        }
+
+    def _tick(self, _: int) -> None:
+        now = clock.monotonic()
+        previous_states = {key: ejected.state for key, ejected in self._coordinator.ejected.items()}
+        for key in self._coordinator.tick(now):
+            reporters = ", ".join(sorted(self._coordinator.ejected[key].words))
+            text = f"{_describe_key(key)} is left alone by all, on the word of {reporters}"
+            log.note("overload", text, server=key[0])
+        self._log_state_changes(previous_states)
+        for name in self._coordinator.reports:
+            self._send_ejections(name, now)
         self._steer(now)
-        self._deadlines.at(clock.now() + BEAT, self._beat)
+        self._deadlines.at(clock.now() + TICK_SECONDS, self._tick)
+
+    def _log_state_changes(self, previous_states: dict[Key, State]) -> None:
+        for key, state in previous_states.items():
+            ejected = self._coordinator.ejected.get(key)
+            if ejected is None and self._coordinator.is_covered_by_zone(key):
+                continue  # the ejection of its zone has replaced it, and is logged
+            if ejected is None:
+                log.note("overload", f"{_describe_key(key)} is back with all", server=key[0])
+            elif ejected.state is not state:
+                log.note("overload", f"{_describe_key(key)} is {ejected.state.value}", server=key[0])
+
+    def _send_ejections(self, name: str, now: float) -> None:
+        # Compared without their ends, which move with every tick.
+        ejections = [replace(ejection, end=0.0) for ejection in self._coordinator.ejections_for(name, now)]
+        sent = self._sent_ejections.get(name, _SentEjections(now))
+        if ejections != sent.ejections or (ejections and now - sent.sent_at >= RENEWAL_SECONDS):
+            self._sent_ejections[name] = _SentEjections(now, ejections)
+            rows = [message_of(ejection) for ejection in self._coordinator.ejections_for(name, now)]
+            self._send(name, {"do": "verdicts", "verdicts": rows})
 
     def _steer(self, now: float) -> None:
-        before = round(self._level.level, 3)  # as it was told: a trace that rounds to nothing began nothing
+        previous_level = round(self._level.level, 3)  # as it was sent: one that rounds to 0 began no shedding
         level = round(self._level.tick(now), 3)
-        if (level > 0.0) != (before > 0.0):
+        if (level > 0.0) != (previous_level > 0.0):
             log.note(
                 "overload",
                 f"shedding by order {'begins' if level else 'is over'}: the back end's pressure is "
@@ -90,36 +134,38 @@
         elif level:
             log.say("overload", f"shedding what stands under {level:.2f} of the order, everywhere", level=level)
         for name in self._level.reports:
-            said, at = self._shed.get(name, (0.0, now - RENEW))
-            if level != said or now - at >= RENEW:
-                self._shed[name] = level, now
-                self._send(name, {"do": "shed", "level": level})
-
-    def status(self) -> dict[str, Any]:
-        """Who is left alone and on whose word, as JSON takes it."""
-        now, jury = clock.monotonic(), self._jury
-        return {
-            "level": round(self._level.level, 3),
-            "pressure": round(self._level.pressure, 3),
-            "every_s": jury.probe_interval,
-            "left_out": jury.invalid_reports,
-            "members": sorted(jury.reports),
-            "cases": [
-                {
-                    "server": key[0],
-                    **({"class": "", "zone": key[1]} if key[0] == ZONE else {"class": key[1], "zone": ""}),
-                    "state": case.state.value,
-                    "for_s": round(now - case.since, 2),
-                    "words": sorted(case.words),
-                    "trial": case.holder if case.state is State.CONDEMNED else "",
-                    "let_in": case.let_in,
-                }
-                for key, case in sorted(jury.ejected.items())
-            ],
-        }
+            self._send_level(name, level, now)
+
+    def _send_level(self, name: str, level: float, now: float) -> None:
+        sent = self._sent_levels.get(name, _SentLevel(0.0, now - RENEWAL_SECONDS))
+        if level != sent.level or now - sent.sent_at >= RENEWAL_SECONDS:
+            self._sent_levels[name] = _SentLevel(level, now)
+            self._send(name, {"do": "shed", "level": level})
+
+
+def _server_count_of(message: Message) -> int:
+    count = message["servers"]
+    if type(count) is not int or count < 0:
+        text = f"servers is {str(count)[:40]!r}, no count"
+        raise MalformedReportError(text)
+    return count
+
+
+def _ejection_status(key: Key, ejected: Case, now: float) -> dict[str, object]:
+    is_zone = key[0] == ZONE
+    return {
+        "server": key[0],
+        "class": "" if is_zone else key[1],
+        "zone": key[1] if is_zone else "",
+        "state": ejected.state.value,
+        "for_s": round(now - ejected.since, 2),
+        "words": sorted(ejected.words),
+        "trial": ejected.holder if ejected.state is State.CONDEMNED else "",
+        "let_in": ejected.let_in,
+    }
 
 
-def _named(key: tuple[int, str]) -> str:
+def _describe_key(key: Key) -> str:
     if key[0] == ZONE:
         return f"zone {key[1]}"
     return f"server {key[0]:08x}" + (f" for {key[1]}" if key[1] else "")
--- a/thymeflow/fleet/processes.py
+++ b/thymeflow/fleet/processes.py
@@ -1,4 +1,4 @@
-"""Processes: started by us or found running, followed by their control sockets, and their ends noticed."""
+"""Processes of members: spawned or adopted, followed over their control sockets until they end."""
 
 from __future__ import annotations
 
@@ -9,162 +9,198 @@
 import sys
 from collections.abc import Callable, Mapping, Sequence
 from pathlib import Path
-from typing import Any
 
+from twisted.internet.error import ProcessTerminated
 from twisted.internet.protocol import ProcessProtocol
 from twisted.python.failure import Failure
 
+from thymeflow.fleet.reactor import FleetReactor
 from thymeflow.handover import control_client
 from thymeflow.handover.control_socket import Message
 from thymeflow.runtime import clock
 
-LINK_PACE = 0.05  # s: between tries to reach a control socket that is not there yet
-SHELL = 'LISTEN_PID=$$ exec "$@"'  # the child's own pid, as sd_listen_fds(3) wants it
+CONNECT_RETRY_SECONDS = 0.05  # between attempts to reach a control socket that does not exist yet
+LISTENING_DESCRIPTOR = 3  # the first that sd_listen_fds(3) passes on
+SHELL_SCRIPT = 'LISTEN_PID=$$ exec "$@"'  # the process's own pid, as sd_listen_fds(3) wants it
 
 
-class Run:
-    """One process of a member: `heard` gets each status, `ended` its end in words, once."""
+class MemberRun:
+    """One process of a member, followed over the control socket at `path`.
+
+    `on_status` gets each of its status reports, `on_ended` the reason of its end, once, and `on_disconnected` is
+    called whenever the connection to it ends.
+    """
 
     def __init__(
         self,
-        reactor: Any,
+        reactor: FleetReactor,
         deadlines: clock.Deadlines,
         path: Path,
         pid: int,
-        heard: Callable[[Message], None],
-        ended: Callable[[str], None],
-        silent: Callable[[], None] = lambda: None,
+        *,
+        on_status: Callable[[Message], None],
+        on_ended: Callable[[str], None],
+        on_disconnected: Callable[[], None],
     ) -> None:
-        self.pid, self.over = pid, False
-        self._reactor, self._deadlines, self._path, self._heard, self._ended = reactor, deadlines, path, heard, ended
-        self._silent = silent
-        self._talk: control_client.ControlSession | None = None
-        self.last: Message = {}
-
-    def link(self, _: int = 0) -> None:
-        """Follow it over its control socket, from the moment that there is one."""
-        if self.over:
+        self.pid = pid
+        self.is_ended = False
+        self.last_status: Message = {}
+        self._reactor = reactor
+        self._deadlines = deadlines
+        self._path = path
+        self._on_status = on_status
+        self._on_ended = on_ended
+        self._on_disconnected = on_disconnected
+        self._session: control_client.ControlSession | None = None
+
+    def connect(self, _: int = 0) -> None:
+        """Connect to the control socket, now and again until the process ends."""
+        if self.is_ended:
             return
-        made = control_client.open_session(self._reactor, self._path, self._status, self._unlinked)
-        made.addCallbacks(self._linked, lambda _: self._again())
+        connected = control_client.talk(self._reactor, self._path, self._handle_message, self._handle_disconnect)
+        connected.addCallbacks(self._handle_connect, self._handle_connect_failure)
+
+    def send(self, message: Message) -> None:
+        """Send a message if connected; there is no retry, and no answer."""
+        if self._session is not None and not self.is_ended:
+            self._session.send(message)
 
-    def _again(self) -> None:
-        if not self.over:
-            self._deadlines.at(clock.now() + LINK_PACE, self.link)
+    def send_signal(self, signal_number: int) -> None:
+        """Send a signal, unless the process has ended."""
+        if not self.is_ended and self.pid > 0:
+            with contextlib.suppress(ProcessLookupError):
+                os.kill(self.pid, signal_number)
 
-    def _linked(self, talk: control_client.ControlSession) -> None:
-        self._talk = talk
-        if self.over:
-            talk.close()
+    def end(self, reason: str) -> None:
+        """Stop following the process, as it has ended."""
+        if self.is_ended:
+            return
+        self.is_ended = True
+        if self._session is not None:
+            self._session.close()
+        self._on_ended(reason)
+
+    def _schedule_connect(self) -> None:
+        if not self.is_ended:
+            self._deadlines.at(clock.now() + CONNECT_RETRY_SECONDS, self.connect)
+
+    def _handle_connect(self, session: control_client.ControlSession) -> None:
+        self._session = session
+        if self.is_ended:
+            session.close()
         else:
-            talk.send({"do": "watch"})
+            session.send({"do": "watch"})
 
-    def say(self, message: Message) -> None:
-        """Say something to it; what does not arrive is said anew by whoever cares."""
-        if self._talk is not None and not self.over:
-            self._talk.send(message)
+    def _handle_connect_failure(self, _: Failure) -> None:
+        self._schedule_connect()
 
-    def _unlinked(self) -> None:
-        self._talk = None
-        self._silent()
-        self._again()
+    def _handle_disconnect(self) -> None:
+        self._session = None
+        self._on_disconnected()
+        self._schedule_connect()
 
-    def _status(self, message: Message) -> None:
+    def _handle_message(self, message: Message) -> None:
         status = message.get("status")
         if not isinstance(status, dict) or status.get("pid") != self.pid:
-            # The name belongs to the process that this one is to replace, or to one before it: try again.
-            if self._talk is not None:
-                self._talk.close()
+            # The name still belongs to the process that this one is to replace, or to an earlier one: retry.
+            if self._session is not None:
+                self._session.close()
             return
-        self.last = status
-        self._heard(status)
-
-    def end(self, how: str) -> None:
-        """It is over."""
-        if not self.over:
-            self.over = True
-            if self._talk is not None:
-                self._talk.close()
-            self._ended(how)
-
-    def signal(self, number: int) -> None:
-        """Send it a signal, unless it is over."""
-        if not self.over and self.pid > 0:
-            with contextlib.suppress(ProcessLookupError):
-                os.kill(self.pid, number)
+        self.last_status = status
+        self._on_status(status)
 
 
-class Child(ProcessProtocol):
-    """A process that we started: its end comes from the system."""
+class ChildProcess(ProcessProtocol):
+    """A process that this supervisor spawned; the reactor reports its end."""
 
     def __init__(self) -> None:
-        self._run: Run | None = None
-        self._how = ""  # its end, where that came before anybody followed it
+        self._run: MemberRun | None = None
+        self._end_reason = ""  # kept for a run that begins to follow after the end
 
-    def follow(self, run: Run) -> None:
-        """Tell a run of its end, which may have come already."""
+    def report_end_to(self, run: MemberRun) -> None:
+        """Notify a run of the process's end, also where it has ended already."""
         self._run = run
-        if self._how:
-            run.end(self._how)
+        if self._end_reason:
+            run.end(self._end_reason)
 
     def processEnded(self, reason: Failure) -> None:
-        """It has ended and was waited for."""
-        value: Any = reason.value
-        code, number = getattr(value, "exitCode", None), getattr(value, "signal", None)
-        self._how = f"was ended by {signal.Signals(number).name}" if number else f"ended with code {code}"
+        """Handle the end of the process, which has been waited for."""
+        self._end_reason = _describe_exit(reason.value)
         if self._run is not None:
-            self._run.end(self._how)
+            self._run.end(self._end_reason)
+
+
+def _describe_exit(status: BaseException | None) -> str:
+    if isinstance(status, ProcessTerminated) and status.signal:
+        return f"was ended by {signal.Signals(status.signal).name}"
+    return f"ended with code {getattr(status, 'exitCode', None)}"
+
 
+class AdoptedProcess:
+    """A process that another supervisor spawned; its pidfd becomes readable at its end (pidfd_open(2)).
 
-class Found:
-    """A process that somebody else started: its end is read from a descriptor of it (pidfd_open(2))."""
+    :raises OSError: there is no such process.
+    """
 
-    def __init__(self, reactor: Any, pid: int) -> None:
-        self._reactor, self._descriptor = reactor, os.pidfd_open(pid)
-        self._run: Run | None = None
+    def __init__(self, reactor: FleetReactor, pid: int) -> None:
+        self._reactor = reactor
+        self._descriptor = os.pidfd_open(pid)
+        self._run: MemberRun | None = None
 
-    def follow(self, run: Run) -> None:
-        """Tell a run of its end; the descriptor is readable also where that has come already."""
+    def report_end_to(self, run: MemberRun) -> None:
+        """Notify a run of the process's end; the descriptor is readable also where it has ended already."""
         self._run = run
         self._reactor.addReader(self)
 
     def fileno(self) -> int:
-        """What the reactor waits on."""
+        """Return the descriptor that the reactor watches."""
         return self._descriptor
 
     def logPrefix(self) -> str:
-        """For Twisted's log."""
+        """Return the name in Twisted's log."""
         return "found process"
 
     def doRead(self) -> None:
-        """Readable: it has ended."""
+        """Handle the end of the process."""
         self._reactor.removeReader(self)
         os.close(self._descriptor)
         if self._run is not None:
             self._run.end("ended (it was not started by this supervisor)")
 
-    def connectionLost(self, _: Any) -> None:
-        """The reactor stops."""
+    def connectionLost(self, _: Failure) -> None:
+        """Do nothing: the reactor stops."""
 
 
-def command(program: Sequence[str], arguments: Sequence[str]) -> list[str]:
-    """How a member is started."""
+def member_command(program: Sequence[str], arguments: Sequence[str]) -> list[str]:
+    """Return the command line of a member; an empty program stands for this one."""
     return [*(program or (sys.executable, "-m", "thymeflow")), "serve", *arguments]
 
 
-def spawn(
-    reactor: Any, words: Sequence[str], environment: Mapping[str, str], output: int, listening: socket.socket | None
-) -> tuple[Child, int]:
-    """Start a process that outlives us, its output in a file, with a listening socket as descriptor 3."""
-    child, nothing = Child(), os.open(os.devnull, os.O_RDONLY)
-    passed = {0: nothing, 1: output, 2: output}
-    environment = {**environment}
-    if listening is not None:
-        passed[3] = listening.fileno()
-        environment["LISTEN_FDS"] = "1"
-        words = ["/bin/sh", "-c", SHELL, "sh", *words]
+def spawn_member(
+    reactor: FleetReactor,
+    command: Sequence[str],
+    environment: Mapping[str, str],
+    output_descriptor: int,
+    listening_socket: socket.socket | None,
+) -> tuple[ChildProcess, int]:
+    """Start a process that outlives the supervisor, and return it with its pid.
+
+    Its output goes to the given descriptor, and the listening socket is passed on as descriptor 3. The pid is 0
+    where the process has ended by now, which it then reports by itself.
+    """
+    child = ChildProcess()
+    null_descriptor = os.open(os.devnull, os.O_RDONLY)
+    child_descriptors = {0: null_descriptor, 1: output_descriptor, 2: output_descriptor}
+    child_environment = dict(environment)
+    child_command = list(command)
+    if listening_socket is not None:
+        child_descriptors[LISTENING_DESCRIPTOR] = listening_socket.fileno()
+        child_environment["LISTEN_FDS"] = "1"
+        child_command = ["/bin/sh", "-c", SHELL_SCRIPT, "sh", *command]
     try:
-        transport = reactor.spawnProcess(child, words[0], list(words), environment, childFDs=passed)
+        transport = reactor.spawnProcess(
+            child, child_command[0], child_command, child_environment, childFDs=child_descriptors
+        )
     finally:
-        os.close(nothing)
-    return child, int(transport.pid or 0)  # 0: it has ended by now, which the child tells
+        os.close(null_descriptor)
+    return child, int(transport.pid or 0)
--- a/thymeflow/fleet/registry.py
+++ b/thymeflow/fleet/registry.py
@@ -1,7 +1,7 @@
-"""What a fleet is made of on the disk: each member's configuration, and the roster that a successor reads.
+"""The files of a fleet: each member's configuration, and the registry that the next supervisor reads.
 
-Nothing here decides; the configuration of a member is the platform's JSON with name, address, number and size of
-the set in their places.
+The configuration of a member is the platform's JSON with the member's name, address, number and the fleet's size
+filled in.
 """
 
 from __future__ import annotations
@@ -11,107 +11,135 @@
 import secrets
 from dataclasses import dataclass
 from pathlib import Path
-from typing import Any
 
 import msgspec
 
-from thymeflow.platform.configuration import ConfigurationError, from_source
-from thymeflow.platform.endpoints import Address, address
+from thymeflow.fleet.errors import RegistryError
+from thymeflow.handover.control_socket import Message
+from thymeflow.platform.configuration import Address, ConfigurationError, address, from_source
 from thymeflow.snapshot import atomic_file
 
-MOST_BYTES = 4 << 20
+MAX_TEMPLATE_BYTES = 4 << 20
+MAX_PORT = 65535
 
+ConfigurationTemplate = Message  # the platform's JSON object
 
-class Roster(msgspec.Struct, forbid_unknown_fields=True):
-    """What a successor of the supervisor needs to know."""
 
-    count: int
-    ports: dict[str, int]  # by member's number; those that the system chose included
-    working: str = ""  # the order that was under way
+class MemberRegistry(msgspec.Struct, forbid_unknown_fields=True):
+    """What the next supervisor needs to know; the field names are those of the file `fleet.json`."""
+
+    count: int  # wanted members
+    ports: dict[str, int]  # by member's number, those that the system chose included
+    working: str = ""  # the operation that was in progress
 
 
 @dataclass(frozen=True, slots=True)
 class Names:
-    """Where a fleet's things lie and how they are called."""
+    """The names of a fleet's members and the paths of its files."""
 
     folder: Path
     prefix: str
 
     def name(self, number: int) -> str:
-        """A member's name."""
+        """Return a member's name."""
         return f"{self.prefix}{number}"
 
-    def path(self, number: int, kind: str) -> Path:
-        """A member's file."""
-        return self.folder / f"{self.name(number)}.{kind}"
+    def path(self, number: int, suffix: str) -> Path:
+        """Return the path of a member's file."""
+        return self.folder / f"{self.name(number)}.{suffix}"
 
-    def own(self, kind: str) -> Path:
-        """The supervisor's file."""
-        return self.folder / f"fleet.{kind}"
+    def supervisor_path(self, suffix: str) -> Path:
+        """Return the path of a file of the supervisor."""
+        return self.folder / f"fleet.{suffix}"
 
-    def running(self) -> list[int]:
-        """Numbers of members that have left a control socket's name, living or not."""
-        found = []
+    def find_control_sockets(self) -> list[int]:
+        """Return the numbers of the members that have left a control socket, running or not."""
+        numbers = []
         for path in self.folder.glob(f"{self.prefix}*.sock"):
             digits = path.name[len(self.prefix) : -len(".sock")]
             if digits.isdigit():
-                found.append(int(digits))
-        return sorted(found)
+                numbers.append(int(digits))
+        return sorted(numbers)
+
 
+def template(path: Path) -> ConfigurationTemplate:
+    """Read the platform's JSON for all members.
 
-def template(path: Path) -> dict[str, Any]:
-    """The platform's JSON for all members; ConfigError where no member could use it."""
+    :raises ConfigurationError: no member could use it.
+    """
     try:
-        if path.stat().st_size > MOST_BYTES:
-            raise ConfigurationError(f"{path}: holds over {MOST_BYTES} bytes")
+        if path.stat().st_size > MAX_TEMPLATE_BYTES:
+            text = f"{path}: holds over {MAX_TEMPLATE_BYTES} bytes"
+            raise ConfigurationError(text)
         source = json.loads(path.read_text())
-    except (OSError, ValueError) as fault:
-        raise ConfigurationError(f"{path}: {fault}") from None
+    except (OSError, ValueError) as error:
+        text = f"{path}: {error}"
+        raise ConfigurationError(text) from None
     if not isinstance(source, dict) or not isinstance(source.get("settings"), dict):
-        raise ConfigurationError(f"{path}: no JSON object with settings")
-    from_source(member(source, "n0", "127.0.0.1:0", 0, 1), str(path), {})
+        text = f"{path}: no JSON object with settings"
+        raise ConfigurationError(text)
+    from_source(member_configuration(source, "n0", "127.0.0.1:0", 0, 1), str(path), {})
     return source
 
 
-def member(
-    source: dict[str, Any], name: str, listen: str, number: int, size: int, part: dict[str, Any] | None = None
-) -> dict[str, Any]:
-    """One member's configuration; `part`: of what the fleet may do."""
-    made = copy.deepcopy(source)
-    made.update(name=name, listen=listen, seed=secrets.token_hex(8))
-    if part is not None:
-        made["part"] = part
-    made["settings"].update(index=number, balancers=max(size, number + 1))
-    return made
+def member_configuration(
+    source: ConfigurationTemplate,
+    name: str,
+    listen: str,
+    number: int,
+    fleet_size: int,
+    allocation: Message | None = None,
+) -> ConfigurationTemplate:
+    """Return one member's configuration; `allocation` is its initial share of the fleet's limits."""
+    configuration = copy.deepcopy(source)
+    configuration.update(name=name, listen=listen, seed=secrets.token_hex(8))
+    if allocation is not None:
+        configuration["part"] = allocation
+    configuration["settings"].update(index=number, balancers=max(fleet_size, number + 1))
+    return configuration
 
 
 def write_member(
-    names: Names, source: dict[str, Any], listen: str, number: int, size: int, part: dict[str, Any] | None = None
+    names: Names,
+    source: ConfigurationTemplate,
+    listen: str,
+    number: int,
+    fleet_size: int,
+    allocation: Message | None = None,
 ) -> None:
-    """Write one member's configuration, whole or not at all."""
-    made = member(source, names.name(number), listen, number, size, part)
-    atomic_file.write(names.path(number, "json"), json.dumps(made, indent=1).encode(), atomic_file.Durability.PROCESS)
+    """Write one member's configuration atomically."""
+    configuration = member_configuration(source, names.name(number), listen, number, fleet_size, allocation)
+    content = json.dumps(configuration, indent=1).encode()
+    atomic_file.write(names.path(number, "json"), content, atomic_file.Durability.PROCESS)
 
 
-def read_roster(path: Path) -> Roster | None:
-    """What an earlier supervisor left; None where there is nothing, ValueError where it can't be read."""
+def read_roster(path: Path) -> MemberRegistry | None:
+    """Read what an earlier supervisor left; None where there is no file.
+
+    :raises RegistryError: the file cannot be read.
+    """
     try:
-        return msgspec.json.decode(path.read_bytes(), type=Roster)
+        return msgspec.json.decode(path.read_bytes(), type=MemberRegistry)
     except FileNotFoundError:
         return None
-    except (OSError, msgspec.DecodeError) as fault:
-        raise ValueError(f"{path}: {fault}") from None
+    except (OSError, msgspec.DecodeError) as error:
+        text = f"{path}: {error}"
+        raise RegistryError(text) from None
+
 
+def write_roster(path: Path, registry: MemberRegistry) -> None:
+    """Write the registry atomically."""
+    atomic_file.write(path, msgspec.json.encode(registry), atomic_file.Durability.PROCESS)
 
-def write_roster(path: Path, roster: Roster) -> None:
-    """Write it, whole or not at all."""
-    atomic_file.write(path, msgspec.json.encode(roster), atomic_file.Durability.PROCESS)
 
+def listen_address(base: str, number: int, known_ports: dict[str, int]) -> Address:
+    """Return where a member listens: the base port plus its number, or the port that the system chose before.
 
-def listen_of(base: str, number: int, known: dict[str, int]) -> Address:
-    """Where a member listens: base port plus its number, or the port that the system chose for it before."""
+    :raises RegistryError: the port would be out of range.
+    """
     first = address(base, 0)
-    port = first.port + number if first.port else known.get(str(number), 0)
-    if port > 65535:
-        raise ValueError(f"member {number} would listen on port {port}")
+    port = first.port + number if first.port else known_ports.get(str(number), 0)
+    if port > MAX_PORT:
+        text = f"member {number} would listen on port {port}"
+        raise RegistryError(text)
     return Address(first.host, port)
--- a/thymeflow/fleet/rollout.py
+++ b/thymeflow/fleet/rollout.py
@@ -54,7 +54,7 @@
         """Return the operation in progress as text, empty where there is none."""
         return "" if self._progress is None else self._progress.describe()
 
-    def due_times(self) -> list[float]:
+    def deadlines(self) -> list[float]:
         """Return the time at which the member being rolled has been healthy for long enough, if it is ready."""
         if self._progress is None or self._progress.rolling_number == NO_MEMBER:
             return []
@@ -107,15 +107,15 @@
                 member.crashed_at.clear()
                 self._lifecycle.reset(member)
         members = self._lifecycle.members.values()
-        others = [member for member in members if member not in crash_looping]
-        unready = [member for member in others if member.state is not MemberState.READY]
+        rollable = [member for member in members if member not in crash_looping]
+        unready = [member for member in rollable if member.state is not MemberState.READY]
         if operation.kind is OperationKind.UPGRADE:
             unready += crash_looping
         if unready:
             self._reject_roll(operation, unready[0])
             return
         self._progress = OperationProgress(
-            operation, total=len(others), queue=deque(member.number for member in others)
+            operation, total=len(rollable), queue=deque(member.number for member in rollable)
         )
 
     def _reject_roll(self, operation: Operation, unready: Member) -> None:
