--- /dev/null
+++ b/tests/fleet/__init__.py
@@ -0,0 +1,1 @@
+"""Tests of the fleet package."""
--- /dev/null
+++ b/tests/fleet/support.py
@@ -0,0 +1,106 @@
+"""A fleet of real processes for tests: its supervisor, its members, and the command line."""
+
+from __future__ import annotations
+
+import json
+import socket
+import subprocess
+import sys
+import time
+from pathlib import Path
+from typing import Any
+
+import psutil
+
+from tests.limiter import PATIENCE, ROOT, Limiter, command
+
+INI = "[fleet]\ninstances = 3\nspread = 100ms\nsettle = 100ms\nwait = 100ms\nready = 10s\n[log]\nfile = {0}/log\n"
+POLL_SECONDS = 0.05  # between looks at a status that is to change
+LOG_TAIL_CHARACTERS = 3000
+
+
+class FleetOf:
+    """A supervisor with three members, over the fake servers of a limiter that the test keeps beside it."""
+
+    def __init__(self, folder: Path, limiter: Limiter) -> None:
+        self.state = limiter.state
+        self.ini = folder / "f.ini"
+        self.ini.write_text(INI.format(folder))
+        self.path = limiter.path
+        self.process = self.up()
+        self.ready(3)
+
+    def up(self) -> subprocess.Popen[str]:
+        """Start a supervisor and return its process."""
+        options = ["--settings", str(self.ini), "--platform", str(self.path), "--state", str(self.state)]
+        return subprocess.Popen(
+            [sys.executable, "-m", "thymeflow", "fleet", "up", *options],
+            cwd=ROOT,
+            text=True,
+            stderr=subprocess.PIPE,
+        )
+
+    def ask(self, **message: object) -> dict[str, Any]:
+        """Send a request to the control socket and return its last answer.
+
+        :raises ConnectionError: the connection ended without one; the text is the end of the log.
+        """
+        with socket.socket(socket.AF_UNIX) as connection:
+            connection.settimeout(PATIENCE)
+            connection.connect(str(self.state / "fleet.sock"))
+            connection.sendall(json.dumps(message).encode() + b"\n")
+            for text in connection.makefile():
+                answer: dict[str, Any] = json.loads(text)
+                if "ok" in answer:
+                    return answer
+        raise ConnectionError((self.ini.parent / "log").read_text()[-LOG_TAIL_CHARACTERS:])
+
+    def status(self) -> dict[str, Any]:
+        """Return the fleet's status, empty while no supervisor answers."""
+        try:
+            return self.ask(do="status")
+        except (OSError, ValueError):
+            return {}
+
+    def ready(self, count: int) -> dict[str, Any]:
+        """Wait until so many members are wanted and ready and no operation is in progress; return the status."""
+        deadline = time.monotonic() + PATIENCE
+        while (status := self.status()).get("ready") != count or status["wanted"] != count or status["working"]:
+            assert time.monotonic() < deadline, status
+            assert self.process.poll() is None, status
+            time.sleep(POLL_SECONDS)
+        return status
+
+    def pids(self) -> list[int]:
+        """Return the pids of the members."""
+        return [member["pid"] for member in self.status()["members"]]
+
+    def __enter__(self) -> FleetOf:
+        return self
+
+    def __exit__(self, *_: object) -> None:
+        for process in self._locked_processes():
+            if str(self.state) in " ".join(process.cmdline()):
+                process.kill()
+        self.process.kill()
+        self.process.communicate()
+
+    def _locked_processes(self) -> list[psutil.Process]:
+        contents = [path.read_text().split() for path in self.state.glob("n*.lock")]
+        pids = [int(words[0]) for words in contents if words]
+        return [psutil.Process(pid) for pid in pids if psutil.pid_exists(pid)]
+
+
+def is_serving(member: dict[str, Any]) -> bool:
+    """Return whether a member answers a PING at its address."""
+    host, _, port = member["listen"].rpartition(":")
+    with socket.create_connection((host, int(port)), PATIENCE) as client:
+        client.sendall(command(b"PING"))
+        return client.recv(100) == b"+PONG\r\n"
+
+
+def cli(*arguments: str) -> subprocess.CompletedProcess[str]:
+    """Run a command of thymeflow to its end."""
+    return subprocess.run(
+        [sys.executable, "-m", "thymeflow", *arguments], cwd=ROOT, capture_output=True, text=True, check=False
+    )
--- a/tests/test_trace_fleet.py
+++ b/tests/fleet/test_controller_trace.py
@@ -51,7 +51,7 @@
     actions.ReportProgress: REPORT,
     actions.Exit: EXIT,
 }
-ORDERS = {
+OPERATIONS = {
     "scale": events.OperationKind.SCALE,
     "restart": events.OperationKind.RESTART,
     "upgrade": events.OperationKind.UPGRADE,
@@ -62,22 +62,15 @@
 Event: TypeAlias = events.Event
 Action: TypeAlias = actions.Action
 Member: TypeAlias = member_state.Member
-tick, up, adopted, told, ended = (
-    events.Tick,
-    events.FleetStarted,
-    events.MemberAdopted,
-    events.StatusReported,
-    events.RunEnded,
-)
 
 
-def order(number: int, kind: str, count: int) -> Event:
-    """An operator's order."""
-    return events.Operation(number, ORDERS[kind], count)
+def operation_of(number: int, kind: str, count: int) -> Event:
+    """Return an operator's order."""
+    return events.Operation(number, OPERATIONS[kind], count)
 
 
 def controller_of(seed: int) -> Controller:
-    """A controller with short times."""
+    """Return a controller with short times."""
     settings = Fleet(
         instances=3,
         spread=1.0,
@@ -98,12 +91,12 @@
 
 
 def values_of(action: Action) -> list[Any]:
-    """An action's label and its values in declared order."""
+    """Return an action's label and its values in declared order."""
     return [ACTIONS[type(action)], *(getattr(action, f.name) for f in fields(action))]
 
 
 def record_transitions(monkeypatch: pytest.MonkeyPatch) -> set[tuple[str, str]]:
-    """The pairs of state and transition that members go through from now on."""
+    """Return a set that collects the pairs of state and transition that members go through from now on."""
     pairs = set[tuple[str, str]]()
     original: Callable[[Member, member_state.Transition], None] = Member.apply
 
@@ -121,7 +114,7 @@
 EPISODE_STEPS = 110
 SHUTDOWN_STEPS = 500  # a controller that asks for ticks and does nothing fails here instead of running forever
 NEVER = 1e9
-ORDER_WEIGHTS = (0.35, 0.3, 0.33, 0.02)
+OPERATION_WEIGHTS = (0.35, 0.3, 0.33, 0.02)
 ENDS = ("ended with code 0", "ended with code 1", "was killed by signal 9")
 
 
@@ -140,20 +133,20 @@
 
 @dataclass(slots=True)
 class Model:
-    """The processes that a controller asked for; `bad` is how likely each of them goes wrong."""
+    """The processes that a controller asked for; `fault_rate` is how likely each of them goes wrong."""
 
     controller: Controller
     rng: random.Random
-    bad: float
+    fault_rate: float
     decisions: Trace
     texts: Trace
     now: float = 1000.0
     processes: dict[int, Process] = field(default_factory=dict)
     serving: dict[int, int] = field(default_factory=dict)
-    orders: int = 0
-    over: bool = False
+    operations: int = 0
+    is_over: bool = False
 
-    def tell(self, label: str, event: Event) -> None:
+    def handle(self, label: str, event: Event) -> None:
         """Hand over one event, note what is decided, and carry it out."""
         actions = [values_of(action) for action in self.controller.handle(self.now, event)]
         for action in actions:
@@ -168,29 +161,29 @@
     def _carry_out(self, action: list[Any]) -> None:
         if action[0] == START:
             _, run, number, _, replaces = action
-            self.processes[run] = self._started(number, replaces)
+            self.processes[run] = self._new_process(number, replaces)
         elif action[0] == STOP and action[1] in self.processes:
-            hangs = self.rng.random() < self.bad
+            hangs = self.rng.random() < self.fault_rate
             self._end_in(action[1], NEVER if hangs else self.rng.uniform(0.0, 2.0))
         elif action[0] == KILL and action[1] in self.processes:
             self._end_in(action[1], self.rng.choice([0.0, 0.05, 6.0]))
         elif action[0] == EXIT:
-            self.over = True
+            self.is_over = True
 
     def _end_in(self, run: int, seconds: float) -> None:
         process = self.processes[run]
         process.ends_at = min(process.ends_at, self.now + seconds)
 
-    def _started(self, number: int, replaces: bool) -> Process:
+    def _new_process(self, number: int, replaces: bool) -> Process:
         fate, delay = self.rng.random(), self.rng.uniform(0.05, 3.0)
-        serves_at = NEVER if fate < self.bad else self.now + delay
-        ends_at = self.now + self.rng.uniform(0.0, 2.5) if fate < self.bad * 0.6 else NEVER
+        serves_at = NEVER if fate < self.fault_rate else self.now + delay
+        ends_at = self.now + self.rng.uniform(0.0, 2.5) if fate < self.fault_rate * 0.6 else NEVER
         predecessor = self.serving.get(number, -1) if replaces else -1
         return Process(number, replaces, serves_at, ends_at, predecessor=predecessor)
 
     def adopt(self, number: int, serves: bool) -> None:
-        """A process that ran before the controller did is found."""
-        self.tell("adopted", adopted(number, f"life{number}", serves))
+        """Let the controller adopt a process that ran before."""
+        self.handle("adopted", events.MemberAdopted(number, f"life{number}", serves))
         run = next(row[2] for row in states_of(self.controller) if row[0] == number)
         assert isinstance(run, int)
         later = self.now + self.rng.uniform(0.1, 4.0)
@@ -199,7 +192,7 @@
             self.serving[number] = run
 
     def step(self) -> None:
-        """The next thing that happens: a process's change, a due time, an order, or chance."""
+        """Let the next event happen: a process's change, a deadline, or a random event."""
         serves = min(((p.serves_at, run) for run, p in self.processes.items() if not p.serves), default=(NEVER, -1))
         ends = min(((p.ends_at, run) for run, p in self.processes.items()), default=(NEVER, -1))
         due = (max(self.now, self.controller.next_deadline()), -1)
@@ -211,31 +204,31 @@
         elif (at, run) == serves:
             self._process_serves(run)
         elif (at, run) == due:
-            self.tell("tick", tick())
+            self.handle("tick", events.Tick())
         else:
-            self._chance()
+            self._random_event()
 
     def _process_serves(self, run: int) -> None:
         process = self.processes[run]
-        process.serves, process.healthy = True, self.rng.random() > self.bad / 2
+        process.serves, process.healthy = True, self.rng.random() > self.fault_rate / 2
         if process.predecessor in self.processes and self._predecessor_is_first(process, run):
             return
         self.serving[process.number] = run
-        self.tell("told", told(run, f"life{run}", True, process.healthy))
+        self.handle("told", events.StatusReported(run, f"life{run}", True, process.healthy))
 
     def _predecessor_is_first(self, process: Process, run: int) -> bool:
         # Whether the predecessor's end is known before its successor's report, which then comes later or never.
-        hangs = self.rng.random() < self.bad
+        hangs = self.rng.random() < self.fault_rate
         self._end_in(process.predecessor, NEVER if hangs else self.rng.uniform(0.0, 1.5))
         if self.rng.random() > 0.3:
             return False
         self._process_ends(process.predecessor)
-        if self.rng.random() < 2.0 * self.bad:
+        if self.rng.random() < 2.0 * self.fault_rate:
             self._process_ends(run)
         elif self.rng.random() < 0.5:
             process.serves, process.serves_at = False, self.now + self.rng.uniform(0.1, 1.0)
             if self.rng.random() < 0.2:
-                self._order("down")
+                self._begin_operation("down")
         else:
             return False
         return True
@@ -244,27 +237,27 @@
         process = self.processes.pop(run)
         if self.serving.get(process.number) == run:
             del self.serving[process.number]
-        self.tell("ended", ended(run, self.rng.choice(ENDS)))
+        self.handle("ended", events.RunEnded(run, self.rng.choice(ENDS)))
 
-    def _chance(self) -> None:
-        drawn = self.rng.random()
+    def _random_event(self) -> None:
+        sample = self.rng.random()
         run = self.rng.choice(list(self.processes)) if self.processes else -1
-        if drawn < 0.30:
-            self._order(*self.rng.choices(list(ORDERS), ORDER_WEIGHTS))
-        elif drawn < 0.30 + 0.4 * self.bad and run >= 0:
+        if sample < 0.30:
+            self._begin_operation(*self.rng.choices(list(OPERATIONS), OPERATION_WEIGHTS))
+        elif sample < 0.30 + 0.4 * self.fault_rate and run >= 0:
             self._process_ends(run)
-        elif drawn < 0.95 and run >= 0:
+        elif sample < 0.95 and run >= 0:
             process = self.processes[run]
             process.healthy = not process.healthy if self.rng.random() < 0.7 else process.healthy
-            self.tell("told", told(run, f"life{run}", process.serves, process.healthy))
-        elif drawn < 0.97:
-            self.tell("told", told(self.rng.randrange(1, 400), "stranger", True, True))
+            self.handle("told", events.StatusReported(run, f"life{run}", process.serves, process.healthy))
+        elif sample < 0.97:
+            self.handle("told", events.StatusReported(self.rng.randrange(1, 400), "stranger", True, True))
         else:
-            self.tell("ended", ended(self.rng.randrange(300, 400), ENDS[0]))
+            self.handle("ended", events.RunEnded(self.rng.randrange(300, 400), ENDS[0]))
 
-    def _order(self, kind: str) -> None:
-        self.orders += 1
-        self.tell(kind, order(self.orders, kind, self.rng.randint(1, 6) if kind == "scale" else 0))
+    def _begin_operation(self, kind: str) -> None:
+        self.operations += 1
+        self.handle(kind, operation_of(self.operations, kind, self.rng.randint(1, 6) if kind == "scale" else 0))
 
 
 def _without_text(action: list[Any]) -> list[Any]:
@@ -273,7 +266,7 @@
     return [action[0], action[1], *action[3:]] if action[0] == REPORT else action
 
 
-def play_all() -> tuple[Trace, Trace]:
+def run_episodes() -> tuple[Trace, Trace]:
     """All episodes, from a start to a shutdown or the last step: decisions and texts."""
     decisions, texts = Trace(), Trace()
     for episode in range(EPISODES):
@@ -281,18 +274,18 @@
         model = Model(controller_of(episode), rng, (0.05, 0.15, 0.3)[episode % 3], decisions, texts)
         for number in rng.sample(range(5), episode % 4):
             model.adopt(number, rng.random() < 0.7)
-        model.tell("up", up(rng.randint(1, 4)))
+        model.handle("up", events.FleetStarted(rng.randint(1, 4)))
         for _ in range(EPISODE_STEPS):
-            if model.over:
+            if model.is_over:
                 break
             model.step()
-        if not model.over and episode % 2:
-            model.tell("down", order(10_000, "down", 0))
+        if not model.is_over and episode % 2:
+            model.handle("down", operation_of(10_000, "down", 0))
             for _ in range(SHUTDOWN_STEPS):
-                if model.over:
+                if model.is_over:
                     break
                 model.step()
-            assert model.over, f"episode {episode}: the fleet is not down after {SHUTDOWN_STEPS} steps"
+            assert model.is_over, f"episode {episode}: the fleet is not down after {SHUTDOWN_STEPS} steps"
     return decisions, texts
 
 
@@ -300,7 +293,7 @@
 
 
 def table_rows() -> list[list[str]]:
-    """The transition table, in labels."""
+    """Return the transition table, in labels."""
     return sorted([STATES[at], TRANSITIONS[move], STATES[after]] for (at, move), after in TABLE.items())
 
 
@@ -314,15 +307,15 @@
 ) -> None:
     """The seeded runs go through the whole table, so that the digests say something of each pair."""
     pairs = record_transitions(monkeypatch)
-    play_all()
+    run_episodes()
     assert pairs == {(at, move) for at, move, _ in table_rows()}
 
 
 def test_decisions_match_the_digest_when_members_start_fail_and_are_ordered() -> None:
     """Actions, states and due times are those on file."""
-    assert_golden(play_all()[0], "fleet-decisions")
+    assert_golden(run_episodes()[0], "fleet-decisions")
 
 
 def test_texts_match_the_digest_when_members_start_fail_and_are_ordered() -> None:
     """Log lines, reports to operators and the words for the order under way are those on file."""
-    assert_golden(play_all()[1], "fleet-texts")
+    assert_golden(run_episodes()[1], "fleet-texts")
