--- a/tests/fleet/test_controller_trace.py
+++ b/tests/fleet/test_controller_trace.py
@@ -86,7 +86,7 @@
 
 
 def states_of(controller: Controller) -> list[list[object]]:
-    """Each member's number, state, and the runs that serve and start up."""
+    """Return each member's number, state, and the runs that serve and start up."""
     return [[n, STATES[m.state], m.run_id, m.successor_run_id] for n, m in controller.members.items()]
 
 
@@ -147,7 +147,7 @@
     is_over: bool = False
 
     def handle(self, label: str, event: Event) -> None:
-        """Hand over one event, note what is decided, and carry it out."""
+        """Hand over one event, trace what is decided, and carry it out."""
         actions = [values_of(action) for action in self.controller.handle(self.now, event)]
         for action in actions:
             self._carry_out(action)
@@ -267,7 +267,7 @@
 
 
 def run_episodes() -> tuple[Trace, Trace]:
-    """All episodes, from a start to a shutdown or the last step: decisions and texts."""
+    """Run all episodes, from a start to a shutdown or the last step: decisions and texts."""
     decisions, texts = Trace(), Trace()
     for episode in range(EPISODES):
         rng = random.Random(7000 + episode)
--- a/thymeflow/fleet/lease_distributor.py
+++ b/thymeflow/fleet/lease_distributor.py
@@ -79,6 +79,7 @@
 
     def status(self) -> dict[str, object]:
         """Return the limits, allocations and their ends as JSON takes them; amounts in points of the whole."""
+        # The keys, here and in `_member_status`, are those of the control socket and of `thymeflow budgets --json`.
         now = clock.monotonic()
         return {
             "whole": WHOLE,
@@ -137,4 +138,5 @@
             self._send_allocation(grant.holder, grant.part)
 
     def _send_allocation(self, name: str, allocation: Allocation) -> None:
+        # The message's keys and its command are those of the control socket.
         self._send(name, {"do": "part", "part": message_of(allocation)})
--- a/thymeflow/fleet/member_processes.py
+++ b/thymeflow/fleet/member_processes.py
@@ -215,6 +215,7 @@
         run.connect()
 
     def _on_status(self, run_id: int, number: int, status: Message) -> None:
+        # The keys are those of the status that members send over their control sockets.
         name = self._names.name(number)
         if status.get("part") is not None:
             self._leases.on_report(name, status["part"])
--- a/thymeflow/fleet/outlier_service.py
+++ b/thymeflow/fleet/outlier_service.py
@@ -54,6 +54,7 @@
     def on_report(self, name: str, message: Message) -> None:
         """Handle a member's report about servers; a malformed one is counted and left out."""
         try:
+            # The keys are those of the messages between members and supervisor.
             against = keys_from_message(message["against"])
             good = keys_from_message(message["good"])
             probes = probes_from_message(message["trials"])
@@ -77,6 +78,7 @@
 
     def status(self) -> dict[str, object]:
         """Return the level, and the ejections with the members that reported them, as JSON takes them."""
+        # The keys, here and in `_ejection_status`, are those of the control socket and of `thymeflow overload --json`.
         now = clock.monotonic()
         return {
             "level": round(self._level.level, 3),
--- a/thymeflow/fleet/supervisor.py
+++ b/thymeflow/fleet/supervisor.py
@@ -267,6 +267,7 @@
 
     def status(self) -> dict[str, object]:
         """Return the status of the fleet and of each member, as JSON takes it."""
+        # The keys, here and in `_member_status`, are those of the control socket and of the printed JSON.
         members = self._controller.members
         serving_states = (MemberState.READY, MemberState.REPLACING)
         return {
