--- a/tests/test_budgets.py
+++ b/tests/test_budgets.py
@@ -21,9 +21,9 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
+from tests.fleet.support import FleetOf, cli
 from tests.helpers import request, sends, settings, started
 from tests.limiter import PATIENCE, ROOT, Limiter
-from tests.test_fleet import FleetOf, cli
 from thymeflow.decision.events import TimerFired
 from thymeflow.decision.gateway_state import TimerKind
 from thymeflow.decision.settings import Information
--- a/tests/test_level.py
+++ b/tests/test_level.py
@@ -12,9 +12,9 @@
 import pytest
 from twisted.internet.testing import MemoryReactorClock
 
+from tests.fleet.support import FleetOf
 from tests.helpers import PLAN, SAFE, fleet, request, sends, settings
 from tests.limiter import PATIENCE, Limiter
-from tests.test_fleet import FleetOf
 from tests.test_overload import Crowd, Serving
 from thymeflow.decision.events import AttemptEnded, EndpointsChanged
 from thymeflow.decision.gateway import Gateway
@@ -156,13 +156,13 @@
     court = OutlierService(clock.Deadlines(MemoryReactorClock()), 1.0, lambda name, message: None)  # type: ignore[no-untyped-call]
 
     def beat(now: float) -> float:
-        court._level.level = next(coming)
-        return court._level.level
+        court._threshold.level = next(coming)
+        return court._threshold.level
 
     coming = iter(levels)
-    monkeypatch.setattr(court._level, "tick", beat)
+    monkeypatch.setattr(court._threshold, "tick", beat)
     for _ in levels:
-        court._steer(0.0)
+        court._update_level(0.0)
     assert lines == ["shedding by order begins", "shedding by order is over"]
 
 
--- a/tests/test_overload.py
+++ b/tests/test_overload.py
@@ -16,10 +16,10 @@
 from hypothesis import strategies as st
 from psutil import Process
 
+from tests.fleet.support import FleetOf, cli
 from tests.helpers import ended, request, sends, settings, started
 from tests.limiter import PATIENCE, Limiter, Peer
 from tests.limiter import request as asked
-from tests.test_fleet import FleetOf, cli
 from thymeflow.decision.types import Status
 from thymeflow.health.backend_stats import FailureStreak
 from thymeflow.outliers.coordinator import (
--- a/tests/test_stored_formats.py
+++ b/tests/test_stored_formats.py
@@ -67,8 +67,8 @@
 
 def member_configuration(folder: Path) -> bytes:
     """A member's configuration as the supervisor writes it, with its random seed masked."""
-    names = registry.Names(folder, "web")
-    source = registry.template(DATA / "platform.json")
+    names = registry.FleetNames(folder, "web")
+    source = registry.read_template(DATA / "platform.json")
     part = {"era": 3, "number": 9, "base": [1, 2, 3, 4, 5], "lease": [6, 7, 8, 9, 10], "end": 1234.5}
     registry.write_member(names, source, "127.0.0.1:7402", 2, 3, part)
     written = names.path(2, "json").read_bytes()
@@ -166,14 +166,14 @@
 
 
 def test_fleet_file_has_the_same_values_and_bytes_when_an_earlier_version_wrote_it(tmp_path: Path) -> None:
-    found = registry.read_roster(DATA / "fleet.json")
+    found = registry.read_registry(DATA / "fleet.json")
     assert found is not None and plain(found) == expected("fleet.json")
-    registry.write_roster(tmp_path / "fleet.json", found)
+    registry.write_registry(tmp_path / "fleet.json", found)
     assert (tmp_path / "fleet.json").read_bytes() == stored("fleet.json")
 
 
 def test_fleet_file_is_read_alike_when_it_tells_no_order() -> None:
-    assert plain(registry.read_roster(DATA / "fleet-no-order.json")) == expected("fleet-no-order.json")
+    assert plain(registry.read_registry(DATA / "fleet-no-order.json")) == expected("fleet-no-order.json")
 
 
 @pytest.mark.parametrize("name", GRANTS)
--- a/thymeflow/fleet/adoption.py
+++ b/thymeflow/fleet/adoption.py
@@ -15,7 +15,7 @@
 from thymeflow.fleet.member_sockets import MemberSockets
 from thymeflow.fleet.processes import AdoptedProcess
 from thymeflow.fleet.reactor import FleetReactor
-from thymeflow.fleet.registry import Names
+from thymeflow.fleet.registry import FleetNames
 from thymeflow.handover import control_client
 from thymeflow.handover.control_socket import Message
 from thymeflow.runtime import clock, log
@@ -27,7 +27,7 @@
     def __init__(
         self,
         reactor: FleetReactor,
-        names: Names,
+        names: FleetNames,
         controller: FleetController,
         processes: MemberProcesses,
         sockets: MemberSockets,
@@ -63,7 +63,7 @@
 class _SocketCopy:
     """Requests a copy of one member's listening socket over its control socket."""
 
-    def __init__(self, reactor: FleetReactor, names: Names, sockets: MemberSockets, number: int) -> None:
+    def __init__(self, reactor: FleetReactor, names: FleetNames, sockets: MemberSockets, number: int) -> None:
         self._reactor = reactor
         self._path = names.path(number, "sock")
         self._sockets = sockets
@@ -73,7 +73,7 @@
 
     def begin(self) -> Deferred[int | None]:
         """Send the request; the Deferred gives the member's number once the connection has ended."""
-        connected = control_client.talk(self._reactor, self._path, self._on_message, self._on_ended)
+        connected = control_client.open_session(self._reactor, self._path, self._on_message, self._on_ended)
         connected.addCallbacks(self._on_connected, self._on_connect_failure)
         return self._finished
 
--- a/thymeflow/fleet/control_requests.py
+++ b/thymeflow/fleet/control_requests.py
@@ -99,7 +99,7 @@
         if report.is_done:
             self._restore_program(report)
         caller = self._callers.get(report.operation_id)
-        if caller is not None and not caller.closed:
+        if caller is not None and not caller.is_closed:
             caller.send(_progress_message(report))
         if report.is_done:
             self._callers.pop(report.operation_id, None)
--- a/thymeflow/fleet/member_processes.py
+++ b/thymeflow/fleet/member_processes.py
@@ -21,7 +21,7 @@
 from thymeflow.fleet.outlier_service import OutlierService
 from thymeflow.fleet.processes import AdoptedProcess, ChildProcess, MemberRun, member_command, spawn_member
 from thymeflow.fleet.reactor import FleetReactor
-from thymeflow.fleet.registry import ConfigurationTemplate, Names, write_member
+from thymeflow.fleet.registry import ConfigurationTemplate, FleetNames, write_member
 from thymeflow.handover import control_client
 from thymeflow.handover.control_socket import Message
 from thymeflow.leases.holder import EMPTY_ALLOCATION, message_of
@@ -39,7 +39,7 @@
 
     options: SupervisorOptions
     settings: Fleet
-    names: Names
+    names: FleetNames
     program: str
     output_descriptor: int = -1
     template: ConfigurationTemplate = field(default_factory=dict)
@@ -111,7 +111,7 @@
 
     def request_status(self, number: int) -> Deferred[Message]:
         """Request the status of whichever process has the member's name; fails where none answers."""
-        return control_client.ask(
+        return control_client.send_request(
             self._reactor,
             self._deadlines,
             self._names.path(number, "sock"),
--- a/thymeflow/fleet/member_sockets.py
+++ b/thymeflow/fleet/member_sockets.py
@@ -44,7 +44,7 @@
     def adopt(self, number: int, descriptor: int) -> None:
         """Use a copy of a descriptor as a member's socket, unless it is no listening socket; closes the descriptor."""
         with contextlib.suppress(listening_sockets.BadDescriptorError, OSError):
-            self._sockets[number] = listening_sockets.checked(descriptor)
+            self._sockets[number] = listening_sockets.duplicate_listening_socket(descriptor)
         os.close(descriptor)
 
     def address_text(self, number: int) -> str:
--- a/thymeflow/fleet/outlier_service.py
+++ b/thymeflow/fleet/outlier_service.py
@@ -43,7 +43,7 @@
         self._deadlines = deadlines
         self._send = send
         self._coordinator = OutlierCoordinator(probes_per_second)
-        self._level = AdmissionThreshold()
+        self._threshold = AdmissionThreshold()
         self._sent_levels: dict[str, _SentLevel] = {}  # by member
         self._sent_ejections: dict[str, _SentEjections] = {}  # by member
 
@@ -61,7 +61,7 @@
             server_count = _server_count_of(message)
             zones = zones_from_message(message.get("zones", {}))
             if "pressure" in message:  # members of the previous version report neither zones nor pressure
-                self._level.on_report(name, message["pressure"], clock.monotonic())
+                self._threshold.on_report(name, message["pressure"], clock.monotonic())
         except (ValueError, TypeError, KeyError, AttributeError) as error:
             self._coordinator.invalid_reports += 1
             log.say("overload", f"{name} says of servers what cannot be: {error}")
@@ -72,7 +72,7 @@
     def on_member_gone(self, name: str) -> None:
         """Handle the end of a member, or of the connection to it."""
         self._coordinator.on_member_gone(name)
-        self._level.on_member_gone(name)
+        self._threshold.on_member_gone(name)
         self._sent_ejections.pop(name, None)
         self._sent_levels.pop(name, None)
 
@@ -81,8 +81,8 @@
         # The keys, here and in `_ejection_status`, are those of the control socket and of `thymeflow overload --json`.
         now = clock.monotonic()
         return {
-            "level": round(self._level.level, 3),
-            "pressure": round(self._level.pressure, 3),
+            "level": round(self._threshold.level, 3),
+            "pressure": round(self._threshold.pressure, 3),
             "every_s": self._coordinator.probe_interval,
             "left_out": self._coordinator.invalid_reports,
             "members": sorted(self._coordinator.reports),
@@ -101,7 +101,7 @@
         self._log_state_changes(previous_states)
         for name in self._coordinator.reports:
             self._send_ejections(name, now)
-        self._steer(now)
+        self._update_level(now)
         self._deadlines.at(clock.now() + TICK_SECONDS, self._tick)
 
     def _log_state_changes(self, previous_states: dict[Key, State]) -> None:
@@ -123,19 +123,19 @@
             rows = [message_of(ejection) for ejection in self._coordinator.ejections_for(name, now)]
             self._send(name, {"do": "verdicts", "verdicts": rows})
 
-    def _steer(self, now: float) -> None:
-        previous_level = round(self._level.level, 3)  # as it was sent: one that rounds to 0 began no shedding
-        level = round(self._level.tick(now), 3)
+    def _update_level(self, now: float) -> None:
+        previous_level = round(self._threshold.level, 3)  # as it was sent: one that rounds to 0 began no shedding
+        level = round(self._threshold.tick(now), 3)
         if (level > 0.0) != (previous_level > 0.0):
             log.note(
                 "overload",
                 f"shedding by order {'begins' if level else 'is over'}: the back end's pressure is "
-                f"{self._level.pressure:.2f} at the middle one of {len(self._level.reports)} members",
+                f"{self._threshold.pressure:.2f} at the middle one of {len(self._threshold.reports)} members",
                 level=level,
             )
         elif level:
             log.say("overload", f"shedding what stands under {level:.2f} of the order, everywhere", level=level)
-        for name in self._level.reports:
+        for name in self._threshold.reports:
             self._send_level(name, level, now)
 
     def _send_level(self, name: str, level: float, now: float) -> None:
--- a/thymeflow/fleet/processes.py
+++ b/thymeflow/fleet/processes.py
@@ -57,7 +57,9 @@
         """Connect to the control socket, now and again until the process ends."""
         if self.is_ended:
             return
-        connected = control_client.talk(self._reactor, self._path, self._handle_message, self._handle_disconnect)
+        connected = control_client.open_session(
+            self._reactor, self._path, self._handle_message, self._handle_disconnect
+        )
         connected.addCallbacks(self._handle_connect, self._handle_connect_failure)
 
     def send(self, message: Message) -> None:
--- a/thymeflow/fleet/reactor.py
+++ b/thymeflow/fleet/reactor.py
@@ -6,6 +6,8 @@
 from collections.abc import Callable, Mapping, Sequence
 from typing import Protocol
 
+from thymeflow.handover.reactor_types import UnixReactor
+
 
 class ProcessTransport(Protocol):
     """What the reactor returns for a process that it has spawned."""
@@ -13,7 +15,7 @@
     pid: int | None
 
 
-class FleetReactor(Protocol):
+class FleetReactor(UnixReactor, Protocol):
     """The reactor's timers, processes, descriptors and main loop."""
 
     def callLater(self, delay: float, function: Callable[..., object], /, *arguments: object) -> object:
--- a/thymeflow/fleet/registry.py
+++ b/thymeflow/fleet/registry.py
@@ -16,7 +16,8 @@
 
 from thymeflow.fleet.errors import RegistryError
 from thymeflow.handover.control_socket import Message
-from thymeflow.platform.configuration import Address, ConfigurationError, address, from_source
+from thymeflow.platform.configuration import ConfigurationError, from_source
+from thymeflow.platform.endpoints import Address, address
 from thymeflow.snapshot import atomic_file
 
 MAX_TEMPLATE_BYTES = 4 << 20
@@ -34,7 +35,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Names:
+class FleetNames:
     """The names of a fleet's members and the paths of its files."""
 
     folder: Path
@@ -62,7 +63,7 @@
         return sorted(numbers)
 
 
-def template(path: Path) -> ConfigurationTemplate:
+def read_template(path: Path) -> ConfigurationTemplate:
     """Read the platform's JSON for all members.
 
     :raises ConfigurationError: no member could use it.
@@ -100,7 +101,7 @@
 
 
 def write_member(
-    names: Names,
+    names: FleetNames,
     source: ConfigurationTemplate,
     listen: str,
     number: int,
@@ -113,7 +114,7 @@
     atomic_file.write(names.path(number, "json"), content, atomic_file.Durability.PROCESS)
 
 
-def read_roster(path: Path) -> MemberRegistry | None:
+def read_registry(path: Path) -> MemberRegistry | None:
     """Read what an earlier supervisor left; None where there is no file.
 
     :raises RegistryError: the file cannot be read.
@@ -127,7 +128,7 @@
         raise RegistryError(text) from None
 
 
-def write_roster(path: Path, registry: MemberRegistry) -> None:
+def write_registry(path: Path, registry: MemberRegistry) -> None:
     """Write the registry atomically."""
     atomic_file.write(path, msgspec.json.encode(registry), atomic_file.Durability.PROCESS)
 
--- a/thymeflow/fleet/supervisor.py
+++ b/thymeflow/fleet/supervisor.py
@@ -62,7 +62,7 @@
         self._options = options
         self._reactor = reactor
         self._fleet = self.settings.fleet
-        self._names = registry.Names(options.state_folder, self._fleet.name)
+        self._names = registry.FleetNames(options.state_folder, self._fleet.name)
         self._deadlines = clock.Deadlines(reactor)
         self._controller = FleetController(self._fleet, random.Random(os.urandom(8)))
         self._log = StructuredLog(self.settings.log, "fleet", os.urandom(4).hex())
@@ -134,7 +134,7 @@
 
     def _open_files(self) -> None:
         self._options.state_folder.mkdir(mode=0o700, parents=True, exist_ok=True)
-        self._environment.template = registry.template(self._options.platform_path)
+        self._environment.template = registry.read_template(self._options.platform_path)
         self._lock = Lock.take(self._names.supervisor_path("lock"), "supervisor")
         self._environment.output_descriptor = os.open(
             self._names.supervisor_path("out"), os.O_WRONLY | os.O_APPEND | os.O_CREAT | os.O_CLOEXEC, 0o600
@@ -151,7 +151,7 @@
 
     def _read_previous_registry(self) -> registry.MemberRegistry | None:
         try:
-            previous = registry.read_roster(self._names.supervisor_path("json"))
+            previous = registry.read_registry(self._names.supervisor_path("json"))
         except RegistryError as error:
             log.note("roster", f"not used, the settings hold: {error}")
             return None
@@ -225,7 +225,7 @@
             return
         self._written_registry = content
         try:
-            registry.write_roster(self._names.supervisor_path("json"), current)
+            registry.write_registry(self._names.supervisor_path("json"), current)
         except OSError as error:
             log.say("roster", f"not written: {error}")
 
@@ -252,7 +252,7 @@
         """Read the settings and the platform's file again; return why they are invalid, and then change nothing."""
         try:
             settings = self._options.read_settings()
-            template = registry.template(self._options.platform_path)
+            template = registry.read_template(self._options.platform_path)
         except (SettingsError, configuration.ConfigurationError) as error:
             reason = f"the old settings stay: {' | '.join(str(error).splitlines())}"
             log.note("reload", reason)
