--- a/thymeflow/daemon/__init__.py
+++ b/thymeflow/daemon/__init__.py
@@ -1,1 +1,1 @@
-"""One limiter as a daemon: readiness, sockets handed in, a lock, a control socket, snapshots, hand-over."""
+"""One limiter as a daemon: readiness, activation sockets, name lock, control socket, snapshots and hot restart."""
--- a/thymeflow/daemon/activation.py
+++ b/thymeflow/daemon/activation.py
@@ -1,4 +1,4 @@
-"""Listening sockets handed in by whoever started us, as LISTEN_FDS tells (sd_listen_fds(3))."""
+"""Socket activation: listening sockets passed in by a service manager, by the protocol of sd_listen_fds(3)."""
 
 from __future__ import annotations
 
@@ -6,31 +6,40 @@
 import socket
 from collections.abc import MutableMapping
 
-from thymeflow.handover.listening_sockets import BadDescriptorError, duplicate_listening_socket
+from thymeflow.handover.listening_sockets import BadDescriptorError, checked
 
-FIRST = 3  # the first descriptor handed in
-MOST = 16
+FIRST_DESCRIPTOR = 3
+MAX_DESCRIPTORS = 16
 
 
-def handed_in(environment: MutableMapping[str, str], pid: int) -> list[socket.socket]:
-    """The sockets handed in to this very process; the variables are taken out, so that no child reads them.
+def take_activation_sockets(environment: MutableMapping[str, str], pid: int) -> list[socket.socket]:
+    """Return the sockets passed in to process `pid`, and remove the variables so that no child reads them.
 
-    BadDescriptor where the variables or a descriptor cannot be believed.
+    :raises BadDescriptorError: if the variables or a descriptor are not usable.
     """
-    meant, count = environment.pop("LISTEN_PID", ""), environment.pop("LISTEN_FDS", "")
+    intended_pid = environment.pop("LISTEN_PID", "")
+    count = environment.pop("LISTEN_FDS", "")
     environment.pop("LISTEN_FDNAMES", None)
-    if not count or meant != str(pid):
-        return []  # nothing, or meant for a process before us
-    if not count.isascii() or not count.isdigit() or not 1 <= int(count) <= MOST:
-        raise BadDescriptorError(f"LISTEN_FDS is {count[:20]!r}, no number from 1 to {MOST}")
-    found: list[socket.socket] = []
+    if not count or intended_pid != str(pid):
+        return []  # none, or meant for a process before this one
+    if not count.isascii() or not count.isdigit() or not 1 <= int(count) <= MAX_DESCRIPTORS:
+        message = f"LISTEN_FDS is {count[:20]!r}, no number from 1 to {MAX_DESCRIPTORS}"
+        raise BadDescriptorError(message)
+    descriptors = range(FIRST_DESCRIPTOR, FIRST_DESCRIPTOR + int(count))
+    sockets = _open_sockets(descriptors)
+    for descriptor in descriptors:
+        os.close(descriptor)
+    return sockets
+
+
+def _open_sockets(descriptors: range) -> list[socket.socket]:
+    """Return a socket for a duplicate of each descriptor; close all of them again if one is not usable."""
+    sockets: list[socket.socket] = []
     try:
-        for descriptor in range(FIRST, FIRST + int(count)):
-            found.append(duplicate_listening_socket(descriptor))
+        for descriptor in descriptors:
+            sockets.append(checked(descriptor))
     except BadDescriptorError:
-        for one in found:
-            one.close()
+        for opened in sockets:
+            opened.close()
         raise
-    for descriptor in range(FIRST, FIRST + int(count)):
-        os.close(descriptor)
-    return found
+    return sockets
--- /dev/null
+++ b/thymeflow/daemon/handover.py
@@ -0,0 +1,134 @@
+"""The daemon's side of a hot restart: what its sender and receiver do with name, sockets and state.
+
+Who accepts at which step is decided by `thymeflow.handover.state_machine`.
+"""
+
+from __future__ import annotations
+
+import socket
+from collections.abc import Callable
+
+from thymeflow.daemon.exit_codes import NO_HANDOVER
+from thymeflow.daemon.instance import Instance
+from thymeflow.daemon.lock import Lock, NameTakenError
+from thymeflow.daemon.snapshots import Memory
+from thymeflow.handover.control_socket import Message
+from thymeflow.handover.listening_sockets import BadDescriptorError, checked
+from thymeflow.handover.participant import RejectedHandoverError
+from thymeflow.handover.receiver import HandoverReceiver
+from thymeflow.handover.sender import OFF, HandoverSender
+from thymeflow.handover.state_machine import SenderState
+from thymeflow.limiter.assembly import Limiter
+from thymeflow.runtime import log
+
+PASSED_DESCRIPTORS = 2  # listening socket and lock
+
+
+class DaemonHandover:
+    """The instance as a `HandoverParticipant`, with its sender and, if it takes over, its receiver."""
+
+    rollback_window = 0.0  # s; whoever started the successor watches it, and starts another
+    requires_same_site = True
+
+    def __init__(self, instance: Instance, open_control: Callable[[], str], is_successor: bool) -> None:
+        self._instance = instance
+        self._open_control = open_control
+        self.incarnation = instance.incarnation
+        self.sender = HandoverSender(self)
+        self.receiver: HandoverReceiver | None = None
+        if is_successor:
+            self.receiver = HandoverReceiver(self, instance.path("sock"))
+
+    def owns_name(self) -> bool:
+        """Return whether name and snapshot belong to this process, and not to a successor."""
+        return self.sender.state not in OFF and self._instance.lock is not None
+
+    def on_endpoints_known(self) -> None:
+        """Continue taking over, if that waits for the endpoint list."""
+        if self.receiver is not None:
+            self.receiver.on_endpoints_known()
+
+    @property
+    def limiter(self) -> Limiter:
+        """The limiter that is handed over or taken over to."""
+        return self._instance.limiter
+
+    @limiter.setter
+    def limiter(self, limiter: Limiter) -> None:
+        """Replace the limiter; `HandoverParticipant` declares a plain attribute."""
+        self._instance.limiter = limiter
+
+    @property
+    def snapshots(self) -> Memory:
+        """The snapshot store of the limiter."""
+        return self._instance.snapshots
+
+    @property
+    def step_timeout(self) -> float:
+        """Seconds that a step of a handover may take."""
+        return self._instance.settings.daemon.hand_over
+
+    def descriptors(self) -> list[int]:
+        """Return the descriptors of listening socket and lock."""
+        assert self._instance.lock is not None
+        return [self.limiter.lifecycle.port.fileno(), self._instance.lock.descriptor]
+
+    def adopt_descriptors(self, descriptors: list[int]) -> socket.socket:
+        """Take over the lock, and return the listening socket.
+
+        :raises RejectedHandoverError: if the descriptors are not these two.
+        """
+        try:
+            _check_count(descriptors)
+            listening = checked(descriptors[0])
+            self._instance.lock = Lock.adopt(self._instance.path("lock"), descriptors[1])
+        except (BadDescriptorError, NameTakenError, OSError) as fault:
+            raise RejectedHandoverError(str(fault)) from None
+        return listening
+
+    def accept(self, listening: socket.socket) -> str:
+        """Own the name and accept connections from now on; return the fault, or an empty string."""
+        fault = self._open_control()
+        if not fault:
+            assert self._instance.lock is not None
+            self._instance.lock.write_owner(self.incarnation)
+            self.limiter.listen(listening)
+        return fault
+
+    def hand_over_allocation(self) -> Message | None:
+        """Return the allocation of the fleet limits for the successor, and stop using it."""
+        return self._instance.allocation.hand_on()
+
+    def inherit_allocation(self, message: object) -> None:
+        """Use the allocation of the predecessor."""
+        self._instance.allocation.inherit(message)
+
+    def on_taken_back(self, used: bool) -> None:
+        """Use the allocation again; `used`: the successor may have used it."""
+        self._instance.allocation.on_taken_back(used)
+
+    def on_resumed(self) -> None:
+        """Write this process as the owner of the name again."""
+        if self._instance.lock is not None:
+            self._instance.lock.write_owner(self.incarnation)
+
+    def abandon(self) -> None:
+        """Stop at once, having accepted nothing: another process serves under this name."""
+        log.note("hand-over", "given up: the process that serves goes on")
+        instance = self._instance
+        instance.lock = None  # the other process owns it too, and goes on owning it
+        instance.exit_code = instance.exit_code or NO_HANDOVER
+        instance.reactor.callWhenRunning(instance.reactor.stop)
+
+    def retreat(self) -> None:
+        """Drain and stop, leaving name, socket and snapshot to the other process."""
+        log.note("hand-over", "the old life took everything back: this one finishes what it took")
+        self.sender.state = SenderState.GIVEN  # name and snapshot are not ours to write
+        self._instance.exit_code = NO_HANDOVER
+        self.limiter.lifecycle.terminate(0.0)
+
+
+def _check_count(descriptors: list[int]) -> None:
+    if len(descriptors) != PASSED_DESCRIPTORS:
+        message = f"{len(descriptors)} descriptors came with it, not {PASSED_DESCRIPTORS}"
+        raise BadDescriptorError(message)
--- /dev/null
+++ b/thymeflow/daemon/instance.py
@@ -0,0 +1,130 @@
+"""One limiter of the daemon, with its name, files, lock, log and what it keeps beside its gateway."""
+
+from __future__ import annotations
+
+import os
+import secrets
+from collections.abc import Callable
+from dataclasses import replace
+from pathlib import Path
+from typing import Protocol
+
+from thymeflow.daemon.lease_share import LeaseShare
+from thymeflow.daemon.lock import Lock
+from thymeflow.daemon.notify import Notifier
+from thymeflow.daemon.snapshots import Memory
+from thymeflow.decision.policy import START_LEVEL, Gateway
+from thymeflow.handover.control_socket import ControlError, ControlServer, Served
+from thymeflow.limiter.assembly import Limiter, made
+from thymeflow.logs.structured import StructuredLog
+from thymeflow.outliers.member import MemberEjections
+from thymeflow.platform import configuration
+from thymeflow.runtime import clock
+from thymeflow.settings import Settings
+from thymeflow.shedding.threshold import LoadShedder
+from thymeflow.snapshot import restore, schema
+
+
+class Reactor(Protocol):
+    """What the daemon itself uses of Twisted's reactor."""
+
+    def callFromThread(self, function: Callable[[], object]) -> object:  # noqa: N802 - Twisted's name
+        """Call a function in the reactor's thread; safe in signal handlers and before the reactor runs."""
+
+    def callWhenRunning(self, function: Callable[[], object]) -> object:  # noqa: N802 - Twisted's name
+        """Call a function now, or as soon as the reactor runs."""
+
+    def run(self, installSignalHandlers: bool) -> None:  # noqa: N803 - Twisted's name
+        """Run until `stop`."""
+
+    def stop(self) -> None:
+        """End `run`."""
+
+
+class Instance:
+    """One limiter under one name; `limiter` is there from `build_limiter` on."""
+
+    limiter: Limiter
+
+    def __init__(
+        self, settings: Settings, load: Callable[[], configuration.Configuration], is_joining: bool, reactor: Reactor
+    ) -> None:
+        self.settings = settings
+        self.reactor = reactor
+        self._load = load
+        self._is_joining = is_joining
+        self.configuration = load()
+        self.name = self.configuration.name
+        self.incarnation = secrets.token_hex(4)
+        self.started_at = clock.now()
+        self.log_handler = StructuredLog(settings.log, self.name, self.incarnation)
+        self.notifier = Notifier(os.environ)
+        self.folder = Path(settings.daemon.state or f".thymeflow-{self.name}")
+        self.snapshots = Memory(self.path("state"), self.name, self.incarnation, self.configuration.endpoints)
+        self.allocation = LeaseShare(self.configuration.allocation)
+        self.ejections: MemberEjections | None = None
+        self.load_shedder: LoadShedder | None = None
+        self.lock: Lock | None = None
+        self.control: ControlServer | None = None
+        self.exit_code = 0
+
+    def path(self, suffix: str) -> Path:
+        """Return the path of a file of this instance: `lock`, `sock` or `state`."""
+        return self.folder / f"{self.name}.{suffix}"
+
+    def build_limiter(self, snapshot: schema.Snapshot | None, on_endpoints_known: Callable[[], None]) -> None:
+        """Build the limiter, from the snapshot if there is one, and call back when its endpoints are known."""
+        initial = self.configuration
+        if snapshot is not None:
+            initial = replace(initial, endpoints=restore.newer(snapshot, initial.endpoints))
+        gateway = self._build_gateway(initial)
+        self._connect_to_fleet(gateway)
+        self.limiter = Limiter(initial, self.reactor, gateway, self._load, self.settings.daemon.drain_linger)
+        self.limiter.on_list = self.snapshots.listed
+        self.limiter.when_endpoints_ready = on_endpoints_known
+        self.snapshots.listed(initial.endpoints)
+        if snapshot is not None:
+            self.snapshots.recall(snapshot, "file")
+
+    def _build_gateway(self, initial: configuration.Configuration) -> Gateway:
+        budgets = self.settings.budgets
+        # Members of a fleet are on one machine, whose monotonic clock does not step as the wall clock does.
+        gateway = made(
+            replace(initial, units=budgets.units),
+            0.0 if self._is_joining else START_LEVEL,
+            clock.monotonic() - clock.now(),
+        )
+        # The keys are names of `leases.resources`, which messages between processes carry.
+        fleet_limits = {"calls": float(budgets.calls), "trials": float(budgets.trials)}
+        if budgets.connections:
+            fleet_limits["connections"] = float(budgets.connections)
+        gateway.fleet_limits = fleet_limits
+        return gateway
+
+    def _connect_to_fleet(self, gateway: Gateway) -> None:
+        if self.settings.overload.together:
+            self.ejections = MemberEjections(gateway)
+            self.load_shedder = LoadShedder(gateway)
+        self.snapshots.of(gateway)
+        self.allocation.connect(gateway)
+        if self.load_shedder is not None:
+            self.load_shedder.limit_retries()
+
+    def open_control(self, handler: Served) -> str:
+        """Open the control socket, if the settings want one; return the fault, or an empty string."""
+        daemon = self.settings.daemon
+        if not daemon.control:
+            return ""
+        self.control = ControlServer(
+            self.reactor,
+            self.limiter.deadlines,
+            self.path("sock"),
+            daemon.control_callers,
+            daemon.control_patience,
+            handler,
+        )
+        try:
+            self.control.listen()
+        except (ControlError, OSError) as fault:
+            return f"control socket: {fault}"
+        return ""
--- a/thymeflow/daemon/lock.py
+++ b/thymeflow/daemon/lock.py
@@ -1,7 +1,7 @@
-"""One process for each name: a lock that ends with whoever holds it, so that none is ever stale.
+"""The lock that keeps two processes from using one instance name; it ends with its owner, so none is ever stale.
 
-flock(2) belongs to the open file, not to the process: passed on over the control socket, the successor holds
-it too, and there is no moment in which a third process could take the name.
+flock(2) belongs to the open file, not to the process: when the descriptor is passed over the control socket, the
+successor owns the lock too, and at no moment could a third process take the name.
 """
 
 from __future__ import annotations
@@ -10,51 +10,67 @@
 import os
 from pathlib import Path
 
+from thymeflow.daemon.errors import DaemonError
 
-class NameTakenError(Exception):
+MAX_OWNER_BYTES = 100  # of the lock file's content that is read
+
+
+class NameTakenError(DaemonError):
     """Another process holds the name."""
 
 
 class Lock:
-    """A name's lock, held from the start to the end of the process."""
+    """The lock of one instance name, owned from the start to the end of the process."""
 
     def __init__(self, path: Path, descriptor: int) -> None:
-        self.path, self.descriptor = path, descriptor
+        self.path = path
+        self.descriptor = descriptor
 
     @classmethod
-    def take(cls, path: Path, life: str) -> Lock:
-        """Take the name, or say who has it."""
+    def take(cls, path: Path, incarnation: str) -> Lock:
+        """Acquire the lock and write the owner into its file.
+
+        :raises NameTakenError: if another process owns it; the text names its pid.
+        :raises OSError: if the file cannot be opened.
+        """
         descriptor = os.open(path, os.O_RDWR | os.O_CREAT | os.O_CLOEXEC, 0o600)
         try:
             fcntl.flock(descriptor, fcntl.LOCK_EX | fcntl.LOCK_NB)
         except BlockingIOError:
-            holder = os.read(descriptor, 100).decode("ascii", "replace").split()
+            owner = os.read(descriptor, MAX_OWNER_BYTES).decode("ascii", "replace").split()
             os.close(descriptor)
-            raise NameTakenError(f"{path.stem} is held by pid {holder[0] if holder else 'unknown'}") from None
+            message = f"{path.stem} is held by pid {owner[0] if owner else 'unknown'}"
+            raise NameTakenError(message) from None
         lock = cls(path, descriptor)
-        lock.sign(life)
+        lock.write_owner(incarnation)
         return lock
 
     @classmethod
-    def passed_on(cls, path: Path, descriptor: int) -> Lock:
-        """The lock as a predecessor passed it on; Held where it is of another file."""
-        named, held = os.stat(path), os.fstat(descriptor)
-        if (named.st_dev, named.st_ino) != (held.st_dev, held.st_ino):
-            raise NameTakenError(f"the lock passed on is not that of {path}")
+    def adopt(cls, path: Path, descriptor: int) -> Lock:
+        """Return the lock that a predecessor passed on as an open descriptor.
+
+        :raises NameTakenError: if the descriptor is not that of the file at `path`.
+        :raises OSError: if there is no such file or descriptor.
+        """
+        file_status = os.stat(path)
+        descriptor_status = os.fstat(descriptor)
+        if (file_status.st_dev, file_status.st_ino) != (descriptor_status.st_dev, descriptor_status.st_ino):
+            message = f"the lock passed on is not that of {path}"
+            raise NameTakenError(message)
         return cls(path, descriptor)
 
-    def sign(self, life: str) -> None:
-        """Write who holds it."""
+    def write_owner(self, incarnation: str) -> None:
+        """Write this process's pid and incarnation into the lock file."""
         os.ftruncate(self.descriptor, 0)
-        os.pwrite(self.descriptor, f"{os.getpid()} {life}\n".encode(), 0)
+        os.pwrite(self.descriptor, f"{os.getpid()} {incarnation}\n".encode(), 0)
 
     def release(self) -> None:
-        """Let go; the file stays, as removing it would let two processes lock two files of one name."""
+        """Release the lock; the file stays, as removing it would let two processes lock two files of one name."""
         os.close(self.descriptor)
 
 
 def is_free(path: Path) -> bool:
-    """Whether nobody holds the name of that lock, by the kernel's word; a file that is not there is held by nobody."""
+    """Return whether no process owns the lock at `path`, as the kernel sees it; a missing file is free."""
     try:
         descriptor = os.open(path, os.O_RDWR | os.O_CLOEXEC)
     except FileNotFoundError:
--- a/thymeflow/daemon/notify.py
+++ b/thymeflow/daemon/notify.py
@@ -1,7 +1,7 @@
-"""Readiness and stopping told over the NOTIFY_SOCKET datagram protocol (sd_notify(3)).
+"""Readiness, reload and stop notifications over the NOTIFY_SOCKET datagram protocol (sd_notify(3)).
 
-A service manager that is gone or full must never hold the limiter up: datagrams are sent without waiting, and
-one that cannot be sent is counted and forgotten.
+A service manager that is gone or does not read must never block the limiter: datagrams are sent without waiting, and
+one that cannot be sent is counted and dropped.
 """
 
 from __future__ import annotations
@@ -12,28 +12,28 @@
 
 
 class Notifier:
-    """Tells the service manager, where there is one."""
+    """Sends state changes to the service manager, if there is one."""
 
     def __init__(self, environment: Mapping[str, str]) -> None:
         address = environment.get("NOTIFY_SOCKET", "")
-        self.lost = 0
+        self.lost = 0  # datagrams that could not be sent
         self._address: str | None = None
         if address.startswith("@"):
             self._address = "\0" + address[1:]
         elif address.startswith("/"):
             self._address = address
-        self.fault = (
-            f"NOTIFY_SOCKET {address!r} is neither a path nor @name" if address and (self._address is None) else ""
-        )
+        self.fault = ""  # why NOTIFY_SOCKET is not usable
+        if address and self._address is None:
+            self.fault = f"NOTIFY_SOCKET {address!r} is neither a path nor @name"
 
-    def tell(self, **facts: object) -> None:
+    def tell(self, **variables: object) -> None:
         """Send `NAME=value` lines, names in capitals; a line end within a value would forge another line."""
         if self._address is None:
             return
-        text = "\n".join(f"{name.upper()}={' '.join(str(value).split())}" for name, value in facts.items())
-        sent = False
-        with contextlib.suppress(OSError), socket.socket(socket.AF_UNIX, socket.SOCK_DGRAM) as out:
-            out.setblocking(False)
-            out.sendto(text.encode(), self._address)
-            sent = True
-        self.lost += not sent
+        text = "\n".join(f"{name.upper()}={' '.join(str(value).split())}" for name, value in variables.items())
+        is_sent = False
+        with contextlib.suppress(OSError), socket.socket(socket.AF_UNIX, socket.SOCK_DGRAM) as sender:
+            sender.setblocking(False)
+            sender.sendto(text.encode(), self._address)
+            is_sent = True
+        self.lost += not is_sent
