--- a/thymeflow/logs/__init__.py
+++ b/thymeflow/logs/__init__.py
@@ -1,1 +1,1 @@
-"""What is told of a running program: structured log lines that many instances may share."""
+"""Structured log lines, in files that many processes append to."""
--- a/thymeflow/logs/shared_file.py
+++ b/thymeflow/logs/shared_file.py
@@ -1,9 +1,8 @@
-"""A log file that many processes append to, and that may be rotated under them.
+"""A log file that many processes append to, and that may be rotated while they do.
 
-One line is one write to a descriptor opened for appending, which the kernel puts whole behind all that
-stands there (POSIX write with O_APPEND); its length is bounded, so that it stays one write. Before a line,
-and at most once a second, the file's name is looked at: where it names another file by now, that one is
-opened.
+One line is one write to a descriptor opened for appending, which the kernel puts in one piece behind all that the file
+contains (POSIX write with O_APPEND); its length is bounded, so that it stays one write. Before a line, and at most once
+a second, the path is checked: if it names another file by now, that one is opened.
 """
 
 from __future__ import annotations
@@ -14,54 +13,72 @@
 from collections.abc import Callable
 from pathlib import Path
 
-LOOK = 1.0  # s: between looks at whether the file was rotated
-TAIL = b'...cut"}\n'
+ROTATION_CHECK_INTERVAL = 1.0  # s
+TRUNCATION_SUFFIX = b'...cut"}\n'
+STANDARD_ERROR = 2
+FILE_MODE = 0o640
 
 
 class SharedFile:
-    """The end of a file that others append to as well."""
+    """The append end of a log file, or of standard error if there is no path.
 
-    def __init__(self, path: Path | None, most_line: int, now: Callable[[], float]) -> None:
-        self._path, self._most, self._now = path, most_line, now
-        self._looked = -LOOK
-        self._descriptor = 2 if path is None else self._open(path)
-        self.dropped_lines = 0  # lines that could not be written, as the disk is full
+    :raises OSError: when made, if the file cannot be opened.
+    """
 
-    @staticmethod
-    def _open(path: Path) -> int:
-        return os.open(path, os.O_WRONLY | os.O_APPEND | os.O_CREAT | os.O_CLOEXEC, 0o640)
-
-    def _look(self) -> None:
-        now = self._now()
-        if self._path is None or now - self._looked < LOOK:
-            return
-        self._looked = now
-        held = os.fstat(self._descriptor)
-        with contextlib.suppress(OSError):  # the folder may be away for a moment: the old file takes lines
-            try:
-                named = os.stat(self._path)
-                same = (named.st_dev, named.st_ino) == (held.st_dev, held.st_ino)
-            except FileNotFoundError:
-                same = False
-            if not same:
-                fresh = self._open(self._path)
-                os.close(self._descriptor)
-                self._descriptor = fresh
+    def __init__(self, path: Path | None, max_line_bytes: int, now: Callable[[], float]) -> None:
+        self._path = path
+        self._max_line_bytes = max_line_bytes
+        self._now = now
+        self._checked_at = -ROTATION_CHECK_INTERVAL
+        self._descriptor = STANDARD_ERROR if path is None else _open_for_append(path)
+        self.dropped_lines = 0  # lines that could not be written, such as on a full disk
 
     def write(self, line: str) -> None:
-        """Append one line; what passes the bound is cut, a line end within it becomes a space."""
-        data = line.replace("\n", " ").encode(errors="replace")
-        if len(data) + 1 > self._most:
-            # Cut JSON would not be read by anything: it ends as one string, which most readers survive.
-            data = data[: self._most - len(TAIL)].decode(errors="ignore").encode() + TAIL[:-1]
-        self._look()
+        """Append one line; it is cut to the maximum length, and a line end within it becomes a space."""
+        data = self._truncate(line.replace("\n", " ").encode(errors="replace"))
+        self._follow_rotation()
         try:
             os.write(self._descriptor, data + b"\n")
         except OSError:
-            self.dropped_lines += 1  # a log that cannot be written must not end what it tells of
+            self.dropped_lines += 1  # a log that cannot be written must not stop the program
+
+    def _truncate(self, data: bytes) -> bytes:
+        if len(data) + 1 <= self._max_line_bytes:
+            return data
+        # Cut JSON would not be read by anything: it ends as one string, which most readers survive.
+        prefix = data[: self._max_line_bytes - len(TRUNCATION_SUFFIX)]
+        return prefix.decode(errors="ignore").encode() + TRUNCATION_SUFFIX[:-1]
+
+    def _follow_rotation(self) -> None:
+        now = self._now()
+        if self._path is None or now - self._checked_at < ROTATION_CHECK_INTERVAL:
+            return
+        self._checked_at = now
+        opened = os.fstat(self._descriptor)
+        with contextlib.suppress(OSError):  # the folder may be missing for a moment: the old file takes lines
+            if not _is_same_file(self._path, opened):
+                descriptor = _open_for_append(self._path)
+                os.close(self._descriptor)
+                self._descriptor = descriptor
 
     def close(self) -> None:
-        """Let go of the file; standard error stays."""
+        """Close the file; standard error stays open."""
         if self._path is not None:
             sys.stderr.flush()
             os.close(self._descriptor)
+
+
+def _open_for_append(path: Path) -> int:
+    return os.open(path, os.O_WRONLY | os.O_APPEND | os.O_CREAT | os.O_CLOEXEC, FILE_MODE)
+
+
+def _is_same_file(path: Path, opened: os.stat_result) -> bool:
+    """Return whether `path` names the opened file.
+
+    :raises OSError: if the path cannot be examined, for a reason other than that the file is missing.
+    """
+    try:
+        named = os.stat(path)
+    except FileNotFoundError:
+        return False
+    return (named.st_dev, named.st_ino) == (opened.st_dev, opened.st_ino)
--- a/thymeflow/logs/structured.py
+++ b/thymeflow/logs/structured.py
@@ -1,6 +1,6 @@
-"""Structured lines by structlog: who writes is bound once, kind and typed fields come with each line.
+"""Structured log lines with structlog: the writer is bound once, kind and typed fields come with each line.
 
-Every line carries `instance`, `life` (new at each start), `pid` and `kind`, also those that Twisted or the
+Every line has `instance`, `life` (the incarnation, new at each start), `pid` and `kind`, also those that Twisted or the
 standard library write. The text form is the one that `docs/on-call.md` shows.
 """
 
@@ -9,113 +9,117 @@
 import logging
 import os
 import time
-from collections.abc import MutableMapping
 from pathlib import Path
-from typing import Any
 
 import structlog
+from structlog.typing import EventDict, Processor, WrappedLogger
 
 from thymeflow.logs.shared_file import SharedFile
 from thymeflow.runtime import clock, log
 from thymeflow.settings.sections import Log
 
 LEVELS = {"debug": logging.DEBUG, "info": logging.INFO, "warning": logging.WARNING, "error": logging.ERROR}
-HEAD = ("at", "level", "instance", "life", "pid", "kind", "text")  # the order of a line's first fields
-PLAIN = (str, int, float, bool, type(None))
-MOST_FIELD = 1000  # characters of one value; a trace is longer, and has a bound by the line's
+HEAD_FIELDS = ("at", "level", "instance", "life", "pid", "kind", "text")  # a line's first fields, in this order
+JSON_SCALARS = (str, int, float, bool, type(None))
+MAX_VALUE_LENGTH = 1000  # characters of one value; only a trace may be longer, up to the maximum of a line
+TRACE_FIELD = "trace"
 
-Event = MutableMapping[str, Any]
+Fields = dict[str, object]
 
 
-def stamp(_: Any, __: str, event: Event) -> Event:
-    """The time in UTC, to the millisecond."""
+def add_timestamp(_: WrappedLogger, __: str, event: EventDict) -> EventDict:
+    """Add the time in UTC, to the millisecond."""
     now = clock.now()
-    event["at"] = time.strftime("%Y-%m-%dT%H:%M:%S", time.gmtime(now)) + f".{int(now * 1000) % 1000:03d}Z"
+    seconds = time.strftime("%Y-%m-%dT%H:%M:%S", time.gmtime(now))
+    event["at"] = f"{seconds}.{int(now * 1000) % 1000:03d}Z"
     return event
 
 
-def typed(_: Any, __: str, event: Event) -> Event:
-    """Values that JSON has no form for become text; none is longer than its bound."""
+def limit_values(_: WrappedLogger, __: str, event: EventDict) -> EventDict:
+    """Convert values that JSON has no form for into text, and cut text to the maximum length."""
     for key, value in list(event.items()):
-        if not isinstance(value, PLAIN):
-            event[key] = value = str(value)
-        if isinstance(value, str) and len(value) > MOST_FIELD and key != "trace":
-            event[key] = value[:MOST_FIELD]
+        scalar = value if isinstance(value, JSON_SCALARS) else str(value)
+        if isinstance(scalar, str) and len(scalar) > MAX_VALUE_LENGTH and key != TRACE_FIELD:
+            scalar = scalar[:MAX_VALUE_LENGTH]
+        event[key] = scalar
     return event
 
 
-def ordered(_: Any, __: str, event: Event) -> Event:
-    """The head's fields first, the rest by name: lines are read by people too."""
-    head = {key: event.pop(key) for key in HEAD if key in event}
+def order_fields(_: WrappedLogger, __: str, event: EventDict) -> EventDict:
+    """Put the head's fields first and the rest by name: people read lines too."""
+    head = {key: event.pop(key) for key in HEAD_FIELDS if key in event}
     return {**head, **dict(sorted(event.items()))}
 
 
-def as_text(_: Any, __: str, event: Event) -> str:
-    """The form of `docs/on-call.md`: time, instance, kind, text, what was left out."""
+def render_text(_: WrappedLogger, __: str, event: EventDict) -> str:
+    """Return the form of `docs/on-call.md`: time, instance, kind, text, how many lines were left out."""
     skipped = event.get("skipped", 0)
     more = f" ({skipped} more of this kind before)" if skipped else ""
-    trace = f" | {event['trace']}" if "trace" in event else ""
+    trace = f" | {event[TRACE_FIELD]}" if TRACE_FIELD in event else ""
     kind = f"{event['kind']}: " if event.get("kind") else ""
-    who = f"{event['at']} {event['instance']} {event['life']} {event['pid']}"
-    return f"{who} {kind}{event.get('text', '')}{more}{trace}"
+    writer = f"{event['at']} {event['instance']} {event['life']} {event['pid']}"
+    return f"{writer} {kind}{event.get('text', '')}{more}{trace}"
 
 
-class _FromLibrary(logging.Handler):
-    """Lines of the standard library's logging, Twisted's errors among them, take the same way."""
+class _LibraryHandler(logging.Handler):
+    """Passes lines of the standard library's logging, Twisted's errors among them, to the structured log."""
 
-    def __init__(self, book: StructuredLog) -> None:
+    def __init__(self, structured_log: StructuredLog) -> None:
         super().__init__()
-        self._book = book
+        self._structured_log = structured_log
 
     def emit(self, record: logging.LogRecord) -> None:
-        fields: dict[str, Any] = {"logger": record.name}
+        """Write one record, with its trace if it has one."""
+        fields: Fields = {"logger": record.name}
         if record.exc_info and record.exc_info[1] is not None:
-            fields["trace"] = " | ".join(logging.Formatter().formatException(record.exc_info).splitlines())
-        self._book.write(
-            "fault" if record.levelno >= logging.ERROR else "library", record.getMessage(), 0, fields, record.levelno
-        )
+            fields[TRACE_FIELD] = " | ".join(logging.Formatter().formatException(record.exc_info).splitlines())
+        kind = "fault" if record.levelno >= logging.ERROR else "library"
+        self._structured_log.write(kind, record.getMessage(), 0, fields, record.levelno)
 
 
 class StructuredLog:
-    """This process's lines, in one form, to one place."""
+    """The log of this process: all its lines, in one form, in one file."""
 
-    def __init__(self, settings: Log, instance: str, life: str) -> None:
-        self.file = SharedFile(Path(settings.file) if settings.file else None, settings.most_line, clock.now)
+    def __init__(self, settings: Log, instance: str, incarnation: str) -> None:
+        path = Path(settings.file) if settings.file else None
+        self.file = SharedFile(path, settings.most_line, clock.now)
         self.level = LEVELS[settings.level]
-        render: Any = as_text if settings.form == "text" else structlog.processors.JSONRenderer()
-        self._logger = structlog.wrap_logger(
+        render: Processor = render_text if settings.form == "text" else structlog.processors.JSONRenderer()
+        logger = structlog.wrap_logger(
             self,
-            processors=[stamp, typed, ordered, render],
+            processors=[add_timestamp, limit_values, order_fields, render],
             wrapper_class=structlog.BoundLogger,
             cache_logger_on_first_use=True,
-        ).bind(instance=instance, life=life, pid=os.getpid())
+        )
+        self._logger = logger.bind(instance=instance, life=incarnation, pid=os.getpid())
 
-    def msg(self, line: str) -> None:
-        """What structlog calls with the finished line."""
+    def info(self, line: str) -> None:
+        """Append a rendered line; structlog calls this method by the name of its own."""
         self.file.write(line)
 
-    info = msg
+    def write(self, kind: str, text: str, skipped: int, fields: Fields, level: int = logging.INFO) -> None:
+        """Write one line, if its level is high enough; fields with names of the head get a prefix.
 
-    def write(self, kind: str, text: str, skipped: int, fields: dict[str, Any], level: int = logging.INFO) -> None:
-        """One line; `fields` may not take the head's names."""
+        `skipped`: how many lines of this kind were left out before it.
+        """
         if level < self.level:
             return
-        more = {f"field_{k}" if k in HEAD else k: v for k, v in fields.items()}
+        extra = {f"field_{key}" if key in HEAD_FIELDS else key: value for key, value in fields.items()}
         if skipped:
-            more["skipped"] = skipped
-        # structlog's own word for the text is `event`; ours is `text`, as `event` means another thing here.
-        self._logger.info(None, level=logging.getLevelName(level).lower(), kind=kind, text=text, **more)
+            extra["skipped"] = skipped
+        # structlog's own name for the text is `event`; ours is `text`, as `event` means another thing here.
+        self._logger.info(None, level=logging.getLevelName(level).lower(), kind=kind, text=text, **extra)
 
     def set_level(self, name: str) -> None:
-        """Write from this level on."""
+        """Write lines of this level and above from now on."""
         self.level = LEVELS[name]
 
     def install(self) -> None:
-        """Send every line of this process here, Twisted's errors and the standard library's included."""
+        """Write every line of this process here, Twisted's errors and the standard library's included."""
         from twisted.python.log import PythonLoggingObserver
 
         root = logging.getLogger()
-        root.handlers[:] = [_FromLibrary(self)]
+        root.handlers[:] = [_LibraryHandler(self)]
         root.setLevel(logging.INFO)
         logging.getLogger("twisted").setLevel(logging.ERROR)
         PythonLoggingObserver().start()  # type: ignore[no-untyped-call]
