--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -10,14 +10,15 @@
 from hypothesis import strategies as st
 
 from tests.limiter import ROOT
-from thymeflow.settings import Settings, SettingsError, read
-from thymeflow.settings.reader import MOST_BYTES, from_text, written
+from thymeflow.settings import Settings, SettingsError, read_settings
+from thymeflow.settings.ini_file import MAX_BYTES
+from thymeflow.settings.reader import format_settings, parse_settings
 from thymeflow.settings.units import Count, Duration, InvalidValueError, Size
 
 
 def faults(text: str, **environment: str) -> list[str]:
     with pytest.raises(SettingsError) as caught:
-        from_text(text, "f.ini", environment)
+        parse_settings(text, "f.ini", environment)
     return [str(fault) for fault in caught.value.faults]
 
 
@@ -82,26 +83,26 @@
 def test_the_environment_goes_before_the_file(tmp_path: Path) -> None:
     path = tmp_path / "a.ini"
     path.write_text("[fleet]\ninstances = 5\nspread = 1s\n")
-    found = read(path, {"THYMEFLOW_FLEET_INSTANCES": "7", "OTHER": "x"})
+    found = read_settings(path, {"THYMEFLOW_FLEET_INSTANCES": "7", "OTHER": "x"})
     assert (found.fleet.instances, found.fleet.spread) == (7, 1.0)
 
 
 def test_files_that_cannot_be_settings_are_named(tmp_path: Path) -> None:
     (tmp_path / "latin").write_bytes(b"[log]\nfile = \xe9\n")
-    (tmp_path / "large").write_bytes(b"#" * (MOST_BYTES + 1))
+    (tmp_path / "large").write_bytes(b"#" * (MAX_BYTES + 1))
     for name, part in (("latin", ":2: is no UTF-8"), ("large", "holds"), ("none", "No such file"), (".", "directory")):
         with pytest.raises(SettingsError, match=part):
-            read(tmp_path / name, {})
+            read_settings(tmp_path / name, {})
 
 
 def test_the_annotated_example_names_every_key_with_its_start_value() -> None:
     text = (ROOT / "deploy" / "thymeflow.ini").read_text()
-    assert from_text(text, "deploy/thymeflow.ini", {}) == Settings()
+    assert parse_settings(text, "deploy/thymeflow.ini", {}) == Settings()
     for section in fields(Settings):
         for key in fields(getattr(Settings(), section.name)):
             assert f"\n{key.name.replace('_', '-')} =" in text
 
 
 def test_written_settings_read_back_as_themselves() -> None:
-    changed = from_text("[fleet]\nname = web\nlisten = [::1]:70\n[log]\nmost-line = 1KB\n", "f", {})
-    assert from_text(written(changed), "f", {}) == changed
+    changed = parse_settings("[fleet]\nname = web\nlisten = [::1]:70\n[log]\nmost-line = 1KB\n", "f", {})
+    assert parse_settings(format_settings(changed), "f", {}) == changed
--- a/thymeflow/cli/check.py
+++ b/thymeflow/cli/check.py
@@ -12,8 +12,8 @@
 import click
 
 from thymeflow.cli.common import BAD_SETTINGS, json_option, settings_option
-from thymeflow.settings import Fault, Settings, SettingsError, read
-from thymeflow.settings.reader import nearest, written
+from thymeflow.settings import Fault, Settings, SettingsError, read_settings
+from thymeflow.settings.reader import format_settings, suggest_name
 
 TOP = ("name", "listen", "discovery", "seed", "limits", "counter", "known", "settings")
 
@@ -34,7 +34,9 @@
     if not isinstance(source, dict):
         return [Fault(path, 0, "", "", "is no JSON object", "begin it with {")]
     faults = [
-        Fault(path, 0, "", key, "is no key of the platform's", nearest(key, TOP)) for key in source if key not in TOP
+        Fault(path, 0, "", key, "is no key of the platform's", suggest_name(key, TOP))
+        for key in source
+        if key not in TOP
     ]
     checks: dict[str, Any] = {
         "listen": lambda v: endpoints.address(v, 0),
@@ -115,7 +117,7 @@
     faults: list[Fault] = []
     settings = Settings()
     try:
-        settings = read(settings_path)
+        settings = read_settings(settings_path)
         faults += together(settings)
     except SettingsError as fault:
         faults += fault.faults
@@ -128,7 +130,7 @@
         for one in faults:
             click.echo(str(one), err=True)
         if show and not faults:
-            click.echo(written(settings), nl=False)
+            click.echo(format_settings(settings), nl=False)
         click.echo(
             f"{len(faults)} faults"
             if faults
--- a/thymeflow/cli/common.py
+++ b/thymeflow/cli/common.py
@@ -11,7 +11,7 @@
 
 import click
 
-from thymeflow.settings import Settings, SettingsError, read
+from thymeflow.settings import Settings, SettingsError, read_settings
 
 NOT_REACHED, BAD_SETTINGS, NOBODY = 1, 2, 6  # exit codes; see `thymeflow --help`
 
@@ -34,7 +34,7 @@
 def settings_of(path: str | None) -> Settings:
     """Our settings; every fault is a line, and the end."""
     try:
-        return read(path)
+        return read_settings(path)
     except SettingsError as fault:
         for one in fault.faults:
             click.echo(f"thymeflow: {one}", err=True)
--- a/thymeflow/cli/fleet.py
+++ b/thymeflow/cli/fleet.py
@@ -22,7 +22,7 @@
     settings_option,
 )
 from thymeflow.cli.instance import PATIENCE, state_option
-from thymeflow.settings import read
+from thymeflow.settings import read_settings
 
 LONG = 3600.0  # s: what a roll over many members may take
 
@@ -54,7 +54,7 @@
     sys.exit(
         supervise(
             SupervisorOptions(
-                lambda: read(absolute or None),
+                lambda: read_settings(absolute or None),
                 absolute,
                 Path(path).absolute(),
                 folder_of(settings, state).absolute(),
--- a/thymeflow/cli/serve.py
+++ b/thymeflow/cli/serve.py
@@ -10,7 +10,7 @@
 import click
 
 from thymeflow.cli.common import settings_of, settings_option
-from thymeflow.settings import Settings, read
+from thymeflow.settings import Settings, read_settings
 
 
 @click.command()
@@ -52,6 +52,6 @@
             merged(settings),
             lambda: configuration.load(environment),
             Options(joins, take_over),
-            lambda: merged(read(settings_path)),
+            lambda: merged(read_settings(settings_path)),
         )
     )
--- a/thymeflow/settings/__init__.py
+++ b/thymeflow/settings/__init__.py
@@ -1,6 +1,7 @@
-"""Settings of our own: INI files read into frozen dataclasses, with units, and every fault told at once."""
+"""The settings file: INI text read into frozen dataclasses, with units, and every fault reported at once."""
 
-from thymeflow.settings.reader import Fault, SettingsError, read
+from thymeflow.settings.errors import Fault, SettingsError
+from thymeflow.settings.reader import read_settings
 from thymeflow.settings.sections import Settings
 
-__all__ = ["Fault", "Settings", "SettingsError", "read"]
+__all__ = ["Fault", "Settings", "SettingsError", "read_settings"]
--- /dev/null
+++ b/thymeflow/settings/errors.py
@@ -0,0 +1,47 @@
+"""Exceptions of the settings reader, and the faults that they report."""
+
+from __future__ import annotations
+
+from dataclasses import dataclass
+
+from thymeflow.errors import ThymeflowError
+
+
+@dataclass(frozen=True, slots=True)
+class Fault:
+    """One fault: where it is, what is wrong and what to write instead.
+
+    Line 0 stands for the whole file or the environment. `thymeflow check --json` prints the fields under these names.
+    """
+
+    file: str
+    line: int
+    section: str
+    key: str
+    why: str
+    mend: str
+
+    def __str__(self) -> str:
+        location = f"{self.file}:{self.line}" if self.line else self.file
+        setting = " ".join(filter(None, (f"[{self.section}]" if self.section else "", self.key)))
+        return ": ".join(filter(None, (location, setting, f"{self.why}; {self.mend}")))
+
+
+class SettingsReaderError(ThymeflowError):
+    """Base class of the exceptions of this package."""
+
+
+class SettingsError(SettingsReaderError):
+    """The settings cannot be used; `faults` has every reason."""
+
+    def __init__(self, faults: list[Fault]) -> None:
+        super().__init__("\n".join(map(str, faults)))
+        self.faults = faults
+
+
+class InvalidValueError(SettingsReaderError, ValueError):
+    """The text is not a value of its kind; `mend` says what to write instead."""
+
+    def __init__(self, why: str, mend: str) -> None:
+        super().__init__(why)
+        self.mend = mend
--- a/thymeflow/settings/sections.py
+++ b/thymeflow/settings/sections.py
@@ -1,7 +1,7 @@
-"""The sections of our settings file. A later subsystem adds its section here and finds it in `Settings`.
+"""The sections of the settings file. A later subsystem adds its section here and finds it in `Settings`.
 
-Field names are the keys of the file with `_` for `-`. The annotated example is deploy/thymeflow.ini, and a
-test reads it and compares it with these start values.
+Field names are the keys of the file with `_` for `-`: they are a format, and stay as they are. Durations are in
+seconds. The annotated example is deploy/thymeflow.ini, and a test reads it and compares it with these defaults.
 """
 
 from __future__ import annotations
@@ -23,62 +23,64 @@
     control: Annotated[bool, Switch()] = True
     control_callers: Annotated[int, Count(1, 64)] = 8
     control_patience: Annotated[float, Duration(0.1, 60.0)] = 5.0
-    hand_over: Annotated[float, Duration(0.5, 60.0)] = 5.0  # one step of it, at most
-    drain_linger: Annotated[float, Duration(0.0, 10.0)] = 0.7  # after SIGTERM user agents still come
+    hand_over: Annotated[float, Duration(0.5, 60.0)] = 5.0  # one step of a handover, at most
+    drain_linger: Annotated[float, Duration(0.0, 10.0)] = 0.7  # after SIGTERM clients still come for so long
 
 
 @dataclass(frozen=True, slots=True)
 class Log:
-    """Where lines go and in which form."""
+    """Where log lines go and in which form."""
 
     form: Annotated[str, Choice(("text", "json"))] = "text"
     file: Annotated[str, Text()] = ""  # standard error if empty
     level: Annotated[str, Choice(("debug", "info", "warning", "error"))] = "info"
-    most_line: Annotated[int, Size(256, 1 << 16)] = 4096
+    most_line: Annotated[int, Size(256, 1 << 16)] = 4096  # bytes of a line, at most
 
 
 @dataclass(frozen=True, slots=True)
 class Snapshot:
-    """State that outlives a process."""
+    """The snapshot file, which a restart restores."""
 
-    every: Annotated[float, Duration(0.1, 3600.0)] = 2.0  # 0 is no value: switch it off with `keep`
-    fresh: Annotated[float, Duration(0.1, 86400.0)] = 30.0  # older ones are not read at a start
+    every: Annotated[float, Duration(0.1, 3600.0)] = 2.0  # 0 is not allowed: switch it off with `keep`
+    fresh: Annotated[float, Duration(0.1, 86400.0)] = 30.0  # older snapshots are not restored at a start
     keep: Annotated[bool, Switch()] = True
 
 
 @dataclass(frozen=True, slots=True)
 class Fleet:
-    """Many instances from one file."""
+    """A fleet of instances under one supervisor."""
 
     instances: Annotated[int, Count(1, 256)] = 3
     name: Annotated[str, Text(r"[a-z][a-z0-9]{0,15}", "n")] = "n"  # instances are n0, n1, ...
-    listen: Annotated[str, Text(ADDRESS, "127.0.0.1:7000")] = "127.0.0.1:0"  # +1 each; 0: the system's choice
-    spread: Annotated[float, Duration(0.0, 600.0)] = 2.0  # a start of all is spread over it
+    listen: Annotated[str, Text(ADDRESS, "127.0.0.1:7000")] = "127.0.0.1:0"  # +1 for each member; port 0: any free port
+    spread: Annotated[float, Duration(0.0, 600.0)] = 2.0  # a start of all members is spread over it
     ready: Annotated[float, Duration(0.2, 600.0)] = 20.0  # from a start to readiness, at most
-    settle: Annotated[float, Duration(0.0, 600.0)] = 1.0  # healthy for so long before a roll goes on
+    settle: Annotated[float, Duration(0.0, 600.0)] = 1.0  # healthy for so long before a rolling restart goes on
     stop: Annotated[float, Duration(0.2, 600.0)] = 15.0  # from drain to the end, at most
-    wait: Annotated[float, Duration(0.01, 60.0)] = 0.5  # before the first restart; doubles, jittered
-    longest_wait: Annotated[float, Duration(0.1, 3600.0)] = 30.0
-    crashes: Annotated[int, Count(1, 100)] = 5  # within `crash_window`: a crash loop
+    wait: Annotated[float, Duration(0.01, 60.0)] = 0.5  # backoff before the first restart; doubles, with jitter
+    longest_wait: Annotated[float, Duration(0.1, 3600.0)] = 30.0  # longest backoff
+    crashes: Annotated[int, Count(1, 100)] = 5  # so many within `crash_window` are a crash loop
     crash_window: Annotated[float, Duration(1.0, 86400.0)] = 60.0
-    linger: Annotated[float, Duration(0.0, 10.0)] = 0.1  # its sockets stay open, so nobody need be told
+    linger: Annotated[float, Duration(0.0, 10.0)] = 0.1  # short: the supervisor keeps the sockets open
 
 
 @dataclass(frozen=True, slots=True)
 class Budgets:
-    """How what the fleet may do is divided among its members."""
+    """How the fleet limits are divided among its members."""
 
-    units: Annotated[str, Choice(("tickets", "demand"))] = "tickets"  # of customers: strictly, or by demand and belief
-    calls: Annotated[int, Count(1, 1_000_000)] = 500  # to the counter, a second
-    trials: Annotated[int, Count(1, 10_000)] = 1  # of a server that has failed, of each, a second
-    connections: Annotated[int, Count(0, 1_000_000)] = 0  # that one server holds; 0: as many as it takes
+    units: Annotated[str, Choice(("tickets", "demand"))] = (
+        "tickets"  # customers' quotas: by reservation, or by estimated demand
+    )
+    calls: Annotated[int, Count(1, 1_000_000)] = 500  # to the counter, per second
+    trials: Annotated[int, Count(1, 10_000)] = 1  # half-open probes of each failed backend, per second
+    connections: Annotated[int, Count(0, 1_000_000)] = 0  # to one backend; 0: no limit
 
 
 @dataclass(frozen=True, slots=True)
 class Overload:
-    """What members of a fleet do about servers that fail."""
+    """What members of a fleet do about failing backends."""
 
-    together: Annotated[bool, Switch()] = True  # on the word of all; else each by what it has seen itself
+    together: Annotated[bool, Switch()] = True  # eject by quorum; else each member by its own observations
 
 
 @dataclass(frozen=True, slots=True)
--- a/thymeflow/settings/units.py
+++ b/thymeflow/settings/units.py
@@ -1,7 +1,7 @@
-"""Values with units: how each kind of value is read from its text and written again.
+"""Kinds of values with units: how the text of each kind is read, and how a value is written again.
 
-A kind is put into a field's annotation, `Annotated[float, Duration(0.1, 60.0)]`, and says itself what it
-would take instead, so that a message always ends in a mend.
+A kind is put into a field's annotation, `Annotated[float, Duration(0.1, 60.0)]`, and says itself what it would accept
+instead, so that a message always ends in a remedy.
 """
 
 from __future__ import annotations
@@ -9,64 +9,81 @@
 import re
 from dataclasses import dataclass
 from math import isfinite
-from typing import Any, Protocol
+from typing import NamedTuple, Protocol, TypeVar
+
+from thymeflow.settings.errors import InvalidValueError as InvalidValueError
+
+T = TypeVar("T")
 
 _AMOUNT = re.compile(r"([0-9]+(?:\.[0-9]+)?)\s*([a-zA-Z]*)")
-DURATIONS = {"us": 1e6, "ms": 1e3, "s": 1.0, "m": 1 / 60.0, "h": 1 / 3600.0}  # of each in a second
-SIZES = {"B": 1, "KB": 1 << 10, "MB": 1 << 20, "GB": 1 << 30}
-WORDS = {"yes": True, "on": True, "true": True, "no": False, "off": False, "false": False}
+UNITS_PER_SECOND = {"us": 1e6, "ms": 1e3, "s": 1.0, "m": 1 / 60.0, "h": 1 / 3600.0}
+SECONDS_PER_SHOWN_UNIT = {"h": 3600.0, "m": 60.0, "s": 1.0, "ms": 1e-3}  # the largest first
+SHOWN_TOLERANCE = 1e-9  # of a unit: a duration closer to a whole number of them is shown so
+BYTES_PER_UNIT = {"B": 1, "KB": 1 << 10, "MB": 1 << 20, "GB": 1 << 30}
+SWITCH_VALUES = {"yes": True, "on": True, "true": True, "no": False, "off": False, "false": False}
+MAX_COUNT_DIGITS = 12
+
 
+class ValueKind(Protocol[T]):
+    """A kind of value."""
 
-class InvalidValueError(ValueError):
-    """The text is no value of its kind; `mend` says what would be."""
+    def read(self, text: str) -> T:
+        """Return the value that a text stands for.
 
-    def __init__(self, why: str, mend: str) -> None:
-        super().__init__(why)
-        self.mend = mend
+        :raises InvalidValueError: if it stands for none.
+        """
 
+    def show(self, value: T) -> str:
+        """Return a text that reads back as the value."""
 
-class Kind(Protocol):
-    """A kind of value."""
 
-    def read(self, text: str) -> Any: ...
-    def show(self, value: Any) -> str: ...
+class _Amount(NamedTuple):
+    number: float
+    unit: str
 
 
-def _amount(text: str, units: dict[str, float] | dict[str, int], mend: str) -> tuple[float, str]:
-    found = _AMOUNT.fullmatch(text)
-    if found is None:
-        raise InvalidValueError(f"{text!r} is no amount with a unit", mend)
-    digits, unit = found.groups()
+def _read_amount(text: str, units: dict[str, float] | dict[str, int], mend: str) -> _Amount:
+    match = _AMOUNT.fullmatch(text)
+    if match is None:
+        why = f"{text!r} is no amount with a unit"
+        raise InvalidValueError(why, mend)
+    digits, unit = match.groups()
     if not unit:
-        raise InvalidValueError(f"{text!r} has no unit", mend)
+        why = f"{text!r} has no unit"
+        raise InvalidValueError(why, mend)
     if unit not in units:
-        raise InvalidValueError(f"{text!r} has the unknown unit {unit!r}", mend)
-    return float(digits), unit
+        why = f"{text!r} has the unknown unit {unit!r}"
+        raise InvalidValueError(why, mend)
+    return _Amount(float(digits), unit)
 
 
-def _within(text: str, value: float, least: float, most: float, mend: str) -> None:
-    if not isfinite(value) or not least <= value <= most:
-        raise InvalidValueError(f"{text!r} is out of range", mend)
+def _check_range(text: str, value: float, minimum: float, maximum: float, mend: str) -> None:
+    if not isfinite(value) or not minimum <= value <= maximum:
+        why = f"{text!r} is out of range"
+        raise InvalidValueError(why, mend)
 
 
 @dataclass(frozen=True, slots=True)
 class Duration:
     """Seconds, written with a unit: `500ms`, `2s`, `1.5m`."""
 
-    least: float = 0.0
-    most: float = 86400.0
+    minimum: float = 0.0
+    maximum: float = 86400.0
 
     def read(self, text: str) -> float:
-        mend = f"write a time from {self.show(self.least)} to {self.show(self.most)}, such as 500ms or 2s"
-        number, unit = _amount(text, DURATIONS, mend)
-        value = number / DURATIONS[unit]  # divided, 700ms is 0.7 to the last bit
-        _within(text, value, self.least, self.most, mend)
-        return value
+        """Return the seconds that a text stands for."""
+        mend = f"write a time from {self.show(self.minimum)} to {self.show(self.maximum)}, such as 500ms or 2s"
+        amount = _read_amount(text, UNITS_PER_SECOND, mend)
+        seconds = amount.number / UNITS_PER_SECOND[amount.unit]  # divided, 700ms is 0.7 to the last bit
+        _check_range(text, seconds, self.minimum, self.maximum, mend)
+        return seconds
 
     def show(self, value: float) -> str:
-        for unit, size in (("h", 3600.0), ("m", 60.0), ("s", 1.0), ("ms", 1e-3)):
-            if value >= size and abs(value / size - round(value / size)) < 1e-9:
-                return f"{round(value / size)}{unit}"
+        """Return the seconds as text, in the largest unit of which they are a whole number."""
+        for unit, seconds in SECONDS_PER_SHOWN_UNIT.items():
+            count = value / seconds
+            if value >= seconds and abs(count - round(count)) < SHOWN_TOLERANCE:
+                return f"{round(count)}{unit}"
         return f"{value:g}s"
 
 
@@ -74,18 +91,20 @@
 class Size:
     """Bytes, written with a unit: `64MB`."""
 
-    least: int = 0
-    most: int = 1 << 40
+    minimum: int = 0
+    maximum: int = 1 << 40
 
     def read(self, text: str) -> int:
-        mend = f"write a size from {self.show(self.least)} to {self.show(self.most)}, such as 64MB"
-        number, unit = _amount(text, SIZES, mend)
-        value = number * SIZES[unit]
-        _within(text, value, self.least, self.most, mend)
-        return int(value)
+        """Return the bytes that a text stands for."""
+        mend = f"write a size from {self.show(self.minimum)} to {self.show(self.maximum)}, such as 64MB"
+        amount = _read_amount(text, BYTES_PER_UNIT, mend)
+        size = amount.number * BYTES_PER_UNIT[amount.unit]
+        _check_range(text, size, self.minimum, self.maximum, mend)
+        return int(size)
 
     def show(self, value: int) -> str:
-        for unit, size in reversed(SIZES.items()):
+        """Return the bytes as text, in the largest unit of which they are a whole number."""
+        for unit, size in reversed(BYTES_PER_UNIT.items()):
             if value >= size and value % size == 0:
                 return f"{value // size}{unit}"
         return f"{value}B"
@@ -95,17 +114,20 @@
 class Count:
     """A whole number."""
 
-    least: int = 0
-    most: int = 1 << 31
+    minimum: int = 0
+    maximum: int = 1 << 31
 
     def read(self, text: str) -> int:
-        mend = f"write a whole number from {self.least} to {self.most}"
-        if not text.isascii() or not text.isdigit() or len(text) > 12:
-            raise InvalidValueError(f"{text!r} is no whole number", mend)
-        _within(text, int(text), self.least, self.most, mend)
+        """Return the number that a text stands for."""
+        mend = f"write a whole number from {self.minimum} to {self.maximum}"
+        if not text.isascii() or not text.isdigit() or len(text) > MAX_COUNT_DIGITS:
+            why = f"{text!r} is no whole number"
+            raise InvalidValueError(why, mend)
+        _check_range(text, int(text), self.minimum, self.maximum, mend)
         return int(text)
 
     def show(self, value: int) -> str:
+        """Return the number as text."""
         return str(value)
 
 
@@ -114,40 +136,49 @@
     """Yes or no."""
 
     def read(self, text: str) -> bool:
-        if text.lower() not in WORDS:
-            raise InvalidValueError(f"{text!r} is neither yes nor no", "write yes or no")
-        return WORDS[text.lower()]
+        """Return whether a text means yes."""
+        if text.lower() not in SWITCH_VALUES:
+            why = f"{text!r} is neither yes nor no"
+            raise InvalidValueError(why, "write yes or no")
+        return SWITCH_VALUES[text.lower()]
 
     def show(self, value: bool) -> str:
+        """Return `yes` or `no`."""
         return "yes" if value else "no"
 
 
 @dataclass(frozen=True, slots=True)
 class Choice:
-    """One of a few words."""
+    """One of a few texts."""
 
-    words: tuple[str, ...]
+    choices: tuple[str, ...]
 
     def read(self, text: str) -> str:
-        if text not in self.words:
-            raise InvalidValueError(f"{text!r} is not known here", f"write one of {', '.join(self.words)}")
+        """Return the text, which is one of the choices."""
+        if text not in self.choices:
+            why = f"{text!r} is not known here"
+            raise InvalidValueError(why, f"write one of {', '.join(self.choices)}")
         return text
 
     def show(self, value: str) -> str:
+        """Return the text."""
         return value
 
 
 @dataclass(frozen=True, slots=True)
 class Text:
-    """Any text of one line; with a form, such as an address, that it must match."""
+    """Any text of one line; with a pattern, such as that of an address, one that matches it."""
 
-    form: str = ""
+    pattern: str = ""
     example: str = ""
 
     def read(self, text: str) -> str:
-        if self.form and not re.fullmatch(self.form, text):
-            raise InvalidValueError(f"{text!r} has not the form wanted", f"write it like {self.example}")
+        """Return the text, which matches the pattern."""
+        if self.pattern and not re.fullmatch(self.pattern, text):
+            why = f"{text!r} has not the form wanted"
+            raise InvalidValueError(why, f"write it like {self.example}")
         return text
 
     def show(self, value: str) -> str:
+        """Return the text."""
         return value
