--- a/thymeflow/cli/__init__.py
+++ b/thymeflow/cli/__init__.py
@@ -1,12 +1,12 @@
 """The command line. Commands are thin: each parses, calls one function of a subsystem and prints.
 
-What a command does not need is not imported: the group finds its commands by name.
+What a command does not need is not imported: the group finds its commands by name. The docstrings of commands are their
+help texts.
 """
 
 from __future__ import annotations
 
 import importlib
-from typing import Any
 
 import click
 
@@ -22,19 +22,19 @@
     "demo": "thymeflow.cli.demo:demo",
     "budgets": "thymeflow.cli.budgets:budgets",
     "overload": "thymeflow.cli.overload:overload",
-    "lab": "thymeflow.cli.lab:lab",
+    "lab": "thymeflow.cli.faults:faults",
 }
 
 
-class Lazy(click.Group):
-    """A group that imports a command when it is asked for."""
+class LazyGroup(click.Group):
+    """A group that imports a command when it is needed."""
 
-    def list_commands(self, ctx: click.Context) -> list[str]:
-        """All names."""
+    def list_commands(self, ctx: click.Context) -> list[str]:  # noqa: ARG002 - click's signature
+        """Return the names of all commands."""
         return list(COMMANDS)
 
-    def get_command(self, ctx: click.Context, cmd_name: str) -> click.Command | None:
-        """One command."""
+    def get_command(self, ctx: click.Context, cmd_name: str) -> click.Command | None:  # noqa: ARG002 - as above
+        """Return a command, or None if there is none of that name."""
         if cmd_name not in COMMANDS:
             return None
         module, _, name = COMMANDS[cmd_name].partition(":")
@@ -42,7 +42,7 @@
         return command
 
 
-@click.command(cls=Lazy, context_settings={"help_option_names": ["-h", "--help"], "max_content_width": 100})
+@click.command(cls=LazyGroup, context_settings={"help_option_names": ["-h", "--help"], "max_content_width": 100})
 @click.version_option(package_name="thymeflow")
 def thymeflow() -> None:
     """Hold customers to their quotas in front of a fleet of servers.
@@ -55,6 +55,6 @@
 
 
 def run() -> int:
-    """Run the command line; the exit code."""
-    result: Any = thymeflow(standalone_mode=True)
-    return int(result or 0)
+    """Run the command line; return the exit code."""
+    result: object = thymeflow(standalone_mode=True)
+    return result if isinstance(result, int) else 0
--- a/thymeflow/cli/budgets.py
+++ b/thymeflow/cli/budgets.py
@@ -1,49 +1,68 @@
-"""`thymeflow budgets`: what the fleet as a whole may do, and who holds which part of it until when."""
+"""`thymeflow budgets`: how the fleet limits are divided, and until when each member holds its lease."""
 
 from __future__ import annotations
 
-from typing import Any
+from typing import TYPE_CHECKING
 
 import click
 
-from thymeflow.cli.common import asked, folder_of, json_option, printed, settings_of, settings_option
-from thymeflow.cli.instance import PATIENCE, state_option
+from thymeflow.cli.control import FLEET_SOCKET, STATUS_TIMEOUT, send_request
+from thymeflow.cli.options import ControlOptions, control_options
+from thymeflow.cli.output import print_response
 
+if TYPE_CHECKING:
+    from thymeflow.handover.control_socket import Message
 
-def table(answer: dict[str, Any]) -> str:
-    """The division as a table for people, amounts in percent of the whole."""
 
-    def percent(points: int) -> str:
-        return f"{100.0 * points / answer['whole']:.1f}"
+def format_table(response: Message) -> str:
+    """Return the division as a table for people, amounts in percent of the fleet limits."""
+    total = response["whole"]
+    resources = list(response["free"])
+    rows = [_format_summary(response, total), _format_header(resources)]
+    for name, member in response["members"].items():
+        rows.append(_format_member(name, member, resources, total))
+    rows.append(_format_free(response["free"], resources, total))
+    return "\n".join(rows)
+
+
+def _format_percent(points: int, total: int) -> str:
+    return f"{100.0 * points / total:.1f}"
+
+
+def _format_summary(response: Message, total: int) -> str:
+    base = _format_percent(response["base"], total)
+    pool = _format_percent(response["pool"], total)
+    fault = f"; THE TABLE IS NOT WRITTEN: {response['fault']}" if response["fault"] else ""
+    return f"era {response['era']}; base parts {base}%, pool {pool}% of the whole{fault}"
+
 
-    rows = [
-        f"era {answer['era']}; base parts {percent(answer['base'])}%, pool {percent(answer['pool'])}% of the whole"
-        + (f"; THE TABLE IS NOT WRITTEN: {answer['fault']}" if answer["fault"] else "")
-    ]
-    kinds = list(answer["free"])
-    rows.append(
-        f"{'name':8} {'state':8} {'has grant':>12} {'ends s':>7} {'asks/s':>8} "
-        + " ".join(f"{f'{kind}: base':>15} {'lent':>6}" for kind in kinds)
+def _format_header(resources: list[str]) -> str:
+    columns = " ".join(f"{f'{resource}: base':>15} {'lent':>6}" for resource in resources)
+    return f"{'name':8} {'state':8} {'has grant':>12} {'ends s':>7} {'asks/s':>8} {columns}"
+
+
+def _format_member(name: str, member: Message, resources: list[str], total: int) -> str:
+    epoch, number = member["told"]
+    grant = f"{epoch}.{number}" if epoch >= 0 else "-"
+    columns = " ".join(
+        f"{_format_percent(member['base'][resource], total):>15} {_format_percent(member['lease'][resource], total):>6}"
+        for resource in resources
     )
-    for name, row in answer["members"].items():
-        era, number = row["told"]
-        has = f"{era}.{number}" if era >= 0 else "-"
-        rows.append(
-            f"{name:8} {row['state']:8} {has:>12} {row['ends_in_s']:7.2f} {max(row['demand']):8.1f} "
-            + " ".join(f"{percent(row['base'][k]):>15} {percent(row['lease'][k]):>6}" for k in kinds)
-        )
-    rows.append(
-        f"{'free':8} {'':8} {'':>12} {'':>7} {'':>8} "
-        + " ".join(f"{percent(answer['free'][k]['base']):>15} {percent(answer['free'][k]['pool']):>6}" for k in kinds)
+    demand = max(member["demand"])
+    return f"{name:8} {member['state']:8} {grant:>12} {member['ends_in_s']:7.2f} {demand:8.1f} {columns}"
+
+
+def _format_free(free: Message, resources: list[str], total: int) -> str:
+    columns = " ".join(
+        f"{_format_percent(free[resource]['base'], total):>15} {_format_percent(free[resource]['pool'], total):>6}"
+        for resource in resources
     )
-    return "\n".join(rows)
+    return f"{'free':8} {'':8} {'':>12} {'':>7} {'':>8} {columns}"
 
 
 @click.command()
-@settings_option
-@state_option
-@json_option
-def budgets(settings_path: str | None, state: str | None, as_json: bool) -> None:
+@control_options
+def budgets(options: ControlOptions) -> None:
     """Show how what the fleet may do is divided among its members."""
-    answer = asked(folder_of(settings_of(settings_path), state) / "fleet.sock", {"do": "budgets"}, PATIENCE)
-    printed(answer, as_json, table(answer) if answer.get("ok") else "")
+    response = send_request(options.socket_path(FLEET_SOCKET), {"do": "budgets"}, STATUS_TIMEOUT)
+    print_response(response, options.as_json, format_table(response) if response.get("ok") else "")
--- a/thymeflow/cli/lab.py
+++ b/thymeflow/cli/faults.py
@@ -1,4 +1,4 @@
-"""`thymeflow lab`: faults between real processes, played and judged."""
+"""`thymeflow lab`: fault injection between real processes, with invariants checked."""
 
 from __future__ import annotations
 
@@ -8,15 +8,15 @@
 
 import click
 
-from thymeflow.cli.common import BAD_SETTINGS, fail
+from thymeflow.cli.output import BAD_SETTINGS, fail
 
 
-@click.group()
-def lab() -> None:
+@click.group("lab")
+def faults() -> None:
     """Play faults between real limiters on loopback, with stand-ins for all that they talk to."""
 
 
-@lab.command()
+@faults.command("play")
 @click.argument("file", type=click.Path(exists=True, dir_okay=False))
 @click.option(
     "--broken",
@@ -24,23 +24,23 @@
     default=None,
     help="Break the limiters on purpose: a judge has to find it.",
 )
-def play(file: str, broken: str | None) -> None:
+def run_schedule(file: str, broken: str | None) -> None:
     """Play the schedule in FILE once; exit code 1 where a judge found something."""
-    from thymeflow.testkit.faults import runner as player
+    from thymeflow.testkit.faults import runner
     from thymeflow.testkit.faults.schedule import ScheduleError, parse
 
     try:
         schedule = parse(Path(file).read_text())
-    except ScheduleError as found:
-        for fault in found.faults:
+    except ScheduleError as error:
+        for fault in error.faults:
             click.echo(f"thymeflow: {file}: {fault}", err=True)
         sys.exit(BAD_SETTINGS)
-    except (OSError, UnicodeDecodeError) as fault:
-        fail(f"{file}: {fault}", BAD_SETTINGS)
-    sys.exit(player.play(schedule, click.echo, broken or ""))
+    except (OSError, UnicodeDecodeError) as error:
+        fail(f"{file}: {error}", BAD_SETTINGS)
+    sys.exit(runner.play(schedule, click.echo, broken or ""))
 
 
-@lab.command()
+@faults.command("draw")
 @click.option("--seed", type=click.IntRange(0, 2**48), default=1, show_default=True)
 @click.option("--faults", type=click.IntRange(0, 500), default=12, show_default=True)
 @click.option("--limiters", type=click.IntRange(1, 64), default=3, show_default=True)
@@ -48,9 +48,11 @@
 @click.option("--seconds", type=click.FloatRange(0.5, 600.0), default=6.0, show_default=True)
 @click.option("--line", type=click.Choice(["run", "serve"]), default="run", show_default=True)
 @click.option("--units", type=click.Choice(["demand", "tickets"]), default="demand", show_default=True)
-def draw(seed: int, faults: int, limiters: int, servers: int, seconds: float, line: str, units: str) -> None:
+def generate_schedule(
+    seed: int, faults: int, limiters: int, servers: int, seconds: float, line: str, units: str
+) -> None:
     """Print a schedule drawn from a seed, for `play`."""
     from thymeflow.testkit.faults.schedule import Schedule, drawn, text_of
 
-    world = replace(Schedule(), seed=seed, limiters=limiters, servers=servers, seconds=seconds, line=line, units=units)
-    click.echo(text_of(drawn(world, faults)), nl=False)
+    empty = replace(Schedule(), seed=seed, limiters=limiters, servers=servers, seconds=seconds, line=line, units=units)
+    click.echo(text_of(drawn(empty, faults)), nl=False)
--- a/thymeflow/cli/fleet.py
+++ b/thymeflow/cli/fleet.py
@@ -6,25 +6,24 @@
 import sys
 import time
 from pathlib import Path
-from typing import Any
+from typing import TYPE_CHECKING
 
 import click
 
-from thymeflow.cli.common import (
-    BAD_SETTINGS,
-    asked,
-    fail,
-    folder_of,
-    json_option,
-    printed,
-    progress,
-    settings_of,
+from thymeflow.cli.control import FLEET_SOCKET, FLEET_TIMEOUT, STATUS_TIMEOUT, send_request
+from thymeflow.cli.options import (
+    ControlOptions,
+    control_options,
+    read_or_exit,
     settings_option,
+    state_folder,
+    state_option,
 )
-from thymeflow.cli.instance import PATIENCE, state_option
+from thymeflow.cli.output import BAD_SETTINGS, fail, print_response, progress_printer
 from thymeflow.settings import read_settings
 
-LONG = 3600.0  # s: what a roll over many members may take
+if TYPE_CHECKING:
+    from thymeflow.handover.control_socket import Message
 
 
 @click.group()
@@ -44,114 +43,100 @@
 @click.option("--program", default="", help="Command line of the members; this very program where left out.")
 def up(settings_path: str | None, state: str | None, platform: str | None, program: str) -> None:
     """Start the fleet, or adopt the one that runs, and supervise it in the foreground."""
-    settings = settings_of(settings_path)
-    path = platform or settings.daemon.platform or os.environ.get("BALANCER_CONFIG", "")
-    if not path:
+    settings = read_or_exit(settings_path)
+    platform_path = platform or settings.daemon.platform or os.environ.get("BALANCER_CONFIG", "")
+    if not platform_path:
         fail("no platform configuration: set [daemon] platform, or give --platform", BAD_SETTINGS)
     from thymeflow.fleet.supervisor import SupervisorOptions, supervise
 
-    absolute = str(Path(settings_path).absolute()) if settings_path else ""
-    sys.exit(
-        supervise(
-            SupervisorOptions(
-                lambda: read_settings(absolute or None),
-                absolute,
-                Path(path).absolute(),
-                folder_of(settings, state).absolute(),
-                program,
-            )
-        )
+    absolute_settings_path = str(Path(settings_path).absolute()) if settings_path else ""
+    options = SupervisorOptions(
+        lambda: read_settings(absolute_settings_path or None),
+        absolute_settings_path,
+        Path(platform_path).absolute(),
+        state_folder(settings, state).absolute(),
+        program,
     )
+    sys.exit(supervise(options))
 
 
-def _ordered(settings_path: str | None, state: str | None, as_json: bool, message: dict[str, Any]) -> None:
-    path = folder_of(settings_of(settings_path), state) / "fleet.sock"
-    printed(asked(path, message, LONG, progress(time.monotonic())), as_json, "")
+def _run_operation(options: ControlOptions, message: Message) -> None:
+    """Let the supervisor carry out an operation, and print how it goes on."""
+    path = options.socket_path(FLEET_SOCKET)
+    response = send_request(path, message, FLEET_TIMEOUT, progress_printer(time.monotonic()))
+    print_response(response, options.as_json, "")
 
 
-def table(status: dict[str, Any]) -> str:
-    """A fleet's status as a table for people."""
+def format_table(status: Message) -> str:
+    """Return a fleet's status as a table for people."""
+    operation = f"; {status['working']}" if status["working"] else ""
     rows = [
-        f"{status['ready']} of {status['wanted']} members are ready"
-        + (f"; {status['working']}" if status["working"] else "")
-    ]
-    rows.append(
+        f"{status['ready']} of {status['wanted']} members are ready{operation}",
         f"{'name':8} {'state':11} {'pid':>8} {'listen':22} {'up s':>8} {'open':>5} {'served':>8} "
-        f"{'refused':>8} {'failed':>6}"
-    )
-    for member in status["members"]:
-        told = member["told"]
-        answers = told.get("answers", {})
-        rows.append(
-            f"{member['name']:8} {member['state']:11} {member['pid'] or '-':>8} {member['listen']:22} "
-            f"{told.get('uptime_s', 0.0):8.1f} {told.get('open', 0):5} {answers.get('served', 0):8} "
-            f"{answers.get('unavailable', 0):8} {answers.get('failed', 0):6}"
-            + (f"  {member['why']}" if member["why"] else "")
-        )
+        f"{'refused':>8} {'failed':>6}",
+    ]
+    rows.extend(_format_member(member) for member in status["members"])
     return "\n".join(rows)
 
 
+def _format_member(member: Message) -> str:
+    reported = member["told"]
+    responses = reported.get("answers", {})
+    reason = f"  {member['why']}" if member["why"] else ""
+    return (
+        f"{member['name']:8} {member['state']:11} {member['pid'] or '-':>8} {member['listen']:22} "
+        f"{reported.get('uptime_s', 0.0):8.1f} {reported.get('open', 0):5} {responses.get('served', 0):8} "
+        f"{responses.get('unavailable', 0):8} {responses.get('failed', 0):6}{reason}"
+    )
+
+
 @fleet.command()
-@settings_option
-@state_option
-@json_option
-def status(settings_path: str | None, state: str | None, as_json: bool) -> None:
+@control_options
+def status(options: ControlOptions) -> None:
     """Show every member."""
-    answer = asked(folder_of(settings_of(settings_path), state) / "fleet.sock", {"do": "status"}, PATIENCE)
-    printed(answer, as_json, table(answer) if answer.get("ok") else "")
+    response = send_request(options.socket_path(FLEET_SOCKET), {"do": "status"}, STATUS_TIMEOUT)
+    print_response(response, options.as_json, format_table(response) if response.get("ok") else "")
 
 
 @fleet.command()
 @click.argument("count", type=click.IntRange(1, 256))
-@settings_option
-@state_option
-@json_option
-def scale(count: int, settings_path: str | None, state: str | None, as_json: bool) -> None:
+@control_options
+def scale(options: ControlOptions, count: int) -> None:
     """Have COUNT members from now on, while serving."""
-    _ordered(settings_path, state, as_json, {"do": "scale", "count": count})
+    _run_operation(options, {"do": "scale", "count": count})
 
 
 @fleet.command()
-@settings_option
-@state_option
-@json_option
-def restart(settings_path: str | None, state: str | None, as_json: bool) -> None:
+@control_options
+def restart(options: ControlOptions) -> None:
     """Stop and start members one by one; out of a crash loop, too."""
-    _ordered(settings_path, state, as_json, {"do": "restart"})
+    _run_operation(options, {"do": "restart"})
 
 
 @fleet.command()
 @click.option("--program", default=None, help="Command line of the new program; the present one where left out.")
-@settings_option
-@state_option
-@json_option
-def upgrade(program: str | None, settings_path: str | None, state: str | None, as_json: bool) -> None:
+@control_options
+def upgrade(options: ControlOptions, program: str | None) -> None:
     """Replace members one by one, each by a process that takes over its socket and its state."""
-    _ordered(settings_path, state, as_json, {"do": "upgrade", **({"program": program} if program else {})})
+    _run_operation(options, {"do": "upgrade", **({"program": program} if program else {})})
 
 
 @fleet.command()
-@settings_option
-@state_option
-@json_option
-def reload(settings_path: str | None, state: str | None, as_json: bool) -> None:
+@control_options
+def reload(options: ControlOptions) -> None:
     """Let every member read the platform's configuration again."""
-    _ordered(settings_path, state, as_json, {"do": "reload"})
+    _run_operation(options, {"do": "reload"})
 
 
 @fleet.command()
-@settings_option
-@state_option
-@json_option
-def down(settings_path: str | None, state: str | None, as_json: bool) -> None:
+@control_options
+def down(options: ControlOptions) -> None:
     """Let every member finish what it took and end, then the supervisor."""
-    _ordered(settings_path, state, as_json, {"do": "down"})
+    _run_operation(options, {"do": "down"})
 
 
 @fleet.command()
-@settings_option
-@state_option
-@json_option
-def leave(settings_path: str | None, state: str | None, as_json: bool) -> None:
+@control_options
+def leave(options: ControlOptions) -> None:
     """End the supervisor alone; its members go on, and the next `up` adopts them."""
-    _ordered(settings_path, state, as_json, {"do": "leave"})
+    _run_operation(options, {"do": "leave"})
--- a/thymeflow/cli/instance.py
+++ b/thymeflow/cli/instance.py
@@ -2,55 +2,59 @@
 
 from __future__ import annotations
 
-from typing import Any
+from typing import TYPE_CHECKING
 
 import click
 
-from thymeflow.cli.common import asked, folder_of, json_option, printed, settings_of, settings_option
+from thymeflow.cli.control import STATUS_TIMEOUT, send_request
+from thymeflow.cli.options import ControlOptions, control_options
+from thymeflow.cli.output import print_response
 
-PATIENCE = 5.0  # s
+if TYPE_CHECKING:
+    from thymeflow.handover.control_socket import Message
 
-state_option = click.option(
-    "--state",
-    type=click.Path(file_okay=False),
-    default=None,
-    help="The folder of control sockets; [daemon] state where it is left out.",
-)
 
+def _send_to_instance(name: str, options: ControlOptions, message: Message) -> Message:
+    return send_request(options.socket_path(name), message, STATUS_TIMEOUT)
 
-def _ask(name: str, settings_path: str | None, state: str | None, message: dict[str, Any]) -> dict[str, Any]:
-    return asked(folder_of(settings_of(settings_path), state) / f"{name}.sock", message, PATIENCE)
 
-
-def text_of(status: dict[str, Any]) -> str:
-    """A status as lines for people."""
-    answers, servers, snapshot = status["answers"], status["servers"], status["snapshot"]
-    heard = status["counter_heard_s"]
+def format_status(status: Message) -> str:
+    """Return a status as lines for people."""
+    responses = ", ".join(f"{count} {kind}" for kind, count in status["answers"].items())
+    servers = status["servers"]
     lines = [
         f"{status['name']}  {status['phase']}{'' if status['healthy'] else ', not healthy'}  "
         f"pid {status['pid']}, life {status['life']}, up {status['uptime_s']:.1f} s, at {status['listen']}",
         f"set       number {status['index']} of {status['gateways']}",
-        f"answers   {', '.join(f'{count} {verdict}' for verdict, count in answers.items())}; "
-        f"{status['open']} open, {status['user_agents']} user agents",
+        f"answers   {responses}; {status['open']} open, {status['user_agents']} user agents",
         f"servers   {servers['ready']} ready, {servers['ejected']} of them ejected, {servers['other']} other; "
         f"list {status['list_version']}",
-        f"counter   {'not heard yet' if heard is None else f'heard {heard:.1f} s ago'}; "
+        f"counter   {_format_age(status['counter_heard_s'], 'not heard yet', 'heard {:.1f} s ago')}; "
         f"{status['customers']} customers, pressure {status['pressure']:.2f}",
-        f"snapshot  {'none yet' if snapshot['age_s'] is None else '{:.1f} s old'.format(snapshot['age_s'])}, "
-        f"{snapshot['bytes']} bytes, {snapshot['failed']} failed; remembered from {snapshot['remembered_from']}",
+        _format_snapshot(status["snapshot"]),
     ]
     return "\n".join(lines)
 
 
+def _format_age(age_seconds: float | None, text_without: str, text: str) -> str:
+    return text_without if age_seconds is None else text.format(age_seconds)
+
+
+def _format_snapshot(snapshot: Message) -> str:
+    age = _format_age(snapshot["age_s"], "none yet", "{:.1f} s old")
+    return (
+        f"snapshot  {age}, {snapshot['bytes']} bytes, {snapshot['failed']} failed; "
+        f"remembered from {snapshot['remembered_from']}"
+    )
+
+
 @click.command()
 @click.argument("name")
-@settings_option
-@state_option
-@json_option
-def status(name: str, settings_path: str | None, state: str | None, as_json: bool) -> None:
+@control_options
+def status(options: ControlOptions, name: str) -> None:
     """Show how instance NAME is."""
-    answer = _ask(name, settings_path, state, {"do": "status"})
-    printed(answer, as_json, text_of(answer) if answer.get("ok") else "")
+    response = _send_to_instance(name, options, {"do": "status"})
+    print_response(response, options.as_json, format_status(response) if response.get("ok") else "")
 
 
 @click.command()
@@ -61,31 +65,26 @@
     default=None,
     help="Seconds for which user agents may still come; [daemon] drain-linger where left out.",
 )
-@settings_option
-@state_option
-@json_option
-def drain(name: str, linger: float | None, settings_path: str | None, state: str | None, as_json: bool) -> None:
+@control_options
+def drain(options: ControlOptions, name: str, linger: float | None) -> None:
     """Let instance NAME finish what it took, and end."""
-    answer = _ask(name, settings_path, state, {"do": "drain", "linger": linger})
-    printed(answer, as_json, f"{name} drains, {answer.get('open')} transactions are open")
+    response = _send_to_instance(name, options, {"do": "drain", "linger": linger})
+    print_response(response, options.as_json, f"{name} drains, {response.get('open')} transactions are open")
 
 
 @click.command()
 @click.argument("name")
-@settings_option
-@state_option
-@json_option
-def reload(name: str, settings_path: str | None, state: str | None, as_json: bool) -> None:
+@control_options
+def reload(options: ControlOptions, name: str) -> None:
     """Let instance NAME read its files again."""
-    printed(_ask(name, settings_path, state, {"do": "reload"}), as_json, "")
+    print_response(_send_to_instance(name, options, {"do": "reload"}), options.as_json, "")
 
 
 @click.command("log-level")
 @click.argument("name")
 @click.argument("level")
-@settings_option
-@state_option
-@json_option
-def log_level(name: str, level: str, settings_path: str | None, state: str | None, as_json: bool) -> None:
+@control_options
+def log_level(options: ControlOptions, name: str, level: str) -> None:
     """Let instance NAME log from LEVEL on, until its next reload."""
-    printed(_ask(name, settings_path, state, {"do": "level", "level": level}), as_json, f"{name} logs from {level} on")
+    response = _send_to_instance(name, options, {"do": "level", "level": level})
+    print_response(response, options.as_json, f"{name} logs from {level} on")
--- /dev/null
+++ b/thymeflow/cli/output.py
@@ -0,0 +1,51 @@
+"""How commands print what they found, and the exit codes that they end with."""
+
+from __future__ import annotations
+
+import json
+import sys
+import time
+from collections.abc import Callable
+from typing import TYPE_CHECKING, NoReturn
+
+import click
+
+if TYPE_CHECKING:
+    from thymeflow.handover.control_socket import Message
+
+# Exit codes; see `thymeflow --help`.
+NOT_DONE = 1
+BAD_SETTINGS = 2
+NO_RESPONSE = 6
+
+
+def fail(why: str, code: int) -> NoReturn:
+    """Print one line on standard error, and exit."""
+    click.echo(f"thymeflow: {why}", err=True)
+    sys.exit(code)
+
+
+def print_response(response: Message, as_json: bool, text: str) -> NoReturn:
+    """Print a response of a control socket, and exit; the exit code says whether the request succeeded."""
+    is_ok = bool(response.get("ok"))
+    if as_json:
+        click.echo(json.dumps(response))
+    elif is_ok:
+        click.echo(text or str(response.get("why", "done")))
+    else:
+        click.echo(f"thymeflow: {response.get('why', 'refused')}", err=True)
+    sys.exit(0 if is_ok else NOT_DONE)
+
+
+def progress_printer(started_at: float) -> Callable[[Message], None]:
+    """Return a function that prints messages on the way to a response.
+
+    `started_at`: on the monotonic clock; each line has the seconds since then.
+    """
+
+    def print_progress(message: Message) -> None:
+        """Print the text of a message, if it has one."""
+        if "text" in message:
+            click.echo(f"{time.monotonic() - started_at:6.1f} s  {message['text']}", err=True)
+
+    return print_progress
--- a/thymeflow/cli/overload.py
+++ b/thymeflow/cli/overload.py
@@ -1,38 +1,43 @@
-"""`thymeflow overload`: which servers the fleet leaves alone, on whose word, and who tries them."""
+"""`thymeflow overload`: which backends the fleet has ejected, by whose reports, and which member probes them."""
 
 from __future__ import annotations
 
-from typing import Any
+from typing import TYPE_CHECKING
 
 import click
 
-from thymeflow.cli.common import asked, folder_of, json_option, printed, settings_of, settings_option
-from thymeflow.cli.instance import PATIENCE, state_option
+from thymeflow.cli.control import FLEET_SOCKET, STATUS_TIMEOUT, send_request
+from thymeflow.cli.options import ControlOptions, control_options
+from thymeflow.cli.output import print_response
 
+if TYPE_CHECKING:
+    from thymeflow.handover.control_socket import Message
 
-def table(answer: dict[str, Any]) -> str:
-    """The cases as a table for people."""
+
+def format_table(response: Message) -> str:
+    """Return the ejections as a table for people."""
     rows = [
-        f"shed is what stands under {answer['level']:.2f} of the order; pressure of the back end is "
-        f"{answer['pressure']:.2f}",
-        f"{len(answer['members'])} members speak; {answer['left_out']} words were left out; "
-        f"a condemned server is tried every {answer['every_s']:g} s by one of them",
+        f"shed is what stands under {response['level']:.2f} of the order; pressure of the back end is "
+        f"{response['pressure']:.2f}",
+        f"{len(response['members'])} members speak; {response['left_out']} words were left out; "
+        f"a condemned server is tried every {response['every_s']:g} s by one of them",
+        f"{'server':10} {'class':14} {'state':10} {'for s':>8} {'trial':8} {'let in':>6}  on the word of",
     ]
-    rows.append(f"{'server':10} {'class':14} {'state':10} {'for s':>8} {'trial':8} {'let in':>6}  on the word of")
-    for case in answer["cases"]:
-        where = f"zone {case['zone']}" if case["zone"] else f"{case['server']:08x}"
-        rows.append(
-            f"{where:10} {case['class'] or 'all':14} {case['state']:10} {case['for_s']:8.1f} "
-            f"{case['trial'] or '-':8} {case['let_in']:6}  {', '.join(case['words'])}"
-        )
+    rows.extend(_format_ejection(ejection) for ejection in response["cases"])
     return "\n".join(rows)
 
 
+def _format_ejection(ejection: Message) -> str:
+    target = f"zone {ejection['zone']}" if ejection["zone"] else f"{ejection['server']:08x}"
+    return (
+        f"{target:10} {ejection['class'] or 'all':14} {ejection['state']:10} {ejection['for_s']:8.1f} "
+        f"{ejection['trial'] or '-':8} {ejection['let_in']:6}  {', '.join(ejection['words'])}"
+    )
+
+
 @click.command()
-@settings_option
-@state_option
-@json_option
-def overload(settings_path: str | None, state: str | None, as_json: bool) -> None:
+@control_options
+def overload(options: ControlOptions) -> None:
     """Show which servers the fleet leaves alone, on whose word, and who tries them."""
-    answer = asked(folder_of(settings_of(settings_path), state) / "fleet.sock", {"do": "overload"}, PATIENCE)
-    printed(answer, as_json, table(answer) if answer.get("ok") else "")
+    response = send_request(options.socket_path(FLEET_SOCKET), {"do": "overload"}, STATUS_TIMEOUT)
+    print_response(response, options.as_json, format_table(response) if response.get("ok") else "")
--- /dev/null
+++ b/thymeflow/cli/platform_check.py
@@ -0,0 +1,89 @@
+"""The check of the platform's JSON: every fault that can be found key by key."""
+
+from __future__ import annotations
+
+import json
+import os
+from collections.abc import Callable
+from pathlib import Path
+from typing import NamedTuple
+
+from thymeflow.settings import Fault
+from thymeflow.settings.reader import suggest_name
+
+KEYS = ("name", "listen", "discovery", "seed", "limits", "counter", "known", "settings")
+
+
+class _KeyCheck(NamedTuple):
+    """How the value of one key is checked, and what to write instead of a bad one."""
+
+    key: str
+    check: Callable[..., object]
+    mend: str
+
+
+def find_platform_faults(path: str) -> list[Fault]:
+    """Return all that is wrong with the platform's JSON, as far as it can be found key by key."""
+    from thymeflow.platform import configuration
+
+    source = _read_object(path)
+    if isinstance(source, Fault):
+        return [source]
+    faults = [
+        Fault(path, 0, "", key, "is no key of the platform's", suggest_name(key, KEYS))
+        for key in source
+        if key not in KEYS
+    ]
+    for check in _key_checks():
+        if source.get(check.key) is None:
+            continue
+        why = _check_value(check, source[check.key])
+        if why is not None:
+            faults.append(Fault(path, 0, "", check.key, why, check.mend))
+    if not faults:
+        try:
+            configuration.from_source(source, path, os.environ)
+        except configuration.ConfigurationError as error:
+            why = str(error).removeprefix(f"{path}: ")
+            faults.append(Fault(path, 0, "", "", why, "mend what it names"))
+    return faults
+
+
+def _read_object(path: str) -> dict[str, object] | Fault:
+    """Return the JSON object in a file, or why there is none."""
+    try:
+        source: object = json.loads(Path(path).read_text())
+    except OSError as error:
+        return Fault(path, 0, "", "", f"cannot be read ({error.strerror})", "name a file that may be read")
+    except json.JSONDecodeError as error:
+        return Fault(path, error.lineno, "", "", f"is no JSON: {error.msg}", "mend it at that line")
+    except ValueError as error:
+        return Fault(path, 0, "", "", str(error), "save it as UTF-8")
+    if not isinstance(source, dict):
+        return Fault(path, 0, "", "", "is no JSON object", "begin it with {")
+    return source
+
+
+def _key_checks() -> list[_KeyCheck]:
+    from thymeflow.platform import configuration
+    from thymeflow.simulator import settings_from
+
+    return [
+        _KeyCheck("listen", lambda value: configuration.address(value, 0), "write host:port"),
+        _KeyCheck("discovery", configuration.address, "write host:port"),
+        _KeyCheck("counter", configuration.address, "write host:port"),
+        _KeyCheck("known", lambda value: configuration.listed(value, cached=True), "write a list in discovery's form"),
+        _KeyCheck("seed", lambda value: int(str(value), 16), "write a hexadecimal number"),
+        _KeyCheck("settings", settings_from, "compare it with deploy/example.json"),
+    ]
+
+
+def _check_value(check: _KeyCheck, value: object) -> str | None:
+    """Return why a value cannot be used, or None."""
+    try:
+        check.check(value)
+    except KeyError as error:
+        return f"{error} is missing"
+    except (ValueError, TypeError, AttributeError, OverflowError) as error:
+        return str(error)
+    return None
--- a/thymeflow/cli/serve.py
+++ b/thymeflow/cli/serve.py
@@ -9,18 +9,13 @@
 
 import click
 
-from thymeflow.cli.common import settings_of, settings_option
+from thymeflow.cli.options import platform_option, read_or_exit, settings_option
 from thymeflow.settings import Settings, read_settings
 
 
 @click.command()
 @settings_option
-@click.option(
-    "--platform",
-    type=click.Path(dir_okay=False),
-    default=None,
-    help="The platform's JSON; [daemon] platform or BALANCER_CONFIG where it is left out.",
-)
+@platform_option
 @click.option("--state", type=click.Path(file_okay=False), default=None, help="Goes before [daemon] state.")
 @click.option("--joins", is_flag=True, help="Into a running set: customers' stores start empty.")
 @click.option(
@@ -33,25 +28,25 @@
     settings_path: str | None, platform: str | None, state: str | None, joins: bool, take_over: bool, detach: bool
 ) -> None:
     """Run one limiter as a daemon, in the foreground."""
-    settings = settings_of(settings_path)
+    settings = read_or_exit(settings_path)
     if detach:
         with contextlib.suppress(OSError):  # it leads a session already
             os.setsid()
 
-    def merged(found: Settings) -> Settings:
-        return replace(found, daemon=replace(found.daemon, state=state)) if state else found
-
-    from thymeflow.daemon.service import Options
-    from thymeflow.daemon.service import serve as run
+    from thymeflow.daemon import service
     from thymeflow.platform import configuration
 
-    path = platform or settings.daemon.platform or os.environ.get("BALANCER_CONFIG", "")
-    environment = {**os.environ, "BALANCER_CONFIG": path}
-    sys.exit(
-        run(
-            merged(settings),
-            lambda: configuration.load(environment),
-            Options(joins, take_over),
-            lambda: merged(read_settings(settings_path)),
-        )
+    platform_path = platform or settings.daemon.platform or os.environ.get("BALANCER_CONFIG", "")
+    environment = {**os.environ, "BALANCER_CONFIG": platform_path}
+    exit_code = service.serve(
+        _with_state(settings, state),
+        lambda: configuration.load(environment),
+        service.Options(joins, take_over),
+        lambda: _with_state(read_settings(settings_path), state),
     )
+    sys.exit(exit_code)
+
+
+def _with_state(settings: Settings, state: str | None) -> Settings:
+    """Return the settings with the state folder of the command line, if there is one."""
+    return replace(settings, daemon=replace(settings.daemon, state=state)) if state else settings
--- a/thymeflow/cli/snapshot.py
+++ b/thymeflow/cli/snapshot.py
@@ -6,25 +6,21 @@
 import sys
 import time
 from pathlib import Path
+from typing import TYPE_CHECKING
 
 import click
 
-from thymeflow.cli.common import (
-    BAD_SETTINGS,
-    asked,
-    fail,
-    folder_of,
-    json_option,
-    printed,
-    settings_of,
-    settings_option,
-)
-from thymeflow.cli.instance import PATIENCE, state_option
+from thymeflow.cli.control import STATUS_TIMEOUT, send_request
+from thymeflow.cli.options import ControlOptions, control_options, json_option
+from thymeflow.cli.output import BAD_SETTINGS, fail, print_response
+
+if TYPE_CHECKING:
+    from thymeflow.snapshot.schema import Snapshot
 
 
 @click.group()
 def snapshot() -> None:
-    """What an instance remembers from one life to the next."""
+    """What an instance remembers from one life to the next."""  # noqa: D401 - the help text
 
 
 @snapshot.command()
@@ -35,38 +31,47 @@
     """Show what lies in a snapshot FILE, and whether it is sound."""
     from dataclasses import asdict
 
+    found = _read_snapshot(file)
+    if as_json:
+        click.echo(json.dumps(asdict(found)))
+        sys.exit(0)
+    click.echo(format_snapshot(found, customers))
+
+
+def _read_snapshot(file: str) -> Snapshot:
+    """Return the snapshot in a file; exit if there is none that can be read."""
     from thymeflow.snapshot import atomic_file, schema
 
     try:
         data = atomic_file.read(Path(file))
         if data is None:
             fail(f"{file}: there is no such file", BAD_SETTINGS)
-        found = schema.unpack(data)
-    except schema.SnapshotError as fault:
-        fail(f"{file}: {fault}", BAD_SETTINGS)
-    if as_json:
-        click.echo(json.dumps(asdict(found)))
-        sys.exit(0)
-    age = time.time() - found.taken
+        return schema.unpack(data)
+    except schema.SnapshotError as error:
+        fail(f"{file}: {error}", BAD_SETTINGS)
+
+
+def format_snapshot(found: Snapshot, max_customers: int) -> str:
+    """Return a snapshot as lines for people, with the customers whose buckets are the emptiest."""
+    age_seconds = time.time() - found.taken
     kind = "the last of its life" if found.final else "taken in passing"
-    click.echo(f"{found.name}, life {found.life}, site {found.site}: {kind}, {age:.1f} s old, one of {found.gateways}")
-    click.echo(
+    lines = [
+        f"{found.name}, life {found.life}, site {found.site}: {kind}, {age_seconds:.1f} s old, one of {found.gateways}",
         f"{len(found.servers)} servers (list {found.version}), {len(found.stores)} customers, "
-        f"pressure {found.pressure:.2f}"
-    )
-    for store in sorted(found.stores, key=lambda s: s.level)[:customers]:
-        click.echo(
-            f"  {store.number:08x} {store.plan:12} level {store.level:9.2f}  asks {store.own:7.2f}/s here, "
-            f"{store.others:7.2f}/s elsewhere; charged {store.charged:.1f}"
+        f"pressure {found.pressure:.2f}",
+    ]
+    for bucket in sorted(found.stores, key=lambda store: store.level)[:max_customers]:
+        lines.append(
+            f"  {bucket.number:08x} {bucket.plan:12} level {bucket.level:9.2f}  asks {bucket.own:7.2f}/s here, "
+            f"{bucket.others:7.2f}/s elsewhere; charged {bucket.charged:.1f}"
         )
+    return "\n".join(lines)
 
 
 @snapshot.command()
 @click.argument("name")
-@settings_option
-@state_option
-@json_option
-def take(name: str, settings_path: str | None, state: str | None, as_json: bool) -> None:
+@control_options
+def take(options: ControlOptions, name: str) -> None:
     """Let instance NAME write its snapshot now."""
-    answer = asked(folder_of(settings_of(settings_path), state) / f"{name}.sock", {"do": "snapshot"}, PATIENCE)
-    printed(answer, as_json, f"{answer.get('path')}: {answer.get('bytes')} bytes")
+    response = send_request(options.socket_path(name), {"do": "snapshot"}, STATUS_TIMEOUT)
+    print_response(response, options.as_json, f"{response.get('path')}: {response.get('bytes')} bytes")
--- a/thymeflow/daemon/instance.py
+++ b/thymeflow/daemon/instance.py
@@ -34,7 +34,7 @@
     def callWhenRunning(self, function: Callable[[], object]) -> object:  # noqa: N802 - Twisted's name
         """Call a function now, or as soon as the reactor runs."""
 
-    def run(self, installSignalHandlers: bool) -> None:  # noqa: N803 - Twisted's name
+    def run(self, installSignalHandlers: bool = True) -> None:  # noqa: N803 - Twisted's name
         """Run until `stop`."""
 
     def stop(self) -> None:
