--- /dev/null
+++ b/tests/daemon/support.py
@@ -0,0 +1,115 @@
+"""What the tests of the daemon share: waiting for processes, spending quota, and a scripted successor."""
+
+from __future__ import annotations
+
+import array
+import json
+import os
+import select
+import socket
+import subprocess
+import time
+from collections.abc import Callable
+from typing import Any, NamedTuple, TypeVar
+
+from tests.limiter import PATIENCE, Limiter, request
+from thymeflow.simulator import settings_from
+from thymeflow.snapshot.schema import site_of
+
+T = TypeVar("T")
+
+RESPONSE = b"*3\r\n$5\r\nvalue\r\n$6\r\ncost=1\r\n$-1\r\n"
+SMALL_QUOTA: dict[str, Any] = {"tiers-of-service": [{"name": "basic", "refill": 0.01, "most-at-once": 20.0}]}
+MAX_REQUESTS = 100  # far more than a small quota admits
+
+
+class ProcessExit(NamedTuple):
+    """How a process ended, and what it logged until then."""
+
+    code: int
+    log: str
+
+
+def wait_for_log_line(process: subprocess.Popen[str], text: str) -> str:
+    """Return the next line of a process's log that contains the text."""
+    assert process.stderr is not None
+    for line in process.stderr:
+        if text in line:
+            return line
+    message = f"the log ended without {text!r}"
+    raise AssertionError(message)
+
+
+def wait_for_exit(process: subprocess.Popen[str]) -> ProcessExit:
+    """Wait until a process has ended."""
+    _, log = process.communicate(timeout=PATIENCE)
+    return ProcessExit(process.returncode, log)
+
+
+def poll_until(condition: Callable[[], T]) -> T:
+    """Return the first result of the condition that is true."""
+    deadline = time.monotonic() + PATIENCE
+    while not (result := condition()):
+        assert time.monotonic() < deadline
+        time.sleep(0.01)
+    return result
+
+
+def spend_quota(limiter: Limiter, first_number: int) -> int:
+    """Send requests until one is rejected; return how many were forwarded."""
+    client = limiter.connect()
+    backend = None
+    for number in range(first_number, first_number + MAX_REQUESTS):
+        client.send(request(number))
+        if backend is None:
+            select.select([client.sock, limiter.servers[0].sock], [], [], PATIENCE)
+            if not client.silent(0.0):
+                assert client.line().startswith(b"-BUSY")
+                return 0
+            backend = limiter.servers[0].accept()
+        select.select([client.sock, backend.sock], [], [], PATIENCE)
+        if not client.silent(0.0):
+            assert client.line().startswith(b"-BUSY")
+            backend.close()
+            client.close()
+            return number - first_number
+        backend.words()
+        backend.send(RESPONSE)
+        assert client.bulk() == b"value"
+    message = f"none of {MAX_REQUESTS} requests was rejected"
+    raise AssertionError(message)
+
+
+class ScriptedSuccessor:
+    """A successor played by the test, which can stop at any step of a handover."""
+
+    def __init__(self, limiter: Limiter) -> None:
+        self.sock = socket.socket(socket.AF_UNIX)
+        self.sock.settimeout(PATIENCE)
+        self.sock.connect(str(limiter.state / "n0.sock"))
+        self.descriptors: list[int] = []
+        self.send(do="take", life="x", pid=1, site=site_of(settings_from(limiter.config["settings"])))
+
+    def send(self, **message: object) -> None:
+        """Send one message."""
+        self.sock.sendall(json.dumps(message).encode() + b"\n")
+
+    def receive(self) -> dict[str, Any]:
+        """Return the next message, and keep the descriptors that come with it."""
+        data = b""
+        while not data.endswith(b"\n"):
+            chunk, ancillary, _, _ = self.sock.recvmsg(4096, socket.CMSG_SPACE(16))
+            data += chunk
+            for _, _, value in ancillary:
+                descriptors = array.array("i")
+                descriptors.frombytes(value)
+                self.descriptors += descriptors
+            assert chunk, "closed"
+        message: dict[str, Any] = json.loads(data)
+        return message
+
+    def close(self) -> None:
+        """Close the connection and all descriptors."""
+        self.sock.close()
+        for descriptor in self.descriptors:
+            os.close(descriptor)
--- /dev/null
+++ b/tests/daemon/test_control_socket.py
@@ -0,0 +1,73 @@
+"""Requests to the control socket of a running daemon."""
+
+from __future__ import annotations
+
+import contextlib
+import json
+import socket
+from pathlib import Path
+
+from tests.daemon.support import RESPONSE, poll_until
+from tests.limiter import PATIENCE, Limiter, command, request
+
+
+def test_control_socket_stays_usable_when_callers_are_malformed_or_hang(tmp_path: Path) -> None:
+    with Limiter(
+        tmp_path,
+        serve=(),
+        environment={"THYMEFLOW_DAEMON_CONTROL_CALLERS": "2", "THYMEFLOW_DAEMON_CONTROL_PATIENCE": "300ms"},
+    ) as limiter:
+        path = limiter.state / "n0.sock"
+        assert path.stat().st_mode & 0o777 == 0o600
+        for bad, why in (
+            ({"do": "fly"}, "'do' is 'fly'"),
+            ({"do": "drain", "linger": -1}, "linger is '-1'"),
+            ({"do": "drain", "linger": True}, "linger"),
+            ({"do": "level", "level": 3}, "level is '3'"),
+            ({"do": ["status"]}, "'do' is"),
+            ({"do": "ready"}, "'do' is"),
+        ):
+            response = limiter.ask(**bad)
+            assert response["ok"] is False
+            assert why in response["why"]
+        for malformed in (b"no json\n", b"[]\n", b"[" * 60000 + b"\n", b"x" * 70000):
+            with socket.socket(socket.AF_UNIX) as caller:
+                caller.connect(str(path))
+                caller.settimeout(PATIENCE)
+                with contextlib.suppress(BrokenPipeError, ConnectionResetError):
+                    caller.sendall(malformed)
+                    assert b'"ok":false' in caller.recv(4096)
+        hung = [socket.socket(socket.AF_UNIX) for _ in range(2)]
+        for caller in hung:
+            caller.connect(str(path))
+            caller.sendall(b'{"do":')  # and not another byte
+
+        def is_answering() -> bool:
+            with contextlib.suppress(OSError, ValueError):
+                return bool(limiter.ask(do="status")["ok"])
+            return False
+
+        poll_until(is_answering)  # hung callers are disconnected, and their slots are free again
+        for caller in hung:
+            caller.close()
+        assert limiter.ask(do="level", level="error")["ok"]
+        limiter.until(b"+PONG", command(b"PING"))
+
+
+def test_number_of_limiters_changes_when_the_platform_file_is_reloaded(tmp_path: Path) -> None:
+    with Limiter(tmp_path, serve=()) as limiter:
+        client = limiter.connect()
+        client.send(request(1).replace(b"first=0", b"first=3"))
+        assert client.line().startswith(b"-ERR")
+        limiter.config["settings"]["balancers"] = 4
+        limiter.path.write_text(json.dumps(limiter.config))
+        assert limiter.ask(do="reload")["ok"]
+        assert limiter.ask(do="status")["gateways"] == 4
+        client.send(request(2).replace(b"spread=1,first=0", b"spread=2,first=3"))
+        backend = limiter.servers[0].accept()
+        backend.words()
+        backend.send(RESPONSE)
+        assert client.bulk() == b"value"
+        limiter.path.write_text("{")
+        assert not limiter.ask(do="reload")["ok"]
+        assert limiter.ask(do="status")["gateways"] == 4
--- /dev/null
+++ b/tests/daemon/test_handover.py
@@ -0,0 +1,92 @@
+"""Hot restarts between two daemons: those that succeed, and those that stop half way."""
+
+from __future__ import annotations
+
+import json
+import signal
+from pathlib import Path
+
+import pytest
+
+from tests.daemon.support import (
+    RESPONSE,
+    SMALL_QUOTA,
+    ScriptedSuccessor,
+    poll_until,
+    spend_quota,
+    wait_for_exit,
+    wait_for_log_line,
+)
+from tests.limiter import PATIENCE, Limiter, command, request
+
+
+def test_socket_and_state_move_and_open_requests_finish_when_a_successor_takes_over(tmp_path: Path) -> None:
+    with Limiter(tmp_path, serve=(), **SMALL_QUOTA) as limiter:
+        first = spend_quota(limiter, 1) - 2
+        client = limiter.connect()
+        client.send(request(300, "book"))
+        old = limiter.ask(do="status")
+        poll_until(lambda: limiter.ask(do="status")["open"] == 1 or not client.silent(0.0))
+        busy = client.silent(0.0)
+        if busy:
+            backend = limiter.servers[0].accept()
+            backend.words()
+        successor = limiter.start(("--take-over",))
+        predecessor = limiter.succeed(successor)
+        predecessor.send_signal(signal.SIGHUP)  # harmless in the middle of it
+        wait_for_log_line(successor, "hand-over: done")
+        status = limiter.ask(do="status")
+        assert status["pid"] == successor.pid != old["pid"]
+        assert status["listen"] == old["listen"]
+        if busy:  # in flight all the while: one response, by the predecessor
+            assert predecessor.poll() is None
+            backend.send(RESPONSE)
+            assert client.bulk() == b"value"
+        assert wait_for_exit(predecessor).code == 0
+        assert spend_quota(limiter, 400) <= max(1, 12 - first)
+        successor.send_signal(signal.SIGTERM)
+        successor.send_signal(signal.SIGTERM)
+        assert wait_for_exit(successor).code == 0
+        assert not list(limiter.state.glob("*.sock"))
+
+
+@pytest.mark.parametrize("steps", [0, 1, 2])
+@pytest.mark.parametrize("way", ["dies", "hangs"])
+def test_predecessor_serves_on_when_its_successor_dies_or_hangs(tmp_path: Path, steps: int, way: str) -> None:
+    with Limiter(tmp_path, serve=(), environment={"THYMEFLOW_DAEMON_HAND_OVER": "500ms"}) as limiter:
+        scripted = ScriptedSuccessor(limiter)
+        assert "offer" in scripted.receive()
+        assert len(scripted.descriptors) == 2
+        if steps:
+            scripted.send(do="ready")
+            assert scripted.receive()["state"] > 0
+        if steps == 2:
+            scripted.send(do="took")
+            assert "yours" in scripted.receive()
+        waiting = limiter.connect()  # connects while nobody may accept: it waits, and is served
+        waiting.send(command(b"PING"))
+        if way == "dies":
+            scripted.close()
+        assert "this life serves on" in limiter.log("hand-over: came to no end")
+        assert waiting.line() == b"+PONG"
+        assert limiter.ask(do="status")["hand_over"] == "whole"
+        if way == "hangs":
+            scripted.close()
+        successor = limiter.start(("--take-over",))  # and the next one goes well
+        limiter.succeed(successor).wait(PATIENCE)
+        wait_for_log_line(successor, "hand-over: done")
+
+
+def test_successor_exits_with_a_reason_when_it_cannot_take_over(tmp_path: Path) -> None:
+    with Limiter(tmp_path, serve=()) as limiter:
+        limiter.config["settings"]["tiers-of-service"][0]["refill"] = 7.0
+        limiter.path.write_text(json.dumps(limiter.config))
+        exit_code, log = wait_for_exit(limiter.start(("--take-over",)))
+        assert exit_code == 5
+        assert "plans or place in the set differ" in log
+        assert limiter.ask(do="status")["phase"] == "serving"
+        limiter.terminate()
+        wait_for_exit(limiter.process)
+        exit_code, log = wait_for_exit(limiter.start(("--take-over",)))
+        assert exit_code == 5
+        assert "nobody to take over from" in log
--- a/tests/test_observe.py
+++ b/tests/logs/test_logs.py
@@ -1,4 +1,4 @@
-"""Log lines that many instances share: whole lines, bounded, through a rotation, with who wrote them."""
+"""Log files that many processes append to, and the structured lines in them."""
 
 from __future__ import annotations
 
@@ -12,54 +12,57 @@
 from thymeflow.runtime import clock, log
 from thymeflow.settings.sections import Log
 
-LINES = 400
+LINE_COUNT = 400
 
 
 def _append(path: str, number: int) -> None:
-    out = SharedFile(Path(path), 4096, clock.now)
-    for line in range(LINES):
-        out.write(json.dumps({"who": number, "line": line, "text": "x" * (line % 900)}))
+    shared_file = SharedFile(Path(path), 4096, clock.now)
+    for line in range(LINE_COUNT):
+        shared_file.write(json.dumps({"who": number, "line": line, "text": "x" * (line % 900)}))
 
 
-def test_many_processes_append_whole_lines(tmp_path: Path) -> None:
+def test_lines_are_complete_when_many_processes_append(tmp_path: Path) -> None:
     path = tmp_path / "log"
     with multiprocessing.get_context("fork").Pool(6) as pool:
         pool.starmap(_append, [(str(path), n) for n in range(6)])
     seen = [json.loads(line) for line in path.read_text().splitlines()]
-    assert sorted((s["who"], s["line"]) for s in seen) == [(w, n) for w in range(6) for n in range(LINES)]
+    assert sorted((s["who"], s["line"]) for s in seen) == [(w, n) for w in range(6) for n in range(LINE_COUNT)]
 
 
-def test_a_rotated_file_is_left_and_the_new_one_taken(tmp_path: Path) -> None:
-    path, now = tmp_path / "log", [0.0]
-    out = SharedFile(path, 4096, lambda: now[0])
-    out.write("one")
+def test_new_file_is_used_when_the_old_one_is_rotated(tmp_path: Path) -> None:
+    path = tmp_path / "log"
+    now = [0.0]
+    shared_file = SharedFile(path, 4096, lambda: now[0])
+    shared_file.write("one")
     path.rename(tmp_path / "log.1")
-    out.write("two")  # within a second the old one still takes lines: nothing is lost
+    shared_file.write("two")  # within a second the old one still takes lines: nothing is lost
     now[0] = 2.0
-    out.write("three")
+    shared_file.write("three")
     assert (tmp_path / "log.1").read_text() == "one\ntwo\n"
     assert path.read_text() == "three\n"
 
 
-def test_lines_are_bounded_and_hold_no_line_end(tmp_path: Path) -> None:
+def test_line_is_cut_and_has_one_line_end_when_it_is_too_long(tmp_path: Path) -> None:
     path = tmp_path / "log"
-    out = SharedFile(path, 256, clock.now)
-    out.write("a\nb" + "é" * 1000)
+    shared_file = SharedFile(path, 256, clock.now)
+    shared_file.write("a\nb" + "é" * 1000)
     data = path.read_bytes()
-    assert len(data) <= 256 and data.count(b"\n") == 1 and data.startswith(b"a b")
+    assert len(data) <= 256
+    assert data.count(b"\n") == 1
+    assert data.startswith(b"a b")
     data.decode()
 
 
-def test_a_full_disk_ends_nothing() -> None:
-    out = SharedFile(Path("/dev/full"), 256, clock.now)
-    out.write("lost")
-    assert out.dropped_lines == 1
+def test_line_is_counted_as_dropped_when_the_disk_is_full() -> None:
+    shared_file = SharedFile(Path("/dev/full"), 256, clock.now)
+    shared_file.write("lost")
+    assert shared_file.dropped_lines == 1
 
 
-def test_json_lines_say_who_wrote_them_and_keep_types(tmp_path: Path) -> None:
+def test_json_line_has_its_writer_and_typed_fields(tmp_path: Path) -> None:
     path = tmp_path / "log"
-    book = StructuredLog(Log(form="json", file=str(path)), "n3", "cafe")
-    book.write("connect failed", "10.0.0.1:1: refused", 4, {"tries": 2, "pid": 7, "address": path})
+    structured_log = StructuredLog(Log(form="json", file=str(path)), "n3", "cafe")
+    structured_log.write("connect failed", "10.0.0.1:1: refused", 4, {"tries": 2, "pid": 7, "address": path})
     line = json.loads(path.read_text())
     assert {k: line[k] for k in ("instance", "life", "kind", "text", "skipped", "tries", "field_pid")} == {
         "instance": "n3",
@@ -70,28 +73,31 @@
         "tries": 2,
         "field_pid": 7,
     }
-    assert line["address"] == str(path) and line["level"] == "info" and line["at"].endswith("Z")
+    assert line["address"] == str(path)
+    assert line["level"] == "info"
+    assert line["at"].endswith("Z")
 
 
-def test_the_text_form_is_that_of_the_page_and_paced_kinds_stay_paced(tmp_path: Path) -> None:
+def test_text_line_has_the_documented_form_and_paced_kinds_stay_paced(tmp_path: Path) -> None:
     path = tmp_path / "log"
-    book = StructuredLog(Log(file=str(path)), "n3", "cafe")
+    structured_log = StructuredLog(Log(file=str(path)), "n3", "cafe")
     try:
-        log.to(book.write)
+        log.to(structured_log.write)
         for number in range(5):
             log.say("paced for the test", f"number {number}")
     finally:
         log.to(log.plain)
     (line,) = path.read_text().splitlines()
-    assert line.endswith(" paced for the test: number 0") and " n3 cafe " in line
+    assert line.endswith(" paced for the test: number 0")
+    assert " n3 cafe " in line
 
 
-def test_levels_and_library_lines(tmp_path: Path) -> None:
+def test_library_error_is_logged_and_lower_levels_are_not(tmp_path: Path) -> None:
     path = tmp_path / "log"
-    book = StructuredLog(Log(form="json", file=str(path), level="error"), "n3", "cafe")
+    structured_log = StructuredLog(Log(form="json", file=str(path), level="error"), "n3", "cafe")
     before = logging.getLogger().handlers[:]
     try:
-        book.install()
+        structured_log.install()
         log.note("phase", "left out")
         try:
             raise ValueError("broken\nin two")
