--- a/thymeflow/settings/ini_file.py
+++ b/thymeflow/settings/ini_file.py
@@ -71,10 +71,10 @@
     error: configparser.DuplicateOptionError | configparser.DuplicateSectionError | configparser.ParsingError, name: str
 ) -> list[Fault]:
     if isinstance(error, configparser.DuplicateOptionError):
-        return [Fault(name, error.lineno or 0, error.section, error.option, "is set twice", "keep one of the two")]
+        return [Fault(name, error.lineno or 0, str(error.section), error.option, "is set twice", "keep one of the two")]
     if isinstance(error, configparser.DuplicateSectionError):
         mend = "write its keys under one head"
-        return [Fault(name, error.lineno or 0, error.section, "", "stands twice", mend)]
+        return [Fault(name, error.lineno or 0, str(error.section), "", "stands twice", mend)]
     if isinstance(error, configparser.MissingSectionHeaderError):
         mend = "begin with a head such as [daemon]"
         return [Fault(name, error.lineno, "", "", "a line stands before any section", mend)]
