--- a/thymeflow/daemon/handover.py
+++ b/thymeflow/daemon/handover.py
@@ -27,7 +27,7 @@
 class DaemonHandover:
     """The instance as a `HandoverParticipant`, with its sender and, if it takes over, its receiver."""
 
-    rollback_window = 0.0  # s; whoever started the successor watches it, and starts another
+    rollback_window = 0.0  # s; the service manager or supervisor watches the successor, and starts another
     requires_same_site = True
 
     def __init__(self, instance: Instance, open_control: Callable[[], str], is_successor: bool) -> None:
--- a/thymeflow/settings/ini_file.py
+++ b/thymeflow/settings/ini_file.py
@@ -15,7 +15,7 @@
 
 @dataclass(frozen=True, slots=True)
 class IniFile:
-    """The sections of a settings file, and the line at which each section and key stands."""
+    """The sections of a settings file, and the line number of each section and key."""
 
     name: str
     sections: RawSections
