--- a/tests/daemon/support.py
+++ b/tests/daemon/support.py
@@ -13,8 +13,8 @@
 from typing import Any, NamedTuple, TypeVar
 
 from tests.limiter import PATIENCE, Limiter, request
-from thymeflow.simulator import settings_from
-from thymeflow.snapshot.schema import site_of
+from thymeflow.platform.settings import settings_from
+from thymeflow.snapshot.schema import site_digest
 
 T = TypeVar("T")
 
@@ -88,7 +88,7 @@
         self.sock.settimeout(PATIENCE)
         self.sock.connect(str(limiter.state / "n0.sock"))
         self.descriptors: list[int] = []
-        self.send(do="take", life="x", pid=1, site=site_of(settings_from(limiter.config["settings"])))
+        self.send(do="take", life="x", pid=1, site=site_digest(settings_from(limiter.config["settings"])))
 
     def send(self, **message: object) -> None:
         """Send one message."""
--- a/tests/test_message_formats.py
+++ b/tests/test_message_formats.py
@@ -23,7 +23,7 @@
 
 from tests.helpers import fleet, request, sends, settings
 from tests.limiter import PATIENCE, ROOT, Limiter
-from thymeflow.daemon.lease_share import LeaseShare
+from thymeflow.daemon.allocation import MemberAllocation
 from thymeflow.decision.events import AttemptEnded, EndpointsChanged
 from thymeflow.decision.gateway import Gateway
 from thymeflow.decision.types import EndpointListKind, Status
@@ -241,12 +241,12 @@
 def test_member_reports_its_allocation_alike_when_it_has_one(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(clock, "now", lambda: 100.0)
     monkeypatch.setattr(clock, "monotonic", lambda: 1200.0)
-    own = LeaseShare(PART)
+    own = MemberAllocation(PART)
     monkeypatch.setattr(clock, "now", lambda: 102.0)
     core: Any = type("Core", (), {"response_counts": {"ok": 30, "busy": 11}})()
-    told = own.told(core)
-    refused = [own.offered({**PART, "number": 8}), own.offered({}), LeaseShare(None).offered(PART)]
-    same("allocation report", [told, own.offered({**PART, "number": 10}), refused, own.hand_on(), own.told(core)])
+    told = own.report(core)
+    refused = [own.on_grant({**PART, "number": 8}), own.on_grant({}), MemberAllocation(None).on_grant(PART)]
+    same("allocation report", [told, own.on_grant({**PART, "number": 10}), refused, own.hand_over(), own.report(core)])
 
 
 def test_ejections_have_the_same_form_when_they_are_read() -> None:
--- a/tests/test_stored_formats.py
+++ b/tests/test_stored_formats.py
@@ -20,7 +20,7 @@
 
 from tests.helpers import KEYED, PLAN, SAFE, fleet, settings
 from thymeflow.daemon import lock
-from thymeflow.daemon.snapshots import Memory
+from thymeflow.daemon.snapshot_file import SnapshotFile
 from thymeflow.decision.events import EndpointsChanged
 from thymeflow.decision.gateway import Gateway
 from thymeflow.decision.settings import Information
@@ -152,16 +152,16 @@
     monkeypatch.setattr(clock, "now", lambda: RESTORED_AT)
     (tmp_path / "n0.state").write_bytes(stored("snapshot-v2-final"))
     known = restore.endpoint_update_of(schema.unpack(stored("snapshot-v2-final")))
-    memory = Memory(tmp_path / "n0.state", "n0", "0b1c2d3e", known)
+    memory = SnapshotFile(tmp_path / "n0.state", "n0", "0b1c2d3e", known)
     gateway = restarted_gateway()
     memory.set_gateway(gateway)
     memory.on_endpoint_update(known)
-    before = memory.told()
-    found = memory.read(site_digest(), 30.0)
+    before = memory.status()
+    found = memory.read_usable(site_digest(), 30.0)
     assert found is not None and plain(found) == expected("snapshot-v2-final")
     memory.restore(found, "file")
     memory.write_last()
-    assert [before, memory.told()] == expected("snapshot status")
+    assert [before, memory.status()] == expected("snapshot status")
     assert (tmp_path / "n0.state").read_bytes() == stored("snapshot-v2-last")
 
 
@@ -205,7 +205,7 @@
 
 
 def test_lock_file_holds_process_and_incarnation_when_the_name_is_taken(tmp_path: Path) -> None:
-    held = lock.Lock.take(tmp_path / "n0.lock", "0a1b2c3d")
+    held = lock.NameLock.acquire(tmp_path / "n0.lock", "0a1b2c3d")
     try:
         text = (tmp_path / "n0.lock").read_text()
         assert text.replace(str(os.getpid()), "4242", 1).encode() == stored("n0.lock")
@@ -218,11 +218,11 @@
     path.write_bytes(stored("n0.lock"))
     with path.open("rb+") as holder:
         fcntl.flock(holder, fcntl.LOCK_EX)
-        assert not lock.is_free(path)
+        assert not lock.is_name_free(path)
         with pytest.raises(lock.NameTakenError) as refused:
-            lock.Lock.take(path, "0b1c2d3e")
+            lock.NameLock.acquire(path, "0b1c2d3e")
     assert str(refused.value) == expected("lock held")
-    assert lock.is_free(path) and path.read_bytes() == stored("n0.lock")
+    assert lock.is_name_free(path) and path.read_bytes() == stored("n0.lock")
 
 
 def test_plan_of_the_test_settings_is_in_the_snapshots_when_they_are_restored() -> None:
--- a/thymeflow/cli/control.py
+++ b/thymeflow/cli/control.py
@@ -33,7 +33,7 @@
     """
     from twisted.internet import reactor as installed_reactor
 
-    from thymeflow.handover.control_client import NoAnswerError, ask
+    from thymeflow.handover.control_client import NoAnswerError, send_request
     from thymeflow.runtime import clock
 
     reactor = cast("Reactor", installed_reactor)
@@ -42,7 +42,7 @@
     def begin() -> None:
         """Send the request, and stop the reactor when there is a result."""
         deadline = clock.now() + timeout
-        response = ask(reactor, clock.Deadlines(reactor), path, message, deadline, on_progress)
+        response = send_request(reactor, clock.Deadlines(reactor), path, message, deadline, on_progress)
         response.addBoth(results.append).addBoth(lambda _: reactor.stop())
 
     reactor.callWhenRunning(begin)
--- a/thymeflow/cli/platform_check.py
+++ b/thymeflow/cli/platform_check.py
@@ -65,14 +65,16 @@
 
 
 def _key_checks() -> list[_KeyCheck]:
-    from thymeflow.platform import configuration
-    from thymeflow.simulator import settings_from
+    from thymeflow.platform import endpoints
+    from thymeflow.platform.settings import settings_from
 
     return [
-        _KeyCheck("listen", lambda value: configuration.address(value, 0), "write host:port"),
-        _KeyCheck("discovery", configuration.address, "write host:port"),
-        _KeyCheck("counter", configuration.address, "write host:port"),
-        _KeyCheck("known", lambda value: configuration.listed(value, cached=True), "write a list in discovery's form"),
+        _KeyCheck("listen", lambda value: endpoints.address(value, 0), "write host:port"),
+        _KeyCheck("discovery", endpoints.address, "write host:port"),
+        _KeyCheck("counter", endpoints.address, "write host:port"),
+        _KeyCheck(
+            "known", lambda value: endpoints.endpoint_update(value, cached=True), "write a list in discovery's form"
+        ),
         _KeyCheck("seed", lambda value: int(str(value), 16), "write a hexadecimal number"),
         _KeyCheck("settings", settings_from, "compare it with deploy/example.json"),
     ]
--- a/thymeflow/daemon/activation.py
+++ b/thymeflow/daemon/activation.py
@@ -6,7 +6,7 @@
 import socket
 from collections.abc import MutableMapping
 
-from thymeflow.handover.listening_sockets import BadDescriptorError, checked
+from thymeflow.handover.listening_sockets import BadDescriptorError, duplicate_listening_socket
 
 FIRST_DESCRIPTOR = 3
 MAX_DESCRIPTORS = 16
@@ -37,7 +37,7 @@
     sockets: list[socket.socket] = []
     try:
         for descriptor in descriptors:
-            sockets.append(checked(descriptor))
+            sockets.append(duplicate_listening_socket(descriptor))
     except BadDescriptorError:
         for opened in sockets:
             opened.close()
--- a/thymeflow/daemon/lease_share.py
+++ b/thymeflow/daemon/allocation.py
@@ -5,8 +5,8 @@
 
 from __future__ import annotations
 
-from thymeflow import Gateway
 from thymeflow.core.dispatcher import RequestDispatcher
+from thymeflow.decision.gateway import Gateway
 from thymeflow.handover.control_socket import Message
 from thymeflow.leases.holder import Allocation, LeaseHolder, allocation_from_message, message_of
 from thymeflow.leases.resources import WHOLE, Resource
@@ -15,7 +15,7 @@
 DEMAND_SMOOTHING = 0.7  # weight of the earlier demand at each report; reports are half a second apart
 
 
-class LeaseShare:
+class MemberAllocation:
     """The allocation of this process, if it has one."""
 
     def __init__(self, configured: object) -> None:
@@ -36,7 +36,7 @@
         assert self._holder is not None
         return self._holder.amount(Resource(resource), clock.monotonic()) / WHOLE
 
-    def told(self, core: RequestDispatcher) -> Message | None:
+    def report(self, core: RequestDispatcher) -> Message | None:
         """Return the report to the lease issuer, or None if this process has no allocation to use."""
         if self._holder is None or self._holder.handed_over:
             return None
@@ -56,7 +56,7 @@
         self._last_response_count = response_count
         self._last_report_at = now
 
-    def offered(self, message: object) -> str:
+    def on_grant(self, message: object) -> str:
         """Apply a grant; return why it is not applied, or an empty string."""
         try:
             allocation = allocation_from_message(message)
@@ -67,13 +67,13 @@
             return "this process goes by the even share: it was started without a part"
         return "" if self._holder.on_grant(allocation) else "it is not newer than what is held"
 
-    def hand_on(self) -> Message | None:
+    def hand_over(self) -> Message | None:
         """Return the allocation for the successor; from now on this process uses none of it."""
         return None if self._holder is None else message_of(self._holder.hand_over())
 
     def inherit(self, message: object) -> None:
         """Apply the allocation of the predecessor, which no longer uses it."""
-        if self._holder is not None and not self.offered(message):
+        if self._holder is not None and not self.on_grant(message):
             log.note("budgets", "the part was handed on with the state")
 
     def on_taken_back(self, was_used: bool) -> None:
--- a/thymeflow/daemon/control_requests.py
+++ b/thymeflow/daemon/control_requests.py
@@ -124,7 +124,7 @@
 
         def on_written(fault: str) -> None:
             """Respond when the write has ended."""
-            caller.send({"ok": not fault, "why": fault, "path": str(snapshots.path), **snapshots.told()})
+            caller.send({"ok": not fault, "why": fault, "path": str(snapshots.path), **snapshots.status()})
 
         writing = snapshots.write_now()
         if writing is None:
@@ -134,7 +134,7 @@
 
     def _apply_allocation(self, _: ControlCaller, message: Message) -> None:
         # No response: the next status update reports the allocation in force to the watching supervisor.
-        self._service.instance.allocation.offered(message.get("part"))
+        self._service.instance.allocation.on_grant(message.get("part"))
         self.update_watchers()
 
     def _apply_ejections(self, _: ControlCaller, message: Message) -> None:
--- a/thymeflow/daemon/exit_codes.py
+++ b/thymeflow/daemon/exit_codes.py
@@ -4,5 +4,5 @@
 
 BAD_CONFIGURATION = 2
 CANNOT_LISTEN = 3
-NAME_HELD = 4
+NAME_TAKEN = 4
 NO_HANDOVER = 5
--- a/thymeflow/daemon/handover.py
+++ b/thymeflow/daemon/handover.py
@@ -10,13 +10,13 @@
 
 from thymeflow.daemon.exit_codes import NO_HANDOVER
 from thymeflow.daemon.instance import Instance
-from thymeflow.daemon.lock import Lock, NameTakenError
-from thymeflow.daemon.snapshots import Memory
+from thymeflow.daemon.lock import NameLock, NameTakenError
+from thymeflow.daemon.snapshot_file import SnapshotFile
 from thymeflow.handover.control_socket import Message
-from thymeflow.handover.listening_sockets import BadDescriptorError, checked
+from thymeflow.handover.listening_sockets import BadDescriptorError, duplicate_listening_socket
 from thymeflow.handover.participant import RejectedHandoverError
 from thymeflow.handover.receiver import HandoverReceiver
-from thymeflow.handover.sender import OFF, HandoverSender
+from thymeflow.handover.sender import DELEGATED_STATES, HandoverSender
 from thymeflow.handover.state_machine import SenderState
 from thymeflow.limiter.assembly import Limiter
 from thymeflow.runtime import log
@@ -41,7 +41,7 @@
 
     def owns_name(self) -> bool:
         """Return whether name and snapshot belong to this process, and not to a successor."""
-        return self.sender.state not in OFF and self._instance.lock is not None
+        return self.sender.state not in DELEGATED_STATES and self._instance.lock is not None
 
     def on_endpoints_known(self) -> None:
         """Continue taking over, if that waits for the endpoint list."""
@@ -59,7 +59,7 @@
         self._instance.limiter = limiter
 
     @property
-    def snapshots(self) -> Memory:
+    def snapshots(self) -> SnapshotFile:
         """The snapshot store of the limiter."""
         return self._instance.snapshots
 
@@ -80,8 +80,8 @@
         """
         try:
             _check_count(descriptors)
-            listening = checked(descriptors[0])
-            self._instance.lock = Lock.adopt(self._instance.path("lock"), descriptors[1])
+            listening = duplicate_listening_socket(descriptors[0])
+            self._instance.lock = NameLock.adopt(self._instance.path("lock"), descriptors[1])
         except (BadDescriptorError, NameTakenError, OSError) as fault:
             raise RejectedHandoverError(str(fault)) from None
         return listening
@@ -97,7 +97,7 @@
 
     def hand_over_allocation(self) -> Message | None:
         """Return the allocation of the fleet limits for the successor, and stop using it."""
-        return self._instance.allocation.hand_on()
+        return self._instance.allocation.hand_over()
 
     def inherit_allocation(self, message: object) -> None:
         """Use the allocation of the predecessor."""
@@ -123,7 +123,7 @@
     def retreat(self) -> None:
         """Drain and stop, leaving name, socket and snapshot to the other process."""
         log.note("hand-over", "the old life took everything back: this one finishes what it took")
-        self.sender.state = SenderState.GIVEN  # name and snapshot are not ours to write
+        self.sender.state = SenderState.DRAINING  # name and snapshot are not ours to write
         self._instance.exit_code = NO_HANDOVER
         self.limiter.lifecycle.terminate(0.0)
 
--- a/thymeflow/daemon/instance.py
+++ b/thymeflow/daemon/instance.py
@@ -9,12 +9,14 @@
 from pathlib import Path
 from typing import Protocol
 
-from thymeflow.daemon.lease_share import LeaseShare
-from thymeflow.daemon.lock import Lock
+from thymeflow.daemon.allocation import MemberAllocation
+from thymeflow.daemon.lock import NameLock
 from thymeflow.daemon.notify import Notifier
-from thymeflow.daemon.snapshots import Memory
-from thymeflow.decision.policy import START_LEVEL, Gateway
-from thymeflow.handover.control_socket import ControlError, ControlServer, Served
+from thymeflow.daemon.snapshot_file import SnapshotFile
+from thymeflow.decision.gateway import Gateway
+from thymeflow.decision.gateway_state import INITIAL_FILL
+from thymeflow.handover.control_socket import ControlError, ControlServer, MessageHandler
+from thymeflow.handover.reactor_types import UnixReactor
 from thymeflow.limiter.assembly import Limiter, made
 from thymeflow.logs.structured import StructuredLog
 from thymeflow.outliers.member import MemberEjections
@@ -25,7 +27,7 @@
 from thymeflow.snapshot import restore, schema
 
 
-class Reactor(Protocol):
+class Reactor(UnixReactor, Protocol):
     """What the daemon itself uses of Twisted's reactor."""
 
     def callFromThread(self, function: Callable[[], object]) -> object:  # noqa: N802 - Twisted's name
@@ -60,11 +62,11 @@
         self.log_handler = StructuredLog(settings.log, self.name, self.incarnation)
         self.notifier = Notifier(os.environ)
         self.folder = Path(settings.daemon.state or f".thymeflow-{self.name}")
-        self.snapshots = Memory(self.path("state"), self.name, self.incarnation, self.configuration.endpoints)
-        self.allocation = LeaseShare(self.configuration.allocation)
+        self.snapshots = SnapshotFile(self.path("state"), self.name, self.incarnation, self.configuration.endpoints)
+        self.allocation = MemberAllocation(self.configuration.allocation)
         self.ejections: MemberEjections | None = None
         self.load_shedder: LoadShedder | None = None
-        self.lock: Lock | None = None
+        self.lock: NameLock | None = None
         self.control: ControlServer | None = None
         self.exit_code = 0
 
@@ -76,22 +78,22 @@
         """Build the limiter, from the snapshot if there is one, and call back when its endpoints are known."""
         initial = self.configuration
         if snapshot is not None:
-            initial = replace(initial, endpoints=restore.newer(snapshot, initial.endpoints))
+            initial = replace(initial, endpoints=restore.newest_endpoint_update(snapshot, initial.endpoints))
         gateway = self._build_gateway(initial)
         self._connect_to_fleet(gateway)
         self.limiter = Limiter(initial, self.reactor, gateway, self._load, self.settings.daemon.drain_linger)
-        self.limiter.on_list = self.snapshots.listed
+        self.limiter.on_list = self.snapshots.on_endpoint_update
         self.limiter.when_endpoints_ready = on_endpoints_known
-        self.snapshots.listed(initial.endpoints)
+        self.snapshots.on_endpoint_update(initial.endpoints)
         if snapshot is not None:
-            self.snapshots.recall(snapshot, "file")
+            self.snapshots.restore(snapshot, "file")
 
     def _build_gateway(self, initial: configuration.Configuration) -> Gateway:
         budgets = self.settings.budgets
         # Members of a fleet are on one machine, whose monotonic clock does not step as the wall clock does.
         gateway = made(
             replace(initial, units=budgets.units),
-            0.0 if self._is_joining else START_LEVEL,
+            0.0 if self._is_joining else INITIAL_FILL,
             clock.monotonic() - clock.now(),
         )
         # The keys are names of `leases.resources`, which messages between processes carry.
@@ -105,12 +107,12 @@
         if self.settings.overload.together:
             self.ejections = MemberEjections(gateway)
             self.load_shedder = LoadShedder(gateway)
-        self.snapshots.of(gateway)
+        self.snapshots.set_gateway(gateway)
         self.allocation.connect(gateway)
         if self.load_shedder is not None:
             self.load_shedder.limit_retries()
 
-    def open_control(self, handler: Served) -> str:
+    def open_control(self, handler: MessageHandler) -> str:
         """Open the control socket, if the settings want one; return the fault, or an empty string."""
         daemon = self.settings.daemon
         if not daemon.control:
--- a/thymeflow/daemon/lock.py
+++ b/thymeflow/daemon/lock.py
@@ -19,7 +19,7 @@
     """Another process holds the name."""
 
 
-class Lock:
+class NameLock:
     """The lock of one instance name, owned from the start to the end of the process."""
 
     def __init__(self, path: Path, descriptor: int) -> None:
@@ -27,7 +27,7 @@
         self.descriptor = descriptor
 
     @classmethod
-    def take(cls, path: Path, incarnation: str) -> Lock:
+    def acquire(cls, path: Path, incarnation: str) -> NameLock:
         """Acquire the lock and write the owner into its file.
 
         :raises NameTakenError: if another process owns it; the text names its pid.
@@ -46,7 +46,7 @@
         return lock
 
     @classmethod
-    def adopt(cls, path: Path, descriptor: int) -> Lock:
+    def adopt(cls, path: Path, descriptor: int) -> NameLock:
         """Return the lock that a predecessor passed on as an open descriptor.
 
         :raises NameTakenError: if the descriptor is not that of the file at `path`.
@@ -69,7 +69,7 @@
         os.close(self.descriptor)
 
 
-def is_free(path: Path) -> bool:
+def is_name_free(path: Path) -> bool:
     """Return whether no process owns the lock at `path`, as the kernel sees it; a missing file is free."""
     try:
         descriptor = os.open(path, os.O_RDWR | os.O_CLOEXEC)
--- a/thymeflow/daemon/notify.py
+++ b/thymeflow/daemon/notify.py
@@ -26,7 +26,7 @@
         if address and self._address is None:
             self.fault = f"NOTIFY_SOCKET {address!r} is neither a path nor @name"
 
-    def tell(self, **variables: object) -> None:
+    def notify(self, **variables: object) -> None:
         """Send `NAME=value` lines, names in capitals; a line end within a value would forge another line."""
         if self._address is None:
             return
--- a/thymeflow/daemon/service.py
+++ b/thymeflow/daemon/service.py
@@ -15,17 +15,15 @@
 from thymeflow.daemon.activation import take_activation_sockets
 from thymeflow.daemon.control_requests import ControlRequestHandler
 from thymeflow.daemon.errors import StartError
-from thymeflow.daemon.exit_codes import BAD_CONFIGURATION as BAD_CONFIGURATION
-from thymeflow.daemon.exit_codes import CANNOT_LISTEN as CANNOT_LISTEN
-from thymeflow.daemon.exit_codes import NAME_HELD as NAME_HELD
+from thymeflow.daemon.exit_codes import BAD_CONFIGURATION, CANNOT_LISTEN, NAME_TAKEN
 from thymeflow.daemon.handover import DaemonHandover
 from thymeflow.daemon.instance import Instance, Reactor
-from thymeflow.daemon.lock import Lock, NameTakenError
+from thymeflow.daemon.lock import NameLock, NameTakenError
 from thymeflow.discovery.watch import FIRST
 from thymeflow.frontend.listener import bound
 from thymeflow.handover.listening_sockets import BadDescriptorError
 from thymeflow.handover.sender import HandoverSender
-from thymeflow.handover.state_machine import Told, Word
+from thymeflow.handover.state_machine import ReceiverEvent, SenderEvent
 from thymeflow.limiter.phases import Phase
 from thymeflow.platform import configuration
 from thymeflow.runtime import clock, log
@@ -112,22 +110,22 @@
         path = instance.path("lock")
         try:
             sockets = take_activation_sockets(os.environ, os.getpid())
-            instance.lock = Lock.take(path, instance.incarnation)
+            instance.lock = NameLock.acquire(path, instance.incarnation)
         except BadDescriptorError as fault:
             message = f"sockets handed in: {fault}"
             raise StartError(message, CANNOT_LISTEN) from None
         except NameTakenError as fault:
-            raise StartError(str(fault), NAME_HELD) from None
+            raise StartError(str(fault), NAME_TAKEN) from None
         except OSError as fault:
             message = f"{path}: {fault.strerror}"
-            raise StartError(message, NAME_HELD) from None
+            raise StartError(message, NAME_TAKEN) from None
         return sockets
 
     def _read_snapshot(self) -> schema.Snapshot | None:
         instance = self.instance
         snapshot_settings = instance.settings.snapshot
-        site = schema.site_of(instance.configuration.settings)
-        return instance.snapshots.read(site, snapshot_settings.fresh) if snapshot_settings.keep else None
+        site = schema.site_digest(instance.configuration.settings)
+        return instance.snapshots.read_usable(site, snapshot_settings.fresh) if snapshot_settings.keep else None
 
     def _build_limiter(self, snapshot: schema.Snapshot | None) -> None:
         self.instance.build_limiter(snapshot, self._handover.on_endpoints_known)
@@ -168,9 +166,9 @@
         if phase is Phase.SERVING:
             start_seconds = clock.now() - instance.started_at
             log.note("ready", f"{start_seconds:.3f} s after the start", seconds=round(start_seconds, 3))
-            instance.notifier.tell(ready=1, mainpid=os.getpid(), status=f"{instance.name} serves")
+            instance.notifier.notify(ready=1, mainpid=os.getpid(), status=f"{instance.name} serves")
         elif phase is Phase.DRAINING:
-            instance.notifier.tell(stopping=1, status=f"{instance.name} finishes what it took")
+            instance.notifier.notify(stopping=1, status=f"{instance.name} finishes what it took")
         self._requests.update_watchers()
 
     def stop(self, linger: float | None = None) -> None:
@@ -180,9 +178,9 @@
         """
         receiver = self._handover.receiver
         if receiver is not None and not receiver.is_serving():
-            receiver.step(Told.UNFIT)
+            receiver.step(ReceiverEvent.ABORTED)
             return
-        self.sender.step(Word.ENDING)
+        self.sender.step(SenderEvent.SHUTDOWN_REQUESTED)
         self.instance.limiter.lifecycle.terminate(linger)
 
     def reload(self) -> bool:
@@ -193,11 +191,11 @@
         instance = self.instance
         if instance.limiter.lifecycle.phase is Phase.STOPPED:
             return False
-        instance.notifier.tell(reloading=1, monotonic_usec=int(clock.monotonic() * 1e6))
+        instance.notifier.notify(reloading=1, monotonic_usec=int(clock.monotonic() * 1e6))
         settings_fault = self._reload_settings()
         is_reloaded = instance.limiter.reload.now()
         self.last_reload = " | ".join(filter(None, (instance.limiter.reload.last, settings_fault)))
-        instance.notifier.tell(ready=1)
+        instance.notifier.notify(ready=1)
         self._requests.update_watchers()
         return is_reloaded and not settings_fault
 
--- a/thymeflow/daemon/snapshots.py
+++ b/thymeflow/daemon/snapshot_file.py
@@ -10,7 +10,7 @@
 from twisted.python.failure import Failure
 
 from thymeflow.handover.control_socket import Message
-from thymeflow.platform import configuration
+from thymeflow.platform import endpoints
 from thymeflow.runtime import clock, log
 from thymeflow.snapshot import atomic_file, schema, store
 
@@ -19,10 +19,10 @@
     return True
 
 
-class Memory(store.SnapshotStore):
+class SnapshotFile(store.SnapshotStore):
     """The snapshot store of one incarnation, with the file that it writes to."""
 
-    def __init__(self, path: Path, name: str, incarnation: str, first_list: configuration.EndpointUpdate) -> None:
+    def __init__(self, path: Path, name: str, incarnation: str, first_list: endpoints.EndpointUpdate) -> None:
         super().__init__(name, incarnation, first_list)
         self.path = path
         self._is_writing = False
@@ -30,7 +30,7 @@
         self._written_bytes = 0
         self._failure_count = 0
 
-    def told(self) -> Message:
+    def status(self) -> Message:
         """Return the snapshot's part of the instance status."""
         return {
             "at": self._written_at,
@@ -40,14 +40,14 @@
             "remembered_from": self._source,
         }
 
-    def read(self, site: str, max_age_seconds: float) -> schema.Snapshot | None:
+    def read_usable(self, site: str, max_age_seconds: float) -> schema.Snapshot | None:
         """Return the snapshot in the file, or None if there is none that is usable for `site`."""
         try:
             data = atomic_file.read(self.path)
             if data is None:
                 return None
             snapshot = schema.unpack(data)
-            schema.believed(snapshot, site, self._name, clock.now(), max_age_seconds)
+            schema.check_applicable(snapshot, site, self._name, clock.now(), max_age_seconds)
         except schema.SnapshotError as fault:
             log.note("snapshot", f"{self.path} is not used and the start values hold: {fault}")
             return None
@@ -61,7 +61,7 @@
         if self._is_writing or not is_owner():
             return None
         self._is_writing = True
-        writing: Deferred[str] = deferToThread(self._write, self.snapshot(False))
+        writing: Deferred[str] = deferToThread(self._write, self.take_snapshot(False))
         return writing.addBoth(self._on_written)
 
     def _on_written(self, result: str | Failure) -> str:
@@ -85,6 +85,6 @@
     def write_last(self) -> None:
         """Write the final snapshot at once; call it when no more requests can be forwarded."""
         try:
-            self._write(self.snapshot(True))
+            self._write(self.take_snapshot(True))
         except OSError as fault:
             log.note("snapshot", f"the last one was not written, the old one stands: {fault}")
--- a/thymeflow/daemon/status.py
+++ b/thymeflow/daemon/status.py
@@ -45,9 +45,9 @@
         "customers": len(gateway.buckets),
         "pressure": round(gateway.pressure, 3),
         "counter_heard_s": round(now - gateway.last_gossip_at, 3) if gateway.last_gossip_at > 0 else None,
-        "snapshot": instance.snapshots.told(),
+        "snapshot": instance.snapshots.status(),
         "hand_over": sender_state.value,
         "log_lost": instance.log_handler.file.dropped_lines,
         "evidence": None if instance.ejections is None else instance.ejections.report(now),
-        "part": instance.allocation.told(limiter.core),
+        "part": instance.allocation.report(limiter.core),
     }
--- a/thymeflow/fleet/supervisor.py
+++ b/thymeflow/fleet/supervisor.py
@@ -17,9 +17,9 @@
 
 from twisted.internet.defer import DeferredList
 
-from thymeflow.daemon.lock import Lock, NameTakenError, is_free
+from thymeflow.daemon.exit_codes import BAD_CONFIGURATION, CANNOT_LISTEN, NAME_TAKEN
+from thymeflow.daemon.lock import NameLock, NameTakenError, is_name_free
 from thymeflow.daemon.notify import Notifier
-from thymeflow.daemon.service import BAD_CONFIGURATION, CANNOT_LISTEN, NAME_HELD
 from thymeflow.fleet import registry
 from thymeflow.fleet.actions import (
     Action,
@@ -69,7 +69,7 @@
         self._notifier = Notifier(os.environ)
         self._tick_timer: clock.Entry | None = None
         self._written_registry = b""
-        self._lock: Lock
+        self._lock: NameLock
         self._control: ControlServer
         self._environment = ProcessEnvironment(options, self._fleet, self._names, options.program)
         self._sockets = MemberSockets(self._fleet.listen)
@@ -108,7 +108,7 @@
             raise SupervisorError(str(error), BAD_CONFIGURATION) from None
         except NameTakenError as error:
             text = f"another supervisor runs: {error}"
-            raise SupervisorError(text, NAME_HELD) from None
+            raise SupervisorError(text, NAME_TAKEN) from None
         except (ControlError, OSError) as error:
             text = f"{self._options.state_folder}: {error}"
             raise SupervisorError(text, CANNOT_LISTEN) from None
@@ -135,7 +135,7 @@
     def _open_files(self) -> None:
         self._options.state_folder.mkdir(mode=0o700, parents=True, exist_ok=True)
         self._environment.template = registry.read_template(self._options.platform_path)
-        self._lock = Lock.take(self._names.supervisor_path("lock"), "supervisor")
+        self._lock = NameLock.acquire(self._names.supervisor_path("lock"), "supervisor")
         self._environment.output_descriptor = os.open(
             self._names.supervisor_path("out"), os.O_WRONLY | os.O_APPEND | os.O_CREAT | os.O_CLOEXEC, 0o600
         )
@@ -164,12 +164,12 @@
     def _begin(self, adoptions: list[tuple[bool, int | None]], previous: registry.MemberRegistry | None) -> None:
         has_adopted = any(is_successful and number is not None for is_successful, number in adoptions)
         for name in self._leases.holders():
-            if is_free(self._names.folder / f"{name}.lock"):
+            if is_name_free(self._names.folder / f"{name}.lock"):
                 self._leases.on_death(name)  # the kernel has released the lock: its process has ended
         # The count that was ordered last holds where members still run; a new start goes by the settings.
         count = previous.count if previous is not None and has_adopted else self._fleet.instances
         self._decide(FleetStarted(count))
-        self._notifier.tell(ready=1, mainpid=os.getpid(), status=f"{count} members")
+        self._notifier.notify(ready=1, mainpid=os.getpid(), status=f"{count} members")
 
     def _install_signal_handlers(self) -> None:
         signal.signal(signal.SIGTERM, partial(self._on_signal, self._shut_down))
@@ -214,7 +214,7 @@
             case ReportProgress():
                 self._requests.report(action)
             case Exit():
-                self._notifier.tell(stopping=1)
+                self._notifier.notify(stopping=1)
                 self._end()
 
     def _write_registry(self) -> None:
