--- a/thymeflow/backends/__init__.py
+++ b/thymeflow/backends/__init__.py
@@ -1,1 +1,1 @@
-"""Connections to backends, and the attempts that go over them."""
+"""Connections to the backends, and the attempts that are sent over them."""
--- /dev/null
+++ b/thymeflow/backends/attempts.py
@@ -0,0 +1,25 @@
+"""The record of one attempt that is in progress."""
+
+from __future__ import annotations
+
+from typing import TYPE_CHECKING
+
+from twisted.internet.defer import Deferred
+
+from thymeflow.core.dispatcher import AttemptResult, AttemptSpec
+from thymeflow.runtime import clock
+
+if TYPE_CHECKING:
+    from thymeflow.backends.connections import Connection
+
+
+class Attempt:
+    """One attempt, from its spec to its result."""
+
+    __slots__ = ("connection", "deadline_entry", "order", "result_deferred")
+
+    def __init__(self, spec: AttemptSpec, result_deferred: Deferred[AttemptResult]) -> None:
+        self.order = spec
+        self.result_deferred = result_deferred
+        self.connection: Connection | None = None  # the one it was written to
+        self.deadline_entry: clock.Entry = []
--- /dev/null
+++ b/thymeflow/backends/connections.py
@@ -0,0 +1,143 @@
+"""One connection to a backend, which carries one attempt at a time."""
+
+from __future__ import annotations
+
+from typing import TYPE_CHECKING, Protocol
+
+from thymeflow.backends.replies import outcome_of
+from thymeflow.core.dispatcher import AttemptResult
+from thymeflow.decision.types import Status
+from thymeflow.runtime import clock, log
+from thymeflow.transport import resp
+from thymeflow.transport.connections import Link
+from thymeflow.transport.flow import Flow
+
+if TYPE_CHECKING:
+    from thymeflow.backends.pools import Pool
+
+COMPLETE_REPLY_TYPES = (list, resp.Problem)  # types of a reply that arrived in one piece
+NO_ATTEMPT = -1  # in place of an attempt's handle
+
+
+class ConnectionOwner(Protocol):
+    """Receives what happens on a connection."""
+
+    def on_reply(self, connection: Connection, result: AttemptResult, is_reusable: bool) -> None:
+        """Take the result of the attempt in flight."""
+
+    def on_reply_started(self, connection: Connection) -> None:
+        """Take note that the first bytes of a reply have arrived."""
+
+    def on_long_value(self, connection: Connection, length: int) -> None:
+        """Take note that a reply with a streamed value of `length` bytes has begun."""
+
+    def on_body_failed(self, connection: Connection) -> None:
+        """Give up the attempt in flight, whose request body will not be completed."""
+
+    def on_malformed(self, connection: Connection) -> None:
+        """Take note that the connection was closed because of what arrived on it."""
+
+    def on_connection_lost(self, connection: Connection) -> None:
+        """Take note that the other end closed or reset the connection."""
+
+
+class Connection(Link):
+    """A connection to a backend; also the sink of a streamed request body, see `transport.flow.Sink`."""
+
+    def __init__(self, owner: ConnectionOwner, pool: Pool) -> None:
+        super().__init__(resp.MOST_LONG)
+        self.owner = owner
+        self.pool = pool
+        self.attempt_handle = NO_ATTEMPT  # of the attempt in flight
+        self.last_activity_at = 0.0  # when it became idle, or when bytes of a long body or of a reply last moved
+        self.is_reply_started = False  # the first bytes of a reply have arrived
+        self.flow: Flow | None = None  # the value of a reply, while it is streamed
+        self.body: Flow | None = None  # a streamed request body that is not completely written
+
+    def is_request_sent(self) -> bool:
+        """Return whether the last byte of the request has gone to the kernel, so that it may be executed."""
+        return self.flushed and self.body is None
+
+    def resumeProducing(self) -> None:
+        """Write more of a streamed body, as the buffer has gone to the kernel."""
+        super().resumeProducing()
+        if self.body is not None:
+            self.body.more()
+
+    def dataReceived(self, data: bytes) -> None:
+        """Read all that has arrived before the connection is used again: it may be more than the reply."""
+        events, fault = self._parser.feed(data)
+        if self.closed:
+            return
+        if self.attempt_handle < 0:
+            self.garbled("bytes though nothing was asked")
+            return
+        self.last_activity_at = clock.now()
+        if len(events) == 1 and type(events[0]) in COMPLETE_REPLY_TYPES:  # the common case
+            self._handle_reply(events.pop(), events, fault)
+        else:
+            self._handle_events(events, fault)
+
+    def _handle_events(self, events: list[resp.Event], fault: str) -> None:
+        while events:
+            event = events.pop(0)
+            if isinstance(event, resp.Begin):
+                self._begin_long_value(event)
+            elif isinstance(event, resp.Part) and self.flow is not None:
+                self.flow.push(event.data)
+            elif isinstance(event, resp.Closed) and self.flow is not None:
+                self.flow.finish()
+            else:
+                self._handle_reply(event, events, fault)
+                return
+            if self.closed:
+                return
+        if fault:
+            self.garbled(fault)
+        elif not self.is_reply_started:
+            self.is_reply_started = True
+            self.owner.on_reply_started(self)
+
+    def _begin_long_value(self, event: resp.Begin) -> None:
+        if event.before or event.after != 2 or self.body is not None:
+            self.garbled("a long value where none belongs")
+        else:
+            self.owner.on_long_value(self, event.length)
+
+    def _handle_reply(self, event: resp.Event, trailing: list[resp.Event], fault: str) -> None:
+        is_long = isinstance(event, resp.End)
+        result = outcome_of([b"", *event.after] if isinstance(event, resp.End) else event)
+        if result is None or (self.body is not None and result.status is Status.OK):
+            self.garbled(f"no answer: {str(event)[:60]}")
+            return
+        # What follows is a duplicate or noise: the next attempt on this connection would be given it as its reply.
+        is_clean = not trailing and not fault and not self._parser.held()
+        if not is_clean:
+            log.say("application server garbled", f"{self.pool.address}: more than the answer")
+        if is_long:
+            self.flow = None
+        self.owner.on_reply(self, result, is_clean and self.body is None)
+
+    def part(self, data: bytes) -> None:
+        """Write the next bytes of the body."""
+        self.last_activity_at = clock.now()
+        self.write(data)
+
+    def end(self) -> None:
+        """Complete the body: from now on the request may be executed, and its sender waits."""
+        self.write(b"\r\n")
+        self.body = None
+
+    def broken(self) -> None:
+        """Give up the attempt, as the rest of the body will not come and so it is never executed."""
+        self.owner.on_body_failed(self)
+
+    def garbled(self, fault: str) -> None:
+        """Close the connection; the attempt in flight may have been executed, and its reply is unknown."""
+        log.say("application server garbled", f"{self.pool.address}: {fault}", address=self.pool.address)
+        self.hang_up()
+        self.owner.on_malformed(self)
+
+    def lost(self) -> None:
+        """Report that the other end closed or reset the connection."""
+        self.owner.on_connection_lost(self)
--- /dev/null
+++ b/thymeflow/backends/pools.py
@@ -0,0 +1,99 @@
+"""The connections kept open to each backend, and the bound on all of them together."""
+
+from __future__ import annotations
+
+from collections import deque
+
+from thymeflow.backends.connections import Connection
+from thymeflow.decision.settings import Limits
+from thymeflow.decision.types import BackendState
+from thymeflow.platform.configuration import Address
+from thymeflow.runtime import clock
+from thymeflow.transport.connections import unread
+
+IDLE_FRACTION = 0.7  # of the idle timeout: an idle connection is closed then, well before the other end may close it
+SWEEP_INTERVAL = 1.0  # s: between searches for connections that have been idle for long
+
+
+class Pool:
+    """The connections to one backend, and the attempts that wait for one."""
+
+    __slots__ = ("address", "dialing", "id", "idle", "state", "waiting")
+
+    def __init__(self, backend_id: int, address: Address, state: BackendState) -> None:
+        self.id = backend_id
+        self.address = address
+        self.state = state
+        self.idle: list[Connection] = []  # the most recently used last
+        self.waiting: deque[int] = deque()  # handles of the attempts for which a connection is being opened
+        self.dialing = 0  # connections being opened
+
+
+class ConnectionPools:
+    """The pools of all backends, with one bound on their connections.
+
+    The most recently used connection is used first, so that the others become idle and are closed.
+    """
+
+    def __init__(self, deadlines: clock.Deadlines, limits: Limits, max_connections: int) -> None:
+        self._deadlines = deadlines
+        self.limits = limits
+        self._most = max_connections
+        self._pools: dict[int, Pool] = {}  # by the backend's id
+        self.count = 0  # connections open or being opened
+        self.resting = False  # no new attempts are expected: a connection that becomes idle is closed
+
+    def limit(self, max_connections: int) -> None:
+        """Set another bound on connections, for those that are opened from now on."""
+        self._most = max_connections
+
+    def rest(self, resting: bool) -> None:
+        """Set whether connections are closed as they become idle, since backends accept only so many."""
+        self.resting = resting
+        for pool in self._pools.values() if resting else ():
+            self._close_idle(pool)
+
+    def close_idle(self, backend: int) -> None:
+        """Close the idle connections to one backend."""
+        if pool := self._pools.get(backend):
+            self._close_idle(pool)
+
+    def _close_idle(self, pool: Pool) -> None:
+        for connection in pool.idle:
+            connection.hang_up()
+        self.count -= len(pool.idle)
+        pool.idle.clear()
+
+    def _close(self, connection: Connection) -> None:
+        connection.hang_up()
+        self.count -= 1
+
+    def _check_usable(self, connection: Connection) -> bool:
+        # An attempt written to a connection that has ended, or on which bytes of an earlier reply still arrive,
+        # would count as one that may have been executed, or would be given the wrong reply.
+        if not unread(connection.transport):
+            return True
+        self._close(connection)
+        return False
+
+    def _take_idle(self, pool: Pool) -> Connection | None:
+        while pool.idle:
+            if self._check_usable(connection := pool.idle.pop()):
+                return connection
+        return None
+
+    def _close_longest_idle(self) -> bool:
+        # The descriptor limit binds over all backends: the connection idle for longest, of any pool, is closed.
+        pools = [pool for pool in self._pools.values() if pool.idle]
+        if not pools:
+            return False
+        longest_idle = min(pools, key=lambda pool: pool.idle[0].last_activity_at)
+        self._close(longest_idle.idle.pop(0))
+        return True
+
+    def _sweep(self, _: int) -> None:
+        now = clock.now()
+        for pool in self._pools.values():
+            while pool.idle and now - pool.idle[0].last_activity_at > IDLE_FRACTION * self.limits.connection_idle:
+                self._close(pool.idle.pop(0))
+        self._deadlines.at(now + SWEEP_INTERVAL, self._sweep)
