--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -14,9 +14,18 @@
 
 from tests.test_net_parts import World, world
 from thymeflow.decision.types import BackendState
-from thymeflow.discovery.http import Body, HttpError, Messages
-from thymeflow.discovery.watch import CONNECT, FIRST, HEARTBEATS, LONGEST, PAUSE, SILENCE, WORD, BackOff, Discovery
-from thymeflow.platform.endpoints import Address, EndpointUpdate, endpoint_update
+from thymeflow.discovery.backoff import INITIAL_BACKOFF, MAX_BACKOFF, BackOff
+from thymeflow.discovery.http import Body, HttpError, JsonObjectSplitter
+from thymeflow.discovery.timeouts import (
+    CONNECT_TIMEOUT,
+    FIRST,
+    HEARTBEATS,
+    POLLED_FIRST_MESSAGE_TIMEOUT,
+    PUSHED_FIRST_MESSAGE_TIMEOUT,
+    SILENCE,
+)
+from thymeflow.discovery.watch import Discovery
+from thymeflow.platform.configuration import Address, EndpointUpdate, listed
 from thymeflow.runtime import clock, log
 
 HEAD = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
@@ -59,7 +68,7 @@
     parts: list[tuple[dict[str, Any], int | None, bytes]], data: st.DataObject
 ) -> None:
     body = b"".join(json.dumps(value, indent=indent, ensure_ascii=False).encode() + end for value, indent, end in parts)
-    found, cutter, place = list[bytes](), Messages(), 0
+    found, cutter, place = list[bytes](), JsonObjectSplitter(), 0
     while place < len(body):
         step = data.draw(st.integers(1, 40))
         found += cutter.feed(body[place : place + step])
@@ -70,7 +79,7 @@
 @pytest.mark.parametrize("noise", [b"null\n", b"[]\n", b"}", b"]", b"7", b"x{}", b'"a"'])
 def test_what_is_no_object_ends_the_reading(noise: bytes) -> None:
     with pytest.raises(HttpError):
-        Messages().feed(b"{}\n" + noise)
+        JsonObjectSplitter().feed(b"{}\n" + noise)
 
 
 @pytest.mark.parametrize("size", [b"zz", b"-1", b"0x3", b"+3", b"1_0", b"", b"fffffffff", b"3\r\nabcd"])
@@ -92,24 +101,28 @@
 def test_no_wait_lets_a_change_count_as_told_before_it_is_heard(limiters: int, pushed: bool, seed: int) -> None:
     # Of the 6 s: a dial that hangs, the wait, and the first word of the next; pushed, of a drain's grace.
     back_off = BackOff(limiters, seed, pushed)
-    waits = [back_off.next() for _ in range(30)]
-    assert max(waits) <= (PAUSE if pushed else LONGEST) and CONNECT + LONGEST + FIRST <= SILENCE
+    waits = [back_off.next_wait() for _ in range(30)]
+    assert (
+        max(waits) <= (INITIAL_BACKOFF if pushed else MAX_BACKOFF) and CONNECT_TIMEOUT + MAX_BACKOFF + FIRST <= SILENCE
+    )
     back_off.reset()
-    assert back_off.next() <= (PAUSE if pushed else max(PAUSE, 0.025 * limiters))
+    assert back_off.next_wait() <= (INITIAL_BACKOFF if pushed else max(INITIAL_BACKOFF, 0.025 * limiters))
 
 
 def test_forty_that_are_refused_together_spread_their_tries_and_back_off_and_none_waits_past_the_bound() -> None:
     tries: list[tuple[float, int]] = []
     for number in range(40):
         back_off, now = BackOff(40, number, False), 0.0
-        while (now := now + back_off.next()) < 60.0:  # all refused for a minute
+        while (now := now + back_off.next_wait()) < 60.0:  # all refused for a minute
             tries.append((now, number))
     slots = Counter(int(when / 0.1) for when, _ in tries)
     assert max(slots.values()) <= 12, "the first tries come together"
-    assert sum(n for slot, n in slots.items() if slot >= 150) <= 45 * 40 / (0.7 * LONGEST), "later ones do not back off"
+    assert sum(n for slot, n in slots.items() if slot >= 150) <= 45 * 40 / (0.7 * MAX_BACKOFF), (
+        "later ones do not back off"
+    )
     for number in range(40):
         mine = [when for when, whose in tries if whose == number]
-        assert max(b - a for a, b in pairwise(mine)) <= LONGEST
+        assert max(b - a for a, b in pairwise(mine)) <= MAX_BACKOFF
 
 
 def begun(world: World, told: Callable[[EndpointUpdate], None], pushed: bool = True, limiters: int = 200) -> Discovery:
@@ -142,7 +155,7 @@
     reading.dataReceived(chunk(message(44, entry(1, "leaving"), indent=2)[:-9]))
     reading.connectionLost()
     assert len(told) == 1
-    world.reactor.advance(PAUSE)
+    world.reactor.advance(INITIAL_BACKOFF)
     again = up(world, 1)
     assert b"index=43 " in again.transport.value()
     again.dataReceived(chunk(message(44, entry(1, "leaving"))))
@@ -186,7 +199,7 @@
 
 
 def test_an_unknown_lifecycle_is_sent_nothing_new_and_spoils_no_other_entry() -> None:
-    news = endpoint_update(json.loads(message(43, entry(1, "resting"), entry(2, "leaving"), entry(3))))
+    news = listed(json.loads(message(43, entry(1, "resting"), entry(2, "leaving"), entry(3))))
     assert [b.state for b in news.change.backends] == [BackendState.DRAINING, BackendState.DRAINING, BackendState.READY]
 
 
@@ -203,9 +216,12 @@
     begun(world, lambda news: None, pushed)
     first = up(world, 0)
     first.dataReceived(EMPTY)
-    assert dialled_after(world, 1) < (HEARTBEATS if pushed else SILENCE) + PAUSE + 0.02
+    assert dialled_after(world, 1) < (HEARTBEATS if pushed else SILENCE) + INITIAL_BACKOFF + 0.02
     second = up(world, 1)  # connects, and stays silent as the first does
-    assert dialled_after(world, 2) <= (WORD[0] if pushed else WORD[1] + LONGEST) + 0.02
+    assert (
+        dialled_after(world, 2)
+        <= (PUSHED_FIRST_MESSAGE_TIMEOUT if pushed else POLLED_FIRST_MESSAGE_TIMEOUT + MAX_BACKOFF) + 0.02
+    )
     third = up(world, 2)
     second.dataReceived(EMPTY)  # a slow answer is an answer
     assert (first.ends, second.ends, third.ends) == (1, 0, 1)
@@ -219,7 +235,7 @@
         while len(readings) < len(world.reactor.tcpClients):
             readings.append(up(world, len(readings)))
     assert discovery.is_ready  # user agents were let in all the same
-    assert 8.0 / WORD[0] - 2 <= len(readings) <= 8.0 / WORD[0] + 2
+    assert 8.0 / PUSHED_FIRST_MESSAGE_TIMEOUT - 2 <= len(readings) <= 8.0 / PUSHED_FIRST_MESSAGE_TIMEOUT + 2
     assert sum(not reading.ends for reading in readings) == 3
     readings[-2].dataReceived(EMPTY)
     assert sum(not reading.ends for reading in readings) == 1
@@ -240,10 +256,13 @@
     discovery = begun(world, told.append, pushed=False)
     old = up(world, 0)
     for _ in range(5):
-        discovery.back_off.next()
+        discovery.back_off.next_wait()
     discovery.move(Address("127.0.0.1", 9))
     assert old.ends and world.reactor.tcpClients[1][1] == 9  # at once
-    assert discovery.back_off.next() <= LONGEST and discovery.back_off._bound > discovery.back_off._first - 1e-9
+    assert (
+        discovery.back_off.next_wait() <= MAX_BACKOFF
+        and discovery.back_off._bound > discovery.back_off._initial_bound - 1e-9
+    )
     old.dataReceived(chunk(message(50, entry(1))))
     assert not told
     up(world, 1).dataReceived(chunk(message(51, entry(1))))
--- a/thymeflow/discovery/__init__.py
+++ b/thymeflow/discovery/__init__.py
@@ -1,1 +1,1 @@
-"""The watch on the endpoint list."""
+"""The endpoint list, as service discovery reports it."""
--- a/thymeflow/discovery/http.py
+++ b/thymeflow/discovery/http.py
@@ -1,156 +1,189 @@
-"""HTTP/1.1 answers and the JSON objects in their bodies, without I/O: all that discovery's protocol needs.
+"""HTTP/1.1 responses and the JSON objects in their bodies, without I/O: all that discovery's protocol needs.
 
-A message is a JSON object and no line: it may come indented, in any pieces, and is whole with its last brace. What
-stands between two objects is white space; a line end there is an empty line, which says that the sender is alive.
+A message is a JSON object and not a line: it may be indented, may arrive in any pieces, and is complete with its last
+brace. Between two objects there is white space; a line end there is an empty line, the sender's heartbeat.
 """
 
 from __future__ import annotations
 
 import re
 
-MOST_HEAD = 8 * 1024  # bytes of an answer's head
-MOST_CHUNK_HEAD = 1024  # bytes of a chunk's size and extensions
-MOST_MESSAGE = 4 * 2**20  # bytes of one message: a list of thousands
-# A string that has come whole, its brackets and all; a quotation mark alone begins one that goes on in bytes to come.
-_MARK = re.compile(rb'"[^"\\]*(?:\\.[^"\\]*)*"|["{}\[\]]', re.DOTALL)
-_SPACE = b" \t\r\n"
-_SIZE = re.compile(rb"[0-9a-fA-F]{1,8}")
+from thymeflow.errors import ThymeflowError
 
+MAX_HEAD_BYTES = 8 * 1024  # of a response's status line and header fields
+MAX_CHUNK_HEAD_BYTES = 1024  # of a chunk's size and extensions
+MAX_MESSAGE_BYTES = 4 * 2**20  # of one message: a list of thousands of endpoints
+UNTIL_CLOSE = -1  # in place of a body's length: the body ends with the connection
+# A complete string with any brackets in it, or a bracket; a lone quotation mark begins a string that is incomplete.
+_TOKEN = re.compile(rb'"[^"\\]*(?:\\.[^"\\]*)*"|["{}\[\]]', re.DOTALL)
+_WHITE_SPACE = b" \t\r\n"
+_CHUNK_SIZE = re.compile(rb"[0-9a-fA-F]{1,8}")
 
-class HttpError(Exception):
-    """The answer is none that we can read."""
 
+class DiscoveryError(ThymeflowError):
+    """Base class of this package's errors."""
 
-class Messages:
-    """Cuts bytes into JSON objects, wherever they begin and end; what is inside is the reader's matter."""
+
+class HttpError(DiscoveryError):
+    """The response can't be read, or its status is not 200."""
+
+
+class JsonObjectSplitter:
+    """Splits a stream of bytes into JSON objects; it finds where they end, and doesn't parse them."""
 
     def __init__(self) -> None:
-        self._held = bytearray()
-        self._seen = 0  # bytes of it that were looked through
+        self._buffer = bytearray()
+        self._scanned = 0  # bytes of the buffer that were searched
         self._depth = 0  # brackets that are open there
 
     def feed(self, data: bytes) -> list[bytes]:
-        """The objects that these bytes complete, and b"" for an empty line; HttpError where there is no object."""
+        """Return the objects that these bytes complete, and b"" for each run of white space with an empty line.
+
+        :raises HttpError: where something else than an object begins, or an object is too long.
+        """
         found: list[bytes] = []
-        self._held += data
-        while self._held:
-            if not self._depth and not self._begin(found):
+        self._buffer += data
+        while self._buffer:
+            if not self._depth and not self._skip_white_space(found):
                 break
-            end = self._end()
+            end = self._find_end()
             if end < 0:
-                if len(self._held) > MOST_MESSAGE:
-                    raise HttpError("message too long")
+                if len(self._buffer) > MAX_MESSAGE_BYTES:
+                    fault = "message too long"
+                    raise HttpError(fault)
                 break
-            found.append(bytes(self._held[:end]))
-            del self._held[:end]
-            self._seen = 0
+            found.append(bytes(self._buffer[:end]))
+            del self._buffer[:end]
+            self._scanned = 0
         return found
 
-    def _begin(self, found: list[bytes]) -> bool:
-        # Over the white space before an object, to its brace.
-        rest = self._held.lstrip(_SPACE)
-        if b"\n" in self._held[: len(self._held) - len(rest)]:
+    def _skip_white_space(self, found: list[bytes]) -> bool:
+        # Returns whether an object begins behind it.
+        rest = self._buffer.lstrip(_WHITE_SPACE)
+        if b"\n" in self._buffer[: len(self._buffer) - len(rest)]:
             found.append(b"")
         if rest and rest[:1] != b"{":
-            raise HttpError("no JSON object")
-        self._held, self._seen = rest, 0
+            fault = "no JSON object"
+            raise HttpError(fault)
+        self._buffer = rest
+        self._scanned = 0
         return bool(rest)
 
-    def _end(self) -> int:
-        # One past the object's last brace; -1: it has not come.
-        for mark in _MARK.finditer(self._held, self._seen):
-            sign = mark[0]
-            if sign == b'"':
-                self._seen = mark.start()
+    def _find_end(self) -> int:
+        # Returns the index behind the object's last brace, or -1 if that has not arrived.
+        for match in _TOKEN.finditer(self._buffer, self._scanned):
+            token = match[0]
+            if token == b'"':
+                self._scanned = match.start()
                 return -1
-            if len(sign) == 1:
-                self._depth += 1 if sign in b"{[" else -1
+            if len(token) == 1:
+                self._depth += 1 if token in b"{[" else -1
                 if not self._depth:
-                    return mark.end()
-        self._seen = len(self._held)
+                    return match.end()
+        self._scanned = len(self._buffer)
         return -1
 
 
 class Body:
-    """Takes an answer apart and gives the messages of its body as they come."""
+    """Parses one response, and returns the messages in its body as they arrive."""
 
     def __init__(self) -> None:
-        self._held = bytearray()
-        self._head_read = False
-        self._left = 0  # bytes of the present chunk, or of the body; -1: until the end
-        self._chunked = False
-        self._after_chunk = False
-        self._messages = Messages()
-        self.begun = False  # some of the body has come
-        self.done = False
+        self._buffer = bytearray()
+        self._is_head_read = False
+        self._remaining = 0  # bytes of the current chunk or of the body, or UNTIL_CLOSE
+        self._is_chunked = False
+        self._is_after_chunk = False  # the line end that closes a chunk is expected
+        self._splitter = JsonObjectSplitter()
+        self.begun = False  # some of the body has arrived
+        self.done = False  # all of it has arrived
 
     def feed(self, data: bytes) -> list[bytes]:
-        """The messages that these bytes complete; HttpError where they are no such answer."""
-        self._held += data
+        """Return the messages that these bytes complete, see `JsonObjectSplitter.feed`.
+
+        :raises HttpError: where the bytes are not a response with status 200.
+        """
+        self._buffer += data
         found: list[bytes] = []
-        while not self.done and self._step(found):
+        while not self.done and self._advance(found):
             pass
         return found
 
-    def _step(self, found: list[bytes]) -> bool:
-        if not self._head_read:
-            return self._head()
-        if self._left:
-            return self._take(found)
-        if not self._chunked:
+    def _advance(self, found: list[bytes]) -> bool:
+        # Each step returns whether another one may be possible with the bytes in the buffer.
+        if not self._is_head_read:
+            return self._read_head()
+        if self._remaining:
+            return self._read_data(found)
+        if not self._is_chunked:
             self.done = True
             return False
-        return self._chunk()
+        return self._read_chunk_head()
 
-    def _head(self) -> bool:
-        end = self._held.find(b"\r\n\r\n")
+    def _read_head(self) -> bool:
+        end = self._buffer.find(b"\r\n\r\n")
         if end < 0:
-            if len(self._held) > MOST_HEAD:
-                raise HttpError("head too long")
+            if len(self._buffer) > MAX_HEAD_BYTES:
+                fault = "head too long"
+                raise HttpError(fault)
             return False
-        first, *fields = bytes(self._held[:end]).split(b"\r\n")
-        del self._held[: end + 4]
-        words = first.split(b" ", 2)
-        if not words[0].startswith(b"HTTP/1.") or len(words) < 2:
-            raise HttpError("no HTTP/1 answer")
-        if words[1] != b"200":
-            raise HttpError(f"status {words[1][:16].decode('ascii', 'replace')}")
-        named = {name.strip().lower(): value.strip().lower() for name, _, value in (f.partition(b":") for f in fields)}
-        self._chunked = named.get(b"transfer-encoding", b"").endswith(b"chunked")
+        status_line, *fields = bytes(self._buffer[:end]).split(b"\r\n")
+        del self._buffer[: end + 4]
+        _check_status(status_line)
+        self._read_framing(fields)
+        self._is_head_read = True
+        return True
+
+    def _read_framing(self, fields: list[bytes]) -> None:
+        named = {
+            name.strip().lower(): value.strip().lower()
+            for name, _, value in (field.partition(b":") for field in fields)
+        }
+        self._is_chunked = named.get(b"transfer-encoding", b"").endswith(b"chunked")
         length = named.get(b"content-length")
-        if not self._chunked:
+        if not self._is_chunked:
             if length is not None and not length.isdigit():
-                raise HttpError("bad length")
-            self._left = -1 if length is None else int(length)
-        self._head_read = True
-        return True
+                fault = "bad length"
+                raise HttpError(fault)
+            self._remaining = UNTIL_CLOSE if length is None else int(length)
 
-    def _chunk(self) -> bool:
-        end = self._held.find(b"\r\n")
+    def _read_chunk_head(self) -> bool:
+        end = self._buffer.find(b"\r\n")
         if end < 0:
-            if len(self._held) > MOST_CHUNK_HEAD:
-                raise HttpError("chunk head too long")
+            if len(self._buffer) > MAX_CHUNK_HEAD_BYTES:
+                fault = "chunk head too long"
+                raise HttpError(fault)
             return False
-        text = bytes(self._held[:end]).partition(b";")[0].strip()
-        if self._after_chunk and end == 0:  # the end of line that closes a chunk
-            del self._held[:2]
-            self._after_chunk = False
+        text = bytes(self._buffer[:end]).partition(b";")[0].strip()
+        if self._is_after_chunk and end == 0:
+            del self._buffer[:2]
+            self._is_after_chunk = False
             return True
-        if self._after_chunk or not _SIZE.fullmatch(text):
-            raise HttpError("bad chunk")
-        self._left = int(text, 16)
-        del self._held[: end + 2]
-        self.done = self._left == 0
+        if self._is_after_chunk or not _CHUNK_SIZE.fullmatch(text):
+            fault = "bad chunk"
+            raise HttpError(fault)
+        self._remaining = int(text, 16)
+        del self._buffer[: end + 2]
+        self.done = self._remaining == 0
         return not self.done
 
-    def _take(self, found: list[bytes]) -> bool:
-        if not self._held:
+    def _read_data(self, found: list[bytes]) -> bool:
+        if not self._buffer:
             return False
-        part = bytes(self._held if self._left < 0 else self._held[: self._left])
-        del self._held[: len(part)]
+        data = bytes(self._buffer if self._remaining < 0 else self._buffer[: self._remaining])
+        del self._buffer[: len(data)]
         self.begun = True
-        if self._left > 0:
-            self._left -= len(part)
-            self._after_chunk = self._left == 0 and self._chunked
-        found.extend(self._messages.feed(part))
+        if self._remaining > 0:
+            self._remaining -= len(data)
+            self._is_after_chunk = self._remaining == 0 and self._is_chunked
+        found.extend(self._splitter.feed(data))
         return True
+
+
+def _check_status(status_line: bytes) -> None:
+    tokens = status_line.split(b" ", 2)
+    if not tokens[0].startswith(b"HTTP/1.") or len(tokens) < 2:
+        fault = "no HTTP/1 answer"
+        raise HttpError(fault)
+    if tokens[1] != b"200":
+        fault = f"status {tokens[1][:16].decode('ascii', 'replace')}"
+        raise HttpError(fault)
