--- a/thymeflow/counter/client.py
+++ b/thymeflow/counter/client.py
@@ -1,17 +1,16 @@
-"""The counter: a few lasting connections, calls written behind one another, answers told in order.
+"""The counter's client: a few lasting connections, on each of which calls are pipelined and replies come in order.
 
-A name always takes the same connection, so that its answers come in the order of its calls. A call
-that is given up keeps its place in the line: its answer still comes, and must not be taken for the
-next one's.
+A name always takes the same connection, so that its replies come in the order of its calls. A call that is given up
+keeps its position: its reply still arrives, and must not be taken for that of the next call.
 """
 
 from __future__ import annotations
 
 import re
 from collections import deque
-from typing import Any
 
 from twisted.internet.defer import Deferred
+from twisted.python.failure import Failure
 
 from thymeflow.decision.types import Status
 from thymeflow.platform.endpoints import Address
@@ -19,133 +18,145 @@
 from thymeflow.transport import resp
 from thymeflow.transport.connections import Link, dial
 
-LINES = 3  # connections; the counter may be split over as many parts
-STALL = 0.3  # s: without a byte of an answer that has begun; some write theirs in pieces
-DEAD = 1.0  # s: nothing heard while calls wait; the host is gone without a word
-MOST_WAITING = 512  # calls in one line that are not answered
-CONNECT = 0.25  # s: to connect
-PAUSE = 0.2  # s: between a failed connect and the next
-LEAVE = 2.0  # s: for calls that are out when the counter has moved
+CONNECTIONS = 3  # the counter may be split over as many partitions
+STALL = 0.3  # s: without a byte of a reply that has begun; some are written in pieces
+DEAD = 1.0  # s: without a reply while calls wait; the host is gone without closing its connections
+MAX_PENDING_CALLS = 512  # on one connection
+CONNECT_TIMEOUT = 0.25  # s
+RECONNECT_WAIT = 0.2  # s: between a failed connect and the next
+MOVE_TIMEOUT = 2.0  # s: for the calls in flight when the counter's address changes
+MIN_TTL_MS = 1
 
-MOST_TOTAL = 1e15  # no sum of believable amounts is more
+MAX_TOTAL = 1e15  # larger sums are malformed: no sum of credible amounts is larger
 _TOTAL = re.compile(rb"-?[0-9]{1,18}(\.[0-9]{1,18})?([eE][+-]?[0-9]{1,2})?")
 
-Result = tuple[Status, float]
+Result = tuple[Status, float]  # the status and the new total; a plain tuple, as each call builds one
 
 
-class Waiting:
-    """One call, until its answer has come; it may have been reported before."""
+class PendingCall:
+    """One call, until its reply has arrived; its result may have been reported before."""
 
-    __slots__ = ("begun", "data", "due", "reported", "result")
+    __slots__ = ("data", "deadline_entry", "reported", "result_deferred", "started_at")
 
-    def __init__(self, data: bytes, begun: float, result: Deferred[Result]) -> None:
-        self.data, self.begun, self.result, self.reported = data, begun, result, False
-        self.due: clock.Entry = []
+    def __init__(self, data: bytes, started_at: float, result_deferred: Deferred[Result]) -> None:
+        self.data = data
+        self.started_at = started_at
+        self.result_deferred = result_deferred
+        self.reported = False
+        self.deadline_entry: clock.Entry = []
 
 
-class Wire(Link):
+class CounterConnection(Link):
     """One connection to the counter."""
 
     def __init__(self, line: Line) -> None:
         super().__init__()
-        self.line, self._moved = line, 0.0
+        self._line = line
+        self._last_received_at = 0.0
 
     def resumeProducing(self) -> None:
-        """All that was written has left."""
+        """Report that all that was written has gone to the kernel."""
         super().resumeProducing()
-        self.line.all_left()
+        self._line.on_flushed()
 
     def dataReceived(self, data: bytes) -> None:
-        """Answers, or parts of one."""
-        self._moved = clock.now()
+        """Read replies, or parts of one."""
+        self._last_received_at = clock.now()
         super().dataReceived(data)
 
     def message(self, value: resp.Value) -> None:
-        """The answer to the oldest call."""
-        self.line.answered(value)
+        """Report the reply to the oldest call."""
+        self._line.on_reply(value)
 
-    def stalled(self) -> bool:
-        """Whether part of an answer has come, and for a while no more of it."""
-        return self._parser.held() > 0 and clock.now() - self._moved > STALL
+    def is_stalled(self) -> bool:
+        """Return whether a part of a reply has arrived, and for `STALL` seconds no more of it."""
+        return self._parser.held() > 0 and clock.now() - self._last_received_at > STALL
 
     def garbled(self, fault: str) -> None:
-        """The line cannot be followed any more."""
+        """Close the connection, as replies can no longer be assigned to calls."""
         log.say("counter garbled", fault)
         self.hang_up()
         self.lost()
 
     def lost(self) -> None:
-        """The connection ended."""
-        self.line.lost()
+        """Report that the connection has ended."""
+        self._line.on_connection_lost()
 
 
 class Line:
-    """A place in which calls stand in order: those written, and those that wait for a connection."""
-
-    def __init__(self, reactor: Any, deadlines: clock.Deadlines, address: Address) -> None:
-        self._reactor, self._deadlines, self._address = reactor, deadlines, address
-        self._wire: Wire | None = None
-        self._dialing, self._again, self._heard = False, 0.0, 0.0
-        self._leaving = False  # the counter has moved: no new calls, and none are awaited long
-        self.written: deque[Waiting] = deque()
-        self.left = 0  # how many of the written ones have gone to the kernel
-        self._unwritten: deque[Waiting] = deque()
+    """The calls of one connection in their order: those written, and those that wait until it is up."""
+
+    def __init__(self, reactor: object, deadlines: clock.Deadlines, address: Address) -> None:
+        self._reactor = reactor
+        self._deadlines = deadlines
+        self._address = address
+        self._connection: CounterConnection | None = None
+        self._is_dialing = False
+        self._reconnect_at = 0.0
+        self._last_reply_at = 0.0
+        self._is_retired = False  # the counter has another address: no new calls, and none is awaited for long
+        self.written: deque[PendingCall] = deque()
+        self._flushed_calls = 0  # how many of the written ones have gone to the kernel
+        self._unwritten: deque[PendingCall] = deque()
 
     def call(self, data: bytes, deadline: float) -> Deferred[Result]:
-        """Put a call into the line."""
+        """Send a call; the result is due by the deadline, and is never a failure."""
         now = clock.now()
-        result: Deferred[Result] = Deferred()
-        waiting = Waiting(data, now, result)
-        if self._wire is None:
+        result_deferred: Deferred[Result] = Deferred()
+        call = PendingCall(data, now, result_deferred)
+        if self._connection is None:
             self.connect()
-        if self._wire is None and not self._dialing:
-            self._report(waiting, (Status.CONNECT_FAILED, 0.0))
-        elif len(self.written) + len(self._unwritten) >= MOST_WAITING:
-            self._report(waiting, (Status.FULL, 0.0))  # nothing was added, as when turned away
+        if self._connection is None and not self._is_dialing:
+            self._report(call, (Status.CONNECT_FAILED, 0.0))
+        elif len(self.written) + len(self._unwritten) >= MAX_PENDING_CALLS:
+            self._report(call, (Status.FULL, 0.0))  # nothing was added, as when the counter rejects a call
         else:
-            waiting.due = self._deadlines.at(deadline, lambda _: self._late(waiting))
-            if self._wire is None:
-                self._unwritten.append(waiting)
+            call.deadline_entry = self._deadlines.at(deadline, lambda _: self._on_deadline(call))
+            if self._connection is None:
+                self._unwritten.append(call)
             else:
-                self._write(waiting)
-        return result
+                self._write(call)
+        return result_deferred
 
     def connect(self) -> None:
-        """Dial, unless that failed a moment ago."""
+        """Open the connection, unless that failed a moment ago."""
         now = clock.now()
-        if self._dialing or self._wire is not None or now < self._again or self._leaving:
+        if self._is_dialing or self._connection is not None or now < self._reconnect_at or self._is_retired:
             return
-        self._dialing = True
-        dialling = dial(self._reactor, self._deadlines, self._address, now + CONNECT, lambda: Wire(self))
-        dialling.addCallbacks(self._up, self._down)
-
-    def leave(self) -> None:
-        """The counter has moved: calls that are out end here, and then the connection."""
-        self._leaving = True
-        self._deadlines.at(clock.now() + LEAVE, self._left)
-        self._left_all()
-
-    def _left(self, _: int) -> None:
-        if self._wire is not None:
-            self._wire.hang_up()
-            self.lost()
-
-    def _left_all(self) -> None:
-        if self._leaving and not self.written and not self._unwritten:
-            self._left(0)
-
-    def _up(self, wire: Wire) -> None:
-        self._dialing, self._heard = False, clock.now()
-        if wire.closed:
-            self.lost()
+        self._is_dialing = True
+        deadline = now + CONNECT_TIMEOUT
+        connected = dial(self._reactor, self._deadlines, self._address, deadline, lambda: CounterConnection(self))
+        connected.addCallbacks(self._on_connected, self._on_connect_failed)
+
+    def retire(self) -> None:
+        """Complete the calls in flight, up to a timeout, and close the connection."""
+        self._is_retired = True
+        self._deadlines.at(clock.now() + MOVE_TIMEOUT, self._close)
+        self._close_if_retired()
+
+    def _close(self, _: int) -> None:
+        if self._connection is not None:
+            self._connection.hang_up()
+            self.on_connection_lost()
+
+    def _close_if_retired(self) -> None:
+        if self._is_retired and not self.written and not self._unwritten:
+            self._close(0)
+
+    def _on_connected(self, connection: CounterConnection) -> None:
+        self._is_dialing = False
+        self._last_reply_at = clock.now()
+        if connection.closed:
+            self.on_connection_lost()
             return
-        self._wire = wire
+        self._connection = connection
         while self._unwritten:
             self._write(self._unwritten.popleft())
-        self._left_all()
+        self._close_if_retired()
 
-    def _down(self, failure: Any) -> None:
-        self._dialing, self._again = False, clock.now() + PAUSE
+    def _on_connect_failed(self, failure: Failure) -> None:
+        self._is_dialing = False
+        self._reconnect_at = clock.now() + RECONNECT_WAIT
         log.say("counter down", f"{self._address}: {failure.getErrorMessage()}", address=self._address)
         self._fail_unwritten()
 
@@ -153,54 +164,54 @@
         while self._unwritten:
             self._report(self._unwritten.popleft(), (Status.CONNECT_FAILED, 0.0))
 
-    def _write(self, waiting: Waiting) -> None:
-        assert self._wire is not None
-        self.written.append(waiting)
-        self._wire.write(waiting.data)
-        if self._wire.flushed:
-            self.all_left()
+    def _write(self, call: PendingCall) -> None:
+        assert self._connection is not None
+        self.written.append(call)
+        self._connection.write(call.data)
+        if self._connection.flushed:
+            self.on_flushed()
 
-    def all_left(self) -> None:
-        """What was written has gone to the kernel."""
-        self.left = len(self.written)
+    def on_flushed(self) -> None:
+        """Take note that all that was written has gone to the kernel."""
+        self._flushed_calls = len(self.written)
 
-    def _late(self, waiting: Waiting) -> None:
+    def _on_deadline(self, call: PendingCall) -> None:
         now = clock.now()
-        if waiting in self._unwritten:  # never written: nothing was added
-            self._unwritten.remove(waiting)
-            self._report(waiting, (Status.CONNECT_FAILED, 0.0))
+        if call in self._unwritten:  # nothing was added
+            self._unwritten.remove(call)
+            self._report(call, (Status.CONNECT_FAILED, 0.0))
             return
-        self._report(waiting, (Status.TIMEOUT, 0.0))
-        if self._wire is not None and self._wire.stalled():
-            self._wire.garbled("an answer was begun and not ended")
+        self._report(call, (Status.TIMEOUT, 0.0))
+        if self._connection is not None and self._connection.is_stalled():
+            self._connection.garbled("an answer was begun and not ended")
             return
-        head = self.written[0] if self.written else waiting
-        if self._wire is not None and now - max(self._heard, head.begun) > DEAD:
+        oldest = self.written[0] if self.written else call
+        if self._connection is not None and now - max(self._last_reply_at, oldest.started_at) > DEAD:
             log.say(
                 "counter silent",
                 f"{self._address}: no answer for {DEAD:g} s, connecting anew",
                 address=self._address,
                 waiting=len(self.written),
             )
-            self._wire.hang_up()
-            self.lost()
+            self._connection.hang_up()
+            self.on_connection_lost()
 
-    def answered(self, value: resp.Value) -> None:
-        """The oldest call has its answer, whether or not anybody still waits for it."""
-        self._heard = clock.now()
-        result = self._result(value) if self.written else None
+    def on_reply(self, value: resp.Value) -> None:
+        """End the oldest call, whether or not its result is still awaited."""
+        self._last_reply_at = clock.now()
+        result = self._parse_result(value) if self.written else None
         if result is None:
-            # Which answer belongs to which call cannot be told any more; all that left may have been added.
-            if self._wire is not None:
-                self._wire.garbled(f"no answer: {str(value)[:60]}")
+            # Replies can no longer be assigned to calls; all that were flushed may have been added.
+            if self._connection is not None:
+                self._connection.garbled(f"no answer: {str(value)[:60]}")
             return
-        waiting = self.written.popleft()
-        self.left = max(0, self.left - 1)
-        self._report(waiting, result)
-        self._left_all()
+        call = self.written.popleft()
+        self._flushed_calls = max(0, self._flushed_calls - 1)
+        self._report(call, result)
+        self._close_if_retired()
 
     @staticmethod
-    def _result(value: resp.Value) -> Result | None:
+    def _parse_result(value: resp.Value) -> Result | None:
         if isinstance(value, resp.Problem):
             if value.startswith(b"ERR"):
                 log.say("counter odd", repr(bytes(value)[:80]))
@@ -208,50 +219,56 @@
         if not isinstance(value, bytes) or isinstance(value, resp.Simple) or not _TOTAL.fullmatch(value):
             return None
         total = float(value)
-        return (Status.OK, total) if abs(total) <= MOST_TOTAL else None
+        return (Status.OK, total) if abs(total) <= MAX_TOTAL else None
 
-    def lost(self) -> None:
-        """The connection ended: what had left may have been added, the rest was not."""
-        self._wire = None
-        written, left = list(self.written), self.left
+    def on_connection_lost(self) -> None:
+        """End all calls: those that were flushed may have been added, the others were not."""
+        self._connection = None
+        written = list(self.written)
+        flushed_calls = self._flushed_calls
         self.written.clear()
-        self.left = 0
-        for place, waiting in enumerate(written):
-            status = Status.TIMEOUT if place < left else Status.CONNECT_FAILED
-            self._report(waiting, (status, 0.0))
+        self._flushed_calls = 0
+        for position, call in enumerate(written):
+            status = Status.TIMEOUT if position < flushed_calls else Status.CONNECT_FAILED
+            self._report(call, (status, 0.0))
         self._fail_unwritten()
 
-    def _report(self, waiting: Waiting, result: Result) -> None:
-        if not waiting.reported:
-            waiting.reported = True
-            if waiting.due:
-                self._deadlines.cancel(waiting.due)
-            waiting.result.callback(result)
+    def _report(self, call: PendingCall, result: Result) -> None:
+        if not call.reported:
+            call.reported = True
+            if call.deadline_entry:
+                self._deadlines.cancel(call.deadline_entry)
+            call.result_deferred.callback(result)
 
 
 class Counter:
-    """The counter, by a few lines."""
+    """The shared counter, over a few connections."""
 
-    def __init__(self, reactor: Any, deadlines: clock.Deadlines, address: Address) -> None:
-        self._reactor, self._deadlines = reactor, deadlines
-        self._lines = self._at(address)
+    def __init__(self, reactor: object, deadlines: clock.Deadlines, address: Address) -> None:
+        self._reactor = reactor
+        self._deadlines = deadlines
+        self._lines = self._build_lines(address)
 
-    def _at(self, address: Address) -> list[Line]:
-        return [Line(self._reactor, self._deadlines, address) for _ in range(LINES)]
+    def _build_lines(self, address: Address) -> list[Line]:
+        return [Line(self._reactor, self._deadlines, address) for _ in range(CONNECTIONS)]
 
     def connect(self) -> None:
-        """Connect ahead of the first calls."""
+        """Open the connections before the first calls need them."""
         for line in self._lines:
             line.connect()
 
     def move(self, address: Address) -> None:
-        """New calls go to another address; those that are out end where they went."""
-        old, self._lines = self._lines, self._at(address)
+        """Send new calls to another address; those in flight end where they were sent."""
+        old_lines = self._lines
+        self._lines = self._build_lines(address)
         self.connect()
-        for line in old:
-            line.leave()
+        for line in old_lines:
+            line.retire()
 
     def add(self, name: int, amount: float, ttl: float, deadline: float) -> Deferred[Result]:
-        """Add to a named number; always ends in a status and the total, never in a failure."""
-        data = resp.command(b"INCRTTL", b"%d" % name, b"%.6f" % amount, b"%d" % max(1, round(ttl * 1000.0)))
-        return self._lines[name % LINES].call(data, deadline)
+        """Add to a named number that expires after `ttl` seconds; the result is a status and the total.
+
+        The result comes by the deadline, and is never a failure.
+        """
+        data = resp.command(b"INCRTTL", b"%d" % name, b"%.6f" % amount, b"%d" % max(MIN_TTL_MS, round(ttl * 1000.0)))
+        return self._lines[name % CONNECTIONS].call(data, deadline)
