--- a/thymeflow/runtime/clock.py
+++ b/thymeflow/runtime/clock.py
@@ -1,11 +1,11 @@
-"""The one clock, and the one structure in which all deadlines hang.
+"""The clock, and the one structure that holds all deadlines.
 
-Now is the monotonic clock plus an offset fixed at the start, so it never steps and still compares
-with the start times that discovery tells. Deadlines are absolute times on it.
+The time is the monotonic clock plus an offset fixed at the start, so it never steps and can still be compared with
+the start times that discovery reports. Deadlines are absolute times on it.
 
-A process does not always get its turn: it is stopped, its core is taken, or one turn of the reactor carries a
-thousand connections. What it then reads has waited, and nothing that was read says for how long. The heap knows:
-a deadline that is overdue tells since when no turn has come.
+A process does not always run on time: it is stopped, its core is taken, or one turn of the reactor serves a thousand
+connections. What it reads then has waited, and nothing in it shows for how long. The heap shows it: an overdue
+deadline tells since when the reactor has had no turn.
 """
 
 from __future__ import annotations
@@ -13,45 +13,68 @@
 import heapq
 import time
 from collections.abc import Callable
-from typing import Any
+from typing import Any, Protocol
 
 _OFFSET = time.time() - time.monotonic()
-_COMPACT = 256  # cancelled deadlines that may lie about before they are swept out
-STALL = 0.1  # s: without a turn, from which what waits may have been decided on by what is old
+_MAX_CANCELLED = 256  # cancelled deadlines that stay in the heap before they are removed together
+STALL = 0.1  # s: without a turn, after which what waits to be read may make endpoint lists and leases out of date
 SETTLING = 8  # turns after a stall: connections that waited are accepted some at a time, and read a turn later
 
-BORN = time.time()  # Unix time in seconds at which this life began, but for the interpreter's own start
+BORN = time.time()  # Unix time in seconds at which this process started, after the interpreter's own start
 
-Entry = list[Any]  # [when, order, callback, argument]; callback None: cancelled or past
+# [when, order, callback, argument]; the callback is None once it is cancelled or past. A plain list, since the heap
+# compares thousands of them in a second.
+Entry = list[Any]
+
+
+class DelayedCall(Protocol):
+    """The part of Twisted's IDelayedCall that is used here."""
+
+    def reset(self, delay: float, /) -> None:
+        """Call after this many seconds from now instead."""
+
+
+class TimerReactor(Protocol):
+    """The part of Twisted's IReactorTime that is used here."""
+
+    def callLater(self, delay: float, callback: Callable[[], None], /) -> DelayedCall:  # noqa: N802 - Twisted's name
+        """Call back after this many seconds."""
 
 
 def now() -> float:
-    """Unix time in seconds; never goes back."""
+    """Return the Unix time in seconds; it never goes back."""
     return time.monotonic() + _OFFSET
 
 
 def monotonic() -> float:
-    """Seconds since some moment before the start; what service managers compare times with."""
+    """Return the seconds since a fixed moment before the start; service managers compare times on this clock."""
     return time.monotonic()
 
 
+def _ignore_stall(_: float) -> None:
+    """Stand in for a callback that is not set."""
+
+
 class Deadlines:
-    """A heap of deadlines behind a single timer of the reactor, armed anew as the head changes."""
+    """A heap of deadlines behind a single timer of the reactor, which is reset as the first deadline changes.
 
-    def __init__(self, reactor: Any) -> None:
+    `on_stall` is called with the seconds for which the reactor had no turn, where that was over `STALL`.
+    """
+
+    def __init__(self, reactor: TimerReactor) -> None:
         self._reactor = reactor
         self._heap: list[Entry] = []
         self._order = 0
-        self._dead = 0
-        self._timer: Any = None
-        self._armed = 0.0
-        self._running = False
-        self._behind: float | None = None  # since when what is read in this turn may have waited
-        self._settling = 0
-        self.on_stall: Callable[[float], None] = lambda seconds: None  # who tells of one
+        self._cancelled_count = 0
+        self._timer: DelayedCall | None = None
+        self._timer_at = 0.0
+        self._is_running = False
+        self._waiting_since: float | None = None  # since when what is read in this turn may have waited
+        self._settling_turns = 0
+        self.on_stall: Callable[[float], None] = _ignore_stall
 
     def at(self, when: float, callback: Callable[[int], None], argument: int = 0) -> Entry:
-        """Call back with the argument once `when` has come; the result is what `cancel` takes."""
+        """Call back with the argument at the time `when`, and return the entry that `cancel` takes."""
         self._order += 1
         entry: Entry = [when, self._order, callback, argument]
         heapq.heappush(self._heap, entry)
@@ -60,49 +83,53 @@
         return entry
 
     def cancel(self, entry: Entry) -> None:
-        """Forget a deadline; one that is past or cancelled already is no matter."""
+        """Cancel a deadline; one that is past or cancelled already is left as it is."""
         if entry[2] is None:
             return
         entry[2] = None
-        self._dead += 1
-        if self._dead > _COMPACT and self._dead * 2 > len(self._heap):
-            self._heap = [e for e in self._heap if e[2] is not None]
+        self._cancelled_count += 1
+        if self._cancelled_count > _MAX_CANCELLED and self._cancelled_count * 2 > len(self._heap):
+            self._heap = [other for other in self._heap if other[2] is not None]
             heapq.heapify(self._heap)
-            self._dead = 0
+            self._cancelled_count = 0
 
     def _head(self) -> Entry | None:
         heap = self._heap
         while heap and heap[0][2] is None:
             heapq.heappop(heap)
-            self._dead -= 1
+            self._cancelled_count -= 1
         return heap[0] if heap else None
 
     def earliest_arrival(self, moment: float) -> float:
-        """The earliest time at which what is read at this moment can have come; the moment itself but for stalls."""
+        """Return the earliest time at which what is read at this moment can have arrived.
+
+        That is the moment itself, except after stalls.
+        """
         head = self._head()
-        waited = moment if head is None else min(moment, head[0])
-        return waited if self._behind is None else min(waited, self._behind)
+        arrived_at = moment if head is None else min(moment, head[0])
+        return arrived_at if self._waiting_since is None else min(arrived_at, self._waiting_since)
 
     def is_stalled(self, moment: float) -> bool:
-        """Whether there was no turn for so long that lists and leases are to be looked at before anything is sent."""
+        """Return whether there was no turn for so long that lists and leases must be read before anything is sent."""
         return moment - self.earliest_arrival(moment) > STALL
 
     def mark_waiting(self, since: float) -> None:
-        """What is read in the next turns may have waited since then."""
-        settles, self._settling = self._behind is not None, SETTLING
-        self._behind = min(since, self._behind) if self._behind is not None else since
-        if not settles:
+        """Record that what is read in the next turns may have waited since then."""
+        is_settling = self._waiting_since is not None
+        self._settling_turns = SETTLING
+        self._waiting_since = min(since, self._waiting_since) if self._waiting_since is not None else since
+        if not is_settling:
             self.at(now(), self._settle)
 
     def _settle(self, _: int) -> None:
-        self._settling -= 1
-        if self._settling:
+        self._settling_turns -= 1
+        if self._settling_turns:
             self.at(now(), self._settle)  # in the next turn
         else:
-            self._behind = None
+            self._waiting_since = None
 
     def _arm(self) -> None:
-        if self._running:
+        if self._is_running:
             return
         head = self._head()
         if head is None:
@@ -110,28 +137,30 @@
         when = head[0]
         if self._timer is None:
             self._timer = self._reactor.callLater(max(0.0, when - now()), self._fire)
-        elif when < self._armed:
+        elif when < self._timer_at:
             self._timer.reset(max(0.0, when - now()))
         else:
             return
-        self._armed = when
+        self._timer_at = when
 
     def _fire(self) -> None:
-        self._timer, self._running = None, True
+        self._timer = None
+        self._is_running = True
         try:
-            # What a callback sets for at once waits for the next turn, so that sockets get theirs.
-            due = now()
+            # A deadline that a callback sets for the present waits for the next turn, so that sockets are served.
+            fired_at = now()
             head = self._head()
-            if head is not None and due - head[0] > STALL:
-                self.on_stall(due - head[0])
+            if head is not None and fired_at - head[0] > STALL:
+                self.on_stall(fired_at - head[0])
                 self.mark_waiting(head[0])
-            while self._heap and self._heap[0][0] <= due:
+            while self._heap and self._heap[0][0] <= fired_at:
                 entry = heapq.heappop(self._heap)
-                callback, entry[2] = entry[2], None
+                callback = entry[2]
+                entry[2] = None
                 if callback is None:
-                    self._dead -= 1
+                    self._cancelled_count -= 1
                 else:
                     callback(entry[3])
         finally:
-            self._running = False
+            self._is_running = False
             self._arm()
--- a/thymeflow/runtime/log.py
+++ b/thymeflow/runtime/log.py
@@ -1,33 +1,32 @@
-"""Log lines for on-call staff: one kind of line, at most so often, with what was left out counted.
+"""Log lines for on-call staff: each kind of line is limited in rate, and what was left out is counted.
 
-A broken peer can cause thousands of the same line in a second; the log must not cost more than the
-traffic. The page `docs/on-call.md` lists every kind.
+A broken peer can cause thousands of the same line in a second; the log must not cost more than the traffic. The page
+`docs/on-call.md` lists every kind.
 
-Where lines go is the sink's matter: standard error in the text form, unless `observe` puts another there.
+The sink decides where lines go: to standard error as plain text, unless another sink is set.
 """
 
 from __future__ import annotations
 
 import logging
 from collections.abc import Callable
-from typing import Any
 
 from thymeflow.runtime import clock
 
-PACE = 1.0  # s: least time between two lines of one kind
-MOST_TEXT = 300
+MIN_INTERVAL = 1.0  # s: between two lines of one kind
+MAX_TEXT_LENGTH = 300  # characters of a line's text
 
-Sink = Callable[[str, str, int, dict[str, Any]], None]  # kind, text, lines left out before it, typed fields
+Sink = Callable[[str, str, int, dict[str, object]], None]  # kind, text, lines left out before it, typed fields
 
 _log = logging.getLogger("thymeflow")
-_last: dict[str, float] = {}
-_skipped: dict[str, int] = {}
+_written_at: dict[str, float] = {}  # when the last line was written, by kind
+_skipped: dict[str, int] = {}  # lines left out since the last one, by kind
 
 
-def plain(kind: str, text: str, skipped: int, _: dict[str, Any]) -> None:
-    """The text form, by the standard library."""
-    more = f" ({skipped} more of this kind before)" if skipped else ""
-    _log.info("%s: %s%s", kind, text, more)
+def plain(kind: str, text: str, skipped: int, _: dict[str, object]) -> None:
+    """Write a line as plain text, with the standard library's logging."""
+    suffix = f" ({skipped} more of this kind before)" if skipped else ""
+    _log.info("%s: %s%s", kind, text, suffix)
 
 
 _sink: Sink = plain
@@ -39,18 +38,18 @@
     _sink = sink
 
 
-def say(kind: str, text: str, **fields: Any) -> None:
-    """Write `kind: text`, or count it where that kind was written a moment ago."""
+def say(kind: str, text: str, **fields: object) -> None:
+    """Write `kind: text`, or count it if that kind was written less than `MIN_INTERVAL` ago."""
     now = clock.now()
-    if now - _last.get(kind, 0.0) < PACE:
+    if now - _written_at.get(kind, 0.0) < MIN_INTERVAL:
         _skipped[kind] = _skipped.get(kind, 0) + 1
         return
-    _last[kind] = now
-    _sink(kind, " ".join(text.split())[:MOST_TEXT], _skipped.pop(kind, 0), fields)
+    _written_at[kind] = now
+    _sink(kind, " ".join(text.split())[:MAX_TEXT_LENGTH], _skipped.pop(kind, 0), fields)
 
 
-def note(kind: str, text: str, **fields: Any) -> None:
-    """Write `kind: text` whatever came before: for what happens a few times in a life."""
+def note(kind: str, text: str, **fields: object) -> None:
+    """Write `kind: text` without a limit in rate: for what happens a few times in a process."""
     _sink(kind, text, 0, fields)
 
 
--- a/thymeflow/runtime/slot_table.py
+++ b/thymeflow/runtime/slot_table.py
@@ -1,7 +1,7 @@
-"""Tables of numbered slots, used again; a handle also names the slot's generation.
+"""Tables of numbered slots that are reused; a handle also contains the slot's generation.
 
-Deadlines and callbacks outlive what they were set for. They hold handles instead of objects: the
-handle of what has ended finds nothing, also after its slot has been taken by something new.
+Deadlines and callbacks outlive what they were set for. They hold handles instead of objects: the handle of an item
+that was removed finds nothing, even after its slot has been given to another item.
 """
 
 from __future__ import annotations
@@ -10,34 +10,38 @@
 
 T = TypeVar("T")
 
-WIDTH = 1 << 20  # slots of a table at most; a handle is generation * WIDTH + slot
+MAX_SLOTS = 1 << 20  # of a table; a handle is generation * MAX_SLOTS + slot
 
 
 class SlotTable(Generic[T]):
-    """What is open of one kind, by handle."""
+    """The open items of one kind, by handle."""
 
-    def __init__(self, most: int) -> None:
-        self._most = min(most, WIDTH)
+    def __init__(self, max_items: int) -> None:
+        self._max_items = min(max_items, MAX_SLOTS)
         self._items: list[T | None] = []
         self._generations: list[int] = []
         self._free: list[int] = []
         self._count = 0
 
-    def set_limit(self, most: int) -> None:
-        """Hold so many at most from now on; what is over that stays until it ends."""
-        self._most = min(most, WIDTH)
+    def set_limit(self, max_items: int) -> None:
+        """Set another bound; items over it stay until they are removed."""
+        self._max_items = min(max_items, MAX_SLOTS)
 
     def __len__(self) -> int:
         return self._count
 
     def is_full(self) -> bool:
-        """Whether no slot is left."""
-        return self._count >= self._most
+        """Return whether no slot is left."""
+        return self._count >= self._max_items
 
     def add(self, item: T) -> int:
-        """Put something into a slot; the caller has seen that the table is not full."""
+        """Put an item into a slot and return its handle.
+
+        :raises OverflowError: if the table is full, which callers check before.
+        """
         if self.is_full():
-            raise OverflowError("table is full")
+            fault = "table is full"
+            raise OverflowError(fault)
         if self._free:
             slot = self._free.pop()
             self._items[slot] = item
@@ -46,19 +50,19 @@
             self._items.append(item)
             self._generations.append(0)
         self._count += 1
-        return self._generations[slot] * WIDTH + slot
+        return self._generations[slot] * MAX_SLOTS + slot
 
     def get(self, handle: int) -> T | None:
-        """What the handle names, or None once that has ended."""
-        generation, slot = divmod(handle, WIDTH)
-        current = slot < len(self._items) and self._generations[slot] == generation
-        return self._items[slot] if current else None
+        """Return the item of a handle, or None once it was removed."""
+        generation, slot = divmod(handle, MAX_SLOTS)
+        is_current = slot < len(self._items) and self._generations[slot] == generation
+        return self._items[slot] if is_current else None
 
     def remove(self, handle: int) -> T | None:
-        """Free the slot; the handle finds nothing from now on."""
+        """Free the slot and return its item, or None if it was removed before."""
         item = self.get(handle)
         if item is not None:
-            slot = handle % WIDTH
+            slot = handle % MAX_SLOTS
             self._items[slot] = None
             self._generations[slot] += 1
             self._free.append(slot)
@@ -66,5 +70,5 @@
         return item
 
     def all(self) -> list[T]:
-        """All that is open."""
+        """Return all open items, in the order of their slots."""
         return [item for item in self._items if item is not None]
