--- /dev/null
+++ b/tests/discovery/support.py
@@ -0,0 +1,68 @@
+"""Builders for the tests of discovery: messages as discovery sends them, and a watch over a reactor in memory."""
+
+from __future__ import annotations
+
+import json
+from collections.abc import Callable
+from typing import Any
+
+from tests.test_net_parts import World
+from tests.test_net_parts import world as world
+from thymeflow.discovery.timeouts import FIRST
+from thymeflow.discovery.watch import Discovery
+from thymeflow.platform.configuration import Address, EndpointUpdate
+from thymeflow.runtime import clock
+
+HEAD = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
+HEARTBEAT = b"1\r\n\n\r\n"  # a chunk with an empty line
+INITIAL_VERSION = 41  # of the list that the watch starts with
+ADDRESS = Address("127.0.0.1", 8)
+
+
+def build_entry(number: int = 1, lifecycle: str = "active") -> dict[str, Any]:
+    """Return a backend's entry, as discovery lists it."""
+    return {"instanceId": f"s-{number:08x}", "hostPort": f"127.0.0.1:{7000 + number}", "lifecycle": lifecycle}
+
+
+def build_message(
+    generation: int, *entries: dict[str, Any], is_complete: bool = False, indent: int | None = None
+) -> bytes:
+    """Return a message with these entries; a complete one resets the list."""
+    message = {"generation": generation, "reset": is_complete, "instances": entries}
+    return json.dumps(message, indent=indent).encode() + b"\n"
+
+
+def build_chunk(data: bytes) -> bytes:
+    """Return the data as one chunk of a chunked body."""
+    return b"%x\r\n%b\r\n" % (len(data), data)
+
+
+def start_discovery(
+    world: World, on_change: Callable[[EndpointUpdate], None], pushed: bool = True, limiters: int = 200
+) -> Discovery:
+    """Start a watch at `ADDRESS` from `INITIAL_VERSION`."""
+    discovery = Discovery(world.reactor, world.deadlines, ADDRESS, INITIAL_VERSION, on_change, limiters, 1, pushed)
+    discovery.start(clock.now() + FIRST)
+    return discovery
+
+
+def connect(world: World, number: int) -> Any:
+    """Complete the connect of that number and receive the response's head; `ends` counts how often it is closed."""
+    stream = world.up(number)
+    stream.ends = 0
+
+    def on_abort() -> None:
+        """Count the end."""
+        stream.ends += 1
+
+    stream.transport.abortConnection = on_abort
+    stream.dataReceived(HEAD)
+    return stream
+
+
+def wait_for_connect(world: World, known_connects: int, max_seconds: float = 9.0) -> float:
+    """Let time pass until there are more connects than those known; return the seconds until then."""
+    started_at = clock.now()
+    while len(world.reactor.tcpClients) <= known_connects and clock.now() - started_at < max_seconds:
+        world.reactor.advance(0.01)
+    return clock.now() - started_at
--- /dev/null
+++ b/tests/discovery/test_watch.py
@@ -0,0 +1,158 @@
+"""The watch on discovery: lists taken completely or not at all, one idle timeout, and changes of address."""
+
+from __future__ import annotations
+
+import json
+
+import pytest
+
+from tests.discovery.support import (
+    HEARTBEAT,
+    build_chunk,
+    build_entry,
+    build_message,
+    connect,
+    start_discovery,
+    wait_for_connect,
+)
+from tests.discovery.support import world as world
+from tests.test_net_parts import World
+from thymeflow.decision.types import BackendState
+from thymeflow.discovery.backoff import INITIAL_BACKOFF, MAX_BACKOFF
+from thymeflow.discovery.timeouts import (
+    HEARTBEATS,
+    POLLED_FIRST_MESSAGE_TIMEOUT,
+    PUSHED_FIRST_MESSAGE_TIMEOUT,
+    SILENCE,
+)
+from thymeflow.platform.configuration import Address, EndpointUpdate, listed
+from thymeflow.runtime import log
+
+
+def versions(updates: list[EndpointUpdate]) -> list[int]:
+    """Return the versions of the updates."""
+    return [update.change.version for update in updates]
+
+
+def test_indented_list_is_applied_when_complete_and_ignored_when_cut(world: World) -> None:
+    updates: list[EndpointUpdate] = []
+    start_discovery(world, updates.append)
+    stream = connect(world, 0)
+    message = build_message(43, build_entry(1), build_entry(2, "leaving"), is_complete=True, indent=2)
+    for position in range(0, len(message), 7):
+        stream.dataReceived(build_chunk(message[position : position + 7]))
+    assert versions(updates) == [43]
+    assert not stream.ends
+    stream.dataReceived(build_chunk(build_message(44, build_entry(1, "leaving"), indent=2)[:-9]))
+    stream.connectionLost()
+    assert len(updates) == 1
+    world.reactor.advance(INITIAL_BACKOFF)
+    next_stream = connect(world, 1)
+    assert b"index=43 " in next_stream.transport.value()
+    next_stream.dataReceived(build_chunk(build_message(44, build_entry(1, "leaving"))))
+    assert updates[1].change.backends[0].state is BackendState.DRAINING
+
+
+def test_watch_goes_on_unchanged_when_a_generation_goes_back(world: World, monkeypatch: pytest.MonkeyPatch) -> None:
+    updates = list[EndpointUpdate]()
+    logged = list[str]()
+    monkeypatch.setattr(log, "say", lambda kind, text, **fields: logged.append(text))
+    start_discovery(world, updates.append)
+    stream = connect(world, 0)
+    for chunk in (
+        build_chunk(build_message(43, build_entry(1, "leaving"))),
+        build_chunk(build_message(42, build_entry(1), is_complete=True)),
+        build_chunk(build_message(41)),
+        HEARTBEAT,
+        build_chunk(build_message(44, build_entry(2))),
+    ):
+        stream.dataReceived(chunk)
+    assert versions(updates) == [43, 44]
+    assert not stream.ends
+    assert [text.split(",")[0] for text in logged] == ["generation 42 is behind 43", "generation 41 is behind 43"]
+
+
+def test_list_and_watch_are_left_when_a_fetched_list_is_late_or_malformed(world: World) -> None:
+    updates: list[EndpointUpdate] = []
+    discovery = start_discovery(world, updates.append)
+    stream = connect(world, 0)
+    discovery.fetch()
+    discovery.fetch()
+    late = connect(world, 1)
+    malformed = connect(world, 2)
+    stream.dataReceived(build_chunk(build_message(43, build_entry(1, "leaving"))))
+    late.dataReceived(build_chunk(build_message(42, build_entry(1), is_complete=True)))
+    malformed.dataReceived(build_chunk(b'{"generation": 50}'))
+    assert versions(updates) == [43]
+    assert not stream.ends
+    while not late.ends:
+        stream.dataReceived(HEARTBEAT)
+        world.reactor.advance(1.0)
+    assert not stream.ends
+
+
+def test_other_entries_are_kept_when_a_lifecycle_is_unknown_and_counts_as_draining() -> None:
+    message = build_message(43, build_entry(1, "resting"), build_entry(2, "leaving"), build_entry(3))
+    update = listed(json.loads(message))
+    assert [backend.state for backend in update.change.backends] == [
+        BackendState.DRAINING,
+        BackendState.DRAINING,
+        BackendState.READY,
+    ]
+
+
+@pytest.mark.parametrize("pushed", [True, False])
+def test_idle_timeout_is_not_extended_when_a_new_watch_receives_nothing(world: World, pushed: bool) -> None:
+    start_discovery(world, lambda update: None, pushed)
+    first = connect(world, 0)
+    first.dataReceived(HEARTBEAT)
+    assert wait_for_connect(world, 1) < (HEARTBEATS if pushed else SILENCE) + INITIAL_BACKOFF + 0.02
+    second = connect(world, 1)  # connects, and then receives nothing either
+    max_wait = PUSHED_FIRST_MESSAGE_TIMEOUT if pushed else POLLED_FIRST_MESSAGE_TIMEOUT + MAX_BACKOFF
+    assert wait_for_connect(world, 2) <= max_wait + 0.02
+    third = connect(world, 2)
+    second.dataReceived(HEARTBEAT)  # a slow response is a response
+    assert (first.ends, second.ends, third.ends) == (1, 0, 1)
+
+
+def test_a_stream_is_open_as_discovery_returns_when_the_agent_was_idle_meanwhile(world: World) -> None:
+    discovery = start_discovery(world, lambda update: None)
+    streams = [connect(world, 0)]
+    for _ in range(800):  # 8 s: never long without an attempt, never many at once
+        world.reactor.advance(0.01)
+        while len(streams) < len(world.reactor.tcpClients):
+            streams.append(connect(world, len(streams)))
+    assert discovery.is_ready  # clients were admitted all the same
+    assert 8.0 / PUSHED_FIRST_MESSAGE_TIMEOUT - 2 <= len(streams) <= 8.0 / PUSHED_FIRST_MESSAGE_TIMEOUT + 2
+    assert sum(not stream.ends for stream in streams) == 3
+    streams[-2].dataReceived(HEARTBEAT)
+    assert sum(not stream.ends for stream in streams) == 1
+
+
+def test_first_list_is_awaited_when_it_arrives_slowly_in_pieces(world: World) -> None:
+    updates: list[EndpointUpdate] = []
+    start_discovery(world, updates.append)
+    stream = connect(world, 0)
+    message = build_message(43, build_entry(1), is_complete=True, indent=1)
+    for position in range(0, len(message), 10):
+        world.reactor.advance(0.4)
+        stream.dataReceived(build_chunk(message[position : position + 10]))
+    assert len(updates) == len(world.reactor.tcpClients) == 1
+    assert not stream.ends
+
+
+def test_backoff_and_streams_of_the_old_address_are_dropped_when_the_address_changes(world: World) -> None:
+    updates: list[EndpointUpdate] = []
+    discovery = start_discovery(world, updates.append, pushed=False)
+    old_stream = connect(world, 0)
+    for _ in range(5):
+        discovery.back_off.next_wait()
+    discovery.move(Address("127.0.0.1", 9))
+    assert old_stream.ends
+    assert world.reactor.tcpClients[1][1] == 9  # at once
+    assert discovery.back_off.next_wait() <= MAX_BACKOFF
+    assert discovery.back_off._bound > discovery.back_off._initial_bound - 1e-9
+    old_stream.dataReceived(build_chunk(build_message(50, build_entry(1))))
+    assert not updates
+    connect(world, 1).dataReceived(build_chunk(build_message(51, build_entry(1))))
+    assert versions(updates) == [51]
