--- a/tests/discovery/test_http.py
+++ b/tests/discovery/test_http.py
@@ -60,6 +60,11 @@
         Body().feed(HEAD + size + b"\r\n{}\n\r\n\r\n")
 
 
+def test_body_raises_when_a_chunk_is_not_closed_by_a_line_end() -> None:
+    with pytest.raises(HttpError):
+        Body().feed(HEAD + b"2\r\n{}1\r\n\n\r\n")
+
+
 def test_chunked_body_yields_its_messages_when_chunks_end_inside_them() -> None:
     response = b"HTTP/1.1 200 OK\r\ntransfer-encoding: Chunked\r\n\r\n"
     response += b'3\r\n{"a\r\n4;x=y\r\n":1}\r\n2\r\n\n\n\r\n1\r\n{\r\n1\r\n}\r\n0\r\n\r\n'
--- a/tests/discovery/test_watch.py
+++ b/tests/discovery/test_watch.py
@@ -156,3 +156,11 @@
     assert not updates
     connect(world, 1).dataReceived(build_chunk(build_message(51, build_entry(1))))
     assert versions(updates) == [51]
+
+
+def test_backoff_starts_again_when_the_address_changes(world: World) -> None:
+    discovery = start_discovery(world, lambda update: None, pushed=False, limiters=3)
+    for _ in range(5):
+        discovery.back_off.next_wait()
+    discovery.move(Address("127.0.0.1", 9))
+    assert discovery.back_off.next_wait() <= INITIAL_BACKOFF
--- a/thymeflow/backends/backends.py
+++ b/thymeflow/backends/backends.py
@@ -41,7 +41,7 @@
 class BackendConnections(ConnectionPools):
     """Sends attempts to backends over pooled connections.
 
-    `look` is called to read what discovery has sent and nobody has read, where that may be old.
+    `look` is called after a stall of this process, to read endpoint updates that wait at the sockets.
     """
 
     def __init__(self, reactor: object, deadlines: clock.Deadlines, limits: Limits, max_connections: int) -> None:
@@ -52,7 +52,7 @@
         self._sweep(0)
 
     def listed(self, update: EndpointUpdate) -> None:
-        """Apply a change of the endpoint list; it holds for all that is not written yet."""
+        """Apply a change of the endpoint list; it applies to all requests that are not written yet."""
         if update.change.kind is not EndpointListKind.DELTA:
             for backend_id in self._pools.keys() - {backend.id for backend in update.change.backends}:
                 self._retire(self._pools.pop(backend_id), BackendState.GONE)
@@ -318,7 +318,7 @@
         if attempt is None:
             return
         connection = attempt.connection
-        if connection is not None:  # closing it shows the other end that nobody waits
+        if connection is not None:  # closing it shows the backend that the reply is not awaited
             connection.attempt_handle = NO_ATTEMPT
             self._close(connection)
             self._detach_flows(connection)
--- a/thymeflow/discovery/watch.py
+++ b/thymeflow/discovery/watch.py
@@ -144,7 +144,7 @@
             self.on_ready()
 
     def look(self) -> None:
-        """Read what waits at the sockets, as after a stall: it counts as notified, and holds for what is sent next."""
+        """Read what waits at the sockets, as after a stall: it counts as notified, and applies to what is sent next."""
         for stream in list(self._open):
             for _ in range(MAX_READS):
                 if not unread(stream.transport) or stream.transport.doRead() is not None:
@@ -289,7 +289,7 @@
     def _take(self, change: EndpointUpdate) -> None:
         version = change.change.version
         if version < self._version:
-            # It is late, or from a replica that lags: newer changes were received already, and hold.
+            # It is late, or from a replica that lags: newer changes were received already, and apply.
             log.say(
                 "discovery",
                 f"generation {version} is behind {self._version}, which was told: not taken",
--- a/thymeflow/runtime/clock.py
+++ b/thymeflow/runtime/clock.py
@@ -5,7 +5,7 @@
 
 A process does not always run on time: it is stopped, its core is taken, or one turn of the reactor serves a thousand
 connections. What it reads then has waited, and nothing in it shows for how long. The heap shows it: an overdue
-deadline tells since when the reactor has had no turn.
+deadline shows since when the reactor has had no turn.
 """
 
 from __future__ import annotations
