--- a/tests/discovery/support.py
+++ b/tests/discovery/support.py
@@ -8,9 +8,9 @@
 
 from tests.test_net_parts import World
 from tests.test_net_parts import world as world
-from thymeflow.discovery.timeouts import FIRST
+from thymeflow.discovery.timeouts import FIRST_LIST_TIMEOUT
 from thymeflow.discovery.watch import Discovery
-from thymeflow.platform.configuration import Address, EndpointUpdate
+from thymeflow.platform.endpoints import Address, EndpointUpdate
 from thymeflow.runtime import clock
 
 HEAD = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
@@ -42,7 +42,7 @@
 ) -> Discovery:
     """Start a watch at `ADDRESS` from `INITIAL_VERSION`."""
     discovery = Discovery(world.reactor, world.deadlines, ADDRESS, INITIAL_VERSION, on_change, limiters, 1, pushed)
-    discovery.start(clock.now() + FIRST)
+    discovery.start(clock.now() + FIRST_LIST_TIMEOUT)
     return discovery
 
 
--- a/tests/discovery/test_backoff.py
+++ b/tests/discovery/test_backoff.py
@@ -8,8 +8,8 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from thymeflow.discovery.backoff import INITIAL_BACKOFF, MAX_BACKOFF, BackOff
-from thymeflow.discovery.timeouts import CONNECT_TIMEOUT, FIRST, SILENCE
+from thymeflow.discovery.backoff import INITIAL_BACKOFF, MAX_BACKOFF, Backoff
+from thymeflow.discovery.timeouts import CONNECT_TIMEOUT, FIRST_LIST_TIMEOUT, POLLED_IDLE_TIMEOUT
 
 LIMITERS = 40
 
@@ -17,10 +17,10 @@
 @given(st.sampled_from([1, 3, 30, 200, 1000]), st.booleans(), st.integers(0, 99))
 def test_wait_is_bounded_so_that_a_change_is_received_before_it_counts(limiters: int, pushed: bool, seed: int) -> None:
     # Of the 6 s: a connect that hangs, the wait, and the next first message; pushed, of a drain's grace period.
-    backoff = BackOff(limiters, seed, pushed)
+    backoff = Backoff(limiters, seed, pushed)
     waits = [backoff.next_wait() for _ in range(30)]
     assert max(waits) <= (INITIAL_BACKOFF if pushed else MAX_BACKOFF)
-    assert CONNECT_TIMEOUT + MAX_BACKOFF + FIRST <= SILENCE
+    assert CONNECT_TIMEOUT + MAX_BACKOFF + FIRST_LIST_TIMEOUT <= POLLED_IDLE_TIMEOUT
     backoff.reset()
     assert backoff.next_wait() <= (INITIAL_BACKOFF if pushed else max(INITIAL_BACKOFF, 0.025 * limiters))
 
@@ -28,7 +28,7 @@
 def test_forty_limiters_spread_their_attempts_within_the_bound_when_all_are_rejected() -> None:
     attempts: list[tuple[float, int]] = []
     for number in range(LIMITERS):
-        backoff = BackOff(LIMITERS, number, False)
+        backoff = Backoff(LIMITERS, number, False)
         now = 0.0
         while (now := now + backoff.next_wait()) < 60.0:  # all are rejected for a minute
             attempts.append((now, number))
--- a/tests/discovery/test_http.py
+++ b/tests/discovery/test_http.py
@@ -10,7 +10,7 @@
 from hypothesis import strategies as st
 
 from tests.discovery.support import HEAD
-from thymeflow.discovery.http import Body, HttpError, JsonObjectSplitter
+from thymeflow.discovery.http import HttpError, JsonObjectSplitter, ResponseParser
 
 strings = st.text(st.sampled_from('ab{}[]"\\ \n\u00e9'), max_size=8)
 values = st.recursive(
@@ -57,18 +57,18 @@
 @pytest.mark.parametrize("size", [b"zz", b"-1", b"0x3", b"+3", b"1_0", b"", b"fffffffff", b"3\r\nabcd"])
 def test_body_raises_when_a_chunk_size_is_malformed(size: bytes) -> None:
     with pytest.raises(HttpError):
-        Body().feed(HEAD + size + b"\r\n{}\n\r\n\r\n")
+        ResponseParser().feed(HEAD + size + b"\r\n{}\n\r\n\r\n")
 
 
 def test_body_raises_when_a_chunk_is_not_closed_by_a_line_end() -> None:
     with pytest.raises(HttpError):
-        Body().feed(HEAD + b"2\r\n{}1\r\n\n\r\n")
+        ResponseParser().feed(HEAD + b"2\r\n{}1\r\n\n\r\n")
 
 
 def test_chunked_body_yields_its_messages_when_chunks_end_inside_them() -> None:
     response = b"HTTP/1.1 200 OK\r\ntransfer-encoding: Chunked\r\n\r\n"
     response += b'3\r\n{"a\r\n4;x=y\r\n":1}\r\n2\r\n\n\n\r\n1\r\n{\r\n1\r\n}\r\n0\r\n\r\n'
-    body = Body()
+    body = ResponseParser()
     found = list[bytes]()
     for position in range(len(response)):
         found += body.feed(response[position : position + 1])
--- a/tests/discovery/test_watch.py
+++ b/tests/discovery/test_watch.py
@@ -20,12 +20,12 @@
 from thymeflow.decision.types import BackendState
 from thymeflow.discovery.backoff import INITIAL_BACKOFF, MAX_BACKOFF
 from thymeflow.discovery.timeouts import (
-    HEARTBEATS,
     POLLED_FIRST_MESSAGE_TIMEOUT,
+    POLLED_IDLE_TIMEOUT,
     PUSHED_FIRST_MESSAGE_TIMEOUT,
-    SILENCE,
+    PUSHED_IDLE_TIMEOUT,
 )
-from thymeflow.platform.configuration import Address, EndpointUpdate, listed
+from thymeflow.platform.endpoints import Address, EndpointUpdate, endpoint_update
 from thymeflow.runtime import log
 
 
@@ -76,8 +76,8 @@
     updates: list[EndpointUpdate] = []
     discovery = start_discovery(world, updates.append)
     stream = connect(world, 0)
-    discovery.fetch()
-    discovery.fetch()
+    discovery.fetch_complete_list()
+    discovery.fetch_complete_list()
     late = connect(world, 1)
     malformed = connect(world, 2)
     stream.dataReceived(build_chunk(build_message(43, build_entry(1, "leaving"))))
@@ -93,7 +93,7 @@
 
 def test_other_entries_are_kept_when_a_lifecycle_is_unknown_and_counts_as_draining() -> None:
     message = build_message(43, build_entry(1, "resting"), build_entry(2, "leaving"), build_entry(3))
-    update = listed(json.loads(message))
+    update = endpoint_update(json.loads(message))
     assert [backend.state for backend in update.change.backends] == [
         BackendState.DRAINING,
         BackendState.DRAINING,
@@ -106,7 +106,9 @@
     start_discovery(world, lambda update: None, pushed)
     first = connect(world, 0)
     first.dataReceived(HEARTBEAT)
-    assert wait_for_connect(world, 1) < (HEARTBEATS if pushed else SILENCE) + INITIAL_BACKOFF + 0.02
+    assert (
+        wait_for_connect(world, 1) < (PUSHED_IDLE_TIMEOUT if pushed else POLLED_IDLE_TIMEOUT) + INITIAL_BACKOFF + 0.02
+    )
     second = connect(world, 1)  # connects, and then receives nothing either
     max_wait = PUSHED_FIRST_MESSAGE_TIMEOUT if pushed else POLLED_FIRST_MESSAGE_TIMEOUT + MAX_BACKOFF
     assert wait_for_connect(world, 2) <= max_wait + 0.02
@@ -146,12 +148,12 @@
     discovery = start_discovery(world, updates.append, pushed=False)
     old_stream = connect(world, 0)
     for _ in range(5):
-        discovery.back_off.next_wait()
-    discovery.move(Address("127.0.0.1", 9))
+        discovery.backoff.next_wait()
+    discovery.set_address(Address("127.0.0.1", 9))
     assert old_stream.ends
     assert world.reactor.tcpClients[1][1] == 9  # at once
-    assert discovery.back_off.next_wait() <= MAX_BACKOFF
-    assert discovery.back_off._bound > discovery.back_off._initial_bound - 1e-9
+    assert discovery.backoff.next_wait() <= MAX_BACKOFF
+    assert discovery.backoff._bound > discovery.backoff._initial_bound - 1e-9
     old_stream.dataReceived(build_chunk(build_message(50, build_entry(1))))
     assert not updates
     connect(world, 1).dataReceived(build_chunk(build_message(51, build_entry(1))))
@@ -161,6 +163,6 @@
 def test_backoff_starts_again_when_the_address_changes(world: World) -> None:
     discovery = start_discovery(world, lambda update: None, pushed=False, limiters=3)
     for _ in range(5):
-        discovery.back_off.next_wait()
-    discovery.move(Address("127.0.0.1", 9))
-    assert discovery.back_off.next_wait() <= INITIAL_BACKOFF
+        discovery.backoff.next_wait()
+    discovery.set_address(Address("127.0.0.1", 9))
+    assert discovery.backoff.next_wait() <= INITIAL_BACKOFF
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -270,10 +270,10 @@
     void = order()._replace(
         is_connected=lambda: there[0], start_before=clock.now() + 0.3 if why == "past the window" else inf
     )
-    made.begin(void).addCallback(ends.append)
-    made.begin(order()).addCallback(ends.append)
+    made.start_attempt(void).addCallback(ends.append)
+    made.start_attempt(order()).addCallback(ends.append)
     if why == "late":
-        void_pass = made._passes.all()[0]
+        void_pass = made._attempts.items()[0]
         void_pass.order = void_pass.order._replace(deadline=clock.now() + 0.2)  # its timer has not had its turn
     there[0] = why != "left"
     world.reactor.rightNow += 0.4
@@ -284,10 +284,10 @@
 
 def test_a_connection_that_ends_as_it_comes_up_strands_no_pass(world: World) -> None:
     made, ends = upstream(world)
-    made.begin(order()).addCallback(ends.append)
-    made.begin(order()).addCallback(ends.append)
+    made.start_attempt(order()).addCallback(ends.append)
+    made.start_attempt(order()).addCallback(ends.append)
     world.up(0, unread=b"-BUSY\r\n")  # no room there: it says so at once, or closes
-    assert [end.status for end in ends] == [Status.CONNECT_FAILED] and made.count == 1
+    assert [end.status for end in ends] == [Status.CONNECT_FAILED] and made.open_connections == 1
     world.up(1).dataReceived(good(b"v"))
     assert [end.status for end in ends] == [Status.CONNECT_FAILED, Status.OK]
 
--- a/thymeflow/backends/attempts.py
+++ b/thymeflow/backends/attempts.py
@@ -6,7 +6,7 @@
 
 from twisted.internet.defer import Deferred
 
-from thymeflow.core.dispatcher import AttemptResult, AttemptSpec
+from thymeflow.core.types import AttemptResult, AttemptSpec
 from thymeflow.runtime import clock
 
 if TYPE_CHECKING:
--- a/thymeflow/backends/backends.py
+++ b/thymeflow/backends/backends.py
@@ -15,11 +15,11 @@
 from thymeflow.backends.attempts import Attempt
 from thymeflow.backends.connections import NO_ATTEMPT, Connection
 from thymeflow.backends.pools import ConnectionPools, Pool
-from thymeflow.backends.replies import outcome_of as outcome_of
-from thymeflow.core.dispatcher import AttemptResult, AttemptSpec
+from thymeflow.backends.replies import parse_attempt_result as parse_attempt_result
+from thymeflow.core.types import AttemptResult, AttemptSpec
 from thymeflow.decision.settings import Limits
 from thymeflow.decision.types import BackendState, EndpointListKind, Status
-from thymeflow.platform.configuration import EndpointUpdate
+from thymeflow.platform.endpoints import EndpointUpdate
 from thymeflow.runtime import clock, log
 from thymeflow.runtime.slot_table import SlotTable
 from thymeflow.transport.commands import Call
@@ -29,7 +29,7 @@
 STALL = 1.0  # s: without a byte of a reply that has begun; backends write in pieces, and some slowly
 # s: the same for a long reply that is being streamed, as ending one that still moves would lose it; and for a long
 # body, without a byte taken of it.
-HUNG = 5.0
+LONG_VALUE_TIMEOUT = 5.0
 MAX_ATTEMPTS = 1 << 16  # in progress at a time
 READY = BackendState.READY
 
@@ -47,23 +47,23 @@
     def __init__(self, reactor: object, deadlines: clock.Deadlines, limits: Limits, max_connections: int) -> None:
         super().__init__(deadlines, limits, max_connections)
         self._reactor = reactor
-        self._passes: SlotTable[Attempt] = SlotTable(MAX_ATTEMPTS)
-        self.look: Callable[[], None] = _do_nothing
+        self._attempts: SlotTable[Attempt] = SlotTable(MAX_ATTEMPTS)
+        self.read_endpoint_updates: Callable[[], None] = _do_nothing
         self._sweep(0)
 
-    def listed(self, update: EndpointUpdate) -> None:
+    def apply_update(self, update: EndpointUpdate) -> None:
         """Apply a change of the endpoint list; it applies to all requests that are not written yet."""
         if update.change.kind is not EndpointListKind.DELTA:
-            for backend_id in self._pools.keys() - {backend.id for backend in update.change.backends}:
-                self._retire(self._pools.pop(backend_id), BackendState.GONE)
+            for backend_id in self._pools_by_id.keys() - {backend.id for backend in update.change.backends}:
+                self._retire(self._pools_by_id.pop(backend_id), BackendState.GONE)
         for backend in update.change.backends:
-            pool = self._pools.get(backend.id)
+            pool = self._pools_by_id.get(backend.id)
             address = update.addresses.get(backend.id)
             if pool is not None and (address != pool.address or backend.state is BackendState.GONE):
-                self._retire(self._pools.pop(backend.id), BackendState.GONE)
+                self._retire(self._pools_by_id.pop(backend.id), BackendState.GONE)
                 pool = None
             if pool is None and address is not None:
-                self._pools[backend.id] = Pool(backend.id, address, backend.state)
+                self._pools_by_id[backend.id] = Pool(backend.id, address, backend.state)
             elif pool is not None and backend.state is READY:
                 pool.state = READY
             elif pool is not None:
@@ -76,12 +76,12 @@
         while pool.waiting:
             self._end(pool.waiting.popleft(), AttemptResult(Status.CONNECT_FAILED))
 
-    def begin(self, order: AttemptSpec) -> Deferred[AttemptResult]:
+    def start_attempt(self, order: AttemptSpec) -> Deferred[AttemptResult]:
         """Begin an attempt; the Deferred never fails, and cancelling it gives the attempt up."""
         result_deferred: Deferred[AttemptResult] = Deferred(lambda _: self._give_up(handle, Status.CANCELLED))
         attempt = Attempt(order, result_deferred)
-        handle = self._passes.add(attempt)
-        pool = self._pools.get(order.backend)
+        handle = self._attempts.add(attempt)
+        pool = self._pools_by_id.get(order.backend)
         if order.deadline <= clock.now():
             self._end(handle, AttemptResult(Status.TIMEOUT))
         elif pool is None or pool.state is not READY:
@@ -91,17 +91,21 @@
                 attempt.deadline_entry = self._deadlines.at(order.deadline, self._on_deadline, handle)
             if connection := self._take_idle(pool):
                 self._send(connection, handle)
-            elif self.count < self._most or self._close_longest_idle():
+            elif self.open_connections < self._max_connections or self._close_longest_idle():
                 pool.waiting.append(handle)
                 self._dial(pool)
             else:
-                log.say("pool", f"all {self._most} connections to application servers are busy", most=self._most)
+                log.say(
+                    "pool",
+                    f"all {self._max_connections} connections to application servers are busy",
+                    most=self._max_connections,
+                )
                 self._end(handle, AttemptResult(Status.CONNECT_FAILED))
         return result_deferred
 
     def _dial(self, pool: Pool) -> None:
         pool.dialing += 1
-        self.count += 1
+        self.open_connections += 1
         deadline = clock.now() + self.limits.connect_timeout
         connected = dial(self._reactor, self._deadlines, pool.address, deadline, lambda: Connection(self, pool))
         connected.addCallbacks(self._on_connected, self._on_connect_failed, errbackArgs=(pool,))
@@ -113,7 +117,7 @@
 
     def _on_connect_failed(self, failure: Failure, pool: Pool) -> None:
         pool.dialing -= 1
-        self.count -= 1
+        self.open_connections -= 1
         log.say("connect failed", f"{pool.address}: {failure.getErrorMessage()}", address=pool.address)
         self._end_unserved(pool)
 
@@ -139,7 +143,7 @@
         now = clock.now()
         while pool.waiting:
             handle = pool.waiting.popleft()
-            attempt = self._passes.get(handle)
+            attempt = self._attempts.get(handle)
             assert attempt is not None
             spec = attempt.order
             if now < min(spec.deadline, spec.start_before) and spec.is_connected():
@@ -153,7 +157,7 @@
             self._end(handle, AttemptResult(Status.MOOT))
 
     def _send(self, connection: Connection, handle: int) -> None:
-        attempt = self._passes.get(handle)
+        attempt = self._attempts.get(handle)
         assert attempt is not None
         call = attempt.order.payload
         assert isinstance(call, Call)
@@ -170,12 +174,12 @@
             self._send_long_body(connection, handle, attempt, call, call.flow)
 
     def _recheck(self, connection: Connection, handle: int, attempt: Attempt) -> bool:
-        self.look()
-        is_attempt_open = self._passes.get(handle) is attempt
+        self.read_endpoint_updates()
+        is_attempt_open = self._attempts.get(handle) is attempt
         if connection.pool.state is READY and is_attempt_open:
             return True
         self._close(connection)
-        if self._passes.get(handle) is attempt:
+        if self._attempts.get(handle) is attempt:
             self._end(handle, AttemptResult(Status.CONNECT_FAILED))
         return False
 
@@ -184,7 +188,7 @@
         connection.body = body
         connection.narrow()
         connection.last_activity_at = clock.now()
-        self._deadlines.at(connection.last_activity_at + HUNG, self._check_body, handle)
+        self._deadlines.at(connection.last_activity_at + LONG_VALUE_TIMEOUT, self._check_body, handle)
         body.when_whole(lambda: self._on_body_received(handle, body.deadline))
         attempt.order.on_response_started(None)
         connection.write(call.write(call.wait))
@@ -192,18 +196,20 @@
 
     def _on_body_received(self, handle: int, deadline: float) -> None:
         # The body has arrived completely from the client, whose deadline counts from now on.
-        attempt = self._passes.get(handle)
+        attempt = self._attempts.get(handle)
         if attempt is not None:
             attempt.deadline_entry = self._deadlines.at(deadline, self._on_deadline, handle)
 
     def _check_body(self, handle: int) -> None:
         # Guards both ends of a streamed body against a backend that stopped without closing its connection.
-        attempt = self._passes.get(handle)
+        attempt = self._attempts.get(handle)
         connection = None if attempt is None else attempt.connection
         if connection is None or connection.body is None:
             return
         now = clock.now()
-        hung_at = connection.last_activity_at + HUNG if not connection.flushed else now + HUNG
+        hung_at = (
+            connection.last_activity_at + LONG_VALUE_TIMEOUT if not connection.flushed else now + LONG_VALUE_TIMEOUT
+        )
         if hung_at > now:
             self._deadlines.at(hung_at, self._check_body, handle)
         else:
@@ -219,7 +225,7 @@
         """Stream a long reply to the client; its deadline is met by its first bytes."""
         handle = connection.attempt_handle
         transport = connection.transport
-        attempt = self._passes.get(handle)
+        attempt = self._attempts.get(handle)
         assert attempt is not None
         if attempt.deadline_entry:
             self._deadlines.cancel(attempt.deadline_entry)
@@ -254,15 +260,15 @@
         self._deadlines.at(clock.now() + STALL, self._check_reply, connection.attempt_handle)
 
     def _check_reply(self, handle: int) -> None:
-        attempt = self._passes.get(handle)
+        attempt = self._attempts.get(handle)
         connection = None if attempt is None else attempt.connection
         if connection is None or not connection.is_reply_started:
             return
         flow = connection.flow
         now = clock.now()
-        stalled_at = connection.last_activity_at + (STALL if flow is None else HUNG)
+        stalled_at = connection.last_activity_at + (STALL if flow is None else LONG_VALUE_TIMEOUT)
         if flow is not None and flow.waits:
-            stalled_at = now + HUNG  # its reader takes its time
+            stalled_at = now + LONG_VALUE_TIMEOUT  # its reader takes its time
         if stalled_at <= now:
             connection.garbled("an answer was begun and not ended")
         else:
@@ -301,20 +307,20 @@
         # was not completely written was never executed, any other may have been.
         handle = connection.attempt_handle
         connection.attempt_handle = NO_ATTEMPT
-        self.count -= 1
+        self.open_connections -= 1
         self._detach_flows(connection)
         if handle < 0 and connection in connection.pool.idle:
             connection.pool.idle.remove(connection)
         return handle
 
     def _on_deadline(self, handle: int) -> None:
-        attempt = self._passes.get(handle)
+        attempt = self._attempts.get(handle)
         if attempt is not None:
             is_sent = attempt.connection is not None and attempt.connection.is_request_sent()
             self._give_up(handle, Status.TIMEOUT if is_sent else Status.CONNECT_FAILED)
 
     def _give_up(self, handle: int, status: Status) -> None:
-        attempt = self._passes.get(handle)
+        attempt = self._attempts.get(handle)
         if attempt is None:
             return
         connection = attempt.connection
@@ -322,12 +328,12 @@
             connection.attempt_handle = NO_ATTEMPT
             self._close(connection)
             self._detach_flows(connection)
-        elif pool := self._pools.get(attempt.order.backend):
+        elif pool := self._pools_by_id.get(attempt.order.backend):
             pool.waiting.remove(handle)
         self._end(handle, AttemptResult(status))
 
     def _end(self, handle: int, result: AttemptResult) -> None:
-        attempt = self._passes.remove(handle)
+        attempt = self._attempts.remove(handle)
         if attempt is not None:
             if attempt.deadline_entry:
                 self._deadlines.cancel(attempt.deadline_entry)
--- a/thymeflow/backends/connections.py
+++ b/thymeflow/backends/connections.py
@@ -4,8 +4,8 @@
 
 from typing import TYPE_CHECKING, Protocol
 
-from thymeflow.backends.replies import outcome_of
-from thymeflow.core.dispatcher import AttemptResult
+from thymeflow.backends.replies import parse_attempt_result
+from thymeflow.core.types import AttemptResult
 from thymeflow.decision.types import Status
 from thymeflow.runtime import clock, log
 from thymeflow.transport import resp
@@ -106,7 +106,7 @@
 
     def _handle_reply(self, event: resp.Event, trailing: list[resp.Event], fault: str) -> None:
         is_long = isinstance(event, resp.End)
-        result = outcome_of([b"", *event.after] if isinstance(event, resp.End) else event)
+        result = parse_attempt_result([b"", *event.after] if isinstance(event, resp.End) else event)
         if result is None or (self.body is not None and result.status is Status.OK):
             self.garbled(f"no answer: {str(event)[:60]}")
             return
--- a/thymeflow/backends/pools.py
+++ b/thymeflow/backends/pools.py
@@ -7,7 +7,7 @@
 from thymeflow.backends.connections import Connection
 from thymeflow.decision.settings import Limits
 from thymeflow.decision.types import BackendState
-from thymeflow.platform.configuration import Address
+from thymeflow.platform.endpoints import Address
 from thymeflow.runtime import clock
 from thymeflow.transport.connections import unread
 
@@ -38,35 +38,35 @@
     def __init__(self, deadlines: clock.Deadlines, limits: Limits, max_connections: int) -> None:
         self._deadlines = deadlines
         self.limits = limits
-        self._most = max_connections
-        self._pools: dict[int, Pool] = {}  # by the backend's id
-        self.count = 0  # connections open or being opened
+        self._max_connections = max_connections
+        self._pools_by_id: dict[int, Pool] = {}  # by the backend's id
+        self.open_connections = 0  # connections open or being opened
         self.resting = False  # no new attempts are expected: a connection that becomes idle is closed
 
-    def limit(self, max_connections: int) -> None:
+    def set_max_connections(self, max_connections: int) -> None:
         """Set another bound on connections, for those that are opened from now on."""
-        self._most = max_connections
+        self._max_connections = max_connections
 
-    def rest(self, resting: bool) -> None:
+    def set_resting(self, resting: bool) -> None:
         """Set whether connections are closed as they become idle, since backends accept only so many."""
         self.resting = resting
-        for pool in self._pools.values() if resting else ():
+        for pool in self._pools_by_id.values() if resting else ():
             self._close_idle(pool)
 
     def close_idle(self, backend: int) -> None:
         """Close the idle connections to one backend."""
-        if pool := self._pools.get(backend):
+        if pool := self._pools_by_id.get(backend):
             self._close_idle(pool)
 
     def _close_idle(self, pool: Pool) -> None:
         for connection in pool.idle:
             connection.hang_up()
-        self.count -= len(pool.idle)
+        self.open_connections -= len(pool.idle)
         pool.idle.clear()
 
     def _close(self, connection: Connection) -> None:
         connection.hang_up()
-        self.count -= 1
+        self.open_connections -= 1
 
     def _check_usable(self, connection: Connection) -> bool:
         # An attempt written to a connection that has ended, or on which bytes of an earlier reply still arrive,
@@ -84,7 +84,7 @@
 
     def _close_longest_idle(self) -> bool:
         # The descriptor limit binds over all backends: the connection idle for longest, of any pool, is closed.
-        pools = [pool for pool in self._pools.values() if pool.idle]
+        pools = [pool for pool in self._pools_by_id.values() if pool.idle]
         if not pools:
             return False
         longest_idle = min(pools, key=lambda pool: pool.idle[0].last_activity_at)
@@ -93,7 +93,7 @@
 
     def _sweep(self, _: int) -> None:
         now = clock.now()
-        for pool in self._pools.values():
+        for pool in self._pools_by_id.values():
             while pool.idle and now - pool.idle[0].last_activity_at > IDLE_FRACTION * self.limits.connection_idle:
                 self._close(pool.idle.pop(0))
         self._deadlines.at(now + SWEEP_INTERVAL, self._sweep)
--- a/thymeflow/backends/replies.py
+++ b/thymeflow/backends/replies.py
@@ -4,7 +4,7 @@
 
 from math import isfinite
 
-from thymeflow.core.dispatcher import AttemptResult
+from thymeflow.core.types import AttemptResult
 from thymeflow.decision.types import LoadReport, Status
 from thymeflow.runtime import log
 from thymeflow.transport import resp
@@ -64,7 +64,7 @@
     )
 
 
-def outcome_of(reply: resp.Event) -> AttemptResult | None:
+def parse_attempt_result(reply: resp.Event) -> AttemptResult | None:
     """Return the result that a reply stands for, or None if it is malformed and the connection is out of step."""
     if isinstance(reply, list) and len(reply) == 3 and isinstance(reply[0], bytes):
         return _build_result(Status.OK, reply[0], [item for item in reply[1:] if isinstance(item, bytes)])
--- a/thymeflow/core/dispatcher.py
+++ b/thymeflow/core/dispatcher.py
@@ -203,7 +203,7 @@
         if self.discovery is None:
             self._log_unsupported(action)
         else:
-            self.discovery.fetch()
+            self.discovery.fetch_complete_list()
 
     @staticmethod
     def _write_log(action: actions.WriteLog) -> None:
@@ -252,7 +252,7 @@
             now + action.start_within,
             pending.incoming.is_connected,
         )
-        attempt = self.upstream.begin(spec)
+        attempt = self.upstream.start_attempt(spec)
         pending.open_attempts[number] = attempt
         attempt.addCallback(self._on_attempt_ended, pending, number, action.backend, now)
         attempt.addErrback(self._on_attempt_fault)
--- a/thymeflow/core/types.py
+++ b/thymeflow/core/types.py
@@ -87,7 +87,7 @@
 class AttemptRunner(Protocol):
     """Makes attempts."""
 
-    def begin(self, spec: AttemptSpec) -> Deferred[AttemptResult]:
+    def start_attempt(self, spec: AttemptSpec) -> Deferred[AttemptResult]:
         """Begin an attempt; cancelling the Deferred ends it with the status CANCELLED."""
 
     def close_idle(self, backend: int) -> None:
@@ -104,7 +104,7 @@
 class EndpointSource(Protocol):
     """Watches the endpoint list from the start on, so that only the complete list can be requested."""
 
-    def fetch(self) -> None:
+    def fetch_complete_list(self) -> None:
         """Request the complete list."""
 
 
--- a/thymeflow/counter/client.py
+++ b/thymeflow/counter/client.py
@@ -20,7 +20,7 @@
 
 CONNECTIONS = 3  # the counter may be split over as many partitions
 STALL = 0.3  # s: without a byte of a reply that has begun; some are written in pieces
-DEAD = 1.0  # s: without a reply while calls wait; the host is gone without closing its connections
+DEAD_PEER_TIMEOUT = 1.0  # s: without a reply while calls wait; the host is gone without closing its connections
 MAX_PENDING_CALLS = 512  # on one connection
 CONNECT_TIMEOUT = 0.25  # s
 RECONNECT_WAIT = 0.2  # s: between a failed connect and the next
@@ -30,26 +30,26 @@
 MAX_TOTAL = 1e15  # larger sums are malformed: no sum of credible amounts is larger
 _TOTAL = re.compile(rb"-?[0-9]{1,18}(\.[0-9]{1,18})?([eE][+-]?[0-9]{1,2})?")
 
-Result = tuple[Status, float]  # the status and the new total; a plain tuple, as each call builds one
+CounterResult = tuple[Status, float]  # the status and the new total; a plain tuple, as each call builds one
 
 
 class PendingCall:
     """One call, until its reply has arrived; its result may have been reported before."""
 
-    __slots__ = ("data", "deadline_entry", "reported", "result_deferred", "started_at")
+    __slots__ = ("data", "deadline_entry", "is_reported", "result_deferred", "started_at")
 
-    def __init__(self, data: bytes, started_at: float, result_deferred: Deferred[Result]) -> None:
+    def __init__(self, data: bytes, started_at: float, result_deferred: Deferred[CounterResult]) -> None:
         self.data = data
         self.started_at = started_at
         self.result_deferred = result_deferred
-        self.reported = False
+        self.is_reported = False
         self.deadline_entry: clock.Entry = []
 
 
 class CounterConnection(Link):
     """One connection to the counter."""
 
-    def __init__(self, line: Line) -> None:
+    def __init__(self, line: CallPipeline) -> None:
         super().__init__()
         self._line = line
         self._last_received_at = 0.0
@@ -83,7 +83,7 @@
         self._line.on_connection_lost()
 
 
-class Line:
+class CallPipeline:
     """The calls of one connection in their order: those written, and those that wait until it is up."""
 
     def __init__(self, reactor: object, deadlines: clock.Deadlines, address: Address) -> None:
@@ -99,10 +99,10 @@
         self._flushed_calls = 0  # how many of the written ones have gone to the kernel
         self._unwritten: deque[PendingCall] = deque()
 
-    def call(self, data: bytes, deadline: float) -> Deferred[Result]:
+    def call(self, data: bytes, deadline: float) -> Deferred[CounterResult]:
         """Send a call; the result is due by the deadline, and is never a failure."""
         now = clock.now()
-        result_deferred: Deferred[Result] = Deferred()
+        result_deferred: Deferred[CounterResult] = Deferred()
         call = PendingCall(data, now, result_deferred)
         if self._connection is None:
             self.connect()
@@ -186,10 +186,10 @@
             self._connection.garbled("an answer was begun and not ended")
             return
         oldest = self.written[0] if self.written else call
-        if self._connection is not None and now - max(self._last_reply_at, oldest.started_at) > DEAD:
+        if self._connection is not None and now - max(self._last_reply_at, oldest.started_at) > DEAD_PEER_TIMEOUT:
             log.say(
                 "counter silent",
-                f"{self._address}: no answer for {DEAD:g} s, connecting anew",
+                f"{self._address}: no answer for {DEAD_PEER_TIMEOUT:g} s, connecting anew",
                 address=self._address,
                 waiting=len(self.written),
             )
@@ -211,7 +211,7 @@
         self._close_if_retired()
 
     @staticmethod
-    def _parse_result(value: resp.Value) -> Result | None:
+    def _parse_result(value: resp.Value) -> CounterResult | None:
         if isinstance(value, resp.Problem):
             if value.startswith(b"ERR"):
                 log.say("counter odd", repr(bytes(value)[:80]))
@@ -233,9 +233,9 @@
             self._report(call, (status, 0.0))
         self._fail_unwritten()
 
-    def _report(self, call: PendingCall, result: Result) -> None:
-        if not call.reported:
-            call.reported = True
+    def _report(self, call: PendingCall, result: CounterResult) -> None:
+        if not call.is_reported:
+            call.is_reported = True
             if call.deadline_entry:
                 self._deadlines.cancel(call.deadline_entry)
             call.result_deferred.callback(result)
@@ -249,15 +249,15 @@
         self._deadlines = deadlines
         self._lines = self._build_lines(address)
 
-    def _build_lines(self, address: Address) -> list[Line]:
-        return [Line(self._reactor, self._deadlines, address) for _ in range(CONNECTIONS)]
+    def _build_lines(self, address: Address) -> list[CallPipeline]:
+        return [CallPipeline(self._reactor, self._deadlines, address) for _ in range(CONNECTIONS)]
 
     def connect(self) -> None:
         """Open the connections before the first calls need them."""
         for line in self._lines:
             line.connect()
 
-    def move(self, address: Address) -> None:
+    def set_address(self, address: Address) -> None:
         """Send new calls to another address; those in flight end where they were sent."""
         old_lines = self._lines
         self._lines = self._build_lines(address)
@@ -265,7 +265,7 @@
         for line in old_lines:
             line.retire()
 
-    def add(self, name: int, amount: float, ttl: float, deadline: float) -> Deferred[Result]:
+    def add(self, name: int, amount: float, ttl: float, deadline: float) -> Deferred[CounterResult]:
         """Add to a named number that expires after `ttl` seconds; the result is a status and the total.
 
         The result comes by the deadline, and is never a failure.
--- a/thymeflow/daemon/instance.py
+++ b/thymeflow/daemon/instance.py
@@ -22,12 +22,13 @@
 from thymeflow.outliers.member import MemberEjections
 from thymeflow.platform import configuration
 from thymeflow.runtime import clock
+from thymeflow.runtime.clock import TimerReactor
 from thymeflow.settings import Settings
 from thymeflow.shedding.threshold import LoadShedder
 from thymeflow.snapshot import restore, schema
 
 
-class Reactor(UnixReactor, Protocol):
+class Reactor(UnixReactor, TimerReactor, Protocol):
     """What the daemon itself uses of Twisted's reactor."""
 
     def callFromThread(self, function: Callable[[], object]) -> object:  # noqa: N802 - Twisted's name
--- a/thymeflow/daemon/service.py
+++ b/thymeflow/daemon/service.py
@@ -19,7 +19,7 @@
 from thymeflow.daemon.handover import DaemonHandover
 from thymeflow.daemon.instance import Instance, Reactor
 from thymeflow.daemon.lock import NameLock, NameTakenError
-from thymeflow.discovery.watch import FIRST
+from thymeflow.discovery.watch import FIRST_LIST_TIMEOUT
 from thymeflow.frontend.listener import bound
 from thymeflow.handover.listening_sockets import BadDescriptorError
 from thymeflow.handover.sender import HandoverSender
@@ -80,7 +80,7 @@
         if fault := self._open_control():
             raise StartError(fault, CANNOT_LISTEN)
         self._listen(activation_sockets)
-        self.instance.limiter.connect(clock.now() + FIRST)
+        self.instance.limiter.connect(clock.now() + FIRST_LIST_TIMEOUT)
         for unused in activation_sockets[1:]:
             log.note("sockets", f"{unused.getsockname()} was handed in and is not used")
             unused.close()
--- a/thymeflow/discovery/backoff.py
+++ b/thymeflow/discovery/backoff.py
@@ -4,24 +4,26 @@
 
 import random
 
-from thymeflow.discovery.timeouts import CONNECT_TIMEOUT, FIRST, SILENCE
+from thymeflow.discovery.timeouts import CONNECT_TIMEOUT, FIRST_LIST_TIMEOUT, POLLED_IDLE_TIMEOUT
 
 INITIAL_BACKOFF = 0.3  # s: the longest first wait, where lists are pushed or the set is small
 BACKOFF_PER_LIMITER = 0.025  # s: over this, times the set's size, first attempts at a crowded service are spread
-MAX_BACKOFF = SILENCE - CONNECT_TIMEOUT - FIRST  # s: with the connect and its first message, within the silence
+MAX_BACKOFF = (
+    POLLED_IDLE_TIMEOUT - CONNECT_TIMEOUT - FIRST_LIST_TIMEOUT
+)  # s: with the connect and its first message, within the silence
 BACKOFF_FACTOR = 4.0  # growth of the bound with each failure: a crowded service also works for clients that left
 
 
-class BackOff:
+class Backoff:
     """Exponential backoff with jitter, bounded so that each change is received before it counts as notified."""
 
     def __init__(self, limiters: int, seed: int, pushed: bool) -> None:
         self._rng = random.Random(seed)
         self._is_pushed = pushed
         self._bound = 0.0  # s: of the next wait
-        self.resized(limiters)
+        self.resize(limiters)
 
-    def resized(self, limiters: int) -> None:
+    def resize(self, limiters: int) -> None:
         """Adapt the bounds to another number of limiters in the set."""
         self._initial_bound = (
             INITIAL_BACKOFF
--- a/thymeflow/discovery/http.py
+++ b/thymeflow/discovery/http.py
@@ -84,7 +84,7 @@
         return -1
 
 
-class Body:
+class ResponseParser:
     """Parses one response, and returns the messages in its body as they arrive."""
 
     def __init__(self) -> None:
--- a/thymeflow/discovery/watch.py
+++ b/thymeflow/discovery/watch.py
@@ -17,17 +17,17 @@
 from twisted.internet.protocol import connectionDone
 from twisted.python.failure import Failure
 
-from thymeflow.discovery.backoff import BackOff
-from thymeflow.discovery.http import Body, HttpError
+from thymeflow.discovery.backoff import Backoff
+from thymeflow.discovery.http import HttpError, ResponseParser
 from thymeflow.discovery.timeouts import (
     CONNECT_TIMEOUT,
     POLLED_FIRST_MESSAGE_TIMEOUT,
     PUSHED_FIRST_MESSAGE_TIMEOUT,
 )
-from thymeflow.discovery.timeouts import FIRST as FIRST
-from thymeflow.discovery.timeouts import HEARTBEATS as HEARTBEATS
-from thymeflow.discovery.timeouts import SILENCE as SILENCE
-from thymeflow.platform.configuration import Address, EndpointUpdate, listed
+from thymeflow.discovery.timeouts import FIRST_LIST_TIMEOUT as FIRST_LIST_TIMEOUT
+from thymeflow.discovery.timeouts import POLLED_IDLE_TIMEOUT as POLLED_IDLE_TIMEOUT
+from thymeflow.discovery.timeouts import PUSHED_IDLE_TIMEOUT as PUSHED_IDLE_TIMEOUT
+from thymeflow.platform.endpoints import Address, EndpointUpdate, endpoint_update
 from thymeflow.runtime import clock, log
 from thymeflow.runtime.clock import STALL
 from thymeflow.transport.connections import Stream, dial, unread
@@ -55,7 +55,7 @@
         self._host = host
         self._on_message = on_message
         self._on_ended = on_ended
-        self._body = Body()
+        self._body = ResponseParser()
         self._is_ended = False
         self.last_received_at = 0.0  # when some of the body arrived last
 
@@ -108,9 +108,9 @@
         self._reactor = reactor
         self._deadlines = deadlines
         self._address = address
-        self.back_off = BackOff(limiters, seed, pushed)
+        self.backoff = Backoff(limiters, seed, pushed)
         self._is_pushed = pushed
-        self._idle_timeout = HEARTBEATS if pushed else SILENCE
+        self._idle_timeout = PUSHED_IDLE_TIMEOUT if pushed else POLLED_IDLE_TIMEOUT
         self._first_message_timeout = PUSHED_FIRST_MESSAGE_TIMEOUT if pushed else POLLED_FIRST_MESSAGE_TIMEOUT
         self._version = version
         self._on_change = on_change
@@ -143,14 +143,14 @@
             self.is_ready = True
             self.on_ready()
 
-    def look(self) -> None:
+    def read_pending(self) -> None:
         """Read what waits at the sockets, as after a stall: it counts as notified, and applies to what is sent next."""
         for stream in list(self._open):
             for _ in range(MAX_READS):
                 if not unread(stream.transport) or stream.transport.doRead() is not None:
                     break  # all is read; or the connection has ended, which the reactor finds too
 
-    def move(self, address: Address) -> None:
+    def set_address(self, address: Address) -> None:
         """Watch at another address from now on; the list and its version stay."""
         old_streams = self._open
         self._open = []
@@ -158,7 +158,7 @@
         self._address = address
         self._epoch += 1
         self._dialing = 0
-        self.back_off.reset()
+        self.backoff.reset()
         for stream in old_streams:
             stream.end("moved")
         self._open_stream(self._epoch)
@@ -218,7 +218,7 @@
     def _on_broken(self, reason: str) -> None:
         log.say("discovery", f"watch at {self._address} broke: {reason}", address=self._address, version=self._version)
         if self._current is None:
-            self._schedule_retry(self.back_off.next_wait())
+            self._schedule_retry(self.backoff.next_wait())
 
     def _schedule_retry(self, wait: float) -> None:
         if not self._is_retry_scheduled:
@@ -245,17 +245,17 @@
                 version=self._version,
             )
             self._current = None
-            self._schedule_retry(self.back_off.next_wait_after_idle())
+            self._schedule_retry(self.backoff.next_wait_after_idle())
         self._set_idle_deadline(now + self._first_message_timeout)
         if current is None:
-            self._schedule_retry(0.0 if self._is_pushed else self.back_off.next_wait())
+            self._schedule_retry(0.0 if self._is_pushed else self.backoff.next_wait())
 
     def _is_first_message_arriving(self, now: float) -> bool:
         # A long list arrives in pieces.
         return any(stream.last_received_at + self._first_message_timeout > now for stream in self._open)
 
     def _on_message(self, stream: EndpointStream, message: bytes) -> None:
-        self.back_off.reset()
+        self.backoff.reset()
         if self._current is not stream:
             self._keep_only(stream)
         update = self._parse(message)
@@ -264,7 +264,7 @@
             stream.end("unreadable message")
             return
         if update is not None:
-            self._take(update)
+            self._apply(update)
         self._set_ready()
 
     def _keep_only(self, stream: EndpointStream) -> None:
@@ -281,12 +281,12 @@
         if not message:
             return None
         try:
-            return listed(json.loads(message))
+            return endpoint_update(json.loads(message))
         except UNREADABLE as fault:
             log.say("discovery", f"unreadable message: {fault!r}")
             return None
 
-    def _take(self, change: EndpointUpdate) -> None:
+    def _apply(self, change: EndpointUpdate) -> None:
         version = change.change.version
         if version < self._version:
             # It is late, or from a replica that lags: newer changes were received already, and apply.
@@ -299,7 +299,7 @@
         self._version = version
         self._on_change(change)
 
-    def fetch(self) -> None:
+    def fetch_complete_list(self) -> None:
         """Request the complete list once, beside the watch; a failure leaves list and watch as they are."""
         timeout_entries: list[clock.Entry] = []
 
@@ -307,7 +307,7 @@
             """Apply the list."""
             update = self._parse(message)
             if update is not None:
-                self._take(update)
+                self._apply(update)
 
         def on_ended(_stream: EndpointStream, _reason: str) -> None:
             """Cancel the timeout."""
@@ -316,7 +316,7 @@
 
         def on_connected(stream: EndpointStream) -> None:
             """Start the timeout."""
-            timeout_entries.append(self._deadlines.at(clock.now() + SILENCE, lambda _: stream.end("late")))
+            timeout_entries.append(self._deadlines.at(clock.now() + POLLED_IDLE_TIMEOUT, lambda _: stream.end("late")))
 
         def on_connect_failed(_: Failure) -> None:
             """Log the failure."""
--- a/thymeflow/fleet/reactor.py
+++ b/thymeflow/fleet/reactor.py
@@ -7,6 +7,7 @@
 from typing import Protocol
 
 from thymeflow.handover.reactor_types import UnixReactor
+from thymeflow.runtime.clock import TimerReactor
 
 
 class ProcessTransport(Protocol):
@@ -15,12 +16,9 @@
     pid: int | None
 
 
-class FleetReactor(UnixReactor, Protocol):
+class FleetReactor(UnixReactor, TimerReactor, Protocol):
     """The reactor's timers, processes, descriptors and main loop."""
 
-    def callLater(self, delay: float, function: Callable[..., object], /, *arguments: object) -> object:
-        """Call a function after a delay in seconds."""
-
     def callFromThread(self, function: Callable[..., object], /, *arguments: object) -> object:
         """Call a function in the reactor's next turn; safe in a signal handler."""
 
--- a/thymeflow/frontend/frontend.py
+++ b/thymeflow/frontend/frontend.py
@@ -464,7 +464,7 @@
             least = next(
                 (
                     agent
-                    for agent in nlargest(FEW, self.agents.all(), key=lambda agent: agent.spare(now))
+                    for agent in nlargest(FEW, self.agents.items(), key=lambda agent: agent.spare(now))
                     if agent.spare(now) and not unread(agent.transport)
                 ),
                 None,
@@ -489,14 +489,14 @@
         self._input += change
         if change > 0 and self._input > self._most_input:
             log.say("input", f"{self._input} bytes of unfinished commands are held; the longest was let go")
-            max(self.agents.all(), key=ClientConnection.begun).drop()
+            max(self.agents.items(), key=ClientConnection.begun).drop()
 
     def _sweep(self, _: int) -> None:
         now = clock.now()
         # User agents keep a bounded number of connections: while we hold one that has no more use, they
         # cannot open another for the next request.
         kept = IDLE if len(self.agents) >= CROWDED * self._most else KEPT
-        for agent in self.agents.all():
+        for agent in self.agents.items():
             agent.look(now, kept)
         self.deadlines.at(now + SWEEP, self._sweep)
 
@@ -513,7 +513,7 @@
         """Let go of user agents: idle connections end now, the others with their last answer."""
         self.emptying = True
         now = clock.now()
-        for agent in self.agents.all():
+        for agent in self.agents.items():
             # Who has just connected has a request on its way: a close that crosses it would lose it.
             if agent.fresh(now):
                 self.deadlines.at(now + FRESH, self._finish_later, agent.handle)
--- a/thymeflow/handover/control_socket.py
+++ b/thymeflow/handover/control_socket.py
@@ -245,7 +245,7 @@
         if self._port is not None:
             self._port.stopListening()
             self._port = None
-        for caller in self.callers.all():
+        for caller in self.callers.items():
             caller.close()
 
     def remove_socket_file(self) -> None:
@@ -262,7 +262,7 @@
 
     def _disconnect_overdue_callers(self, _: int) -> None:
         self._is_check_scheduled = False
-        for caller in self.callers.all():
+        for caller in self.callers.items():
             if caller.is_overdue(self._timeout_seconds):
                 caller.transport.abortConnection()
         if len(self.callers):
--- a/thymeflow/handover/receiver.py
+++ b/thymeflow/handover/receiver.py
@@ -11,7 +11,7 @@
 
 from twisted.python.failure import Failure
 
-from thymeflow.discovery.watch import FIRST
+from thymeflow.discovery.watch import FIRST_LIST_TIMEOUT
 from thymeflow.handover import control_client
 from thymeflow.handover.control_socket import ControlConnection, Message
 from thymeflow.handover.participant import HandoverParticipant, RejectedHandoverError
@@ -153,7 +153,7 @@
             return
         os.close(connection.descriptors[0])
         connection.descriptors.clear()
-        discovery_wait = min(FIRST, MAX_DISCOVERY_WAIT_FRACTION * self._participant.step_timeout)
+        discovery_wait = min(FIRST_LIST_TIMEOUT, MAX_DISCOVERY_WAIT_FRACTION * self._participant.step_timeout)
         self._participant.limiter.connect(clock.now() + discovery_wait)
 
     def _send_ready(self) -> None:
--- a/thymeflow/handover/upgradable_limiter.py
+++ b/thymeflow/handover/upgradable_limiter.py
@@ -12,7 +12,7 @@
 import sys
 from pathlib import Path
 
-from thymeflow.discovery.watch import FIRST
+from thymeflow.discovery.watch import FIRST_LIST_TIMEOUT
 from thymeflow.frontend.listener import bound
 from thymeflow.handover import listening_sockets
 from thymeflow.handover.control_socket import ControlCaller, ControlError, ControlServer, Message
@@ -92,7 +92,7 @@
             return
         self._open_control_socket()
         self.limiter.listen(listening_socket)
-        self.limiter.connect(clock.now() + FIRST)
+        self.limiter.connect(clock.now() + FIRST_LIST_TIMEOUT)
 
     def _open_control_socket(self) -> None:
         if self._path is None:
--- a/thymeflow/limiter/assembly.py
+++ b/thymeflow/limiter/assembly.py
@@ -13,7 +13,7 @@
 from thymeflow.decision.gateway import Gateway
 from thymeflow.decision.gateway_state import INITIAL_FILL
 from thymeflow.decision.settings import DiscoveryMode, GatewaySettings
-from thymeflow.discovery.watch import FIRST, Discovery
+from thymeflow.discovery.watch import FIRST_LIST_TIMEOUT, Discovery
 from thymeflow.frontend.frontend import Frontend
 from thymeflow.frontend.listener import bound, opened
 from thymeflow.limiter.lifecycle import LINGER, Lifecycle
@@ -88,7 +88,7 @@
             given.seed,
             settings.discovery is DiscoveryMode.PUSH,
         )
-        self.core.discovery, self.upstream.look = self.discovery, self.discovery.look
+        self.core.discovery, self.upstream.read_endpoint_updates = self.discovery, self.discovery.read_pending
         self.discovery.on_ready = self.on_endpoints_ready
         self.when_endpoints_ready: Callable[[], None] = lambda: None  # who waits for the list beside us
         self.counter: Counter | None = None
@@ -99,7 +99,7 @@
 
     def on_endpoints_changed(self, news: endpoints.EndpointUpdate) -> None:
         """A change of the list of application servers holds from now on."""
-        self.core.apply_endpoints(news.change, lambda: self.upstream.listed(news))
+        self.core.apply_endpoints(news.change, lambda: self.upstream.apply_update(news))
         self.on_list(news)
         if news.addresses:
             self.lifecycle.listed()
@@ -109,7 +109,7 @@
         self.front.reader = Reader(settings)
         self.core.apply_settings(settings)
         self.upstream.limits = settings.limits
-        self.discovery.back_off.resized(settings.limiter_count)
+        self.discovery.backoff.resize(settings.limiter_count)
         self.lifecycle.longest = max(self.lifecycle.longest, longest_of(settings))
 
     def start(self) -> None:
@@ -119,7 +119,7 @@
         """
         self.listen_for_operators()
         self.listen(bound(self.configuration.listen.host, self.configuration.listen.port))
-        self.connect(clock.now() + FIRST)
+        self.connect(clock.now() + FIRST_LIST_TIMEOUT)
 
     def listen_for_operators(self) -> None:
         """Listen for operators, where the configuration says so; CannotListenError where the place is taken."""
@@ -143,7 +143,7 @@
         """An earlier life of this limiter holds so many descriptors, or has ended: the limits are for both."""
         agents, servers, requests, answers, commands = self._budgets(held)
         self.front.limit(agents, answers, commands)
-        self.upstream.limit(servers)
+        self.upstream.set_max_connections(servers)
         self.core.set_memory_limit(requests)
 
     def _budgets(self, held: int | None) -> tuple[int, int, int, int, int]:
@@ -162,7 +162,7 @@
 
     def on_handed_over(self, handed: bool) -> None:
         """A successor accepts from now on, or it does not and we do again."""
-        self.upstream.rest(handed)
+        self.upstream.set_resting(handed)
         if handed:
             self.lifecycle.on_handed_over()
         else:
@@ -188,7 +188,7 @@
             return
         made, self._door = self._door, None
         if self._queued:
-            self.deadlines.mark_waiting(clock.BORN)
+            self.deadlines.mark_waiting(clock.STARTED_AT)
         try:
             opened(made)
         except OSError as fault:  # another came in between, which only bound it as we did
--- a/thymeflow/limiter/management.py
+++ b/thymeflow/limiter/management.py
@@ -85,7 +85,7 @@
     def buildProtocol(self, addr: Any) -> Caller:
         """A new caller; where no place is left, whoever has been silent for longest goes."""
         if self.callers.is_full():
-            oldest = min(self.callers.all(), key=lambda caller: caller.since)
+            oldest = min(self.callers.items(), key=lambda caller: caller.since)
             log.say("calls", f"all {PLACES} places are taken; the caller that was silent for longest was closed")
             self._drop(oldest.handle)
         return Caller(self)
--- a/thymeflow/limiter/reload.py
+++ b/thymeflow/limiter/reload.py
@@ -63,9 +63,9 @@
         self.last = f"discovery at {given.discovery}, counter at {given.counter or 'none'}"
         log.note("reload", self.last)
         if given.discovery != before.discovery:
-            self._discovery.move(given.discovery)
+            self._discovery.set_address(given.discovery)
         if self._counter is not None and given.counter is not None and given.counter != before.counter:
-            self._counter.move(given.counter)
+            self._counter.set_address(given.counter)
         if given.settings != before.settings:
             log.note("reload", f"settings taken: {differences(before.settings, given.settings)}")
             self._resettled(given.settings)
--- a/thymeflow/runtime/clock.py
+++ b/thymeflow/runtime/clock.py
@@ -18,9 +18,9 @@
 _OFFSET = time.time() - time.monotonic()
 _MAX_CANCELLED = 256  # cancelled deadlines that stay in the heap before they are removed together
 STALL = 0.1  # s: without a turn, after which what waits to be read may make endpoint lists and leases out of date
-SETTLING = 8  # turns after a stall: connections that waited are accepted some at a time, and read a turn later
+SETTLING_TURNS = 8  # turns after a stall: connections that waited are accepted some at a time, and read a turn later
 
-BORN = time.time()  # Unix time in seconds at which this process started, after the interpreter's own start
+STARTED_AT = time.time()  # Unix time in seconds at which this process started, after the interpreter's own start
 
 # [when, order, callback, argument]; the callback is None once it is cancelled or past. A plain list, since the heap
 # compares thousands of them in a second.
@@ -37,7 +37,7 @@
 class TimerReactor(Protocol):
     """The part of Twisted's IReactorTime that is used here."""
 
-    def callLater(self, delay: float, callback: Callable[[], None], /) -> DelayedCall:  # noqa: N802 - Twisted's name
+    def callLater(self, delay: float, callback: Callable[..., object], /, *arguments: object) -> DelayedCall:  # noqa: N802 - Twisted's name
         """Call back after this many seconds."""
 
 
@@ -116,7 +116,7 @@
     def mark_waiting(self, since: float) -> None:
         """Record that what is read in the next turns may have waited since then."""
         is_settling = self._waiting_since is not None
-        self._settling_turns = SETTLING
+        self._settling_turns = SETTLING_TURNS
         self._waiting_since = min(since, self._waiting_since) if self._waiting_since is not None else since
         if not is_settling:
             self.at(now(), self._settle)
--- a/thymeflow/runtime/slot_table.py
+++ b/thymeflow/runtime/slot_table.py
@@ -69,6 +69,6 @@
             self._count -= 1
         return item
 
-    def all(self) -> list[T]:
+    def items(self) -> list[T]:
         """Return all open items, in the order of their slots."""
         return [item for item in self._items if item is not None]
--- a/thymeflow/testkit/faults/fault_modes.py
+++ b/thymeflow/testkit/faults/fault_modes.py
@@ -25,13 +25,13 @@
 
 def deaf() -> None:
     """Takes the first word of discovery and none that comes later."""
-    take = watch.Discovery._take
+    take = watch.Discovery._apply
 
     def once(self: watch.Discovery, change: EndpointUpdate) -> None:
         if not self.is_ready:
             take(self, change)
 
-    watch.Discovery._take = once  # type: ignore[method-assign]
+    watch.Discovery._apply = once  # type: ignore[method-assign]
 
 
 def mute() -> None:
@@ -49,17 +49,17 @@
 
 def double() -> None:
     """Sends calls with a key to a second server as well, now and then."""
-    begin, count = backends.BackendConnections.begin, [0]
+    begin, count = backends.BackendConnections.start_attempt, [0]
 
     def twice(self: backends.BackendConnections, order: AttemptSpec) -> Deferred[AttemptResult]:
         going = begin(self, order)
         count[0] += isinstance(order.payload, Call) and order.payload.verb == SUBMIT
-        others = [n for n in self._pools if n != order.backend]
+        others = [n for n in self._pools_by_id if n != order.backend]
         if others and count[0] % SOME == 1:
             begin(self, order._replace(backend=others[0]))
         return going
 
-    backends.BackendConnections.begin = twice  # type: ignore[method-assign]
+    backends.BackendConnections.start_attempt = twice  # type: ignore[method-assign]
 
 
 def sulky() -> None:
