--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -24,7 +24,8 @@
 from tests.limiter import PATIENCE, SETTINGS, Limiter, Peer, command, refused, request
 from tests.test_net_parts import World, change, good, limiter_of, order, upstream, words, world
 from thymeflow.decision.types import Status
-from thymeflow.frontend.frontend import IDLE, KEPT, LINGER
+from thymeflow.frontend.client_connection import CROWDED_IDLE_TIMEOUT, LINGER_TIMEOUT
+from thymeflow.frontend.frontend import IDLE_TIMEOUT
 from thymeflow.limiter.lifecycle import LINGER as LINGER_TERM
 from thymeflow.limiter.lifecycle import PATIENT, Lifecycle
 from thymeflow.limiter.management import Management
@@ -183,11 +184,11 @@
     agent.dataReceived(request(1))
     world.up(len(world.reactor.tcpClients) - 1).dataReceived(GOOD)
     assert limiter.core.open_count() == 0
-    world.reactor.pump([0.1] * int(KEPT / 0.1 + 2))
+    world.reactor.pump([0.1] * int(IDLE_TIMEOUT / 0.1 + 2))
     assert agent.transport.handle.half_closed and not agent.aborted
     agent.dataReceived(request(2))
     assert limiter.core.open_count() == 0
-    world.reactor.pump([0.1] * int(LINGER / 0.1 + 2))
+    world.reactor.pump([0.1] * int(LINGER_TIMEOUT / 0.1 + 2))
     assert agent.aborted
 
 
@@ -202,7 +203,7 @@
     else:
         agent.dataReceived(request(1))
         agent.finish()
-    assert not agent._reading and not agent.aborted
+    assert not agent._is_reading and not agent.aborted
     world.reactor.advance(0.11)
     assert not agent.aborted
     agent.transport.handle.departed = True
@@ -227,10 +228,10 @@
 
 def test_a_full_table_drops_no_connection_on_which_bytes_wait(world: World) -> None:
     front = limiter_of(world, 64).front
-    agents = [world.connected(front.buildProtocol(None)) for _ in range(front._most)]
+    agents = [world.connected(front.buildProtocol(None)) for _ in range(front._max_clients)]
     for agent in agents:
         agent.dataReceived(command(b"PING"))
-    world.reactor.advance(IDLE + 0.05)
+    world.reactor.advance(CROWDED_IDLE_TIMEOUT + 0.05)
     for agent in agents[1:]:
         agent.transport.handle.unread = b"*"
     world.connected(front.buildProtocol(None))
--- a/tests/test_limiter.py
+++ b/tests/test_limiter.py
@@ -14,7 +14,7 @@
 import pytest
 
 from tests.limiter import PATIENCE, ROOT, Limiter, Listener, command, request
-from thymeflow.frontend.frontend import KEPT
+from thymeflow.frontend.frontend import IDLE_TIMEOUT
 from thymeflow.quota import counter_encoding
 
 SMALL: dict[str, Any] = {"tiers-of-service": [{"name": "basic", "refill": 2.0, "most-at-once": 16.0}]}
@@ -232,7 +232,7 @@
         for agent in agents[1:]:  # these stay, as each has something open
             agent.send(request(2 + agents.index(agent)))
         assert agents[0].ended()
-        assert 1.9 < time.monotonic() - answered < KEPT
+        assert 1.9 < time.monotonic() - answered < IDLE_TIMEOUT
 
 
 def test_a_user_agent_that_takes_no_answers_is_not_read_from(tmp_path: Path) -> None:
--- a/tests/test_long.py
+++ b/tests/test_long.py
@@ -80,7 +80,7 @@
         resp.End(list(after)),
         [b"PING"],
     ]
-    assert not parser.amid()
+    assert not parser.is_incomplete()
 
 
 def test_a_long_answer_is_passed_on_as_it_comes_and_its_connection_is_used_again(limiter: Limiter) -> None:
--- a/tests/test_net_parts.py
+++ b/tests/test_net_parts.py
@@ -13,25 +13,30 @@
 from twisted.internet.testing import MemoryReactorClock, StringTransport
 
 from tests.limiter import SETTINGS, command, request
-from thymeflow.backends.backends import LONG_VALUE_TIMEOUT, BackendConnections, parse_attempt_result
+from thymeflow import Gateway
+from thymeflow.backends.backends import HUNG, BackendConnections, outcome_of
 from thymeflow.backends.backends import STALL as ANSWER_STALL
-from thymeflow.core.dispatcher import RequestDispatcher
-from thymeflow.core.types import AttemptResult, AttemptSpec, IncomingRequest, Response, ResponseKind
-from thymeflow.counter.client import DEAD_PEER_TIMEOUT, STALL, CallPipeline, CounterResult
+from thymeflow.core.dispatcher import (
+    AttemptResult,
+    AttemptSpec,
+    IncomingRequest,
+    RequestDispatcher,
+    Response,
+    ResponseKind,
+)
+from thymeflow.counter.client import DEAD, STALL, Line, Result
 from thymeflow.decision.actions import Action, AddToCounter
 from thymeflow.decision.events import Event
-from thymeflow.decision.gateway import Gateway
+from thymeflow.decision.policy import SPEAK_EVERY
 from thymeflow.decision.settings import Limits
 from thymeflow.decision.types import EndpointListKind, Status
-from thymeflow.discovery.http import HttpError, ResponseParser
+from thymeflow.discovery.http import Body, HttpError
 from thymeflow.discovery.watch import Discovery
 from thymeflow.limiter.assembly import LEAST_ROOM, Limiter
-from thymeflow.platform.configuration import from_source
-from thymeflow.platform.endpoints import Address, EndpointUpdate, endpoint_update
-from thymeflow.platform.settings import settings_from
-from thymeflow.quota.token_bucket import MIN_CALL_INTERVAL
+from thymeflow.platform.configuration import Address, EndpointUpdate, from_source, listed
 from thymeflow.runtime import clock
 from thymeflow.runtime.slot_table import SlotTable
+from thymeflow.simulator import settings_from
 from thymeflow.transport import resp
 from thymeflow.transport.commands import Call, Reader
 from thymeflow.transport.flow import Flow
@@ -122,23 +127,23 @@
 
 def upstream(world: World) -> tuple[BackendConnections, list[AttemptResult]]:
     made = BackendConnections(world.reactor, world.deadlines, Limits(), 10)
-    made.apply_update(change("active", reset=True))
+    made.listed(change("active", reset=True))
     return made, []
 
 
 def change(lifecycle: str, reset: bool = False) -> EndpointUpdate:
     entry = {"instanceId": "s-00000001", "hostPort": "127.0.0.1:9", "lifecycle": lifecycle}
-    return endpoint_update({"generation": 1, "reset": reset, "instances": [entry]})
+    return listed({"generation": 1, "reset": reset, "instances": [entry]})
 
 
 @pytest.mark.parametrize("news", ["leaving", "left"])
 def test_a_pass_that_waits_for_a_connection_is_not_written_to_a_server_that_drains(world: World, news: str) -> None:
     made, ends = upstream(world)
-    made.start_attempt(order()).addCallback(ends.append)
-    made.apply_update(change(news))
+    made.begin(order()).addCallback(ends.append)
+    made.listed(change(news))
     assert [end.status for end in ends] == [Status.CONNECT_FAILED]
     assert world.up(0).transport.value() == b""
-    made.start_attempt(order()).addCallback(ends.append)
+    made.begin(order()).addCallback(ends.append)
     assert ends[1].status is Status.CONNECT_FAILED
 
 
@@ -147,14 +152,14 @@
 )
 def test_only_a_pass_written_to_its_last_byte_may_have_run(world: World, most: int, status: Status) -> None:
     made, ends = upstream(world)
-    made.start_attempt(order()).addCallback(ends.append)
+    made.begin(order()).addCallback(ends.append)
     server = world.up(0)
     server.dataReceived(good(b"v"))  # the connection is warm and idle now
-    made.start_attempt(order()).addCallback(ends.append)
+    made.begin(order()).addCallback(ends.append)
     server.dataReceived(good(b"v"))
     server.transport.handle.most = most  # what the kernel does not take stays with the transport
     server.transport.clear()
-    made.start_attempt(order()).addCallback(ends.append)
+    made.begin(order()).addCallback(ends.append)
     assert words(server.transport.value())[0] == b"SVC.QUERY"  # nothing missing, nothing twice
     server.connectionLost()
     assert [end.status for end in ends] == [Status.OK, Status.OK, status]
@@ -163,9 +168,9 @@
 
 def test_a_connection_that_comes_free_serves_the_pass_that_waits(world: World) -> None:
     made, ends = upstream(world)
-    made.start_attempt(order()).addCallback(ends.append)
+    made.begin(order()).addCallback(ends.append)
     server = world.up(0)
-    made.start_attempt(order()).addCallback(ends.append)
+    made.begin(order()).addCallback(ends.append)
     server.dataReceived(good(b"v"))
     server.dataReceived(good(b"w"))
     assert [end.value for end in ends] == [b"v", b"w"]
@@ -174,9 +179,9 @@
 @pytest.mark.parametrize("behind", [good(b"v"), b"!noise", b"$9\r\n", b"-BUSY\r\n"])
 def test_what_comes_behind_an_answer_is_nobodys_answer(world: World, behind: bytes) -> None:
     made, ends = upstream(world)
-    made.start_attempt(order()).addCallback(ends.append)
+    made.begin(order()).addCallback(ends.append)
     server = world.up(0)
-    made.start_attempt(order()).addCallback(ends.append)  # waits for a connection
+    made.begin(order()).addCallback(ends.append)  # waits for a connection
     server.dataReceived(good(b"v") + behind)
     assert [end.value for end in ends] == [b"v"]
     assert server.closed
@@ -186,12 +191,12 @@
 
 def test_a_connection_with_bytes_unread_is_not_used_again(world: World) -> None:
     made, ends = upstream(world)
-    made.start_attempt(order()).addCallback(ends.append)
+    made.begin(order()).addCallback(ends.append)
     server = world.up(0)
     server.dataReceived(good(b"v"))
     server.transport.clear()
     server.transport.handle.unread = b"*3"  # it came after the look at what was read with the answer
-    made.start_attempt(order()).addCallback(ends.append)
+    made.begin(order()).addCallback(ends.append)
     assert (server.closed, server.transport.value()) == (True, b"")
     world.up(1).dataReceived(good(b"w"))
     assert [end.value for end in ends] == [b"v", b"w"]
@@ -212,7 +217,7 @@
 )
 def test_a_spoilt_answer_is_an_error_soon_and_ends_its_connection(world: World, text: bytes) -> None:
     made, ends = upstream(world)
-    made.start_attempt(order()).addCallback(ends.append)
+    made.begin(order()).addCallback(ends.append)
     server = world.up(0)
     server.dataReceived(text)
     world.reactor.advance(ANSWER_STALL + 0.01)
@@ -222,14 +227,14 @@
 
 @pytest.mark.parametrize("text", [b"used=nan,cost=inf", b"used=-1,cost=-2", b"used=1e300,cost=nan", b"used,cost=x"])
 def test_figures_that_cannot_be_believed_reach_nobody(text: bytes) -> None:
-    found = parse_attempt_result([b"v", text, b"avg_ms=nan"])
+    found = outcome_of([b"v", text, b"avg_ms=nan"])
     assert found is not None
     assert (found.status, found.quota_usage, found.actual_units, found.load_report) == (Status.OK, None, None, None)
 
 
 def test_idle_connections_go_before_the_other_end_closes_them(world: World) -> None:
     made, ends = upstream(world)
-    made.start_attempt(order()).addCallback(ends.append)
+    made.begin(order()).addCallback(ends.append)
     server = world.up(0)
     server.dataReceived(good(b"v"))
     world.reactor.pump([1.0] * int(Limits().connection_idle - 1))
@@ -242,12 +247,12 @@
     body = Flow(300_000, lambda waits: None, lambda: None)
     call = order().payload
     assert isinstance(call, Call)
-    made.start_attempt(AttemptSpec(1, call._replace(flow=body), inf)).addCallback(ends.append)
+    made.begin(AttemptSpec(1, call._replace(flow=body), inf)).addCallback(ends.append)
     server = world.up(0)
     server.transport.handle.most = 0  # the kernel's buffer is full
     for _ in range(4):
         body.push(b"x" * 1000)
-        world.reactor.pump([0.1] * round(0.4 * LONG_VALUE_TIMEOUT / 0.1))
+        world.reactor.pump([0.1] * round(0.4 * HUNG / 0.1))
         if moves:
             server.resumeProducing()  # a little has gone
     if moves:
@@ -259,7 +264,7 @@
 
 
 def test_a_counter_call_given_up_keeps_its_place_in_line(world: World) -> None:
-    line = CallPipeline(world.reactor, world.deadlines, Address("127.0.0.1", 9))
+    line = Line(world.reactor, world.deadlines, Address("127.0.0.1", 9))
     results: list[tuple[Status, float]] = []
     line.connect()
     wire = world.up(0)
@@ -277,7 +282,7 @@
     [b"$3\r\nnan\r\n", b"+7\r\n", b"$-1\r\n", b"!?", b"-WHAT\r\n", b"$1\r\n7\r\n$1\r\n8\r\n", b"$5\r\n1_000\r\n"],
 )
 def test_a_counter_that_cannot_be_followed_is_left_before_its_answers_shift(world: World, noise: bytes) -> None:
-    line, results = CallPipeline(world.reactor, world.deadlines, Address("127.0.0.1", 9)), list[CounterResult]()
+    line, results = Line(world.reactor, world.deadlines, Address("127.0.0.1", 9)), list[Result]()
     line.connect()
     wire = world.up(0)
     line.call(b"first", clock.now() + 0.03).addCallback(results.append)
@@ -294,7 +299,7 @@
 def test_a_counter_that_writes_in_pieces_is_followed_and_one_that_stops_half_way_is_left(
     world: World, gap: float
 ) -> None:
-    line, results = CallPipeline(world.reactor, world.deadlines, Address("127.0.0.1", 9)), list[CounterResult]()
+    line, results = Line(world.reactor, world.deadlines, Address("127.0.0.1", 9)), list[Result]()
     line.connect()
     wire = world.up(0)
     for part in (b"$1", b"\r\n", b"7\r", b"\n"):
@@ -304,11 +309,11 @@
     assert wire.closed == (gap > STALL) and len(results) == 4
     if not wire.closed:
         wire.message(b"9")  # the second call's: the line is in step
-        assert [call.is_reported for call in line.written] == [True, True]
+        assert [call.reported for call in line.written] == [True, True]
 
 
 def test_a_broken_counter_line_tells_what_may_have_been_added(world: World) -> None:
-    line, results = CallPipeline(world.reactor, world.deadlines, Address("127.0.0.1", 9)), list[Status]()
+    line, results = Line(world.reactor, world.deadlines, Address("127.0.0.1", 9)), list[Status]()
     line.call(b"unwritten", clock.now() + 0.03).addCallback(lambda r: results.append(r[0]))
     world.reactor.advance(0.04)
     assert results == [Status.CONNECT_FAILED]
@@ -321,10 +326,10 @@
 
 
 def test_a_counter_that_has_gone_without_a_word_is_dialled_anew(world: World) -> None:
-    line = CallPipeline(world.reactor, world.deadlines, Address("127.0.0.1", 9))
+    line = Line(world.reactor, world.deadlines, Address("127.0.0.1", 9))
     line.connect()
     wire = world.up(0)
-    for _ in range(int(DEAD_PEER_TIMEOUT / 0.05) + 2):
+    for _ in range(int(DEAD / 0.05) + 2):
         line.call(b"x", clock.now() + 0.03)
         world.reactor.advance(0.05)
     assert wire.closed
@@ -345,7 +350,7 @@
     assert len(world.reactor.tcpClients) == 1
     world.reactor.pump([0.1] * 49)  # two of them have not come
     assert len(world.reactor.tcpClients) == 2
-    watch.fetch_complete_list()
+    watch.fetch()
     whole = world.up(2)
     assert whole.transport.value().startswith(b"GET /api/targets HTTP/1.1\r\n")
     whole.transport.abortConnection = lambda: None
@@ -388,7 +393,7 @@
     for start in (b"", b"*2\r\n$1\r\nx\r\n", b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"):
         assert isinstance(resp.Parser().feed(start + text)[1], str)
         with contextlib.suppress(HttpError):
-            ResponseParser().feed(start + text)
+            Body().feed(start + text)
 
 
 @pytest.mark.parametrize(
@@ -407,7 +412,7 @@
 def test_a_senseless_entry_of_the_list_is_refused(change: dict[str, Any]) -> None:
     good = {"instanceId": "s-00000001", "hostPort": "127.0.0.1:9", "lifecycle": "active"}
     with pytest.raises((ValueError, KeyError, TypeError)):
-        endpoint_update({"generation": 1, "instances": [{**good, **change}]})
+        listed({"generation": 1, "instances": [{**good, **change}]})
 
 
 class Odd:
@@ -439,7 +444,7 @@
 
     until = 0.0
 
-    def add(self, name: int, amount: float, ttl: float, deadline: float) -> Deferred[CounterResult]:
+    def add(self, name: int, amount: float, ttl: float, deadline: float) -> Deferred[Result]:
         self.until = deadline
         return Deferred()
 
@@ -449,7 +454,7 @@
     core = RequestDispatcher(settings, Gateway(settings, 1), world.deadlines, 10**6)
     core.counter = counter
     core._carry_out(AddToCounter(5, 1.0, 20.0))
-    assert settings.information.counter_timeout < counter.until - clock.now() < MIN_CALL_INTERVAL
+    assert settings.information.counter_timeout < counter.until - clock.now() < SPEAK_EVERY
 
 
 def test_a_table_full_of_those_who_say_nothing_still_takes_a_usual_one(world: World) -> None:
@@ -471,11 +476,11 @@
     def budgets() -> tuple[int, ...]:
         front, core = limiter.front, limiter.core
         return (
-            front._most,
-            limiter.upstream._max_connections,
-            front.most_held,
-            front._most_input,
-            core._requests.memory_limit,
+            front._max_clients,
+            limiter.upstream._most,
+            front.max_pending_response_bytes,
+            front._max_unfinished_input_bytes,
+            core._memory,
         )
 
     alone = budgets()
--- a/thymeflow/frontend/__init__.py
+++ b/thymeflow/frontend/__init__.py
@@ -1,1 +1,1 @@
-"""Clients, over RESP2."""
+"""The client side: listening socket, client connections and their pipelined responses."""
--- /dev/null
+++ b/thymeflow/frontend/client_connection.py
@@ -0,0 +1,313 @@
+"""One client connection: its commands, its timeouts and its departure.
+
+Clients speak RESP2. A request is handed to the dispatcher, which answers it through a Deferred; nothing else
+here depends on what a request means.
+"""
+
+from __future__ import annotations
+
+from math import inf
+from typing import TYPE_CHECKING
+
+from twisted.internet.protocol import connectionDone
+from twisted.python.failure import Failure
+
+from thymeflow.core.dispatcher import IncomingRequest, Response
+from thymeflow.frontend.pipeline import PipelineSlot, ResponsePipeline, encode_response
+from thymeflow.runtime import clock, log
+from thymeflow.transport import resp
+from thymeflow.transport.commands import QUERY, SUBMIT, CallError
+from thymeflow.transport.connections import unread
+from thymeflow.transport.flow import Flow
+
+if TYPE_CHECKING:
+    from thymeflow.frontend.frontend import Frontend
+
+BODY_INDEX = 4  # of the item of a command that may come slowly, in pieces; the others are its head
+MAX_PIPELINED_COMMANDS = 64  # commands of one client that are not answered; then it is not read from
+REQUEST_OVERHEAD = 2048  # bytes that a request takes beside its own
+ACKNOWLEDGED_COMMANDS = (b"CLIENT", b"SELECT")
+WRITE_STALL_TIMEOUT = 10.0  # s: without a byte taken of what was written, for a client that reads slowly
+COMMAND_TIMEOUT = 2.3  # s: to the first complete command, for the head of one, and without a byte of a body
+CROWDED_IDLE_TIMEOUT = 2.0  # s: with nothing open, where connections are scarce; before, a request may be near
+NEW_CONNECTION_GRACE = 0.05  # s: the same for a client that has sent nothing, as most send as they connect
+DRAIN_GRACE = 0.25  # s: while draining, for a client that has just connected and is about to send a request
+LINGER_TIMEOUT = 1.0  # s: from an error line that ends a connection to its close
+MAX_DISCARDED = 256 * 1024  # bytes that are read meanwhile and thrown away
+LATE_ARRIVAL = 0.005  # s: less than that a request has waited unread in any turn
+LONG_VALUE_EVENTS = (resp.Part, resp.Closed, resp.End)
+# Eviction scores: clients without a use for their connection go first, then those that sent no request, then by
+# idle time, which is far below these.
+NO_USE_SCORE = 2e6
+NO_REQUEST_SCORE = 1e6
+
+
+class ClientConnection(ResponsePipeline):
+    """One client's connection: reads its commands and holds it to the timeouts."""
+
+    def __init__(self, front: Frontend) -> None:
+        super().__init__(front)
+        self._parser = resp.Parser(resp.MOST_LONG)
+        self._command_started_at = 0.0  # when the incomplete command began
+        self._arrived_at = 0.0  # the earliest at which what is read now can have come
+        self._body_slot: PipelineSlot | None = None  # whose streamed body is being received
+        self._is_body_blocked = False  # the reader of that body has no capacity
+        self.handle = -1
+        self._is_reading = True  # what we told the transport
+        self._is_evicted = False  # its slot was given to another
+        self._has_sent_command = False
+        self._has_sent_request = False  # a PING alone doesn't count, and doesn't keep a connection open
+        self._discarded_bytes = 0
+
+    def connectionMade(self) -> None:
+        """Register with the frontend."""
+        self.handle = self._front.agents.add(self)
+        self._idle_since = clock.now()
+        self._last_activity_at = self._idle_since
+        self._arrived_at = self._front.deadlines.earliest_arrival(self._idle_since)
+        super().connectionMade()
+
+    def _update_reading(self) -> None:
+        # From a client that does not take its responses, nothing more is taken.
+        if self._body_slot is not None:  # also where no further command is accepted
+            wanted = not self._is_body_blocked
+        else:
+            wanted = self.flushed and not self._is_closing and len(self._slots) < MAX_PIPELINED_COMMANDS
+        wanted = wanted or (self._is_write_closed and self._discarded_bytes < MAX_DISCARDED)
+        if wanted != self._is_reading:
+            self._is_reading = wanted
+            if wanted:
+                self.transport.resumeProducing()
+            else:
+                self.transport.pauseProducing()
+
+    def dataReceived(self, data: bytes) -> None:
+        """Begin each command once it is complete; the responses keep the order of the commands."""
+        if self._is_closing and self._body_slot is None:
+            self._discarded_bytes += len(data)
+            self._update_reading()
+            return
+        front = self._front
+        buffered_before = self._parser.held()
+        was_incomplete = self._parser.is_incomplete()
+        found, fault = self._parser.feed(data)
+        now = self._last_activity_at = clock.now()
+        # What comes first on a connection may have come as early as that did, where that was a moment ago: a stall
+        # since then is known. What comes slowly or after a rest has its time from its last byte on.
+        is_first = not self._has_sent_command and not was_incomplete and now - self._idle_since < clock.STALL
+        self._arrived_at = min(front.deadlines.earliest_arrival(now), self._arrived_at if is_first else inf)
+        if found or not was_incomplete:
+            self._command_started_at = now
+        for value in found:
+            if isinstance(value, LONG_VALUE_EVENTS):
+                self._on_long_value_event(value)
+            elif self._is_closing:
+                return
+            elif isinstance(value, list) and all(type(word) is bytes for word in value):
+                self._has_sent_command = True
+                self._idle_since = self._last_activity_at
+                if value:
+                    self._on_command(value)  # type: ignore[arg-type]
+            elif isinstance(value, resp.Begin):
+                self._on_long_command(value)
+            else:
+                fault = "a command is an array of bulk strings"
+                break
+        front.on_input_buffered(self._parser.held() - buffered_before)
+        if fault and (not self._is_closing or self._body_slot is not None):
+            self._on_malformed_input(fault)
+        self._flush()
+        if front.is_draining and (self._has_sent_request or front.is_closing) and not self._parser.is_incomplete():
+            self.finish()
+
+    def _on_long_command(self, begin: resp.Begin) -> None:
+        # A command with a long body: it is submitted with its head, and answered once the body has come.
+        self._has_sent_command = True
+        self.narrow()
+        words = begin.before
+        body = Flow(begin.length, self._on_body_blocked, lambda: None)
+        if all(type(word) is bytes for word in words) and len(words) == BODY_INDEX and not begin.after:
+            self._submit_request([*words, b""], body)  # type: ignore[list-item]
+        else:
+            self._reply(resp.problem("ERR a value is too long for this command"))
+        self._body_slot = self._slots[-1]
+        self._body_slot.body = body
+        if self._body_slot.response is not None:
+            body.discard()
+
+    def _on_long_value_event(self, event: resp.Part | resp.Closed | resp.End) -> None:
+        slot = self._body_slot
+        if slot is None or slot.body is None:
+            return
+        if isinstance(event, resp.Part):
+            slot.body.push(event.data)
+        elif isinstance(event, resp.Closed):
+            body = slot.body
+            self._body_slot = None
+            slot.body = None
+            self._is_body_blocked = False
+            if slot.request is not None:
+                body.deadline = self._arrived_at + slot.request.remaining
+                self._front.core.body_received(slot.request.id, body.deadline)
+            self._idle_since = self._last_activity_at
+            body.finish()
+
+    def _on_body_blocked(self, is_blocked: bool) -> None:
+        self._is_body_blocked = is_blocked and self._body_slot is not None
+        self._last_activity_at = clock.now()
+        self._update_reading()
+
+    def _fail_body(self) -> None:
+        # It stops in the middle: whoever forwards it must not wait for the rest.
+        slot = self._body_slot
+        self._body_slot = None
+        self._is_body_blocked = False
+        if slot is not None and slot.body is not None:
+            body = slot.body
+            slot.body = None
+            if slot.response_deferred is not None and slot.response is None:
+                slot.response_deferred.cancel()
+                slot.response = b""
+            body.fail()
+
+    def _on_malformed_input(self, fault: str) -> None:
+        # Where the next command begins is not known any more: one error line, then the end.
+        log.say("user agent garbled", fault)
+        self._fail_body()
+        self._front.on_input_buffered(-self._parser.held())
+        self._parser = resp.Parser()
+        self._reply(resp.problem(f"ERR Protocol error: {fault}"))
+        self.finish()
+
+    def idle_seconds(self, now: float) -> float:
+        """Return for how long it has had no open command, in seconds."""
+        return 0.0 if self._slots else now - self._idle_since
+
+    def is_awaiting_first_command(self, now: float) -> bool:
+        """Return whether it has connected a moment ago and sent no command yet."""
+        return not self._has_sent_command and now - self._idle_since < DRAIN_GRACE
+
+    def has_incomplete_command(self) -> bool:
+        """Return whether only a part of a command has come."""
+        return self._parser.is_incomplete()
+
+    def input_backlog(self) -> tuple[bool, int]:
+        """Return whether no command is open, and the bytes buffered of an incomplete one."""
+        return not self._slots, self._parser.held()
+
+    def eviction_score(self, now: float) -> float:
+        """Return how well its connection could be used by another client; 0: not at all."""
+        idle = self.idle_seconds(now)
+        if self._is_write_closed or (self._has_sent_command and not self._has_sent_request and not self._slots):
+            return NO_USE_SCORE + idle
+        if not self._has_sent_request:
+            return NO_REQUEST_SCORE + idle if idle > NEW_CONNECTION_GRACE else 0.0
+        return idle if idle > CROWDED_IDLE_TIMEOUT else 0.0
+
+    def enforce_timeouts(self, now: float, idle_timeout: float) -> None:
+        """Disconnect a client that sends nothing, never completes a command, or takes no response."""
+        idle = self.idle_seconds(now)
+        if self._front.is_draining and idle > DRAIN_GRACE:
+            idle_timeout = 0.0  # who sends no request at once is disconnected, and who often sends PING stays
+        if not self._is_reading and self.departed():
+            self.transport.abortConnection()
+        elif self._is_write_closed or not self.flushed:
+            stalled = now - self._last_activity_at > WRITE_STALL_TIMEOUT
+            if idle > LINGER_TIMEOUT if self._is_write_closed else stalled:
+                self.transport.abortConnection()
+        elif self._body_slot is not None:
+            if not self._is_body_blocked and now - self._last_activity_at > COMMAND_TIMEOUT:
+                self._on_malformed_input("a value was begun and not ended")
+        elif self._is_closing:
+            return
+        elif self._parser.is_incomplete():
+            is_head = self._parser.awaited_item != BODY_INDEX  # a body may come slowly, but not stand still
+            if now - (self._command_started_at if is_head else self._last_activity_at) > COMMAND_TIMEOUT:
+                self._on_malformed_input("a command was begun and not ended")
+        elif idle > (idle_timeout if self._has_sent_request else min(idle_timeout, COMMAND_TIMEOUT)) and not unread(
+            self.transport
+        ):
+            self.finish()
+
+    def evict(self) -> None:
+        """Leave the slot to another client, now."""
+        self._is_evicted = True
+        self._front.agents.remove(self.handle)
+        self._front.evicting_count += 1
+        self.transport.abortConnection()
+
+    def _on_command(self, words: list[bytes]) -> None:
+        name = words[0].upper()
+        if name in (QUERY, SUBMIT):
+            self._submit_request(words)
+        elif name == b"PING" and len(words) <= 2:
+            if not self._front.is_ready():
+                self._reply(resp.problem(f"LOADING {self._front.describe_state()}"))
+            else:
+                self._reply(resp.bulk(words[1]) if len(words) == 2 else b"+PONG\r\n")
+        elif name in ACKNOWLEDGED_COMMANDS:
+            self._reply(b"+OK\r\n")
+        elif name == b"QUIT":
+            self._reply(b"+OK\r\n")
+            self.finish()
+        else:
+            self._reply(resp.problem(f"ERR unknown command '{name[:32].decode('ascii', 'replace')}'"))
+
+    def _submit_request(self, words: list[bytes], body: Flow | None = None) -> None:
+        core = self._front.core
+        try:
+            call, request = self._front.reader.read(words)
+            if core.is_open(request.id):
+                raise CallError("that id is in hand")  # noqa: EM101, TRY301  # one handler for all refused commands
+        except CallError as fault:
+            log.say("user agent wrong", str(fault))
+            self._reply(resp.problem(f"ERR {fault}"))
+            return
+        slot = PipelineSlot(None, request, body)
+        self._has_sent_request = True
+        self._slots.append(slot)
+        if body is not None:
+            call = call._replace(flow=body)
+        size = REQUEST_OVERHEAD + len(call.before) + len(call.after) + len(call.body or b"")
+        exit_deadline = self._front.exit_deadline
+        deadline = min(self._arrived_at + request.remaining, exit_deadline) if body is None else inf
+        is_late = self._last_activity_at - self._arrived_at > LATE_ARRIVAL
+        if body is None and (is_late or deadline == exit_deadline):
+            # Its time runs from when it reached this machine: what a stall took of it is gone, as is what comes
+            # after the end of a process that was told to end.
+            request = request._replace(remaining=deadline - self._last_activity_at)
+        slot.response_deferred = core.submit(IncomingRequest(request, deadline, call, size, self.is_present))
+        slot.response_deferred.addCallbacks(self._answered, lambda _: None, callbackArgs=(slot,))
+
+    def _answered(self, response: Response, slot: PipelineSlot, /) -> None:
+        slot.response = encode_response(response)
+        slot.response_stream = response.stream
+        if slot.body is not None and response.stream is None:
+            slot.body.discard()
+        self._add_pending(len(slot.response))
+        if self._slots and self._slots[0] is slot:
+            self._flush()
+        if self._front.pending_response_bytes > self._front.max_pending_response_bytes:
+            # Guards the memory limit, past which the whole limiter would be killed: one client that
+            # pipelines behind its own slow request, or takes no responses, is disconnected instead.
+            log.say(
+                "backlog",
+                f"{self._front.pending_response_bytes} bytes of answers are held; a connection was closed",
+                held=self._front.pending_response_bytes,
+            )
+            self.transport.abortConnection()
+
+    def is_present(self) -> bool:
+        """Return whether the client is still connected, also where it isn't read from or our turn came late."""
+        return not self.departed()
+
+    def connectionLost(self, reason: Failure = connectionDone) -> None:  # noqa: ARG002  # Twisted passes it
+        """Cancel everything that is open: no response can reach the client any more."""
+        self._is_closing = True
+        self._fail_body()
+        self._front.on_input_buffered(-self._parser.held())
+        self._parser = resp.Parser()
+        self._front.agents.remove(self.handle)
+        self._front.evicting_count -= self._is_evicted
+        self._cancel_slots()
+        self._front.on_client_lost()
--- /dev/null
+++ b/thymeflow/frontend/pipeline.py
@@ -0,0 +1,161 @@
+"""The response half of a client connection: responses leave in the order of their commands."""
+
+from __future__ import annotations
+
+import contextlib
+import socket
+from collections import deque
+from typing import TYPE_CHECKING
+
+from twisted.internet.defer import Deferred
+
+from thymeflow.core.dispatcher import Response, ResponseKind
+from thymeflow.decision.events import RequestReceived
+from thymeflow.runtime import clock, log
+from thymeflow.transport import resp
+from thymeflow.transport.connections import Stream
+from thymeflow.transport.flow import Flow
+
+if TYPE_CHECKING:
+    from thymeflow.frontend.frontend import Frontend
+
+
+class PipelineSlot:
+    """One command's position in the order of responses."""
+
+    __slots__ = ("body", "is_started", "request", "response", "response_deferred", "response_stream")
+
+    def __init__(
+        self, response: bytes | None = None, request: RequestReceived | None = None, body: Flow | None = None
+    ) -> None:
+        self.response = response  # encoded; None until it is known
+        self.request = request
+        self.response_deferred: Deferred[Response] | None = None
+        self.body = body  # a streamed request body that is incomplete: the response waits for its end
+        self.response_stream: Flow | None = None  # a streamed response, whose head `response` is
+        self.is_started = False  # that head has been written
+
+
+def encode_response(response: Response) -> bytes:
+    """Return a final response as RESP2; `retry_after` is sent in whole milliseconds, rounded up."""
+    if response.kind is ResponseKind.SERVED:
+        return resp.bulk(response.value) if response.stream is None else resp.bulk_head(response.stream.length)
+    if response.kind is ResponseKind.FAILED:
+        return b"-ERR failed\r\n"
+    return b"-BUSY %d\r\n" % -int(-response.retry_after * 1000.0 // 1) if response.retry_after > 0.0 else b"-BUSY\r\n"
+
+
+class ResponsePipeline(Stream):
+    """A client connection's responses; a subclass reads the commands.
+
+    It is the `flow.Sink` of the streamed response that is being written.
+    """
+
+    def __init__(self, front: Frontend) -> None:
+        self._front = front
+        self._slots: deque[PipelineSlot] = deque()
+        self._last_activity_at = 0.0  # when bytes came or left last
+        self._idle_since = 0.0  # when it last did something of use, or was last answered
+        self._pending_bytes = 0  # of responses that wait for earlier ones, or for the client to read
+        self._is_closing = False  # close once everything is answered
+        self._is_write_closed = False  # all is written and our end closed; what still comes is discarded
+
+    def _update_reading(self) -> None:
+        """Read from the client or pause it, as the pipeline has capacity."""
+        raise NotImplementedError
+
+    def resumeProducing(self) -> None:
+        """Go on writing: the client has taken what was written."""
+        super().resumeProducing()
+        self._last_activity_at = clock.now()
+        self._recount_pending()
+        if self._slots and self._slots[0].is_started and self._slots[0].response_stream is not None:
+            self._slots[0].response_stream.more()
+        self._flush()
+
+    def _add_pending(self, change: int) -> None:
+        self._pending_bytes += change
+        self._front.pending_response_bytes += change
+
+    def _recount_pending(self) -> None:
+        # All that was written has left, so only responses that wait for earlier ones count.
+        self._add_pending(sum(len(slot.response or b"") for slot in self._slots) - self._pending_bytes)
+
+    def _reply(self, encoded: bytes) -> None:
+        self._slots.append(PipelineSlot(encoded))
+
+    def _flush(self) -> None:
+        ready: list[bytes] = []
+        stream: Flow | None = None
+        while self._slots and (slot := self._slots[0]).response is not None and slot.body is None:
+            if slot.is_started:
+                break
+            ready.append(slot.response or b"")
+            if slot.response_stream is not None:
+                slot.is_started = True
+                stream = slot.response_stream
+                self.narrow()
+                break
+            self._slots.popleft()
+        if ready:
+            self._last_activity_at = clock.now()
+            self.write(b"".join(ready))
+            if self.flushed:
+                self._recount_pending()
+            if not self._slots:
+                self._idle_since = self._last_activity_at
+        if stream is not None:
+            stream.attach(self)  # may write it to its end, and come back here
+        elif self._is_closing and not self._slots and not self._is_write_closed:
+            self._close_write_side()
+        else:
+            self._update_reading()
+
+    # The streamed response that is being written: see `flow.Sink`.
+
+    def part(self, data: bytes) -> None:
+        """Write the next bytes."""
+        self._last_activity_at = clock.now()
+        self.write(data)
+
+    def end(self) -> None:
+        """Close the value, which is complete, and go on with the next response."""
+        self.write(b"\r\n")
+        self._slots.popleft()
+        self._idle_since = clock.now()
+        self._flush()
+
+    def broken(self) -> None:
+        """Close the connection: that tells the client that the value is incomplete."""
+        log.say("cut short", "a long answer broke off on its way; the user agent's connection was closed")
+        self._is_closing = True
+        self._cancel_slots()
+        self._close_write_side()
+
+    def _close_write_side(self) -> None:
+        # Lingering close: one over bytes that are unread would reset the connection, and take with it what the client
+        # has not read. What comes from now on crosses our close, and is the client's to send again elsewhere.
+        if self.flushed and not self._is_write_closed:
+            self._is_write_closed = True
+            self._idle_since = clock.now()
+            with contextlib.suppress(OSError):
+                self.transport.getHandle().shutdown(socket.SHUT_WR)
+            self._update_reading()
+
+    def finish(self) -> None:
+        """Read no more, and close once every request taken is answered."""
+        if not self._is_closing:
+            self._is_closing = True
+            self._update_reading()
+            self._flush()
+
+    def _cancel_slots(self) -> None:
+        # Nothing can be answered here any more.
+        slots = self._slots
+        self._slots = deque()
+        self._add_pending(-self._pending_bytes)
+        for slot in slots:
+            if slot.response_deferred is not None and slot.response is None:
+                slot.response_deferred.cancel()
+            elif slot.response_stream is not None:
+                slot.response_stream.abandon()
--- a/thymeflow/limiter/assembly.py
+++ b/thymeflow/limiter/assembly.py
@@ -6,21 +6,20 @@
 from collections.abc import Callable
 from typing import Any
 
+from thymeflow import Gateway, gateway_of
 from thymeflow.backends.backends import BackendConnections
 from thymeflow.core.dispatcher import RequestDispatcher
 from thymeflow.counter.client import Counter
-from thymeflow.decision.factory import create_gateway
-from thymeflow.decision.gateway import Gateway
-from thymeflow.decision.gateway_state import INITIAL_FILL
+from thymeflow.decision.policy import START_LEVEL
 from thymeflow.decision.settings import DiscoveryMode, GatewaySettings
-from thymeflow.discovery.watch import FIRST_LIST_TIMEOUT, Discovery
+from thymeflow.discovery.watch import FIRST, Discovery
 from thymeflow.frontend.frontend import Frontend
 from thymeflow.frontend.listener import bound, opened
 from thymeflow.limiter.lifecycle import LINGER, Lifecycle
 from thymeflow.limiter.management import PLACES, Management
 from thymeflow.limiter.phases import Phase
 from thymeflow.limiter.reload import Reload
-from thymeflow.platform import configuration, endpoints
+from thymeflow.platform import configuration
 from thymeflow.runtime import clock, log
 from thymeflow.transport.commands import Reader
 
@@ -38,13 +37,13 @@
     return max((c.deadline for c in settings.classes), default=0.0)
 
 
-def made(given: configuration.Configuration, start: float = INITIAL_FILL, offset: float = 0.0) -> Gateway:
+def made(given: configuration.Configuration, start: float = START_LEVEL, offset: float = 0.0) -> Gateway:
     """The gateway of a configuration. `offset`: from our clock to one that all of the set share, seconds."""
-    if given.units == configuration.UNITS_BY_RESERVATION and given.settings.information.counter:
+    if given.units == configuration.TICKETS and given.settings.information.counter:
         from thymeflow.quota.strict import StrictGateway  # elsewhere it is not used, and not loaded
 
         return StrictGateway(given.settings, given.seed, start, offset)
-    return create_gateway(given.settings, given.seed, start)
+    return gateway_of(given.settings, given.seed, start)
 
 
 class Limiter:
@@ -76,7 +75,7 @@
         self.upstream = self.core.upstream = BackendConnections(reactor, self.deadlines, limits, servers)
         self.front = Frontend(self.core, settings, self.deadlines, agents, answers, commands)
         self.lifecycle = Lifecycle(self.deadlines, self.core, self.front, longest_of(settings), reactor.stop, linger)
-        self.on_list: Callable[[endpoints.EndpointUpdate], None] = lambda news: None  # who keeps the list beside us
+        self.on_list: Callable[[configuration.EndpointUpdate], None] = lambda news: None  # who keeps the list beside us
         self.on_endpoints_changed(given.endpoints)
         self.discovery = Discovery(
             reactor,
@@ -88,7 +87,7 @@
             given.seed,
             settings.discovery is DiscoveryMode.PUSH,
         )
-        self.core.discovery, self.upstream.read_endpoint_updates = self.discovery, self.discovery.read_pending
+        self.core.discovery, self.upstream.look = self.discovery, self.discovery.look
         self.discovery.on_ready = self.on_endpoints_ready
         self.when_endpoints_ready: Callable[[], None] = lambda: None  # who waits for the list beside us
         self.counter: Counter | None = None
@@ -97,9 +96,9 @@
         self.reload = Reload(given, self.discovery, self.counter, self.apply_settings, load)
         self.lifecycle.reload = self.reload.now
 
-    def on_endpoints_changed(self, news: endpoints.EndpointUpdate) -> None:
+    def on_endpoints_changed(self, news: configuration.EndpointUpdate) -> None:
         """A change of the list of application servers holds from now on."""
-        self.core.apply_endpoints(news.change, lambda: self.upstream.apply_update(news))
+        self.core.apply_endpoints(news.change, lambda: self.upstream.listed(news))
         self.on_list(news)
         if news.addresses:
             self.lifecycle.listed()
@@ -109,7 +108,7 @@
         self.front.reader = Reader(settings)
         self.core.apply_settings(settings)
         self.upstream.limits = settings.limits
-        self.discovery.backoff.resize(settings.limiter_count)
+        self.discovery.back_off.resized(settings.limiter_count)
         self.lifecycle.longest = max(self.lifecycle.longest, longest_of(settings))
 
     def start(self) -> None:
@@ -119,7 +118,7 @@
         """
         self.listen_for_operators()
         self.listen(bound(self.configuration.listen.host, self.configuration.listen.port))
-        self.connect(clock.now() + FIRST_LIST_TIMEOUT)
+        self.connect(clock.now() + FIRST)
 
     def listen_for_operators(self) -> None:
         """Listen for operators, where the configuration says so; CannotListenError where the place is taken."""
@@ -142,13 +141,13 @@
     def limit_beside_predecessor(self, held: int | None) -> None:
         """An earlier life of this limiter holds so many descriptors, or has ended: the limits are for both."""
         agents, servers, requests, answers, commands = self._budgets(held)
-        self.front.limit(agents, answers, commands)
-        self.upstream.set_max_connections(servers)
+        self.front.set_limits(agents, answers, commands)
+        self.upstream.limit(servers)
         self.core.set_memory_limit(requests)
 
     def _budgets(self, held: int | None) -> tuple[int, int, int, int, int]:
         # Connections of user agents and to servers; bytes of requests, of answers and of unfinished commands.
-        room, memory = self.configuration.sockets - configuration.RESERVED_SOCKETS, self.configuration.memory
+        room, memory = self.configuration.sockets - configuration.SPARE_SOCKETS, self.configuration.memory
         if held is not None:
             room, memory = max(LEAST_ROOM, room - held - OTHERS), memory // 2
         agents = int(room * AGENT_SHARE)
@@ -162,7 +161,7 @@
 
     def on_handed_over(self, handed: bool) -> None:
         """A successor accepts from now on, or it does not and we do again."""
-        self.upstream.set_resting(handed)
+        self.upstream.rest(handed)
         if handed:
             self.lifecycle.on_handed_over()
         else:
@@ -188,7 +187,7 @@
             return
         made, self._door = self._door, None
         if self._queued:
-            self.deadlines.mark_waiting(clock.STARTED_AT)
+            self.deadlines.mark_waiting(clock.BORN)
         try:
             opened(made)
         except OSError as fault:  # another came in between, which only bound it as we did
--- a/thymeflow/limiter/lifecycle.py
+++ b/thymeflow/limiter/lifecycle.py
@@ -42,8 +42,9 @@
         self.on_phase: Callable[[Phase], None] = lambda phase: None  # who tells others of the phase
         self._lingers = False  # told to end, and the front may not have noticed yet
         self._evacuated = 0  # how often; what was set going by an earlier one is old
-        front.able, front.why = self.takes_clients, lambda: phases.WHY[self.phase]
-        front.gone = self._look
+        front.is_ready = self.takes_clients
+        front.describe_state = lambda: phases.WHY[self.phase]
+        front.on_client_lost = self._look
 
     def takes_clients(self) -> bool:
         """Whether user agents are taken now: what `PING` and `readyz` both answer."""
@@ -60,12 +61,12 @@
             if phase is Phase.EVACUATED:
                 self._deadlines.at(clock.now() + SENT_ON, self._empty, self._evacuated)
             else:
-                self._front.fill()
+                self._front.resume()
         return yes, why
 
     def _empty(self, evacuated: int) -> None:
         if self.phase is Phase.EVACUATED and evacuated == self._evacuated:
-            self._front.empty()
+            self._front.drain()
 
     def _enter(self, phase: Phase) -> None:
         self.phase = phase
@@ -98,7 +99,7 @@
         if self.phase in (Phase.HANDED_OVER, Phase.SERVING, Phase.EVACUATED):
             if self.phase is Phase.HANDED_OVER:
                 self._enter(Phase.SERVING)
-                self._front.fill()
+                self._front.resume()
             self.port.startReading()
 
     def terminate(self, linger: float | None = None) -> None:
@@ -107,7 +108,7 @@
             self._lingers = self.phase is Phase.SERVING
             self._enter(Phase.DRAINING)
             now = clock.now()
-            self._front.until = now + LINGER + min(self.longest, PATIENT) - REST
+            self._front.exit_deadline = now + LINGER + min(self.longest, PATIENT) - REST
             stays = now + (self._linger if linger is None else linger)
             self._deadlines.at(stays, self._close)
             self._deadlines.at(stays + self.longest + EXTRA, self._end)
@@ -119,11 +120,11 @@
 
     def _close(self, _: int) -> None:
         if self.port is not None:
-            met, most = -1, self._front.met + BACKLOG
+            met, most = -1, self._front.accepted_count + BACKLOG
             while (
-                self.takes_clients() and met < self._front.met < most
+                self.takes_clients() and met < self._front.accepted_count < most
             ):  # who waits in the queue would be reset with it
-                met = self._front.met
+                met = self._front.accepted_count
                 self.port.doRead()  # some of them at a time
             self.port.stopListening()
         self._closed, self._lingers = True, False
--- a/thymeflow/transport/resp.py
+++ b/thymeflow/transport/resp.py
@@ -107,13 +107,13 @@
         self._left = -1  # bytes of a long value that are still to come; -1: none is on its way
         self._after: list[Value] = []
         self._missing = -1  # items that follow the long value and have not come; -1: none is on its way
-        self.item = -1  # of an array that is not whole: the bulk string that bytes are awaited for
+        self.awaited_item = -1  # of an array that is not whole: the bulk string that bytes are awaited for
 
     def held(self) -> int:
         """Bytes of a message that has begun and is not whole."""
         return len(self._held)
 
-    def amid(self) -> bool:
+    def is_incomplete(self) -> bool:
         """Whether a message has begun and is not whole."""
         return bool(self._held) or self._left >= 0 or self._missing >= 0
 
@@ -132,7 +132,7 @@
             self._held += data
             source = self._held
         place, end = 0, len(source)
-        self.item = -1
+        self.awaited_item = -1
         try:
             while place < end:
                 if self._left >= 0 or self._missing >= 0:
@@ -145,7 +145,7 @@
                     found.append(long.begin)
                     place, self._left, self._missing = long.place, long.begin.length, long.begin.after
         except _Incomplete as missing:
-            self.item = missing.item
+            self.awaited_item = missing.item
             if end - place > MOST_MESSAGE:
                 raise ProtocolError("message too long") from None
         if source is data:
