--- a/tests/test_long.py
+++ b/tests/test_long.py
@@ -63,7 +63,7 @@
 def test_however_the_bytes_are_cut_the_events_are_the_same(
     before: list[bytes], more: int, after: list[bytes], data: st.DataObject
 ) -> None:
-    value = b"\r\n$" * ((resp.MOST_VALUE + more) // 3 + 1)
+    value = b"\r\n$" * ((resp.MAX_VALUE + more) // 3 + 1)
     text = b"*%d\r\n" % (len(before) + 1 + len(after)) + b"".join(map(resp.bulk, [*before, value, *after]))
     text += command(b"PING")
     parser, found, place = resp.Parser(resp.MOST_LONG), list[resp.Event](), 0
--- a/thymeflow/frontend/client_connection.py
+++ b/thymeflow/frontend/client_connection.py
@@ -129,7 +129,7 @@
         if all(type(word) is bytes for word in words) and len(words) == BODY_INDEX and not begin.after:
             self._submit_request([*words, b""], body)  # type: ignore[list-item]
         else:
-            self._reply(resp.problem("ERR a value is too long for this command"))
+            self._reply(resp.error_reply("ERR a value is too long for this command"))
         self._body_slot = self._slots[-1]
         self._body_slot.body = body
         if self._body_slot.response is not None:
@@ -176,7 +176,7 @@
         self._fail_body()
         self._front.on_input_buffered(-self._parser.held())
         self._parser = resp.Parser()
-        self._reply(resp.problem(f"ERR Protocol error: {fault}"))
+        self._reply(resp.error_reply(f"ERR Protocol error: {fault}"))
         self.finish()
 
     def idle_seconds(self, now: float) -> float:
@@ -242,7 +242,7 @@
             self._submit_request(words)
         elif name == b"PING" and len(words) <= 2:
             if not self._front.is_ready():
-                self._reply(resp.problem(f"LOADING {self._front.describe_state()}"))
+                self._reply(resp.error_reply(f"LOADING {self._front.describe_state()}"))
             else:
                 self._reply(resp.bulk(words[1]) if len(words) == 2 else b"+PONG\r\n")
         elif name in ACKNOWLEDGED_COMMANDS:
@@ -251,7 +251,7 @@
             self._reply(b"+OK\r\n")
             self.finish()
         else:
-            self._reply(resp.problem(f"ERR unknown command '{name[:32].decode('ascii', 'replace')}'"))
+            self._reply(resp.error_reply(f"ERR unknown command '{name[:32].decode('ascii', 'replace')}'"))
 
     def _submit_request(self, words: list[bytes], body: Flow | None = None) -> None:
         core = self._front.core
@@ -261,7 +261,7 @@
                 raise CallError("that id is in hand")  # noqa: EM101, TRY301  # one handler for all refused commands
         except CallError as fault:
             log.say("user agent wrong", str(fault))
-            self._reply(resp.problem(f"ERR {fault}"))
+            self._reply(resp.error_reply(f"ERR {fault}"))
             return
         slot = PipelineSlot(None, request, body)
         self._has_sent_request = True
--- a/thymeflow/transport/connections.py
+++ b/thymeflow/transport/connections.py
@@ -1,9 +1,9 @@
-"""Streams of bytes that know what has left, and the connections that the limiter opens.
+"""Byte streams that know whether what was written has left, and the connections that the limiter opens.
 
 Whether a message's last byte was written decides if it may have had an effect. A pull producer is
-asked for more exactly when the transport's buffer has gone to the kernel, which tells just that.
+asked for more exactly when the transport's buffer has gone to the kernel, which is how this is known.
 
-What can go at once is given to the kernel at once. By way of the reactor each message would cost a
+What can be sent at once is given to the kernel at once. By way of the reactor each message would cost a
 second turn with two changes of the poll set, which was a quarter of the CPU of a request.
 """
 
@@ -16,7 +16,7 @@
 from typing import Any, TypeVar
 
 from twisted.internet.defer import Deferred
-from twisted.internet.interfaces import IPullProducer
+from twisted.internet.interfaces import IAddress, IConnector, IPullProducer
 from twisted.internet.protocol import ClientFactory, Protocol, connectionDone
 from twisted.python.failure import Failure
 from zope.interface import implementer
@@ -28,8 +28,8 @@
 from thymeflow.transport.flow import CHUNK
 
 
-def unread(transport: Any) -> bool:
-    """Whether bytes or the end of the connection wait to be read: it is not as quiet as it seems."""
+def unread(transport: Any) -> bool:  # noqa: ANN401  # Twisted's transports share no static type with getHandle()
+    """Return whether bytes or the end of the connection wait to be read: it is not as idle as it seems."""
     try:
         transport.getHandle().recv(1, socket.MSG_PEEK)
     except BlockingIOError:
@@ -39,155 +39,166 @@
     return True
 
 
-# That the other end has closed, also where bytes that came before that wait unread: reading alone tells it only
+# That the peer has closed, also where bytes that came before that wait unread: reading alone shows it only
 # behind them, and not at all while nothing is read.
-_CLOSED = getattr(select, "POLLRDHUP", 0) | select.POLLHUP | select.POLLERR
+_PEER_CLOSED = getattr(select, "POLLRDHUP", 0) | select.POLLHUP | select.POLLERR
 
 
 @implementer(IPullProducer)
 class Stream(Protocol):
-    """A connection, made by us or to us."""
+    """A connection in either direction, which writes at once and knows when its buffer is empty."""
 
     transport: Any
     flushed = True  # all that was written has gone to the kernel
-    connected_to: Callable[[Any], None] | None = None  # who waits for the connection to be up
+    on_connected: Callable[[Any], None] | None = None  # called once, when the connection is up
 
     def connectionMade(self) -> None:
-        """Small messages leave at once; see the module's text for the producer."""
+        """Set the connection up so that small messages leave at once; see the module's text for the producer."""
         self.transport.setTcpNoDelay(True)
         self.transport.registerProducer(self, False)
-        if self.connected_to is not None:
-            waits, self.connected_to = self.connected_to, None
-            waits(self)
+        if self.on_connected is not None:
+            on_connected = self.on_connected
+            self.on_connected = None
+            on_connected(self)
 
     def resumeProducing(self) -> None:
-        """The buffer has gone to the kernel."""
+        """Note that the buffer has gone to the kernel."""
         self.flushed = True
 
     def stopProducing(self) -> None:
-        """The transport will write no more; `connectionLost` says the rest."""
+        """Do nothing: the transport will write no more, and `connectionLost` follows."""
 
     def departed(self) -> bool:
-        """Whether the other end has closed, read or not."""
-        number = self.transport.fileno()
-        if number < 0:
+        """Return whether the peer has closed the connection, read or not."""
+        descriptor = self.transport.fileno()
+        if descriptor < 0:
             return True
-        look = select.poll()
-        look.register(number, _CLOSED)
-        return bool(look.poll(0))
+        poller = select.poll()
+        poller.register(descriptor, _PEER_CLOSED)
+        return bool(poller.poll(0))
 
     def narrow(self) -> None:
-        """Hold little on the way, here and in the kernel: a long value's sender goes at its reader's pace.
+        """Make the buffers small, here and in the kernel, so that a long value's sender goes at its reader's pace.
 
-        Where the kernel takes megabytes at once, a reader that moves slowly looks like one that does not move.
+        Where the kernel takes megabytes at once, a slow reader looks like one that is stalled.
         """
         self.transport.bufferSize = CHUNK
         with contextlib.suppress(OSError):
             self.transport.getHandle().setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 2 * CHUNK)
 
     def write(self, data: bytes) -> None:
-        """Write behind what was written."""
+        """Write behind what was written; `flushed` shows whether all of it has gone to the kernel."""
         if self.flushed:
             sent = 0
-            with contextlib.suppress(OSError):  # what is broken shows when the transport tries the rest
+            with contextlib.suppress(OSError):  # an error shows when the transport tries the rest
                 sent = self.transport.getHandle().send(data)
             if sent == len(data):
                 return
-            data, self.flushed = data[sent:], False
+            data = data[sent:]
+            self.flushed = False
         self.transport.write(data)
 
 
-S = TypeVar("S", bound=Stream)
+StreamT = TypeVar("StreamT", bound=Stream)
 
 
 class Link(Stream):
-    """A connection on which we ask in RESP2; subclasses take the messages and the end."""
+    """A connection on which we send commands in RESP2; subclasses handle the replies and the end."""
 
     closed = False  # ended, or given up by us
 
-    def __init__(self, longest: int = resp.MOST_VALUE) -> None:
-        self._parser = resp.Parser(longest)
+    def __init__(self, max_value: int = resp.MAX_VALUE) -> None:
+        self._parser = resp.Parser(max_value)
 
     def dataReceived(self, data: bytes) -> None:
-        """Cut what came into messages."""
+        """Pass on each complete message."""
         found, fault = self._parser.feed(data)
         for value in found:
             if self.closed:
                 return
-            self.message(value)  # type: ignore[arg-type]   # events of long values come only where asked for
+            self.message(value)  # type: ignore[arg-type]  # events come only where long values are allowed
         if fault and not self.closed:
             self.garbled(fault)
 
-    def connectionLost(self, reason: Failure = connectionDone) -> None:
-        """The connection has ended, by whoever's will."""
+    def connectionLost(self, reason: Failure = connectionDone) -> None:  # noqa: ARG002  # Twisted passes it
+        """Call `lost`, unless we ended the connection."""
         if not self.closed:
             self.closed = True
             self.lost()
 
     def hang_up(self) -> None:
-        """End the connection now; what the other end still sends is not wanted."""
+        """End the connection now; what the peer still sends is discarded."""
         if self.closed:
             return
         self.closed = True
-        # abortConnection waits for the reactor's next turn; a second proxy pass must not overtake this.
+        # abortConnection waits for the reactor's next turn; a second attempt must not overtake this.
         with contextlib.suppress(OSError):
             self.transport.getHandle().shutdown(socket.SHUT_RDWR)
         self.transport.abortConnection()
 
     def message(self, value: resp.Value) -> None:
-        """A whole message has come."""
+        """Handle a complete message."""
         raise NotImplementedError
 
     def garbled(self, fault: str) -> None:
-        """What came is no RESP2; the connection is of no more use."""
+        """Handle input that is not RESP2; the connection cannot be used any more."""
         raise NotImplementedError
 
     def lost(self) -> None:
-        """The connection ended without our doing."""
+        """Handle the end of the connection, where we did not end it."""
         raise NotImplementedError
 
 
-class _Dialler(ClientFactory):
-    """Builds the one protocol, and says how the connecting ended."""
+class _SingleConnectionFactory(ClientFactory):
+    """Builds the one protocol, and reports how the connecting ended."""
 
     noisy = False
 
     def __init__(self, build: Callable[[], Stream], settled: Deferred[Any]) -> None:
-        self._build, self._settled = build, settled
+        self._build = build
+        self._settled = settled
 
-    def buildProtocol(self, addr: Any) -> Stream:
-        """The connection is up; it is told of once the protocol has its transport."""
-        made = self._build()
-        made.connected_to = self._settled.callback
-        return made
+    def buildProtocol(self, addr: IAddress | None) -> Stream:  # noqa: ARG002  # Twisted passes it
+        """Build the protocol, which reports success once it has its transport."""
+        stream = self._build()
+        stream.on_connected = self._settled.callback
+        return stream
 
-    def clientConnectionFailed(self, connector: Any, reason: Failure) -> None:
-        """Refused, or given up at the deadline."""
+    def clientConnectionFailed(self, connector: IConnector, reason: Failure) -> None:  # noqa: ARG002  # likewise
+        """Report a connection that was refused, or given up at the deadline."""
         self._settled.errback(reason)
 
 
-def dial(reactor: Any, deadlines: Deadlines, address: Address, deadline: float, build: Callable[[], S]) -> Deferred[S]:
-    """Connect; fails if refused or not up by the deadline, on the one heap and not a timer of its own.
+def dial(
+    reactor: Any,  # noqa: ANN401  # Twisted's reactor interfaces are no static types
+    deadlines: Deadlines,
+    address: Address,
+    deadline: float,
+    build: Callable[[], StreamT],
+) -> Deferred[StreamT]:
+    """Connect; the Deferred fails if that is refused, or not done by `deadline` (a time of `clock.now`).
 
-    A deadline that comes due in a turn that came late says nothing of the other end: the reactor begins to connect in
+    A deadline that comes due in a turn that came late shows nothing of the peer: the reactor begins to connect in
     its next turn, and finds that it is connected in one after that. So each gets its turn before we give up.
     """
-    settled: Deferred[Any] = Deferred()
-    connector = reactor.connectTCP(address.host, address.port, _Dialler(build, settled), timeout=None)
+    settled: Deferred[StreamT] = Deferred()
+    connector = reactor.connectTCP(address.host, address.port, _SingleConnectionFactory(build, settled), timeout=None)
     entry: clock.Entry = []
 
-    def late(_: int) -> None:
+    def give_up(_: int) -> None:
+        """Stop connecting, or wait a little longer if the process itself was stalled."""
         nonlocal entry
         now = clock.now()
         if deadlines.is_stalled(now):
-            entry = deadlines.at(now + clock.STALL, late)
+            entry = deadlines.at(now + clock.STALL, give_up)
         else:
             connector.stopConnecting()
 
-    entry = deadlines.at(deadline, late)
+    entry = deadlines.at(deadline, give_up)
 
-    def done(result: Any) -> Any:
+    def cancel_deadline(result: StreamT | Failure) -> StreamT | Failure:
+        """Cancel the deadline, and pass the result on."""
         deadlines.cancel(entry)
         return result
 
-    return settled.addBoth(done)
+    return settled.addBoth(cancel_deadline)
--- a/thymeflow/transport/flow.py
+++ b/thymeflow/transport/flow.py
@@ -1,7 +1,7 @@
-"""One long value on its way through, either way: no I/O, and one part at a time between source and sink.
+"""One long value in transit, in either direction: no I/O, and one chunk at a time between source and sink.
 
-The source pushes what has come and can be paused; the sink writes, and says by `flushed` whether its buffer has
-gone. A part that finds no room waits here, and the source is paused until it has left.
+The source pushes what has come and can be paused; the sink writes, and shows by `flushed` whether its buffer has
+gone. A chunk that the sink has no capacity for is buffered here, and the source is paused until it has left.
 """
 
 from __future__ import annotations
@@ -10,7 +10,7 @@
 from collections.abc import Callable
 from typing import Protocol
 
-CHUNK = 32 * 1024  # bytes read at a time from a connection that brings a long value: what waits here is bounded
+CHUNK = 32 * 1024  # bytes read at a time from a connection that brings a long value: bounds what is buffered here
 
 
 class Sink(Protocol):
@@ -22,100 +22,108 @@
         """Write the next bytes."""
 
     def end(self) -> None:
-        """All has been written, and the value is sound."""
+        """Close the value: all of it has been written, and it is complete."""
 
     def broken(self) -> None:
-        """The rest will not come."""
+        """Give up: the rest will not come."""
 
 
-class Nowhere:
-    """For what nobody wants: the source's connection stays in step."""
+class NullSink:
+    """Discards a value that nobody wants, so that the source's connection stays in step."""
 
     flushed = True
 
     def part(self, data: bytes) -> None:
-        """Thrown away."""
+        """Discard the bytes."""
 
     def end(self) -> None:
-        """Nothing is owed."""
+        """Do nothing."""
 
     def broken(self) -> None:
-        """Nothing is owed."""
+        """Do nothing."""
 
 
-NOWHERE = Nowhere()
+NULL_SINK = NullSink()
 
 
 class Flow:
-    """A value of a known length, from its head to its end."""
+    """A value of a known length, from its head to its end.
 
-    def __init__(self, length: int, pace: Callable[[bool], None], abandoned: Callable[[], None]) -> None:
+    `on_paced` is called with whether the source must pause, at each change; `on_abandoned` is called once if the
+    sink is gone before the end.
+    """
+
+    def __init__(self, length: int, on_paced: Callable[[bool], None], on_abandoned: Callable[[], None]) -> None:
         self.length = length
-        self.deadline = 0.0  # once it has come whole, for a body: until when its sender waits
-        self.over = False  # whole or broken, and the sink was told
+        self.deadline = 0.0  # of a complete body: until when its sender waits
+        self.is_done = False  # complete or broken, and the sink was notified
         self.waits = False  # the source is paused
-        self._pace, self._abandoned = pace, abandoned
-        self._held: deque[bytes] = deque()
-        self._ended = self._broken = False
-        self._whole: Callable[[], None] = lambda: None
+        self._on_paced = on_paced
+        self._on_abandoned = on_abandoned
+        self._buffer: deque[bytes] = deque()
+        self._is_ended = False
+        self._is_broken = False
+        self._on_complete: Callable[[], None] = lambda: None
         self._sink: Sink | None = None
 
     # The source's side.
 
     def push(self, data: bytes) -> None:
-        """The next bytes have come."""
-        self._held.append(data)
+        """Take the next bytes from the source."""
+        self._buffer.append(data)
         self.more()
 
     def finish(self) -> None:
-        """It has come whole."""
-        self._ended = True
-        self._whole()
+        """Mark the value as complete: all of it has come from the source."""
+        self._is_ended = True
+        self._on_complete()
         self.more()
 
     def fail(self) -> None:
-        """The rest will not come; what has come is still passed on."""
-        if not self._ended:
-            self._ended = self._broken = True
+        """Mark the value as broken: the rest will not come; what has come is still forwarded."""
+        if not self._is_ended:
+            self._is_ended = True
+            self._is_broken = True
             self.more()
 
     # The sink's side.
 
-    def when_whole(self, told: Callable[[], None]) -> None:
-        """Tell once all has come from the source, be it written or not."""
-        self._whole = told
-        if self._ended and not self._broken:
-            told()
+    def when_whole(self, on_complete: Callable[[], None]) -> None:
+        """Call back once all has come from the source, be it written or not."""
+        self._on_complete = on_complete
+        if self._is_ended and not self._is_broken:
+            on_complete()
 
     def attach(self, sink: Sink) -> None:
-        """Go there from now on."""
+        """Forward to this sink from now on."""
         self._sink = sink
         self.more()
 
     def discard(self) -> None:
-        """Nobody wants what still comes."""
-        if not self.over:
-            self.attach(NOWHERE)
+        """Discard what still comes."""
+        if not self.is_done:
+            self.attach(NULL_SINK)
 
     def more(self) -> None:
-        """There may be room: write what waits, and let the source go on once nothing does."""
+        """Write what is buffered as far as the sink has capacity, and let the source go on once nothing is."""
         sink = self._sink
-        while self._held and sink is not None and sink.flushed:
-            sink.part(self._held.popleft())
-        if sink is not None and not self._held and self._ended and not self.over:
-            self.over = True
-            if self._broken:
+        while self._buffer and sink is not None and sink.flushed:
+            sink.part(self._buffer.popleft())
+        if sink is not None and not self._buffer and self._is_ended and not self.is_done:
+            self.is_done = True
+            if self._is_broken:
                 sink.broken()
             else:
                 sink.end()
-        waits = not self.over and (sink is None or not sink.flushed or bool(self._held))
+        waits = not self.is_done and (sink is None or not sink.flushed or bool(self._buffer))
         if waits != self.waits:
             self.waits = waits
-            self._pace(waits)
+            self._on_paced(waits)
 
     def abandon(self) -> None:
-        """The sink is gone: what still comes is not wanted, and the source may end."""
-        if not self.over:
-            self.over, self._sink = True, NOWHERE
-            self._held.clear()
-            self._abandoned()
+        """Discard everything, as the sink is gone; the source may end."""
+        if not self.is_done:
+            self.is_done = True
+            self._sink = NULL_SINK
+            self._buffer.clear()
+            self._on_abandoned()
--- a/thymeflow/transport/resp.py
+++ b/thymeflow/transport/resp.py
@@ -1,56 +1,63 @@
-"""RESP2 without I/O: an incremental parser with firm bounds, and writers of the few forms we send.
+"""RESP2 without I/O: an incremental parser with firm bounds, and encoders of the few forms that are sent.
 
-Whoever is at the other end may be broken or hostile, so a message that would not fit the bounds is
-refused as soon as its head shows it, and no more than one message is ever held back incomplete. A value
-too long to be held, in an array or alone, comes as events instead: `Begin`, `Part` as often as bytes come,
-`Closed` behind the value, and `End` with what follows it in the array.
+The peer may be broken or hostile, so a message that would exceed the bounds is rejected as soon as its head shows
+it, and no more than one incomplete message is ever buffered. A value too long to be buffered, in an array or alone,
+comes as events instead: `Begin`, `Part` as often as bytes come, `Closed` behind the value, and `End` with what
+follows it in the array.
 """
+# ruff: noqa: EM101  # the texts are sent to the peer or logged, and stand next to the check that each belongs to
 
 from __future__ import annotations
 
 from typing import Union
 
-MOST_VALUE = 64 * 1024  # bytes of one bulk string that is held whole
-MOST_LONG = 4 * 2**20  # bytes of one that passes through in parts, as the days in service have it
-MOST_MESSAGE = MOST_VALUE + 8 * 1024  # bytes of one message: a value and its small companions
-MOST_ITEMS = 32  # items of one array; the longest that anybody sends has five
-MOST_LINE = 1024  # bytes of a simple string, an error or a length
+from thymeflow.transport import TransportError
 
+MAX_VALUE = 64 * 1024  # bytes of one bulk string that is buffered
+MOST_LONG = 4 * 2**20  # bytes of one that is forwarded in chunks
+MAX_MESSAGE = MAX_VALUE + 8 * 1024  # bytes of one message: a value and its small companions
+MAX_ITEMS = 32  # items of one array; the longest that any peer sends has five
+MAX_LINE = 1024  # bytes of a simple string, an error or a length
+MAX_ERROR_TEXT = 200  # characters of an error reply that we send
+MAX_DIGITS = 18  # of a number, so that it fits 64 bits
 
-class ProtocolError(Exception):
-    """The bytes are no RESP2, or pass the bounds; where the next message begins is not known."""
+
+class ProtocolError(TransportError):
+    """The bytes are not RESP2, or exceed the bounds; where the next message begins is not known."""
 
 
 class Simple(bytes):
-    """A simple string, such as the OK of `+OK`."""
+    """A simple string, such as the `OK` of `+OK`."""
 
 
 class Problem(bytes):
-    """An error line without its dash."""
+    """An error reply without its dash."""
 
 
 Value = Union[bytes, int, None, list["Value"]]
 
 
 class _Event:
-    # Plain classes: four dataclasses would take 5 ms of the start.
+    # Plain classes: four dataclasses would add 5 ms to the start.
     __slots__: tuple[str, ...] = ()
 
     def __eq__(self, other: object) -> bool:
-        return type(self) is type(other) and all(getattr(self, n) == getattr(other, n) for n in self.__slots__)
+        return type(self) is type(other) and all(getattr(self, name) == getattr(other, name) for name in self.__slots__)
 
 
 class Begin(_Event):
-    """A long value begins; what stands before it in the array, and how many items will follow it."""
+    """A long value begins, behind these items of its array; `after` is how many items will follow it."""
 
     __slots__ = ("after", "before", "length")
 
     def __init__(self, before: list[Value], length: int, after: int) -> None:
-        self.before, self.length, self.after = before, length, after
+        self.before = before
+        self.length = length
+        self.after = after
 
 
 class Part(_Event):
-    """Its next bytes."""
+    """The next bytes of the long value."""
 
     __slots__ = ("data",)
 
@@ -59,13 +66,13 @@
 
 
 class Closed(_Event):
-    """It has come whole, and was closed as it should be."""
+    """The long value is complete, and was terminated as it should be."""
 
     __slots__ = ()
 
 
 class End(_Event):
-    """The array has come whole; the items behind the long value."""
+    """The array is complete; `after` holds the items behind the long value."""
 
     __slots__ = ("after",)
 
@@ -76,24 +83,25 @@
 Event = Union[Value, Begin, Part, Closed, End]
 
 
-class _Incomplete(Exception):
+class _IncompleteError(TransportError):
     """The message goes on in bytes that have not come; `item`: within which bulk string of an array, or -1."""
 
     item = -1
 
 
-class _Long(Exception):
-    """A long value begins at `place`."""
+class _LongValueError(TransportError):
+    """A long value begins at `position`."""
 
-    def __init__(self, length: int, place: int) -> None:
+    def __init__(self, length: int, position: int) -> None:
         super().__init__()
-        self.begin, self.place = Begin([], length, 0), place
+        self.begin = Begin([], length, 0)
+        self.position = position
 
 
-def _number(text: bytes) -> int:
+def _parse_number(text: bytes) -> int:
     # int() also takes spaces, underscores and signs, which a peer that frames rightly never sends.
     digits = text[1:] if text[:1] == b"-" else text
-    if not digits.isdigit() or len(digits) > 18:
+    if not digits.isdigit() or len(digits) > MAX_DIGITS:
         raise ProtocolError("bad number")
     return int(text)
 
@@ -101,172 +109,172 @@
 class Parser:
     """Cuts a stream of bytes into messages."""
 
-    def __init__(self, longest: int = MOST_VALUE) -> None:
-        self._held = bytearray()
-        self._longest = longest
-        self._left = -1  # bytes of a long value that are still to come; -1: none is on its way
-        self._after: list[Value] = []
-        self._missing = -1  # items that follow the long value and have not come; -1: none is on its way
-        self.awaited_item = -1  # of an array that is not whole: the bulk string that bytes are awaited for
+    def __init__(self, max_value: int = MAX_VALUE) -> None:
+        self._buffer = bytearray()
+        self._max_value = max_value
+        self._remaining_bytes = -1  # of a long value, still to come; -1: no long value has begun
+        self._trailing_items: list[Value] = []  # that have come behind the long value
+        self._missing_items = -1  # that follow the long value and have not come; -1: no long value has begun
+        self.awaited_item = -1  # of an incomplete array: the bulk string that bytes are awaited for
 
     def held(self) -> int:
-        """Bytes of a message that has begun and is not whole."""
-        return len(self._held)
+        """Return how many bytes of an incomplete message are buffered."""
+        return len(self._buffer)
 
     def is_incomplete(self) -> bool:
-        """Whether a message has begun and is not whole."""
-        return bool(self._held) or self._left >= 0 or self._missing >= 0
+        """Return whether a message has begun and is incomplete."""
+        return bool(self._buffer) or self._remaining_bytes >= 0 or self._missing_items >= 0
 
     def feed(self, data: bytes) -> tuple[list[Event], str]:
-        """What these bytes complete, and the fault behind it at which the framing is lost."""
+        """Return the messages that these bytes complete, and the fault behind them, if framing is lost; else ''."""
         found: list[Event] = []
         try:
-            self._cut(data, found)
+            self._parse(data, found)
         except ProtocolError as fault:
             return found, str(fault)
         return found, ""
 
-    def _cut(self, data: bytes, found: list[Event]) -> None:
+    def _parse(self, data: bytes, found: list[Event]) -> None:
         source: bytes | bytearray = data
-        if self._held:
-            self._held += data
-            source = self._held
-        place, end = 0, len(source)
+        if self._buffer:
+            self._buffer += data
+            source = self._buffer
+        position = 0
+        end = len(source)
         self.awaited_item = -1
         try:
-            while place < end:
-                if self._left >= 0 or self._missing >= 0:
-                    place = self._long(source, place, found)
+            while position < end:
+                if self._remaining_bytes >= 0 or self._missing_items >= 0:
+                    position = self._parse_long(source, position, found)
                     continue
                 try:
-                    value, place = self._value(source, place, 0)
+                    value, position = self._parse_value(source, position, 0)
                     found.append(value)
-                except _Long as long:
+                except _LongValueError as long:
                     found.append(long.begin)
-                    place, self._left, self._missing = long.place, long.begin.length, long.begin.after
-        except _Incomplete as missing:
+                    position = long.position
+                    self._remaining_bytes = long.begin.length
+                    self._missing_items = long.begin.after
+        except _IncompleteError as missing:
             self.awaited_item = missing.item
-            if end - place > MOST_MESSAGE:
+            if end - position > MAX_MESSAGE:
                 raise ProtocolError("message too long") from None
         if source is data:
-            self._held += data[place:]
+            self._buffer += data[position:]
         else:
-            del self._held[:place]
+            del self._buffer[:position]
 
-    def _long(self, source: bytes | bytearray, place: int, found: list[Event]) -> int:
+    def _parse_long(self, source: bytes | bytearray, position: int, found: list[Event]) -> int:
         # One step of a message with a long value: bytes of the value, its end, or an item behind it.
-        if self._left > 0:
-            data = bytes(source[place : place + self._left])
-            self._left -= len(data)
+        if self._remaining_bytes > 0:
+            data = bytes(source[position : position + self._remaining_bytes])
+            self._remaining_bytes -= len(data)
             found.append(Part(data))
-            return place + len(data)
-        if self._left == 0:
-            if len(source) < place + 2:
-                raise _Incomplete
-            if source[place : place + 2] != b"\r\n":
+            return position + len(data)
+        if self._remaining_bytes == 0:
+            if len(source) < position + 2:
+                raise _IncompleteError
+            if source[position : position + 2] != b"\r\n":
                 raise ProtocolError("value not closed")
-            place, self._left = place + 2, -1
+            position += 2
+            self._remaining_bytes = -1
             found.append(Closed())
         else:
             try:
-                value, place = self._value(source, place, 1)
-            except _Long:
+                value, position = self._parse_value(source, position, 1)
+            except _LongValueError:
                 raise ProtocolError("value too long") from None
-            self._after.append(value)
-            self._missing -= 1
-        if not self._missing:
-            found.append(End(self._after))
-            self._after, self._missing = [], -1
-        return place
+            self._trailing_items.append(value)
+            self._missing_items -= 1
+        if not self._missing_items:
+            found.append(End(self._trailing_items))
+            self._trailing_items = []
+            self._missing_items = -1
+        return position
 
     @staticmethod
-    def _line(source: bytes | bytearray, place: int) -> tuple[bytes, int]:
-        end = source.find(b"\r\n", place, place + MOST_LINE)
+    def _parse_line(source: bytes | bytearray, position: int) -> tuple[bytes, int]:
+        end = source.find(b"\r\n", position, position + MAX_LINE)
         if end < 0:
-            if len(source) - place >= MOST_LINE:
+            if len(source) - position >= MAX_LINE:
                 raise ProtocolError("line too long")
-            raise _Incomplete
-        return bytes(source[place:end]), end + 2
+            raise _IncompleteError
+        return bytes(source[position:end]), end + 2
 
-    def _value(self, source: bytes | bytearray, place: int, depth: int) -> tuple[Value, int]:
-        kind = source[place : place + 1]
+    def _parse_value(self, source: bytes | bytearray, position: int, depth: int) -> tuple[Value, int]:
+        kind = source[position : position + 1]
         if not kind:
-            raise _Incomplete
+            raise _IncompleteError
         if kind not in b"$*+-:":
             raise ProtocolError("unknown type byte")
-        line, place = self._line(source, place + 1)
+        line, position = self._parse_line(source, position + 1)
         if kind == b"$":
-            length = _number(line)
-            if MOST_VALUE < length <= self._longest:
-                raise _Long(length, place)
-            return self._bulk(source, place, length)
+            length = _parse_number(line)
+            if MAX_VALUE < length <= self._max_value:
+                raise _LongValueError(length, position)
+            return self._parse_bulk(source, position, length)
         if kind == b"*":
-            count = _number(line)
-            if count > MOST_ITEMS or depth > 0:
+            count = _parse_number(line)
+            if count > MAX_ITEMS or depth > 0:
                 raise ProtocolError("array too large")
             if count < 0:
-                return None, place
+                return None, position
             items: list[Value] = []
             for number in range(count):
                 try:
-                    item, place = self._value(source, place, depth + 1)
-                except _Incomplete as missing:
+                    item, position = self._parse_value(source, position, depth + 1)
+                except _IncompleteError as missing:
                     missing.item = number if missing.item >= 0 else -1
                     raise
-                except _Long as long:
+                except _LongValueError as long:
                     long.begin = Begin(items, long.begin.length, count - number - 1)
                     raise
                 items.append(item)
-            return items, place
+            return items, position
         if kind == b"+":
-            return Simple(line), place
-        return (Problem(line) if kind == b"-" else _number(line)), place
+            return Simple(line), position
+        return (Problem(line) if kind == b"-" else _parse_number(line)), position
 
     @staticmethod
-    def _bulk(source: bytes | bytearray, place: int, length: int) -> tuple[bytes | None, int]:
+    def _parse_bulk(source: bytes | bytearray, position: int, length: int) -> tuple[bytes | None, int]:
         if length < 0:
-            return None, place
-        if length > MOST_VALUE:
+            return None, position
+        if length > MAX_VALUE:
             raise ProtocolError("value too long")
-        end = place + length
+        end = position + length
         if len(source) < end + 2:
-            missing = _Incomplete()
-            missing.item = 0  # whoever reads the array says which
+            missing = _IncompleteError()
+            missing.item = 0  # the reader of the array sets which
             raise missing
         if source[end : end + 2] != b"\r\n":
             raise ProtocolError("value not closed")
-        return bytes(source[place:end]), end + 2
+        return bytes(source[position:end]), end + 2
 
 
 def command(*words: bytes) -> bytes:
-    """A command: an array of bulk strings."""
+    """Return a command: an array of bulk strings."""
     return b"*%d\r\n" % len(words) + b"".join([b"$%d\r\n%b\r\n" % (len(word), word) for word in words])
 
 
 def command_head(length: int, *words: bytes) -> bytes:
-    """A command up to its last bulk string, of that length, which is written behind it."""
+    """Return a command up to its last bulk string, of that length, which is written behind it."""
     return (
         b"*%d\r\n" % (len(words) + 1)
         + b"".join([b"$%d\r\n%b\r\n" % (len(word), word) for word in words])
-        + (bulk_head(length))
+        + bulk_head(length)
     )
 
 
 def bulk_head(length: int) -> bytes:
-    """The head of a bulk string."""
+    """Return the head of a bulk string."""
     return b"$%d\r\n" % length
 
 
 def bulk(value: bytes) -> bytes:
-    """A bulk string."""
+    """Return a bulk string."""
     return b"$%d\r\n%b\r\n" % (len(value), value)
 
 
-def simple(text: bytes) -> bytes:
-    """A simple string."""
-    return b"+%b\r\n" % text
-
-
-def problem(text: str) -> bytes:
-    """An error line; what could end it early is left out."""
-    return b"-%b\r\n" % " ".join(text.split())[:200].encode("ascii", "replace")
+def error_reply(text: str) -> bytes:
+    """Return an error reply; line breaks, which would end it early, become spaces, and it is cut at a bound."""
+    return b"-%b\r\n" % " ".join(text.split())[:MAX_ERROR_TEXT].encode("ascii", "replace")
