--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -26,8 +26,7 @@
 from thymeflow.decision.types import Status
 from thymeflow.frontend.client_connection import CROWDED_IDLE_TIMEOUT, LINGER_TIMEOUT
 from thymeflow.frontend.frontend import IDLE_TIMEOUT
-from thymeflow.limiter.lifecycle import LINGER as LINGER_TERM
-from thymeflow.limiter.lifecycle import PATIENT, Lifecycle
+from thymeflow.limiter.lifecycle import MAX_AWAITED_DEADLINE, TERMINATION_LINGER, Lifecycle
 from thymeflow.limiter.management import Management
 from thymeflow.limiter.phases import Phase
 from thymeflow.runtime import clock
@@ -312,7 +311,7 @@
     assert server.transport.value()
     while not agent.transport.value().startswith(b"-BUSY"):  # the server says nothing
         world.reactor.advance(0.05)
-    assert clock.now() - told < LINGER_TERM + PATIENT and server.closed
+    assert clock.now() - told < TERMINATION_LINGER + MAX_AWAITED_DEADLINE and server.closed
 
 
 @pytest.mark.parametrize("pieces", [1, 3])
--- a/tests/test_management.py
+++ b/tests/test_management.py
@@ -16,7 +16,7 @@
 
 from tests.limiter import PATIENCE, ROOT, Limiter, command, request
 from tests.test_limiter import GOOD
-from thymeflow.limiter.management import MOST_LINE, PLACES
+from thymeflow.limiter.management import MAX_CALLERS, MAX_LINE
 from thymeflow.limiter.phases import CALLS, Phase, Word, called
 
 
@@ -49,8 +49,8 @@
         b"reload\n",
         b"\xff\x00\n",
         b"readyz\nreadyz\n",
-        b"x" * (MOST_LINE + 1),
-        b"readyz" + b" " * MOST_LINE + b"\n",
+        b"x" * (MAX_LINE + 1),
+        b"readyz" + b" " * MAX_LINE + b"\n",
         b"READYZ\n",
         b"*1\r\n$4\r\nPING\r\n",
     ],
@@ -62,11 +62,11 @@
 
 
 def test_callers_that_say_nothing_stand_in_nobodys_way(limiter: Limiter) -> None:
-    silent = [limiter.operator() for _ in range(PLACES + 4)]
+    silent = [limiter.operator() for _ in range(MAX_CALLERS + 4)]
     begun = time.monotonic()
     assert limiter.call(b"readyz\n").startswith(b"200 ")
     assert time.monotonic() - begun < 1.0
-    assert sum(peer.silent(0.0) for peer in silent) <= PLACES  # the oldest made room
+    assert sum(peer.silent(0.0) for peer in silent) <= MAX_CALLERS  # the oldest made room
     silent[-1].send(b"readyz\n")
     assert silent[-1].line().startswith(b"200 ")  # a late one is answered all the same
 
--- a/tests/test_net_parts.py
+++ b/tests/test_net_parts.py
@@ -32,7 +32,7 @@
 from thymeflow.decision.types import EndpointListKind, Status
 from thymeflow.discovery.http import Body, HttpError
 from thymeflow.discovery.watch import Discovery
-from thymeflow.limiter.assembly import LEAST_ROOM, Limiter
+from thymeflow.limiter.assembly import MIN_CONNECTIONS, Limiter
 from thymeflow.platform.configuration import Address, EndpointUpdate, from_source, listed
 from thymeflow.runtime import clock
 from thymeflow.runtime.slot_table import SlotTable
@@ -486,7 +486,7 @@
     alone = budgets()
     limiter.limit_beside_predecessor(held)
     both = budgets()
-    assert both[0] + both[1] + held <= sum(alone[:2]) or both[0] + both[1] == LEAST_ROOM
+    assert both[0] + both[1] + held <= sum(alone[:2]) or both[0] + both[1] == MIN_CONNECTIONS
     assert all(2 * part <= whole + 1 for part, whole in zip(both[2:], alone[2:], strict=True))
     limiter.limit_beside_predecessor(None)
     assert budgets() == alone
--- a/thymeflow/limiter/__init__.py
+++ b/thymeflow/limiter/__init__.py
@@ -1,1 +1,1 @@
-"""One running limiter: its parts, phases, reload and operators' calls."""
+"""One limiter process: assembly of its parts, lifecycle, operators' commands and reload."""
--- a/thymeflow/limiter/assembly.py
+++ b/thymeflow/limiter/assembly.py
@@ -4,7 +4,7 @@
 
 import socket
 from collections.abc import Callable
-from typing import Any
+from typing import Any, NamedTuple
 
 from thymeflow import Gateway, gateway_of
 from thymeflow.backends.backends import BackendConnections
@@ -15,30 +15,43 @@
 from thymeflow.discovery.watch import FIRST, Discovery
 from thymeflow.frontend.frontend import Frontend
 from thymeflow.frontend.listener import bound, opened
-from thymeflow.limiter.lifecycle import LINGER, Lifecycle
-from thymeflow.limiter.management import PLACES, Management
+from thymeflow.limiter.lifecycle import TERMINATION_LINGER, Lifecycle
+from thymeflow.limiter.management import MAX_CALLERS, Management
 from thymeflow.limiter.phases import Phase
 from thymeflow.limiter.reload import Reload
 from thymeflow.platform import configuration
 from thymeflow.runtime import clock, log
 from thymeflow.transport.commands import Reader
 
-AGENT_SHARE = 0.7  # of the descriptors: for user agents; the rest is for application servers
-MEMORY_SHARE = 0.25  # of the memory limit: for requests held
-ANSWER_SHARE = 0.15  # of the memory limit: for answers that user agents have not taken
-OTHERS = 16  # descriptors of an earlier life beside its connections
-LEAST_ROOM = 24  # descriptors for connections, however many an earlier life still holds
-CANNOT_LISTEN = 3  # exit code: the address is not to be had
-INPUT_SHARE = 0.05  # of the memory limit: for commands that have begun and are not whole
+CLIENT_FRACTION = 0.7  # of the descriptors: for clients; the rest is for backends
+REQUEST_MEMORY_FRACTION = 0.25  # of the memory limit: for requests in flight
+RESPONSE_MEMORY_FRACTION = 0.15  # of the memory limit: for responses that clients have not taken
+INPUT_MEMORY_FRACTION = 0.05  # of the memory limit: for commands that have begun and are incomplete
+PREDECESSOR_OTHER_DESCRIPTORS = 16  # of an earlier process, beside its connections
+MIN_CONNECTIONS = 24  # however many descriptors an earlier process still has
+CANNOT_LISTEN = 3  # exit code: the address is invalid or in use
 
 
-def longest_of(settings: GatewaySettings) -> float:
-    """The longest deadline of any class, in seconds."""
-    return max((c.deadline for c in settings.classes), default=0.0)
+class Budgets(NamedTuple):
+    """What this process may use: connections on each side, and bytes by purpose."""
+
+    client_connections: int
+    backend_connections: int
+    request_bytes: int
+    response_bytes: int
+    unfinished_input_bytes: int
+
+
+def longest_deadline_of(settings: GatewaySettings) -> float:
+    """Return the longest deadline of any class, in seconds."""
+    return max((request_class.deadline for request_class in settings.classes), default=0.0)
 
 
 def made(given: configuration.Configuration, start: float = START_LEVEL, offset: float = 0.0) -> Gateway:
-    """The gateway of a configuration. `offset`: from our clock to one that all of the set share, seconds."""
+    """Return the gateway of a configuration.
+
+    `offset`: from our clock to one that all limiters of the set share, in seconds.
+    """
     if given.units == configuration.TICKETS and given.settings.information.counter:
         from thymeflow.quota.strict import StrictGateway  # elsewhere it is not used, and not loaded
 
@@ -46,121 +59,149 @@
     return gateway_of(given.settings, given.seed, start)
 
 
+def _log_stall(seconds: float) -> None:
+    log.say(
+        "stall",
+        f"no turn for {seconds:.2f} s: what waited has come before it, and has less time left",
+        seconds=round(seconds, 3),
+    )
+
+
 class Limiter:
     """One limiter: made, started, then run by the reactor until its lifecycle ends."""
 
     def __init__(
         self,
         given: configuration.Configuration,
-        reactor: Any,
+        reactor: Any,  # noqa: ANN401  # Twisted's reactor interfaces are no static types
         gateway: Gateway | None = None,
         load: Callable[[], configuration.Configuration] = configuration.load,
-        linger: float = LINGER,
+        linger: float = TERMINATION_LINGER,
     ) -> None:
-        settings, limits = given.settings, given.settings.limits
-        self.configuration, self.reactor = given, reactor
+        settings = given.settings
+        self.configuration = given
+        self.reactor = reactor
         self.deadlines = clock.Deadlines(reactor)
-        self.deadlines.on_stall = lambda seconds: log.say(
-            "stall",
-            f"no turn for {seconds:.2f} s: what waited has come before it, and has less time left",
-            seconds=round(seconds, 3),
-        )
-        self._connected = False
+        self.deadlines.on_stall = _log_stall
+        self._is_connected = False
         self.code = 0  # exit code
-        self._door: socket.socket | None = None  # bound, and to be opened once the list is told
-        self._queued = False  # connections may wait there already
-        agents, servers, requests, answers, commands = self._budgets(None)
+        self._listener: socket.socket | None = None  # bound, and to be opened once the endpoint list is known
+        self._has_queue = False  # connections may wait at it already
+        budgets = self._budgets(None)
         self.gateway = gateway or made(given)
-        self.core = RequestDispatcher(settings, self.gateway, self.deadlines, requests)
-        self.upstream = self.core.upstream = BackendConnections(reactor, self.deadlines, limits, servers)
-        self.front = Frontend(self.core, settings, self.deadlines, agents, answers, commands)
-        self.lifecycle = Lifecycle(self.deadlines, self.core, self.front, longest_of(settings), reactor.stop, linger)
-        self.on_list: Callable[[configuration.EndpointUpdate], None] = lambda news: None  # who keeps the list beside us
+        self.core = RequestDispatcher(settings, self.gateway, self.deadlines, budgets.request_bytes)
+        self.upstream = self.core.upstream = BackendConnections(
+            reactor, self.deadlines, settings.limits, budgets.backend_connections
+        )
+        self.front = self._make_frontend(budgets)
+        longest_deadline = longest_deadline_of(settings)
+        self.lifecycle = Lifecycle(self.deadlines, self.core, self.front, longest_deadline, reactor.stop, linger)
+        self.on_list: Callable[[configuration.EndpointUpdate], None] = lambda _: None  # for a copy of the list
         self.on_endpoints_changed(given.endpoints)
-        self.discovery = Discovery(
-            reactor,
+        self.discovery = self._make_discovery()
+        self.core.discovery = self.discovery
+        self.upstream.look = self.discovery.look
+        self.discovery.on_ready = self.on_endpoints_ready
+        self.when_endpoints_ready: Callable[[], None] = lambda: None  # for other parts that wait for the list
+        self.counter: Counter | None = None
+        if given.counter is not None:
+            self.core.counter = self.counter = Counter(reactor, self.deadlines, given.counter)
+        self.reload = Reload(given, self.discovery, self.counter, self.apply_settings, load)
+        self.lifecycle.on_reload = self.reload.now
+
+    def _make_frontend(self, budgets: Budgets) -> Frontend:
+        return Frontend(
+            self.core,
+            self.configuration.settings,
+            self.deadlines,
+            budgets.client_connections,
+            budgets.response_bytes,
+            budgets.unfinished_input_bytes,
+        )
+
+    def _make_discovery(self) -> Discovery:
+        given = self.configuration
+        return Discovery(
+            self.reactor,
             self.deadlines,
             given.discovery,
             given.endpoints.change.version,
             self.on_endpoints_changed,
-            settings.limiter_count,
+            given.settings.limiter_count,
             given.seed,
-            settings.discovery is DiscoveryMode.PUSH,
+            given.settings.discovery is DiscoveryMode.PUSH,
         )
-        self.core.discovery, self.upstream.look = self.discovery, self.discovery.look
-        self.discovery.on_ready = self.on_endpoints_ready
-        self.when_endpoints_ready: Callable[[], None] = lambda: None  # who waits for the list beside us
-        self.counter: Counter | None = None
-        if given.counter is not None:
-            self.core.counter = self.counter = Counter(reactor, self.deadlines, given.counter)
-        self.reload = Reload(given, self.discovery, self.counter, self.apply_settings, load)
-        self.lifecycle.reload = self.reload.now
 
     def on_endpoints_changed(self, news: configuration.EndpointUpdate) -> None:
-        """A change of the list of application servers holds from now on."""
+        """Apply a change of the endpoint list."""
         self.core.apply_endpoints(news.change, lambda: self.upstream.listed(news))
         self.on_list(news)
         if news.addresses:
-            self.lifecycle.listed()
+            self.lifecycle.on_endpoints_known()
 
     def apply_settings(self, settings: GatewaySettings) -> None:
-        """Other settings hold from now on; what is open keeps the rules that it was taken under."""
+        """Apply other settings from now on; what is open keeps the rules that it was accepted under."""
         self.front.reader = Reader(settings)
         self.core.apply_settings(settings)
         self.upstream.limits = settings.limits
         self.discovery.back_off.resized(settings.limiter_count)
-        self.lifecycle.longest = max(self.lifecycle.longest, longest_of(settings))
+        self.lifecycle.longest_deadline = max(self.lifecycle.longest_deadline, longest_deadline_of(settings))
 
     def start(self) -> None:
-        """Listen for operators, connect to counter and discovery, and listen for user agents once the list is told.
+        """Listen for operators, connect to counter and discovery, and listen for clients once endpoints are known.
 
-        OSError where the address is not to be had.
+        :raises OSError: if the address is invalid or in use.
         """
         self.listen_for_operators()
         self.listen(bound(self.configuration.listen.host, self.configuration.listen.port))
         self.connect(clock.now() + FIRST)
 
     def listen_for_operators(self) -> None:
-        """Listen for operators, where the configuration says so; CannotListenError where the place is taken."""
+        """Listen for operators, if the configuration has an address for them.
+
+        :raises CannotListenError: if the address is in use.
+        """
         where = self.configuration.management
         if where is not None:
             port = self.reactor.listenTCP(
-                where.port, Management(self.deadlines, self.lifecycle.call), backlog=PLACES, interface=where.host
+                where.port, Management(self.deadlines, self.lifecycle.call), backlog=MAX_CALLERS, interface=where.host
             )
             log.note("calls", f"operators may call at {where.host}:{port.getHost().port}")
 
     def connect(self, by: float) -> None:
-        """Connect to counter and discovery, once; `by` when to go on though discovery has said nothing."""
-        if self._connected:
+        """Connect to counter and discovery, once; `by`: when to go on though discovery has not answered."""
+        if self._is_connected:
             return
-        self._connected = True
+        self._is_connected = True
         if self.counter is not None:
             self.counter.connect()
         self.discovery.start(by)
 
-    def limit_beside_predecessor(self, held: int | None) -> None:
-        """An earlier life of this limiter holds so many descriptors, or has ended: the limits are for both."""
-        agents, servers, requests, answers, commands = self._budgets(held)
-        self.front.set_limits(agents, answers, commands)
-        self.upstream.limit(servers)
-        self.core.set_memory_limit(requests)
-
-    def _budgets(self, held: int | None) -> tuple[int, int, int, int, int]:
-        # Connections of user agents and to servers; bytes of requests, of answers and of unfinished commands.
-        room, memory = self.configuration.sockets - configuration.SPARE_SOCKETS, self.configuration.memory
-        if held is not None:
-            room, memory = max(LEAST_ROOM, room - held - OTHERS), memory // 2
-        agents = int(room * AGENT_SHARE)
-        return (
-            agents,
-            room - agents,
-            int(memory * MEMORY_SHARE),
-            int(memory * ANSWER_SHARE),
-            int(memory * INPUT_SHARE),
+    def limit_beside_predecessor(self, descriptor_count: int | None) -> None:
+        """Share the limits with an earlier process that has so many descriptors open; None: it has ended."""
+        budgets = self._budgets(descriptor_count)
+        self.front.set_limits(budgets.client_connections, budgets.response_bytes, budgets.unfinished_input_bytes)
+        self.upstream.limit(budgets.backend_connections)
+        self.core.set_memory_limit(budgets.request_bytes)
+
+    def _budgets(self, predecessor_descriptors: int | None) -> Budgets:
+        connections = self.configuration.sockets - configuration.SPARE_SOCKETS
+        memory = self.configuration.memory
+        if predecessor_descriptors is not None:
+            left = connections - predecessor_descriptors - PREDECESSOR_OTHER_DESCRIPTORS
+            connections = max(MIN_CONNECTIONS, left)
+            memory //= 2
+        client_connections = int(connections * CLIENT_FRACTION)
+        return Budgets(
+            client_connections,
+            connections - client_connections,
+            int(memory * REQUEST_MEMORY_FRACTION),
+            int(memory * RESPONSE_MEMORY_FRACTION),
+            int(memory * INPUT_MEMORY_FRACTION),
         )
 
     def on_handed_over(self, handed: bool) -> None:
-        """A successor accepts from now on, or it does not and we do again."""
+        """Stop accepting, as a successor does, or accept again if it does not."""
         self.upstream.rest(handed)
         if handed:
             self.lifecycle.on_handed_over()
@@ -168,34 +209,36 @@
             self.lifecycle.resume()
 
     def on_endpoints_ready(self) -> None:
-        """The list is as good as it gets: from now on user agents are let in."""
-        self._open()
+        """Accept clients from now on: the endpoint list is as complete as it gets."""
+        self._open_listener()
         self.when_endpoints_ready()
 
-    def listen(self, made: socket.socket, waited: bool = False) -> None:
-        """Listen at a socket that was made elsewhere, and is ours from now on, once the list is told.
+    def listen(self, listener: socket.socket, waited: bool = False) -> None:
+        """Listen at a socket that was made elsewhere, and is ours from now on, once the endpoint list is known.
 
-        A process that listens has its machine take requests on for it, and their time runs. So nothing may come
-        before the start is paid for, which a slow machine takes a second for, and before we know where to send it.
-        `waited`: the socket listened before this life, and what comes first may have waited as long as that lasts.
+        The kernel queues requests for a process that listens, and their time runs. So nothing may come before the
+        start is done, which takes a second on a slow machine, and before we know where to send it.
+        `waited`: the socket listened before this process began, and what comes first may have waited since then.
         """
-        self._door, self._queued = made, waited
-        self._open()
+        self._listener = listener
+        self._has_queue = waited
+        self._open_listener()
 
-    def _open(self) -> None:
-        if self._door is None or not self.discovery.is_ready or self.lifecycle.phase is not Phase.STARTING:
+    def _open_listener(self) -> None:
+        if self._listener is None or not self.discovery.is_ready or self.lifecycle.phase is not Phase.STARTING:
             return
-        made, self._door = self._door, None
-        if self._queued:
+        listener = self._listener
+        self._listener = None
+        if self._has_queue:
             self.deadlines.mark_waiting(clock.BORN)
         try:
-            opened(made)
-        except OSError as fault:  # another came in between, which only bound it as we did
+            opened(listener)
+        except OSError as fault:  # another process listened in between, which had only bound it as we did
             log.note("cannot listen", f"{self.configuration.listen}: {fault.strerror}")
             self.code = CANNOT_LISTEN
             self.reactor.callWhenRunning(self.reactor.stop)
             return
         # A port that Twisted has made shuts its socket down when it closes, and with it any copy elsewhere.
-        port = self.reactor.adoptStreamPort(made.fileno(), made.family, self.front)
-        made.close()
-        self.lifecycle.listening(port)
+        port = self.reactor.adoptStreamPort(listener.fileno(), listener.family, self.front)
+        listener.close()
+        self.lifecycle.on_listening(port)
--- a/thymeflow/limiter/lifecycle.py
+++ b/thymeflow/limiter/lifecycle.py
@@ -12,11 +12,13 @@
 from thymeflow.limiter.phases import Phase, Word
 from thymeflow.runtime import clock, log
 
-LINGER = 0.7  # s after SIGTERM: user agents still come and are served, as they have not been told yet
-SENT_ON = 0.5  # s after `evacuate`: the front asks every 0.1 s, and sends on for 0.2 s more
-PATIENT = 3.0  # s: we may be killed LINGER and the longest deadline after SIGTERM, this if that is longer (PROTOCOL)
-REST = 0.2  # s: so long before that all is answered that came after SIGTERM
-EXTRA = 1.0  # s past the longest deadline: a user agent that never takes its answer is left behind
+TERMINATION_LINGER = 0.7  # s after SIGTERM: clients still connect and are served, as they are not notified yet
+EVACUATION_DELAY = 0.5  # s after `evacuate`: the balancer polls every 0.1 s, and forwards for 0.2 s more
+# s: we may be killed TERMINATION_LINGER and the longest deadline after SIGTERM, or this if that is longer (PROTOCOL)
+MAX_AWAITED_DEADLINE = 3.0
+TERMINATION_MARGIN = 0.2  # s: so long before that everything is answered that came after SIGTERM
+UNTAKEN_RESPONSE_GRACE = 1.0  # s past the longest deadline: a client that never takes its response is left behind
+STOP_CHECK_INTERVAL = 0.05  # s: between checks for attempts that were given up and have not ended
 
 
 class Lifecycle:
@@ -27,45 +29,50 @@
         deadlines: clock.Deadlines,
         core: RequestDispatcher,
         front: Frontend,
-        longest: float,
+        longest_deadline: float,
         stop: Callable[[], None],
-        linger: float = LINGER,
+        linger: float = TERMINATION_LINGER,
     ) -> None:
         self.phase = Phase.STARTING
-        self._deadlines, self._core, self._front, self.longest = deadlines, core, front, longest
-        self._stop, self._linger = stop, linger
-        self.port: Any = None  # where it listens, and that as text
+        self._deadlines = deadlines
+        self._core = core
+        self._front = front
+        self.longest_deadline = longest_deadline
+        self._stop = stop
+        self._linger = linger
+        self.port: Any = None  # where it listens (Twisted's port), and that as text
         self.where = ""
-        self._listed = self._closed = False
-        self.reload: Callable[[], object] = lambda: None  # set once there is something to reload
-        self.on_stopping: Callable[[], float] = lambda: 0.0  # last words, and the seconds that they want
-        self.on_phase: Callable[[Phase], None] = lambda phase: None  # who tells others of the phase
-        self._lingers = False  # told to end, and the front may not have noticed yet
-        self._evacuated = 0  # how often; what was set going by an earlier one is old
+        self._has_endpoints = False
+        self._is_closed = False
+        self.on_reload: Callable[[], object] = lambda: None  # set once there is something to reload
+        self.on_stopping: Callable[[], float] = lambda: 0.0  # sends final messages; returns the seconds they need
+        self.on_phase: Callable[[Phase], None] = lambda _: None
+        self._is_lingering = False  # got a termination signal, and the balancer may not have noticed yet
+        self._evacuation_count = 0  # a delayed step of an earlier evacuation is ignored
         front.is_ready = self.takes_clients
         front.describe_state = lambda: phases.WHY[self.phase]
-        front.on_client_lost = self._look
+        front.on_client_lost = self._stop_if_idle
 
     def takes_clients(self) -> bool:
-        """Whether user agents are taken now: what `PING` and `readyz` both answer."""
-        return self.phase in (Phase.SERVING, Phase.HANDED_OVER) or (self.phase is Phase.DRAINING and self._lingers)
-
-    def call(self, word: Word) -> tuple[bool, str]:
-        """An operator's call: whether the answer is yes, and the reason in words."""
-        phase, yes, why = phases.called(self.phase, word, self.takes_clients())
-        if word is not Word.READY:
-            log.note("call", f"{word.value}: {'yes' if yes else 'no'}, {why}")
+        """Return whether clients are accepted now: what `PING` and `readyz` both answer."""
+        return self.phase in (Phase.SERVING, Phase.HANDED_OVER) or (self.phase is Phase.DRAINING and self._is_lingering)
+
+    def call(self, command: Word) -> tuple[bool, str]:
+        """Carry out an operator's command; return whether it was accepted, and the reason as text."""
+        phase, is_accepted, reason = phases.called(self.phase, command, self.takes_clients())
+        if command is not Word.READY:
+            log.note("call", f"{command.value}: {'yes' if is_accepted else 'no'}, {reason}")
         if phase is not self.phase:
             self._enter(phase)
-            self._evacuated += 1
+            self._evacuation_count += 1
             if phase is Phase.EVACUATED:
-                self._deadlines.at(clock.now() + SENT_ON, self._empty, self._evacuated)
+                self._deadlines.at(clock.now() + EVACUATION_DELAY, self._drain_evacuated, self._evacuation_count)
             else:
                 self._front.resume()
-        return yes, why
+        return is_accepted, reason
 
-    def _empty(self, evacuated: int) -> None:
-        if self.phase is Phase.EVACUATED and evacuated == self._evacuated:
+    def _drain_evacuated(self, evacuation: int) -> None:
+        if self.phase is Phase.EVACUATED and evacuation == self._evacuation_count:
             self._front.drain()
 
     def _enter(self, phase: Phase) -> None:
@@ -73,29 +80,30 @@
         log.note("phase", phase.value, phase=phase.value)
         self.on_phase(phase)
 
-    def listed(self) -> None:
-        """A list with application servers is known."""
-        self._listed = True
-        self._ready()
+    def on_endpoints_known(self) -> None:
+        """Note that an endpoint list with backends is known."""
+        self._has_endpoints = True
+        self._serve_if_ready()
 
-    def listening(self, port: Any) -> None:
-        """User agents can connect."""
-        self.port, host = port, port.getHost()
+    def on_listening(self, port: Any) -> None:  # noqa: ANN401  # Twisted's port interface has neither doRead nor fileno
+        """Note that clients can connect at this port of Twisted's."""
+        self.port = port
+        host = port.getHost()
         self.where = f"{host.host}:{host.port}"
         log.note("listening", self.where, port=host.port)
-        self._ready()
+        self._serve_if_ready()
 
-    def _ready(self) -> None:
-        if self.phase is Phase.STARTING and self._listed and self.port is not None:
+    def _serve_if_ready(self) -> None:
+        if self.phase is Phase.STARTING and self._has_endpoints and self.port is not None:
             self._enter(Phase.SERVING)
 
     def on_handed_over(self) -> None:
-        """A successor accepts: let go of user agents; the socket is kept in case that one dies."""
+        """Drain the clients, as a successor accepts; the socket is kept in case that one dies."""
         self._enter(Phase.HANDED_OVER)
         self._front.close()
 
     def resume(self) -> None:
-        """It died, or never accepted: accept again."""
+        """Accept again, as the successor died or never accepted."""
         if self.phase in (Phase.HANDED_OVER, Phase.SERVING, Phase.EVACUATED):
             if self.phase is Phase.HANDED_OVER:
                 self._enter(Phase.SERVING)
@@ -103,45 +111,51 @@
             self.port.startReading()
 
     def terminate(self, linger: float | None = None) -> None:
-        """SIGTERM or SIGINT: end in good order; `linger` where nobody needs the time to notice."""
+        """Shut down gracefully (SIGTERM or SIGINT); `linger` in seconds, where nobody needs the time to notice."""
         if self.phase not in (Phase.DRAINING, Phase.STOPPED):
-            self._lingers = self.phase is Phase.SERVING
+            self._is_lingering = self.phase is Phase.SERVING
             self._enter(Phase.DRAINING)
             now = clock.now()
-            self._front.exit_deadline = now + LINGER + min(self.longest, PATIENT) - REST
-            stays = now + (self._linger if linger is None else linger)
-            self._deadlines.at(stays, self._close)
-            self._deadlines.at(stays + self.longest + EXTRA, self._end)
+            awaited = min(self.longest_deadline, MAX_AWAITED_DEADLINE)
+            self._front.exit_deadline = now + TERMINATION_LINGER + awaited - TERMINATION_MARGIN
+            close_at = now + (self._linger if linger is None else linger)
+            self._deadlines.at(close_at, self._on_linger_over)
+            self._deadlines.at(close_at + self.longest_deadline + UNTAKEN_RESPONSE_GRACE, self._complete_shutdown)
 
     def reload_settings(self) -> None:
-        """SIGHUP: harmless in every phase; while ending, what is in hand still wants its counter."""
+        """Reload (SIGHUP): harmless in every phase; while draining, requests in flight still need their counter."""
         if self.phase is not Phase.STOPPED:
-            self.reload()
+            self.on_reload()
 
-    def _close(self, _: int) -> None:
+    def _on_linger_over(self, _: int) -> None:
         if self.port is not None:
-            met, most = -1, self._front.accepted_count + BACKLOG
-            while (
-                self.takes_clients() and met < self._front.accepted_count < most
-            ):  # who waits in the queue would be reset with it
-                met = self._front.accepted_count
-                self.port.doRead()  # some of them at a time
+            self._accept_queued()
             self.port.stopListening()
-        self._closed, self._lingers = True, False
+        self._is_closed = True
+        self._is_lingering = False
         self._front.close()
-        self._look()
-
-    def _look(self) -> None:
-        if self._closed and not len(self._front.agents) and not self._core.open_count():
-            self._end(0)
-        elif self._closed and not len(self._front.agents):
-            self._deadlines.at(clock.now() + 0.05, lambda _: self._look())  # passes given up still end
-
-    def _end(self, _: int) -> None:
+        self._stop_if_idle()
+
+    def _accept_queued(self) -> None:
+        # Connections that wait in the queue would be reset with it.
+        accepted_before = -1
+        max_accepted = self._front.accepted_count + BACKLOG
+        while self.takes_clients() and accepted_before < self._front.accepted_count < max_accepted:
+            accepted_before = self._front.accepted_count
+            self.port.doRead()  # accepts some of them at a time
+
+    def _stop_if_idle(self) -> None:
+        if self._is_closed and not len(self._front.agents) and not self._core.open_count():
+            self._complete_shutdown(0)
+        elif self._is_closed and not len(self._front.agents):
+            # Attempts that were given up still end.
+            self._deadlines.at(clock.now() + STOP_CHECK_INTERVAL, lambda _: self._stop_if_idle())
+
+    def _complete_shutdown(self, _: int) -> None:
         if self.phase is not Phase.STOPPED:
             self._enter(Phase.STOPPED)
-            wants = self.on_stopping()
-            if wants > 0.0:
-                self._deadlines.at(clock.now() + wants, lambda _: self._stop())
+            delay = self.on_stopping()
+            if delay > 0.0:
+                self._deadlines.at(clock.now() + delay, lambda _: self._stop())
             else:
                 self._stop()
--- a/thymeflow/limiter/phases.py
+++ b/thymeflow/limiter/phases.py
@@ -1,36 +1,45 @@
-"""The phases of a limiter's life, and what operators' calls mean in each: one table, no I/O, no clock."""
+"""The phases of a limiter's lifecycle, and the effect of operators' commands in each: one table, no I/O, no clock."""
 
 from __future__ import annotations
 
 from enum import Enum
+from typing import NamedTuple
 
 
 class Phase(Enum):
-    """Where the program is in its life."""
+    """Where the process is in its lifecycle."""
 
-    STARTING = "starting"  # no list yet, or not listening
+    STARTING = "starting"  # no endpoint list yet, or not listening
     SERVING = "serving"
-    EVACUATED = "evacuated"  # told to send user agents away; listens on, and comes back when told to
-    HANDED_OVER = "handed over"  # a successor accepts at the address; it comes back should that one die
-    DRAINING = "draining"  # told to end; serves for a moment, then finishes what it took
+    EVACUATED = "evacuated"  # turned its clients away on command; listens on, and serves again on command
+    HANDED_OVER = "handed over"  # a successor accepts at the address; serves again should that one die
+    DRAINING = "draining"  # got a termination signal; serves for a moment, then finishes what it took
     STOPPED = "stopped"
 
 
 class Word(Enum):
-    """What operators may call."""
+    """An operator's command."""
 
     READY = "readyz"
     EVACUATE = "evacuate"
     ACTIVATE = "activate"
 
 
-# What is not in the table changes nothing and is answered no, with the phase as the reason.
-CALLS: dict[tuple[Phase, Word], tuple[Phase, str]] = {
-    (Phase.SERVING, Word.EVACUATE): (Phase.EVACUATED, "user agents are sent away"),
-    (Phase.EVACUATED, Word.EVACUATE): (Phase.EVACUATED, "evacuated already"),
-    (Phase.EVACUATED, Word.ACTIVATE): (Phase.SERVING, "back at work"),
-    (Phase.SERVING, Word.ACTIVATE): (Phase.SERVING, "at work already"),
-    (Phase.STARTING, Word.ACTIVATE): (Phase.STARTING, "will be at work as soon as it has started"),
+class Transition(NamedTuple):
+    """The effect of a command: the next phase, whether it was accepted, and the reason as text."""
+
+    phase: Phase
+    is_accepted: bool
+    reason: str
+
+
+# What is not in the table changes nothing and is rejected, with the phase as the reason.
+CALLS: dict[tuple[Phase, Word], Transition] = {
+    (Phase.SERVING, Word.EVACUATE): Transition(Phase.EVACUATED, True, "user agents are sent away"),
+    (Phase.EVACUATED, Word.EVACUATE): Transition(Phase.EVACUATED, True, "evacuated already"),
+    (Phase.EVACUATED, Word.ACTIVATE): Transition(Phase.SERVING, True, "back at work"),
+    (Phase.SERVING, Word.ACTIVATE): Transition(Phase.SERVING, True, "at work already"),
+    (Phase.STARTING, Word.ACTIVATE): Transition(Phase.STARTING, True, "will be at work as soon as it has started"),
 }
 WHY = {
     Phase.STARTING: "it is starting and takes no user agents yet",
@@ -42,11 +51,10 @@
 }
 
 
-def called(phase: Phase, word: Word, takes: bool) -> tuple[Phase, bool, str]:
-    """The next phase, whether the answer is yes, and the reason; `takes`: whether user agents are taken now."""
-    if word is Word.READY:
-        return phase, takes, WHY[phase]
-    if (phase, word) in CALLS:
-        after, why = CALLS[phase, word]
-        return after, True, why
-    return phase, False, WHY[phase]
+def called(phase: Phase, command: Word, takes_clients: bool) -> Transition:
+    """Return the effect of a command in a phase; `takes_clients`: whether clients are accepted now."""
+    if command is Word.READY:
+        return Transition(phase, takes_clients, WHY[phase])
+    if (phase, command) in CALLS:
+        return CALLS[phase, command]
+    return Transition(phase, False, WHY[phase])
--- a/thymeflow/limiter/reload.py
+++ b/thymeflow/limiter/reload.py
@@ -1,9 +1,9 @@
-"""SIGHUP: the configuration read anew while the program runs, and taken whole or not at all.
+"""SIGHUP: the configuration read again while the process runs, and applied completely or not at all.
 
-Discovery and the counter move to other addresses with nothing lost: the list and its version stay, and
-calls that are out end where they went. Settings hold for what is taken from now on; what is open keeps those
-that it was taken under. Addresses to listen on and the limits wait for the next start. A file with another name, or
-with none of the plans in force, is another limiter's and changes nothing.
+Discovery and the counter move to other addresses with nothing lost: the endpoint list and its version stay, and
+calls in flight end where they were sent. Settings apply to what is accepted from now on; what is open keeps those
+that it was accepted under. Addresses to listen on and the limits wait for the next start. A file with another name,
+or with none of the plans in force, is another limiter's and changes nothing.
 """
 
 from __future__ import annotations
@@ -16,42 +16,49 @@
 from thymeflow.platform import configuration
 from thymeflow.runtime import log
 
+FIXED_UNTIL_RESTART = ("listen", "management", "sockets", "memory")
 
-def differences(old: GatewaySettings, new: GatewaySettings) -> str:
-    """What has changed of the settings, in words for the log."""
-    before, after = ({c.name: c for c in s.classes} for s in (old, new))
-    parts = [
+
+def describe_differences(old: GatewaySettings, new: GatewaySettings) -> str:
+    """Return what has changed of the settings, as text for the log."""
+    before = {request_class.name: request_class for request_class in old.classes}
+    after = {request_class.name: request_class for request_class in new.classes}
+    changed = (name for name in before.keys() & after.keys() if before[name] != after[name])
+    class_changes = [
         (" ".join(after.keys() - before.keys()), "added"),
         (" ".join(before.keys() - after.keys()), "dropped"),
-        (" ".join(n for n in before.keys() & after.keys() if before[n] != after[n]), "changed"),
+        (" ".join(changed), "changed"),
     ]
-    told = [f"classes {what}: {names}" for names, what in parts if names]
-    for name, was, now in (
+    differences = [f"classes {change}: {names}" for names, change in class_changes if names]
+    for name, old_value, new_value in (
         ("attempts", old.limits.max_attempts, new.limits.max_attempts),
         ("limiters", old.limiter_count, new.limiter_count),
     ):
-        if was != now:
-            told.append(f"{name}: {was} to {now}")
-    return "; ".join(told) or "other values than before"
+        if old_value != new_value:
+            differences.append(f"{name}: {old_value} to {new_value}")
+    return "; ".join(differences) or "other values than before"
 
 
 class Reload:
-    """What was read last, and who is told of what has changed."""
+    """The configuration that was read last, and the parts that are notified of a change."""
 
     def __init__(
         self,
         given: configuration.Configuration,
         discovery: Discovery,
         counter: Counter | None,
-        resettled: Callable[[GatewaySettings], None],
+        apply_settings: Callable[[GatewaySettings], None],
         load: Callable[[], configuration.Configuration],
     ) -> None:
-        self._given, self._discovery, self._counter = given, discovery, counter
-        self._resettled, self._load = resettled, load
-        self.last = ""  # what the last one came to, for whoever asks
+        self._given = given
+        self._discovery = discovery
+        self._counter = counter
+        self._apply_settings = apply_settings
+        self._load = load
+        self.last = ""  # the result of the last reload, as text
 
     def now(self) -> bool:
-        """Read the file again; one that cannot be used leaves everything as it is. Whether it could."""
+        """Read the file again and return whether it could be used; otherwise nothing changes."""
         try:
             given = self._load()
             configuration.check_reload(given, self._given)
@@ -59,7 +66,8 @@
             self.last = f"the old settings stay: {fault}"
             log.note("reload", self.last)
             return False
-        before, self._given = self._given, given
+        before = self._given
+        self._given = given
         self.last = f"discovery at {given.discovery}, counter at {given.counter or 'none'}"
         log.note("reload", self.last)
         if given.discovery != before.discovery:
@@ -67,10 +75,9 @@
         if self._counter is not None and given.counter is not None and given.counter != before.counter:
             self._counter.set_address(given.counter)
         if given.settings != before.settings:
-            log.note("reload", f"settings taken: {differences(before.settings, given.settings)}")
-            self._resettled(given.settings)
-        fixed = ("listen", "management", "sockets", "memory")
-        changed = [name for name in fixed if getattr(given, name) != getattr(before, name)]
+            log.note("reload", f"settings taken: {describe_differences(before.settings, given.settings)}")
+            self._apply_settings(given.settings)
+        changed = [name for name in FIXED_UNTIL_RESTART if getattr(given, name) != getattr(before, name)]
         if changed:
             log.note("reload", f"{', '.join(changed)} differ and hold from the next start")
         return True
