--- a/tests/test_limiter.py
+++ b/tests/test_limiter.py
@@ -9,24 +9,25 @@
 import sys
 import time
 from pathlib import Path
-from typing import Any
 
 import pytest
 
 from tests.limiter import PATIENCE, ROOT, Limiter, Listener, command, request
+from tests.network_support import SERVED_REPLY, SMALL_PLAN
 from thymeflow.frontend.frontend import IDLE_TIMEOUT
 from thymeflow.quota import counter_encoding
 
-SMALL: dict[str, Any] = {"tiers-of-service": [{"name": "basic", "refill": 2.0, "most-at-once": 16.0}]}
-GOOD = b"*3\r\n$5\r\nvalue\r\n$14\r\nused=37,cost=2\r\n$11\r\navg_ms=14.5\r\n"
+# Tests of other packages import these from here.
+SMALL = SMALL_PLAN
+GOOD = SERVED_REPLY
 
 
 def test_a_request_is_served_and_passed_on_with_nothing_changed_but_d(tmp_path: Path) -> None:
     with Limiter(tmp_path) as limiter:
-        agent = limiter.connect()
-        agent.send(command(b"PING"))
-        assert agent.line() == b"+PONG"
-        agent.send(request(1, "book", extra=",new=1", body=b"\r\n$5\r\n"))
+        client = limiter.connect()
+        client.send(command(b"PING"))
+        assert client.line() == b"+PONG"
+        client.send(request(1, "book", extra=",new=1", body=b"\r\n$5\r\n"))
         server = limiter.servers[0].accept()
         verb, customer, name, terms, body = server.words()
         assert (verb, customer, name) == (b"SVC.SUBMIT", b"00000000b4d65521", b"%016x" % 1)
@@ -35,24 +36,24 @@
         wait, _, after = rest.partition(b",")
         assert (before, after) == (b"c=book,t=basic,", b"k=5c0f6e1a2b3d4c59,units=1,spread=1,first=0,new=1")
         assert 0 < int(wait) <= 20000
-        server.send(GOOD)
-        assert agent.bulk() == b"value"
-        agent.send(request(2))
+        server.send(SERVED_REPLY)
+        assert client.bulk() == b"value"
+        client.send(request(2))
         assert server.words()[2] == b"%016x" % 2  # the warm connection is used again
         server.send(b"*3\r\n$0\r\n\r\n$-1\r\n$-1\r\n")
-        assert agent.bulk() == b""
+        assert client.bulk() == b""
 
 
 def test_answers_come_in_the_order_of_their_commands(tmp_path: Path) -> None:
     with Limiter(tmp_path) as limiter:
-        agent = limiter.connect()
-        agent.send(request(1) + request(2) + command(b"PING"))
+        client = limiter.connect()
+        client.send(request(1) + request(2) + command(b"PING"))
         peers = [limiter.servers[0].accept(), limiter.servers[0].accept()]
         by_id = {peer.words()[2]: peer for peer in peers}
-        by_id[b"%016x" % 2].send(GOOD.replace(b"value", b"later"))
-        assert agent.silent(0.3)
-        by_id[b"%016x" % 1].send(GOOD)
-        assert [agent.bulk(), agent.bulk(), agent.line()] == [b"value", b"later", b"+PONG"]
+        by_id[b"%016x" % 2].send(SERVED_REPLY.replace(b"value", b"later"))
+        assert client.silent(0.3)
+        by_id[b"%016x" % 1].send(SERVED_REPLY)
+        assert [client.bulk(), client.bulk(), client.line()] == [b"value", b"later", b"+PONG"]
 
 
 @pytest.mark.parametrize(
@@ -71,53 +72,53 @@
 )
 def test_what_servers_say_becomes_one_lawful_answer(tmp_path: Path, cls: str, reply: bytes, answer: bytes) -> None:
     with Limiter(tmp_path) as limiter:
-        agent = limiter.connect()
-        agent.send(request(1, cls))
+        client = limiter.connect()
+        client.send(request(1, cls))
         server = limiter.servers[0].accept()
         server.words()
         server.send(reply + b"\r\n")
-        assert agent.line().startswith(answer)
+        assert client.line().startswith(answer)
 
 
 def test_a_break_after_the_last_byte_is_no_connect_failure_and_is_not_replayed(tmp_path: Path) -> None:
     with Limiter(tmp_path) as limiter:
-        agent = limiter.connect()
-        agent.send(request(1, "book"))
+        client = limiter.connect()
+        client.send(request(1, "book"))
         server = limiter.servers[0].accept()
         server.words()
         server.close()
-        assert agent.line() == b"-ERR failed"  # it may have run: no refusal
+        assert client.line() == b"-ERR failed"  # it may have run: no refusal
         assert limiter.servers[0].quiet(0.3)
 
 
 def test_a_refused_connection_proves_that_nothing_ran(tmp_path: Path) -> None:
     with Limiter(tmp_path) as limiter:
         limiter.servers[0].sock.close()
-        agent = limiter.connect()
-        agent.send(request(1, "book"))
-        assert agent.line() == b"-BUSY 100"  # and when to come back
+        client = limiter.connect()
+        client.send(request(1, "book"))
+        assert client.line() == b"-BUSY 100"  # and when to come back
 
 
 def test_an_unanswered_request_gets_its_answer_by_the_deadline_and_the_pass_is_ended(tmp_path: Path) -> None:
     with Limiter(tmp_path) as limiter:
-        agent = limiter.connect()
+        client = limiter.connect()
         begun = time.monotonic()
-        agent.send(request(1, "book", wait=400))
+        client.send(request(1, "book", wait=400))
         server = limiter.servers[0].accept()
         server.words()
-        assert agent.line() == b"-ERR failed"
+        assert client.line() == b"-ERR failed"
         assert time.monotonic() - begun > 0.3
         assert server.ended()
 
 
 def test_a_user_agent_that_leaves_takes_all_its_passes_along(tmp_path: Path) -> None:
     with Limiter(tmp_path) as limiter:
-        agent = limiter.connect()
-        agent.send(request(1, wait=3 * 10**6) + request(2, wait=3 * 10**6))  # no deadline ends them
+        client = limiter.connect()
+        client.send(request(1, wait=3 * 10**6) + request(2, wait=3 * 10**6))  # no deadline ends them
         servers = [limiter.servers[0].accept(), limiter.servers[0].accept()]
         for server in servers:
             server.words()
-        agent.close()
+        client.close()
         assert all(server.ended() for server in servers)
         limiter.until(b"+PONG", command(b"PING"))
 
@@ -144,10 +145,10 @@
 )
 def test_bad_commands_get_one_error_line_and_the_connection_goes_on(tmp_path: Path, bad: bytes) -> None:
     with Limiter(tmp_path) as limiter:
-        agent = limiter.connect()
-        agent.send(bad + command(b"PING"))
-        assert agent.line().startswith(b"-ERR ")
-        assert agent.line() == b"+PONG"
+        client = limiter.connect()
+        client.send(bad + command(b"PING"))
+        assert client.line().startswith(b"-ERR ")
+        assert client.line() == b"+PONG"
 
 
 @pytest.mark.parametrize(
@@ -166,25 +167,25 @@
 )
 def test_lost_framing_gets_one_error_line_and_a_close(tmp_path: Path, bad: bytes) -> None:
     with Limiter(tmp_path) as limiter:
-        agent = limiter.connect()
-        agent.send(command(b"PING") + bad)
-        assert agent.line() == b"+PONG"
-        assert agent.line().startswith(b"-ERR Protocol error")
-        assert agent.ended()
+        client = limiter.connect()
+        client.send(command(b"PING") + bad)
+        assert client.line() == b"+PONG"
+        assert client.line().startswith(b"-ERR Protocol error")
+        assert client.ended()
         limiter.until(b"+PONG", command(b"PING"))
 
 
 def test_an_error_line_arrives_though_more_garbage_pours_in(tmp_path: Path) -> None:
     # A close with bytes unread resets the connection and takes the line away.
     with Limiter(tmp_path) as limiter:
-        agent = limiter.connect()
-        agent.sock.sendall(b"*1\r\n$60000000\r\n" + b"x" * 2**17)
+        client = limiter.connect()
+        client.sock.sendall(b"*1\r\n$60000000\r\n" + b"x" * 2**17)
         limiter.log("user agent garbled")
-        agent.send(b"x")
-        agent.silent(0.2)
-        agent.send(b"x")
-        assert agent.line().startswith(b"-ERR Protocol error")
-        assert agent.file.read(1) == b""  # an orderly end
+        client.send(b"x")
+        client.silent(0.2)
+        client.send(b"x")
+        assert client.line().startswith(b"-ERR Protocol error")
+        assert client.file.read(1) == b""  # an orderly end
 
 
 def test_who_says_nothing_or_half_a_command_is_let_go_and_a_usual_one_stays(tmp_path: Path) -> None:
@@ -198,7 +199,7 @@
         assert half.line().startswith(b"-ERR Protocol error")
         assert half.ended() and silent.ended()
         assert time.monotonic() - begun > 2.0
-        server.send(GOOD)
+        server.send(SERVED_REPLY)
         assert usual.bulk() == b"value"
 
 
@@ -209,10 +210,10 @@
         server = limiter.servers[0].accept()
         server.words()
         idle = [limiter.connect() for _ in range(15)]  # all the room there is
-        for agent in idle:
-            agent.send(command(b"PING"))
-            assert agent.line() == b"+PONG"
-        server.send(GOOD)
+        for client in idle:
+            client.send(command(b"PING"))
+            assert client.line() == b"+PONG"
+        server.send(SERVED_REPLY)
         assert usual.bulk() == b"value"
         late = limiter.connect()  # no wait for anybody's idle time to pass
         late.send(command(b"PING"))
@@ -224,24 +225,24 @@
 
 def test_in_a_crowd_who_has_asked_is_let_go_sooner_but_not_within_two_seconds(tmp_path: Path) -> None:
     with Limiter(tmp_path, sockets=64) as limiter:
-        agents = [limiter.connect() for _ in range(8)]  # half of the room
-        agents[0].send(request(1))
-        limiter.servers[0].serve(GOOD)
-        assert agents[0].bulk() == b"value"
+        clients = [limiter.connect() for _ in range(8)]  # half of the room
+        clients[0].send(request(1))
+        limiter.servers[0].serve(SERVED_REPLY)
+        assert clients[0].bulk() == b"value"
         answered = time.monotonic()
-        for agent in agents[1:]:  # these stay, as each has something open
-            agent.send(request(2 + agents.index(agent)))
-        assert agents[0].ended()
+        for client in clients[1:]:  # these stay, as each has something open
+            client.send(request(2 + clients.index(client)))
+        assert clients[0].ended()
         assert 1.9 < time.monotonic() - answered < IDLE_TIMEOUT
 
 
 def test_a_user_agent_that_takes_no_answers_is_not_read_from(tmp_path: Path) -> None:
     with Limiter(tmp_path) as limiter:
-        agent, sent = limiter.connect(), 0
-        agent.sock.setblocking(False)
+        client, sent = limiter.connect(), 0
+        client.sock.setblocking(False)
         echo = command(b"PING", b"x" * 60000)
-        while select.select([], [agent.sock], [], 1.0)[1]:  # ends only if the limiter stops reading
-            sent += agent.sock.send(echo[sent % len(echo) :])
+        while select.select([], [client.sock], [], 1.0)[1]:  # ends only if the limiter stops reading
+            sent += client.sock.send(echo[sent % len(echo) :])
             assert sent < 64 * 2**20
         limiter.until(b"+PONG", command(b"PING"))
 
@@ -249,13 +250,13 @@
 def test_answers_that_wait_for_earlier_ones_are_bounded(tmp_path: Path) -> None:
     # Guards the memory limit: each of these answers is lawful, and all are held behind the first one.
     with Limiter(tmp_path, memory=1) as limiter:
-        agent = limiter.connect()
-        agent.send(b"".join(request(n) for n in (1, 2, 3, 4)))
+        client = limiter.connect()
+        client.send(b"".join(request(n) for n in (1, 2, 3, 4)))
         servers = [limiter.servers[0].accept() for _ in range(4)]  # each pass has its own connection
         for server in servers:
             if server.words()[2] != b"%016x" % 1:
                 server.send(b"*3\r\n$65536\r\n" + b"x" * 65536 + b"\r\n$-1\r\n$-1\r\n")
-        assert agent.ended()
+        assert client.ended()
         limiter.log("backlog:")
         limiter.until(b"+PONG", command(b"PING"))
 
@@ -263,52 +264,52 @@
 def test_more_than_the_open_cap_are_turned_away(tmp_path: Path) -> None:
     caps = {"cancel": True, "open-cap": 1, "dial-timeout": 20.0}
     with Limiter(tmp_path, caps=caps) as limiter:
-        agent, other = limiter.connect(), limiter.connect()
-        agent.send(request(1))
+        client, other = limiter.connect(), limiter.connect()
+        client.send(request(1))
         server = limiter.servers[0].accept()
         server.words()
         other.send(request(2))
         assert other.line().startswith(b"-BUSY ")
-        server.send(GOOD)
-        assert agent.bulk() == b"value"
+        server.send(SERVED_REPLY)
+        assert client.bulk() == b"value"
 
 
 def test_a_draining_server_gets_nothing_new_and_finishes_what_it_has(tmp_path: Path) -> None:
     with Limiter(tmp_path) as limiter:
         (watch, asked), listener = limiter.watch(), limiter.servers[0]
         assert asked == b"GET /api/targets?stream=1&index=41 HTTP/1.1"
-        agent, other = limiter.connect(), limiter.connect()
-        agent.send(request(1))
+        client, other = limiter.connect(), limiter.connect()
+        client.send(request(1))
         server = listener.accept()
         server.words()
         other.send(request(2))
         idle = listener.accept()
         idle.words()
-        idle.send(GOOD)
+        idle.send(SERVED_REPLY)
         assert other.bulk() == b"value"
         limiter.tell(watch, 42, limiter.entry(0, "leaving"))
         assert idle.ended()  # so the change has been read
         other.send(request(3))
         assert other.line().startswith(b"-BUSY ")
         assert listener.quiet(0.2)
-        server.send(GOOD)
-        assert agent.bulk() == b"value"
+        server.send(SERVED_REPLY)
+        assert client.bulk() == b"value"
         assert server.ended()
         limiter.tell(watch, 43, limiter.entry(0))
         for number in range(4, 10000):  # refused until this change is read, too
-            agent.send(request(number))
-            if listener.sock in select.select([agent.sock, listener.sock], [], [], PATIENCE)[0]:
+            client.send(request(number))
+            if listener.sock in select.select([client.sock, listener.sock], [], [], PATIENCE)[0]:
                 break
-            assert agent.line().startswith(b"-BUSY ")
-        listener.serve(GOOD)
-        assert agent.bulk() == b"value"
+            assert client.line().startswith(b"-BUSY ")
+        listener.serve(SERVED_REPLY)
+        assert client.bulk() == b"value"
 
 
 def test_ping_waits_for_a_list_and_a_broken_watch_goes_on_from_its_last_version(tmp_path: Path) -> None:
     with Limiter(tmp_path, known=False) as limiter:
-        agent = limiter.connect()
-        agent.send(command(b"PING"))
-        assert agent.line().startswith(b"-LOADING")
+        client = limiter.connect()
+        client.send(command(b"PING"))
+        assert client.line().startswith(b"-LOADING")
         watch, _ = limiter.watch()
         limiter.tell(watch, 44, limiter.entry(0))
         limiter.until(b"+PONG", command(b"PING"))
@@ -323,11 +324,11 @@
 
 
 def test_demand_is_told_to_the_counter(tmp_path: Path) -> None:
-    with Limiter(tmp_path, **SMALL) as limiter:
+    with Limiter(tmp_path, **SMALL_PLAN) as limiter:
         peers = [limiter.counter.accept() for _ in range(3)]
-        agent = limiter.connect()
-        agent.send(request(1))
-        limiter.servers[0].serve(GOOD)
+        client = limiter.connect()
+        client.send(request(1))
+        limiter.servers[0].serve(SERVED_REPLY)
         ready = select.select([peer.sock for peer in peers], [], [], PATIENCE)[0]
         verb, name, amount, life = next(peer for peer in peers if peer.sock in ready).words()
         assert (verb, life) == (b"INCRTTL", b"20000")
@@ -336,8 +337,8 @@
 
 def test_sigterm_serves_on_for_a_moment_and_finishes_what_was_taken(tmp_path: Path) -> None:
     with Limiter(tmp_path) as limiter:
-        idle, agent = limiter.connect(), limiter.connect()
-        agent.send(request(1))
+        idle, client = limiter.connect(), limiter.connect()
+        client.send(request(1))
         server = limiter.servers[0].accept()
         server.words()
         begun = time.monotonic()
@@ -347,19 +348,19 @@
         assert idle.ended()  # closed as it lies idle, but not at once
         assert time.monotonic() - begun > 0.5
         assert limiter.process.poll() is None
-        server.send(GOOD)
-        assert agent.bulk() == b"value"
-        assert agent.ended()
+        server.send(SERVED_REPLY)
+        assert client.bulk() == b"value"
+        assert client.ended()
         assert limiter.process.wait(PATIENCE) == 0
 
 
 def test_sighup_moves_discovery_and_counter_with_nothing_lost(tmp_path: Path) -> None:
-    with Limiter(tmp_path, **SMALL) as limiter:
+    with Limiter(tmp_path, **SMALL_PLAN) as limiter:
         old, _ = limiter.watch()
         limiter.tell(old, 42, limiter.entry(0))
         calls = [limiter.counter.accept() for _ in range(3)]
-        agent = limiter.connect()
-        agent.send(request(1))
+        client = limiter.connect()
+        client.send(request(1))
         server = limiter.servers[0].accept()
         server.words()
         ready = select.select([peer.sock for peer in calls], [], [], PATIENCE)[0]
@@ -369,14 +370,14 @@
         moved, asked = limiter.watch(discovery)
         assert b"index=42 " in asked and old.ended()
         assert all(peer.ended() for peer in calls if peer.sock not in ready)  # no call is out on these
-        server.send(GOOD)
-        assert agent.bulk() == b"value"  # the list was kept, and so was the request
+        server.send(SERVED_REPLY)
+        assert client.bulk() == b"value"  # the list was kept, and so was the request
         news = [counter.accept() for _ in range(3)]
-        agent.send(request(2, extra=",new=1"))
+        client.send(request(2, extra=",new=1"))
         server.words()
         assert select.select([peer.sock for peer in news], [], [], PATIENCE)[0]
-        server.send(GOOD)
-        assert agent.bulk() == b"value"
+        server.send(SERVED_REPLY)
+        assert client.bulk() == b"value"
         limiter.tell(moved, 43, limiter.entry(0, "leaving"))
         assert server.ended()  # the new watch is heeded
 
--- a/tests/test_long.py
+++ b/tests/test_long.py
@@ -16,7 +16,7 @@
 from tests.helpers import ended, sends, started
 from tests.helpers import request as asked
 from tests.limiter import PATIENCE, Limiter, Peer, command, request
-from tests.test_limiter import GOOD, SMALL
+from tests.network_support import SERVED_REPLY, SMALL_PLAN
 from thymeflow.decision.actions import RejectRequest, StartAttempt
 from thymeflow.decision.events import ClientDisconnected, RequestBodyStarted, ResponseStarted, TimerFired
 from thymeflow.decision.types import Status
@@ -34,8 +34,8 @@
         yield made
 
 
-def passed_on(limiter: Limiter, agent: Peer, number: int, cls: str = "look", body: bytes = b"B") -> Peer:
-    agent.send(request(number, cls, body=body))
+def passed_on(limiter: Limiter, client: Peer, number: int, cls: str = "look", body: bytes = b"B") -> Peer:
+    client.send(request(number, cls, body=body))
     server = limiter.servers[0].accept()
     assert server.words()[2] == b"%016x" % number
     return server
@@ -84,48 +84,48 @@
 
 
 def test_a_long_answer_is_passed_on_as_it_comes_and_its_connection_is_used_again(limiter: Limiter) -> None:
-    agent = limiter.connect()
-    server = passed_on(limiter, agent, 1)
+    client = limiter.connect()
+    server = passed_on(limiter, client, 1)
     server.send(HEAD + VALUE[:1000])
-    assert agent.line() == b"$%d" % SIZE and agent.file.read(1000) == VALUE[:1000]
+    assert client.line() == b"$%d" % SIZE and client.file.read(1000) == VALUE[:1000]
     server.send(VALUE[1000:])
-    assert agent.file.read(SIZE - 1000) == VALUE[1000:]
+    assert client.file.read(SIZE - 1000) == VALUE[1000:]
     server.send(TAIL)
-    assert agent.file.read(2) == b"\r\n"
-    limiter.served(agent, 2, server)
+    assert client.file.read(2) == b"\r\n"
+    limiter.served(client, 2, server)
 
 
 def test_the_deadline_ends_no_answer_that_has_begun(limiter: Limiter) -> None:
-    agent = limiter.connect()
-    agent.send(request(1, wait=300))
+    client = limiter.connect()
+    client.send(request(1, wait=300))
     server = limiter.servers[0].accept()
     server.words()
     server.send(HEAD + VALUE[:1000])
-    assert agent.line() == b"$%d" % SIZE
-    agent.file.read(1000)
-    assert agent.silent(0.6)
+    assert client.line() == b"$%d" % SIZE
+    client.file.read(1000)
+    assert client.silent(0.6)
     server.send(VALUE[1000:] + TAIL)
-    assert agent.file.read(SIZE - 998) == VALUE[1000:] + b"\r\n"
+    assert client.file.read(SIZE - 998) == VALUE[1000:] + b"\r\n"
 
 
 @pytest.mark.parametrize("rest", [b"", VALUE[:5000], VALUE + b"no end", VALUE[:-1] + b"\r\n"])
 def test_a_break_in_the_middle_closes_the_user_agents_connection(limiter: Limiter, rest: bytes) -> None:
-    agent = limiter.connect()
-    server = passed_on(limiter, agent, 1, "book")
+    client = limiter.connect()
+    server = passed_on(limiter, client, 1, "book")
     server.send(HEAD + rest)
     if len(rest) < SIZE:
         server.close()
-    assert len(agent.file.read()) <= SIZE + len(HEAD)  # and then the end, with the value not closed
+    assert len(client.file.read()) <= SIZE + len(HEAD)  # and then the end, with the value not closed
     assert limiter.servers[0].quiet(0.1)  # it may have run: no other pass
     limiter.served(limiter.connect(), 2)
 
 
 def test_who_leaves_in_the_middle_frees_the_other_side(limiter: Limiter) -> None:
-    agent, sender = limiter.connect(), limiter.connect()
-    server = passed_on(limiter, agent, 1)
+    client, sender = limiter.connect(), limiter.connect()
+    server = passed_on(limiter, client, 1)
     server.send(HEAD + VALUE[:1000])
-    agent.line()
-    agent.close()
+    client.line()
+    client.close()
     assert server.ended()
     sender.send(upload(2) + VALUE[:1000])
     server = limiter.servers[0].accept()
@@ -135,20 +135,20 @@
 
 
 def test_answers_behind_one_another_wait_for_their_turn(limiter: Limiter) -> None:
-    agent = limiter.connect()
-    agent.send(request(1) + request(2) + command(b"PING"))
+    client = limiter.connect()
+    client.send(request(1) + request(2) + command(b"PING"))
     peers = [limiter.servers[0].accept(), limiter.servers[0].accept()]
     first, second = sorted(peers, key=lambda peer: peer.words()[2])
     second.send(HEAD + VALUE + TAIL)
-    assert agent.silent(0.2)
+    assert client.silent(0.2)
     first.send(HEAD + VALUE + TAIL)
-    assert [agent.bulk(), agent.bulk(), agent.line()] == [VALUE, VALUE, b"+PONG"]
+    assert [client.bulk(), client.bulk(), client.line()] == [VALUE, VALUE, b"+PONG"]
 
 
 def test_a_slow_reader_holds_its_server_back_and_loses_nothing(limiter: Limiter) -> None:
-    agent, other, most = limiter.connect(), limiter.connect(), resp.MOST_LONG
-    agent.sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 1 << 16)
-    servers = [passed_on(limiter, agent, 1)]
+    client, other, most = limiter.connect(), limiter.connect(), resp.MOST_LONG
+    client.sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 1 << 16)
+    servers = [passed_on(limiter, client, 1)]
     server = servers[0]
     text = b"*3\r\n$%d\r\n" % most + b"x" * most + b"\r\n$-1\r\n$-1\r\n"
     sent = 0
@@ -158,56 +158,56 @@
     limiter.served(other, 2)  # nobody else waits for it
     server.sock.settimeout(PATIENCE)
     got, begun = 0, time.monotonic()
-    agent.sock.setblocking(True)
+    client.sock.setblocking(True)
     while got < most + len(b"$%d\r\n\r\n" % most):
         if sent < len(text) and select.select([], [server.sock], [], 0.0)[1]:
             sent += server.sock.send(text[sent : sent + 65536])
-        if select.select([agent.sock], [], [], 0.01)[0]:
-            got += len(agent.sock.recv(1 << 20))
+        if select.select([client.sock], [], [], 0.01)[0]:
+            got += len(client.sock.recv(1 << 20))
         assert time.monotonic() - begun < PATIENCE
 
 
 def test_a_long_body_goes_on_as_it_comes_and_its_time_starts_with_its_end(limiter: Limiter) -> None:
-    agent = limiter.connect()
-    agent.send(upload(1, 1500) + VALUE[:1000])
+    client = limiter.connect()
+    client.send(upload(1, 1500) + VALUE[:1000])
     server = limiter.servers[0].accept()
     verb, _, name, terms, head = uploaded(server)
     assert (verb, name, head) == (b"SVC.SUBMIT", b"%016x" % 1, b"$%d" % SIZE) and b",d=1500," in terms
     assert server.file.read(1000) == VALUE[:1000]
     for _ in range(4):  # for longer than it will wait, and never silent for long
-        assert agent.silent(0.5)
-        agent.send(b"x")
-    agent.send(VALUE[1004:] + b"\r\n" + command(b"PING"))
+        assert client.silent(0.5)
+        client.send(b"x")
+    client.send(VALUE[1004:] + b"\r\n" + command(b"PING"))
     assert server.file.read(SIZE - 1000 + 2) == b"xxxx" + VALUE[1004:] + b"\r\n"
-    server.send(GOOD)
-    assert [agent.bulk(), agent.line()] == [b"value", b"+PONG"]
-    limiter.served(agent, 2, server)
+    server.send(SERVED_REPLY)
+    assert [client.bulk(), client.line()] == [b"value", b"+PONG"]
+    limiter.served(client, 2, server)
 
 
 def test_a_refused_body_is_read_and_thrown_away_and_the_connection_stays_in_step(tmp_path: Path) -> None:
-    with Limiter(tmp_path, **{**SMALL, "caps": {"open-cap": 1, "dial-timeout": 20.0}}) as limiter:
-        busy, agent = limiter.connect(), limiter.connect()
+    with Limiter(tmp_path, **{**SMALL_PLAN, "caps": {"open-cap": 1, "dial-timeout": 20.0}}) as limiter:
+        busy, client = limiter.connect(), limiter.connect()
         server = passed_on(limiter, busy, 1)
         for wrong in (b"c=book", b"c=none"):
-            agent.send(upload(2).replace(b"c=book", wrong) + VALUE[:1000])
-            assert agent.silent(0.1)  # the request has not come yet
-            agent.send(VALUE[1000:] + b"\r\n" + command(b"PING"))
-            assert agent.line()[:4] in (b"-BUS", b"-ERR") and agent.line() == b"+PONG"
-        server.send(GOOD)
+            client.send(upload(2).replace(b"c=book", wrong) + VALUE[:1000])
+            assert client.silent(0.1)  # the request has not come yet
+            client.send(VALUE[1000:] + b"\r\n" + command(b"PING"))
+            assert client.line()[:4] in (b"-BUS", b"-ERR") and client.line() == b"+PONG"
+        server.send(SERVED_REPLY)
         assert busy.bulk() == b"value"
 
 
 @pytest.mark.parametrize("rest", [b"", b"no end"])
 def test_a_body_that_stops_or_is_not_closed_is_one_error_line_and_a_close(limiter: Limiter, rest: bytes) -> None:
-    agent = limiter.connect()
-    agent.send(upload(1) + VALUE[:1000])
+    client = limiter.connect()
+    client.send(upload(1) + VALUE[:1000])
     server = limiter.servers[0].accept()
     uploaded(server)
     if rest:
-        agent.send(VALUE[1000:])
+        client.send(VALUE[1000:])
         assert server.file.read(SIZE) == VALUE  # before the end comes: a reset throws away what is not read yet
-        agent.send(rest)
-    assert agent.line().startswith(b"-ERR Protocol error") and agent.ended()
+        client.send(rest)
+    assert client.line().startswith(b"-ERR Protocol error") and client.ended()
     with contextlib.suppress(ConnectionResetError):
         assert len(server.file.read()) < SIZE  # never whole, so it never ran
     limiter.served(limiter.connect(), 2)
@@ -217,58 +217,58 @@
     with Limiter(tmp_path, servers=2) as limiter:
         limiter.servers[0].sock.close()
         for number in range(1, 5):  # some of them meet the server that is down first
-            agent = limiter.connect()
-            agent.send(upload(number) + VALUE + b"\r\n")
+            client = limiter.connect()
+            client.send(upload(number) + VALUE + b"\r\n")
             server = limiter.servers[1].accept()
             assert uploaded(server)[2] == b"%016x" % number
             assert server.file.read(SIZE + 2) == VALUE + b"\r\n"
             server.send(b"-BUSY\r\n")
-            assert agent.line().startswith(b"-BUSY")
+            assert client.line().startswith(b"-BUSY")
             server.close()
 
 
 def test_a_server_that_refuses_early_ends_the_pass_and_the_rest_is_thrown_away(limiter: Limiter) -> None:
-    agent = limiter.connect()
-    agent.send(upload(1) + VALUE[:1000])
+    client = limiter.connect()
+    client.send(upload(1) + VALUE[:1000])
     server = limiter.servers[0].accept()
     uploaded(server)
     server.send(b"-BUSY\r\n")
     assert len(server.file.read()) == 1000  # closed: the rest of the body would be taken for a command
-    agent.send(VALUE[1000:] + b"\r\n")
-    assert agent.line().startswith(b"-BUSY")
+    client.send(VALUE[1000:] + b"\r\n")
+    assert client.line().startswith(b"-BUSY")
 
 
 def test_a_stream_outlives_an_evacuation_and_a_drain(limiter: Limiter) -> None:
-    agent, sender = limiter.connect(), limiter.connect()
-    server = passed_on(limiter, agent, 1)
+    client, sender = limiter.connect(), limiter.connect()
+    server = passed_on(limiter, client, 1)
     server.send(HEAD + VALUE[:1000])
     sender.send(upload(2) + VALUE[:1000])
     body = limiter.servers[0].accept()
     assert limiter.call(b"evacuate\n").startswith(b"200 ")
     uploaded(body)
-    assert agent.silent(0.0) or agent.line()
+    assert client.silent(0.0) or client.line()
     time_over = sender.silent(0.7)
     limiter.terminate()
     assert time_over and sender.silent(0.3)
     sender.send(VALUE[1000:] + b"\r\n")
     body.file.read(SIZE + 2)
-    body.send(GOOD)
+    body.send(SERVED_REPLY)
     assert sender.bulk() == b"value" and sender.ended()
     server.send(VALUE[1000:] + TAIL)
-    assert agent.file.read().endswith(VALUE[-100:] + b"\r\n")
+    assert client.file.read().endswith(VALUE[-100:] + b"\r\n")
     assert limiter.process.wait(PATIENCE) == 0
 
 
 def test_a_head_in_pieces_has_its_time_also_on_a_connection_that_is_old(limiter: Limiter) -> None:
-    agent, text = limiter.connect(), request(2)
-    server = limiter.served(agent, 1)
-    assert agent.silent(2.0)
+    client, text = limiter.connect(), request(2)
+    server = limiter.served(client, 1)
+    assert client.silent(2.0)
     for place in range(0, len(text), 30):  # 1 s in all, long after the last answer
-        agent.send(text[place : place + 30])
+        client.send(text[place : place + 30])
         time.sleep(0.1)
     server.words()
-    server.send(GOOD)
-    assert agent.bulk() == b"value"
+    server.send(SERVED_REPLY)
+    assert client.bulk() == b"value"
 
 
 def test_an_answer_that_has_begun_crowds_nobody_and_ends_its_request_once() -> None:
--- a/tests/test_management.py
+++ b/tests/test_management.py
@@ -15,9 +15,9 @@
 import pytest
 
 from tests.limiter import PATIENCE, ROOT, Limiter, command, request
-from tests.test_limiter import GOOD
+from tests.network_support import SERVED_REPLY
 from thymeflow.limiter.management import MAX_CALLERS, MAX_LINE
-from thymeflow.limiter.phases import CALLS, Phase, Word, called
+from thymeflow.limiter.phases import TRANSITIONS, Phase, Word, called
 
 
 @pytest.fixture
@@ -28,9 +28,9 @@
 
 def answers(limiter: Limiter) -> tuple[bytes, bytes]:
     """What `PING` and `readyz` say: the first byte of each."""
-    with closing(limiter.connect()) as agent:
-        agent.send(command(b"PING"))
-        return agent.line()[:1], limiter.call(b"readyz\n")[:1]
+    with closing(limiter.connect()) as client:
+        client.send(command(b"PING"))
+        return client.line()[:1], limiter.call(b"readyz\n")[:1]
 
 
 @pytest.mark.parametrize(("phase", "word"), list(itertools.product(Phase, Word)))
@@ -38,7 +38,7 @@
     after, yes, why = called(phase, word, phase is Phase.SERVING)
     assert why and (yes or after is phase), "a no changes nothing"
     assert after is phase or {phase, after} == {Phase.SERVING, Phase.EVACUATED}
-    assert yes == ((phase, word) in CALLS) or word is Word.READY
+    assert yes == ((phase, word) in TRANSITIONS) or word is Word.READY
     assert called(after, word, yes)[:2] == (after, yes), "twice the same call is once"
 
 
@@ -83,7 +83,7 @@
         assert answers(limiter) == (b"-", b"4")
     limiter.served(idle, 3, warm)  # the front sends on for a moment
     assert idle.ended()
-    held.send(GOOD)
+    held.send(SERVED_REPLY)
     assert busy.bulk() == b"value" and busy.ended()
     late = limiter.connect()  # the listener stays; what comes all the same is answered
     limiter.served(late, 4, held)  # over the warmest connection
@@ -105,7 +105,7 @@
     assert answers(limiter) == (b"-", b"4")
     for word in (b"evacuate\n", b"activate\n"):
         assert limiter.call(word).startswith(b"400 ")
-    held.send(GOOD)
+    held.send(SERVED_REPLY)
     assert busy.bulk() == b"value"
     assert limiter.process.wait(PATIENCE) == 0
 
--- a/tests/test_net_parts.py
+++ b/tests/test_net_parts.py
@@ -10,14 +10,22 @@
 from hypothesis import given
 from hypothesis import strategies as st
 from twisted.internet.defer import Deferred
-from twisted.internet.testing import MemoryReactorClock, StringTransport
 
 from tests.limiter import SETTINGS, command, request
+from tests.network_support import (
+    InMemoryNetwork,
+    endpoint_update,
+    make_attempt_spec,
+    make_backend_connections,
+    make_limiter,
+    parse_command,
+    served_reply,
+    world,
+)
 from thymeflow import Gateway
-from thymeflow.backends.backends import HUNG, BackendConnections, outcome_of
+from thymeflow.backends.backends import HUNG, outcome_of
 from thymeflow.backends.backends import STALL as ANSWER_STALL
 from thymeflow.core.dispatcher import (
-    AttemptResult,
     AttemptSpec,
     IncomingRequest,
     RequestDispatcher,
@@ -32,8 +40,8 @@
 from thymeflow.decision.types import EndpointListKind, Status
 from thymeflow.discovery.http import Body, HttpError
 from thymeflow.discovery.watch import Discovery
-from thymeflow.limiter.assembly import MIN_CONNECTIONS, Limiter
-from thymeflow.platform.configuration import Address, EndpointUpdate, from_source, listed
+from thymeflow.limiter.assembly import MIN_CONNECTIONS
+from thymeflow.platform.configuration import Address, EndpointUpdate, listed
 from thymeflow.runtime import clock
 from thymeflow.runtime.slot_table import SlotTable
 from thymeflow.simulator import settings_from
@@ -41,164 +49,77 @@
 from thymeflow.transport.commands import Call, Reader
 from thymeflow.transport.flow import Flow
 
-
-class Handle:
-    """A socket that takes no more bytes at a time than it is told to."""
-
-    def __init__(self, transport: Any) -> None:
-        self.transport, self.most, self.unread = transport, 10**6, b""
-        self.departed = False  # the other end has closed
-        self.half_closed = self.no_delay = False
-
-    def send(self, data: bytes) -> int:
-        if not self.most:
-            raise BlockingIOError
-        self.transport.write(data[: self.most])
-        return min(self.most, len(data))
-
-    def recv(self, most: int, flags: int) -> bytes:
-        if not self.unread:
-            raise BlockingIOError
-        return self.unread[:most]
-
-    def shutdown(self, how: int) -> None:
-        self.half_closed = True
-
-    def setsockopt(self, level: int, name: int, value: int) -> None: ...
-
-
-class World:
-    """A reactor in memory under a clock that the test moves."""
-
-    def __init__(self, monkeypatch: pytest.MonkeyPatch) -> None:
-        self.reactor: Any = MemoryReactorClock()  # type: ignore[no-untyped-call]
-        monkeypatch.setattr(clock, "now", lambda: 1e9 + self.reactor.seconds())
-        self.deadlines = clock.Deadlines(self.reactor)
-
-    def up(self, number: int, unread: bytes = b"") -> Any:
-        """The dial of that number succeeds; the protocol, with the handle of its socket."""
-        *_, factory, _, _ = self.reactor.tcpClients[number]
-        return self.connected(factory.buildProtocol(None), unread)
-
-    def connected(self, protocol: Any, unread: bytes = b"") -> Any:
-        """The protocol on a connection in memory, with bytes that wait there."""
-        transport: Any = StringTransport()  # type: ignore[no-untyped-call]
-        transport.handle = Handle(transport)
-        transport.handle.unread = unread
-        transport.getHandle = lambda: transport.handle
-        transport.setTcpNoDelay = lambda on: setattr(transport.handle, "no_delay", on)
-        transport.registerProducer = lambda producer, streaming: None
-        protocol.departed = lambda: transport.handle.departed
-        protocol.makeConnection(transport)
-        return protocol
-
-
-@pytest.fixture
-def world(monkeypatch: pytest.MonkeyPatch) -> World:
-    return World(monkeypatch)
-
-
-def limiter_of(world: World, sockets: int) -> Limiter:
-    source = {
-        "listen": "127.0.0.1:0",
-        "discovery": "127.0.0.1:9",
-        "counter": "127.0.0.1:9",
-        "settings": SETTINGS,
-        "limits": {"sockets": sockets, "memory_mb": 64},
-    }
-    return Limiter(from_source(source, "c.json", {}), world.reactor)
-
-
-def words(text: bytes) -> list[bytes]:
-    (found,), _ = resp.Parser().feed(text)
-    assert isinstance(found, list)
-    return [word for word in found if isinstance(word, bytes)]
-
-
-def order() -> AttemptSpec:
-    call, _ = Reader(settings_from(SETTINGS)).read(words(request(1)))
-    return AttemptSpec(1, call, clock.now() + 3.0)
-
-
-def good(value: bytes) -> bytes:
-    """An application server's answer."""
-    return b"*3\r\n" + resp.bulk(value) + b"$-1\r\n$-1\r\n"
-
-
-def upstream(world: World) -> tuple[BackendConnections, list[AttemptResult]]:
-    made = BackendConnections(world.reactor, world.deadlines, Limits(), 10)
-    made.listed(change("active", reset=True))
-    return made, []
-
-
-def change(lifecycle: str, reset: bool = False) -> EndpointUpdate:
-    entry = {"instanceId": "s-00000001", "hostPort": "127.0.0.1:9", "lifecycle": lifecycle}
-    return listed({"generation": 1, "reset": reset, "instances": [entry]})
+# Tests of other packages import these from here.
+World = InMemoryNetwork
+words = parse_command
+__all__ = ["World", "words", "world"]
 
 
 @pytest.mark.parametrize("news", ["leaving", "left"])
-def test_a_pass_that_waits_for_a_connection_is_not_written_to_a_server_that_drains(world: World, news: str) -> None:
-    made, ends = upstream(world)
-    made.begin(order()).addCallback(ends.append)
-    made.listed(change(news))
+def test_a_pass_that_waits_for_a_connection_is_not_written_to_a_server_that_drains(
+    world: InMemoryNetwork, news: str
+) -> None:
+    made, ends = make_backend_connections(world)
+    made.begin(make_attempt_spec()).addCallback(ends.append)
+    made.listed(endpoint_update(news))
     assert [end.status for end in ends] == [Status.CONNECT_FAILED]
     assert world.up(0).transport.value() == b""
-    made.begin(order()).addCallback(ends.append)
+    made.begin(make_attempt_spec()).addCallback(ends.append)
     assert ends[1].status is Status.CONNECT_FAILED
 
 
 @pytest.mark.parametrize(
     ("most", "status"), [(10**6, Status.RESET), (0, Status.CONNECT_FAILED), (7, Status.CONNECT_FAILED)]
 )
-def test_only_a_pass_written_to_its_last_byte_may_have_run(world: World, most: int, status: Status) -> None:
-    made, ends = upstream(world)
-    made.begin(order()).addCallback(ends.append)
+def test_only_a_pass_written_to_its_last_byte_may_have_run(world: InMemoryNetwork, most: int, status: Status) -> None:
+    made, ends = make_backend_connections(world)
+    made.begin(make_attempt_spec()).addCallback(ends.append)
     server = world.up(0)
-    server.dataReceived(good(b"v"))  # the connection is warm and idle now
-    made.begin(order()).addCallback(ends.append)
-    server.dataReceived(good(b"v"))
-    server.transport.handle.most = most  # what the kernel does not take stays with the transport
+    server.dataReceived(served_reply(b"v"))  # the connection is warm and idle now
+    made.begin(make_attempt_spec()).addCallback(ends.append)
+    server.dataReceived(served_reply(b"v"))
+    server.transport.handle.max_bytes = most  # what the kernel does not take stays with the transport
     server.transport.clear()
-    made.begin(order()).addCallback(ends.append)
-    assert words(server.transport.value())[0] == b"SVC.QUERY"  # nothing missing, nothing twice
+    made.begin(make_attempt_spec()).addCallback(ends.append)
+    assert parse_command(server.transport.value())[0] == b"SVC.QUERY"  # nothing missing, nothing twice
     server.connectionLost()
     assert [end.status for end in ends] == [Status.OK, Status.OK, status]
     assert len(world.reactor.tcpClients) == 1  # and nothing was sent again
 
 
-def test_a_connection_that_comes_free_serves_the_pass_that_waits(world: World) -> None:
-    made, ends = upstream(world)
-    made.begin(order()).addCallback(ends.append)
+def test_a_connection_that_comes_free_serves_the_pass_that_waits(world: InMemoryNetwork) -> None:
+    made, ends = make_backend_connections(world)
+    made.begin(make_attempt_spec()).addCallback(ends.append)
     server = world.up(0)
-    made.begin(order()).addCallback(ends.append)
-    server.dataReceived(good(b"v"))
-    server.dataReceived(good(b"w"))
+    made.begin(make_attempt_spec()).addCallback(ends.append)
+    server.dataReceived(served_reply(b"v"))
+    server.dataReceived(served_reply(b"w"))
     assert [end.value for end in ends] == [b"v", b"w"]
 
 
-@pytest.mark.parametrize("behind", [good(b"v"), b"!noise", b"$9\r\n", b"-BUSY\r\n"])
-def test_what_comes_behind_an_answer_is_nobodys_answer(world: World, behind: bytes) -> None:
-    made, ends = upstream(world)
-    made.begin(order()).addCallback(ends.append)
+@pytest.mark.parametrize("behind", [served_reply(b"v"), b"!noise", b"$9\r\n", b"-BUSY\r\n"])
+def test_what_comes_behind_an_answer_is_nobodys_answer(world: InMemoryNetwork, behind: bytes) -> None:
+    made, ends = make_backend_connections(world)
+    made.begin(make_attempt_spec()).addCallback(ends.append)
     server = world.up(0)
-    made.begin(order()).addCallback(ends.append)  # waits for a connection
-    server.dataReceived(good(b"v") + behind)
+    made.begin(make_attempt_spec()).addCallback(ends.append)  # waits for a connection
+    server.dataReceived(served_reply(b"v") + behind)
     assert [end.value for end in ends] == [b"v"]
     assert server.closed
-    world.up(1).dataReceived(good(b"w"))
+    world.up(1).dataReceived(served_reply(b"w"))
     assert [end.value for end in ends] == [b"v", b"w"]
 
 
-def test_a_connection_with_bytes_unread_is_not_used_again(world: World) -> None:
-    made, ends = upstream(world)
-    made.begin(order()).addCallback(ends.append)
+def test_a_connection_with_bytes_unread_is_not_used_again(world: InMemoryNetwork) -> None:
+    made, ends = make_backend_connections(world)
+    made.begin(make_attempt_spec()).addCallback(ends.append)
     server = world.up(0)
-    server.dataReceived(good(b"v"))
+    server.dataReceived(served_reply(b"v"))
     server.transport.clear()
     server.transport.handle.unread = b"*3"  # it came after the look at what was read with the answer
-    made.begin(order()).addCallback(ends.append)
+    made.begin(make_attempt_spec()).addCallback(ends.append)
     assert (server.closed, server.transport.value()) == (True, b"")
-    world.up(1).dataReceived(good(b"w"))
+    world.up(1).dataReceived(served_reply(b"w"))
     assert [end.value for end in ends] == [b"v", b"w"]
 
 
@@ -215,9 +136,9 @@
         b"noise",
     ],
 )
-def test_a_spoilt_answer_is_an_error_soon_and_ends_its_connection(world: World, text: bytes) -> None:
-    made, ends = upstream(world)
-    made.begin(order()).addCallback(ends.append)
+def test_a_spoilt_answer_is_an_error_soon_and_ends_its_connection(world: InMemoryNetwork, text: bytes) -> None:
+    made, ends = make_backend_connections(world)
+    made.begin(make_attempt_spec()).addCallback(ends.append)
     server = world.up(0)
     server.dataReceived(text)
     world.reactor.advance(ANSWER_STALL + 0.01)
@@ -232,24 +153,24 @@
     assert (found.status, found.quota_usage, found.actual_units, found.load_report) == (Status.OK, None, None, None)
 
 
-def test_idle_connections_go_before_the_other_end_closes_them(world: World) -> None:
-    made, ends = upstream(world)
-    made.begin(order()).addCallback(ends.append)
+def test_idle_connections_go_before_the_other_end_closes_them(world: InMemoryNetwork) -> None:
+    made, ends = make_backend_connections(world)
+    made.begin(make_attempt_spec()).addCallback(ends.append)
     server = world.up(0)
-    server.dataReceived(good(b"v"))
+    server.dataReceived(served_reply(b"v"))
     world.reactor.pump([1.0] * int(Limits().connection_idle - 1))
     assert server.closed
 
 
 @pytest.mark.parametrize("moves", [True, False])
-def test_a_long_body_is_given_up_where_nothing_of_it_is_taken(world: World, moves: bool) -> None:
-    made, ends = upstream(world)
+def test_a_long_body_is_given_up_where_nothing_of_it_is_taken(world: InMemoryNetwork, moves: bool) -> None:
+    made, ends = make_backend_connections(world)
     body = Flow(300_000, lambda waits: None, lambda: None)
-    call = order().payload
+    call = make_attempt_spec().payload
     assert isinstance(call, Call)
     made.begin(AttemptSpec(1, call._replace(flow=body), inf)).addCallback(ends.append)
     server = world.up(0)
-    server.transport.handle.most = 0  # the kernel's buffer is full
+    server.transport.handle.max_bytes = 0  # the kernel's buffer is full
     for _ in range(4):
         body.push(b"x" * 1000)
         world.reactor.pump([0.1] * round(0.4 * HUNG / 0.1))
@@ -263,7 +184,7 @@
         assert ends[0].status is Status.CONNECT_FAILED and server.closed and not body.waits
 
 
-def test_a_counter_call_given_up_keeps_its_place_in_line(world: World) -> None:
+def test_a_counter_call_given_up_keeps_its_place_in_line(world: InMemoryNetwork) -> None:
     line = Line(world.reactor, world.deadlines, Address("127.0.0.1", 9))
     results: list[tuple[Status, float]] = []
     line.connect()
@@ -281,7 +202,9 @@
     "noise",
     [b"$3\r\nnan\r\n", b"+7\r\n", b"$-1\r\n", b"!?", b"-WHAT\r\n", b"$1\r\n7\r\n$1\r\n8\r\n", b"$5\r\n1_000\r\n"],
 )
-def test_a_counter_that_cannot_be_followed_is_left_before_its_answers_shift(world: World, noise: bytes) -> None:
+def test_a_counter_that_cannot_be_followed_is_left_before_its_answers_shift(
+    world: InMemoryNetwork, noise: bytes
+) -> None:
     line, results = Line(world.reactor, world.deadlines, Address("127.0.0.1", 9)), list[Result]()
     line.connect()
     wire = world.up(0)
@@ -297,7 +220,7 @@
 
 @pytest.mark.parametrize("gap", [0.2, 0.5])
 def test_a_counter_that_writes_in_pieces_is_followed_and_one_that_stops_half_way_is_left(
-    world: World, gap: float
+    world: InMemoryNetwork, gap: float
 ) -> None:
     line, results = Line(world.reactor, world.deadlines, Address("127.0.0.1", 9)), list[Result]()
     line.connect()
@@ -312,20 +235,20 @@
         assert [call.reported for call in line.written] == [True, True]
 
 
-def test_a_broken_counter_line_tells_what_may_have_been_added(world: World) -> None:
+def test_a_broken_counter_line_tells_what_may_have_been_added(world: InMemoryNetwork) -> None:
     line, results = Line(world.reactor, world.deadlines, Address("127.0.0.1", 9)), list[Status]()
     line.call(b"unwritten", clock.now() + 0.03).addCallback(lambda r: results.append(r[0]))
     world.reactor.advance(0.04)
     assert results == [Status.CONNECT_FAILED]
     wire = world.up(0)
     line.call(b"left", clock.now() + 3.0).addCallback(lambda r: results.append(r[0]))
-    wire.transport.handle.most = 0
+    wire.transport.handle.max_bytes = 0
     line.call(b"held", clock.now() + 3.0).addCallback(lambda r: results.append(r[0]))
     wire.connectionLost()
     assert results[1:] == [Status.TIMEOUT, Status.CONNECT_FAILED]
 
 
-def test_a_counter_that_has_gone_without_a_word_is_dialled_anew(world: World) -> None:
+def test_a_counter_that_has_gone_without_a_word_is_dialled_anew(world: InMemoryNetwork) -> None:
     line = Line(world.reactor, world.deadlines, Address("127.0.0.1", 9))
     line.connect()
     wire = world.up(0)
@@ -337,7 +260,7 @@
     assert len(world.reactor.tcpClients) == 2
 
 
-def test_a_silent_watch_is_dialled_anew_and_a_whole_list_can_be_asked_for(world: World) -> None:
+def test_a_silent_watch_is_dialled_anew_and_a_whole_list_can_be_asked_for(world: InMemoryNetwork) -> None:
     told: list[EndpointUpdate] = []
     watch = Discovery(world.reactor, world.deadlines, Address("127.0.0.1", 9), 41, told.append, 3, 1)
     watch.start(clock.now() + 1.0)
@@ -359,7 +282,7 @@
     assert [(news.change.kind, news.change.version) for news in told] == [(EndpointListKind.FULL, 50)]
 
 
-def test_deadlines_fire_in_order_behind_one_timer_and_not_when_cancelled(world: World) -> None:
+def test_deadlines_fire_in_order_behind_one_timer_and_not_when_cancelled(world: InMemoryNetwork) -> None:
     fired: list[int] = []
     entries = [world.deadlines.at(clock.now() + n, fired.append, n) for n in (5, 1, 3, 2, 4)]
     assert len(world.reactor.getDelayedCalls()) == 1
@@ -428,11 +351,11 @@
 
 
 @pytest.mark.parametrize("raises", [True, False])
-def test_a_request_gets_one_answer_also_from_a_module_out_of_order(world: World, raises: bool) -> None:
+def test_a_request_gets_one_answer_also_from_a_module_out_of_order(world: InMemoryNetwork, raises: bool) -> None:
     core = RequestDispatcher(settings_from(SETTINGS), Gateway(settings_from(SETTINGS), 1), world.deadlines, 10**6)
     core._gateway = Odd(raises)  # type: ignore[assignment]
     answers: list[Response] = []
-    call, told = Reader(settings_from(SETTINGS)).read(words(request(1, wait=500)))
+    call, told = Reader(settings_from(SETTINGS)).read(parse_command(request(1, wait=500)))
     core.submit(IncomingRequest(told, clock.now() + 0.5, call, 100)).addCallback(answers.append)
     world.reactor.advance(0.52)
     assert [answer.kind for answer in answers] == [ResponseKind.FAILED]
@@ -449,7 +372,7 @@
         return Deferred()
 
 
-def test_a_count_may_be_answered_late_but_ends_before_the_next_of_its_name(world: World) -> None:
+def test_a_count_may_be_answered_late_but_ends_before_the_next_of_its_name(world: InMemoryNetwork) -> None:
     settings, counter = settings_from(SETTINGS), Slow()
     core = RequestDispatcher(settings, Gateway(settings, 1), world.deadlines, 10**6)
     core.counter = counter
@@ -457,8 +380,8 @@
     assert settings.information.counter_timeout < counter.until - clock.now() < SPEAK_EVERY
 
 
-def test_a_table_full_of_those_who_say_nothing_still_takes_a_usual_one(world: World) -> None:
-    front = limiter_of(world, 64).front
+def test_a_table_full_of_those_who_say_nothing_still_takes_a_usual_one(world: InMemoryNetwork) -> None:
+    front = make_limiter(world, 64).front
     silent = [world.connected(front.buildProtocol(None)) for _ in range(16)]  # all the room there is
     world.reactor.advance(0.04)
     assert front.buildProtocol(None) is None  # they may be about to ask
@@ -466,12 +389,14 @@
     usual = world.connected(front.buildProtocol(None))
     usual.dataReceived(command(b"PING"))
     assert usual.transport.value() and silent[0].transport.disconnected
-    assert not any(agent.transport.disconnected for agent in silent[1:])
+    assert not any(client.transport.disconnected for client in silent[1:])
 
 
 @pytest.mark.parametrize("held", [0, 50, 150, 1000])
-def test_beside_an_earlier_life_both_keep_one_limiters_limits_until_it_has_gone(world: World, held: int) -> None:
-    limiter = limiter_of(world, 256)
+def test_beside_an_earlier_life_both_keep_one_limiters_limits_until_it_has_gone(
+    world: InMemoryNetwork, held: int
+) -> None:
+    limiter = make_limiter(world, 256)
 
     def budgets() -> tuple[int, ...]:
         front, core = limiter.front, limiter.core
--- a/tests/test_start.py
+++ b/tests/test_start.py
@@ -17,14 +17,13 @@
 import pytest
 
 from tests.limiter import PATIENCE, SETTINGS, Limiter, Peer, command, refused, request
-from tests.test_net_parts import World, world
-from thymeflow.discovery.watch import FIRST_LIST_TIMEOUT, POLLED_IDLE_TIMEOUT, PUSHED_IDLE_TIMEOUT, Discovery
+from tests.network_support import InMemoryNetwork, world
+from thymeflow.discovery.watch import FIRST, HEARTBEATS, SILENCE, Discovery
 from thymeflow.frontend.listener import bound
 from thymeflow.frontend.listener import opened as opened_at
 from thymeflow.limiter.assembly import Limiter as Assembled
 from thymeflow.limiter.phases import Phase
-from thymeflow.platform.configuration import from_source
-from thymeflow.platform.endpoints import Address
+from thymeflow.platform.configuration import Address, from_source
 from thymeflow.runtime import clock
 from thymeflow.transport.connections import Stream, dial
 
@@ -39,20 +38,20 @@
     return limiter.connect()
 
 
-def answers(limiter: Limiter, agents: dict[int, Peer], server: int) -> tuple[dict[int, bytes], set[int]]:
+def answers(limiter: Limiter, clients: dict[int, Peer], server: int) -> tuple[dict[int, bytes], set[int]]:
     """The first line of each agent's answer, while one server serves; and the requests that it was sent."""
     seen, sent, servers = dict[int, bytes](), set[int](), list[Peer]()
-    while len(seen) < len(agents):
-        waiting = [peer.sock for number, peer in agents.items() if number not in seen]
+    while len(seen) < len(clients):
+        waiting = [peer.sock for number, peer in clients.items() if number not in seen]
         ready = select.select([limiter.servers[server].sock, *(s.sock for s in servers), *waiting], [], [], PATIENCE)[0]
-        assert ready, f"{len(agents) - len(seen)} requests without an answer"
+        assert ready, f"{len(clients) - len(seen)} requests without an answer"
         if limiter.servers[server].sock in ready:
             servers.append(limiter.servers[server].accept())
         for peer in [s for s in servers if s.sock in ready]:
             words = peer.words()
             sent.add(int(words[2], 16))
             peer.send(GOOD)
-        for number, peer in agents.items():
+        for number, peer in clients.items():
             if peer.sock in ready:
                 seen[number] = peer.line()
     return seen, sent
@@ -63,11 +62,11 @@
         watch, _ = limiter.watch()
         assert refused(limiter)  # its start is over, and it was told nothing yet
         limiter.tell(watch, 44, limiter.entry(0, "leaving"))
-        agents = {0: opened(limiter)}
-        agents |= {number: limiter.connect() for number in range(1, 50)}
-        for number, agent in agents.items():
-            agent.send(request(number))
-        seen, sent = answers(limiter, agents, 1)
+        clients = {0: opened(limiter)}
+        clients |= {number: limiter.connect() for number in range(1, 50)}
+        for number, client in clients.items():
+            client.send(request(number))
+        seen, sent = answers(limiter, clients, 1)
         assert all(line == b"$5" or line.startswith(b"-BUSY") for line in seen.values())
         assert sent == {number for number, line in seen.items() if line == b"$5"} and sent
         assert limiter.servers[0].quiet(0.0)
@@ -78,7 +77,7 @@
 ) -> None:
     # Its core is taken nineteen parts of twenty, from its start to its last answer, while fifty try to reach it.
     with Limiter(tmp_path, servers=3, told=False) as limiter:
-        agents, asked, answer = dict[int, Peer](), dict[int, float](), dict[int, bytes]()
+        clients, asked, answer = dict[int, Peer](), dict[int, float](), dict[int, bytes]()
         servers, told, late, end = list[Peer](), 0.0, list[float](), time.monotonic() + PATIENCE * 4
         watch: Peer | None = None
         limiter.process.send_signal(signal.SIGSTOP)
@@ -86,7 +85,7 @@
             limiter.process.send_signal(signal.SIGCONT)
             select.select([], [], [], 0.003)
             limiter.process.send_signal(signal.SIGSTOP)
-            assert time.monotonic() < end, f"{len(answer)} of 50 answered, {len(agents)} let in"
+            assert time.monotonic() < end, f"{len(answer)} of 50 answered, {len(clients)} let in"
             if watch is None and not limiter.discovery.quiet(0.0):
                 watch = limiter.discovery.accept()  # it asks in a later turn, and is stopped till then
             elif watch is not None and not told and not watch.silent(0.0):
@@ -95,15 +94,15 @@
                     told = time.monotonic()
                 else:
                     watch = None  # it gave that one up, and dials anew
-            for number in [n for n in range(50) if n not in agents][:10]:
+            for number in [n for n in range(50) if n not in clients][:10]:
                 with contextlib.suppress(ConnectionRefusedError):
-                    agents[number] = limiter.connect()
-                    agents[number].send(request(number, wait=10000))
+                    clients[number] = limiter.connect()
+                    clients[number].send(request(number, wait=10000))
                     asked[number] = time.monotonic()
             waiting = [
                 limiter.servers[2].sock,
                 *(s.sock for s in servers),
-                *(peer.sock for number, peer in agents.items() if number not in answer),
+                *(peer.sock for number, peer in clients.items() if number not in answer),
             ]
             ready = select.select(waiting, [], [], 0.057)[0]
             if limiter.servers[2].sock in ready:
@@ -111,8 +110,8 @@
             for peer in [s for s in servers if s.sock in ready]:
                 peer.words()
                 peer.send(GOOD)
-            for number in [n for n, peer in agents.items() if n not in answer and peer.sock in ready]:
-                answer[number] = agents[number].line()
+            for number in [n for n, peer in clients.items() if n not in answer and peer.sock in ready]:
+                answer[number] = clients[number].line()
                 late.append(time.monotonic() - asked[number] - 10.0)
         limiter.process.send_signal(signal.SIGCONT)
         assert told and all(line == b"$5" or line.startswith(b"-BUSY") for line in answer.values()), answer
@@ -124,14 +123,14 @@
         watch, _ = limiter.watch()
         limiter.until(b"+PONG", command(b"PING"))
         limiter.process.send_signal(signal.SIGSTOP)
-        agents = {number: limiter.connect() for number in range(40)}
-        for number, agent in agents.items():
-            agent.send(request(number, wait=500 if number % 2 else 20000))
+        clients = {number: limiter.connect() for number in range(40)}
+        for number, client in clients.items():
+            client.send(request(number, wait=500 if number % 2 else 20000))
         limiter.tell(watch, 44, limiter.entry(0, "leaving"))
         assert watch.silent(1.5)  # the stop itself: past half of the deadlines, and the drain's grace
         limiter.process.send_signal(signal.SIGCONT)
-        seen, sent = answers(limiter, agents, 1)
-        assert all(seen[number].startswith(b"-BUSY") for number in agents if number % 2)
+        seen, sent = answers(limiter, clients, 1)
+        assert all(seen[number].startswith(b"-BUSY") for number in clients if number % 2)
         assert sent == {number for number, line in seen.items() if line == b"$5"} and sent
         assert not any(number % 2 for number in sent) and limiter.servers[0].quiet(0.0)
 
@@ -145,17 +144,17 @@
             limiter.process = limiter.start()
             watch, _ = limiter.watch()
             limiter.tell(watch, 44, limiter.entry(0))
-            agent = opened(limiter)
-            agent.send(request(number))
+            client = opened(limiter)
+            client.send(request(number))
             server = limiter.servers[0].accept()
             assert server.words()[2] == b"%016x" % number
             if number == 1:
                 limiter.process.kill()  # its first pass is out
                 limiter.process.communicate()
-                assert agent.ended() and server.ended()
+                assert client.ended() and server.ended()
             else:
                 server.send(GOOD)
-                assert agent.bulk() == b"value"
+                assert client.bulk() == b"value"
 
 
 class Port:
@@ -165,8 +164,10 @@
         return type("Host", (), {"host": "127.0.0.1", "port": 1})
 
 
-@pytest.mark.parametrize("late", [0.0, 0.6 * FIRST_LIST_TIMEOUT, None])
-def test_it_says_yes_once_the_agent_has_spoken_or_is_silent_for_long(world: World, late: float | None) -> None:
+@pytest.mark.parametrize("late", [0.0, 0.6 * FIRST, None])
+def test_it_says_yes_once_the_agent_has_spoken_or_is_silent_for_long(
+    world: InMemoryNetwork, late: float | None
+) -> None:
     source = {
         "listen": "127.0.0.1:0",
         "discovery": "127.0.0.1:8",
@@ -181,11 +182,11 @@
     limiter = Assembled(from_source(source, "c.json", {}), world.reactor)
     world.reactor.adoptStreamPort = lambda descriptor, family, factory: Port()
     limiter.start()
-    agent = next(n for n, client in enumerate(world.reactor.tcpClients) if client[1] == 8)
-    reading = world.up(agent)
+    discovery_dial = next(n for n, dialled in enumerate(world.reactor.tcpClients) if dialled[1] == 8)
+    reading = world.up(discovery_dial)
     reading.transport.abortConnection = lambda: None
     reading.dataReceived(HEAD)
-    moments = int((FIRST_LIST_TIMEOUT if late is None else late) / 0.05)
+    moments = int((FIRST if late is None else late) / 0.05)
     for _ in range(moments):
         assert limiter.lifecycle.phase is Phase.STARTING
         world.reactor.advance(0.05)
@@ -198,9 +199,9 @@
 
 
 def test_what_queued_at_a_socket_that_was_handed_in_has_waited_as_long_as_this_life_lasts(
-    world: World, monkeypatch: pytest.MonkeyPatch
+    world: InMemoryNetwork, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(clock, "STARTED_AT", clock.now() - 3.0)
+    monkeypatch.setattr(clock, "BORN", clock.now() - 3.0)
     source = {"listen": "127.0.0.1:0", "discovery": "127.0.0.1:8", "counter": "127.0.0.1:9", "settings": SETTINGS}
     limiter = Assembled(from_source(source, "c.json", {}), world.reactor)
     world.reactor.adoptStreamPort = lambda descriptor, family, factory: Port()
@@ -224,7 +225,7 @@
             assert limiter.process.wait(PATIENCE) == 3
 
 
-def test_a_stall_is_remembered_until_what_waited_has_been_read(world: World) -> None:
+def test_a_stall_is_remembered_until_what_waited_has_been_read(world: InMemoryNetwork) -> None:
     told, amid = list[float](), list[float]()
     world.deadlines.on_stall = told.append
     for after in (0.1, 0.2):  # the first finds the stall, the second runs in its wake
@@ -240,7 +241,7 @@
     assert not world.deadlines.is_stalled(clock.now())
 
 
-def test_a_dial_whose_deadline_comes_due_in_a_late_turn_gets_its_turns_first(world: World) -> None:
+def test_a_dial_whose_deadline_comes_due_in_a_late_turn_gets_its_turns_first(world: InMemoryNetwork) -> None:
     given_up = list[float]()
     world.reactor.connectTCP = lambda *_, **__: type(
         "Dial", (), {"stopConnecting": lambda self: given_up.append(clock.now())}
@@ -250,7 +251,7 @@
     world.reactor.rightNow += 3.0  # no turn for so long: it was not even begun
     world.reactor.advance(0.0)
     assert not given_up
-    for _ in range(clock.SETTLING_TURNS + 2):
+    for _ in range(clock.SETTLING + 2):
         world.reactor.advance(clock.STALL / 2)
     assert len(given_up) == 1 and given_up[0] >= begun + 3.0 + clock.STALL
 
@@ -258,17 +259,17 @@
 @pytest.mark.parametrize("pushed", [True, False])
 @pytest.mark.parametrize("seed", range(6))
 def test_a_watch_that_falls_silent_is_opened_anew_before_a_drain_that_it_missed_is_due(
-    world: World, seed: int, pushed: bool
+    world: InMemoryNetwork, seed: int, pushed: bool
 ) -> None:
     # Told 6 s after the silence began, by whatever word, and a second's grace: in a set of any size.
     discovery = Discovery(
         world.reactor, world.deadlines, Address("127.0.0.1", 8), 1, lambda news: None, 250, seed, pushed
     )
-    discovery.start(clock.now() + FIRST_LIST_TIMEOUT)
+    discovery.start(clock.now() + FIRST)
     reading = world.up(0)
     reading.transport.abortConnection = lambda: None
     reading.dataReceived(HEAD + b"1\r\n\n\r\n")
     fell = clock.now()
     while len(world.reactor.tcpClients) == 1:
         world.reactor.advance(0.01)
-    assert 0.0 < clock.now() - fell - (PUSHED_IDLE_TIMEOUT if pushed else POLLED_IDLE_TIMEOUT) < 0.4
+    assert 0.0 < clock.now() - fell - (HEARTBEATS if pushed else SILENCE) < 0.4
--- a/thymeflow/limiter/lifecycle.py
+++ b/thymeflow/limiter/lifecycle.py
@@ -50,7 +50,7 @@
         self._is_lingering = False  # got a termination signal, and the balancer may not have noticed yet
         self._evacuation_count = 0  # a delayed step of an earlier evacuation is ignored
         front.is_ready = self.takes_clients
-        front.describe_state = lambda: phases.WHY[self.phase]
+        front.describe_state = lambda: phases.REASONS[self.phase]
         front.on_client_lost = self._stop_if_idle
 
     def takes_clients(self) -> bool:
--- a/thymeflow/limiter/phases.py
+++ b/thymeflow/limiter/phases.py
@@ -34,14 +34,14 @@
 
 
 # What is not in the table changes nothing and is rejected, with the phase as the reason.
-CALLS: dict[tuple[Phase, Word], Transition] = {
+TRANSITIONS: dict[tuple[Phase, Word], Transition] = {
     (Phase.SERVING, Word.EVACUATE): Transition(Phase.EVACUATED, True, "user agents are sent away"),
     (Phase.EVACUATED, Word.EVACUATE): Transition(Phase.EVACUATED, True, "evacuated already"),
     (Phase.EVACUATED, Word.ACTIVATE): Transition(Phase.SERVING, True, "back at work"),
     (Phase.SERVING, Word.ACTIVATE): Transition(Phase.SERVING, True, "at work already"),
     (Phase.STARTING, Word.ACTIVATE): Transition(Phase.STARTING, True, "will be at work as soon as it has started"),
 }
-WHY = {
+REASONS = {
     Phase.STARTING: "it is starting and takes no user agents yet",
     Phase.SERVING: "it takes user agents",
     Phase.EVACUATED: "it is evacuated; activate brings it back",
@@ -54,7 +54,7 @@
 def called(phase: Phase, command: Word, takes_clients: bool) -> Transition:
     """Return the effect of a command in a phase; `takes_clients`: whether clients are accepted now."""
     if command is Word.READY:
-        return Transition(phase, takes_clients, WHY[phase])
-    if (phase, command) in CALLS:
-        return CALLS[phase, command]
-    return Transition(phase, False, WHY[phase])
+        return Transition(phase, takes_clients, REASONS[phase])
+    if (phase, command) in TRANSITIONS:
+        return TRANSITIONS[phase, command]
+    return Transition(phase, False, REASONS[phase])
