--- /dev/null
+++ b/tests/frontend/test_limits.py
@@ -0,0 +1,48 @@
+"""Limits of the client connections: a full table, and limits that two processes share."""
+
+from __future__ import annotations
+
+import pytest
+
+from tests.limiter import command
+from tests.network_support import InMemoryNetwork, make_limiter, world
+from thymeflow.limiter.assembly import MIN_CONNECTIONS
+
+__all__ = ["world"]
+
+
+def test_a_table_full_of_those_who_say_nothing_still_takes_a_usual_one(world: InMemoryNetwork) -> None:
+    front = make_limiter(world, 64).front
+    silent = [world.connected(front.buildProtocol(None)) for _ in range(16)]  # all the room there is
+    world.reactor.advance(0.04)
+    assert front.buildProtocol(None) is None  # they may be about to ask
+    world.reactor.advance(0.02)
+    usual = world.connected(front.buildProtocol(None))
+    usual.dataReceived(command(b"PING"))
+    assert usual.transport.value() and silent[0].transport.disconnected
+    assert not any(client.transport.disconnected for client in silent[1:])
+
+
+@pytest.mark.parametrize("held", [0, 50, 150, 1000])
+def test_beside_an_earlier_life_both_keep_one_limiters_limits_until_it_has_gone(
+    world: InMemoryNetwork, held: int
+) -> None:
+    limiter = make_limiter(world, 256)
+
+    def budgets() -> tuple[int, ...]:
+        front, core = limiter.front, limiter.core
+        return (
+            front._max_clients,
+            limiter.upstream._most,
+            front.max_pending_response_bytes,
+            front._max_unfinished_input_bytes,
+            core._memory,
+        )
+
+    alone = budgets()
+    limiter.limit_beside_predecessor(held)
+    both = budgets()
+    assert both[0] + both[1] + held <= sum(alone[:2]) or both[0] + both[1] == MIN_CONNECTIONS
+    assert all(2 * part <= whole + 1 for part, whole in zip(both[2:], alone[2:], strict=True))
+    limiter.limit_beside_predecessor(None)
+    assert budgets() == alone
--- a/tests/test_net_parts.py
+++ b/tests/test_net_parts.py
@@ -2,22 +2,18 @@
 
 from __future__ import annotations
 
-import contextlib
 from math import inf
 from typing import Any
 
 import pytest
-from hypothesis import given
-from hypothesis import strategies as st
 from twisted.internet.defer import Deferred
 
-from tests.limiter import SETTINGS, command, request
+from tests.limiter import SETTINGS, request
 from tests.network_support import (
     InMemoryNetwork,
     endpoint_update,
     make_attempt_spec,
     make_backend_connections,
-    make_limiter,
     parse_command,
     served_reply,
     world,
@@ -38,14 +34,11 @@
 from thymeflow.decision.policy import SPEAK_EVERY
 from thymeflow.decision.settings import Limits
 from thymeflow.decision.types import EndpointListKind, Status
-from thymeflow.discovery.http import Body, HttpError
 from thymeflow.discovery.watch import Discovery
-from thymeflow.limiter.assembly import MIN_CONNECTIONS
 from thymeflow.platform.configuration import Address, EndpointUpdate, listed
 from thymeflow.runtime import clock
 from thymeflow.runtime.slot_table import SlotTable
 from thymeflow.simulator import settings_from
-from thymeflow.transport import resp
 from thymeflow.transport.commands import Call, Reader
 from thymeflow.transport.flow import Flow
 
@@ -300,25 +293,6 @@
     assert (table.get(old), table.remove(old), table.get(new)) == (None, None, "new")
 
 
-@given(st.lists(st.binary(max_size=40), min_size=1, max_size=5), st.data())
-def test_messages_are_found_however_the_bytes_are_cut(parts: list[bytes], data: st.DataObject) -> None:
-    text = command(*parts) + resp.bulk(b"x") + b"-ERR e\r\n:-5\r\n$-1\r\n"
-    parser, found, place = resp.Parser(), list[resp.Event](), 0
-    while place < len(text):
-        step = data.draw(st.integers(1, 30))
-        found += parser.feed(text[place : place + step])[0]
-        place += step
-    assert found == [parts, b"x", resp.Problem(b"ERR e"), -5, None]
-
-
-@given(st.binary(max_size=200))
-def test_any_bytes_are_messages_or_the_parsers_own_fault(text: bytes) -> None:
-    for start in (b"", b"*2\r\n$1\r\nx\r\n", b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"):
-        assert isinstance(resp.Parser().feed(start + text)[1], str)
-        with contextlib.suppress(HttpError):
-            Body().feed(start + text)
-
-
 @pytest.mark.parametrize(
     "change",
     [
@@ -378,40 +352,3 @@
     core.counter = counter
     core._carry_out(AddToCounter(5, 1.0, 20.0))
     assert settings.information.counter_timeout < counter.until - clock.now() < SPEAK_EVERY
-
-
-def test_a_table_full_of_those_who_say_nothing_still_takes_a_usual_one(world: InMemoryNetwork) -> None:
-    front = make_limiter(world, 64).front
-    silent = [world.connected(front.buildProtocol(None)) for _ in range(16)]  # all the room there is
-    world.reactor.advance(0.04)
-    assert front.buildProtocol(None) is None  # they may be about to ask
-    world.reactor.advance(0.02)
-    usual = world.connected(front.buildProtocol(None))
-    usual.dataReceived(command(b"PING"))
-    assert usual.transport.value() and silent[0].transport.disconnected
-    assert not any(client.transport.disconnected for client in silent[1:])
-
-
-@pytest.mark.parametrize("held", [0, 50, 150, 1000])
-def test_beside_an_earlier_life_both_keep_one_limiters_limits_until_it_has_gone(
-    world: InMemoryNetwork, held: int
-) -> None:
-    limiter = make_limiter(world, 256)
-
-    def budgets() -> tuple[int, ...]:
-        front, core = limiter.front, limiter.core
-        return (
-            front._max_clients,
-            limiter.upstream._most,
-            front.max_pending_response_bytes,
-            front._max_unfinished_input_bytes,
-            core._memory,
-        )
-
-    alone = budgets()
-    limiter.limit_beside_predecessor(held)
-    both = budgets()
-    assert both[0] + both[1] + held <= sum(alone[:2]) or both[0] + both[1] == MIN_CONNECTIONS
-    assert all(2 * part <= whole + 1 for part, whole in zip(both[2:], alone[2:], strict=True))
-    limiter.limit_beside_predecessor(None)
-    assert budgets() == alone
--- a/tests/test_long.py
+++ b/tests/transport/test_long.py
@@ -10,8 +10,6 @@
 from pathlib import Path
 
 import pytest
-from hypothesis import given
-from hypothesis import strategies as st
 
 from tests.helpers import ended, sends, started
 from tests.helpers import request as asked
@@ -54,35 +52,6 @@
     return [server.file.read(int(server.line()[1:]) + 2)[:-2] for _ in range(4)] + [server.line()]
 
 
-@given(
-    st.lists(st.binary(max_size=20), min_size=0, max_size=3),
-    st.integers(1, 40),
-    st.lists(st.binary(max_size=20), min_size=0, max_size=2),
-    st.data(),
-)
-def test_however_the_bytes_are_cut_the_events_are_the_same(
-    before: list[bytes], more: int, after: list[bytes], data: st.DataObject
-) -> None:
-    value = b"\r\n$" * ((resp.MAX_VALUE + more) // 3 + 1)
-    text = b"*%d\r\n" % (len(before) + 1 + len(after)) + b"".join(map(resp.bulk, [*before, value, *after]))
-    text += command(b"PING")
-    parser, found, place = resp.Parser(resp.MOST_LONG), list[resp.Event](), 0
-    while place < len(text):
-        step = data.draw(st.integers(1, 30) if place < 40 or place > len(text) - 99 else st.integers(2**14, 2**16))
-        events, fault = parser.feed(text[place : place + step])
-        assert not fault and parser.held() < 200
-        found, place = found + events, place + step
-    parts = [event.data for event in found if isinstance(event, resp.Part)]
-    assert b"".join(parts) == value
-    assert [event for event in found if not isinstance(event, resp.Part)] == [
-        resp.Begin(list(before), len(value), len(after)),
-        resp.Closed(),
-        resp.End(list(after)),
-        [b"PING"],
-    ]
-    assert not parser.is_incomplete()
-
-
 def test_a_long_answer_is_passed_on_as_it_comes_and_its_connection_is_used_again(limiter: Limiter) -> None:
     client = limiter.connect()
     server = passed_on(limiter, client, 1)
--- /dev/null
+++ b/tests/transport/test_resp.py
@@ -0,0 +1,60 @@
+"""The RESP2 parser, with the bytes cut in every way and with bytes that are no messages."""
+
+from __future__ import annotations
+
+import contextlib
+
+from hypothesis import given
+from hypothesis import strategies as st
+
+from tests.limiter import command
+from thymeflow.discovery.http import Body, HttpError
+from thymeflow.transport import resp
+
+
+@given(st.lists(st.binary(max_size=40), min_size=1, max_size=5), st.data())
+def test_messages_are_found_however_the_bytes_are_cut(parts: list[bytes], data: st.DataObject) -> None:
+    text = command(*parts) + resp.bulk(b"x") + b"-ERR e\r\n:-5\r\n$-1\r\n"
+    parser, found, place = resp.Parser(), list[resp.Event](), 0
+    while place < len(text):
+        step = data.draw(st.integers(1, 30))
+        found += parser.feed(text[place : place + step])[0]
+        place += step
+    assert found == [parts, b"x", resp.Problem(b"ERR e"), -5, None]
+
+
+@given(st.binary(max_size=200))
+def test_any_bytes_are_messages_or_the_parsers_own_fault(text: bytes) -> None:
+    for start in (b"", b"*2\r\n$1\r\nx\r\n", b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"):
+        assert isinstance(resp.Parser().feed(start + text)[1], str)
+        with contextlib.suppress(HttpError):
+            Body().feed(start + text)
+
+
+@given(
+    st.lists(st.binary(max_size=20), min_size=0, max_size=3),
+    st.integers(1, 40),
+    st.lists(st.binary(max_size=20), min_size=0, max_size=2),
+    st.data(),
+)
+def test_however_the_bytes_are_cut_the_events_are_the_same(
+    before: list[bytes], more: int, after: list[bytes], data: st.DataObject
+) -> None:
+    value = b"\r\n$" * ((resp.MAX_VALUE + more) // 3 + 1)
+    text = b"*%d\r\n" % (len(before) + 1 + len(after)) + b"".join(map(resp.bulk, [*before, value, *after]))
+    text += command(b"PING")
+    parser, found, place = resp.Parser(resp.MOST_LONG), list[resp.Event](), 0
+    while place < len(text):
+        step = data.draw(st.integers(1, 30) if place < 40 or place > len(text) - 99 else st.integers(2**14, 2**16))
+        events, fault = parser.feed(text[place : place + step])
+        assert not fault and parser.held() < 200
+        found, place = found + events, place + step
+    parts = [event.data for event in found if isinstance(event, resp.Part)]
+    assert b"".join(parts) == value
+    assert [event for event in found if not isinstance(event, resp.Part)] == [
+        resp.Begin(list(before), len(value), len(after)),
+        resp.Closed(),
+        resp.End(list(after)),
+        [b"PING"],
+    ]
+    assert not parser.is_incomplete()
