--- a/tests/network_support.py
+++ b/tests/network_support.py
@@ -76,7 +76,7 @@
         transport.getHandle = lambda: transport.handle
         transport.setTcpNoDelay = lambda on: setattr(transport.handle, "no_delay", on)
         transport.registerProducer = lambda producer, streaming: None
-        protocol.departed = lambda: transport.handle.departed
+        protocol.has_peer_closed = lambda: transport.handle.departed
         protocol.makeConnection(transport)
         return protocol
 
--- a/tests/test_start.py
+++ b/tests/test_start.py
@@ -19,8 +19,7 @@
 from tests.limiter import PATIENCE, SETTINGS, Limiter, Peer, command, refused, request
 from tests.network_support import InMemoryNetwork, world
 from thymeflow.discovery.watch import FIRST, HEARTBEATS, SILENCE, Discovery
-from thymeflow.frontend.listener import bound
-from thymeflow.frontend.listener import opened as opened_at
+from thymeflow.frontend.listener import bound, opened
 from thymeflow.limiter.assembly import Limiter as Assembled
 from thymeflow.limiter.phases import Phase
 from thymeflow.platform.configuration import Address, from_source
@@ -32,7 +31,7 @@
 __all__ = ["world"]
 
 
-def opened(limiter: Limiter) -> Peer:
+def connect_when_open(limiter: Limiter) -> Peer:
     """A connection, as soon as there is one to be had."""
     limiter.log("listening:")
     return limiter.connect()
@@ -62,7 +61,7 @@
         watch, _ = limiter.watch()
         assert refused(limiter)  # its start is over, and it was told nothing yet
         limiter.tell(watch, 44, limiter.entry(0, "leaving"))
-        clients = {0: opened(limiter)}
+        clients = {0: connect_when_open(limiter)}
         clients |= {number: limiter.connect() for number in range(1, 50)}
         for number, client in clients.items():
             client.send(request(number))
@@ -144,7 +143,7 @@
             limiter.process = limiter.start()
             watch, _ = limiter.watch()
             limiter.tell(watch, 44, limiter.entry(0))
-            client = opened(limiter)
+            client = connect_when_open(limiter)
             client.send(request(number))
             server = limiter.servers[0].accept()
             assert server.words()[2] == b"%016x" % number
@@ -205,7 +204,7 @@
     source = {"listen": "127.0.0.1:0", "discovery": "127.0.0.1:8", "counter": "127.0.0.1:9", "settings": SETTINGS}
     limiter = Assembled(from_source(source, "c.json", {}), world.reactor)
     world.reactor.adoptStreamPort = lambda descriptor, family, factory: Port()
-    limiter.listen(opened_at(bound("127.0.0.1", 0)), waited=True)
+    limiter.listen(opened(bound("127.0.0.1", 0)), waited=True)
     world.reactor.advance(0.5)
     assert limiter.deadlines.earliest_arrival(clock.now()) == clock.now()  # nothing is read yet
     limiter.discovery.is_ready = True
--- a/thymeflow/frontend/client_connection.py
+++ b/thymeflow/frontend/client_connection.py
@@ -209,7 +209,7 @@
         idle = self.idle_seconds(now)
         if self._front.is_draining and idle > DRAIN_GRACE:
             idle_timeout = 0.0  # who sends no request at once is disconnected, and who often sends PING stays
-        if not self._is_reading and self.departed():
+        if not self._is_reading and self.has_peer_closed():
             self.transport.abortConnection()
         elif self._is_write_closed or not self.flushed:
             stalled = now - self._last_activity_at > WRITE_STALL_TIMEOUT
@@ -299,7 +299,7 @@
 
     def is_present(self) -> bool:
         """Return whether the client is still connected, also where it isn't read from or our turn came late."""
-        return not self.departed()
+        return not self.has_peer_closed()
 
     def connectionLost(self, reason: Failure = connectionDone) -> None:  # noqa: ARG002  # Twisted passes it
         """Cancel everything that is open: no response can reach the client any more."""
--- a/thymeflow/transport/connections.py
+++ b/thymeflow/transport/connections.py
@@ -68,7 +68,7 @@
     def stopProducing(self) -> None:
         """Do nothing: the transport will write no more, and `connectionLost` follows."""
 
-    def departed(self) -> bool:
+    def has_peer_closed(self) -> bool:
         """Return whether the peer has closed the connection, read or not."""
         descriptor = self.transport.fileno()
         if descriptor < 0:
