--- a/tests/frontend/test_endings.py
+++ b/tests/frontend/test_endings.py
@@ -35,6 +35,7 @@
 from thymeflow.decision.types import Status
 from thymeflow.frontend.client_connection import CROWDED_IDLE_TIMEOUT, LINGER_TIMEOUT
 from thymeflow.frontend.frontend import IDLE_TIMEOUT
+from thymeflow.limiter.assembly import Limiter as AssembledLimiter
 from thymeflow.limiter.lifecycle import MAX_AWAITED_DEADLINE, TERMINATION_LINGER, Lifecycle
 from thymeflow.limiter.management import Management
 from thymeflow.limiter.phases import Phase
@@ -173,7 +174,7 @@
         assert limiter.process.wait(PATIENCE) == 0
 
 
-def connect_client(world: InMemoryNetwork) -> tuple[Any, Any]:
+def connect_client(world: InMemoryNetwork) -> tuple[AssembledLimiter, Any]:
     """A limiter in memory with one server, and a user agent of it; the agent notes whether it was aborted."""
     limiter = make_limiter(world, 256)
     limiter.on_endpoints_changed(endpoint_update("active", reset=True))
--- a/thymeflow/frontend/client_connection.py
+++ b/thymeflow/frontend/client_connection.py
@@ -53,7 +53,7 @@
         self._body_slot: PipelineSlot | None = None  # whose streamed body is being received
         self._is_body_blocked = False  # the reader of that body has no capacity
         self.handle = -1
-        self._is_reading = True  # what we told the transport
+        self._is_reading = True  # what the transport was last asked for
         self._is_evicted = False  # its slot was given to another
         self._has_sent_command = False
         self._has_sent_request = False  # a PING alone doesn't count, and doesn't keep a connection open
@@ -158,7 +158,7 @@
         self._update_reading()
 
     def _fail_body(self) -> None:
-        # It stops in the middle: whoever forwards it must not wait for the rest.
+        # It stops in the middle: the backend connection must not wait for the rest.
         slot = self._body_slot
         self._body_slot = None
         self._is_body_blocked = False
@@ -274,7 +274,7 @@
         is_late = self._last_activity_at - self._arrived_at > LATE_ARRIVAL
         if body is None and (is_late or deadline == exit_deadline):
             # Its time runs from when it reached this machine: what a stall took of it is gone, as is what comes
-            # after the end of a process that was told to end.
+            # after the end of a process that is shutting down.
             request = request._replace(remaining=deadline - self._last_activity_at)
         slot.response_deferred = core.submit(IncomingRequest(request, deadline, call, size, self.is_present))
         slot.response_deferred.addCallbacks(self._answered, lambda _: None, callbackArgs=(slot,))
--- a/thymeflow/limiter/lifecycle.py
+++ b/thymeflow/limiter/lifecycle.py
@@ -111,7 +111,7 @@
             self.port.startReading()
 
     def terminate(self, linger: float | None = None) -> None:
-        """Shut down gracefully (SIGTERM or SIGINT); `linger` in seconds, where nobody needs the time to notice."""
+        """Shut down gracefully (SIGTERM or SIGINT); `linger` in seconds, where no balancer needs the time to notice."""
         if self.phase not in (Phase.DRAINING, Phase.STOPPED):
             self._is_lingering = self.phase is Phase.SERVING
             self._enter(Phase.DRAINING)
--- a/thymeflow/transport/flow.py
+++ b/thymeflow/transport/flow.py
@@ -29,7 +29,7 @@
 
 
 class NullSink:
-    """Discards a value that nobody wants, so that the source's connection stays in step."""
+    """Discards a value without a reader, so that the source's connection stays in step."""
 
     flushed = True
 
