--- a/benchmarks/in_service.py
+++ b/benchmarks/in_service.py
@@ -14,7 +14,7 @@
 import tempfile
 import threading
 import time
-from collections import Counter as RequestCounters
+from collections import Counter as EventCounts
 from pathlib import Path
 from typing import Any
 
@@ -134,7 +134,7 @@
         yield sleep(0.05)
     copy.process.send_signal(signal.SIGTERM)
     results = world.agents.results
-    found = RequestCounters(r.verdict for r in results)
+    found = EventCounts(r.verdict for r in results)
     resent, twice = sum(r.resent for r in results), len(world.answered_twice()) + len(world.unlawful())
     good = not (found["refused connect"] or found["unanswered"] or twice)
     print(
--- a/benchmarks/prove_fleet.py
+++ b/benchmarks/prove_fleet.py
@@ -17,7 +17,7 @@
 import sys
 import tempfile
 import time
-from collections import Counter as RequestCounters
+from collections import Counter as EventCounts
 from pathlib import Path
 from typing import Any
 
@@ -198,7 +198,7 @@
         """What was seen from outside."""
         world = self.world
         results = world.agents.results
-        verdicts = RequestCounters(r.verdict for r in results)
+        verdicts = EventCounts(r.verdict for r in results)
         allowed = PARTY[1][1] + PARTY[1][0] * span + MARGIN
         sent = [world.units_sent(Customer(1 + n, PARTY[0], PARTY_PACE)) for n in range(MEMBERS)]
         asked = PARTY_PACE * span
--- a/tests/frontend/test_endings.py
+++ b/tests/frontend/test_endings.py
@@ -24,10 +24,10 @@
 from tests.limiter import PATIENCE, SETTINGS, Limiter, Peer, command, refused, request
 from tests.network_support import (
     InMemoryNetwork,
-    endpoint_update,
     make_attempt_spec,
     make_backend_connections,
     make_limiter,
+    one_backend_update,
     parse_command,
     served_reply,
     world,
@@ -177,8 +177,8 @@
 def connect_client(world: InMemoryNetwork) -> tuple[AssembledLimiter, Any]:
     """A limiter in memory with one server, and a user agent of it; the agent notes whether it was aborted."""
     limiter = make_limiter(world, 256)
-    limiter.on_endpoints_changed(endpoint_update("active", reset=True))
-    client = world.connected(limiter.front.buildProtocol(None))
+    limiter.on_endpoints_changed(one_backend_update("active", reset=True))
+    client = world.connected(limiter.frontend.buildProtocol(None))
     client.aborted = False
 
     def abort() -> None:
@@ -229,22 +229,22 @@
     limiter.connect(clock.now() + 1.0)  # discovery and the counter
     client.dataReceived(request(1))  # a server
     callers = Management(world.deadlines, lambda word: (True, ""))
-    made = [
+    make_gateway = [
         client,
         world.connected(callers.buildProtocol(None)),
         *(world.up(number) for number in range(len(world.reactor.tcpClients))),
     ]
-    assert len(made) == 2 + 1 + 3 + 1 and all(one.transport.handle.no_delay for one in made)
+    assert len(make_gateway) == 2 + 1 + 3 + 1 and all(one.transport.handle.no_delay for one in make_gateway)
 
 
 def test_a_full_table_drops_no_connection_on_which_bytes_wait(world: InMemoryNetwork) -> None:
-    front = make_limiter(world, 64).front
+    front = make_limiter(world, 64).frontend
     clients = [world.connected(front.buildProtocol(None)) for _ in range(front._max_clients)]
     for client in clients:
         client.dataReceived(command(b"PING"))
     world.reactor.advance(CROWDED_IDLE_TIMEOUT + 0.05)
     for client in clients[1:]:
-        client.transport.handle.unread = b"*"
+        client.transport.handle.has_unread_bytes = b"*"
     world.connected(front.buildProtocol(None))
     assert [client.transport.disconnected for client in clients].count(True) == 1 and clients[0].transport.disconnected
     assert front.buildProtocol(None) is None
@@ -263,12 +263,12 @@
         def doRead(self) -> None:
             if waiting:
                 waiting.pop()
-                taken.append(world.connected(limiter.front.buildProtocol(None)))
+                taken.append(world.connected(limiter.frontend.buildProtocol(None)))
 
         def stopListening(self) -> None:
             assert not waiting and len(taken) == 7
 
-    lifecycle = Lifecycle(world.deadlines, limiter.core, limiter.front, 1.0, lambda: None)
+    lifecycle = Lifecycle(world.deadlines, limiter.core, limiter.frontend, 1.0, lambda: None)
     lifecycle.phase, lifecycle.port = Phase.SERVING, Port()
     lifecycle.terminate(0.0)
     world.reactor.advance(0.01)
@@ -279,15 +279,15 @@
 def test_a_pass_that_waited_for_its_connection_is_written_only_where_it_still_stands(
     world: InMemoryNetwork, why: str
 ) -> None:
-    made, ends = make_backend_connections(world)
+    make_gateway, ends = make_backend_connections(world)
     there = [True]
     void = make_attempt_spec()._replace(
         is_connected=lambda: there[0], start_before=clock.now() + 0.3 if why == "past the window" else inf
     )
-    made.begin(void).addCallback(ends.append)
-    made.begin(make_attempt_spec()).addCallback(ends.append)
+    make_gateway.start_attempt(void).addCallback(ends.append)
+    make_gateway.start_attempt(make_attempt_spec()).addCallback(ends.append)
     if why == "late":
-        void_pass = made._passes.all()[0]
+        void_pass = make_gateway._attempts.items()[0]
         void_pass.order = void_pass.order._replace(deadline=clock.now() + 0.2)  # its timer has not had its turn
     there[0] = why != "left"
     world.reactor.rightNow += 0.4
@@ -297,11 +297,11 @@
 
 
 def test_a_connection_that_ends_as_it_comes_up_strands_no_pass(world: InMemoryNetwork) -> None:
-    made, ends = make_backend_connections(world)
-    made.begin(make_attempt_spec()).addCallback(ends.append)
-    made.begin(make_attempt_spec()).addCallback(ends.append)
-    world.up(0, unread=b"-BUSY\r\n")  # no room there: it says so at once, or closes
-    assert [end.status for end in ends] == [Status.CONNECT_FAILED] and made.count == 1
+    make_gateway, ends = make_backend_connections(world)
+    make_gateway.start_attempt(make_attempt_spec()).addCallback(ends.append)
+    make_gateway.start_attempt(make_attempt_spec()).addCallback(ends.append)
+    world.up(0, has_unread_bytes=b"-BUSY\r\n")  # no room there: it says so at once, or closes
+    assert [end.status for end in ends] == [Status.CONNECT_FAILED] and make_gateway.open_connections == 1
     world.up(1).dataReceived(served_reply(b"v"))
     assert [end.status for end in ends] == [Status.CONNECT_FAILED, Status.OK]
 
@@ -316,7 +316,7 @@
 
 def test_what_comes_while_it_is_told_to_end_is_answered_before_it_may_be_killed(world: InMemoryNetwork) -> None:
     limiter, client = connect_client(world)
-    lifecycle = Lifecycle(world.deadlines, limiter.core, limiter.front, 60.0, lambda: None)
+    lifecycle = Lifecycle(world.deadlines, limiter.core, limiter.frontend, 60.0, lambda: None)
     lifecycle.phase = Phase.SERVING
     lifecycle.terminate()
     told = clock.now()
--- a/tests/frontend/test_limits.py
+++ b/tests/frontend/test_limits.py
@@ -12,7 +12,7 @@
 
 
 def test_a_table_full_of_those_who_say_nothing_still_takes_a_usual_one(world: InMemoryNetwork) -> None:
-    front = make_limiter(world, 64).front
+    front = make_limiter(world, 64).frontend
     silent = [world.connected(front.buildProtocol(None)) for _ in range(16)]  # all the room there is
     world.reactor.advance(0.04)
     assert front.buildProtocol(None) is None  # they may be about to ask
@@ -30,13 +30,13 @@
     limiter = make_limiter(world, 256)
 
     def budgets() -> tuple[int, ...]:
-        front, core = limiter.front, limiter.core
+        front, core = limiter.frontend, limiter.core
         return (
             front._max_clients,
-            limiter.upstream._most,
+            limiter.upstream._max_connections,
             front.max_pending_response_bytes,
             front._max_unfinished_input_bytes,
-            core._memory,
+            core._requests.memory_limit,
         )
 
     alone = budgets()
--- a/tests/network_support.py
+++ b/tests/network_support.py
@@ -9,14 +9,15 @@
 
 from tests.limiter import SETTINGS, request
 from thymeflow.backends.backends import BackendConnections
-from thymeflow.core.dispatcher import AttemptResult, AttemptSpec
+from thymeflow.core.types import AttemptResult, AttemptSpec
 from thymeflow.decision.settings import Limits
 from thymeflow.limiter.assembly import Limiter
-from thymeflow.platform.configuration import EndpointUpdate, from_source, listed
+from thymeflow.platform.configuration import from_source
+from thymeflow.platform.endpoints import EndpointUpdate, endpoint_update
+from thymeflow.platform.settings import settings_from
 from thymeflow.runtime import clock
-from thymeflow.simulator import settings_from
 from thymeflow.transport import resp
-from thymeflow.transport.commands import Reader
+from thymeflow.transport.commands import CallReader
 
 SMALL_PLAN: dict[str, Any] = {"tiers-of-service": [{"name": "basic", "refill": 2.0, "most-at-once": 16.0}]}
 SERVED_REPLY = b"*3\r\n$5\r\nvalue\r\n$14\r\nused=37,cost=2\r\n$11\r\navg_ms=14.5\r\n"
@@ -29,7 +30,7 @@
     def __init__(self, transport: Any) -> None:
         self.transport = transport
         self.max_bytes = KERNEL_BUFFER
-        self.unread = b""
+        self.has_unread_bytes = b""
         self.departed = False  # the other end has closed
         self.half_closed = False
         self.no_delay = False
@@ -43,9 +44,9 @@
 
     def recv(self, max_bytes: int, flags: int) -> bytes:
         """Return the bytes that wait, without removing them."""
-        if not self.unread:
+        if not self.has_unread_bytes:
             raise BlockingIOError
-        return self.unread[:max_bytes]
+        return self.has_unread_bytes[:max_bytes]
 
     def shutdown(self, how: int) -> None:
         """Note the half-close."""
@@ -63,16 +64,16 @@
         monkeypatch.setattr(clock, "now", lambda: 1e9 + self.reactor.seconds())
         self.deadlines = clock.Deadlines(self.reactor)
 
-    def up(self, number: int, unread: bytes = b"") -> Any:
+    def up(self, number: int, has_unread_bytes: bytes = b"") -> Any:
         """Let the dial of that number succeed; return the protocol, with the handle of its socket."""
         *_, factory, _, _ = self.reactor.tcpClients[number]
-        return self.connected(factory.buildProtocol(None), unread)
+        return self.connected(factory.buildProtocol(None), has_unread_bytes)
 
-    def connected(self, protocol: Any, unread: bytes = b"") -> Any:
+    def connected(self, protocol: Any, has_unread_bytes: bytes = b"") -> Any:
         """Return the protocol on a connection in memory, with bytes that wait there."""
         transport: Any = StringTransport()  # type: ignore[no-untyped-call]
         transport.handle = FakeSocket(transport)
-        transport.handle.unread = unread
+        transport.handle.has_unread_bytes = has_unread_bytes
         transport.getHandle = lambda: transport.handle
         transport.setTcpNoDelay = lambda on: setattr(transport.handle, "no_delay", on)
         transport.registerProducer = lambda producer, streaming: None
@@ -108,7 +109,7 @@
 
 def make_attempt_spec() -> AttemptSpec:
     """Return an attempt at backend 1 with three seconds left."""
-    call, _ = Reader(settings_from(SETTINGS)).read(parse_command(request(1)))
+    call, _ = CallReader(settings_from(SETTINGS)).read(parse_command(request(1)))
     return AttemptSpec(1, call, clock.now() + 3.0)
 
 
@@ -120,11 +121,11 @@
 def make_backend_connections(world: InMemoryNetwork) -> tuple[BackendConnections, list[AttemptResult]]:
     """Return the connections to one active backend, and a list for the results of attempts."""
     connections = BackendConnections(world.reactor, world.deadlines, Limits(), 10)
-    connections.listed(endpoint_update("active", reset=True))
+    connections.apply_update(one_backend_update("active", reset=True))
     return connections, []
 
 
-def endpoint_update(lifecycle: str, reset: bool = False) -> EndpointUpdate:
+def one_backend_update(lifecycle: str, reset: bool = False) -> EndpointUpdate:
     """Return an endpoint list of one backend in that state."""
     entry = {"instanceId": "s-00000001", "hostPort": "127.0.0.1:9", "lifecycle": lifecycle}
-    return listed({"generation": 1, "reset": reset, "instances": [entry]})
+    return endpoint_update({"generation": 1, "reset": reset, "instances": [entry]})
--- a/tests/test_management.py
+++ b/tests/test_management.py
@@ -17,7 +17,7 @@
 from tests.limiter import PATIENCE, ROOT, Limiter, command, request
 from tests.network_support import SERVED_REPLY
 from thymeflow.limiter.management import MAX_CALLERS, MAX_LINE
-from thymeflow.limiter.phases import TRANSITIONS, Phase, Word, called
+from thymeflow.limiter.phases import TRANSITIONS, OperatorCommand, Phase, apply_command
 
 
 @pytest.fixture
@@ -33,13 +33,13 @@
         return client.line()[:1], limiter.call(b"readyz\n")[:1]
 
 
-@pytest.mark.parametrize(("phase", "word"), list(itertools.product(Phase, Word)))
-def test_every_call_has_an_outcome_in_every_phase(phase: Phase, word: Word) -> None:
-    after, yes, why = called(phase, word, phase is Phase.SERVING)
+@pytest.mark.parametrize(("phase", "word"), list(itertools.product(Phase, OperatorCommand)))
+def test_every_call_has_an_outcome_in_every_phase(phase: Phase, word: OperatorCommand) -> None:
+    after, yes, why = apply_command(phase, word, phase is Phase.SERVING)
     assert why and (yes or after is phase), "a no changes nothing"
     assert after is phase or {phase, after} == {Phase.SERVING, Phase.EVACUATED}
-    assert yes == ((phase, word) in TRANSITIONS) or word is Word.READY
-    assert called(after, word, yes)[:2] == (after, yes), "twice the same call is once"
+    assert yes == ((phase, word) in TRANSITIONS) or word is OperatorCommand.READY
+    assert apply_command(after, word, yes)[:2] == (after, yes), "twice the same call is once"
 
 
 @pytest.mark.parametrize(
--- a/tests/test_message_formats.py
+++ b/tests/test_message_formats.py
@@ -352,7 +352,7 @@
     for phase in phases.Phase:
         for word in ("readyz", "evacuate", "activate"):
             for takes in (True, False):
-                after, yes, why = phases.called(phase, phases.Word(word), takes)
+                after, yes, why = phases.apply_command(phase, phases.OperatorCommand(word), takes)
                 found.append([phase.value, word, takes, after.value, yes, why])
     bad = [management.answer(line, lambda _: (True, "")) for line in (b"", b"reload", b"\xff", b"READYZ")]
     same("operators' calls", [found, bad, management.answer(b" readyz\r", lambda word: (False, word.value))])
--- a/tests/test_net_parts.py
+++ b/tests/test_net_parts.py
@@ -11,35 +11,31 @@
 from tests.limiter import SETTINGS, request
 from tests.network_support import (
     InMemoryNetwork,
-    endpoint_update,
     make_attempt_spec,
     make_backend_connections,
+    one_backend_update,
     parse_command,
     served_reply,
     world,
 )
-from thymeflow import Gateway
-from thymeflow.backends.backends import HUNG, outcome_of
+from thymeflow.backends.backends import LONG_VALUE_TIMEOUT
 from thymeflow.backends.backends import STALL as ANSWER_STALL
-from thymeflow.core.dispatcher import (
-    AttemptSpec,
-    IncomingRequest,
-    RequestDispatcher,
-    Response,
-    ResponseKind,
-)
-from thymeflow.counter.client import DEAD, STALL, Line, Result
+from thymeflow.backends.replies import parse_attempt_result
+from thymeflow.core.dispatcher import RequestDispatcher
+from thymeflow.core.types import AttemptSpec, IncomingRequest, Response, ResponseKind
+from thymeflow.counter.client import DEAD_PEER_TIMEOUT, STALL, CallPipeline, CounterResult
 from thymeflow.decision.actions import Action, AddToCounter
 from thymeflow.decision.events import Event
-from thymeflow.decision.policy import SPEAK_EVERY
+from thymeflow.decision.gateway import Gateway
 from thymeflow.decision.settings import Limits
 from thymeflow.decision.types import EndpointListKind, Status
 from thymeflow.discovery.watch import Discovery
-from thymeflow.platform.configuration import Address, EndpointUpdate, listed
+from thymeflow.platform.endpoints import Address, EndpointUpdate, endpoint_update
+from thymeflow.platform.settings import settings_from
+from thymeflow.quota.token_bucket import MIN_CALL_INTERVAL
 from thymeflow.runtime import clock
 from thymeflow.runtime.slot_table import SlotTable
-from thymeflow.simulator import settings_from
-from thymeflow.transport.commands import Call, Reader
+from thymeflow.transport.commands import Call, CallReader
 from thymeflow.transport.flow import Flow
 
 # Tests of other packages import these from here.
@@ -52,12 +48,12 @@
 def test_a_pass_that_waits_for_a_connection_is_not_written_to_a_server_that_drains(
     world: InMemoryNetwork, news: str
 ) -> None:
-    made, ends = make_backend_connections(world)
-    made.begin(make_attempt_spec()).addCallback(ends.append)
-    made.listed(endpoint_update(news))
+    make_gateway, ends = make_backend_connections(world)
+    make_gateway.start_attempt(make_attempt_spec()).addCallback(ends.append)
+    make_gateway.apply_update(one_backend_update(news))
     assert [end.status for end in ends] == [Status.CONNECT_FAILED]
     assert world.up(0).transport.value() == b""
-    made.begin(make_attempt_spec()).addCallback(ends.append)
+    make_gateway.start_attempt(make_attempt_spec()).addCallback(ends.append)
     assert ends[1].status is Status.CONNECT_FAILED
 
 
@@ -65,15 +61,15 @@
     ("most", "status"), [(10**6, Status.RESET), (0, Status.CONNECT_FAILED), (7, Status.CONNECT_FAILED)]
 )
 def test_only_a_pass_written_to_its_last_byte_may_have_run(world: InMemoryNetwork, most: int, status: Status) -> None:
-    made, ends = make_backend_connections(world)
-    made.begin(make_attempt_spec()).addCallback(ends.append)
+    make_gateway, ends = make_backend_connections(world)
+    make_gateway.start_attempt(make_attempt_spec()).addCallback(ends.append)
     server = world.up(0)
     server.dataReceived(served_reply(b"v"))  # the connection is warm and idle now
-    made.begin(make_attempt_spec()).addCallback(ends.append)
+    make_gateway.start_attempt(make_attempt_spec()).addCallback(ends.append)
     server.dataReceived(served_reply(b"v"))
     server.transport.handle.max_bytes = most  # what the kernel does not take stays with the transport
     server.transport.clear()
-    made.begin(make_attempt_spec()).addCallback(ends.append)
+    make_gateway.start_attempt(make_attempt_spec()).addCallback(ends.append)
     assert parse_command(server.transport.value())[0] == b"SVC.QUERY"  # nothing missing, nothing twice
     server.connectionLost()
     assert [end.status for end in ends] == [Status.OK, Status.OK, status]
@@ -81,10 +77,10 @@
 
 
 def test_a_connection_that_comes_free_serves_the_pass_that_waits(world: InMemoryNetwork) -> None:
-    made, ends = make_backend_connections(world)
-    made.begin(make_attempt_spec()).addCallback(ends.append)
+    make_gateway, ends = make_backend_connections(world)
+    make_gateway.start_attempt(make_attempt_spec()).addCallback(ends.append)
     server = world.up(0)
-    made.begin(make_attempt_spec()).addCallback(ends.append)
+    make_gateway.start_attempt(make_attempt_spec()).addCallback(ends.append)
     server.dataReceived(served_reply(b"v"))
     server.dataReceived(served_reply(b"w"))
     assert [end.value for end in ends] == [b"v", b"w"]
@@ -92,10 +88,10 @@
 
 @pytest.mark.parametrize("behind", [served_reply(b"v"), b"!noise", b"$9\r\n", b"-BUSY\r\n"])
 def test_what_comes_behind_an_answer_is_nobodys_answer(world: InMemoryNetwork, behind: bytes) -> None:
-    made, ends = make_backend_connections(world)
-    made.begin(make_attempt_spec()).addCallback(ends.append)
+    make_gateway, ends = make_backend_connections(world)
+    make_gateway.start_attempt(make_attempt_spec()).addCallback(ends.append)
     server = world.up(0)
-    made.begin(make_attempt_spec()).addCallback(ends.append)  # waits for a connection
+    make_gateway.start_attempt(make_attempt_spec()).addCallback(ends.append)  # waits for a connection
     server.dataReceived(served_reply(b"v") + behind)
     assert [end.value for end in ends] == [b"v"]
     assert server.closed
@@ -104,13 +100,13 @@
 
 
 def test_a_connection_with_bytes_unread_is_not_used_again(world: InMemoryNetwork) -> None:
-    made, ends = make_backend_connections(world)
-    made.begin(make_attempt_spec()).addCallback(ends.append)
+    make_gateway, ends = make_backend_connections(world)
+    make_gateway.start_attempt(make_attempt_spec()).addCallback(ends.append)
     server = world.up(0)
     server.dataReceived(served_reply(b"v"))
     server.transport.clear()
-    server.transport.handle.unread = b"*3"  # it came after the look at what was read with the answer
-    made.begin(make_attempt_spec()).addCallback(ends.append)
+    server.transport.handle.has_unread_bytes = b"*3"  # it came after the look at what was read with the answer
+    make_gateway.start_attempt(make_attempt_spec()).addCallback(ends.append)
     assert (server.closed, server.transport.value()) == (True, b"")
     world.up(1).dataReceived(served_reply(b"w"))
     assert [end.value for end in ends] == [b"v", b"w"]
@@ -130,8 +126,8 @@
     ],
 )
 def test_a_spoilt_answer_is_an_error_soon_and_ends_its_connection(world: InMemoryNetwork, text: bytes) -> None:
-    made, ends = make_backend_connections(world)
-    made.begin(make_attempt_spec()).addCallback(ends.append)
+    make_gateway, ends = make_backend_connections(world)
+    make_gateway.start_attempt(make_attempt_spec()).addCallback(ends.append)
     server = world.up(0)
     server.dataReceived(text)
     world.reactor.advance(ANSWER_STALL + 0.01)
@@ -141,14 +137,14 @@
 
 @pytest.mark.parametrize("text", [b"used=nan,cost=inf", b"used=-1,cost=-2", b"used=1e300,cost=nan", b"used,cost=x"])
 def test_figures_that_cannot_be_believed_reach_nobody(text: bytes) -> None:
-    found = outcome_of([b"v", text, b"avg_ms=nan"])
+    found = parse_attempt_result([b"v", text, b"avg_ms=nan"])
     assert found is not None
     assert (found.status, found.quota_usage, found.actual_units, found.load_report) == (Status.OK, None, None, None)
 
 
 def test_idle_connections_go_before_the_other_end_closes_them(world: InMemoryNetwork) -> None:
-    made, ends = make_backend_connections(world)
-    made.begin(make_attempt_spec()).addCallback(ends.append)
+    make_gateway, ends = make_backend_connections(world)
+    make_gateway.start_attempt(make_attempt_spec()).addCallback(ends.append)
     server = world.up(0)
     server.dataReceived(served_reply(b"v"))
     world.reactor.pump([1.0] * int(Limits().connection_idle - 1))
@@ -157,16 +153,16 @@
 
 @pytest.mark.parametrize("moves", [True, False])
 def test_a_long_body_is_given_up_where_nothing_of_it_is_taken(world: InMemoryNetwork, moves: bool) -> None:
-    made, ends = make_backend_connections(world)
+    make_gateway, ends = make_backend_connections(world)
     body = Flow(300_000, lambda waits: None, lambda: None)
     call = make_attempt_spec().payload
     assert isinstance(call, Call)
-    made.begin(AttemptSpec(1, call._replace(flow=body), inf)).addCallback(ends.append)
+    make_gateway.start_attempt(AttemptSpec(1, call._replace(flow=body), inf)).addCallback(ends.append)
     server = world.up(0)
     server.transport.handle.max_bytes = 0  # the kernel's buffer is full
     for _ in range(4):
         body.push(b"x" * 1000)
-        world.reactor.pump([0.1] * round(0.4 * HUNG / 0.1))
+        world.reactor.pump([0.1] * round(0.4 * LONG_VALUE_TIMEOUT / 0.1))
         if moves:
             server.resumeProducing()  # a little has gone
     if moves:
@@ -174,11 +170,11 @@
         body.fail()
         assert ends[0].status is Status.CANCELLED
     else:
-        assert ends[0].status is Status.CONNECT_FAILED and server.closed and not body.waits
+        assert ends[0].status is Status.CONNECT_FAILED and server.closed and not body.is_paused
 
 
 def test_a_counter_call_given_up_keeps_its_place_in_line(world: InMemoryNetwork) -> None:
-    line = Line(world.reactor, world.deadlines, Address("127.0.0.1", 9))
+    line = CallPipeline(world.reactor, world.deadlines, Address("127.0.0.1", 9))
     results: list[tuple[Status, float]] = []
     line.connect()
     wire = world.up(0)
@@ -198,7 +194,7 @@
 def test_a_counter_that_cannot_be_followed_is_left_before_its_answers_shift(
     world: InMemoryNetwork, noise: bytes
 ) -> None:
-    line, results = Line(world.reactor, world.deadlines, Address("127.0.0.1", 9)), list[Result]()
+    line, results = CallPipeline(world.reactor, world.deadlines, Address("127.0.0.1", 9)), list[CounterResult]()
     line.connect()
     wire = world.up(0)
     line.call(b"first", clock.now() + 0.03).addCallback(results.append)
@@ -215,7 +211,7 @@
 def test_a_counter_that_writes_in_pieces_is_followed_and_one_that_stops_half_way_is_left(
     world: InMemoryNetwork, gap: float
 ) -> None:
-    line, results = Line(world.reactor, world.deadlines, Address("127.0.0.1", 9)), list[Result]()
+    line, results = CallPipeline(world.reactor, world.deadlines, Address("127.0.0.1", 9)), list[CounterResult]()
     line.connect()
     wire = world.up(0)
     for part in (b"$1", b"\r\n", b"7\r", b"\n"):
@@ -225,11 +221,11 @@
     assert wire.closed == (gap > STALL) and len(results) == 4
     if not wire.closed:
         wire.message(b"9")  # the second call's: the line is in step
-        assert [call.reported for call in line.written] == [True, True]
+        assert [call.is_reported for call in line.written] == [True, True]
 
 
 def test_a_broken_counter_line_tells_what_may_have_been_added(world: InMemoryNetwork) -> None:
-    line, results = Line(world.reactor, world.deadlines, Address("127.0.0.1", 9)), list[Status]()
+    line, results = CallPipeline(world.reactor, world.deadlines, Address("127.0.0.1", 9)), list[Status]()
     line.call(b"unwritten", clock.now() + 0.03).addCallback(lambda r: results.append(r[0]))
     world.reactor.advance(0.04)
     assert results == [Status.CONNECT_FAILED]
@@ -242,10 +238,10 @@
 
 
 def test_a_counter_that_has_gone_without_a_word_is_dialled_anew(world: InMemoryNetwork) -> None:
-    line = Line(world.reactor, world.deadlines, Address("127.0.0.1", 9))
+    line = CallPipeline(world.reactor, world.deadlines, Address("127.0.0.1", 9))
     line.connect()
     wire = world.up(0)
-    for _ in range(int(DEAD / 0.05) + 2):
+    for _ in range(int(DEAD_PEER_TIMEOUT / 0.05) + 2):
         line.call(b"x", clock.now() + 0.03)
         world.reactor.advance(0.05)
     assert wire.closed
@@ -266,7 +262,7 @@
     assert len(world.reactor.tcpClients) == 1
     world.reactor.pump([0.1] * 49)  # two of them have not come
     assert len(world.reactor.tcpClients) == 2
-    watch.fetch()
+    watch.fetch_complete_list()
     whole = world.up(2)
     assert whole.transport.value().startswith(b"GET /api/targets HTTP/1.1\r\n")
     whole.transport.abortConnection = lambda: None
@@ -309,7 +305,7 @@
 def test_a_senseless_entry_of_the_list_is_refused(change: dict[str, Any]) -> None:
     good = {"instanceId": "s-00000001", "hostPort": "127.0.0.1:9", "lifecycle": "active"}
     with pytest.raises((ValueError, KeyError, TypeError)):
-        listed({"generation": 1, "instances": [{**good, **change}]})
+        endpoint_update({"generation": 1, "instances": [{**good, **change}]})
 
 
 class Odd:
@@ -329,7 +325,7 @@
     core = RequestDispatcher(settings_from(SETTINGS), Gateway(settings_from(SETTINGS), 1), world.deadlines, 10**6)
     core._gateway = Odd(raises)  # type: ignore[assignment]
     answers: list[Response] = []
-    call, told = Reader(settings_from(SETTINGS)).read(parse_command(request(1, wait=500)))
+    call, told = CallReader(settings_from(SETTINGS)).read(parse_command(request(1, wait=500)))
     core.submit(IncomingRequest(told, clock.now() + 0.5, call, 100)).addCallback(answers.append)
     world.reactor.advance(0.52)
     assert [answer.kind for answer in answers] == [ResponseKind.FAILED]
@@ -341,7 +337,7 @@
 
     until = 0.0
 
-    def add(self, name: int, amount: float, ttl: float, deadline: float) -> Deferred[Result]:
+    def add(self, name: int, amount: float, ttl: float, deadline: float) -> Deferred[CounterResult]:
         self.until = deadline
         return Deferred()
 
@@ -351,4 +347,4 @@
     core = RequestDispatcher(settings, Gateway(settings, 1), world.deadlines, 10**6)
     core.counter = counter
     core._carry_out(AddToCounter(5, 1.0, 20.0))
-    assert settings.information.counter_timeout < counter.until - clock.now() < SPEAK_EVERY
+    assert settings.information.counter_timeout < counter.until - clock.now() < MIN_CALL_INTERVAL
--- a/tests/test_start.py
+++ b/tests/test_start.py
@@ -18,11 +18,12 @@
 
 from tests.limiter import PATIENCE, SETTINGS, Limiter, Peer, command, refused, request
 from tests.network_support import InMemoryNetwork, world
-from thymeflow.discovery.watch import FIRST, HEARTBEATS, SILENCE, Discovery
-from thymeflow.frontend.listener import bound, opened
+from thymeflow.discovery.watch import FIRST_LIST_TIMEOUT, POLLED_IDLE_TIMEOUT, PUSHED_IDLE_TIMEOUT, Discovery
+from thymeflow.frontend.listener import bind_listener, start_listening
 from thymeflow.limiter.assembly import Limiter as Assembled
 from thymeflow.limiter.phases import Phase
-from thymeflow.platform.configuration import Address, from_source
+from thymeflow.platform.configuration import from_source
+from thymeflow.platform.endpoints import Address
 from thymeflow.runtime import clock
 from thymeflow.transport.connections import Stream, dial
 
@@ -163,7 +164,7 @@
         return type("Host", (), {"host": "127.0.0.1", "port": 1})
 
 
-@pytest.mark.parametrize("late", [0.0, 0.6 * FIRST, None])
+@pytest.mark.parametrize("late", [0.0, 0.6 * FIRST_LIST_TIMEOUT, None])
 def test_it_says_yes_once_the_agent_has_spoken_or_is_silent_for_long(
     world: InMemoryNetwork, late: float | None
 ) -> None:
@@ -185,7 +186,7 @@
     reading = world.up(discovery_dial)
     reading.transport.abortConnection = lambda: None
     reading.dataReceived(HEAD)
-    moments = int((FIRST if late is None else late) / 0.05)
+    moments = int((FIRST_LIST_TIMEOUT if late is None else late) / 0.05)
     for _ in range(moments):
         assert limiter.lifecycle.phase is Phase.STARTING
         world.reactor.advance(0.05)
@@ -200,11 +201,11 @@
 def test_what_queued_at_a_socket_that_was_handed_in_has_waited_as_long_as_this_life_lasts(
     world: InMemoryNetwork, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(clock, "BORN", clock.now() - 3.0)
+    monkeypatch.setattr(clock, "STARTED_AT", clock.now() - 3.0)
     source = {"listen": "127.0.0.1:0", "discovery": "127.0.0.1:8", "counter": "127.0.0.1:9", "settings": SETTINGS}
     limiter = Assembled(from_source(source, "c.json", {}), world.reactor)
     world.reactor.adoptStreamPort = lambda descriptor, family, factory: Port()
-    limiter.listen(opened(bound("127.0.0.1", 0)), waited=True)
+    limiter.listen(start_listening(bind_listener("127.0.0.1", 0)), waited=True)
     world.reactor.advance(0.5)
     assert limiter.deadlines.earliest_arrival(clock.now()) == clock.now()  # nothing is read yet
     limiter.discovery.is_ready = True
@@ -250,7 +251,7 @@
     world.reactor.rightNow += 3.0  # no turn for so long: it was not even begun
     world.reactor.advance(0.0)
     assert not given_up
-    for _ in range(clock.SETTLING + 2):
+    for _ in range(clock.SETTLING_TURNS + 2):
         world.reactor.advance(clock.STALL / 2)
     assert len(given_up) == 1 and given_up[0] >= begun + 3.0 + clock.STALL
 
@@ -264,11 +265,11 @@
     discovery = Discovery(
         world.reactor, world.deadlines, Address("127.0.0.1", 8), 1, lambda news: None, 250, seed, pushed
     )
-    discovery.start(clock.now() + FIRST)
+    discovery.start(clock.now() + FIRST_LIST_TIMEOUT)
     reading = world.up(0)
     reading.transport.abortConnection = lambda: None
     reading.dataReceived(HEAD + b"1\r\n\n\r\n")
     fell = clock.now()
     while len(world.reactor.tcpClients) == 1:
         world.reactor.advance(0.01)
-    assert 0.0 < clock.now() - fell - (HEARTBEATS if pushed else SILENCE) < 0.4
+    assert 0.0 < clock.now() - fell - (PUSHED_IDLE_TIMEOUT if pushed else POLLED_IDLE_TIMEOUT) < 0.4
--- a/tests/transport/test_long.py
+++ b/tests/transport/test_long.py
@@ -115,7 +115,7 @@
 
 
 def test_a_slow_reader_holds_its_server_back_and_loses_nothing(limiter: Limiter) -> None:
-    client, other, most = limiter.connect(), limiter.connect(), resp.MOST_LONG
+    client, other, most = limiter.connect(), limiter.connect(), resp.MAX_LONG_VALUE
     client.sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 1 << 16)
     servers = [passed_on(limiter, client, 1)]
     server = servers[0]
--- a/tests/transport/test_resp.py
+++ b/tests/transport/test_resp.py
@@ -8,7 +8,7 @@
 from hypothesis import strategies as st
 
 from tests.limiter import command
-from thymeflow.discovery.http import Body, HttpError
+from thymeflow.discovery.http import HttpError, ResponseParser
 from thymeflow.transport import resp
 
 
@@ -20,7 +20,7 @@
         step = data.draw(st.integers(1, 30))
         found += parser.feed(text[place : place + step])[0]
         place += step
-    assert found == [parts, b"x", resp.Problem(b"ERR e"), -5, None]
+    assert found == [parts, b"x", resp.ErrorReply(b"ERR e"), -5, None]
 
 
 @given(st.binary(max_size=200))
@@ -28,7 +28,7 @@
     for start in (b"", b"*2\r\n$1\r\nx\r\n", b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"):
         assert isinstance(resp.Parser().feed(start + text)[1], str)
         with contextlib.suppress(HttpError):
-            Body().feed(start + text)
+            ResponseParser().feed(start + text)
 
 
 @given(
@@ -43,15 +43,15 @@
     value = b"\r\n$" * ((resp.MAX_VALUE + more) // 3 + 1)
     text = b"*%d\r\n" % (len(before) + 1 + len(after)) + b"".join(map(resp.bulk, [*before, value, *after]))
     text += command(b"PING")
-    parser, found, place = resp.Parser(resp.MOST_LONG), list[resp.Event](), 0
+    parser, found, place = resp.Parser(resp.MAX_LONG_VALUE), list[resp.Event](), 0
     while place < len(text):
         step = data.draw(st.integers(1, 30) if place < 40 or place > len(text) - 99 else st.integers(2**14, 2**16))
         events, fault = parser.feed(text[place : place + step])
-        assert not fault and parser.held() < 200
+        assert not fault and parser.buffered_bytes() < 200
         found, place = found + events, place + step
-    parts = [event.data for event in found if isinstance(event, resp.Part)]
+    parts = [event.data for event in found if isinstance(event, resp.Chunk)]
     assert b"".join(parts) == value
-    assert [event for event in found if not isinstance(event, resp.Part)] == [
+    assert [event for event in found if not isinstance(event, resp.Chunk)] == [
         resp.Begin(list(before), len(value), len(after)),
         resp.Closed(),
         resp.End(list(after)),
--- a/thymeflow/__main__.py
+++ b/thymeflow/__main__.py
@@ -45,7 +45,7 @@
         limiter = Limiter(settings, reactor)
         limiter.start()
         lifecycle = limiter.lifecycle
-        return Program(lifecycle.reload_settings, lifecycle.terminate, lambda: limiter.code)
+        return Program(lifecycle.reload_settings, lifecycle.terminate, lambda: limiter.exit_code)
     from thymeflow.handover.upgradable_limiter import UpgradableLimiter
 
     upgradable = UpgradableLimiter(settings, reactor)
--- a/thymeflow/backends/backends.py
+++ b/thymeflow/backends/backends.py
@@ -169,7 +169,7 @@
         connection.is_reply_started = False
         connection.flow = None
         if call.flow is None:
-            connection.write(call.write(max(1, int((attempt.order.deadline - clock.now()) * 1000.0))))
+            connection.write(call.encode(max(1, int((attempt.order.deadline - clock.now()) * 1000.0))))
         else:
             self._send_long_body(connection, handle, attempt, call, call.flow)
 
@@ -186,12 +186,12 @@
     def _send_long_body(self, connection: Connection, handle: int, attempt: Attempt, call: Call, body: Flow) -> None:
         # The deadline of a request whose body is streamed begins with the body's last byte.
         connection.body = body
-        connection.narrow()
+        connection.shrink_buffers()
         connection.last_activity_at = clock.now()
         self._deadlines.at(connection.last_activity_at + LONG_VALUE_TIMEOUT, self._check_body, handle)
-        body.when_whole(lambda: self._on_body_received(handle, body.deadline))
+        body.when_complete(lambda: self._on_body_received(handle, body.deadline))
         attempt.order.on_response_started(None)
-        connection.write(call.write(call.wait))
+        connection.write(call.encode(call.wait))
         body.attach(connection)
 
     def _on_body_received(self, handle: int, deadline: float) -> None:
@@ -238,7 +238,7 @@
                 connection.last_activity_at = clock.now()  # no byte could move before
                 transport.resumeProducing()
 
-        connection.narrow()
+        connection.shrink_buffers()
         flow = Flow(length, set_paused, lambda: self._give_up(handle, Status.CANCELLED))
         connection.flow = flow
         if not attempt.order.on_response_started(flow):
@@ -267,10 +267,10 @@
         flow = connection.flow
         now = clock.now()
         stalled_at = connection.last_activity_at + (STALL if flow is None else LONG_VALUE_TIMEOUT)
-        if flow is not None and flow.waits:
+        if flow is not None and flow.is_paused:
             stalled_at = now + LONG_VALUE_TIMEOUT  # its reader takes its time
         if stalled_at <= now:
-            connection.garbled("an answer was begun and not ended")
+            connection.on_malformed("an answer was begun and not ended")
         else:
             self._deadlines.at(stalled_at, self._check_reply, handle)
 
--- a/thymeflow/backends/connections.py
+++ b/thymeflow/backends/connections.py
@@ -15,7 +15,7 @@
 if TYPE_CHECKING:
     from thymeflow.backends.pools import Pool
 
-COMPLETE_REPLY_TYPES = (list, resp.Problem)  # types of a reply that arrived in one piece
+COMPLETE_REPLY_TYPES = (list, resp.ErrorReply)  # types of a reply that arrived in one piece
 NO_ATTEMPT = -1  # in place of an attempt's handle
 
 
@@ -45,7 +45,7 @@
     """A connection to a backend; also the sink of a streamed request body, see `transport.flow.Sink`."""
 
     def __init__(self, owner: ConnectionOwner, pool: Pool) -> None:
-        super().__init__(resp.MOST_LONG)
+        super().__init__(resp.MAX_LONG_VALUE)
         self.owner = owner
         self.pool = pool
         self.attempt_handle = NO_ATTEMPT  # of the attempt in flight
@@ -62,7 +62,7 @@
         """Write more of a streamed body, as the buffer has gone to the kernel."""
         super().resumeProducing()
         if self.body is not None:
-            self.body.more()
+            self.body.resume()
 
     def dataReceived(self, data: bytes) -> None:
         """Read all that has arrived before the connection is used again: it may be more than the reply."""
@@ -70,7 +70,7 @@
         if self.closed:
             return
         if self.attempt_handle < 0:
-            self.garbled("bytes though nothing was asked")
+            self.on_malformed("bytes though nothing was asked")
             return
         self.last_activity_at = clock.now()
         if len(events) == 1 and type(events[0]) in COMPLETE_REPLY_TYPES:  # the common case
@@ -83,7 +83,7 @@
             event = events.pop(0)
             if isinstance(event, resp.Begin):
                 self._begin_long_value(event)
-            elif isinstance(event, resp.Part) and self.flow is not None:
+            elif isinstance(event, resp.Chunk) and self.flow is not None:
                 self.flow.push(event.data)
             elif isinstance(event, resp.Closed) and self.flow is not None:
                 self.flow.finish()
@@ -93,14 +93,14 @@
             if self.closed:
                 return
         if fault:
-            self.garbled(fault)
+            self.on_malformed(fault)
         elif not self.is_reply_started:
             self.is_reply_started = True
             self.owner.on_reply_started(self)
 
     def _begin_long_value(self, event: resp.Begin) -> None:
         if event.before or event.after != 2 or self.body is not None:
-            self.garbled("a long value where none belongs")
+            self.on_malformed("a long value where none belongs")
         else:
             self.owner.on_long_value(self, event.length)
 
@@ -108,17 +108,17 @@
         is_long = isinstance(event, resp.End)
         result = parse_attempt_result([b"", *event.after] if isinstance(event, resp.End) else event)
         if result is None or (self.body is not None and result.status is Status.OK):
-            self.garbled(f"no answer: {str(event)[:60]}")
+            self.on_malformed(f"no answer: {str(event)[:60]}")
             return
         # What follows is a duplicate or noise: the next attempt on this connection would be given it as its reply.
-        is_clean = not trailing and not fault and not self._parser.held()
+        is_clean = not trailing and not fault and not self._parser.buffered_bytes()
         if not is_clean:
             log.say("application server garbled", f"{self.pool.address}: more than the answer")
         if is_long:
             self.flow = None
         self.owner.on_reply(self, result, is_clean and self.body is None)
 
-    def part(self, data: bytes) -> None:
+    def write_chunk(self, data: bytes) -> None:
         """Write the next bytes of the body."""
         self.last_activity_at = clock.now()
         self.write(data)
@@ -128,16 +128,16 @@
         self.write(b"\r\n")
         self.body = None
 
-    def broken(self) -> None:
+    def on_broken(self) -> None:
         """Give up the attempt, as the rest of the body will not come and so it is never executed."""
         self.owner.on_body_failed(self)
 
-    def garbled(self, fault: str) -> None:
+    def on_malformed(self, fault: str) -> None:
         """Close the connection; the attempt in flight may have been executed, and its reply is unknown."""
         log.say("application server garbled", f"{self.pool.address}: {fault}", address=self.pool.address)
         self.hang_up()
         self.owner.on_malformed(self)
 
-    def lost(self) -> None:
+    def on_lost(self) -> None:
         """Report that the other end closed or reset the connection."""
         self.owner.on_connection_lost(self)
--- a/thymeflow/backends/pools.py
+++ b/thymeflow/backends/pools.py
@@ -9,7 +9,7 @@
 from thymeflow.decision.types import BackendState
 from thymeflow.platform.endpoints import Address
 from thymeflow.runtime import clock
-from thymeflow.transport.connections import unread
+from thymeflow.transport.connections import has_unread_bytes
 
 IDLE_FRACTION = 0.7  # of the idle timeout: an idle connection is closed then, well before the other end may close it
 SWEEP_INTERVAL = 1.0  # s: between searches for connections that have been idle for long
@@ -71,7 +71,7 @@
     def _check_usable(self, connection: Connection) -> bool:
         # An attempt written to a connection that has ended, or on which bytes of an earlier reply still arrive,
         # would count as one that may have been executed, or would be given the wrong reply.
-        if not unread(connection.transport):
+        if not has_unread_bytes(connection.transport):
             return True
         self._close(connection)
         return False
--- a/thymeflow/backends/replies.py
+++ b/thymeflow/backends/replies.py
@@ -68,7 +68,7 @@
     """Return the result that a reply stands for, or None if it is malformed and the connection is out of step."""
     if isinstance(reply, list) and len(reply) == 3 and isinstance(reply[0], bytes):
         return _build_result(Status.OK, reply[0], [item for item in reply[1:] if isinstance(item, bytes)])
-    if isinstance(reply, resp.Problem):
+    if isinstance(reply, resp.ErrorReply):
         tokens = reply.split()
         figures = [token for token in tokens[1:] if b"=" in token]
         if tokens[:1] == [b"BUSY"]:
--- a/thymeflow/counter/client.py
+++ b/thymeflow/counter/client.py
@@ -70,15 +70,15 @@
 
     def is_stalled(self) -> bool:
         """Return whether a part of a reply has arrived, and for `STALL` seconds no more of it."""
-        return self._parser.held() > 0 and clock.now() - self._last_received_at > STALL
+        return self._parser.buffered_bytes() > 0 and clock.now() - self._last_received_at > STALL
 
-    def garbled(self, fault: str) -> None:
+    def on_malformed(self, fault: str) -> None:
         """Close the connection, as replies can no longer be assigned to calls."""
         log.say("counter garbled", fault)
         self.hang_up()
-        self.lost()
+        self.on_lost()
 
-    def lost(self) -> None:
+    def on_lost(self) -> None:
         """Report that the connection has ended."""
         self._line.on_connection_lost()
 
@@ -183,7 +183,7 @@
             return
         self._report(call, (Status.TIMEOUT, 0.0))
         if self._connection is not None and self._connection.is_stalled():
-            self._connection.garbled("an answer was begun and not ended")
+            self._connection.on_malformed("an answer was begun and not ended")
             return
         oldest = self.written[0] if self.written else call
         if self._connection is not None and now - max(self._last_reply_at, oldest.started_at) > DEAD_PEER_TIMEOUT:
@@ -203,7 +203,7 @@
         if result is None:
             # Replies can no longer be assigned to calls; all that were flushed may have been added.
             if self._connection is not None:
-                self._connection.garbled(f"no answer: {str(value)[:60]}")
+                self._connection.on_malformed(f"no answer: {str(value)[:60]}")
             return
         call = self.written.popleft()
         self._flushed_calls = max(0, self._flushed_calls - 1)
@@ -212,7 +212,7 @@
 
     @staticmethod
     def _parse_result(value: resp.Value) -> CounterResult | None:
-        if isinstance(value, resp.Problem):
+        if isinstance(value, resp.ErrorReply):
             if value.startswith(b"ERR"):
                 log.say("counter odd", repr(bytes(value)[:80]))
             return (Status.FULL, 0.0) if value.split()[:1] in ([b"BUSY"], [b"ERR"]) else None
--- a/thymeflow/daemon/control_requests.py
+++ b/thymeflow/daemon/control_requests.py
@@ -103,7 +103,7 @@
         self._service.stop(linger)
 
     def _call_operator_action(self, caller: ControlCaller, message: Message) -> None:
-        is_done, why = self._service.instance.limiter.lifecycle.call(phases.Word(message["do"]))
+        is_done, why = self._service.instance.limiter.lifecycle.on_command(phases.OperatorCommand(message["do"]))
         caller.send({"ok": is_done, "why": why})
 
     def _reload(self, caller: ControlCaller, _: Message) -> None:
@@ -163,7 +163,7 @@
         if lifecycle.port is None:
             caller.send({"ok": False, "why": "it does not listen"})
         else:
-            caller.send({"ok": True, "listen": lifecycle.where}, lifecycle.port.fileno())
+            caller.send({"ok": True, "listen": lifecycle.listen_address}, lifecycle.port.fileno())
 
 
 def _linger_from_message(message: Message) -> float | None:
--- a/thymeflow/daemon/instance.py
+++ b/thymeflow/daemon/instance.py
@@ -17,7 +17,7 @@
 from thymeflow.decision.gateway_state import INITIAL_FILL
 from thymeflow.handover.control_socket import ControlError, ControlServer, MessageHandler
 from thymeflow.handover.reactor_types import UnixReactor
-from thymeflow.limiter.assembly import Limiter, made
+from thymeflow.limiter.assembly import Limiter, make_gateway
 from thymeflow.logs.structured import StructuredLog
 from thymeflow.outliers.member import MemberEjections
 from thymeflow.platform import configuration
@@ -83,8 +83,8 @@
         gateway = self._build_gateway(initial)
         self._connect_to_fleet(gateway)
         self.limiter = Limiter(initial, self.reactor, gateway, self._load, self.settings.daemon.drain_linger)
-        self.limiter.on_list = self.snapshots.on_endpoint_update
-        self.limiter.when_endpoints_ready = on_endpoints_known
+        self.limiter.on_endpoints = self.snapshots.on_endpoint_update
+        self.limiter.on_endpoints_available = on_endpoints_known
         self.snapshots.on_endpoint_update(initial.endpoints)
         if snapshot is not None:
             self.snapshots.restore(snapshot, "file")
@@ -92,7 +92,7 @@
     def _build_gateway(self, initial: configuration.Configuration) -> Gateway:
         budgets = self.settings.budgets
         # Members of a fleet are on one machine, whose monotonic clock does not step as the wall clock does.
-        gateway = made(
+        gateway = make_gateway(
             replace(initial, units=budgets.units),
             0.0 if self._is_joining else INITIAL_FILL,
             clock.monotonic() - clock.now(),
--- a/thymeflow/daemon/service.py
+++ b/thymeflow/daemon/service.py
@@ -20,7 +20,7 @@
 from thymeflow.daemon.instance import Instance, Reactor
 from thymeflow.daemon.lock import NameLock, NameTakenError
 from thymeflow.discovery.watch import FIRST_LIST_TIMEOUT
-from thymeflow.frontend.listener import bound
+from thymeflow.frontend.listener import bind_listener
 from thymeflow.handover.listening_sockets import BadDescriptorError
 from thymeflow.handover.sender import HandoverSender
 from thymeflow.handover.state_machine import ReceiverEvent, SenderEvent
@@ -137,7 +137,7 @@
     def _listen(self, activation_sockets: list[socket.socket]) -> None:
         address = self.instance.configuration.listen
         try:
-            listening = activation_sockets[0] if activation_sockets else bound(address.host, address.port)
+            listening = activation_sockets[0] if activation_sockets else bind_listener(address.host, address.port)
             self.instance.limiter.listen(listening, waited=bool(activation_sockets))
         except OSError as fault:
             message = f"{address}: {fault.strerror}"
@@ -159,7 +159,7 @@
         gc.freeze()
         self._reactor.run(installSignalHandlers=False)
         self._finish()
-        return self.instance.exit_code or self.instance.limiter.code
+        return self.instance.exit_code or self.instance.limiter.exit_code
 
     def _on_phase(self, phase: Phase) -> None:
         instance = self.instance
--- a/thymeflow/discovery/watch.py
+++ b/thymeflow/discovery/watch.py
@@ -30,7 +30,7 @@
 from thymeflow.platform.endpoints import Address, EndpointUpdate, endpoint_update
 from thymeflow.runtime import clock, log
 from thymeflow.runtime.clock import STALL
-from thymeflow.transport.connections import Stream, dial, unread
+from thymeflow.transport.connections import Stream, dial, has_unread_bytes
 
 MAX_STREAMS = 3  # open or being opened, of which the first to receive a message is kept
 MAX_READS = 64  # of a socket at a time, so that a sender of very much does not block the reactor
@@ -147,7 +147,7 @@
         """Read what waits at the sockets, as after a stall: it counts as notified, and applies to what is sent next."""
         for stream in list(self._open):
             for _ in range(MAX_READS):
-                if not unread(stream.transport) or stream.transport.doRead() is not None:
+                if not has_unread_bytes(stream.transport) or stream.transport.doRead() is not None:
                     break  # all is read; or the connection has ended, which the reactor finds too
 
     def set_address(self, address: Address) -> None:
--- a/thymeflow/fleet/member_sockets.py
+++ b/thymeflow/fleet/member_sockets.py
@@ -12,7 +12,7 @@
 from collections.abc import Container
 
 from thymeflow.fleet.registry import listen_address
-from thymeflow.frontend.listener import bound, opened
+from thymeflow.frontend.listener import bind_listener, start_listening
 from thymeflow.handover import listening_sockets
 
 
@@ -36,7 +36,7 @@
         listening = self._sockets.get(number)
         if listening is None:
             address = listen_address(self._base_address, number, self.ports)
-            listening = opened(bound(address.host, address.port))
+            listening = start_listening(bind_listener(address.host, address.port))
             self._sockets[number] = listening
         self.ports[str(number)] = listening.getsockname()[1]
         return listening
--- a/thymeflow/frontend/client_connection.py
+++ b/thymeflow/frontend/client_connection.py
@@ -12,12 +12,12 @@
 from twisted.internet.protocol import connectionDone
 from twisted.python.failure import Failure
 
-from thymeflow.core.dispatcher import IncomingRequest, Response
+from thymeflow.core.types import IncomingRequest, Response
 from thymeflow.frontend.pipeline import PipelineSlot, ResponsePipeline, encode_response
 from thymeflow.runtime import clock, log
 from thymeflow.transport import resp
 from thymeflow.transport.commands import QUERY, SUBMIT, CallError
-from thymeflow.transport.connections import unread
+from thymeflow.transport.connections import has_unread_bytes
 from thymeflow.transport.flow import Flow
 
 if TYPE_CHECKING:
@@ -35,7 +35,7 @@
 LINGER_TIMEOUT = 1.0  # s: from an error line that ends a connection to its close
 MAX_DISCARDED = 256 * 1024  # bytes that are read meanwhile and thrown away
 LATE_ARRIVAL = 0.005  # s: less than that a request has waited unread in any turn
-LONG_VALUE_EVENTS = (resp.Part, resp.Closed, resp.End)
+LONG_VALUE_EVENTS = (resp.Chunk, resp.Closed, resp.End)
 # Eviction scores: clients without a use for their connection go first, then those that sent no request, then by
 # idle time, which is far below these.
 NO_USE_SCORE = 2e6
@@ -47,7 +47,7 @@
 
     def __init__(self, front: Frontend) -> None:
         super().__init__(front)
-        self._parser = resp.Parser(resp.MOST_LONG)
+        self._parser = resp.Parser(resp.MAX_LONG_VALUE)
         self._command_started_at = 0.0  # when the incomplete command began
         self._arrived_at = 0.0  # the earliest at which what is read now can have come
         self._body_slot: PipelineSlot | None = None  # whose streamed body is being received
@@ -61,7 +61,7 @@
 
     def connectionMade(self) -> None:
         """Register with the frontend."""
-        self.handle = self._front.agents.add(self)
+        self.handle = self._front.clients.add(self)
         self._idle_since = clock.now()
         self._last_activity_at = self._idle_since
         self._arrived_at = self._front.deadlines.earliest_arrival(self._idle_since)
@@ -88,7 +88,7 @@
             self._update_reading()
             return
         front = self._front
-        buffered_before = self._parser.held()
+        buffered_before = self._parser.buffered_bytes()
         was_incomplete = self._parser.is_incomplete()
         found, fault = self._parser.feed(data)
         now = self._last_activity_at = clock.now()
@@ -113,7 +113,7 @@
             else:
                 fault = "a command is an array of bulk strings"
                 break
-        front.on_input_buffered(self._parser.held() - buffered_before)
+        front.on_input_buffered(self._parser.buffered_bytes() - buffered_before)
         if fault and (not self._is_closing or self._body_slot is not None):
             self._on_malformed_input(fault)
         self._flush()
@@ -123,7 +123,7 @@
     def _on_long_command(self, begin: resp.Begin) -> None:
         # A command with a long body: it is submitted with its head, and answered once the body has come.
         self._has_sent_command = True
-        self.narrow()
+        self.shrink_buffers()
         words = begin.before
         body = Flow(begin.length, self._on_body_blocked, lambda: None)
         if all(type(word) is bytes for word in words) and len(words) == BODY_INDEX and not begin.after:
@@ -135,11 +135,11 @@
         if self._body_slot.response is not None:
             body.discard()
 
-    def _on_long_value_event(self, event: resp.Part | resp.Closed | resp.End) -> None:
+    def _on_long_value_event(self, event: resp.Chunk | resp.Closed | resp.End) -> None:
         slot = self._body_slot
         if slot is None or slot.body is None:
             return
-        if isinstance(event, resp.Part):
+        if isinstance(event, resp.Chunk):
             slot.body.push(event.data)
         elif isinstance(event, resp.Closed):
             body = slot.body
@@ -174,7 +174,7 @@
         # Where the next command begins is not known any more: one error line, then the end.
         log.say("user agent garbled", fault)
         self._fail_body()
-        self._front.on_input_buffered(-self._parser.held())
+        self._front.on_input_buffered(-self._parser.buffered_bytes())
         self._parser = resp.Parser()
         self._reply(resp.error_reply(f"ERR Protocol error: {fault}"))
         self.finish()
@@ -193,7 +193,7 @@
 
     def input_backlog(self) -> tuple[bool, int]:
         """Return whether no command is open, and the bytes buffered of an incomplete one."""
-        return not self._slots, self._parser.held()
+        return not self._slots, self._parser.buffered_bytes()
 
     def eviction_score(self, now: float) -> float:
         """Return how well its connection could be used by another client; 0: not at all."""
@@ -224,15 +224,15 @@
             is_head = self._parser.awaited_item != BODY_INDEX  # a body may come slowly, but not stand still
             if now - (self._command_started_at if is_head else self._last_activity_at) > COMMAND_TIMEOUT:
                 self._on_malformed_input("a command was begun and not ended")
-        elif idle > (idle_timeout if self._has_sent_request else min(idle_timeout, COMMAND_TIMEOUT)) and not unread(
-            self.transport
-        ):
+        elif idle > (
+            idle_timeout if self._has_sent_request else min(idle_timeout, COMMAND_TIMEOUT)
+        ) and not has_unread_bytes(self.transport):
             self.finish()
 
     def evict(self) -> None:
         """Leave the slot to another client, now."""
         self._is_evicted = True
-        self._front.agents.remove(self.handle)
+        self._front.clients.remove(self.handle)
         self._front.evicting_count += 1
         self.transport.abortConnection()
 
@@ -305,9 +305,9 @@
         """Cancel everything that is open: no response can reach the client any more."""
         self._is_closing = True
         self._fail_body()
-        self._front.on_input_buffered(-self._parser.held())
+        self._front.on_input_buffered(-self._parser.buffered_bytes())
         self._parser = resp.Parser()
-        self._front.agents.remove(self.handle)
+        self._front.clients.remove(self.handle)
         self._front.evicting_count -= self._is_evicted
         self._cancel_slots()
         self._front.on_client_lost()
--- a/thymeflow/frontend/frontend.py
+++ b/thymeflow/frontend/frontend.py
@@ -16,8 +16,8 @@
 from thymeflow.frontend.pipeline import PipelineSlot as PipelineSlot
 from thymeflow.runtime import clock, log
 from thymeflow.runtime.slot_table import SlotTable
-from thymeflow.transport.commands import Reader
-from thymeflow.transport.connections import unread
+from thymeflow.transport.commands import CallReader
+from thymeflow.transport.connections import has_unread_bytes
 
 SWEEP_INTERVAL = 0.1  # s: between checks of the timeouts
 IDLE_TIMEOUT = 4.0  # s: with nothing open, for a client that has sent a request; it would connect again
@@ -41,14 +41,14 @@
         max_unfinished_input_bytes: int,
     ) -> None:
         self.core = core
-        self.reader = Reader(settings)
+        self.reader = CallReader(settings)
         self.deadlines = deadlines
         self.pending_response_bytes = 0  # of responses not taken yet
         self.max_pending_response_bytes = max_pending_response_bytes  # beyond it connections are closed
         self._unfinished_input_bytes = 0  # of incomplete commands
         self._max_unfinished_input_bytes = max_unfinished_input_bytes  # likewise
         self._max_clients = max_clients
-        self.agents: SlotTable[ClientConnection] = SlotTable(max_clients)
+        self.clients: SlotTable[ClientConnection] = SlotTable(max_clients)
         self.evicting_count = 0
         self.accepted_count = 0  # connections accepted so far, those closed at once included
         self.is_draining = False  # a connection ends with its last response, or as it falls idle
@@ -64,13 +64,13 @@
         self.accepted_count += 1
         if self.is_closing:
             return None
-        if self.agents.is_full():
+        if self.clients.is_full():
             candidate = self._eviction_candidate(clock.now())
             if candidate is None or self.evicting_count >= MAX_EVICTING:
                 log.say(
                     "user agents",
-                    f"all {len(self.agents)} connections are in use; a new one was closed",
-                    connections=len(self.agents),
+                    f"all {len(self.clients)} connections are in use; a new one was closed",
+                    connections=len(self.clients),
                 )
                 return None
             candidate.evict()
@@ -80,13 +80,13 @@
         # Many clients send one request and stay, and others send nothing: who has least use of its connection goes.
         # Bytes that wait there may be a request, which a close would lose.
         scored = nlargest(
-            MAX_EVICTION_CANDIDATES, self.agents.all(), key=lambda connection: connection.eviction_score(now)
+            MAX_EVICTION_CANDIDATES, self.clients.items(), key=lambda connection: connection.eviction_score(now)
         )
         return next(
             (
                 connection
                 for connection in scored
-                if connection.eviction_score(now) and not unread(connection.transport)
+                if connection.eviction_score(now) and not has_unread_bytes(connection.transport)
             ),
             None,
         )
@@ -96,7 +96,7 @@
         self._max_clients = max_clients
         self.max_pending_response_bytes = max_pending_response_bytes
         self._max_unfinished_input_bytes = max_unfinished_input_bytes
-        self.agents.set_limit(max_clients)
+        self.clients.set_limit(max_clients)
 
     def on_input_buffered(self, change: int) -> None:
         """Count bytes of incomplete commands; guards the memory limit against many that are never completed."""
@@ -105,15 +105,15 @@
             log.say(
                 "input", f"{self._unfinished_input_bytes} bytes of unfinished commands are held; the longest was let go"
             )
-            max(self.agents.all(), key=ClientConnection.input_backlog).evict()
+            max(self.clients.items(), key=ClientConnection.input_backlog).evict()
 
     def _sweep(self, _: int) -> None:
         now = clock.now()
         # Clients keep a bounded number of connections: while we hold one that has no more use, they
         # cannot open another for the next request.
-        is_crowded = len(self.agents) >= CROWDED_FRACTION * self._max_clients
+        is_crowded = len(self.clients) >= CROWDED_FRACTION * self._max_clients
         idle_timeout = CROWDED_IDLE_TIMEOUT if is_crowded else IDLE_TIMEOUT
-        for connection in self.agents.all():
+        for connection in self.clients.items():
             connection.enforce_timeouts(now, idle_timeout)
         self.deadlines.at(now + SWEEP_INTERVAL, self._sweep)
 
@@ -131,7 +131,7 @@
         """Disconnect the clients: idle connections end now, the others with their last response."""
         self.is_draining = True
         now = clock.now()
-        for connection in self.agents.all():
+        for connection in self.clients.items():
             # Who has just connected has a request on its way: a close that crosses it would lose it.
             if connection.is_awaiting_first_command(now):
                 self.deadlines.at(now + DRAIN_GRACE, self._on_drain_grace_over, connection.handle)
@@ -139,12 +139,12 @@
                 self._finish(connection)
 
     def _on_drain_grace_over(self, handle: int) -> None:
-        connection = self.agents.get(handle)
+        connection = self.clients.get(handle)
         if connection is not None and self.is_draining:
             self._finish(connection)
 
     @staticmethod
     def _finish(connection: ClientConnection) -> None:
         # What has come is read first, and answered before the end.
-        if not connection.has_incomplete_command() and not unread(connection.transport):
+        if not connection.has_incomplete_command() and not has_unread_bytes(connection.transport):
             connection.finish()
--- a/thymeflow/frontend/listener.py
+++ b/thymeflow/frontend/listener.py
@@ -7,7 +7,7 @@
 BACKLOG = 511  # connections that wait to be accepted
 
 
-def bound(host: str, port: int, shared: bool = False) -> socket.socket:
+def bind_listener(host: str, port: int, shared: bool = False) -> socket.socket:
     """Return a socket that is bound to the address and doesn't listen yet.
 
     `shared`: a later process may listen at the address beside us, where it cannot take over from us.
@@ -27,7 +27,7 @@
     return listener
 
 
-def opened(listener: socket.socket) -> socket.socket:
+def start_listening(listener: socket.socket) -> socket.socket:
     """Return the same socket, which listens from now on, whether it did before or not."""
     listener.listen(BACKLOG)
     return listener
--- a/thymeflow/frontend/pipeline.py
+++ b/thymeflow/frontend/pipeline.py
@@ -9,7 +9,7 @@
 
 from twisted.internet.defer import Deferred
 
-from thymeflow.core.dispatcher import Response, ResponseKind
+from thymeflow.core.types import Response, ResponseKind
 from thymeflow.decision.events import RequestReceived
 from thymeflow.runtime import clock, log
 from thymeflow.transport import resp
@@ -70,7 +70,7 @@
         self._last_activity_at = clock.now()
         self._recount_pending()
         if self._slots and self._slots[0].is_started and self._slots[0].response_stream is not None:
-            self._slots[0].response_stream.more()
+            self._slots[0].response_stream.resume()
         self._flush()
 
     def _add_pending(self, change: int) -> None:
@@ -94,7 +94,7 @@
             if slot.response_stream is not None:
                 slot.is_started = True
                 stream = slot.response_stream
-                self.narrow()
+                self.shrink_buffers()
                 break
             self._slots.popleft()
         if ready:
@@ -113,7 +113,7 @@
 
     # The streamed response that is being written: see `flow.Sink`.
 
-    def part(self, data: bytes) -> None:
+    def write_chunk(self, data: bytes) -> None:
         """Write the next bytes."""
         self._last_activity_at = clock.now()
         self.write(data)
@@ -125,7 +125,7 @@
         self._idle_since = clock.now()
         self._flush()
 
-    def broken(self) -> None:
+    def on_broken(self) -> None:
         """Close the connection: that tells the client that the value is incomplete."""
         log.say("cut short", "a long answer broke off on its way; the user agent's connection was closed")
         self._is_closing = True
--- a/thymeflow/handover/sender.py
+++ b/thymeflow/handover/sender.py
@@ -143,7 +143,7 @@
 
     def _send_descriptors(self) -> None:
         participant = self._participant
-        message = {"offer": participant.limiter.lifecycle.where, "life": participant.incarnation}
+        message = {"offer": participant.limiter.lifecycle.listen_address, "life": participant.incarnation}
         self._send(message, *participant.descriptors())
 
     def _pause_listener(self) -> None:
--- a/thymeflow/handover/upgradable_limiter.py
+++ b/thymeflow/handover/upgradable_limiter.py
@@ -13,7 +13,7 @@
 from pathlib import Path
 
 from thymeflow.discovery.watch import FIRST_LIST_TIMEOUT
-from thymeflow.frontend.listener import bound
+from thymeflow.frontend.listener import bind_listener
 from thymeflow.handover import listening_sockets
 from thymeflow.handover.control_socket import ControlCaller, ControlError, ControlServer, Message
 from thymeflow.handover.participant import RejectedHandoverError
@@ -45,8 +45,8 @@
         self.snapshots = SnapshotStore(given.name, self.incarnation, given.endpoints)
         self.snapshots.set_gateway(self.limiter.gateway)
         self.snapshots.on_endpoint_update(given.endpoints)
-        self.limiter.on_list = self.snapshots.on_endpoint_update
-        self.limiter.when_endpoints_ready = self._on_endpoints_ready
+        self.limiter.on_endpoints = self.snapshots.on_endpoint_update
+        self.limiter.on_endpoints_available = self._on_endpoints_ready
         self._path = _socket_path(given.name)
         self._control: ControlServer | None = None
         self._is_ending = False
@@ -75,7 +75,7 @@
         """Clean up after the reactor has stopped, and return the exit code."""
         if self._control is not None:
             self._control.remove_socket_file()
-        return self.code or self.limiter.code
+        return self.code or self.limiter.exit_code
 
     def _on_endpoints_ready(self) -> None:
         if self._receiver is not None:
@@ -84,7 +84,7 @@
     def _start_without_predecessor(self) -> None:
         address = self.limiter.configuration.listen
         try:
-            listening_socket = bound(address.host, address.port, shared=True)
+            listening_socket = bind_listener(address.host, address.port, shared=True)
         except OSError as fault:
             print(f"thymeflow: cannot listen: {address}: {fault.strerror}", file=sys.stderr)
             self.code = CANNOT_LISTEN
--- a/thymeflow/limiter/assembly.py
+++ b/thymeflow/limiter/assembly.py
@@ -6,22 +6,23 @@
 from collections.abc import Callable
 from typing import Any, NamedTuple
 
-from thymeflow import Gateway, gateway_of
 from thymeflow.backends.backends import BackendConnections
 from thymeflow.core.dispatcher import RequestDispatcher
 from thymeflow.counter.client import Counter
-from thymeflow.decision.policy import START_LEVEL
+from thymeflow.decision.factory import create_gateway
+from thymeflow.decision.gateway import Gateway
+from thymeflow.decision.gateway_state import INITIAL_FILL
 from thymeflow.decision.settings import DiscoveryMode, GatewaySettings
-from thymeflow.discovery.watch import FIRST, Discovery
+from thymeflow.discovery.watch import FIRST_LIST_TIMEOUT, Discovery
 from thymeflow.frontend.frontend import Frontend
-from thymeflow.frontend.listener import bound, opened
+from thymeflow.frontend.listener import bind_listener, start_listening
 from thymeflow.limiter.lifecycle import TERMINATION_LINGER, Lifecycle
 from thymeflow.limiter.management import MAX_CALLERS, Management
 from thymeflow.limiter.phases import Phase
 from thymeflow.limiter.reload import Reload
-from thymeflow.platform import configuration
+from thymeflow.platform import configuration, endpoints
 from thymeflow.runtime import clock, log
-from thymeflow.transport.commands import Reader
+from thymeflow.transport.commands import CallReader
 
 CLIENT_FRACTION = 0.7  # of the descriptors: for clients; the rest is for backends
 REQUEST_MEMORY_FRACTION = 0.25  # of the memory limit: for requests in flight
@@ -47,16 +48,16 @@
     return max((request_class.deadline for request_class in settings.classes), default=0.0)
 
 
-def made(given: configuration.Configuration, start: float = START_LEVEL, offset: float = 0.0) -> Gateway:
+def make_gateway(given: configuration.Configuration, start: float = INITIAL_FILL, offset: float = 0.0) -> Gateway:
     """Return the gateway of a configuration.
 
     `offset`: from our clock to one that all limiters of the set share, in seconds.
     """
-    if given.units == configuration.TICKETS and given.settings.information.counter:
+    if given.units == configuration.UNITS_BY_RESERVATION and given.settings.information.counter:
         from thymeflow.quota.strict import StrictGateway  # elsewhere it is not used, and not loaded
 
         return StrictGateway(given.settings, given.seed, start, offset)
-    return gateway_of(given.settings, given.seed, start)
+    return create_gateway(given.settings, given.seed, start)
 
 
 def _log_stall(seconds: float) -> None:
@@ -84,25 +85,25 @@
         self.deadlines = clock.Deadlines(reactor)
         self.deadlines.on_stall = _log_stall
         self._is_connected = False
-        self.code = 0  # exit code
+        self.exit_code = 0  # exit code
         self._listener: socket.socket | None = None  # bound, and to be opened once the endpoint list is known
         self._has_queue = False  # connections may wait at it already
         budgets = self._budgets(None)
-        self.gateway = gateway or made(given)
+        self.gateway = gateway or make_gateway(given)
         self.core = RequestDispatcher(settings, self.gateway, self.deadlines, budgets.request_bytes)
         self.upstream = self.core.upstream = BackendConnections(
             reactor, self.deadlines, settings.limits, budgets.backend_connections
         )
-        self.front = self._make_frontend(budgets)
+        self.frontend = self._make_frontend(budgets)
         longest_deadline = longest_deadline_of(settings)
-        self.lifecycle = Lifecycle(self.deadlines, self.core, self.front, longest_deadline, reactor.stop, linger)
-        self.on_list: Callable[[configuration.EndpointUpdate], None] = lambda _: None  # for a copy of the list
+        self.lifecycle = Lifecycle(self.deadlines, self.core, self.frontend, longest_deadline, reactor.stop, linger)
+        self.on_endpoints: Callable[[endpoints.EndpointUpdate], None] = lambda _: None  # for a copy of the list
         self.on_endpoints_changed(given.endpoints)
         self.discovery = self._make_discovery()
         self.core.discovery = self.discovery
-        self.upstream.look = self.discovery.look
+        self.upstream.read_endpoint_updates = self.discovery.read_pending
         self.discovery.on_ready = self.on_endpoints_ready
-        self.when_endpoints_ready: Callable[[], None] = lambda: None  # for other parts that wait for the list
+        self.on_endpoints_available: Callable[[], None] = lambda: None  # for other parts that wait for the list
         self.counter: Counter | None = None
         if given.counter is not None:
             self.core.counter = self.counter = Counter(reactor, self.deadlines, given.counter)
@@ -132,19 +133,19 @@
             given.settings.discovery is DiscoveryMode.PUSH,
         )
 
-    def on_endpoints_changed(self, news: configuration.EndpointUpdate) -> None:
+    def on_endpoints_changed(self, news: endpoints.EndpointUpdate) -> None:
         """Apply a change of the endpoint list."""
-        self.core.apply_endpoints(news.change, lambda: self.upstream.listed(news))
-        self.on_list(news)
+        self.core.apply_endpoints(news.change, lambda: self.upstream.apply_update(news))
+        self.on_endpoints(news)
         if news.addresses:
             self.lifecycle.on_endpoints_known()
 
     def apply_settings(self, settings: GatewaySettings) -> None:
         """Apply other settings from now on; what is open keeps the rules that it was accepted under."""
-        self.front.reader = Reader(settings)
+        self.frontend.reader = CallReader(settings)
         self.core.apply_settings(settings)
         self.upstream.limits = settings.limits
-        self.discovery.back_off.resized(settings.limiter_count)
+        self.discovery.backoff.resize(settings.limiter_count)
         self.lifecycle.longest_deadline = max(self.lifecycle.longest_deadline, longest_deadline_of(settings))
 
     def start(self) -> None:
@@ -153,8 +154,8 @@
         :raises OSError: if the address is invalid or in use.
         """
         self.listen_for_operators()
-        self.listen(bound(self.configuration.listen.host, self.configuration.listen.port))
-        self.connect(clock.now() + FIRST)
+        self.listen(bind_listener(self.configuration.listen.host, self.configuration.listen.port))
+        self.connect(clock.now() + FIRST_LIST_TIMEOUT)
 
     def listen_for_operators(self) -> None:
         """Listen for operators, if the configuration has an address for them.
@@ -164,7 +165,10 @@
         where = self.configuration.management
         if where is not None:
             port = self.reactor.listenTCP(
-                where.port, Management(self.deadlines, self.lifecycle.call), backlog=MAX_CALLERS, interface=where.host
+                where.port,
+                Management(self.deadlines, self.lifecycle.on_command),
+                backlog=MAX_CALLERS,
+                interface=where.host,
             )
             log.note("calls", f"operators may call at {where.host}:{port.getHost().port}")
 
@@ -180,12 +184,12 @@
     def limit_beside_predecessor(self, descriptor_count: int | None) -> None:
         """Share the limits with an earlier process that has so many descriptors open; None: it has ended."""
         budgets = self._budgets(descriptor_count)
-        self.front.set_limits(budgets.client_connections, budgets.response_bytes, budgets.unfinished_input_bytes)
-        self.upstream.limit(budgets.backend_connections)
+        self.frontend.set_limits(budgets.client_connections, budgets.response_bytes, budgets.unfinished_input_bytes)
+        self.upstream.set_max_connections(budgets.backend_connections)
         self.core.set_memory_limit(budgets.request_bytes)
 
     def _budgets(self, predecessor_descriptors: int | None) -> Budgets:
-        connections = self.configuration.sockets - configuration.SPARE_SOCKETS
+        connections = self.configuration.sockets - configuration.RESERVED_SOCKETS
         memory = self.configuration.memory
         if predecessor_descriptors is not None:
             left = connections - predecessor_descriptors - PREDECESSOR_OTHER_DESCRIPTORS
@@ -202,7 +206,7 @@
 
     def on_handed_over(self, handed: bool) -> None:
         """Stop accepting, as a successor does, or accept again if it does not."""
-        self.upstream.rest(handed)
+        self.upstream.set_resting(handed)
         if handed:
             self.lifecycle.on_handed_over()
         else:
@@ -211,7 +215,7 @@
     def on_endpoints_ready(self) -> None:
         """Accept clients from now on: the endpoint list is as complete as it gets."""
         self._open_listener()
-        self.when_endpoints_ready()
+        self.on_endpoints_available()
 
     def listen(self, listener: socket.socket, waited: bool = False) -> None:
         """Listen at a socket that was made elsewhere, and is ours from now on, once the endpoint list is known.
@@ -230,15 +234,15 @@
         listener = self._listener
         self._listener = None
         if self._has_queue:
-            self.deadlines.mark_waiting(clock.BORN)
+            self.deadlines.mark_waiting(clock.STARTED_AT)
         try:
-            opened(listener)
+            start_listening(listener)
         except OSError as fault:  # another process listened in between, which had only bound it as we did
             log.note("cannot listen", f"{self.configuration.listen}: {fault.strerror}")
-            self.code = CANNOT_LISTEN
+            self.exit_code = CANNOT_LISTEN
             self.reactor.callWhenRunning(self.reactor.stop)
             return
         # A port that Twisted has made shuts its socket down when it closes, and with it any copy elsewhere.
-        port = self.reactor.adoptStreamPort(listener.fileno(), listener.family, self.front)
+        port = self.reactor.adoptStreamPort(listener.fileno(), listener.family, self.frontend)
         listener.close()
         self.lifecycle.on_listening(port)
--- a/thymeflow/limiter/lifecycle.py
+++ b/thymeflow/limiter/lifecycle.py
@@ -9,7 +9,7 @@
 from thymeflow.frontend.frontend import Frontend
 from thymeflow.frontend.listener import BACKLOG
 from thymeflow.limiter import phases
-from thymeflow.limiter.phases import Phase, Word
+from thymeflow.limiter.phases import OperatorCommand, Phase
 from thymeflow.runtime import clock, log
 
 TERMINATION_LINGER = 0.7  # s after SIGTERM: clients still connect and are served, as they are not notified yet
@@ -41,7 +41,7 @@
         self._stop = stop
         self._linger = linger
         self.port: Any = None  # where it listens (Twisted's port), and that as text
-        self.where = ""
+        self.listen_address = ""
         self._has_endpoints = False
         self._is_closed = False
         self.on_reload: Callable[[], object] = lambda: None  # set once there is something to reload
@@ -57,10 +57,10 @@
         """Return whether clients are accepted now: what `PING` and `readyz` both answer."""
         return self.phase in (Phase.SERVING, Phase.HANDED_OVER) or (self.phase is Phase.DRAINING and self._is_lingering)
 
-    def call(self, command: Word) -> tuple[bool, str]:
+    def on_command(self, command: OperatorCommand) -> tuple[bool, str]:
         """Carry out an operator's command; return whether it was accepted, and the reason as text."""
-        phase, is_accepted, reason = phases.called(self.phase, command, self.takes_clients())
-        if command is not Word.READY:
+        phase, is_accepted, reason = phases.apply_command(self.phase, command, self.takes_clients())
+        if command is not OperatorCommand.READY:
             log.note("call", f"{command.value}: {'yes' if is_accepted else 'no'}, {reason}")
         if phase is not self.phase:
             self._enter(phase)
@@ -89,8 +89,8 @@
         """Note that clients can connect at this port of Twisted's."""
         self.port = port
         host = port.getHost()
-        self.where = f"{host.host}:{host.port}"
-        log.note("listening", self.where, port=host.port)
+        self.listen_address = f"{host.host}:{host.port}"
+        log.note("listening", self.listen_address, port=host.port)
         self._serve_if_ready()
 
     def _serve_if_ready(self) -> None:
@@ -145,9 +145,9 @@
             self.port.doRead()  # accepts some of them at a time
 
     def _stop_if_idle(self) -> None:
-        if self._is_closed and not len(self._front.agents) and not self._core.open_count():
+        if self._is_closed and not len(self._front.clients) and not self._core.open_count():
             self._complete_shutdown(0)
-        elif self._is_closed and not len(self._front.agents):
+        elif self._is_closed and not len(self._front.clients):
             # Attempts that were given up still end.
             self._deadlines.at(clock.now() + STOP_CHECK_INTERVAL, lambda _: self._stop_if_idle())
 
--- a/thymeflow/limiter/management.py
+++ b/thymeflow/limiter/management.py
@@ -13,7 +13,7 @@
 from twisted.internet.protocol import Factory, Protocol, connectionDone
 from twisted.python.failure import Failure
 
-from thymeflow.limiter.phases import Word
+from thymeflow.limiter.phases import OperatorCommand
 from thymeflow.runtime import clock, log
 from thymeflow.runtime.slot_table import SlotTable
 
@@ -22,15 +22,15 @@
 CALLER_TIMEOUT = 10.0  # s: from connecting to the end of the line, and again from the answer to the caller's close
 MAX_ECHOED = 40  # bytes of an unknown command that the answer repeats
 
-Call = Callable[[Word], tuple[bool, str]]
+Call = Callable[[OperatorCommand], tuple[bool, str]]
 
 
 def answer(line: bytes, call: Call) -> tuple[bool, str]:
     """Return whether the command of one line is accepted, and the reason as text."""
     try:
-        command = Word(line.decode("ascii").strip())
+        command = OperatorCommand(line.decode("ascii").strip())
     except ValueError:  # also for bytes that are not ASCII
-        known = ", ".join(command.value for command in Word)
+        known = ", ".join(command.value for command in OperatorCommand)
         return False, f"{line[:MAX_ECHOED]!r} is no call; it may be one of: {known}"
     return call(command)
 
@@ -93,7 +93,7 @@
     def buildProtocol(self, addr: IAddress | None) -> Caller:  # noqa: ARG002  # Twisted passes it
         """Accept a caller; where no slot is free, close the one that has been idle for longest."""
         if self.callers.is_full():
-            oldest = min(self.callers.all(), key=lambda caller: caller.active_at)
+            oldest = min(self.callers.items(), key=lambda caller: caller.active_at)
             log.say("calls", f"all {MAX_CALLERS} places are taken; the caller that was silent for longest was closed")
             self._close(oldest.handle)
         return Caller(self)
--- a/thymeflow/limiter/phases.py
+++ b/thymeflow/limiter/phases.py
@@ -17,7 +17,7 @@
     STOPPED = "stopped"
 
 
-class Word(Enum):
+class OperatorCommand(Enum):
     """An operator's command."""
 
     READY = "readyz"
@@ -34,12 +34,14 @@
 
 
 # What is not in the table changes nothing and is rejected, with the phase as the reason.
-TRANSITIONS: dict[tuple[Phase, Word], Transition] = {
-    (Phase.SERVING, Word.EVACUATE): Transition(Phase.EVACUATED, True, "user agents are sent away"),
-    (Phase.EVACUATED, Word.EVACUATE): Transition(Phase.EVACUATED, True, "evacuated already"),
-    (Phase.EVACUATED, Word.ACTIVATE): Transition(Phase.SERVING, True, "back at work"),
-    (Phase.SERVING, Word.ACTIVATE): Transition(Phase.SERVING, True, "at work already"),
-    (Phase.STARTING, Word.ACTIVATE): Transition(Phase.STARTING, True, "will be at work as soon as it has started"),
+TRANSITIONS: dict[tuple[Phase, OperatorCommand], Transition] = {
+    (Phase.SERVING, OperatorCommand.EVACUATE): Transition(Phase.EVACUATED, True, "user agents are sent away"),
+    (Phase.EVACUATED, OperatorCommand.EVACUATE): Transition(Phase.EVACUATED, True, "evacuated already"),
+    (Phase.EVACUATED, OperatorCommand.ACTIVATE): Transition(Phase.SERVING, True, "back at work"),
+    (Phase.SERVING, OperatorCommand.ACTIVATE): Transition(Phase.SERVING, True, "at work already"),
+    (Phase.STARTING, OperatorCommand.ACTIVATE): Transition(
+        Phase.STARTING, True, "will be at work as soon as it has started"
+    ),
 }
 REASONS = {
     Phase.STARTING: "it is starting and takes no user agents yet",
@@ -51,9 +53,9 @@
 }
 
 
-def called(phase: Phase, command: Word, takes_clients: bool) -> Transition:
+def apply_command(phase: Phase, command: OperatorCommand, takes_clients: bool) -> Transition:
     """Return the effect of a command in a phase; `takes_clients`: whether clients are accepted now."""
-    if command is Word.READY:
+    if command is OperatorCommand.READY:
         return Transition(phase, takes_clients, REASONS[phase])
     if (phase, command) in TRANSITIONS:
         return TRANSITIONS[phase, command]
--- a/thymeflow/testkit/fakes/load_generator.py
+++ b/thymeflow/testkit/fakes/load_generator.py
@@ -66,7 +66,7 @@
     transport: Any
 
     def __init__(self, agents: Agents, limiter: int) -> None:
-        self._agents, self.limiter, self._parser = agents, limiter, resp.Parser(resp.MOST_LONG)
+        self._agents, self.limiter, self._parser = agents, limiter, resp.Parser(resp.MAX_LONG_VALUE)
         self._long = b""  # the first bytes of a long value
         self.result: Result | None = None
         self.last: Result | None = None
@@ -88,7 +88,7 @@
         for value in found:
             if isinstance(value, resp.Begin):
                 self._long = b""
-            elif isinstance(value, resp.Part):
+            elif isinstance(value, resp.Chunk):
                 self._long = (self._long + value.data)[:64]
                 self._agents.slowly(self, len(value.data))
             elif isinstance(value, resp.Closed):
@@ -221,7 +221,7 @@
         if result.verdict:
             result.notes.append("a late answer")
             return
-        if isinstance(value, resp.Problem):
+        if isinstance(value, resp.ErrorReply):
             words = value.split()
             busy = words[:1] == [b"BUSY"]
             result.wait = int(words[1]) / 1000.0 if busy and len(words) > 1 and words[1].isdigit() else 0.0
--- a/thymeflow/testkit/faults/runner.py
+++ b/thymeflow/testkit/faults/runner.py
@@ -4,7 +4,7 @@
 
 import shutil
 import tempfile
-from collections import Counter as RequestCounters
+from collections import Counter
 from pathlib import Path
 from typing import Any
 
@@ -37,7 +37,7 @@
             say(f"{judge}: {fault}")
         if len(faults) > SHOWN:
             say(f"{judge}: and {len(faults) - SHOWN} more")
-    verdicts = RequestCounters(r.verdict.replace(" ", "_") for r in rig.world.agents.results)
+    verdicts = Counter(r.verdict.replace(" ", "_") for r in rig.world.agents.results)
     bad = any(found.values())
     if bad:
         say(f"the schedule, to play it again with `thymeflow lab play FILE` (logs in {folder}):\n{text_of(schedule)}")
--- a/thymeflow/transport/commands.py
+++ b/thymeflow/transport/commands.py
@@ -39,7 +39,7 @@
     wait: int = 0  # ms that its sender waits from the last byte on
     flow: Flow | None = None  # a streamed body, in place of one that is buffered
 
-    def write(self, wait: int) -> bytes:
+    def encode(self, wait: int) -> bytes:
         """Return the command for a backend; `wait` is how long we wait for the answer, in milliseconds."""
         terms = b"%b%d%b" % (self.before, wait, self.after)
         if self.flow is not None:
@@ -49,7 +49,7 @@
         return resp.command(self.verb, self.customer, self.id, terms, self.body)
 
 
-class Reader:
+class CallReader:
     """Reads calls under the site's classes and plans."""
 
     def __init__(self, settings: GatewaySettings) -> None:
--- a/thymeflow/transport/connections.py
+++ b/thymeflow/transport/connections.py
@@ -28,7 +28,7 @@
 from thymeflow.transport.flow import CHUNK
 
 
-def unread(transport: Any) -> bool:  # noqa: ANN401  # Twisted's transports share no static type with getHandle()
+def has_unread_bytes(transport: Any) -> bool:  # noqa: ANN401  # Twisted's transports share no static type with getHandle()
     """Return whether bytes or the end of the connection wait to be read: it is not as idle as it seems."""
     try:
         transport.getHandle().recv(1, socket.MSG_PEEK)
@@ -77,7 +77,7 @@
         poller.register(descriptor, _PEER_CLOSED)
         return bool(poller.poll(0))
 
-    def narrow(self) -> None:
+    def shrink_buffers(self) -> None:
         """Make the buffers small, here and in the kernel, so that a long value's sender goes at its reader's pace.
 
         Where the kernel takes megabytes at once, a slow reader looks like one that is stalled.
@@ -118,13 +118,13 @@
                 return
             self.message(value)  # type: ignore[arg-type]  # events come only where long values are allowed
         if fault and not self.closed:
-            self.garbled(fault)
+            self.on_malformed(fault)
 
     def connectionLost(self, reason: Failure = connectionDone) -> None:  # noqa: ARG002  # Twisted passes it
         """Call `lost`, unless we ended the connection."""
         if not self.closed:
             self.closed = True
-            self.lost()
+            self.on_lost()
 
     def hang_up(self) -> None:
         """End the connection now; what the peer still sends is discarded."""
@@ -140,11 +140,11 @@
         """Handle a complete message."""
         raise NotImplementedError
 
-    def garbled(self, fault: str) -> None:
+    def on_malformed(self, fault: str) -> None:
         """Handle input that is not RESP2; the connection cannot be used any more."""
         raise NotImplementedError
 
-    def lost(self) -> None:
+    def on_lost(self) -> None:
         """Handle the end of the connection, where we did not end it."""
         raise NotImplementedError
 
--- a/thymeflow/transport/flow.py
+++ b/thymeflow/transport/flow.py
@@ -18,13 +18,13 @@
 
     flushed: bool
 
-    def part(self, data: bytes) -> None:
+    def write_chunk(self, data: bytes) -> None:
         """Write the next bytes."""
 
     def end(self) -> None:
         """Close the value: all of it has been written, and it is complete."""
 
-    def broken(self) -> None:
+    def on_broken(self) -> None:
         """Give up: the rest will not come."""
 
 
@@ -33,13 +33,13 @@
 
     flushed = True
 
-    def part(self, data: bytes) -> None:
+    def write_chunk(self, data: bytes) -> None:
         """Discard the bytes."""
 
     def end(self) -> None:
         """Do nothing."""
 
-    def broken(self) -> None:
+    def on_broken(self) -> None:
         """Do nothing."""
 
 
@@ -57,7 +57,7 @@
         self.length = length
         self.deadline = 0.0  # of a complete body: until when its sender waits
         self.is_done = False  # complete or broken, and the sink was notified
-        self.waits = False  # the source is paused
+        self.is_paused = False  # the source is paused
         self._on_paced = on_paced
         self._on_abandoned = on_abandoned
         self._buffer: deque[bytes] = deque()
@@ -71,24 +71,24 @@
     def push(self, data: bytes) -> None:
         """Take the next bytes from the source."""
         self._buffer.append(data)
-        self.more()
+        self.resume()
 
     def finish(self) -> None:
         """Mark the value as complete: all of it has come from the source."""
         self._is_ended = True
         self._on_complete()
-        self.more()
+        self.resume()
 
     def fail(self) -> None:
         """Mark the value as broken: the rest will not come; what has come is still forwarded."""
         if not self._is_ended:
             self._is_ended = True
             self._is_broken = True
-            self.more()
+            self.resume()
 
     # The sink's side.
 
-    def when_whole(self, on_complete: Callable[[], None]) -> None:
+    def when_complete(self, on_complete: Callable[[], None]) -> None:
         """Call back once all has come from the source, be it written or not."""
         self._on_complete = on_complete
         if self._is_ended and not self._is_broken:
@@ -97,27 +97,27 @@
     def attach(self, sink: Sink) -> None:
         """Forward to this sink from now on."""
         self._sink = sink
-        self.more()
+        self.resume()
 
     def discard(self) -> None:
         """Discard what still comes."""
         if not self.is_done:
             self.attach(NULL_SINK)
 
-    def more(self) -> None:
+    def resume(self) -> None:
         """Write what is buffered as far as the sink has capacity, and let the source go on once nothing is."""
         sink = self._sink
         while self._buffer and sink is not None and sink.flushed:
-            sink.part(self._buffer.popleft())
+            sink.write_chunk(self._buffer.popleft())
         if sink is not None and not self._buffer and self._is_ended and not self.is_done:
             self.is_done = True
             if self._is_broken:
-                sink.broken()
+                sink.on_broken()
             else:
                 sink.end()
         waits = not self.is_done and (sink is None or not sink.flushed or bool(self._buffer))
-        if waits != self.waits:
-            self.waits = waits
+        if waits != self.is_paused:
+            self.is_paused = waits
             self._on_paced(waits)
 
     def abandon(self) -> None:
--- a/thymeflow/transport/resp.py
+++ b/thymeflow/transport/resp.py
@@ -14,7 +14,7 @@
 from thymeflow.transport import TransportError
 
 MAX_VALUE = 64 * 1024  # bytes of one bulk string that is buffered
-MOST_LONG = 4 * 2**20  # bytes of one that is forwarded in chunks
+MAX_LONG_VALUE = 4 * 2**20  # bytes of one that is forwarded in chunks
 MAX_MESSAGE = MAX_VALUE + 8 * 1024  # bytes of one message: a value and its small companions
 MAX_ITEMS = 32  # items of one array; the longest that any peer sends has five
 MAX_LINE = 1024  # bytes of a simple string, an error or a length
@@ -30,7 +30,7 @@
     """A simple string, such as the `OK` of `+OK`."""
 
 
-class Problem(bytes):
+class ErrorReply(bytes):
     """An error reply without its dash."""
 
 
@@ -56,7 +56,7 @@
         self.after = after
 
 
-class Part(_Event):
+class Chunk(_Event):
     """The next bytes of the long value."""
 
     __slots__ = ("data",)
@@ -80,7 +80,7 @@
         self.after = after
 
 
-Event = Union[Value, Begin, Part, Closed, End]
+Event = Union[Value, Begin, Chunk, Closed, End]
 
 
 class _IncompleteError(TransportError):
@@ -117,7 +117,7 @@
         self._missing_items = -1  # that follow the long value and have not come; -1: no long value has begun
         self.awaited_item = -1  # of an incomplete array: the bulk string that bytes are awaited for
 
-    def held(self) -> int:
+    def buffered_bytes(self) -> int:
         """Return how many bytes of an incomplete message are buffered."""
         return len(self._buffer)
 
@@ -169,7 +169,7 @@
         if self._remaining_bytes > 0:
             data = bytes(source[position : position + self._remaining_bytes])
             self._remaining_bytes -= len(data)
-            found.append(Part(data))
+            found.append(Chunk(data))
             return position + len(data)
         if self._remaining_bytes == 0:
             if len(source) < position + 2:
@@ -233,7 +233,7 @@
             return items, position
         if kind == b"+":
             return Simple(line), position
-        return (Problem(line) if kind == b"-" else _parse_number(line)), position
+        return (ErrorReply(line) if kind == b"-" else _parse_number(line)), position
 
     @staticmethod
     def _parse_bulk(source: bytes | bytearray, position: int, length: int) -> tuple[bytes | None, int]:
