--- a/tests/test_budgets.py
+++ b/tests/test_budgets.py
@@ -28,9 +28,10 @@
 from thymeflow.decision.gateway_state import TimerKind
 from thymeflow.decision.settings import Information
 from thymeflow.leases import grant_file
-from thymeflow.leases.holder import MARGIN, Allocation, LeaseHolder, allocation_from_message, message_of
+from thymeflow.leases.errors import OverAllocationError
+from thymeflow.leases.holder import LEASE_MARGIN_SECONDS, Allocation, LeaseHolder, allocation_from_message, message_of
 from thymeflow.leases.issuer import MOVES, LeaseIssuer, Move, State, Write
-from thymeflow.leases.ledger import Ledger, OverAllocationError
+from thymeflow.leases.ledger import Ledger
 from thymeflow.leases.resources import BASE, LENT, WHOLE, Resource, divide_by_demand
 from thymeflow.testkit.lease_model import RULES, Model, caught
 from thymeflow.testkit.model_checker import explored
@@ -102,8 +103,11 @@
 
 def test_a_lease_is_over_for_its_holder_a_margin_before_its_end_however_long_it_slept() -> None:
     holder = LeaseHolder(Allocation(1, 1, (1, 2), (10, 20), 100.0))
-    assert holder.amount(Resource.CONCURRENCY, 100.0 - MARGIN - 0.01) == 11
-    assert holder.amount(Resource.CONCURRENCY, 100.0 - MARGIN) == 1 and holder.amount(Resource.RETRIES, 1e9) == 2
+    assert holder.amount(Resource.CONCURRENCY, 100.0 - LEASE_MARGIN_SECONDS - 0.01) == 11
+    assert (
+        holder.amount(Resource.CONCURRENCY, 100.0 - LEASE_MARGIN_SECONDS) == 1
+        and holder.amount(Resource.RETRIES, 1e9) == 2
+    )
     assert not holder.on_grant(Allocation(1, 1, (9, 9), (9, 9), 1e9)) and not holder.on_grant(Allocation(0, 5))
     assert holder.hand_over().number == 1 and holder.amount(Resource.CONCURRENCY, 0.0) == 0
 
@@ -146,23 +150,23 @@
     granter, path = divided_among("ab"), tmp_path / "fleet.grants"
     grant_file.write(path, granter, "f")
     whole = path.read_bytes()
-    found, fault = grant_file.read(path, "f", 1.0, living=True)
+    found, fault = grant_file.read(path, "f", 1.0, members_running=True)
     assert not fault and found.epoch == 4 and found.base[0].free(1.0) <= BASE // 50
     for length in range(len(whole)):
         for data in (whole[:length], whole[:length] + bytes([whole[length] ^ 1]) + whole[length + 1 :]):
             path.write_bytes(data)
-            found, fault = grant_file.read(path, "f", 1.0, living=True)
+            found, fault = grant_file.read(path, "f", 1.0, members_running=True)
             assert fault and found.epoch > 4 and not found.tick(1.0) and not found.base[0].whole
     for other in (msg for msg in (whole.replace(b'"version":1', b'"version":2'), whole)):
         path.write_bytes(other)
-        assert grant_file.read(path, "g", 1.0, living=True)[1]
+        assert grant_file.read(path, "g", 1.0, members_running=True)[1]
 
 
 def test_parts_that_do_not_add_up_are_not_believed(tmp_path: Path) -> None:
     granter = divided_among("ab")
     granter.durable_amounts["a"] = (BASE,) * len(Resource) + (LENT,) * len(Resource)
     grant_file.write(tmp_path / "t", granter, "f")
-    assert "come to" in grant_file.read(tmp_path / "t", "f", 0.0, living=True)[1]
+    assert "come to" in grant_file.read(tmp_path / "t", "f", 0.0, members_running=True)[1]
 
 
 def test_a_full_disk_lends_nothing_more_than_the_table_on_it_allows_for() -> None:
@@ -256,7 +260,7 @@
 def test_a_table_of_the_program_before_is_read_and_has_nothing_of_kinds_that_it_did_not_know() -> None:
     rows = {"n0": {"number": 3, "noted": [BASE, 5, LENT, 6]}}
     body = json.dumps(
-        {"version": 1, "fleet": "f", "boot": grant_file.boot(), "era": 4, "until": 9.0, "rows": rows}
+        {"version": 1, "fleet": "f", "boot": grant_file.boot_id(), "era": 4, "until": 9.0, "rows": rows}
     ).encode()
     found = grant_file.unpack(hashlib.blake2b(body, digest_size=16).hexdigest().encode() + b"\n" + body, "f")
     kinds = len(Resource)
--- a/tests/test_trace_leases.py
+++ b/tests/test_trace_leases.py
@@ -19,9 +19,10 @@
 
 from tests.trace_digest import TraceDigest
 from thymeflow.leases import grant_file
+from thymeflow.leases.errors import OverAllocationError
 from thymeflow.leases.holder import Allocation, LeaseHolder, allocation_from_message, message_of
 from thymeflow.leases.issuer import State, Write
-from thymeflow.leases.ledger import Ledger, OverAllocationError
+from thymeflow.leases.ledger import Ledger
 from thymeflow.leases.resources import Resource, base_amount, divide_by_demand
 
 NAMES = ("m0", "m1", "m2", "m3", "m4")
@@ -33,7 +34,12 @@
 
 # Builders: the only places that know the names of the code under test.
 
-STATE_LABELS = {State.ABSENT: "absent", State.UNHEARD: "unheard", State.HELD: "held", State.ASKED: "asked"}
+STATE_LABELS = {
+    State.ABSENT: "absent",
+    State.UNHEARD: "unheard",
+    State.ACKNOWLEDGED: "held",
+    State.GRANT_PENDING: "asked",
+}
 KIND_COUNT = len(Resource)
 
 
--- a/thymeflow/leases/__init__.py
+++ b/thymeflow/leases/__init__.py
@@ -1,1 +1,1 @@
-"""What the fleet as a whole may do, divided among its limiters and divided anew as they come and go."""
+"""Fleet-wide limits divided among limiters: base amounts and leases, issued anew as members come and go."""
--- /dev/null
+++ b/thymeflow/leases/allocation.py
@@ -0,0 +1,74 @@
+"""Allocations: what one holder was granted of each resource, and their message form."""
+
+from __future__ import annotations
+
+from dataclasses import dataclass
+from math import isfinite
+
+from thymeflow.leases.errors import MalformedAllocationError
+from thymeflow.leases.resources import WHOLE, Resource
+
+MIN_RESOURCE_COUNT = 2  # amounts in messages of the oldest version that is read; they are of the first resources
+
+
+@dataclass(frozen=True, slots=True)
+class Allocation:
+    """Base amounts and leased amounts by resource, in points.
+
+    A newer allocation has a higher epoch, or the same epoch and a higher number.
+    """
+
+    epoch: int = 0
+    number: int = 0
+    base: tuple[int, ...] = (0,) * len(Resource)
+    lease: tuple[int, ...] = (0,) * len(Resource)
+    ends_at: float = 0.0  # end of the lease, s on the machine's monotonic clock
+
+
+EMPTY_ALLOCATION = Allocation()
+
+
+def allocation_from_message(message: object) -> Allocation:
+    """Parse the message form of an allocation.
+
+    :raises MalformedAllocationError: a ValueError that says what is wrong with the message.
+    """
+    # The keys, and the words of the texts, are part of the protocol between supervisor and members.
+    if not isinstance(message, dict):
+        text = "a part is a table"
+        raise MalformedAllocationError(text)
+    epoch = message.get("era")
+    number = message.get("number")
+    ends_at = message.get("end")
+    if type(epoch) is not int or type(number) is not int or epoch < 0 or number < 0:
+        text = f"era {epoch!r} and number {number!r} are no whole numbers from 0 on"
+        raise MalformedAllocationError(text)
+    if isinstance(ends_at, bool) or not isinstance(ends_at, (int, float)) or not isfinite(ends_at):
+        text = f"end is {ends_at!r}, no time"
+        raise MalformedAllocationError(text)
+    base = _amounts_from_message("base", message.get("base"))
+    lease = _amounts_from_message("lease", message.get("lease"))
+    return Allocation(epoch, number, base, lease, float(ends_at))
+
+
+def message_of(allocation: Allocation) -> dict[str, object]:
+    """Return the message form of an allocation, which `allocation_from_message` parses."""
+    return {
+        "era": allocation.epoch,
+        "number": allocation.number,
+        "base": list(allocation.base),
+        "lease": list(allocation.lease),
+        "end": allocation.ends_at,
+    }
+
+
+def _amounts_from_message(key: str, amounts: object) -> tuple[int, ...]:
+    if (
+        not isinstance(amounts, list)
+        or not MIN_RESOURCE_COUNT <= len(amounts) <= len(Resource)
+        or not all(type(amount) is int and 0 <= amount <= WHOLE for amount in amounts)
+    ):
+        text = f"{key} is {amounts!r}, not {len(Resource)} whole numbers from 0 to {WHOLE}"
+        raise MalformedAllocationError(text)
+    missing = [0] * (len(Resource) - len(amounts))  # an earlier version knows fewer resources
+    return (*amounts, *missing)
--- /dev/null
+++ b/thymeflow/leases/errors.py
@@ -0,0 +1,21 @@
+"""The exceptions of leases."""
+
+from __future__ import annotations
+
+from thymeflow.errors import ThymeflowError
+
+
+class LeaseError(ThymeflowError):
+    """Base class of the exceptions of this package."""
+
+
+class OverAllocationError(LeaseError):
+    """A grant would exceed what is free: a programming error of the issuer."""
+
+
+class MalformedAllocationError(LeaseError, ValueError):
+    """A message is no allocation; the text says why in one line."""
+
+
+class GrantFileError(LeaseError):
+    """The grant file cannot be used; the text says why in one line."""
--- a/thymeflow/leases/grant_file.py
+++ b/thymeflow/leases/grant_file.py
@@ -1,7 +1,7 @@
-"""The grant table on the disk: what a granter that dies leaves to the one that comes after it.
+"""The grant file: what a lease issuer leaves to its successor when it dies.
 
-It is written in the place of the old one before anything in it is sent, and outlives the process; a machine that is
-started anew has no holder left, so a table of an earlier boot allows for nothing and only tells the era.
+The file is replaced before any grant in it is sent, and outlives the process. After a boot of the machine no holder is
+left, so a file from an earlier boot allows for no grants and only gives the epoch.
 """
 
 from __future__ import annotations
@@ -9,29 +9,34 @@
 import hashlib
 from math import isfinite
 from pathlib import Path
+from typing import NamedTuple
 
 import msgspec
 
+from thymeflow.leases.errors import GrantFileError as GrantFileError
 from thymeflow.leases.issuer import WRITTEN, LeaseIssuer, State
 from thymeflow.leases.resources import BASE, LENT, Resource
 from thymeflow.snapshot import atomic_file
 
 VERSION = 2
-OLDER = {1: 2}  # versions that are read, and how many kinds they have: the first ones
-MOST_BYTES = 1 << 20
+RESOURCE_COUNT_BY_OLDER_VERSION = {1: 2}  # versions that are read too; their amounts are of the first resources
+MAX_FILE_BYTES = 1 << 20
 BOOT = Path("/proc/sys/kernel/random/boot_id")
-
-
-class GrantFileError(Exception):
-    """The table cannot be believed; the text says why in one line."""
+FIRST_EPOCH = 1
+EPOCH_AFTER_LOSS = 1 << 40  # set in epochs after a loss of the file; no earlier issuer can have counted so far
+DIGEST_BYTES = 16
 
 
 class _Row(msgspec.Struct, forbid_unknown_fields=True):
+    """The grants of one holder. The names of the fields are those in the file."""
+
     number: int
-    noted: list[int]  # bases by kind, then leases by kind: the most that may be in force
+    noted: list[int]  # the most that may be in force: base amounts by resource, then leased amounts
 
 
 class _Table(msgspec.Struct, forbid_unknown_fields=True):
+    """The content of the file. The names of the fields are those in the file."""
+
     version: int
     fleet: str
     boot: str
@@ -40,83 +45,123 @@
     rows: dict[str, _Row]
 
 
-def boot() -> str:
-    """What tells this boot of the machine from others; empty where the system does not say."""
+class LoadedIssuer(NamedTuple):
+    """The issuer that continues from a grant file, and why the file could not be used; empty where it could."""
+
+    issuer: LeaseIssuer
+    fault: str
+
+
+def boot_id() -> str:
+    """Return the identifier of this boot of the machine, empty where the system has none."""
     try:
         return BOOT.read_text().strip()
     except OSError:
         return ""
 
 
-def pack(granter: LeaseIssuer, fleet: str) -> bytes:
-    """The table as it is to be written: a line with its digest, then its content."""
+def pack(issuer: LeaseIssuer, fleet: str) -> bytes:
+    """Return the content of the file: a line with a digest, then the grants as JSON."""
     rows = {
-        h: _Row(r.number, list(granter.durable_amounts[h]))
-        for h, r in granter.rows.items()
-        if r.state is not State.ABSENT and h in granter.durable_amounts
+        holder: _Row(row.number, list(issuer.durable_amounts[holder]))
+        for holder, row in issuer.rows.items()
+        if row.state is not State.ABSENT and holder in issuer.durable_amounts
     }
-    body = msgspec.json.encode(_Table(VERSION, fleet, boot(), granter.epoch, granter.durable_until, rows))
-    return hashlib.blake2b(body, digest_size=16).hexdigest().encode() + b"\n" + body
+    body = msgspec.json.encode(_Table(VERSION, fleet, boot_id(), issuer.epoch, issuer.durable_until, rows))
+    return _digest(body) + b"\n" + body
 
 
 def unpack(data: bytes, fleet: str) -> _Table:
-    """The table in a file's bytes; TableError where it is not whole, newer than this program, or another fleet's."""
-    digest, mark, body = data.partition(b"\n")
-    if not mark or hashlib.blake2b(body, digest_size=16).hexdigest().encode() != digest:
-        raise GrantFileError("its digest does not fit its content")
-    try:
-        version = msgspec.json.decode(body, type=dict)["version"]
-        if version != VERSION and version not in OLDER:
-            raise GrantFileError(f"it is of version {str(version)[:20]}, and this program reads version {VERSION}")
-        table = msgspec.json.decode(body, type=_Table)
-    except (msgspec.DecodeError, KeyError) as fault:
-        raise GrantFileError(f"it cannot be read: {fault}") from None
+    """Parse the content of the file; missing amounts of an older version become 0.
+
+    :raises GrantFileError: where it is incomplete, of a newer version, of another fleet, or does not add up.
+    """
+    digest, separator, body = data.partition(b"\n")
+    if not separator or _digest(body) != digest:
+        text = "its digest does not fit its content"
+        raise GrantFileError(text)
+    table = _decode(body)
     if table.fleet != fleet:
-        raise GrantFileError(f"it is of the fleet {table.fleet[:40]!r}, and this one is {fleet!r}")
-    kinds = OLDER.get(table.version, len(Resource))
-    for row in table.rows.values():
-        if len(row.noted) == 2 * kinds:
-            lacks = [0] * (len(Resource) - kinds)
-            row.noted = [*row.noted[:kinds], *lacks, *row.noted[kinds:], *lacks]
-    if (
-        not isfinite(table.until)
-        or table.era < 0
-        or any(len(r.noted) != 2 * len(Resource) or min(r.noted) < 0 for r in table.rows.values())
-    ):
-        raise GrantFileError("a row is not of its form")
-    for place in range(2 * len(Resource)):
-        total, whole = sum(r.noted[place] for r in table.rows.values()), BASE if place < len(Resource) else LENT
-        if total > whole:
-            raise GrantFileError(f"its parts come to {total} of {whole}")
+        text = f"it is of the fleet {table.fleet[:40]!r}, and this one is {fleet!r}"
+        raise GrantFileError(text)
+    _add_missing_resources(table)
+    _check_amounts(table)
     return table
 
 
-def read(path: Path, fleet: str, now: float, living: bool) -> tuple[LeaseIssuer, str]:
-    """The granter that comes after the one of this table, and the fault where the table could not be used.
+def read(path: Path, fleet: str, now: float, members_running: bool) -> LoadedIssuer:
+    """Return the issuer that succeeds the one of this file; `members_running`: members of an earlier one may run.
 
-    `living`: members of an earlier granter run. Where its table is lost, leases are granted once all that it may have
-    lent is over, and no bases: who does not speak may hold any. The era is then the machine's time, which none before
-    can have reached.
+    Where the file is lost and members run, leases are granted once all lost ones have expired, and no base amounts, as
+    a member that does not report may have any. The epoch then includes the machine's time, which no earlier one can
+    have reached.
     """
     try:
-        data = path.read_bytes()
-        if len(data) > MOST_BYTES:
-            raise GrantFileError(f"it holds over {MOST_BYTES} bytes")
-        table = unpack(data, fleet)
-    except (OSError, GrantFileError) as fault:
-        if isinstance(fault, FileNotFoundError) and not living:
-            return LeaseIssuer(1, now), ""
-        made = LeaseIssuer(1 << 40 | int(now), now)
-        if living:
-            made.on_grants_lost(now)
-        return made, f"{path}: {fault}"
-    made = LeaseIssuer(table.era + 1, now)
-    if table.boot and table.boot == boot():
+        table = unpack(_read_bytes(path), fleet)
+    except (OSError, GrantFileError) as error:
+        if isinstance(error, FileNotFoundError) and not members_running:
+            return LoadedIssuer(LeaseIssuer(FIRST_EPOCH, now), "")
+        issuer = LeaseIssuer(EPOCH_AFTER_LOSS | int(now), now)
+        if members_running:
+            issuer.on_grants_lost(now)
+        return LoadedIssuer(issuer, f"{path}: {error}")
+    issuer = LeaseIssuer(table.era + 1, now)
+    if table.boot and table.boot == boot_id():
+        until = min(table.until, now + WRITTEN)
         for holder, row in table.rows.items():
-            made.restore_grant(holder, row.number, tuple(row.noted), min(table.until, now + WRITTEN), now)
-    return made, ""
+            issuer.restore_grant(holder, row.number, tuple(row.noted), until, now)
+    return LoadedIssuer(issuer, "")
 
 
-def write(path: Path, granter: LeaseIssuer, fleet: str) -> None:
-    """Write it, whole or not at all; OSError where it was not written."""
-    atomic_file.write(path, pack(granter, fleet), atomic_file.Durability.PROCESS)
+def write(path: Path, issuer: LeaseIssuer, fleet: str) -> None:
+    """Replace the file atomically.
+
+    :raises OSError: where it was not written.
+    """
+    atomic_file.write(path, pack(issuer, fleet), atomic_file.Durability.PROCESS)
+
+
+def _digest(body: bytes) -> bytes:
+    return hashlib.blake2b(body, digest_size=DIGEST_BYTES).hexdigest().encode()
+
+
+def _read_bytes(path: Path) -> bytes:
+    data = path.read_bytes()
+    if len(data) > MAX_FILE_BYTES:
+        text = f"it holds over {MAX_FILE_BYTES} bytes"
+        raise GrantFileError(text)
+    return data
+
+
+def _decode(body: bytes) -> _Table:
+    try:
+        version = msgspec.json.decode(body, type=dict)["version"]
+        if version != VERSION and version not in RESOURCE_COUNT_BY_OLDER_VERSION:
+            text = f"it is of version {str(version)[:20]}, and this program reads version {VERSION}"
+            raise GrantFileError(text)
+        return msgspec.json.decode(body, type=_Table)
+    except (msgspec.DecodeError, KeyError) as error:
+        text = f"it cannot be read: {error}"
+        raise GrantFileError(text) from None
+
+
+def _add_missing_resources(table: _Table) -> None:
+    count = RESOURCE_COUNT_BY_OLDER_VERSION.get(table.version, len(Resource))
+    missing = [0] * (len(Resource) - count)
+    for row in table.rows.values():
+        if len(row.noted) == 2 * count:
+            row.noted = [*row.noted[:count], *missing, *row.noted[count:], *missing]
+
+
+def _check_amounts(table: _Table) -> None:
+    amount_count = 2 * len(Resource)
+    are_rows_valid = all(len(row.noted) == amount_count and min(row.noted) >= 0 for row in table.rows.values())
+    if not isfinite(table.until) or table.era < 0 or not are_rows_valid:
+        text = "a row is not of its form"
+        raise GrantFileError(text)
+    for index in range(amount_count):
+        total = BASE if index < len(Resource) else LENT
+        granted = sum(row.noted[index] for row in table.rows.values())
+        if granted > total:
+            text = f"its parts come to {granted} of {total}"
+            raise GrantFileError(text)
--- a/thymeflow/leases/issuer.py
+++ b/thymeflow/leases/issuer.py
@@ -1,275 +1,290 @@
-"""Who divides: what every holder may have until when. Events in, actions out; no I/O, no clock.
+"""The lease issuer: decides which allocation each holder has until when. Events in, actions out; no I/O, no clock.
 
-A holder is in one named state, and `MOVES` holds every legal change. A grant goes out only after the table with it was
-written (`Write`, answered by `Written`): whoever comes after a death of this process knows all that can be out.
+A grant may be sent only after a grant file that allows for it was written (`Write`, confirmed by `on_written`), so that
+the next issuer knows all that can be outstanding, whenever this process dies. All times are in s on the machine's
+monotonic clock.
 """
 
 from __future__ import annotations
 
-from dataclasses import dataclass, field
-from enum import Enum
+from collections.abc import Iterator
+from dataclasses import dataclass
 from math import inf
 
-from thymeflow.leases.holder import Allocation
+from thymeflow.leases.allocation import Allocation
+from thymeflow.leases.holder_state import MOVES as MOVES
+from thymeflow.leases.holder_state import Move as Move
+from thymeflow.leases.holder_state import Row as Row
+from thymeflow.leases.holder_state import State as State
 from thymeflow.leases.ledger import Ledger
 from thymeflow.leases.resources import BASE, LENT, Resource, base_amount, divide_by_demand
 
-LEASE = 4.0  # s: a lease's length; what a holder that cannot be reached keeps for itself at most
-RENEW = 0.5  # of it: renewed when so much is left
-WRITTEN = 8.0  # s: how far ahead the table is written, so that renewals need no write of their own
-HEARD = 2.0  # s: whoever has said nothing for longer is not lent anew; four of the words that members say
-COARSE = 0.02  # of the pool: smaller changes of a part are not worth a grant
-
-
-class State(Enum):
-    """Where a holder is."""
-
-    ABSENT = "absent"  # no process is known, and nothing is out
-    UNHEARD = "unheard"  # something may be out, and nobody has spoken yet
-    HELD = "held"  # it speaks, and has what was granted last
-    ASKED = "asked"  # it speaks, and has not said yet that it has what was granted last
-
-
-class Move(Enum):
-    """What may happen to a holder."""
-
-    BORN = "born"  # a process is being started under its name
-    SPEAKS = "speaks"
-    GRANT = "grant"
-    ACK = "ack"
-    SILENT = "silent"
-    DIES = "dies"  # known: its process has ended, by the kernel's word
-
-
-MOVES: dict[tuple[State, Move], State] = {
-    (State.ABSENT, Move.BORN): State.UNHEARD,
-    (State.ABSENT, Move.DIES): State.ABSENT,
-    (State.ABSENT, Move.SPEAKS): State.HELD,
-    (State.UNHEARD, Move.BORN): State.UNHEARD,
-    (State.UNHEARD, Move.SPEAKS): State.HELD,
-    (State.UNHEARD, Move.SILENT): State.UNHEARD,
-    (State.UNHEARD, Move.DIES): State.ABSENT,
-    (State.HELD, Move.SPEAKS): State.HELD,
-    (State.HELD, Move.GRANT): State.ASKED,
-    (State.HELD, Move.ACK): State.HELD,
-    (State.HELD, Move.SILENT): State.UNHEARD,
-    (State.HELD, Move.DIES): State.ABSENT,
-    (State.ASKED, Move.SPEAKS): State.ASKED,
-    (State.ASKED, Move.GRANT): State.ASKED,
-    (State.ASKED, Move.ACK): State.HELD,
-    (State.ASKED, Move.SILENT): State.UNHEARD,
-    (State.ASKED, Move.DIES): State.ABSENT,
-}
+LEASE = 4.0  # s: length of a lease; the longest that an unreachable holder uses its leased amounts
+RENEWAL_FRACTION = 0.5  # of a lease: it is renewed when so much is left
+WRITTEN = 8.0  # s: how far ahead the grant file allows for leases, so that renewals need no write of their own
+HEARD = 2.0  # s: how long a report is valid, four report intervals; without a valid one nothing is leased anew
+MIN_CHANGE_FRACTION = 0.02  # of the leased points, divided by the holders: smaller changes are not worth a grant
+
+HolderName = str
 
 
 @dataclass(frozen=True, slots=True)
 class Write:
-    """Write the table; `Granter.written` is told once it is durable."""
+    """Write the grant file, then confirm this version with `LeaseIssuer.on_written` or `on_write_failed`."""
 
     version: int
 
 
 @dataclass(frozen=True, slots=True)
 class Send:
-    """Send a part to a holder."""
+    """Send an allocation to a holder."""
 
-    holder: str
+    holder: HolderName
     part: Allocation
 
 
 Action = Write | Send
 
 
-@dataclass(slots=True)
-class Row:
-    """What is known of one holder."""
-
-    state: State = State.ABSENT
-    number: int = 0  # of its newest grant
-    base: list[int] = field(default_factory=lambda: [0] * len(Resource))
-    lease: list[int] = field(default_factory=lambda: [0] * len(Resource))
-    end: float = 0.0
-    demand: tuple[float, ...] = (0.0,) * len(Resource)
-    told: tuple[int, int] = (-1, -1)  # era and number that it said it has
-    heard: float = -inf
-    answered: float = -inf  # when it last had what was granted, or began to speak
-
-
 class LeaseIssuer:
-    """The division of all kinds among the holders of one fleet."""
+    """Divides all resources among the holders of one fleet."""
 
-    def __init__(self, era: int, now: float) -> None:
-        self.epoch, self.size = era, 1
-        self.rows: dict[str, Row] = {}
+    def __init__(self, epoch: int, now: float) -> None:
+        self.epoch = epoch
+        self.rows: dict[HolderName, Row] = {}
         self.base = [Ledger(BASE) for _ in Resource]
         self.lent = [Ledger(LENT) for _ in Resource]
-        self.version = 0  # of the table
-        self.durable_until = now  # how far ahead it is written
-        self._waiting: dict[int, list[Send]] = {}  # sends that wait for a version to be durable
-        self.still = now  # nothing is granted before: leases of a lost table
-        self.durable_amounts: dict[str, tuple[int, ...]] = {}  # what the table allows for: bases, then leases
-
-    def row(self, holder: str) -> Row:
-        """Its row, a new one where it was never heard of."""
+        self.durable_until = now  # leases up to this time are covered by the grant file
+        self.durable_amounts: dict[HolderName, tuple[int, ...]] = {}  # covered by the file: base amounts, then leased
+        self._fleet_size = 1
+        self._file_version = 0
+        self._waiting: dict[int, list[Send]] = {}  # sends by the file version that must be written before
+        self._first_grant_at = now  # before, leases of a lost grant file may be in force
+
+    def row(self, holder: HolderName) -> Row:
+        """Return the record of a holder, a new one if it is unknown."""
         return self.rows.setdefault(holder, Row())
 
-    def _move(self, holder: str, move: Move) -> Row:
+    def _move(self, holder: HolderName, move: Move) -> Row:
         row = self.row(holder)
         row.state = MOVES[row.state, move]
         return row
 
-    # --- what happens --------------------------------------------------------------------------------------
+    # Events.
 
     def on_grants_lost(self, now: float) -> None:
-        """Grant no base, as silent holders may have any of the lost table, and no lease for a while."""
-        self.base, self.still = [Ledger(0) for _ in Resource], now + WRITTEN
+        """Grant no base amounts, as unreachable holders may have any, and no leases until all lost ones expired."""
+        self.base = [Ledger(0) for _ in Resource]
+        self._first_grant_at = now + WRITTEN
 
     def resize(self, size: int) -> None:
-        """The fleet is to have so many places."""
-        self.size = max(1, size)
-
-    def restore_grant(self, holder: str, number: int, noted: tuple[int, ...], until: float, now: float) -> None:
-        """What an earlier granter's table allows for: it may all be out, whether it was sent or not."""
-        row = self._move(holder, Move.BORN)
-        row.number, self.durable_amounts[holder] = number, noted
-        for place, ledger in enumerate((*self.base, *self.lent)):
-            ledger.grant(holder, number, noted[place], inf if place < len(Resource) else until, now)
-
-    def on_starting(self, holder: str, now: float) -> tuple[Allocation, Write]:
-        """A process is about to be started: the part that it starts with, once that is written.
-
-        Its base is what is free of the reserve, at most an even one; a lease comes once it speaks.
+        """Set the number of members that the fleet is meant to have."""
+        self._fleet_size = max(1, size)
+
+    def restore_grant(
+        self, holder: HolderName, number: int, amounts: tuple[int, ...], until: float, now: float
+    ) -> None:
+        """Count what an earlier issuer's grant file allows for as outstanding, whether or not it was sent."""
+        row = self._move(holder, Move.STARTING)
+        row.number = number
+        self.durable_amounts[holder] = amounts
+        for ledger, amount in zip(self.base, amounts[: len(Resource)], strict=True):
+            ledger.grant(holder, number, amount, inf, now)
+        for ledger, amount in zip(self.lent, amounts[len(Resource) :], strict=True):
+            ledger.grant(holder, number, amount, until, now)
+
+    def on_starting(self, holder: HolderName, now: float) -> tuple[Allocation, Write]:
+        """Return the allocation that a new process starts with; it may be used once the grant file is written.
+
+        The base amounts are an even share at most, as far as they are free. A lease is granted once the process
+        reports.
         """
-        row = self._move(holder, Move.BORN)
+        row = self._move(holder, Move.STARTING)
         row.number += 1
-        for place, ledger in enumerate(self.base):
-            amount = min(base_amount(max(self.size, self._there())), ledger.out(holder, now) + ledger.free(now))
+        even_amount = base_amount(max(self._fleet_size, self._present_count()))
+        for index, ledger in enumerate(self.base):
+            amount = min(even_amount, ledger.out(holder, now) + ledger.free(now))
             ledger.grant(holder, row.number, amount, inf, now)
-            row.base[place] = amount
-        row.lease, row.end = [0] * len(Resource), 0.0
-        return Allocation(self.epoch, row.number, tuple(row.base), tuple(row.lease), row.end), self._write(now, [])
-
-    def _there(self) -> int:
-        return sum(row.state is not State.ABSENT for row in self.rows.values())
-
-    def on_report(self, holder: str, part: Allocation, demand: tuple[float, ...], now: float) -> None:
-        """A holder says what it has and how much it asks."""
-        known = holder in self.rows
-        if part.epoch > self.epoch:
-            self.epoch = part.epoch + 1  # a table was lost: what is granted has to be newer than what is held
-        spoke = self.row(holder).state in (State.HELD, State.ASKED)
+            row.base[index] = amount
+        row.clear_lease()
+        return self._allocation(row), self._write(now, [])
+
+    def on_report(self, holder: HolderName, allocation: Allocation, demand: tuple[float, ...], now: float) -> None:
+        """Handle a holder's report of the allocation that it has and of its demand by resource."""
+        is_known = holder in self.rows
+        if allocation.epoch > self.epoch:
+            self.epoch = allocation.epoch + 1  # a grant file was lost: new grants must be newer than those in use
+        was_reporting = self.row(holder).is_reporting()
         row = self._move(holder, Move.SPEAKS)
-        row.answered = row.answered if spoke else now
-        row.demand = demand if len(demand) == len(Resource) else row.demand
-        row.told, row.heard = (part.epoch, part.number), now
-        if not known:
-            self._claimed(holder, row, part, now)
-        if part.epoch == self.epoch and part.number >= row.number > 0:
+        if not was_reporting:
+            row.answered = now
+        if len(demand) == len(Resource):
+            row.demand = demand
+        row.told = (allocation.epoch, allocation.number)
+        row.heard = now
+        if not is_known:
+            self._adopt_unknown(holder, allocation, now)
+        if allocation.epoch == self.epoch and allocation.number >= row.number > 0:
             self._move(holder, Move.ACK)
             row.answered = now
-            for ledger in (*self.base, *self.lent):
-                ledger.acked(holder, part.number)
-
-    def _claimed(self, holder: str, row: Row, part: Allocation, now: float) -> None:
-        # Nobody has a note of it. What it says it holds is counted as far as there is room, and never granted from:
-        # the next grant, which is newer than anything it has, puts it right.
-        for place in range(len(Resource)):
-            for ledger, amount, end in (
-                (self.base[place], part.base[place], inf),
-                (self.lent[place], part.lease[place], part.ends_at),
-            ):
-                ledger.grant(holder, 0, min(amount, ledger.free(now)), end, now)
+            for ledger in self._ledgers():
+                ledger.acked(holder, allocation.number)
 
-    def on_disconnected(self, holder: str) -> None:
-        """The line to a holder has ended, which says nothing of the holder."""
+    def on_disconnected(self, holder: HolderName) -> None:
+        """Handle the end of a holder's connection, which does not mean that the holder has ended."""
         if holder in self.rows and self.rows[holder].state is not State.ABSENT:
-            self._move(holder, Move.SILENT)
+            self._move(holder, Move.UNRESPONSIVE)
 
-    def on_death(self, holder: str) -> None:
-        """A holder's process has ended, by the kernel's word: all that it had is free."""
+    def on_death(self, holder: HolderName) -> None:
+        """Free all that a holder had, as its process is known to have ended."""
         if holder in self.rows:
-            self._move(holder, Move.DIES)
-            for ledger in (*self.base, *self.lent):
+            row = self._move(holder, Move.DEATH)
+            for ledger in self._ledgers():
                 ledger.dead(holder)
-            row = self.rows[holder]
-            row.base, row.lease, row.end = [0] * len(Resource), [0] * len(Resource), 0.0
+            row.clear_amounts()
 
     def on_written(self, version: int) -> list[Send]:
-        """The table of that version is written, so that it outlives this process: what waited for it may go."""
-        due = [v for v in self._waiting if v <= version]
-        return [send for v in sorted(due) for send in self._waiting.pop(v)]
+        """Return the sends that waited for this version of the grant file, or an earlier one, to be durable."""
+        versions = sorted(waiting for waiting in self._waiting if waiting <= version)
+        return [send for written in versions for send in self._waiting.pop(written)]
 
     def on_write_failed(self, version: int) -> None:
-        """The table of that version could not be written: what waited for it is not sent, and nothing is covered."""
+        """Drop the sends that waited for this version, and send nothing more before another version is written."""
         self._waiting.pop(version, None)
         self.durable_until = -inf
 
-    # --- the division --------------------------------------------------------------------------------------
+    # Division.
 
     def tick(self, now: float) -> list[Action]:
-        """Divide by what is known now: lower first, raise by what is free, renew what ends soon."""
-        for holder, row in self.rows.items():
-            if row.state in (State.HELD, State.ASKED) and now - row.heard > HEARD:
-                self._move(holder, Move.SILENT)
-        if now < self.still:
+        """Divide by the reports that are valid now: reduce first, raise by what is free, renew what expires soon.
+
+        Return the sends, or where the grant file does not cover all of them one `Write` for which they wait.
+        """
+        self._mark_unresponsive(now)
+        if now < self._first_grant_at:
             return []
-        speaking = {h: r for h, r in self.rows.items() if r.state in (State.HELD, State.ASKED)}
-        # Who speaks and does not hear would tie up what it is lent anew: it keeps its base until it has a grant again.
-        deaf = {h: 0 for h, r in speaking.items() if r.state is State.ASKED and now - r.answered > LEASE}
-        wanted = [
-            deaf | divide_by_demand(LENT, {h: r.demand[place] for h, r in speaking.items() if h not in deaf})
-            for place in range(len(Resource))
-        ]
-        sends: list[Send] = []
-        lowered = [h for h, r in speaking.items() if self._wants(h, r, wanted, now)]
-        # Who is to have less is told first; what that frees is granted once it is known to be free.
-        for holder in sorted(lowered, key=lambda h: sum(w[h] for w in wanted) - sum(speaking[h].lease)):
-            sends.append(self._grant(holder, speaking[holder], [w[holder] for w in wanted], now))
+        sends = self._issue_grants(now)
         if not sends:
             return []
         if all(self._covered(send) for send in sends):
-            return list(sends)  # what is written already allows for all of it
+            return list(sends)
         return [self._write(now, sends)]
 
-    def _covered(self, send: Send) -> bool:
-        noted = self.durable_amounts.get(send.holder)
-        return (
-            noted is not None
-            and send.part.ends_at <= self.durable_until
-            and all(amount <= most for amount, most in zip((*send.part.base, *send.part.lease), noted, strict=True))
-        )
+    def _mark_unresponsive(self, now: float) -> None:
+        for holder, row in self.rows.items():
+            if row.is_reporting() and now - row.heard > HEARD:
+                self._move(holder, Move.UNRESPONSIVE)
+
+    def _issue_grants(self, now: float) -> list[Send]:
+        reporting = {holder: row for holder, row in self.rows.items() if row.is_reporting()}
+        wanted = self._divide_leases(reporting, now)
+        changed = [holder for holder, row in reporting.items() if self._needs_grant(holder, row, wanted, now)]
+
+        def increase(holder: HolderName) -> int:
+            """Return by how much all leased amounts of a holder are to grow."""
+            return sum(amounts[holder] for amounts in wanted) - sum(reporting[holder].lease)
+
+        # Reductions are sent first; what they free is granted once it is known to be free.
+        changed.sort(key=increase)
+        return [
+            self._grant(holder, reporting[holder], [amounts[holder] for amounts in wanted], now) for holder in changed
+        ]
 
-    def _write(self, now: float, sends: list[Send]) -> Write:
-        # Written is the most that can be in force, so that what a holder gives up later needs no write.
-        self.version, self.durable_until = self.version + 1, now + WRITTEN
-        self.durable_amounts = {h: tuple(ledger.out(h, now) for ledger in (*self.base, *self.lent)) for h in self.rows}
-        if sends:
-            self._waiting[self.version] = sends
-        return Write(self.version)
+    def _divide_leases(self, reporting: dict[HolderName, Row], now: float) -> list[dict[HolderName, int]]:
+        """Return the leased amounts that each reporting holder is to have, by resource."""
+        # A holder whose reports arrive but which receives nothing would tie up what it is leased: it keeps its base
+        # amounts until it acknowledges a grant again.
+        not_receiving = {
+            holder: 0
+            for holder, row in reporting.items()
+            if row.state is State.GRANT_PENDING and now - row.answered > LEASE
+        }
+        receiving = {holder: row for holder, row in reporting.items() if holder not in not_receiving}
+        return [
+            not_receiving | divide_by_demand(LENT, {holder: row.demand[index] for holder, row in receiving.items()})
+            for index in range(len(Resource))
+        ]
+
+    def _needs_grant(self, holder: HolderName, row: Row, wanted: list[dict[HolderName, int]], now: float) -> bool:
+        expires_soon = row.end - now <= RENEWAL_FRACTION * LEASE
+        if row.state is State.GRANT_PENDING and not expires_soon:
+            return False  # wait for its acknowledgement first
+        if expires_soon or row.told != (self.epoch, row.number):
+            return True
+        return any(self._is_change_worthwhile(index, row, wanted[index][holder], now) for index in _indexes())
 
-    def _wants(self, holder: str, row: Row, wanted: list[dict[str, int]], now: float) -> bool:
-        if row.state is State.ASKED and row.end - now > RENEW * LEASE:
-            return False  # let it answer first
-        if row.end - now <= RENEW * LEASE or row.told != (self.epoch, row.number):
+    def _is_change_worthwhile(self, index: int, row: Row, wanted: int, now: float) -> bool:
+        """Return whether the amounts of one resource are to change by enough for a grant."""
+        change = wanted - row.lease[index]
+        possible = self.lent[index].free(now) if change > 0 else -change
+        if min(abs(change), possible) > MIN_CHANGE_FRACTION * LENT / max(1, len(self.rows)):
             return True
-        even = base_amount(self._there())
-        for place in range(len(Resource)):
-            change = wanted[place][holder] - row.lease[place]
-            room = self.lent[place].free(now) if change > 0 else -change
-            if min(abs(change), room) > COARSE * LENT / max(1, len(self.rows)):
-                return True
-            if row.base[place] > even or (row.base[place] < even and self.base[place].free(now) > 0):
-                return True
-        return False
-
-    def _grant(self, holder: str, row: Row, wanted: list[int], now: float) -> Send:
+        even_amount = base_amount(self._present_count())
+        if row.base[index] > even_amount:
+            return True
+        return row.base[index] < even_amount and self.base[index].free(now) > 0
+
+    def _grant(self, holder: HolderName, row: Row, wanted: list[int], now: float) -> Send:
+        """Record a grant of the wanted leased amounts and even base amounts, as far as they are free."""
         row.number += 1
         row.end = now + LEASE
-        for place in range(len(Resource)):
-            base, lent = self.base[place], self.lent[place]
-            row.base[place] = min(base_amount(self._there()), base.out(holder, now) + base.free(now))
-            base.grant(holder, row.number, row.base[place], inf, now)
-            row.lease[place] = min(wanted[place], lent.out(holder, now) + lent.free(now))
-            lent.grant(holder, row.number, row.lease[place], row.end, now)
+        even_amount = base_amount(self._present_count())
+        for index in _indexes():
+            base = self.base[index]
+            row.base[index] = min(even_amount, base.out(holder, now) + base.free(now))
+            base.grant(holder, row.number, row.base[index], inf, now)
+            lent = self.lent[index]
+            row.lease[index] = min(wanted[index], lent.out(holder, now) + lent.free(now))
+            lent.grant(holder, row.number, row.lease[index], row.end, now)
         self._move(holder, Move.GRANT)
-        return Send(holder, Allocation(self.epoch, row.number, tuple(row.base), tuple(row.lease), row.end))
+        return Send(holder, self._allocation(row))
+
+    def _adopt_unknown(self, holder: HolderName, allocation: Allocation, now: float) -> None:
+        """Count what an unknown holder reports as outstanding, as far as it is free.
+
+        It is never a base for new grants: the next one, which is newer than all that the holder has, corrects it.
+        """
+        for index in _indexes():
+            for ledger, amount, end in (
+                (self.base[index], allocation.base[index], inf),
+                (self.lent[index], allocation.lease[index], allocation.ends_at),
+            ):
+                ledger.grant(holder, 0, min(amount, ledger.free(now)), end, now)
+
+    # The grant file.
+
+    def _covered(self, send: Send) -> bool:
+        """Return whether the grant file as it was last written allows for a grant."""
+        covered = self.durable_amounts.get(send.holder)
+        if covered is None or send.part.ends_at > self.durable_until:
+            return False
+        amounts = (*send.part.base, *send.part.lease)
+        return all(amount <= maximum for amount, maximum in zip(amounts, covered, strict=True))
+
+    def _write(self, now: float, sends: list[Send]) -> Write:
+        # The file has the most that can be in force, so that reductions need no write.
+        self._file_version += 1
+        self.durable_until = now + WRITTEN
+        self.durable_amounts = {
+            holder: tuple(ledger.out(holder, now) for ledger in self._ledgers()) for holder in self.rows
+        }
+        if sends:
+            self._waiting[self._file_version] = sends
+        return Write(self._file_version)
+
+    # Small helpers.
+
+    def _present_count(self) -> int:
+        return sum(row.state is not State.ABSENT for row in self.rows.values())
+
+    def _ledgers(self) -> Iterator[Ledger]:
+        yield from self.base
+        yield from self.lent
+
+    def _allocation(self, row: Row) -> Allocation:
+        return Allocation(self.epoch, row.number, tuple(row.base), tuple(row.lease), row.end)
+
+
+def _indexes() -> range:
+    """Return the indexes of the resources in amounts."""
+    return range(len(Resource))
--- a/thymeflow/leases/ledger.py
+++ b/thymeflow/leases/ledger.py
@@ -1,70 +1,71 @@
-"""Claims on one whole that several may hold for a time: what is out, and what is free. No I/O, no clock.
+"""A ledger of grants of one resource: how much is outstanding, and how much is free. No I/O, no clock.
 
-The one rule: what may be in force at any moment, at whoever holds it, never comes to more than the whole. A grant that
-was sent may have arrived or not, so it counts from before it is sent; one that replaces it counts beside it, and the
-larger of the two is out, until the holder has said that it has the new one, the old one has ended, or the holder is
-known dead.
+Invariant: the sum of what may be in force at any moment, at any holder, never exceeds the total. A grant that was sent
+may have arrived or not, so it counts from before it is sent. Where it replaces another, both count, and the larger of
+the two is outstanding until the holder acknowledges the new one, the old one expires, or the holder is known dead.
 """
 
 from __future__ import annotations
 
 from dataclasses import dataclass
 
+from thymeflow.leases.errors import OverAllocationError
+
 
 @dataclass(frozen=True, slots=True)
-class Claim:
-    """So much, under a grant of that number, until then (s on the machine's monotonic clock; inf: until given back)."""
+class OutstandingGrant:
+    """An amount granted under a number until `end`, in s on the machine's monotonic clock; inf does not expire."""
 
     number: int
     amount: int
     end: float
 
 
-class OverAllocationError(Exception):
-    """A grant that would have broken the rule; a fault of ours."""
-
-
 class Ledger:
-    """Whole amounts, so that sums are exact."""
+    """Outstanding grants of one resource; amounts are integers, so that sums are exact."""
 
-    def __init__(self, whole: int) -> None:
-        self.whole = whole
-        self.rows: dict[str, list[Claim]] = {}
+    def __init__(self, total: int) -> None:
+        self.whole = total
+        self.rows: dict[str, list[OutstandingGrant]] = {}
 
     def copied(self) -> Ledger:
-        """Another one, as this one is."""
-        made = Ledger(self.whole)
-        made.rows = {holder: list(claims) for holder, claims in self.rows.items()}
-        return made
+        """Return an independent copy."""
+        copy = Ledger(self.whole)
+        copy.rows = {holder: list(grants) for holder, grants in self.rows.items()}
+        return copy
 
     def out(self, holder: str, now: float) -> int:
-        """The most that the holder may have in force now or later under what was granted."""
-        return max((c.amount for c in self.rows.get(holder, ()) if c.end > now), default=0)
+        """Return the largest amount that the holder may have in force now or later under its grants."""
+        return max((grant.amount for grant in self.rows.get(holder, ()) if grant.end > now), default=0)
 
     def free(self, now: float) -> int:
-        """What nobody can have in force."""
+        """Return the amount that no holder can have in force."""
         return self.whole - sum(self.out(holder, now) for holder in self.rows)
 
     def last(self, holder: str) -> int:
-        """The amount of the newest grant."""
-        claims = self.rows.get(holder)
-        return claims[-1].amount if claims else 0
+        """Return the amount of the holder's newest grant, 0 without one."""
+        grants = self.rows.get(holder)
+        return grants[-1].amount if grants else 0
 
     def grant(self, holder: str, number: int, amount: int, end: float, now: float) -> None:
-        """Note a grant, before it is sent; OverWhole where it is more than is free."""
+        """Record a grant; to be called before the grant is sent.
+
+        :raises OverAllocationError: where the amount is negative, or more than the holder has and what is free.
+        """
         if amount < 0 or amount > self.out(holder, now) + self.free(now):
-            raise OverAllocationError(f"{amount} for {holder}, with {self.free(now)} of {self.whole} free")
-        claims = [c for c in self.rows.get(holder, ()) if c.end > now]
-        # A renewal of the same amount swallows what it outlasts: nothing is known less by it.
-        claims = [c for c in claims if not (c.amount == amount and c.end <= end)]
-        self.rows[holder] = [*claims, Claim(number, amount, end)]
+            text = f"{amount} for {holder}, with {self.free(now)} of {self.whole} free"
+            raise OverAllocationError(text)
+        current = [grant for grant in self.rows.get(holder, ()) if grant.end > now]
+        # A renewal of the same amount replaces those that it outlasts: no knowledge is lost by it.
+        remaining = [grant for grant in current if not (grant.amount == amount and grant.end <= end)]
+        self.rows[holder] = [*remaining, OutstandingGrant(number, amount, end)]
 
     def acked(self, holder: str, number: int) -> None:
-        """The holder has the grant of that number, and so none before it."""
-        claims = self.rows.get(holder, [])
-        if any(c.number >= number for c in claims):
-            self.rows[holder] = [c for c in claims if c.number >= number]
+        """Drop the holder's grants before this number, as it has acknowledged that one."""
+        grants = self.rows.get(holder, [])
+        if any(grant.number >= number for grant in grants):
+            self.rows[holder] = [grant for grant in grants if grant.number >= number]
 
     def dead(self, holder: str) -> None:
-        """The holder is known to have ended: all of its claims are free."""
+        """Free all that the holder had, as it is known to have ended."""
         self.rows.pop(holder, None)
--- a/thymeflow/leases/resources.py
+++ b/thymeflow/leases/resources.py
@@ -1,40 +1,53 @@
-"""What is divided: the kinds, and how a whole is cut into base parts and a pool. Stateless arithmetic.
+"""Resources that the fleet shares, and how the total of each is divided. Stateless arithmetic.
 
-All amounts are points of one whole, which the decisions turn into places, attempts or calls: so one division serves
-whatever the settings make of the whole, and a change of settings divides nothing anew.
+All amounts are points of one total, which the callers convert to concurrent attempts, retries or calls. One division
+therefore serves whatever limits the settings give, and a change of settings needs no new division.
 """
 
 from __future__ import annotations
 
 from enum import Enum
+from math import isnan
 
-WHOLE = 1_000_000  # points
-BASE = 600_000  # of them, without an end: what is left in all to those who hear nothing; docs/design/budgets.md
-LENT = WHOLE - BASE  # the pool: lent for a while, by demand
-LEAST = 0.25  # of an even share: weight of a holder that asks for nothing now, as it may at any moment
+WHOLE = 1_000_000  # points: the total of each resource
+BASE = (
+    600_000  # points for base amounts, which do not expire: all that unreachable holders keep; docs/design/budgets.md
+)
+LENT = WHOLE - BASE  # points for leases, which are divided by demand
+IDLE_DEMAND_FRACTION = 0.25  # of the mean demand: weight of a holder without demand, as it may need some at any moment
+MAX_DEMAND = 1e12  # larger figures count as this one, so that sums stay finite
 
 
 class Resource(Enum):
-    """What is bounded over the whole fleet."""
+    """A resource that is limited over the whole fleet; the values are used in messages and settings."""
 
-    CONCURRENCY = "places"  # proxy passes that may be out: the settings' capacity that is present
-    RETRIES = "attempts"  # further attempts that may run twice, as many as may be saved up
-    COUNTER_CALLS = "calls"  # counter calls a second, as [budgets] has it
-    HALF_OPEN_PROBES = "trials"  # passes a second to a server that has failed, to each: [budgets]
-    CONNECTIONS = "connections"  # that one server holds: [budgets]
+    CONCURRENCY = "places"  # attempts in flight: the capacity that is present, by the settings
+    RETRIES = "attempts"  # retries that may execute a request twice, up to what may be saved up
+    COUNTER_CALLS = "calls"  # counter calls per second, as [budgets] has it
+    HALF_OPEN_PROBES = "trials"  # attempts per second to each backend that has failed: [budgets]
+    CONNECTIONS = "connections"  # to each backend: [budgets]
+
+
+RESOURCE_INDEXES = {resource: index for index, resource in enumerate(Resource)}  # of its amount in an allocation
 
 
 def base_amount(holders: int) -> int:
-    """The base part of one of so many."""
+    """Return the base amount of each of so many holders, in points."""
     return BASE // max(1, holders)
 
 
-def divide_by_demand(whole: int, demand: dict[str, float]) -> dict[str, int]:
-    """The whole by demand, at most the whole in sum; a holder that asks nothing keeps a little."""
+def divide_by_demand(total: int, demand: dict[str, float]) -> dict[str, int]:
+    """Divide a total by demand; the sum is at most the total, and a holder without demand gets a small amount."""
     if not demand:
         return {}
-    told = {holder: max(0.0, min(1e12, asked)) if asked == asked else 0.0 for holder, asked in demand.items()}
-    floor = LEAST * sum(told.values()) / len(told) or 1.0
-    weights = {holder: max(floor, asked) for holder, asked in told.items()}
-    total = sum(weights.values())
-    return {holder: int(whole * weight / total) for holder, weight in weights.items()}
+    usable = {holder: _usable_demand(amount) for holder, amount in demand.items()}
+    min_weight = IDLE_DEMAND_FRACTION * sum(usable.values()) / len(usable) or 1.0
+    weights = {holder: max(min_weight, amount) for holder, amount in usable.items()}
+    weight_sum = sum(weights.values())
+    return {holder: int(total * weight / weight_sum) for holder, weight in weights.items()}
+
+
+def _usable_demand(amount: float) -> float:
+    if isnan(amount):
+        return 0.0
+    return max(0.0, min(MAX_DEMAND, amount))
