--- a/tests/test_level.py
+++ b/tests/test_level.py
@@ -12,28 +12,26 @@
 import pytest
 from twisted.internet.testing import MemoryReactorClock
 
-from tests.fleet.support import FleetOf
 from tests.helpers import PLAN, SAFE, fleet, request, sends, settings
 from tests.limiter import PATIENCE, Limiter
+from tests.test_fleet import FleetOf
 from tests.test_overload import Crowd, Serving
+from thymeflow import Gateway
 from thymeflow.decision.events import AttemptEnded, EndpointsChanged
-from thymeflow.decision.gateway import Gateway
-from thymeflow.decision.gateway_state import MAX_FLEET_RETRY_BUDGET
+from thymeflow.decision.policy import RETRY
 from thymeflow.decision.types import EndpointListKind, Status
 from thymeflow.fleet.outlier_service import OutlierService
-from thymeflow.health.pressure import PRESSURE_THRESHOLD
+from thymeflow.health.pressure import PRESSED
 from thymeflow.runtime import clock, log
+from thymeflow.shedding.load_shedder import THRESHOLD_LEASE_SECONDS, LoadShedder
+from thymeflow.shedding.priority import ROTATION_SECONDS, PriorityOrder
 from thymeflow.shedding.threshold import (
-    BEAT,
-    FALL,
-    HEARD,
-    LEASE,
-    MOST,
-    RISE,
-    TURN,
+    MAX_FALL,
+    MAX_RISE,
+    MAX_THRESHOLD,
+    REPORT_TTL_SECONDS,
+    TICK_INTERVAL_SECONDS,
     AdmissionThreshold,
-    LoadShedder,
-    PriorityOrder,
 )
 
 RICH = replace(PLAN, name="rich", price=4.0)
@@ -46,25 +44,25 @@
         level = AdmissionThreshold()
         for beat in range(40):
             for n in range(5):
-                level.on_report(f"n{n}", odd if n < 2 else others, beat * BEAT)
-            level.tick(beat * BEAT)
-        assert (level.level > 0.0) is (others > PRESSURE_THRESHOLD)
+                level.on_report(f"n{n}", odd if n < 2 else others, beat * TICK_INTERVAL_SECONDS)
+            level.tick(beat * TICK_INTERVAL_SECONDS)
+        assert (level.level > 0.0) is (others > PRESSED)
 
 
 def test_it_moves_in_small_steps_and_falls_where_nobody_is_heard() -> None:
     level, now, before = AdmissionThreshold(), 0.0, 0.0
     for _ in range(100):
         level.on_report("n0", 1.0, now)
-        assert 0.0 <= level.tick(now) - before <= RISE + 1e-9
-        now, before = now + BEAT, level.level
-    assert level.level == MOST
+        assert 0.0 <= level.tick(now) - before <= MAX_RISE + 1e-9
+        now, before = now + TICK_INTERVAL_SECONDS, level.level
+    assert level.level == MAX_THRESHOLD
     level.on_member_gone("n0")
-    for _ in range(round(MOST / FALL) + 1):
-        assert 0.0 <= before - level.tick(now) <= FALL + 1e-9
-        now, before = now + BEAT, level.level
+    for _ in range(round(MAX_THRESHOLD / MAX_FALL) + 1):
+        assert 0.0 <= before - level.tick(now) <= MAX_FALL + 1e-9
+        now, before = now + TICK_INTERVAL_SECONDS, level.level
     assert level.level == 0.0
     level.on_report("n1", 1.0, now)  # one that was stopped since says nothing
-    assert level.tick(now + HEARD + 0.1) == 0.0
+    assert level.tick(now + REPORT_TTL_SECONDS + 0.1) == 0.0
 
 
 @pytest.mark.parametrize("word", [None, True, "0.5", nan, inf, -0.1, 1.1, [0.5]])
@@ -82,12 +80,12 @@
     one, other = PriorityOrder(SITE), PriorityOrder(replace(SITE, index=2, zone="b"))
     ranks = [(SAFE, PLAN), (DEAR, PLAN), (SAFE, RICH), (DEAR, RICH)]  # worth 1, 3, 4, 12
     for customer in range(300):
-        places = [one.place(cls, plan, customer, 50.0) for cls, plan in ranks]
+        places = [one.rank(cls, plan, customer, 50.0) for cls, plan in ranks]
         assert places == sorted(places) and places[0] >= 0.0 and places[-1] < 1.0
-        assert places == [other.place(cls, plan, customer, 50.0) for cls, plan in ranks]
-    moved = sum(one.place(SAFE, PLAN, n, 50.0) != one.place(SAFE, PLAN, n, 50.0 + TURN) for n in range(300))
+        assert places == [other.rank(cls, plan, customer, 50.0) for cls, plan in ranks]
+    moved = sum(one.rank(SAFE, PLAN, n, 50.0) != one.rank(SAFE, PLAN, n, 50.0 + ROTATION_SECONDS) for n in range(300))
     assert moved == 300, "the same customers are shed for ever"
-    at_once = sum(one.place(SAFE, PLAN, n, 50.0) != one.place(SAFE, PLAN, n, 50.1) for n in range(300))
+    at_once = sum(one.rank(SAFE, PLAN, n, 50.0) != one.rank(SAFE, PLAN, n, 50.1) for n in range(300))
     assert at_once < 15, "all change places at once"
 
 
@@ -111,7 +109,7 @@
         assert len({let_in(member, 1.0, "plain", customer) for member in members}) == 1
         assert all(let_in(member, 1.0, "rich", customer + 1000) for member in members), "worth more, and shed first"
     assert 0 < sum(let_in(members[0], 1.0, "plain", n) for n in range(100)) < 60
-    assert all(let_in(member, LEASE + 0.1, "plain", n) for n in range(100) for member in members)
+    assert all(let_in(member, THRESHOLD_LEASE_SECONDS + 0.1, "plain", n) for n in range(100) for member in members)
 
 
 def test_further_attempts_are_saved_up_within_the_share_and_fewer_while_much_is_shed() -> None:
@@ -119,30 +117,27 @@
     member.fraction_of = lambda kind: 0.25
     shedding = LoadShedder(member)
     shedding.limit_retries()
-    assert (
-        member.max_retry_budget() == pytest.approx(0.25 * MAX_FLEET_RETRY_BUDGET)
-        and member.fraction_of("places") == 0.25
-    )
+    assert member.max_retry_budget() == pytest.approx(0.25 * RETRY[1]) and member.fraction_of("places") == 0.25
     shedding.on_threshold(0.8, 0.0, 0.0)
-    assert member.max_retry_budget() == pytest.approx(max(1.0, 0.05 * MAX_FLEET_RETRY_BUDGET))
-    member.now = LEASE + 0.1
-    assert member.max_retry_budget() == pytest.approx(0.25 * MAX_FLEET_RETRY_BUDGET)
+    assert member.max_retry_budget() == pytest.approx(max(1.0, 0.05 * RETRY[1]))
+    member.now = THRESHOLD_LEASE_SECONDS + 0.1
+    assert member.max_retry_budget() == pytest.approx(0.25 * RETRY[1])
 
 
 def test_a_back_end_that_is_asked_for_twice_what_it_bears_stays_at_its_capacity_and_comes_back() -> None:
     level, queue, served, offered, back = AdmissionThreshold(), 0.0, 0.0, 0.0, inf
     for beat in range(400):  # a queue in front of 100 a second, and aims of 1 s
-        now, load = beat * BEAT, 200.0 if beat < 200 else 60.0
-        come = load * (1.0 - level.level) * BEAT
-        done = min(queue + come, 100.0 * BEAT)
+        now, load = beat * TICK_INTERVAL_SECONDS, 200.0 if beat < 200 else 60.0
+        come = load * (1.0 - level.level) * TICK_INTERVAL_SECONDS
+        done = min(queue + come, 100.0 * TICK_INTERVAL_SECONDS)
         queue = min(150.0, queue + come - done)
         for n in range(12):  # one lies, one is cut off
             level.on_report(f"n{n}", (0.0, 1.0)[n] if n < 2 else min(1.0, queue / 100.0 + 0.05), now)
         level.tick(now)
         if 40 <= beat < 200:
-            served, offered = served + done, offered + 100.0 * BEAT
+            served, offered = served + done, offered + 100.0 * TICK_INTERVAL_SECONDS
         if beat >= 200 and level.level == 0.0:
-            back = min(back, now - 200 * BEAT)
+            back = min(back, now - 200 * TICK_INTERVAL_SECONDS)
     assert served >= 0.85 * offered
     assert back <= 12.0
 
@@ -156,13 +151,13 @@
     court = OutlierService(clock.Deadlines(MemoryReactorClock()), 1.0, lambda name, message: None)  # type: ignore[no-untyped-call]
 
     def beat(now: float) -> float:
-        court._threshold.level = next(coming)
-        return court._threshold.level
+        court._level.level = next(coming)
+        return court._level.level
 
     coming = iter(levels)
-    monkeypatch.setattr(court._threshold, "tick", beat)
+    monkeypatch.setattr(court._level, "tick", beat)
     for _ in levels:
-        court._update_level(0.0)
+        court._steer(0.0)
     assert lines == ["shedding by order begins", "shedding by order is over"]
 
 
--- a/thymeflow/shedding/__init__.py
+++ b/thymeflow/shedding/__init__.py
@@ -1,1 +1,1 @@
-"""Load shedding with one admission threshold for the fleet."""
+"""Load shedding by the fleet as one: a common admission threshold, and a common order of requests."""
