--- /dev/null
+++ b/tests/leases/test_lease_issuer.py
@@ -0,0 +1,222 @@
+"""The lease ledger, the issuer and its model, holders, and the grant file."""
+
+from __future__ import annotations
+
+import hashlib
+import json
+from pathlib import Path
+from typing import Any
+
+import pytest
+from hypothesis import given
+from hypothesis import strategies as st
+
+from tests.helpers import request, sends, settings, started
+from thymeflow.decision.events import TimerFired
+from thymeflow.decision.settings import Information
+from thymeflow.leases import grant_file
+from thymeflow.leases.errors import OverAllocationError
+from thymeflow.leases.holder import LEASE_MARGIN_SECONDS, Allocation, LeaseHolder, allocation_from_message, message_of
+from thymeflow.leases.issuer import MOVES, LeaseIssuer, Move, State, Write
+from thymeflow.leases.ledger import Ledger
+from thymeflow.leases.resources import BASE, LENT, WHOLE, Resource, divide_by_demand
+from thymeflow.testkit.lease_model import RULES, Model, caught
+from thymeflow.testkit.model_checker import explored
+
+ONES = (1.0,) * len(Resource)
+
+
+@given(
+    st.lists(
+        st.tuples(st.sampled_from(["grant", "ack", "dead", "time"]), st.sampled_from("abc"), st.integers(0, 12)),
+        max_size=40,
+    )
+)
+def test_ledger_never_exceeds_its_total_when_grants_are_lost_acknowledged_or_expire(
+    steps: list[tuple[str, str, int]],
+) -> None:
+    # The model: every grant that was sent may have arrived, or not, unless it is known.
+    ledger, now, sent = Ledger(10), 0.0, dict[str, list[tuple[int, int, float]]]()
+    for number, (what, holder, amount) in enumerate(steps):
+        if what == "grant":
+            try:
+                ledger.grant(holder, number, amount, now + 5.0, now)
+                sent.setdefault(holder, []).append((number, amount, now + 5.0))
+            except OverAllocationError:
+                continue
+        elif what == "ack" and sent.get(holder):
+            last = sent[holder][-1]
+            ledger.acked(holder, last[0])
+            sent[holder] = [last]
+        elif what == "dead":
+            ledger.dead(holder)
+            sent.pop(holder, None)
+        else:
+            now += amount / 3.0
+        most = sum(max((a for _, a, end in grants if end > now), default=0) for grants in sent.values())
+        assert most <= 10 and ledger.free(now) == 10 - most
+
+
+@given(
+    st.dictionaries(st.text(max_size=3), st.floats(allow_nan=True, allow_infinity=True), max_size=30),
+    st.integers(0, WHOLE),
+)
+def test_division_has_every_holder_and_never_exceeds_the_total_when_demand_is_odd(
+    demand: dict[str, float], whole: int
+) -> None:
+    parts = divide_by_demand(whole, demand)
+    assert parts.keys() == demand.keys() and sum(parts.values()) <= whole and all(p >= 0 for p in parts.values())
+
+
+def test_every_move_that_is_not_in_the_table_raises() -> None:
+    for state in State:
+        for move in Move:
+            issuer = LeaseIssuer(1, 0.0)
+            issuer.row("a").state = state
+            if (state, move) in MOVES:
+                assert issuer._move("a", move).state is MOVES[state, move]
+            else:
+                with pytest.raises(KeyError):
+                    issuer._move("a", move)
+
+
+def test_sum_in_force_never_exceeds_the_total_in_all_states_of_the_lease_model() -> None:
+    found = explored(Model.running(), 4)
+    assert not found.fault and found.states > 1000, found
+    found = explored(Model(), 5)
+    assert not found.fault and found.states > 100, found
+
+
+@pytest.mark.parametrize("rule", RULES)
+def test_model_checker_finds_a_fault_when_a_rule_is_left_out(rule: str) -> None:
+    assert caught(RULES[rule])
+
+
+def test_lease_is_unusable_a_margin_before_its_end_when_the_holder_was_stopped() -> None:
+    holder = LeaseHolder(Allocation(1, 1, (1, 2), (10, 20), 100.0))
+    assert holder.amount(Resource.CONCURRENCY, 100.0 - LEASE_MARGIN_SECONDS - 0.01) == 11
+    assert (
+        holder.amount(Resource.CONCURRENCY, 100.0 - LEASE_MARGIN_SECONDS) == 1
+        and holder.amount(Resource.RETRIES, 1e9) == 2
+    )
+    assert not holder.on_grant(Allocation(1, 1, (9, 9), (9, 9), 1e9)) and not holder.on_grant(Allocation(0, 5))
+    assert holder.hand_over().number == 1 and holder.amount(Resource.CONCURRENCY, 0.0) == 0
+
+
+@pytest.mark.parametrize(
+    "message",
+    [
+        None,
+        [],
+        {},
+        {"era": -1},
+        {"era": True, "number": 1, "base": [0, 0], "lease": [0, 0], "end": 1.0},
+        {"era": 1, "number": 1, "base": [0], "lease": [0, 0], "end": 1.0},
+        {"era": 1, "number": 1, "base": [0, WHOLE + 1], "lease": [0, 0], "end": 1.0},
+        {"era": 1, "number": 1, "base": [0, 0], "lease": [0, -1], "end": 1.0},
+        {"era": 1, "number": 1, "base": [0, 0], "lease": [0, 0], "end": float("nan")},
+    ],
+)
+def test_allocation_is_rejected_when_its_message_is_malformed(message: Any) -> None:
+    with pytest.raises(ValueError):
+        allocation_from_message(message)
+
+
+def issuer_with_holders(names: str) -> LeaseIssuer:
+    """A granter whose holders have all that there is."""
+    issuer = LeaseIssuer(3, 0.0)
+    issuer.resize(len(names))
+    parts = {name: issuer.on_starting(name, 0.0)[0] for name in names}
+    for _ in range(4):
+        for name in names:
+            issuer.on_report(name, parts[name], ONES, 0.0)
+        for action in issuer.tick(0.0):
+            for send in issuer.on_written(action.version) if isinstance(action, Write) else [action]:
+                parts[send.holder] = send.part
+    assert sum(parts[n].base[0] + parts[n].lease[0] for n in names) > 0.99 * WHOLE
+    return issuer
+
+
+def test_grant_file_is_not_used_when_it_is_cut_or_changed_at_any_byte(tmp_path: Path) -> None:
+    issuer, path = issuer_with_holders("ab"), tmp_path / "fleet.grants"
+    grant_file.write(path, issuer, "f")
+    whole = path.read_bytes()
+    found, fault = grant_file.read(path, "f", 1.0, members_running=True)
+    assert not fault and found.epoch == 4 and found.base[0].free(1.0) <= BASE // 50
+    for length in range(len(whole)):
+        for data in (whole[:length], whole[:length] + bytes([whole[length] ^ 1]) + whole[length + 1 :]):
+            path.write_bytes(data)
+            found, fault = grant_file.read(path, "f", 1.0, members_running=True)
+            assert fault and found.epoch > 4 and not found.tick(1.0) and not found.base[0].whole
+    for other in (msg for msg in (whole.replace(b'"version":1', b'"version":2'), whole)):
+        path.write_bytes(other)
+        assert grant_file.read(path, "g", 1.0, members_running=True)[1]
+
+
+def test_grant_file_is_not_used_when_its_amounts_exceed_the_total(tmp_path: Path) -> None:
+    issuer = issuer_with_holders("ab")
+    issuer.durable_amounts["a"] = (BASE,) * len(Resource) + (LENT,) * len(Resource)
+    grant_file.write(tmp_path / "t", issuer, "f")
+    assert "come to" in grant_file.read(tmp_path / "t", "f", 0.0, members_running=True)[1]
+
+
+def test_nothing_is_sent_when_the_grant_file_cannot_be_written() -> None:
+    issuer = issuer_with_holders("ab")
+    issuer.on_death("b")
+    issuer.on_report("a", Allocation(3, issuer.rows["a"].number), ONES, 0.1)
+    (action,) = issuer.tick(0.1)
+    assert isinstance(action, Write)
+    issuer.on_write_failed(action.version)
+    assert issuer.on_written(action.version) == []
+
+
+def test_allocation_is_the_same_when_it_was_json() -> None:
+    part = Allocation(2, 5, tuple(range(len(Resource))), tuple(range(1, len(Resource) + 1)), 5.5)
+    assert allocation_from_message(json.loads(json.dumps(message_of(part)))) == part
+    before = allocation_from_message(
+        {"era": 2, "number": 5, "base": [7, 8], "lease": [9, 1], "end": 5.5}
+    )  # by an earlier program
+    assert before.base[:3] == (7, 8, 0) and before.lease[:3] == (9, 1, 0)
+
+
+def test_missing_resources_are_0_when_an_earlier_version_wrote_the_grant_file() -> None:
+    rows = {"n0": {"number": 3, "noted": [BASE, 5, LENT, 6]}}
+    body = json.dumps(
+        {"version": 1, "fleet": "f", "boot": grant_file.boot_id(), "era": 4, "until": 9.0, "rows": rows}
+    ).encode()
+    found = grant_file.unpack(hashlib.blake2b(body, digest_size=16).hexdigest().encode() + b"\n" + body, "f")
+    kinds = len(Resource)
+    assert found.rows["n0"].noted[:3] == [BASE, 5, 0] and found.rows["n0"].noted[kinds : kinds + 3] == [LENT, 6, 0]
+
+
+def test_calls_probes_and_connections_stay_in_the_allocation_when_they_are_limited() -> None:
+    gateway = started(settings(information=Information(counter=True)), now=100.0)
+    part = [0.1]
+    gateway.fraction_of = lambda kind: part[0] if kind in gateway.fleet_limits else 1.0
+    gateway.fleet_limits = {"calls": 20.0, "trials": 1.0, "connections": 30.0}
+    for _ in range(50):
+        gateway.handle(100.0, TimerFired(next(t for t, (kind, _) in gateway.timers.items() if kind == "tick")))
+    assert gateway.call_credit == 2.0  # of 20 a second a tenth, saved up for a second
+    out = [sends(gateway.handle(100.0, request(f"r{n}", 0.1)))[0].backend for n in range(12)]
+    assert max(out.count(n) for n in out) == 3  # of 30 connections a tenth, to each server
+    assert not sends(gateway.handle(100.0, request("more", 0.1)))
+    server = gateway.backends[out[0]]
+    for _ in range(2):
+        server.record_failure("", 100.0)
+    assert server.failures[""][1] == 110.0  # one trial a second, of which a tenth is ours
+    part[0] = 0.0  # a lease is over, and nothing was granted since
+    assert not sends(gateway.handle(101.0, request("none", 0.1)))
+
+
+def test_nothing_is_granted_for_it_when_a_holder_reports_more_than_it_was_granted() -> None:
+    issuer = issuer_with_holders("ab")
+    everything = (WHOLE,) * len(Resource)
+    claims = Allocation(9, 9, everything, everything, 50.0)
+    issuer.on_report("stranger", claims, (float("inf"), float("nan")), 0.0)
+    assert issuer.epoch > 9  # or it would take nothing that is granted from now on
+    for ledger in (*issuer.base, *issuer.lent):
+        assert sum(ledger.out(name, 0.0) for name in ("a", "b", "stranger")) <= ledger.whole
+    known = issuer.rows["a"].number
+    issuer.on_report("a", Allocation(issuer.epoch, known + 99, everything, everything, 50.0), ONES, 0.0)
+    for ledger in (*issuer.base, *issuer.lent):
+        assert ledger.free(0.0) >= 0
--- a/tests/test_level.py
+++ b/tests/shedding/test_threshold.py
@@ -1,4 +1,4 @@
-"""One level of shedding for the whole fleet: the mind, a member's side, and a real fleet whose servers slow down."""
+"""The admission threshold, a member's load shedding, and a fleet of processes whose backends slow down."""
 
 from __future__ import annotations
 
@@ -14,8 +14,8 @@
 
 from tests.helpers import PLAN, SAFE, fleet, request, sends, settings
 from tests.limiter import PATIENCE, Limiter
+from tests.outliers.support import MemberClients, RespondingBackends
 from tests.test_fleet import FleetOf
-from tests.test_overload import Crowd, Serving
 from thymeflow import Gateway
 from thymeflow.decision.events import AttemptEnded, EndpointsChanged
 from thymeflow.decision.policy import RETRY
@@ -35,11 +35,15 @@
 )
 
 RICH = replace(PLAN, name="rich", price=4.0)
+
+
 DEAR = replace(SAFE, name="dear", priority_weight=3.0)
+
+
 SITE = settings(plans=(PLAN, RICH), classes=(SAFE, DEAR))
 
 
-def test_the_middle_one_counts_so_that_neither_who_is_cut_off_nor_who_lies_moves_it() -> None:
+def test_threshold_follows_the_median_when_some_members_report_wrong_figures() -> None:
     for odd, others in ((1.0, 0.1), (0.0, 0.9)):
         level = AdmissionThreshold()
         for beat in range(40):
@@ -49,7 +53,7 @@
         assert (level.level > 0.0) is (others > PRESSED)
 
 
-def test_it_moves_in_small_steps_and_falls_where_nobody_is_heard() -> None:
+def test_threshold_moves_in_small_steps_and_falls_when_no_report_is_valid() -> None:
     level, now, before = AdmissionThreshold(), 0.0, 0.0
     for _ in range(100):
         level.on_report("n0", 1.0, now)
@@ -66,7 +70,7 @@
 
 
 @pytest.mark.parametrize("word", [None, True, "0.5", nan, inf, -0.1, 1.1, [0.5]])
-def test_figures_that_cannot_be_are_a_fault_and_change_nothing(word: Any) -> None:
+def test_figures_are_rejected_and_change_nothing_when_they_are_no_fractions(word: Any) -> None:
     level, gateway = AdmissionThreshold(), Gateway(SITE, 1)
     with pytest.raises(ValueError, match="no figure from 0 to 1"):
         level.on_report("n0", word, 0.0)
@@ -76,7 +80,7 @@
     assert not level.reports and gateway.adjust_shedding is not None
 
 
-def test_the_order_goes_by_worth_and_is_the_same_at_every_member_with_these_settings() -> None:
+def test_order_goes_by_priority_weight_and_is_the_same_at_members_when_their_settings_are() -> None:
     one, other = PriorityOrder(SITE), PriorityOrder(replace(SITE, index=2, zone="b"))
     ranks = [(SAFE, PLAN), (DEAR, PLAN), (SAFE, RICH), (DEAR, RICH)]  # worth 1, 3, 4, 12
     for customer in range(300):
@@ -89,7 +93,7 @@
     assert at_once < 15, "all change places at once"
 
 
-def test_members_shed_alike_while_the_fleets_level_holds_and_by_their_own_pressure_after_it() -> None:
+def test_members_shed_alike_until_the_threshold_expires_when_they_have_the_same_one() -> None:
     free = tuple(replace(p, rate=0.0) for p in SITE.plans)
     members = [Gateway(replace(SITE, plans=free, index=n), n) for n in range(3)]
     for member in members:
@@ -112,7 +116,7 @@
     assert all(let_in(member, THRESHOLD_LEASE_SECONDS + 0.1, "plain", n) for n in range(100) for member in members)
 
 
-def test_further_attempts_are_saved_up_within_the_share_and_fewer_while_much_is_shed() -> None:
+def test_retry_budget_is_smaller_when_more_is_shed() -> None:
     member = Gateway(SITE, 1)
     member.fraction_of = lambda kind: 0.25
     shedding = LoadShedder(member)
@@ -124,7 +128,7 @@
     assert member.max_retry_budget() == pytest.approx(0.25 * RETRY[1])
 
 
-def test_a_back_end_that_is_asked_for_twice_what_it_bears_stays_at_its_capacity_and_comes_back() -> None:
+def test_back_end_stays_at_its_capacity_and_recovers_when_it_is_overloaded_twofold() -> None:
     level, queue, served, offered, back = AdmissionThreshold(), 0.0, 0.0, 0.0, inf
     for beat in range(400):  # a queue in front of 100 a second, and aims of 1 s
         now, load = beat * TICK_INTERVAL_SECONDS, 200.0 if beat < 200 else 60.0
@@ -143,7 +147,7 @@
 
 
 @pytest.mark.parametrize("levels", [(0.2, 0.0), (0.0004, 0.2, 0.0004, 0.0), (0.0, 0.001, 0.0)])
-def test_shedding_begins_and_is_over_in_the_log_however_little_it_begins_with(
+def test_start_and_end_of_shedding_are_logged_when_little_is_shed(
     levels: tuple[float, ...], monkeypatch: pytest.MonkeyPatch
 ) -> None:
     lines = list[str]()
@@ -161,26 +165,26 @@
     assert lines == ["shedding by order begins", "shedding by order is over"]
 
 
-def test_a_real_fleet_sheds_as_one_while_its_servers_are_slow_and_is_back_by_itself(tmp_path: Path) -> None:
+def test_fleet_sheds_and_recovers_when_its_backends_are_slow_for_a_while(tmp_path: Path) -> None:
     classes = [{"name": "look", "on-time": 0.5, "deadline": 3000.0, "effect": "retryable"}]
     with (
         Limiter(tmp_path, servers=4, classes=classes) as limiter,
         FleetOf(tmp_path, limiter) as members,
-        Serving(limiter) as serving,
+        RespondingBackends(limiter) as backends,
     ):
-        crowd, shed = Crowd(limiter, members.ready(3)["members"]), 0
+        clients, shed = MemberClients(limiter, members.ready(3)["members"]), 0
 
-        def until(good: Any) -> None:
+        def wait_until(good: Any) -> None:
             nonlocal shed
             end = time.monotonic() + 3.0 * PATIENCE  # up in 4 s and back in 16 s, on a machine that keeps up
             while not good(status := members.ask(do="overload")):
                 assert time.monotonic() < end, json.dumps(status)
-                shed += sum(line.startswith(b"-BUSY") for line in crowd.ask(customers=50))
+                shed += sum(line.startswith(b"-BUSY") for line in clients.ask(customers=50))
 
-        until(lambda status: len(status["members"]) == 3 and status["level"] == 0.0)
-        serving.delay = 0.4
-        until(lambda status: status["level"] > 0.3)
+        wait_until(lambda status: len(status["members"]) == 3 and status["level"] == 0.0)
+        backends.delay = 0.4
+        wait_until(lambda status: status["level"] > 0.3)
         assert shed > 0
-        serving.delay = 0.0
-        until(lambda status: status["level"] == 0.0)
+        backends.delay = 0.0
+        wait_until(lambda status: status["level"] == 0.0)
         assert "shedding by order begins" in (tmp_path / "log").read_text()
