--- a/tests/leases/support.py
+++ b/tests/leases/support.py
@@ -19,14 +19,14 @@
 
 
 def amounts_in_force(fleet: FleetOf) -> dict[str, dict[str, int]]:
-    """What each member says that it may use now."""
+    """Return the points that each member reports as usable now, by resource."""
     return {m["name"]: m["told"]["part"]["in_force"] for m in fleet.status()["members"] if m["told"].get("part")}
 
 
 def wait_until(fleet: FleetOf, reached: Any, kept: bool = True) -> dict[str, dict[str, int]]:
-    """Wait until what members say they may use is as wanted; at every look the table, which is ahead of all, adds up.
+    """Wait until the amounts in force are as wanted; each time check that the grant file, which precedes them, adds up.
 
-    What members say is of different moments, so its sum means nothing.
+    Members report at different moments, so the sum of their amounts is not checked.
     """
     end = time.monotonic() + PATIENCE
     while True:
@@ -41,7 +41,7 @@
 
 
 class ControlSocketProxy(threading.Thread):
-    """A relay on a member's control socket for who connects from now on; it can keep back what goes one way."""
+    """A proxy on a member's control socket for new connections; it can hold back messages of one direction."""
 
     def __init__(self, state: Path, name: str) -> None:
         super().__init__(daemon=True)
@@ -52,7 +52,7 @@
         self._listener.listen()
         (state / "link").symlink_to(own.name)
         os.replace(state / "link", path)
-        self._ways: dict[socket.socket, tuple[socket.socket, str, bytearray]] = {}  # to whom, which way, kept back
+        self._ways: dict[socket.socket, tuple[socket.socket, str, bytearray]] = {}  # peer, direction and data held back
 
     def run(self) -> None:
         while not self._over:
@@ -87,7 +87,7 @@
 
 
 def reported_allocation(fleet: FleetOf, number: int, path: Path | None = None) -> dict[str, Any]:
-    """What a member says of its part at its own control socket."""
+    """Return the allocation in a member's status at its own control socket."""
     with socket.socket(socket.AF_UNIX) as line:
         line.settimeout(PATIENCE)
         line.connect(str(path or fleet.state / f"n{number}.sock"))
--- a/tests/outliers/support.py
+++ b/tests/outliers/support.py
@@ -15,16 +15,16 @@
 
 
 class RespondingBackends(threading.Thread):
-    """Answers at the servers of a limiter's peers; those in `bad` answer errors."""
+    """Responds for the backends of a limiter; those in `bad` respond with errors."""
 
     def __init__(self, limiter: Limiter) -> None:
         super().__init__(daemon=True)
         self.bad, self.passes, self._limiter, self._over = set[int](), [0] * len(limiter.servers), limiter, False
-        self.delay = 0.0  # s of work for each pass, one after the other
-        self.bad_class = b""  # of which `bad` answers errors; empty: of all
-        self.others = 0  # passes of other classes at those
-        self.lost = False  # `bad` answer nothing, and end the connection
-        self.cut = dict[int, set[int]]()  # servers whose connections from a process, by its id, are ended
+        self.delay = 0.0  # s of work for each attempt, one after the other
+        self.bad_class = b""  # requests that fail at `bad`; empty: all
+        self.others = 0  # attempts of other classes at those
+        self.lost = False  # `bad` close the connection without a response
+        self.cut = dict[int, set[int]]()  # backends that close the connections of a process, by its id
 
     def run(self) -> None:
         peers = dict[int, tuple[Peer, int]]()
@@ -69,25 +69,25 @@
 
 
 class MemberClients:
-    """A user agent at each member of a fleet."""
+    """A client of each member of a fleet."""
 
     def __init__(self, limiter: Limiter, members: list[dict[str, Any]]) -> None:
-        self.agents, self.number = list[Peer](), 0
+        self.clients, self.number = list[Peer](), 0
         for member in members:
             limiter.port = int(member["listen"].rpartition(":")[2])
-            self.agents.append(limiter.connect())
+            self.clients.append(limiter.connect())
 
     def ask(self, cls: str = "look", customers: int = 1) -> list[bytes]:
-        """A request at each member, one after the other; the first line of each answer."""
+        """Send a request to each member, one after the other; return the first line of each response."""
         lines = list[bytes]()
-        for first, agent in enumerate(self.agents):
+        for first, client in enumerate(self.clients):
             self.number += 1
             line = asked(self.number, cls).replace(b"first=0", b"first=%d" % first)
             if customers > 1:
                 line = line.replace(b"00000000b4d65521", b"%016x" % (1 + self.number % customers))
-            agent.send(line)
-            lines.append(agent.line())
+            client.send(line)
+            lines.append(client.line())
             assert lines[-1].startswith((b"$5", b"-BUSY", b"-ERR")), lines
             if lines[-1] == b"$5":
-                agent.line()
+                client.line()
         return lines
--- a/thymeflow/leases/issuer.py
+++ b/thymeflow/leases/issuer.py
@@ -21,8 +21,8 @@
 
 LEASE = 4.0  # s: length of a lease; the longest that an unreachable holder uses its leased amounts
 RENEWAL_FRACTION = 0.5  # of a lease: it is renewed when so much is left
-WRITTEN = 8.0  # s: how far ahead the grant file allows for leases, so that renewals need no write of their own
-HEARD = 2.0  # s: how long a report is valid, four report intervals; without a valid one nothing is leased anew
+WRITTEN = 8.0  # s: how far ahead the grant file covers leases, so that renewals need no write
+HEARD = 2.0  # s: how long a report is valid, four report intervals; without one nothing is leased anew
 MIN_CHANGE_FRACTION = 0.02  # of the leased points, divided by the holders: smaller changes are not worth a grant
 
 HolderName = str
