--- a/benchmarks/prove_budgets.py
+++ b/benchmarks/prove_budgets.py
@@ -26,7 +26,7 @@
 from twisted.internet.task import LoopingCall
 
 from thymeflow.leases import grant_file
-from thymeflow.leases.resources import WHOLE, Resource
+from thymeflow.leases.resources import TOTAL_POINTS, Resource
 from thymeflow.testkit.async_steps import Steps, reactor, sleep
 from thymeflow.testkit.fakes import Customer, World
 from thymeflow.testkit.fakes.site import CLASSES, PLANS
@@ -50,7 +50,7 @@
 UP, RESTARTS = 105.0, 110.0  # percent of the one true store that a customer may get: counter up, through restarts
 KILLED = 15.0  # s: when all of the run line are killed
 BROKEN = (
-    "import sys; from thymeflow.leases.ledger import Ledger; Ledger.free = lambda self, now: self.whole; "
+    "import sys; from thymeflow.leases.ledger import Ledger; Ledger.free = lambda self, now: self.total; "
     "from thymeflow.cli import run; sys.exit(run())"
 )
 
@@ -122,9 +122,9 @@
             self.looks += 1
             kinds = range(len(Resource))
             sums = [sum(r.noted[k] + r.noted[k + len(Resource)] for r in found.rows.values()) for k in kinds]
-            self.most = max(self.most, *(100.0 * s / WHOLE for s in sums))
+            self.most = max(self.most, *(100.0 * s / TOTAL_POINTS for s in sums))
             self.held = {
-                h: min(100.0 * (r.noted[k] + r.noted[k + len(Resource)]) / WHOLE for k in kinds)
+                h: min(100.0 * (r.noted[k] + r.noted[k + len(Resource)]) / TOTAL_POINTS for k in kinds)
                 for h, r in found.rows.items()
             }
 
--- a/tests/leases/support.py
+++ b/tests/leases/support.py
@@ -12,10 +12,10 @@
 from pathlib import Path
 from typing import Any
 
+from tests.fleet.support import FleetOf
 from tests.limiter import PATIENCE
-from tests.test_fleet import FleetOf
 from thymeflow.leases import grant_file
-from thymeflow.leases.resources import WHOLE, Resource
+from thymeflow.leases.resources import TOTAL_POINTS, Resource
 
 
 def amounts_in_force(fleet: FleetOf) -> dict[str, dict[str, int]]:
@@ -33,8 +33,8 @@
         parts = amounts_in_force(fleet)
         rows = grant_file.unpack((fleet.state / "fleet.grants").read_bytes(), "n").rows.values() if kept else ()
         for place in range(len(Resource)):
-            assert sum(row.noted[place] + row.noted[place + len(Resource)] for row in rows) <= WHOLE, rows
-        if reached({name: part["places"] / WHOLE for name, part in parts.items()}):
+            assert sum(row.noted[place] + row.noted[place + len(Resource)] for row in rows) <= TOTAL_POINTS, rows
+        if reached({name: part["places"] / TOTAL_POINTS for name, part in parts.items()}):
             return parts
         assert time.monotonic() < end, parts
         time.sleep(0.05)
--- a/tests/leases/test_lease_fleet.py
+++ b/tests/leases/test_lease_fleet.py
@@ -14,10 +14,10 @@
 import psutil
 import pytest
 
+from tests.fleet.support import FleetOf, cli
 from tests.leases.support import ControlSocketProxy, reported_allocation, wait_until
 from tests.limiter import PATIENCE, ROOT, Limiter
-from tests.test_fleet import FleetOf, cli
-from thymeflow.leases.resources import BASE, LENT, WHOLE
+from thymeflow.leases.resources import BASE_POINTS, LEASED_POINTS, TOTAL_POINTS
 
 
 def test_survivors_share_all_and_a_returning_member_is_granted_again_when_members_stop_or_die(tmp_path: Path) -> None:
@@ -63,8 +63,10 @@
         fleet.process = fleet.up()
         fleet.ready(3)
         assert "nothing is granted from the table of before" in (tmp_path / "log").read_text()
-        wait_until(fleet, lambda parts: 0.3 < sum(parts.values()) <= LENT / WHOLE, kept=False)
-        wait_until(fleet, lambda parts: 0.3 < sum(parts.values()) <= LENT / WHOLE)  # and there is a table again
+        wait_until(fleet, lambda parts: 0.3 < sum(parts.values()) <= LEASED_POINTS / TOTAL_POINTS, kept=False)
+        wait_until(
+            fleet, lambda parts: 0.3 < sum(parts.values()) <= LEASED_POINTS / TOTAL_POINTS
+        )  # and there is a table again
 
 
 def test_only_the_lease_is_lost_when_messages_of_one_direction_are_held_back(tmp_path: Path) -> None:
@@ -95,7 +97,7 @@
         while any((word := reported_allocation(fleet, n))["in_force"]["places"] > word["base"][0] for n in range(3)):
             assert time.monotonic() < end
             time.sleep(0.05)
-        assert all(0 < reported_allocation(fleet, n)["in_force"]["places"] <= BASE for n in range(3))
+        assert all(0 < reported_allocation(fleet, n)["in_force"]["places"] <= BASE_POINTS for n in range(3))
         fleet.process.send_signal(signal.SIGCONT)
         wait_until(fleet, lambda parts: len(parts) == 3 and sum(parts.values()) > 0.95)
 
@@ -104,8 +106,8 @@
     with Limiter(tmp_path) as limiter, FleetOf(tmp_path, limiter) as fleet:
         wait_until(fleet, lambda parts: len(parts) == 3 and sum(parts.values()) > 0.95)
         for part in (
-            {"era": 0, "number": 1, "base": [WHOLE] * 2, "lease": [0, 0], "end": 0.0},
-            {"era": 9, "number": 1, "base": [WHOLE * 2] * 2, "lease": [0, 0], "end": 0.0},
+            {"era": 0, "number": 1, "base": [TOTAL_POINTS] * 2, "lease": [0, 0], "end": 0.0},
+            {"era": 9, "number": 1, "base": [TOTAL_POINTS * 2] * 2, "lease": [0, 0], "end": 0.0},
             "all",
         ):
             with socket.socket(socket.AF_UNIX) as line:
@@ -114,7 +116,7 @@
                 line.sendall(b'{"do":"status"}\n')
                 line.settimeout(PATIENCE)
                 word = json.loads(line.makefile().readline())["part"]
-                assert word["in_force"]["places"] < 0.9 * WHOLE and word["era"] == 1, word
+                assert word["in_force"]["places"] < 0.9 * TOTAL_POINTS and word["era"] == 1, word
 
 
 # A supervisor that kills itself at a step: the count is of that step, over its life.
--- a/tests/leases/test_lease_issuer.py
+++ b/tests/leases/test_lease_issuer.py
@@ -13,13 +13,14 @@
 
 from tests.helpers import request, sends, settings, started
 from thymeflow.decision.events import TimerFired
+from thymeflow.decision.gateway_state import TimerKind
 from thymeflow.decision.settings import Information
 from thymeflow.leases import grant_file
 from thymeflow.leases.errors import OverAllocationError
 from thymeflow.leases.holder import LEASE_MARGIN_SECONDS, Allocation, LeaseHolder, allocation_from_message, message_of
-from thymeflow.leases.issuer import MOVES, LeaseIssuer, Move, State, Write
+from thymeflow.leases.issuer import HOLDER_TRANSITIONS, HolderEvent, HolderState, LeaseIssuer, Write
 from thymeflow.leases.ledger import Ledger
-from thymeflow.leases.resources import BASE, LENT, WHOLE, Resource, divide_by_demand
+from thymeflow.leases.resources import BASE_POINTS, LEASED_POINTS, TOTAL_POINTS, Resource, divide_by_demand
 from thymeflow.testkit.lease_model import RULES, Model, caught
 from thymeflow.testkit.model_checker import explored
 
@@ -46,10 +47,10 @@
                 continue
         elif what == "ack" and sent.get(holder):
             last = sent[holder][-1]
-            ledger.acked(holder, last[0])
+            ledger.acknowledge(holder, last[0])
             sent[holder] = [last]
         elif what == "dead":
-            ledger.dead(holder)
+            ledger.release(holder)
             sent.pop(holder, None)
         else:
             now += amount / 3.0
@@ -59,7 +60,7 @@
 
 @given(
     st.dictionaries(st.text(max_size=3), st.floats(allow_nan=True, allow_infinity=True), max_size=30),
-    st.integers(0, WHOLE),
+    st.integers(0, TOTAL_POINTS),
 )
 def test_division_has_every_holder_and_never_exceeds_the_total_when_demand_is_odd(
     demand: dict[str, float], whole: int
@@ -69,12 +70,12 @@
 
 
 def test_every_move_that_is_not_in_the_table_raises() -> None:
-    for state in State:
-        for move in Move:
+    for state in HolderState:
+        for move in HolderEvent:
             issuer = LeaseIssuer(1, 0.0)
-            issuer.row("a").state = state
-            if (state, move) in MOVES:
-                assert issuer._move("a", move).state is MOVES[state, move]
+            issuer.record_of("a").state = state
+            if (state, move) in HOLDER_TRANSITIONS:
+                assert issuer._move("a", move).state is HOLDER_TRANSITIONS[state, move]
             else:
                 with pytest.raises(KeyError):
                     issuer._move("a", move)
@@ -94,13 +95,13 @@
 
 def test_lease_is_unusable_a_margin_before_its_end_when_the_holder_was_stopped() -> None:
     holder = LeaseHolder(Allocation(1, 1, (1, 2), (10, 20), 100.0))
-    assert holder.amount(Resource.CONCURRENCY, 100.0 - LEASE_MARGIN_SECONDS - 0.01) == 11
+    assert holder.usable_amount(Resource.CONCURRENCY, 100.0 - LEASE_MARGIN_SECONDS - 0.01) == 11
     assert (
-        holder.amount(Resource.CONCURRENCY, 100.0 - LEASE_MARGIN_SECONDS) == 1
-        and holder.amount(Resource.RETRIES, 1e9) == 2
+        holder.usable_amount(Resource.CONCURRENCY, 100.0 - LEASE_MARGIN_SECONDS) == 1
+        and holder.usable_amount(Resource.RETRIES, 1e9) == 2
     )
     assert not holder.on_grant(Allocation(1, 1, (9, 9), (9, 9), 1e9)) and not holder.on_grant(Allocation(0, 5))
-    assert holder.hand_over().number == 1 and holder.amount(Resource.CONCURRENCY, 0.0) == 0
+    assert holder.hand_over().number == 1 and holder.usable_amount(Resource.CONCURRENCY, 0.0) == 0
 
 
 @pytest.mark.parametrize(
@@ -112,7 +113,7 @@
         {"era": -1},
         {"era": True, "number": 1, "base": [0, 0], "lease": [0, 0], "end": 1.0},
         {"era": 1, "number": 1, "base": [0], "lease": [0, 0], "end": 1.0},
-        {"era": 1, "number": 1, "base": [0, WHOLE + 1], "lease": [0, 0], "end": 1.0},
+        {"era": 1, "number": 1, "base": [0, TOTAL_POINTS + 1], "lease": [0, 0], "end": 1.0},
         {"era": 1, "number": 1, "base": [0, 0], "lease": [0, -1], "end": 1.0},
         {"era": 1, "number": 1, "base": [0, 0], "lease": [0, 0], "end": float("nan")},
     ],
@@ -132,8 +133,8 @@
             issuer.on_report(name, parts[name], ONES, 0.0)
         for action in issuer.tick(0.0):
             for send in issuer.on_written(action.version) if isinstance(action, Write) else [action]:
-                parts[send.holder] = send.part
-    assert sum(parts[n].base[0] + parts[n].lease[0] for n in names) > 0.99 * WHOLE
+                parts[send.holder] = send.allocation
+    assert sum(parts[n].base[0] + parts[n].lease[0] for n in names) > 0.99 * TOTAL_POINTS
     return issuer
 
 
@@ -142,12 +143,12 @@
     grant_file.write(path, issuer, "f")
     whole = path.read_bytes()
     found, fault = grant_file.read(path, "f", 1.0, members_running=True)
-    assert not fault and found.epoch == 4 and found.base[0].free(1.0) <= BASE // 50
+    assert not fault and found.epoch == 4 and found.base[0].free(1.0) <= BASE_POINTS // 50
     for length in range(len(whole)):
         for data in (whole[:length], whole[:length] + bytes([whole[length] ^ 1]) + whole[length + 1 :]):
             path.write_bytes(data)
             found, fault = grant_file.read(path, "f", 1.0, members_running=True)
-            assert fault and found.epoch > 4 and not found.tick(1.0) and not found.base[0].whole
+            assert fault and found.epoch > 4 and not found.tick(1.0) and not found.base[0].total
     for other in (msg for msg in (whole.replace(b'"version":1', b'"version":2'), whole)):
         path.write_bytes(other)
         assert grant_file.read(path, "g", 1.0, members_running=True)[1]
@@ -155,7 +156,7 @@
 
 def test_grant_file_is_not_used_when_its_amounts_exceed_the_total(tmp_path: Path) -> None:
     issuer = issuer_with_holders("ab")
-    issuer.durable_amounts["a"] = (BASE,) * len(Resource) + (LENT,) * len(Resource)
+    issuer.durable_amounts["a"] = (BASE_POINTS,) * len(Resource) + (LEASED_POINTS,) * len(Resource)
     grant_file.write(tmp_path / "t", issuer, "f")
     assert "come to" in grant_file.read(tmp_path / "t", "f", 0.0, members_running=True)[1]
 
@@ -163,7 +164,7 @@
 def test_nothing_is_sent_when_the_grant_file_cannot_be_written() -> None:
     issuer = issuer_with_holders("ab")
     issuer.on_death("b")
-    issuer.on_report("a", Allocation(3, issuer.rows["a"].number), ONES, 0.1)
+    issuer.on_report("a", Allocation(3, issuer.records["a"].number), ONES, 0.1)
     (action,) = issuer.tick(0.1)
     assert isinstance(action, Write)
     issuer.on_write_failed(action.version)
@@ -180,13 +181,17 @@
 
 
 def test_missing_resources_are_0_when_an_earlier_version_wrote_the_grant_file() -> None:
-    rows = {"n0": {"number": 3, "noted": [BASE, 5, LENT, 6]}}
+    rows = {"n0": {"number": 3, "noted": [BASE_POINTS, 5, LEASED_POINTS, 6]}}
     body = json.dumps(
         {"version": 1, "fleet": "f", "boot": grant_file.boot_id(), "era": 4, "until": 9.0, "rows": rows}
     ).encode()
     found = grant_file.unpack(hashlib.blake2b(body, digest_size=16).hexdigest().encode() + b"\n" + body, "f")
     kinds = len(Resource)
-    assert found.rows["n0"].noted[:3] == [BASE, 5, 0] and found.rows["n0"].noted[kinds : kinds + 3] == [LENT, 6, 0]
+    assert found.rows["n0"].noted[:3] == [BASE_POINTS, 5, 0] and found.rows["n0"].noted[kinds : kinds + 3] == [
+        LEASED_POINTS,
+        6,
+        0,
+    ]
 
 
 def test_calls_probes_and_connections_stay_in_the_allocation_when_they_are_limited() -> None:
@@ -195,7 +200,7 @@
     gateway.fraction_of = lambda kind: part[0] if kind in gateway.fleet_limits else 1.0
     gateway.fleet_limits = {"calls": 20.0, "trials": 1.0, "connections": 30.0}
     for _ in range(50):
-        gateway.handle(100.0, TimerFired(next(t for t, (kind, _) in gateway.timers.items() if kind == "tick")))
+        gateway.handle(100.0, TimerFired(next(t for t, (kind, _) in gateway.timers.items() if kind is TimerKind.TICK)))
     assert gateway.call_credit == 2.0  # of 20 a second a tenth, saved up for a second
     out = [sends(gateway.handle(100.0, request(f"r{n}", 0.1)))[0].backend for n in range(12)]
     assert max(out.count(n) for n in out) == 3  # of 30 connections a tenth, to each server
@@ -210,13 +215,13 @@
 
 def test_nothing_is_granted_for_it_when_a_holder_reports_more_than_it_was_granted() -> None:
     issuer = issuer_with_holders("ab")
-    everything = (WHOLE,) * len(Resource)
+    everything = (TOTAL_POINTS,) * len(Resource)
     claims = Allocation(9, 9, everything, everything, 50.0)
     issuer.on_report("stranger", claims, (float("inf"), float("nan")), 0.0)
     assert issuer.epoch > 9  # or it would take nothing that is granted from now on
-    for ledger in (*issuer.base, *issuer.lent):
-        assert sum(ledger.out(name, 0.0) for name in ("a", "b", "stranger")) <= ledger.whole
-    known = issuer.rows["a"].number
+    for ledger in (*issuer.base, *issuer.leased):
+        assert sum(ledger.outstanding(name, 0.0) for name in ("a", "b", "stranger")) <= ledger.total
+    known = issuer.records["a"].number
     issuer.on_report("a", Allocation(issuer.epoch, known + 99, everything, everything, 50.0), ONES, 0.0)
-    for ledger in (*issuer.base, *issuer.lent):
+    for ledger in (*issuer.base, *issuer.leased):
         assert ledger.free(0.0) >= 0
--- a/tests/outliers/test_outlier_coordinator.py
+++ b/tests/outliers/test_outlier_coordinator.py
@@ -18,7 +18,7 @@
     EjectionEvent,
     EjectionKey,
     EjectionRecord,
-    State,
+    EjectionState,
 )
 from thymeflow.outliers.member import (
     keys_from_message,
@@ -39,16 +39,16 @@
 
 
 def test_every_move_that_is_not_in_the_table_raises() -> None:
-    for state in State:
+    for state in EjectionState:
         for move in EjectionEvent:
             coordinator = OutlierCoordinator(1.0)
-            coordinator.ejected[BAD] = case = EjectionRecord(1, 0.0, state)
+            coordinator.ejections[BAD] = case = EjectionRecord(1, 0.0, state)
             if (state, move) not in TRANSITIONS:
                 with pytest.raises(KeyError):
                     coordinator._move(BAD, case, move, 0.0)
             else:
                 coordinator._move(BAD, case, move, 0.0)
-                assert TRANSITIONS[state, move] is (case.state if BAD in coordinator.ejected else None)
+                assert TRANSITIONS[state, move] is (case.state if BAD in coordinator.ejections else None)
 
 
 @pytest.mark.parametrize(
@@ -68,7 +68,7 @@
     for name in ("n0", "n1"):
         coordinator.on_report(name, {EjectionKey(n, part) for n in range(6) for part in ("", "a")}, set(), {}, 0.0)
     coordinator.tick(0.1)
-    assert len({number for number, _ in coordinator.ejected}) == 3
+    assert len({number for number, _ in coordinator.ejections}) == 3
 
 
 def test_one_member_probes_at_a_time_and_members_return_in_steps_when_a_probe_succeeds() -> None:
@@ -78,43 +78,43 @@
         for n in range(5):
             coordinator.on_report(f"n{n}", {BAD}, set(), {}, now)
         coordinator.tick(now)
-        claims = [(n, v) for n in range(5) for v in coordinator.ejections_for(f"n{n}", now) if v.claim]
-        assert len(claims) == 1 and not claims[0][1].allowed
+        claims = [(n, v) for n in range(5) for v in coordinator.ejections_for(f"n{n}", now) if v.probe_permit]
+        assert len(claims) == 1 and not claims[0][1].is_admitted
         holders.append(f"n{claims[0][0]}")
         now += 1.0
     assert sorted(holders) == [f"n{n}" for n in range(5)]
-    case = coordinator.ejected[BAD]
-    coordinator.on_report(case.holder, set(), {BAD}, {case.permit: True}, now)
+    case = coordinator.ejections[BAD]
+    coordinator.on_report(case.probing_member, set(), {BAD}, {case.permit: True}, now)
     let_in = list[int]()
-    while coordinator.ejected and now < 60.0:
+    while coordinator.ejections and now < 60.0:
         for n in range(5):
             coordinator.on_report(f"n{n}", set(), set(), {}, now)
-        let_in.append(sum(v.allowed for n in range(5) for v in coordinator.ejections_for(f"n{n}", now)))
+        let_in.append(sum(v.is_admitted for n in range(5) for v in coordinator.ejections_for(f"n{n}", now)))
         coordinator.tick(now)
         now += RECOVERY_STEP_SECONDS
-    assert let_in[0] == 1 and let_in[1:3] == [1, 2] and max(let_in) == 5 and not coordinator.ejected
+    assert let_in[0] == 1 and let_in[1:3] == [1, 2] and max(let_in) == 5 and not coordinator.ejections
     assert let_in == sorted(let_in) and now < 5.0 + 4 * RECOVERY_STEP_SECONDS + AFTER_RECOVERY_SECONDS + 2.0
 
 
 def test_backend_is_ejected_anew_when_it_fails_in_recovery_and_permit_moves_when_its_holder_ends() -> None:
     coordinator = coordinator_with_votes(3)
     coordinator.tick(0.1)
-    case = coordinator.ejected[BAD]
-    first = case.holder
+    case = coordinator.ejections[BAD]
+    first = case.probing_member
     coordinator.on_member_gone(first)
     coordinator.tick(0.2)
-    assert case.holder not in ("", first)
-    coordinator.on_report(case.holder, set(), {BAD}, {case.permit: True}, 0.3)
-    assert coordinator.ejected[BAD].state is State.RECOVERING
-    coordinator.on_report(case.holder, {BAD}, set(), {}, 0.4)  # an ejection of before
-    assert coordinator.ejected[BAD].state is State.RECOVERING
-    coordinator.on_report(case.holder, {BAD}, set(), {}, 0.4 + SETTLING_SECONDS)
-    assert coordinator.ejected[BAD].state is State.CONDEMNED
-    assert not any(v.claim for n in range(3) for v in coordinator.ejections_for(f"n{n}", 0.4 + SETTLING_SECONDS))
+    assert case.probing_member not in ("", first)
+    coordinator.on_report(case.probing_member, set(), {BAD}, {case.permit: True}, 0.3)
+    assert coordinator.ejections[BAD].state is EjectionState.RECOVERING
+    coordinator.on_report(case.probing_member, {BAD}, set(), {}, 0.4)  # an ejection of before
+    assert coordinator.ejections[BAD].state is EjectionState.RECOVERING
+    coordinator.on_report(case.probing_member, {BAD}, set(), {}, 0.4 + SETTLING_SECONDS)
+    assert coordinator.ejections[BAD].state is EjectionState.EJECTED
+    assert not any(v.probe_permit for n in range(3) for v in coordinator.ejections_for(f"n{n}", 0.4 + SETTLING_SECONDS))
     coordinator.on_report(
         "n9", set(), set(), {case.permit: True, 0: True, 99: True}, 0.5
     )  # trials that nobody gave out
-    assert coordinator.ejected[BAD].state is State.CONDEMNED
+    assert coordinator.ejections[BAD].state is EjectionState.EJECTED
 
 
 @given(
@@ -135,13 +135,18 @@
     coordinator, now, seen = OutlierCoordinator(1.0), 0.0, dict[EjectionKey, list[float]]()
     coordinator.backend_count = 6
     for member, against, good, outcome, later in words:
-        trials = {c.permit: outcome for c in coordinator.ejected.values() if c.holder == f"n{member}" and c.permit}
+        trials = {
+            c.permit: outcome for c in coordinator.ejections.values() if c.probing_member == f"n{member}" and c.permit
+        }
         coordinator.on_report(f"n{member}", against, good, trials, now)
         coordinator.tick(now)
-        assert len({number for number, _ in coordinator.ejected}) <= 3
-        for key in coordinator.ejected:
+        assert len({number for number, _ in coordinator.ejections}) <= 3
+        for key in coordinator.ejections:
             claims = {
-                v.claim for n in range(4) for v in coordinator.ejections_for(f"n{n}", now) if v.key == key and v.claim
+                v.probe_permit
+                for n in range(4)
+                for v in coordinator.ejections_for(f"n{n}", now)
+                if v.key == key and v.probe_permit
             }
             assert len(claims) <= 1
             if claims - set(seen.get(key, [])):
@@ -179,19 +184,19 @@
     against: set[int], good: set[int], opened: list[tuple[int, str]]
 ) -> None:
     coordinator = coordinator_with_zones(4, against, good)
-    assert coordinator.tick(0.1) == opened and list(coordinator.ejected) == opened
+    assert coordinator.tick(0.1) == opened and list(coordinator.ejections) == opened
 
 
 def test_zone_recovers_as_one_when_a_probe_succeeds_though_one_backend_still_fails() -> None:
     coordinator = coordinator_with_zones(4, {1, 2}, set())
     coordinator.tick(0.1)
-    case = coordinator.ejected[EjectionKey(ZONE, "a")]
-    holder, claim = case.holder, case.permit
-    assert claim and sum(bool(v.claim) for n in range(4) for v in coordinator.ejections_for(f"n{n}", 0.1)) == 1
+    case = coordinator.ejections[EjectionKey(ZONE, "a")]
+    holder, claim = case.probing_member, case.permit
+    assert claim and sum(bool(v.probe_permit) for n in range(4) for v in coordinator.ejections_for(f"n{n}", 0.1)) == 1
     now = 0.5
     coordinator.on_report(holder, set(), {EjectionKey(3, "")}, {claim: True}, now)
-    assert case.state is State.RECOVERING
-    while coordinator.ejected:
+    assert case.state is EjectionState.RECOVERING
+    while coordinator.ejections:
         now += RECOVERY_STEP_SECONDS
         for n in range(4):
             coordinator.on_report(f"n{n}", {EjectionKey(1, "")} if n == 0 else set(), {EjectionKey(3, "")}, {}, now)
--- a/tests/outliers/test_outlier_fleet.py
+++ b/tests/outliers/test_outlier_fleet.py
@@ -6,9 +6,9 @@
 import time
 from pathlib import Path
 
+from tests.fleet.support import FleetOf, cli
 from tests.limiter import PATIENCE, Limiter
 from tests.outliers.support import MemberClients, RespondingBackends
-from tests.test_fleet import FleetOf, cli
 
 
 def test_fleet_ejects_a_backend_and_returns_to_it_when_it_fails_and_recovers(tmp_path: Path) -> None:
--- a/tests/outliers/test_outlier_member.py
+++ b/tests/outliers/test_outlier_member.py
@@ -9,6 +9,7 @@
 
 from tests.helpers import ended, request, sends, settings, started
 from thymeflow.decision.types import Status
+from thymeflow.health.backend_stats import FailureStreak
 from thymeflow.outliers.coordinator import (
     EJECTION_LEASE_SECONDS,
 )
@@ -30,7 +31,7 @@
     gateway = started(settings(zones=("a", "b")))
     member = MemberEjections(gateway)
     failed_zone = [n for n, backend in gateway.backends.items() if backend.endpoint.zone == "a"]
-    gateway.backends[failed_zone[0]].failures[""] = (2, 1e9)
+    gateway.backends[failed_zone[0]].failures[""] = FailureStreak(2, 1e9)
 
     def selected(now: float) -> list[int]:
         found = list[int]()
@@ -43,9 +44,9 @@
     ejected = Ejection(EjectionKey(ZONE, "a"), 1, 0, False, False, 100.0 + EJECTION_LEASE_SECONDS)
     member.on_ejections([ejected], 0.0, 100.0)
     assert not set(selected(0.1)) & set(failed_zone)
-    member.on_ejections([replace(ejected, claim=5)], 0.2, 100.2)
+    member.on_ejections([replace(ejected, probe_permit=5)], 0.2, 100.2)
     assert sum(number in failed_zone for number in selected(0.3)) == 1, "a zone's permit is one request"
-    member.on_ejections([replace(ejected, allowed=True)], 0.4, 100.4)
+    member.on_ejections([replace(ejected, is_admitted=True)], 0.4, 100.4)
     assert "" not in gateway.backends[failed_zone[0]].failures
     assert set(selected(0.5)) >= set(failed_zone)
 
@@ -63,31 +64,31 @@
         return found
 
     ejected = Ejection(EjectionKey(2, ""), 1, 0, False, False, inf)
-    admitted = replace(ejected, allowed=True)
+    admitted = replace(ejected, is_admitted=True)
 
     def receive(now: float, ejection: Ejection) -> None:
-        leased = replace(ejection, end=now + EJECTION_LEASE_SECONDS)
+        leased = replace(ejection, ends_at=now + EJECTION_LEASE_SECONDS)
         member.on_ejections(ejections_from_message([message_of(leased)]), now, now)
 
     receive(100.0, ejected)
     assert selected(100.1) == 0
-    receive(100.5, replace(ejected, claim=5))
+    receive(100.5, replace(ejected, probe_permit=5))
     assert selected(100.6) == 1 and member.report(100.7)["trials"] == {}  # the probe is in flight
     backend.in_flight = 0
-    backend.failures[""] = (3, 108.0)
+    backend.failures[""] = FailureStreak(3, 108.0)
     report = member.report(100.7)
     assert report["trials"] == {"5": False}
     assert isinstance(report["against"], list) and [2, ""] in report["against"]
-    receive(101.0, replace(ejected, claim=5))
+    receive(101.0, replace(ejected, probe_permit=5))
     assert selected(101.1) == 0  # the same permit again
-    receive(101.5, replace(ejected, claim=6))
+    receive(101.5, replace(ejected, probe_permit=6))
     assert selected(101.6) == 1  # though the member's own ejection lasts
     receive(102.0, admitted)
     assert selected(102.1) > 0
-    backend.failures[""] = (3, 110.0)
+    backend.failures[""] = FailureStreak(3, 110.0)
     receive(102.5, ejected)
     assert selected(102.5 + EJECTION_LEASE_SECONDS + 0.1) == 0 and backend.failures  # the member's own ejection lasts
-    receive(106.0, replace(admitted, cleared=True))
+    receive(106.0, replace(admitted, is_recovered=True))
     assert not backend.failures and selected(106.1) > 0
     member.on_ejections([], 107.0, 107.0)
     assert selected(107.1) > 0
--- a/tests/shedding/test_threshold.py
+++ b/tests/shedding/test_threshold.py
@@ -12,16 +12,16 @@
 import pytest
 from twisted.internet.testing import MemoryReactorClock
 
+from tests.fleet.support import FleetOf
 from tests.helpers import PLAN, SAFE, fleet, request, sends, settings
 from tests.limiter import PATIENCE, Limiter
 from tests.outliers.support import MemberClients, RespondingBackends
-from tests.test_fleet import FleetOf
-from thymeflow import Gateway
 from thymeflow.decision.events import AttemptEnded, EndpointsChanged
-from thymeflow.decision.policy import RETRY
+from thymeflow.decision.gateway import Gateway
+from thymeflow.decision.gateway_state import MAX_FLEET_RETRY_BUDGET
 from thymeflow.decision.types import EndpointListKind, Status
 from thymeflow.fleet.outlier_service import OutlierService
-from thymeflow.health.pressure import PRESSED
+from thymeflow.health.pressure import PRESSURE_THRESHOLD
 from thymeflow.runtime import clock, log
 from thymeflow.shedding.load_shedder import THRESHOLD_LEASE_SECONDS, LoadShedder
 from thymeflow.shedding.priority import ROTATION_SECONDS, PriorityOrder
@@ -50,7 +50,7 @@
             for n in range(5):
                 level.on_report(f"n{n}", odd if n < 2 else others, beat * TICK_INTERVAL_SECONDS)
             level.tick(beat * TICK_INTERVAL_SECONDS)
-        assert (level.level > 0.0) is (others > PRESSED)
+        assert (level.value > 0.0) is (others > PRESSURE_THRESHOLD)
 
 
 def test_threshold_moves_in_small_steps_and_falls_when_no_report_is_valid() -> None:
@@ -58,13 +58,13 @@
     for _ in range(100):
         level.on_report("n0", 1.0, now)
         assert 0.0 <= level.tick(now) - before <= MAX_RISE + 1e-9
-        now, before = now + TICK_INTERVAL_SECONDS, level.level
-    assert level.level == MAX_THRESHOLD
+        now, before = now + TICK_INTERVAL_SECONDS, level.value
+    assert level.value == MAX_THRESHOLD
     level.on_member_gone("n0")
     for _ in range(round(MAX_THRESHOLD / MAX_FALL) + 1):
         assert 0.0 <= before - level.tick(now) <= MAX_FALL + 1e-9
-        now, before = now + TICK_INTERVAL_SECONDS, level.level
-    assert level.level == 0.0
+        now, before = now + TICK_INTERVAL_SECONDS, level.value
+    assert level.value == 0.0
     level.on_report("n1", 1.0, now)  # one that was stopped since says nothing
     assert level.tick(now + REPORT_TTL_SECONDS + 0.1) == 0.0
 
@@ -121,18 +121,21 @@
     member.fraction_of = lambda kind: 0.25
     shedding = LoadShedder(member)
     shedding.limit_retries()
-    assert member.max_retry_budget() == pytest.approx(0.25 * RETRY[1]) and member.fraction_of("places") == 0.25
+    assert (
+        member.max_retry_budget() == pytest.approx(0.25 * MAX_FLEET_RETRY_BUDGET)
+        and member.fraction_of("places") == 0.25
+    )
     shedding.on_threshold(0.8, 0.0, 0.0)
-    assert member.max_retry_budget() == pytest.approx(max(1.0, 0.05 * RETRY[1]))
+    assert member.max_retry_budget() == pytest.approx(max(1.0, 0.05 * MAX_FLEET_RETRY_BUDGET))
     member.now = THRESHOLD_LEASE_SECONDS + 0.1
-    assert member.max_retry_budget() == pytest.approx(0.25 * RETRY[1])
+    assert member.max_retry_budget() == pytest.approx(0.25 * MAX_FLEET_RETRY_BUDGET)
 
 
 def test_back_end_stays_at_its_capacity_and_recovers_when_it_is_overloaded_twofold() -> None:
     level, queue, served, offered, back = AdmissionThreshold(), 0.0, 0.0, 0.0, inf
     for beat in range(400):  # a queue in front of 100 a second, and aims of 1 s
         now, load = beat * TICK_INTERVAL_SECONDS, 200.0 if beat < 200 else 60.0
-        come = load * (1.0 - level.level) * TICK_INTERVAL_SECONDS
+        come = load * (1.0 - level.value) * TICK_INTERVAL_SECONDS
         done = min(queue + come, 100.0 * TICK_INTERVAL_SECONDS)
         queue = min(150.0, queue + come - done)
         for n in range(12):  # one lies, one is cut off
@@ -140,7 +143,7 @@
         level.tick(now)
         if 40 <= beat < 200:
             served, offered = served + done, offered + 100.0 * TICK_INTERVAL_SECONDS
-        if beat >= 200 and level.level == 0.0:
+        if beat >= 200 and level.value == 0.0:
             back = min(back, now - 200 * TICK_INTERVAL_SECONDS)
     assert served >= 0.85 * offered
     assert back <= 12.0
@@ -155,13 +158,13 @@
     court = OutlierService(clock.Deadlines(MemoryReactorClock()), 1.0, lambda name, message: None)  # type: ignore[no-untyped-call]
 
     def beat(now: float) -> float:
-        court._level.level = next(coming)
-        return court._level.level
+        court._threshold.value = next(coming)
+        return court._threshold.value
 
     coming = iter(levels)
-    monkeypatch.setattr(court._level, "tick", beat)
+    monkeypatch.setattr(court._threshold, "tick", beat)
     for _ in levels:
-        court._steer(0.0)
+        court._update_level(0.0)
     assert lines == ["shedding by order begins", "shedding by order is over"]
 
 
--- a/tests/test_message_formats.py
+++ b/tests/test_message_formats.py
@@ -77,7 +77,7 @@
 def ejections(rows: Any) -> list[list[Any]]:
     """The values of ejections as a member reads them, and as they are written again."""
     found = member.ejections_from_message(rows)
-    return [[*row.key, row.number, row.claim, row.allowed, row.cleared, row.end] for row in found]
+    return [[*row.key, row.number, row.probe_permit, row.is_admitted, row.is_recovered, row.ends_at] for row in found]
 
 
 def evidence() -> list[dict[str, Any]]:
--- a/tests/test_stored_formats.py
+++ b/tests/test_stored_formats.py
@@ -111,7 +111,7 @@
     """Let the machine's boot be the one that the grants files tell of."""
     boot = folder / "boot_id"
     boot.write_text("0a1b2c3d-0000-4000-8000-00000000beef\n")
-    monkeypatch.setattr(grant_file, "BOOT", boot)
+    monkeypatch.setattr(grant_file, "BOOT_ID_PATH", boot)
 
 
 @pytest.mark.parametrize("name", SNAPSHOTS)
@@ -193,7 +193,7 @@
 
 def test_grants_of_an_earlier_boot_tell_only_the_epoch_when_they_are_read() -> None:
     granter, fault = grant_file.read(DATA / "fleet-v2.grants", "web", 500.0, True)
-    assert (fault, granter.epoch, len(granter.rows)) == ("", 4, 0)
+    assert (fault, granter.epoch, len(granter.records)) == ("", 4, 0)
 
 
 def test_member_configuration_has_the_same_bytes_when_the_supervisor_writes_it(tmp_path: Path) -> None:
--- a/tests/test_trace_leases.py
+++ b/tests/test_trace_leases.py
@@ -21,7 +21,7 @@
 from thymeflow.leases import grant_file
 from thymeflow.leases.errors import OverAllocationError
 from thymeflow.leases.holder import Allocation, LeaseHolder, allocation_from_message, message_of
-from thymeflow.leases.issuer import State, Write
+from thymeflow.leases.issuer import HolderState, Write
 from thymeflow.leases.ledger import Ledger
 from thymeflow.leases.resources import Resource, base_amount, divide_by_demand
 
@@ -35,10 +35,10 @@
 # Builders: the only places that know the names of the code under test.
 
 STATE_LABELS = {
-    State.ABSENT: "absent",
-    State.UNHEARD: "unheard",
-    State.ACKNOWLEDGED: "held",
-    State.GRANT_PENDING: "asked",
+    HolderState.ABSENT: "absent",
+    HolderState.NOT_REPORTING: "unheard",
+    HolderState.ACKNOWLEDGED: "held",
+    HolderState.GRANT_PENDING: "asked",
 }
 KIND_COUNT = len(Resource)
 
@@ -52,14 +52,14 @@
     """What may happen to a ledger, by label; each takes holder, number, amount, end and the time."""
     return {
         "grant": lambda holder, number, amount, end, now: ledger.grant(holder, number, amount, end, now),
-        "acknowledge": lambda holder, number, amount, end, now: ledger.acked(holder, number),
-        "dead": lambda holder, number, amount, end, now: ledger.dead(holder),
+        "acknowledge": lambda holder, number, amount, end, now: ledger.acknowledge(holder, number),
+        "dead": lambda holder, number, amount, end, now: ledger.release(holder),
     }
 
 
 def ledger_view(ledger: Ledger, holders: str, now: float) -> list[Any]:
     """What is free, and for each holder what is out and its last grant."""
-    return [ledger.free(now), [[ledger.out(h, now), ledger.last(h)] for h in holders]]
+    return [ledger.free(now), [[ledger.outstanding(h, now), ledger.newest_amount(h)] for h in holders]]
 
 
 def is_over_whole(call: Callable[[], None]) -> bool:
@@ -104,7 +104,7 @@
 
     def in_force(self, now: float) -> list[int]:
         """Amounts that the member's processes may use, by kind."""
-        return [sum(life.amount(kind, now) for life in self.lives) for kind in Resource]
+        return [sum(life.usable_amount(kind, now) for life in self.lives) for kind in Resource]
 
 
 class Issuer:
@@ -121,7 +121,7 @@
 
     def start_member(self, name: str, now: float) -> Message:
         """The allocation that a new process of that name starts with."""
-        if STATE_LABELS[self.issuer.row(name).state] in ("held", "asked"):
+        if STATE_LABELS[self.issuer.record_of(name).state] in ("held", "asked"):
             self.issuer.on_disconnected(name)
         part, _ = self.issuer.on_starting(name, now)
         self.write_file()
@@ -144,7 +144,7 @@
         done: list[tuple[str, Any]] = []
         for action in self.issuer.tick(now):
             if not isinstance(action, Write):
-                done.append((action.holder, message_of(action.part)))
+                done.append((action.holder, message_of(action.allocation)))
                 continue
             done.append(("write", action.version))
             if write == "fails":
@@ -152,7 +152,7 @@
             elif write == "done":
                 self.write_file()
                 sends = self.issuer.on_written(action.version)
-                done.extend((send.holder, message_of(send.part)) for send in sends)
+                done.extend((send.holder, message_of(send.allocation)) for send in sends)
         return done
 
     def write_file(self) -> None:
@@ -161,12 +161,21 @@
 
     def view(self, now: float) -> list[Any]:
         """Rows and what is out and free of each kind."""
-        ledgers = (*self.issuer.base, *self.issuer.lent)
+        ledgers = (*self.issuer.base, *self.issuer.leased)
         rows = [
-            [name, STATE_LABELS[row.state], row.number, row.base, row.lease, row.end, list(row.told), list(row.demand)]
-            for name, row in sorted(self.issuer.rows.items())
+            [
+                name,
+                STATE_LABELS[row.state],
+                row.number,
+                row.base,
+                row.lease,
+                row.lease_ends_at,
+                list(row.reported),
+                list(row.demand),
+            ]
+            for name, row in sorted(self.issuer.records.items())
         ]
-        out = [[ledger.out(name, now) for ledger in ledgers] for name in sorted(self.issuer.rows)]
+        out = [[ledger.outstanding(name, now) for ledger in ledgers] for name in sorted(self.issuer.records)]
         return [self.issuer.epoch, rows, out, [ledger.free(now) for ledger in ledgers]]
 
 
--- a/tests/test_trace_outliers.py
+++ b/tests/test_trace_outliers.py
@@ -18,9 +18,10 @@
 
 from tests.helpers import SAFE, UNSAFE, fleet, request, sends, settings
 from tests.trace_digest import TraceDigest
-from thymeflow import Gateway
 from thymeflow.decision.actions import Action
 from thymeflow.decision.events import AttemptEnded, EndpointsChanged, TimerFired
+from thymeflow.decision.gateway import Gateway
+from thymeflow.decision.gateway_state import TimerKind
 from thymeflow.decision.settings import Plan
 from thymeflow.decision.types import EndpointListKind, Status
 from thymeflow.outliers.coordinator import ZONE, OutlierCoordinator
@@ -135,7 +136,7 @@
         elif chance < 0.034:
             self.cut_off.add((self.rng.choice(self.names), backend))
             self.note("cut off", sorted(self.cut_off))
-        returning = [key for key, entry in self.coordinator.ejected.items() if entry.state.value == "returning"]
+        returning = [key for key, entry in self.coordinator.ejections.items() if entry.state.value == "returning"]
         if returning and self.rng.random() < 0.06:
             number, zone = self.rng.choice(sorted(returning))
             failing = range(1, BACKEND_COUNT, 2) if zone == "a" else range(2, BACKEND_COUNT + 1, 2)
@@ -159,7 +160,7 @@
     # Requests.
 
     def serve(self, member: Member) -> None:
-        timers = [number for number, (kind, _) in member.gateway.timers.items() if kind == "tick"]
+        timers = [number for number, (kind, _) in member.gateway.timers.items() if kind is TimerKind.TICK]
         for number in timers:
             self.start(member, member.gateway.handle(self.now, TimerFired(number)), "")
         done = [attempt for attempt in member.attempts if attempt.ends_at <= self.now]
@@ -227,7 +228,7 @@
             self.threshold.on_report(name, found["pressure"], moment)
 
     def returning_backends(self) -> list[list[Any]]:
-        entries = self.coordinator.ejected.items()
+        entries = self.coordinator.ejections.items()
         return [list(key) for key, entry in entries if entry.state.value == "returning" and key[0] != ZONE]
 
     def decide(self) -> None:
@@ -237,13 +238,13 @@
             self.trace.actions["opened"] += 1
             self.trace.actions["opened zone"] += key[0] == ZONE
             self.lines.append(json.dumps(["opened", key]))
-        after = self.states = {key: entry.state.value for key, entry in self.coordinator.ejected.items()}
+        after = self.states = {key: entry.state.value for key, entry in self.coordinator.ejections.items()}
         for key in sorted(before.keys() | after.keys()):
             if before.get(key) != after.get(key):
                 self.trace.actions[f"{before.get(key)} to {after.get(key)}"] += 1
         self.lines.append(json.dumps(["invalid", self.coordinator.invalid_reports]))
         self.threshold.tick(moment)
-        level, pressure = round(self.threshold.level, 9), round(self.threshold.pressure, 9)
+        level, pressure = round(self.threshold.value, 9), round(self.threshold.pressure, 9)
         self.trace.actions["threshold above 0"] += level > 0.0
         self.lines.append(json.dumps(["threshold", level, pressure]))
         for name in (*self.names, "stranger"):
@@ -253,7 +254,7 @@
             self.lines.append(json.dumps([name, rows]))
             if name in self.members and self.rng.random() < 0.9:
                 self.members[name].ejections.on_ejections(ejections_from_message(rows), self.now, moment)
-                self.members[name].shedder.on_threshold(round(self.threshold.level, 3), self.now, moment)
+                self.members[name].shedder.on_threshold(round(self.threshold.value, 3), self.now, moment)
 
 
 @pytest.mark.parametrize(
--- a/thymeflow/daemon/allocation.py
+++ b/thymeflow/daemon/allocation.py
@@ -9,7 +9,7 @@
 from thymeflow.decision.gateway import Gateway
 from thymeflow.handover.control_socket import Message
 from thymeflow.leases.holder import Allocation, LeaseHolder, allocation_from_message, message_of
-from thymeflow.leases.resources import WHOLE, Resource
+from thymeflow.leases.resources import TOTAL_POINTS, Resource
 from thymeflow.runtime import clock, log
 
 DEMAND_SMOOTHING = 0.7  # weight of the earlier demand at each report; reports are half a second apart
@@ -34,18 +34,18 @@
     def fraction(self, resource: str) -> float:
         """Return which fraction of the fleet limit of `resource` may be used now."""
         assert self._holder is not None
-        return self._holder.amount(Resource(resource), clock.monotonic()) / WHOLE
+        return self._holder.usable_amount(Resource(resource), clock.monotonic()) / TOTAL_POINTS
 
     def report(self, core: RequestDispatcher) -> Message | None:
         """Return the report to the lease issuer, or None if this process has no allocation to use."""
-        if self._holder is None or self._holder.handed_over:
+        if self._holder is None or self._holder.is_handed_over:
             return None
         self._update_demand(clock.now(), sum(core.response_counts.values()))
         now = clock.monotonic()
         return {
             **message_of(self._holder.allocation),
             "demand": [round(self._demand_per_second, 3)] * len(Resource),
-            "in_force": {resource.value: self._holder.amount(resource, now) for resource in Resource},
+            "in_force": {resource.value: self._holder.usable_amount(resource, now) for resource in Resource},
         }
 
     def _update_demand(self, now: float, response_count: int) -> None:
--- a/thymeflow/fleet/lease_distributor.py
+++ b/thymeflow/fleet/lease_distributor.py
@@ -8,8 +8,8 @@
 from thymeflow.handover.control_socket import Message
 from thymeflow.leases import grant_file
 from thymeflow.leases.holder import Allocation, allocation_from_message, message_of
-from thymeflow.leases.issuer import LeaseIssuer, State, Write
-from thymeflow.leases.resources import BASE, LENT, WHOLE, Resource
+from thymeflow.leases.issuer import HolderState, LeaseIssuer, Write
+from thymeflow.leases.resources import BASE_POINTS, LEASED_POINTS, TOTAL_POINTS, Resource
 from thymeflow.runtime import clock, log
 
 TICK_SECONDS = 0.25  # between divisions of the fleet's limits
@@ -41,18 +41,18 @@
             log.note("budgets", f"nothing is granted from the table of before: {error}")
         log.note(
             "budgets",
-            f"era {self._issuer.epoch}, {len(self._issuer.rows)} members may hold parts",
+            f"era {self._issuer.epoch}, {len(self._issuer.records)} members may hold parts",
             era=self._issuer.epoch,
         )
         self._beat(0)
 
     def holders(self) -> list[str]:
         """Return the members that may hold an allocation."""
-        return [name for name, row in self._issuer.rows.items() if row.state is not State.ABSENT]
+        return [name for name, row in self._issuer.records.items() if row.state is not HolderState.ABSENT]
 
     def on_starting(self, name: str) -> Message:
         """Return the allocation that a new process of a member starts with."""
-        if self._issuer.row(name).state not in (State.ABSENT, State.UNHEARD):
+        if self._issuer.record_of(name).state not in (HolderState.ABSENT, HolderState.NOT_REPORTING):
             self._issuer.on_disconnected(name)
         allocation, _ = self._issuer.on_starting(name, clock.monotonic())
         if not self._write_table():
@@ -82,32 +82,36 @@
         # The keys, here and in `_member_status`, are those of the control socket and of `thymeflow budgets --json`.
         now = clock.monotonic()
         return {
-            "whole": WHOLE,
-            "base": BASE,
-            "pool": LENT,
+            "whole": TOTAL_POINTS,
+            "base": BASE_POINTS,
+            "pool": LEASED_POINTS,
             "era": self._issuer.epoch,
             "fault": self.write_error,
             "free": {
                 resource.value: {
                     "base": self._issuer.base[index].free(now),
-                    "pool": self._issuer.lent[index].free(now),
+                    "pool": self._issuer.leased[index].free(now),
                 }
                 for index, resource in enumerate(Resource)
             },
-            "members": {name: self._member_status(name, now) for name in sorted(self._issuer.rows)},
+            "members": {name: self._member_status(name, now) for name in sorted(self._issuer.records)},
         }
 
     def _member_status(self, name: str, now: float) -> dict[str, object]:
         issuer = self._issuer
-        row = issuer.rows[name]
+        row = issuer.records[name]
         return {
             "state": row.state.value,
             "number": row.number,
-            "told": list(row.told),
-            "ends_in_s": round(max(0.0, row.end - now), 2),
+            "told": list(row.reported),
+            "ends_in_s": round(max(0.0, row.lease_ends_at - now), 2),
             "demand": list(row.demand),
-            "base": {resource.value: issuer.base[index].out(name, now) for index, resource in enumerate(Resource)},
-            "lease": {resource.value: issuer.lent[index].out(name, now) for index, resource in enumerate(Resource)},
+            "base": {
+                resource.value: issuer.base[index].outstanding(name, now) for index, resource in enumerate(Resource)
+            },
+            "lease": {
+                resource.value: issuer.leased[index].outstanding(name, now) for index, resource in enumerate(Resource)
+            },
         }
 
     def _write_table(self) -> bool:
@@ -127,7 +131,7 @@
             if isinstance(action, Write):
                 self._write_and_grant(action)
             else:
-                self._send_allocation(action.holder, action.part)
+                self._send_allocation(action.holder, action.allocation)
         self._deadlines.at(clock.now() + TICK_SECONDS, self._beat)
 
     def _write_and_grant(self, action: Write) -> None:
@@ -135,7 +139,7 @@
             self._issuer.on_write_failed(action.version)
             return
         for grant in self._issuer.on_written(action.version):
-            self._send_allocation(grant.holder, grant.part)
+            self._send_allocation(grant.holder, grant.allocation)
 
     def _send_allocation(self, name: str, allocation: Allocation) -> None:
         # The message's keys and its command are those of the control socket.
--- a/thymeflow/fleet/outlier_service.py
+++ b/thymeflow/fleet/outlier_service.py
@@ -10,8 +10,9 @@
 
 from thymeflow.fleet.errors import MalformedReportError
 from thymeflow.handover.control_socket import Message
-from thymeflow.outliers.coordinator import ZONE, Case, Ejection, Key, OutlierCoordinator, State
-from thymeflow.outliers.member import keys_from_message, message_of, probes_from_message, zones_from_message
+from thymeflow.outliers.coordinator import OutlierCoordinator
+from thymeflow.outliers.ejection import ZONE, Ejection, EjectionKey, EjectionRecord, EjectionState
+from thymeflow.outliers.messages import keys_from_message, message_of, probes_from_message, zones_from_message
 from thymeflow.runtime import clock, log
 from thymeflow.shedding.threshold import AdmissionThreshold
 
@@ -81,21 +82,21 @@
         # The keys, here and in `_ejection_status`, are those of the control socket and of `thymeflow overload --json`.
         now = clock.monotonic()
         return {
-            "level": round(self._threshold.level, 3),
+            "level": round(self._threshold.value, 3),
             "pressure": round(self._threshold.pressure, 3),
             "every_s": self._coordinator.probe_interval,
             "left_out": self._coordinator.invalid_reports,
             "members": sorted(self._coordinator.reports),
             "cases": [
-                _ejection_status(key, ejected, now) for key, ejected in sorted(self._coordinator.ejected.items())
+                _ejection_status(key, ejected, now) for key, ejected in sorted(self._coordinator.ejections.items())
             ],
         }
 
     def _tick(self, _: int) -> None:
         now = clock.monotonic()
-        previous_states = {key: ejected.state for key, ejected in self._coordinator.ejected.items()}
+        previous_states = {key: ejected.state for key, ejected in self._coordinator.ejections.items()}
         for key in self._coordinator.tick(now):
-            reporters = ", ".join(sorted(self._coordinator.ejected[key].words))
+            reporters = ", ".join(sorted(self._coordinator.ejections[key].reported_by))
             text = f"{_describe_key(key)} is left alone by all, on the word of {reporters}"
             log.note("overload", text, server=key[0])
         self._log_state_changes(previous_states)
@@ -104,9 +105,9 @@
         self._update_level(now)
         self._deadlines.at(clock.now() + TICK_SECONDS, self._tick)
 
-    def _log_state_changes(self, previous_states: dict[Key, State]) -> None:
+    def _log_state_changes(self, previous_states: dict[EjectionKey, EjectionState]) -> None:
         for key, state in previous_states.items():
-            ejected = self._coordinator.ejected.get(key)
+            ejected = self._coordinator.ejections.get(key)
             if ejected is None and self._coordinator.is_covered_by_zone(key):
                 continue  # the ejection of its zone has replaced it, and is logged
             if ejected is None:
@@ -116,7 +117,7 @@
 
     def _send_ejections(self, name: str, now: float) -> None:
         # Compared without their ends, which move with every tick.
-        ejections = [replace(ejection, end=0.0) for ejection in self._coordinator.ejections_for(name, now)]
+        ejections = [replace(ejection, ends_at=0.0) for ejection in self._coordinator.ejections_for(name, now)]
         sent = self._sent_ejections.get(name, _SentEjections(now))
         if ejections != sent.ejections or (ejections and now - sent.sent_at >= RENEWAL_SECONDS):
             self._sent_ejections[name] = _SentEjections(now, ejections)
@@ -124,7 +125,7 @@
             self._send(name, {"do": "verdicts", "verdicts": rows})
 
     def _update_level(self, now: float) -> None:
-        previous_level = round(self._threshold.level, 3)  # as it was sent: one that rounds to 0 began no shedding
+        previous_level = round(self._threshold.value, 3)  # as it was sent: one that rounds to 0 began no shedding
         level = round(self._threshold.tick(now), 3)
         if (level > 0.0) != (previous_level > 0.0):
             log.note(
@@ -153,21 +154,21 @@
     return count
 
 
-def _ejection_status(key: Key, ejected: Case, now: float) -> dict[str, object]:
+def _ejection_status(key: EjectionKey, ejected: EjectionRecord, now: float) -> dict[str, object]:
     is_zone = key[0] == ZONE
     return {
         "server": key[0],
         "class": "" if is_zone else key[1],
         "zone": key[1] if is_zone else "",
         "state": ejected.state.value,
-        "for_s": round(now - ejected.since, 2),
-        "words": sorted(ejected.words),
-        "trial": ejected.holder if ejected.state is State.CONDEMNED else "",
-        "let_in": ejected.let_in,
+        "for_s": round(now - ejected.ejected_at, 2),
+        "words": sorted(ejected.reported_by),
+        "trial": ejected.probing_member if ejected.state is EjectionState.EJECTED else "",
+        "let_in": ejected.admitted_count,
     }
 
 
-def _describe_key(key: Key) -> str:
+def _describe_key(key: EjectionKey) -> str:
     if key[0] == ZONE:
         return f"zone {key[1]}"
     return f"server {key[0]:08x}" + (f" for {key[1]}" if key[1] else "")
--- a/thymeflow/leases/allocation.py
+++ b/thymeflow/leases/allocation.py
@@ -6,7 +6,7 @@
 from math import isfinite
 
 from thymeflow.leases.errors import MalformedAllocationError
-from thymeflow.leases.resources import WHOLE, Resource
+from thymeflow.leases.resources import TOTAL_POINTS, Resource
 
 MIN_RESOURCE_COUNT = 2  # amounts in messages of the oldest version that is read; they are of the first resources
 
@@ -66,9 +66,9 @@
     if (
         not isinstance(amounts, list)
         or not MIN_RESOURCE_COUNT <= len(amounts) <= len(Resource)
-        or not all(type(amount) is int and 0 <= amount <= WHOLE for amount in amounts)
+        or not all(type(amount) is int and 0 <= amount <= TOTAL_POINTS for amount in amounts)
     ):
-        text = f"{key} is {amounts!r}, not {len(Resource)} whole numbers from 0 to {WHOLE}"
+        text = f"{key} is {amounts!r}, not {len(Resource)} whole numbers from 0 to {TOTAL_POINTS}"
         raise MalformedAllocationError(text)
     missing = [0] * (len(Resource) - len(amounts))  # an earlier version knows fewer resources
     return (*amounts, *missing)
--- a/thymeflow/leases/grant_file.py
+++ b/thymeflow/leases/grant_file.py
@@ -14,14 +14,14 @@
 import msgspec
 
 from thymeflow.leases.errors import GrantFileError as GrantFileError
-from thymeflow.leases.issuer import WRITTEN, LeaseIssuer, State
-from thymeflow.leases.resources import BASE, LENT, Resource
+from thymeflow.leases.issuer import COVERED_PERIOD_SECONDS, HolderState, LeaseIssuer
+from thymeflow.leases.resources import BASE_POINTS, LEASED_POINTS, Resource
 from thymeflow.snapshot import atomic_file
 
 VERSION = 2
 RESOURCE_COUNT_BY_OLDER_VERSION = {1: 2}  # versions that are read too; their amounts are of the first resources
 MAX_FILE_BYTES = 1 << 20
-BOOT = Path("/proc/sys/kernel/random/boot_id")
+BOOT_ID_PATH = Path("/proc/sys/kernel/random/boot_id")
 FIRST_EPOCH = 1
 EPOCH_AFTER_LOSS = 1 << 40  # set in epochs after a loss of the file; no earlier issuer can have counted so far
 DIGEST_BYTES = 16
@@ -55,7 +55,7 @@
 def boot_id() -> str:
     """Return the identifier of this boot of the machine, empty where the system has none."""
     try:
-        return BOOT.read_text().strip()
+        return BOOT_ID_PATH.read_text().strip()
     except OSError:
         return ""
 
@@ -64,8 +64,8 @@
     """Return the content of the file: a line with a digest, then the grants as JSON."""
     rows = {
         holder: _Row(row.number, list(issuer.durable_amounts[holder]))
-        for holder, row in issuer.rows.items()
-        if row.state is not State.ABSENT and holder in issuer.durable_amounts
+        for holder, row in issuer.records.items()
+        if row.state is not HolderState.ABSENT and holder in issuer.durable_amounts
     }
     body = msgspec.json.encode(_Table(VERSION, fleet, boot_id(), issuer.epoch, issuer.durable_until, rows))
     return _digest(body) + b"\n" + body
@@ -107,7 +107,7 @@
         return LoadedIssuer(issuer, f"{path}: {error}")
     issuer = LeaseIssuer(table.era + 1, now)
     if table.boot and table.boot == boot_id():
-        until = min(table.until, now + WRITTEN)
+        until = min(table.until, now + COVERED_PERIOD_SECONDS)
         for holder, row in table.rows.items():
             issuer.restore_grant(holder, row.number, tuple(row.noted), until, now)
     return LoadedIssuer(issuer, "")
@@ -160,7 +160,7 @@
         text = "a row is not of its form"
         raise GrantFileError(text)
     for index in range(amount_count):
-        total = BASE if index < len(Resource) else LENT
+        total = BASE_POINTS if index < len(Resource) else LEASED_POINTS
         granted = sum(row.noted[index] for row in table.rows.values())
         if granted > total:
             text = f"its parts come to {granted} of {total}"
--- a/thymeflow/leases/holder.py
+++ b/thymeflow/leases/holder.py
@@ -21,7 +21,7 @@
 
     def __init__(self, allocation: Allocation = EMPTY_ALLOCATION) -> None:
         self.allocation = allocation
-        self.handed_over = False  # another process uses the allocation
+        self.is_handed_over = False  # another process uses the allocation
 
     def on_grant(self, allocation: Allocation) -> bool:
         """Use an allocation if it is newer; return whether it was. Old and repeated ones change nothing."""
@@ -31,9 +31,9 @@
         self.allocation = allocation
         return True
 
-    def amount(self, resource: Resource, now: float) -> int:
+    def usable_amount(self, resource: Resource, now: float) -> int:
         """Return the points of a resource that may be used now; `now` is on the machine's monotonic clock."""
-        if self.handed_over:
+        if self.is_handed_over:
             return 0
         index = RESOURCE_INDEXES[resource]
         is_lease_valid = now < self.allocation.ends_at - LEASE_MARGIN_SECONDS
@@ -42,9 +42,9 @@
 
     def hand_over(self) -> Allocation:
         """Return the allocation for the next process of this limiter, and stop using it here."""
-        self.handed_over = True
+        self.is_handed_over = True
         return self.allocation
 
     def take_back(self) -> None:
         """Use the allocation again, as the next process did not come up."""
-        self.handed_over = False
+        self.is_handed_over = False
--- a/thymeflow/leases/holder_state.py
+++ b/thymeflow/leases/holder_state.py
@@ -9,20 +9,20 @@
 from thymeflow.leases.resources import Resource
 
 
-class State(Enum):
+class HolderState(Enum):
     """The state of a holder; the values are printed by status commands."""
 
     ABSENT = "absent"  # no process is known, and nothing is outstanding
-    UNHEARD = "unheard"  # something may be outstanding, and the holder does not report
+    NOT_REPORTING = "unheard"  # something may be outstanding, and the holder does not report
     ACKNOWLEDGED = "held"  # it reports, and has acknowledged its newest grant
     GRANT_PENDING = "asked"  # it reports, and has not yet acknowledged its newest grant
 
 
-class Move(Enum):
+class HolderEvent(Enum):
     """An event in the life cycle of a holder."""
 
     STARTING = "starting"  # a process is being started under its name
-    SPEAKS = "speaks"  # a report arrived
+    REPORT = "speaks"  # a report arrived
     GRANT = "grant"  # a grant was issued
     ACK = "ack"  # a report acknowledged the newest grant
     UNRESPONSIVE = "unresponsive"  # its connection ended, or no report arrived for a while
@@ -30,44 +30,44 @@
 
 
 # A pair that is not in the table is illegal, and raises KeyError.
-MOVES: dict[tuple[State, Move], State] = {
-    (State.ABSENT, Move.STARTING): State.UNHEARD,
-    (State.ABSENT, Move.DEATH): State.ABSENT,
-    (State.ABSENT, Move.SPEAKS): State.ACKNOWLEDGED,
-    (State.UNHEARD, Move.STARTING): State.UNHEARD,
-    (State.UNHEARD, Move.SPEAKS): State.ACKNOWLEDGED,
-    (State.UNHEARD, Move.UNRESPONSIVE): State.UNHEARD,
-    (State.UNHEARD, Move.DEATH): State.ABSENT,
-    (State.ACKNOWLEDGED, Move.SPEAKS): State.ACKNOWLEDGED,
-    (State.ACKNOWLEDGED, Move.GRANT): State.GRANT_PENDING,
-    (State.ACKNOWLEDGED, Move.ACK): State.ACKNOWLEDGED,
-    (State.ACKNOWLEDGED, Move.UNRESPONSIVE): State.UNHEARD,
-    (State.ACKNOWLEDGED, Move.DEATH): State.ABSENT,
-    (State.GRANT_PENDING, Move.SPEAKS): State.GRANT_PENDING,
-    (State.GRANT_PENDING, Move.GRANT): State.GRANT_PENDING,
-    (State.GRANT_PENDING, Move.ACK): State.ACKNOWLEDGED,
-    (State.GRANT_PENDING, Move.UNRESPONSIVE): State.UNHEARD,
-    (State.GRANT_PENDING, Move.DEATH): State.ABSENT,
+HOLDER_TRANSITIONS: dict[tuple[HolderState, HolderEvent], HolderState] = {
+    (HolderState.ABSENT, HolderEvent.STARTING): HolderState.NOT_REPORTING,
+    (HolderState.ABSENT, HolderEvent.DEATH): HolderState.ABSENT,
+    (HolderState.ABSENT, HolderEvent.REPORT): HolderState.ACKNOWLEDGED,
+    (HolderState.NOT_REPORTING, HolderEvent.STARTING): HolderState.NOT_REPORTING,
+    (HolderState.NOT_REPORTING, HolderEvent.REPORT): HolderState.ACKNOWLEDGED,
+    (HolderState.NOT_REPORTING, HolderEvent.UNRESPONSIVE): HolderState.NOT_REPORTING,
+    (HolderState.NOT_REPORTING, HolderEvent.DEATH): HolderState.ABSENT,
+    (HolderState.ACKNOWLEDGED, HolderEvent.REPORT): HolderState.ACKNOWLEDGED,
+    (HolderState.ACKNOWLEDGED, HolderEvent.GRANT): HolderState.GRANT_PENDING,
+    (HolderState.ACKNOWLEDGED, HolderEvent.ACK): HolderState.ACKNOWLEDGED,
+    (HolderState.ACKNOWLEDGED, HolderEvent.UNRESPONSIVE): HolderState.NOT_REPORTING,
+    (HolderState.ACKNOWLEDGED, HolderEvent.DEATH): HolderState.ABSENT,
+    (HolderState.GRANT_PENDING, HolderEvent.REPORT): HolderState.GRANT_PENDING,
+    (HolderState.GRANT_PENDING, HolderEvent.GRANT): HolderState.GRANT_PENDING,
+    (HolderState.GRANT_PENDING, HolderEvent.ACK): HolderState.ACKNOWLEDGED,
+    (HolderState.GRANT_PENDING, HolderEvent.UNRESPONSIVE): HolderState.NOT_REPORTING,
+    (HolderState.GRANT_PENDING, HolderEvent.DEATH): HolderState.ABSENT,
 }
 
 
 @dataclass(slots=True)
-class Row:
+class HolderRecord:
     """The record of one holder; times are in s on the machine's monotonic clock."""
 
-    state: State = State.ABSENT
+    state: HolderState = HolderState.ABSENT
     number: int = 0  # of its newest grant
     base: list[int] = field(default_factory=lambda: [0] * len(Resource))  # points by resource
     lease: list[int] = field(default_factory=lambda: [0] * len(Resource))
-    end: float = 0.0  # of its lease
+    lease_ends_at: float = 0.0  # of its lease
     demand: tuple[float, ...] = (0.0,) * len(Resource)
-    told: tuple[int, int] = (-1, -1)  # epoch and number of the allocation that it reported last
-    heard: float = -inf  # when its last report arrived
-    answered: float = -inf  # when it last acknowledged the newest grant, or began to report
+    reported: tuple[int, int] = (-1, -1)  # epoch and number of the allocation that it reported last
+    last_report_at: float = -inf  # when its last report arrived
+    last_acknowledged_at: float = -inf  # when it last acknowledged the newest grant, or began to report
 
     def is_reporting(self) -> bool:
         """Return whether reports of the holder arrive."""
-        return self.state in (State.ACKNOWLEDGED, State.GRANT_PENDING)
+        return self.state in (HolderState.ACKNOWLEDGED, HolderState.GRANT_PENDING)
 
     def clear_amounts(self) -> None:
         """Set the amounts to nothing, with no lease."""
@@ -77,4 +77,4 @@
     def clear_lease(self) -> None:
         """Set the leased amounts to nothing."""
         self.lease = [0] * len(Resource)
-        self.end = 0.0
+        self.lease_ends_at = 0.0
--- a/thymeflow/leases/issuer.py
+++ b/thymeflow/leases/issuer.py
@@ -12,17 +12,17 @@
 from math import inf
 
 from thymeflow.leases.allocation import Allocation
-from thymeflow.leases.holder_state import MOVES as MOVES
-from thymeflow.leases.holder_state import Move as Move
-from thymeflow.leases.holder_state import Row as Row
-from thymeflow.leases.holder_state import State as State
+from thymeflow.leases.holder_state import HOLDER_TRANSITIONS as HOLDER_TRANSITIONS
+from thymeflow.leases.holder_state import HolderEvent as HolderEvent
+from thymeflow.leases.holder_state import HolderRecord as HolderRecord
+from thymeflow.leases.holder_state import HolderState as HolderState
 from thymeflow.leases.ledger import Ledger
-from thymeflow.leases.resources import BASE, LENT, Resource, base_amount, divide_by_demand
+from thymeflow.leases.resources import BASE_POINTS, LEASED_POINTS, Resource, base_amount, divide_by_demand
 
-LEASE = 4.0  # s: length of a lease; the longest that an unreachable holder uses its leased amounts
+LEASE_SECONDS = 4.0  # s: length of a lease; the longest that an unreachable holder uses its leased amounts
 RENEWAL_FRACTION = 0.5  # of a lease: it is renewed when so much is left
-WRITTEN = 8.0  # s: how far ahead the grant file covers leases, so that renewals need no write
-HEARD = 2.0  # s: how long a report is valid, four report intervals; without one nothing is leased anew
+COVERED_PERIOD_SECONDS = 8.0  # s: how far ahead the grant file covers leases, so that renewals need no write
+REPORT_TTL_SECONDS = 2.0  # s: how long a report is valid, four report intervals; without one nothing is leased anew
 MIN_CHANGE_FRACTION = 0.02  # of the leased points, divided by the holders: smaller changes are not worth a grant
 
 HolderName = str
@@ -40,7 +40,7 @@
     """Send an allocation to a holder."""
 
     holder: HolderName
-    part: Allocation
+    allocation: Allocation
 
 
 Action = Write | Send
@@ -51,23 +51,23 @@
 
     def __init__(self, epoch: int, now: float) -> None:
         self.epoch = epoch
-        self.rows: dict[HolderName, Row] = {}
-        self.base = [Ledger(BASE) for _ in Resource]
-        self.lent = [Ledger(LENT) for _ in Resource]
+        self.records: dict[HolderName, HolderRecord] = {}
+        self.base = [Ledger(BASE_POINTS) for _ in Resource]
+        self.leased = [Ledger(LEASED_POINTS) for _ in Resource]
         self.durable_until = now  # leases up to this time are covered by the grant file
         self.durable_amounts: dict[HolderName, tuple[int, ...]] = {}  # covered by the file: base amounts, then leased
         self._fleet_size = 1
         self._file_version = 0
-        self._waiting: dict[int, list[Send]] = {}  # sends by the file version that must be written before
+        self._sends_by_version: dict[int, list[Send]] = {}  # sends by the file version that must be written before
         self._first_grant_at = now  # before, leases of a lost grant file may be in force
 
-    def row(self, holder: HolderName) -> Row:
+    def record_of(self, holder: HolderName) -> HolderRecord:
         """Return the record of a holder, a new one if it is unknown."""
-        return self.rows.setdefault(holder, Row())
+        return self.records.setdefault(holder, HolderRecord())
 
-    def _move(self, holder: HolderName, move: Move) -> Row:
-        row = self.row(holder)
-        row.state = MOVES[row.state, move]
+    def _move(self, holder: HolderName, move: HolderEvent) -> HolderRecord:
+        row = self.record_of(holder)
+        row.state = HOLDER_TRANSITIONS[row.state, move]
         return row
 
     # Events.
@@ -75,7 +75,7 @@
     def on_grants_lost(self, now: float) -> None:
         """Grant no base amounts, as unreachable holders may have any, and no leases until all lost ones expired."""
         self.base = [Ledger(0) for _ in Resource]
-        self._first_grant_at = now + WRITTEN
+        self._first_grant_at = now + COVERED_PERIOD_SECONDS
 
     def resize(self, size: int) -> None:
         """Set the number of members that the fleet is meant to have."""
@@ -85,12 +85,12 @@
         self, holder: HolderName, number: int, amounts: tuple[int, ...], until: float, now: float
     ) -> None:
         """Count what an earlier issuer's grant file allows for as outstanding, whether or not it was sent."""
-        row = self._move(holder, Move.STARTING)
+        row = self._move(holder, HolderEvent.STARTING)
         row.number = number
         self.durable_amounts[holder] = amounts
         for ledger, amount in zip(self.base, amounts[: len(Resource)], strict=True):
             ledger.grant(holder, number, amount, inf, now)
-        for ledger, amount in zip(self.lent, amounts[len(Resource) :], strict=True):
+        for ledger, amount in zip(self.leased, amounts[len(Resource) :], strict=True):
             ledger.grant(holder, number, amount, until, now)
 
     def on_starting(self, holder: HolderName, now: float) -> tuple[Allocation, Write]:
@@ -99,11 +99,11 @@
         The base amounts are an even share at most, as far as they are free. A lease is granted once the process
         reports.
         """
-        row = self._move(holder, Move.STARTING)
+        row = self._move(holder, HolderEvent.STARTING)
         row.number += 1
         even_amount = base_amount(max(self._fleet_size, self._present_count()))
         for index, ledger in enumerate(self.base):
-            amount = min(even_amount, ledger.out(holder, now) + ledger.free(now))
+            amount = min(even_amount, ledger.outstanding(holder, now) + ledger.free(now))
             ledger.grant(holder, row.number, amount, inf, now)
             row.base[index] = amount
         row.clear_lease()
@@ -111,46 +111,46 @@
 
     def on_report(self, holder: HolderName, allocation: Allocation, demand: tuple[float, ...], now: float) -> None:
         """Handle a holder's report of the allocation that it has and of its demand by resource."""
-        is_known = holder in self.rows
+        is_known = holder in self.records
         if allocation.epoch > self.epoch:
             self.epoch = allocation.epoch + 1  # a grant file was lost: new grants must be newer than those in use
-        was_reporting = self.row(holder).is_reporting()
-        row = self._move(holder, Move.SPEAKS)
+        was_reporting = self.record_of(holder).is_reporting()
+        row = self._move(holder, HolderEvent.REPORT)
         if not was_reporting:
-            row.answered = now
+            row.last_acknowledged_at = now
         if len(demand) == len(Resource):
             row.demand = demand
-        row.told = (allocation.epoch, allocation.number)
-        row.heard = now
+        row.reported = (allocation.epoch, allocation.number)
+        row.last_report_at = now
         if not is_known:
             self._adopt_unknown(holder, allocation, now)
         if allocation.epoch == self.epoch and allocation.number >= row.number > 0:
-            self._move(holder, Move.ACK)
-            row.answered = now
+            self._move(holder, HolderEvent.ACK)
+            row.last_acknowledged_at = now
             for ledger in self._ledgers():
-                ledger.acked(holder, allocation.number)
+                ledger.acknowledge(holder, allocation.number)
 
     def on_disconnected(self, holder: HolderName) -> None:
         """Handle the end of a holder's connection, which does not mean that the holder has ended."""
-        if holder in self.rows and self.rows[holder].state is not State.ABSENT:
-            self._move(holder, Move.UNRESPONSIVE)
+        if holder in self.records and self.records[holder].state is not HolderState.ABSENT:
+            self._move(holder, HolderEvent.UNRESPONSIVE)
 
     def on_death(self, holder: HolderName) -> None:
         """Free all that a holder had, as its process is known to have ended."""
-        if holder in self.rows:
-            row = self._move(holder, Move.DEATH)
+        if holder in self.records:
+            row = self._move(holder, HolderEvent.DEATH)
             for ledger in self._ledgers():
-                ledger.dead(holder)
+                ledger.release(holder)
             row.clear_amounts()
 
     def on_written(self, version: int) -> list[Send]:
         """Return the sends that waited for this version of the grant file, or an earlier one, to be durable."""
-        versions = sorted(waiting for waiting in self._waiting if waiting <= version)
-        return [send for written in versions for send in self._waiting.pop(written)]
+        versions = sorted(waiting for waiting in self._sends_by_version if waiting <= version)
+        return [send for written in versions for send in self._sends_by_version.pop(written)]
 
     def on_write_failed(self, version: int) -> None:
         """Drop the sends that waited for this version, and send nothing more before another version is written."""
-        self._waiting.pop(version, None)
+        self._sends_by_version.pop(version, None)
         self.durable_until = -inf
 
     # Division.
@@ -171,12 +171,12 @@
         return [self._write(now, sends)]
 
     def _mark_unresponsive(self, now: float) -> None:
-        for holder, row in self.rows.items():
-            if row.is_reporting() and now - row.heard > HEARD:
-                self._move(holder, Move.UNRESPONSIVE)
+        for holder, row in self.records.items():
+            if row.is_reporting() and now - row.last_report_at > REPORT_TTL_SECONDS:
+                self._move(holder, HolderEvent.UNRESPONSIVE)
 
     def _issue_grants(self, now: float) -> list[Send]:
-        reporting = {holder: row for holder, row in self.rows.items() if row.is_reporting()}
+        reporting = {holder: row for holder, row in self.records.items() if row.is_reporting()}
         wanted = self._divide_leases(reporting, now)
         changed = [holder for holder, row in reporting.items() if self._needs_grant(holder, row, wanted, now)]
 
@@ -190,53 +190,56 @@
             self._grant(holder, reporting[holder], [amounts[holder] for amounts in wanted], now) for holder in changed
         ]
 
-    def _divide_leases(self, reporting: dict[HolderName, Row], now: float) -> list[dict[HolderName, int]]:
+    def _divide_leases(self, reporting: dict[HolderName, HolderRecord], now: float) -> list[dict[HolderName, int]]:
         """Return the leased amounts that each reporting holder is to have, by resource."""
         # A holder whose reports arrive but which receives nothing would tie up what it is leased: it keeps its base
         # amounts until it acknowledges a grant again.
         not_receiving = {
             holder: 0
             for holder, row in reporting.items()
-            if row.state is State.GRANT_PENDING and now - row.answered > LEASE
+            if row.state is HolderState.GRANT_PENDING and now - row.last_acknowledged_at > LEASE_SECONDS
         }
         receiving = {holder: row for holder, row in reporting.items() if holder not in not_receiving}
         return [
-            not_receiving | divide_by_demand(LENT, {holder: row.demand[index] for holder, row in receiving.items()})
+            not_receiving
+            | divide_by_demand(LEASED_POINTS, {holder: row.demand[index] for holder, row in receiving.items()})
             for index in range(len(Resource))
         ]
 
-    def _needs_grant(self, holder: HolderName, row: Row, wanted: list[dict[HolderName, int]], now: float) -> bool:
-        expires_soon = row.end - now <= RENEWAL_FRACTION * LEASE
-        if row.state is State.GRANT_PENDING and not expires_soon:
+    def _needs_grant(
+        self, holder: HolderName, row: HolderRecord, wanted: list[dict[HolderName, int]], now: float
+    ) -> bool:
+        expires_soon = row.lease_ends_at - now <= RENEWAL_FRACTION * LEASE_SECONDS
+        if row.state is HolderState.GRANT_PENDING and not expires_soon:
             return False  # wait for its acknowledgement first
-        if expires_soon or row.told != (self.epoch, row.number):
+        if expires_soon or row.reported != (self.epoch, row.number):
             return True
         return any(self._is_change_worthwhile(index, row, wanted[index][holder], now) for index in _indexes())
 
-    def _is_change_worthwhile(self, index: int, row: Row, wanted: int, now: float) -> bool:
+    def _is_change_worthwhile(self, index: int, row: HolderRecord, wanted: int, now: float) -> bool:
         """Return whether the amounts of one resource are to change by enough for a grant."""
         change = wanted - row.lease[index]
-        possible = self.lent[index].free(now) if change > 0 else -change
-        if min(abs(change), possible) > MIN_CHANGE_FRACTION * LENT / max(1, len(self.rows)):
+        possible = self.leased[index].free(now) if change > 0 else -change
+        if min(abs(change), possible) > MIN_CHANGE_FRACTION * LEASED_POINTS / max(1, len(self.records)):
             return True
         even_amount = base_amount(self._present_count())
         if row.base[index] > even_amount:
             return True
         return row.base[index] < even_amount and self.base[index].free(now) > 0
 
-    def _grant(self, holder: HolderName, row: Row, wanted: list[int], now: float) -> Send:
+    def _grant(self, holder: HolderName, row: HolderRecord, wanted: list[int], now: float) -> Send:
         """Record a grant of the wanted leased amounts and even base amounts, as far as they are free."""
         row.number += 1
-        row.end = now + LEASE
+        row.lease_ends_at = now + LEASE_SECONDS
         even_amount = base_amount(self._present_count())
         for index in _indexes():
             base = self.base[index]
-            row.base[index] = min(even_amount, base.out(holder, now) + base.free(now))
+            row.base[index] = min(even_amount, base.outstanding(holder, now) + base.free(now))
             base.grant(holder, row.number, row.base[index], inf, now)
-            lent = self.lent[index]
-            row.lease[index] = min(wanted[index], lent.out(holder, now) + lent.free(now))
-            lent.grant(holder, row.number, row.lease[index], row.end, now)
-        self._move(holder, Move.GRANT)
+            lent = self.leased[index]
+            row.lease[index] = min(wanted[index], lent.outstanding(holder, now) + lent.free(now))
+            lent.grant(holder, row.number, row.lease[index], row.lease_ends_at, now)
+        self._move(holder, HolderEvent.GRANT)
         return Send(holder, self._allocation(row))
 
     def _adopt_unknown(self, holder: HolderName, allocation: Allocation, now: float) -> None:
@@ -247,7 +250,7 @@
         for index in _indexes():
             for ledger, amount, end in (
                 (self.base[index], allocation.base[index], inf),
-                (self.lent[index], allocation.lease[index], allocation.ends_at),
+                (self.leased[index], allocation.lease[index], allocation.ends_at),
             ):
                 ledger.grant(holder, 0, min(amount, ledger.free(now)), end, now)
 
@@ -256,33 +259,33 @@
     def _covered(self, send: Send) -> bool:
         """Return whether the grant file as it was last written allows for a grant."""
         covered = self.durable_amounts.get(send.holder)
-        if covered is None or send.part.ends_at > self.durable_until:
+        if covered is None or send.allocation.ends_at > self.durable_until:
             return False
-        amounts = (*send.part.base, *send.part.lease)
+        amounts = (*send.allocation.base, *send.allocation.lease)
         return all(amount <= maximum for amount, maximum in zip(amounts, covered, strict=True))
 
     def _write(self, now: float, sends: list[Send]) -> Write:
         # The file has the most that can be in force, so that reductions need no write.
         self._file_version += 1
-        self.durable_until = now + WRITTEN
+        self.durable_until = now + COVERED_PERIOD_SECONDS
         self.durable_amounts = {
-            holder: tuple(ledger.out(holder, now) for ledger in self._ledgers()) for holder in self.rows
+            holder: tuple(ledger.outstanding(holder, now) for ledger in self._ledgers()) for holder in self.records
         }
         if sends:
-            self._waiting[self._file_version] = sends
+            self._sends_by_version[self._file_version] = sends
         return Write(self._file_version)
 
     # Small helpers.
 
     def _present_count(self) -> int:
-        return sum(row.state is not State.ABSENT for row in self.rows.values())
+        return sum(row.state is not HolderState.ABSENT for row in self.records.values())
 
     def _ledgers(self) -> Iterator[Ledger]:
         yield from self.base
-        yield from self.lent
+        yield from self.leased
 
-    def _allocation(self, row: Row) -> Allocation:
-        return Allocation(self.epoch, row.number, tuple(row.base), tuple(row.lease), row.end)
+    def _allocation(self, row: HolderRecord) -> Allocation:
+        return Allocation(self.epoch, row.number, tuple(row.base), tuple(row.lease), row.lease_ends_at)
 
 
 def _indexes() -> range:
--- a/thymeflow/leases/ledger.py
+++ b/thymeflow/leases/ledger.py
@@ -18,33 +18,33 @@
 
     number: int
     amount: int
-    end: float
+    ends_at: float
 
 
 class Ledger:
     """Outstanding grants of one resource; amounts are integers, so that sums are exact."""
 
     def __init__(self, total: int) -> None:
-        self.whole = total
-        self.rows: dict[str, list[OutstandingGrant]] = {}
+        self.total = total
+        self.grants: dict[str, list[OutstandingGrant]] = {}
 
-    def copied(self) -> Ledger:
+    def copy(self) -> Ledger:
         """Return an independent copy."""
-        copy = Ledger(self.whole)
-        copy.rows = {holder: list(grants) for holder, grants in self.rows.items()}
+        copy = Ledger(self.total)
+        copy.grants = {holder: list(grants) for holder, grants in self.grants.items()}
         return copy
 
-    def out(self, holder: str, now: float) -> int:
+    def outstanding(self, holder: str, now: float) -> int:
         """Return the largest amount that the holder may have in force now or later under its grants."""
-        return max((grant.amount for grant in self.rows.get(holder, ()) if grant.end > now), default=0)
+        return max((grant.amount for grant in self.grants.get(holder, ()) if grant.ends_at > now), default=0)
 
     def free(self, now: float) -> int:
         """Return the amount that no holder can have in force."""
-        return self.whole - sum(self.out(holder, now) for holder in self.rows)
+        return self.total - sum(self.outstanding(holder, now) for holder in self.grants)
 
-    def last(self, holder: str) -> int:
+    def newest_amount(self, holder: str) -> int:
         """Return the amount of the holder's newest grant, 0 without one."""
-        grants = self.rows.get(holder)
+        grants = self.grants.get(holder)
         return grants[-1].amount if grants else 0
 
     def grant(self, holder: str, number: int, amount: int, end: float, now: float) -> None:
@@ -52,20 +52,20 @@
 
         :raises OverAllocationError: where the amount is negative, or more than the holder has and what is free.
         """
-        if amount < 0 or amount > self.out(holder, now) + self.free(now):
-            text = f"{amount} for {holder}, with {self.free(now)} of {self.whole} free"
+        if amount < 0 or amount > self.outstanding(holder, now) + self.free(now):
+            text = f"{amount} for {holder}, with {self.free(now)} of {self.total} free"
             raise OverAllocationError(text)
-        current = [grant for grant in self.rows.get(holder, ()) if grant.end > now]
+        current = [grant for grant in self.grants.get(holder, ()) if grant.ends_at > now]
         # A renewal of the same amount replaces those that it outlasts: no knowledge is lost by it.
-        remaining = [grant for grant in current if not (grant.amount == amount and grant.end <= end)]
-        self.rows[holder] = [*remaining, OutstandingGrant(number, amount, end)]
+        remaining = [grant for grant in current if not (grant.amount == amount and grant.ends_at <= end)]
+        self.grants[holder] = [*remaining, OutstandingGrant(number, amount, end)]
 
-    def acked(self, holder: str, number: int) -> None:
+    def acknowledge(self, holder: str, number: int) -> None:
         """Drop the holder's grants before this number, as it has acknowledged that one."""
-        grants = self.rows.get(holder, [])
+        grants = self.grants.get(holder, [])
         if any(grant.number >= number for grant in grants):
-            self.rows[holder] = [grant for grant in grants if grant.number >= number]
+            self.grants[holder] = [grant for grant in grants if grant.number >= number]
 
-    def dead(self, holder: str) -> None:
+    def release(self, holder: str) -> None:
         """Free all that the holder had, as it is known to have ended."""
-        self.rows.pop(holder, None)
+        self.grants.pop(holder, None)
--- a/thymeflow/leases/resources.py
+++ b/thymeflow/leases/resources.py
@@ -9,11 +9,11 @@
 from enum import Enum
 from math import isnan
 
-WHOLE = 1_000_000  # points: the total of each resource
-BASE = (
+TOTAL_POINTS = 1_000_000  # points: the total of each resource
+BASE_POINTS = (
     600_000  # points for base amounts, which do not expire: all that unreachable holders keep; docs/design/budgets.md
 )
-LENT = WHOLE - BASE  # points for leases, which are divided by demand
+LEASED_POINTS = TOTAL_POINTS - BASE_POINTS  # points for leases, which are divided by demand
 IDLE_DEMAND_FRACTION = 0.25  # of the mean demand: weight of a holder without demand, as it may need some at any moment
 MAX_DEMAND = 1e12  # larger figures count as this one, so that sums stay finite
 
@@ -33,7 +33,7 @@
 
 def base_amount(holders: int) -> int:
     """Return the base amount of each of so many holders, in points."""
-    return BASE // max(1, holders)
+    return BASE_POINTS // max(1, holders)
 
 
 def divide_by_demand(total: int, demand: dict[str, float]) -> dict[str, int]:
--- a/thymeflow/outliers/coordinator.py
+++ b/thymeflow/outliers/coordinator.py
@@ -22,7 +22,7 @@
 from thymeflow.outliers.ejection import TRANSITIONS, EjectionEvent, EjectionKey, EjectionRecord
 from thymeflow.outliers.ejection import ZONE as ZONE
 from thymeflow.outliers.ejection import Ejection as Ejection
-from thymeflow.outliers.ejection import State as State
+from thymeflow.outliers.ejection import EjectionState as EjectionState
 from thymeflow.outliers.quorum import MemberReport, Votes, count_votes, count_zone_votes, is_zone_failed
 
 MAX_EJECTED_FRACTION = 0.5  # of the listed backends: beyond it the cause lies elsewhere, and nothing more is ejected
@@ -44,7 +44,7 @@
         """Limit the half-open probes of each ejection to so many per second over the whole fleet."""
         self.probe_interval = 1.0 / probes_per_second  # s
         self.reports: dict[str, MemberReport] = {}
-        self.ejected: dict[EjectionKey, EjectionRecord] = {}
+        self.ejections: dict[EjectionKey, EjectionRecord] = {}
         self.invalid_reports = 0  # parts of reports that contradict each other, and reports that cannot be parsed
         self.backend_count = 0  # by the endpoint list that most members have
         self.zones: dict[str, frozenset[int]] = {}  # backends by zone, by the same list
@@ -69,16 +69,16 @@
         self.reports[member] = MemberReport(
             now, frozenset(ejecting - contradictory), frozenset(responding - contradictory)
         )
-        for key, record in self.ejected.items():
+        for key, record in self.ejections.items():
             results = {
                 permit: succeeded
                 for permit, succeeded in probe_results.items()
                 if record.permit_holders.get(permit) == member
             }
-            if record.state is State.CONDEMNED and results:
+            if record.state is EjectionState.EJECTED and results:
                 self._on_probe_results(key, record, results, now)
             elif (
-                record.state is State.RECOVERING
+                record.state is EjectionState.RECOVERING
                 and self._is_ejecting(key, ejecting)
                 and now - record.admitted_at.get(member, inf) > SETTLING_SECONDS
             ):
@@ -95,9 +95,9 @@
         """Drop the reports of a member that has ended or is disconnected; its permits go to other members."""
         self.reports.pop(member, None)
         self._lists.pop(member, None)
-        for record in self.ejected.values():
-            if record.holder == member:
-                record.holder = ""
+        for record in self.ejections.values():
+            if record.probing_member == member:
+                record.probing_member = ""
                 record.next_step_at = -inf
 
     def _on_probe_results(self, key: EjectionKey, record: EjectionRecord, results: dict[int, bool], now: float) -> None:
@@ -124,38 +124,38 @@
         previous = record.state
         following = TRANSITIONS[previous, event]
         if following is None:
-            del self.ejected[key]
+            del self.ejections[key]
             return
         record.state = following
         record.permit = 0
-        if following is State.CONDEMNED:
+        if following is EjectionState.EJECTED:
             self._schedule_probe(record, previous, now)
-        elif following is State.RECOVERING and previous is State.CONDEMNED:
+        elif following is EjectionState.RECOVERING and previous is EjectionState.EJECTED:
             self._begin_recovery(key, record, now)
-        elif following is State.RECOVERED:
+        elif following is EjectionState.RECOVERED:
             record.next_step_at = now + AFTER_RECOVERY_SECONDS
             self._ignored_until[key] = record.next_step_at
 
-    def _schedule_probe(self, record: EjectionRecord, previous: State, now: float) -> None:
-        if previous is State.CONDEMNED:
+    def _schedule_probe(self, record: EjectionRecord, previous: EjectionState, now: float) -> None:
+        if previous is EjectionState.EJECTED:
             record.failed_probes += 1
         else:
             record.failed_probes = 0
-            record.since = now
-            record.holder = ""
+            record.ejected_at = now
+            record.probing_member = ""
         backoff = self.probe_interval * 2.0**record.failed_probes
         record.next_step_at = now + max(self.probe_interval, min(MAX_PROBE_INTERVAL_SECONDS, backoff))
 
     def _begin_recovery(self, key: EjectionKey, record: EjectionRecord, now: float) -> None:
-        record.let_in = 1
+        record.admitted_count = 1
         record.next_step_at = now + RECOVERY_STEP_SECONDS
         record.admitted_at.clear()
         self._admit_members(record, now)
         if key.is_zone():
             return
         # A backend that has recovered for one class may have recovered for all.
-        for other_key, other in self.ejected.items():
-            if other_key.backend == key.backend and other.state is State.CONDEMNED and not other.permit:
+        for other_key, other in self.ejections.items():
+            if other_key.backend == key.backend and other.state is EjectionState.EJECTED and not other.permit:
                 other.next_step_at = now
 
     # Decisions.
@@ -164,26 +164,26 @@
         """Decide by the reports that are valid now; return the keys that were ejected by it."""
         self._ignored_until = {key: until for key, until in self._ignored_until.items() if until > now}
         opened = self._eject_outliers(now)
-        for key, record in list(self.ejected.items()):
+        for key, record in list(self.ejections.items()):
             if now >= record.next_step_at:
                 self._advance(key, record, now)
         return opened
 
     def is_covered_by_zone(self, key: EjectionKey) -> bool:
         """Return whether a zone's ejection includes a backend; its failures are looked at once the zone is back."""
-        return any(key.backend in self.zones.get(other.name, ()) for other in self.ejected if other.is_zone())
+        return any(key.backend in self.zones.get(other.name, ()) for other in self.ejections if other.is_zone())
 
     def ejections_for(self, member: str, now: float) -> list[Ejection]:
         """Return all ejections as a member is to apply them."""
         return [
-            self._ejection(key, record, member, now + EJECTION_LEASE_SECONDS) for key, record in self.ejected.items()
+            self._ejection(key, record, member, now + EJECTION_LEASE_SECONDS) for key, record in self.ejections.items()
         ]
 
     @staticmethod
     def _ejection(key: EjectionKey, record: EjectionRecord, member: str, ends_at: float) -> Ejection:
-        is_recovered = record.state is State.RECOVERED
-        is_admitted = record.state is State.RECOVERING and member in record.admitted_at
-        permit = record.permit if record.holder == member else 0
+        is_recovered = record.state is EjectionState.RECOVERED
+        is_admitted = record.state is EjectionState.RECOVERING and member in record.admitted_at
+        permit = record.permit if record.probing_member == member else 0
         return Ejection(key, record.number, permit, is_recovered or is_admitted, is_recovered, ends_at)
 
     def _eject_outliers(self, now: float) -> list[EjectionKey]:
@@ -200,14 +200,14 @@
 
     def _may_be_ejected(self, key: EjectionKey) -> bool:
         return (
-            key not in self.ejected
+            key not in self.ejections
             and key not in self._ignored_until
-            and len(self.ejected) < MAX_EJECTIONS
+            and len(self.ejections) < MAX_EJECTIONS
             and not self.is_covered_by_zone(key)
         )
 
     def _is_within_limit(self, key: EjectionKey) -> bool:
-        return self._concerned_count([*self.ejected, key]) <= MAX_EJECTED_FRACTION * self.backend_count
+        return self._concerned_count([*self.ejections, key]) <= MAX_EJECTED_FRACTION * self.backend_count
 
     def _concerned_count(self, keys: Iterable[EjectionKey]) -> int:
         """Return the number of backends that the keys concern."""
@@ -218,18 +218,22 @@
 
     def _eject(self, key: EjectionKey, votes: Votes, now: float) -> None:
         self._last_number += 1
-        self.ejected[key] = EjectionRecord(self._last_number, now, words=dict.fromkeys(votes.ejecting, "ejected it"))
-        self.ejected = {known: record for known, record in self.ejected.items() if not self.is_covered_by_zone(known)}
+        self.ejections[key] = EjectionRecord(
+            self._last_number, now, reported_by=dict.fromkeys(votes.ejecting, "ejected it")
+        )
+        self.ejections = {
+            known: record for known, record in self.ejections.items() if not self.is_covered_by_zone(known)
+        }
 
     def _advance(self, key: EjectionKey, record: EjectionRecord, now: float) -> None:
         """Take the step of an ejection that is due."""
-        if record.state is State.CONDEMNED:
+        if record.state is EjectionState.EJECTED:
             self._issue_permit(record, now)
-        elif record.state is State.RECOVERING:
-            record.let_in = 2 * record.let_in
+        elif record.state is EjectionState.RECOVERING:
+            record.admitted_count = 2 * record.admitted_count
             record.next_step_at = now + RECOVERY_STEP_SECONDS
             self._admit_members(record, now)
-            is_complete = record.let_in >= len(self._reporting_members(now))
+            is_complete = record.admitted_count >= len(self._reporting_members(now))
             self._move(key, record, EjectionEvent.DONE if is_complete else EjectionEvent.STEP, now)
         else:
             self._move(key, record, EjectionEvent.DONE, now)
@@ -246,12 +250,12 @@
         if not members:
             return
         self._last_permit += 1
-        record.holder = min(members, key=lambda member: (record.last_permits.get(member, 0), member))
+        record.probing_member = min(members, key=lambda member: (record.last_permits.get(member, 0), member))
         record.permit = self._last_permit
-        record.last_permits[record.holder] = record.permit
+        record.last_permits[record.probing_member] = record.permit
         oldest = self._last_permit - MAX_PERMIT_AGE
         record.permit_holders = {permit: member for permit, member in record.permit_holders.items() if permit > oldest}
-        record.permit_holders[record.permit] = record.holder
+        record.permit_holders[record.permit] = record.probing_member
         record.next_step_at = now + self.probe_interval
 
     def _admit_members(self, record: EjectionRecord, now: float) -> None:
@@ -260,5 +264,5 @@
             self._reporting_members(now),
             key=lambda member: (member not in record.admitted_at, -record.last_permits.get(member, 0), member),
         )
-        for member in members[: record.let_in]:
+        for member in members[: record.admitted_count]:
             record.admitted_at.setdefault(member, now)
--- a/thymeflow/outliers/ejection.py
+++ b/thymeflow/outliers/ejection.py
@@ -21,10 +21,10 @@
         return self.backend == ZONE
 
 
-class State(Enum):
+class EjectionState(Enum):
     """The state of an ejection; the values are printed by status commands."""
 
-    CONDEMNED = "condemned"  # ejected everywhere; one member probes for all
+    EJECTED = "condemned"  # ejected everywhere; one member probes for all
     RECOVERING = "returning"  # a probe succeeded: some members send requests again, more with each step
     RECOVERED = "cleared"  # all members send requests again, and forget failures of before
 
@@ -39,14 +39,14 @@
 
 
 # None: the ejection is removed. A pair that is not in the table is illegal, and raises KeyError.
-TRANSITIONS: dict[tuple[State, EjectionEvent], State | None] = {
-    (State.CONDEMNED, EjectionEvent.SUCCESS): State.RECOVERING,
-    (State.CONDEMNED, EjectionEvent.FAILURE): State.CONDEMNED,
-    (State.RECOVERING, EjectionEvent.SUCCESS): State.RECOVERING,
-    (State.RECOVERING, EjectionEvent.FAILURE): State.CONDEMNED,
-    (State.RECOVERING, EjectionEvent.STEP): State.RECOVERING,
-    (State.RECOVERING, EjectionEvent.DONE): State.RECOVERED,
-    (State.RECOVERED, EjectionEvent.DONE): None,
+TRANSITIONS: dict[tuple[EjectionState, EjectionEvent], EjectionState | None] = {
+    (EjectionState.EJECTED, EjectionEvent.SUCCESS): EjectionState.RECOVERING,
+    (EjectionState.EJECTED, EjectionEvent.FAILURE): EjectionState.EJECTED,
+    (EjectionState.RECOVERING, EjectionEvent.SUCCESS): EjectionState.RECOVERING,
+    (EjectionState.RECOVERING, EjectionEvent.FAILURE): EjectionState.EJECTED,
+    (EjectionState.RECOVERING, EjectionEvent.STEP): EjectionState.RECOVERING,
+    (EjectionState.RECOVERING, EjectionEvent.DONE): EjectionState.RECOVERED,
+    (EjectionState.RECOVERED, EjectionEvent.DONE): None,
 }
 
 
@@ -56,10 +56,10 @@
 
     key: EjectionKey
     number: int  # of the ejection; grows
-    claim: int  # the number of this member's permit for a half-open probe, 0 without one
-    allowed: bool  # the key recovers, and this member may send requests again
-    cleared: bool  # the key has recovered: forget its failures
-    end: float  # s on the machine's monotonic clock
+    probe_permit: int  # the number of this member's permit for a half-open probe, 0 without one
+    is_admitted: bool  # the key recovers, and this member may send requests again
+    is_recovered: bool  # the key has recovered: forget its failures
+    ends_at: float  # s on the machine's monotonic clock
 
 
 @dataclass(slots=True)
@@ -67,13 +67,13 @@
     """What the coordinator knows of one ejection; times are in s on the machine's monotonic clock."""
 
     number: int
-    since: float
-    state: State = State.CONDEMNED
-    words: dict[str, str] = field(default_factory=dict)  # the members whose reports led to it
+    ejected_at: float
+    state: EjectionState = EjectionState.EJECTED
+    reported_by: dict[str, str] = field(default_factory=dict)  # the members whose reports led to it
     permit: int = 0  # the number of the permit for the next half-open probe, 0 while there is none
-    holder: str = ""  # the member that has the permit
+    probing_member: str = ""  # the member that has the permit
     next_step_at: float = -inf  # when the next permit is issued or the next recovery step taken
-    let_in: int = 0  # how many members may send requests again
+    admitted_count: int = 0  # how many members may send requests again
     admitted_at: dict[str, float] = field(default_factory=dict)  # by member that may send requests again
     permit_holders: dict[int, str] = field(default_factory=dict)  # members by number of the latest permits
     failed_probes: int = 0  # in a row
--- a/thymeflow/outliers/member.py
+++ b/thymeflow/outliers/member.py
@@ -5,8 +5,9 @@
 from dataclasses import dataclass
 from math import inf
 
-from thymeflow.decision.policy import FAILURES, BackendStats, Gateway
+from thymeflow.decision.gateway import Gateway
 from thymeflow.decision.settings import Idempotency
+from thymeflow.health.backend_stats import EJECTION_FAILURES, BackendStats
 from thymeflow.outliers.ejection import ZONE, Ejection, EjectionKey
 from thymeflow.outliers.messages import MAX_NAME_LENGTH, MAX_ROWS
 from thymeflow.outliers.messages import ejections_from_message as ejections_from_message
@@ -33,7 +34,7 @@
 
     def has_permit(self) -> bool:
         """Return whether this member may probe."""
-        return bool(self.ejection.claim)
+        return bool(self.ejection.probe_permit)
 
 
 @dataclass(frozen=True, slots=True)
@@ -64,11 +65,11 @@
         self._active = {}
         for ejection in ejections:
             known = previous.get(ejection.key)
-            is_same_permit = known is not None and known.ejection.claim == ejection.claim
+            is_same_permit = known is not None and known.ejection.probe_permit == ejection.probe_permit
             received_at = known.received_at if known is not None and is_same_permit else now
-            expires_at = now + ejection.end - monotonic_now
+            expires_at = now + ejection.ends_at - monotonic_now
             self._active[ejection.key] = ActiveEjection(ejection, received_at, expires_at)
-            if ejection.allowed and (known is None or not known.ejection.allowed):
+            if ejection.is_admitted and (known is None or not known.ejection.is_admitted):
                 self._forget_failures(ejection.key)
 
     def eligible_backends(
@@ -150,7 +151,7 @@
         found = self._ejections_of(backend, class_name, now)
         if not found:
             return is_healthy
-        return all(active.ejection.allowed or self._is_probe_available(active) for active in found)
+        return all(active.ejection.is_admitted or self._is_probe_available(active) for active in found)
 
     # Reports.
 
@@ -159,7 +160,7 @@
             [backend.endpoint.id, name]
             for backend in self._gateway.backends.values()
             for name, (count, ends_at) in backend.failures.items()
-            if count >= FAILURES and ends_at > now
+            if count >= EJECTION_FAILURES and ends_at > now
         ]
 
     def _responding_rows(self, now: float) -> list[KeyRow]:
@@ -185,7 +186,7 @@
         """Move the probes that have ended from the open ones to the results."""
         for key, active in self._active.items():
             if active.has_permit():
-                self._open_probes[active.ejection.claim] = OpenProbe(key, active.received_at)
+                self._open_probes[active.ejection.probe_permit] = OpenProbe(key, active.received_at)
         for permit, probe in list(self._open_probes.items()):
             self._update_probe(permit, probe, now)
         latest = sorted(self._probe_results)[-MAX_PROBE_RESULTS:]
--- a/thymeflow/outliers/messages.py
+++ b/thymeflow/outliers/messages.py
@@ -62,10 +62,10 @@
     return [
         *ejection.key,
         ejection.number,
-        ejection.claim,
-        ejection.allowed,
-        ejection.cleared,
-        round(ejection.end, TIME_DECIMALS),
+        ejection.probe_permit,
+        ejection.is_admitted,
+        ejection.is_recovered,
+        round(ejection.ends_at, TIME_DECIMALS),
     ]
 
 
--- a/thymeflow/shedding/load_shedder.py
+++ b/thymeflow/shedding/load_shedder.py
@@ -4,13 +4,15 @@
 
 from math import inf
 
-from thymeflow.decision.policy import RETRY, Gateway, PendingState
+from thymeflow.decision.gateway import Gateway
+from thymeflow.decision.gateway_state import MAX_FLEET_RETRY_BUDGET
+from thymeflow.decision.request_state import RequestState
 from thymeflow.shedding.errors import InvalidFractionError
 from thymeflow.shedding.priority import PriorityOrder
 
 THRESHOLD_LEASE_SECONDS = 3.0  # how long a threshold is valid; then each member sheds by its own pressure
 RETRY_RESOURCE = "attempts"  # the name of retries in `Gateway.fraction_of`
-SHARED_RETRY_BUDGET = RETRY[1]  # retries that all gateways together may save up
+SHARED_RETRY_BUDGET = MAX_FLEET_RETRY_BUDGET  # retries that all gateways together may save up
 
 
 class LoadShedder:
@@ -55,7 +57,7 @@
 
         self._gateway.fraction_of = fraction_of
 
-    def rejected_fraction(self, pending: PendingState, local_fraction: float) -> float:
+    def rejected_fraction(self, pending: RequestState, local_fraction: float) -> float:
         """Return the fraction of requests like this one to reject; `local_fraction`: by the gateway's own pressure."""
         now = self._gateway.now
         if now >= self._expires_at:
--- a/thymeflow/shedding/threshold.py
+++ b/thymeflow/shedding/threshold.py
@@ -2,8 +2,8 @@
 
 Each member reports how much pressure the back end shows it: the mean latency over the latency objective, 0 to 1. The
 fleet goes by the median of the valid reports, so that neither a member that is cut off, and sees only timeouts, nor one
-that reports wrong figures moves it. The threshold rises while the median is over `pressure.PRESSED` and falls while it
-is under it, in small steps.
+that reports wrong figures moves it. The threshold rises while the median is over `pressure.PRESSURE_THRESHOLD` and
+falls while it is under it, in small steps.
 
 All members rank requests in the same way (`PriorityOrder`) and shed those that rank under the threshold. Customers over
 their quota are rejected before, by their units, whatever the threshold.
@@ -15,7 +15,7 @@
 from math import isfinite
 from statistics import median_low
 
-from thymeflow.health.pressure import PRESSED
+from thymeflow.health.pressure import PRESSURE_THRESHOLD
 from thymeflow.shedding.errors import InvalidFractionError
 from thymeflow.shedding.load_shedder import LoadShedder as LoadShedder
 from thymeflow.shedding.priority import PriorityOrder as PriorityOrder
@@ -46,7 +46,7 @@
     """The fleet's admission threshold, and the reports that it depends on."""
 
     def __init__(self) -> None:
-        self.level = 0.0  # the threshold, from 0, which sheds nothing, to MAX_THRESHOLD
+        self.value = 0.0  # the threshold, from 0, which sheds nothing, to MAX_THRESHOLD
         self.pressure = 0.0  # the median of the valid reports
         self.reports: dict[str, PressureReport] = {}
 
@@ -72,6 +72,6 @@
         """Take one step and return the threshold; it falls where no report is valid."""
         pressures = [report.pressure for report in self.reports.values() if report.is_valid(now)]
         self.pressure = median_low(pressures) if pressures else 0.0
-        step = max(-MAX_FALL, min(MAX_RISE, GAIN * (self.pressure - PRESSED)))
-        self.level = max(0.0, min(MAX_THRESHOLD, self.level + step))
-        return self.level
+        step = max(-MAX_FALL, min(MAX_RISE, GAIN * (self.pressure - PRESSURE_THRESHOLD)))
+        self.value = max(0.0, min(MAX_THRESHOLD, self.value + step))
+        return self.value
--- a/thymeflow/testkit/lease_model.py
+++ b/thymeflow/testkit/lease_model.py
@@ -12,9 +12,18 @@
 from math import inf
 
 from thymeflow.leases.holder import Allocation, LeaseHolder
-from thymeflow.leases.issuer import HEARD, LEASE, WRITTEN, LeaseIssuer, Move, Send, State, Write
+from thymeflow.leases.issuer import (
+    COVERED_PERIOD_SECONDS,
+    LEASE_SECONDS,
+    REPORT_TTL_SECONDS,
+    HolderEvent,
+    HolderState,
+    LeaseIssuer,
+    Send,
+    Write,
+)
 from thymeflow.leases.ledger import Ledger
-from thymeflow.leases.resources import WHOLE, Resource
+from thymeflow.leases.resources import TOTAL_POINTS, Resource
 from thymeflow.testkit.model_checker import explored
 
 NAMES = ("a", "b", "c")
@@ -68,9 +77,14 @@
         made.asleep, made.down, made.up = set(self.asleep), list(self.down), list(self.up)
         if self.granter is not None:
             made.granter = granter = copy.copy(self.granter)
-            granter.rows = {h: replace(r, base=list(r.base), lease=list(r.lease)) for h, r in granter.rows.items()}
-            granter.base, granter.lent = [x.copied() for x in granter.base], [x.copied() for x in granter.lent]
-            granter._waiting, granter.durable_amounts = dict(granter._waiting), dict(granter.durable_amounts)
+            granter.records = {
+                h: replace(r, base=list(r.base), lease=list(r.lease)) for h, r in granter.records.items()
+            }
+            granter.base, granter.leased = [x.copy() for x in granter.base], [x.copy() for x in granter.leased]
+            granter._sends_by_version, granter.durable_amounts = (
+                dict(granter._sends_by_version),
+                dict(granter.durable_amounts),
+            )
         return made
 
     # --- what may happen -----------------------------------------------------------------------------------
@@ -80,7 +94,7 @@
         self.granter = made = LeaseIssuer(self.disk.era + 1, self.now)
         made.resize(len(NAMES))
         for name, (number, noted) in self.disk.rows.items():
-            made.restore_grant(name, number, noted, min(self.disk.until, self.now + WRITTEN), self.now)
+            made.restore_grant(name, number, noted, min(self.disk.until, self.now + COVERED_PERIOD_SECONDS), self.now)
             if not self.lives[name]:
                 made.on_death(name)
 
@@ -93,8 +107,8 @@
             made.durable_until,
             {
                 name: (row.number, made.durable_amounts[name])
-                for name, row in made.rows.items()
-                if row.state is not State.ABSENT and name in made.durable_amounts
+                for name, row in made.records.items()
+                if row.state is not HolderState.ABSENT and name in made.durable_amounts
             },
         )
 
@@ -116,7 +130,7 @@
 
     def _post(self, send: Send) -> None:
         if len(self.down) < MOST_MAIL:
-            self.down.append((send.holder, send.part))
+            self.down.append((send.holder, send.allocation))
 
     def start(self, name: str) -> None:
         """A process is started under a name whose last one is dead."""
@@ -167,7 +181,7 @@
             yield "beat", Model.beat
             yield "beat, dies unwritten", lambda w: w.beat("before")
             yield "beat, dies written", lambda w: w.beat("after")
-        yield "time", lambda w: setattr(w, "now", w.now + LEASE / 2)
+        yield "time", lambda w: setattr(w, "now", w.now + LEASE_SECONDS / 2)
         yield "swap", lambda w: setattr(w, "swapped", not w.swapped)
         for name in NAMES:
             if not self.lives[name]:
@@ -196,12 +210,12 @@
     def wrong(self) -> str:
         """Whether more is in force than there is, now or at any later moment though nothing more arrives."""
         for kind in Resource:
-            for later in (0.0, LEASE / 2, LEASE):
+            for later in (0.0, LEASE_SECONDS / 2, LEASE_SECONDS):
                 held = {
-                    name: sum(life.amount(kind, self.now + later) for life in lives)
+                    name: sum(life.usable_amount(kind, self.now + later) for life in lives)
                     for name, lives in self.lives.items()
                 }
-                if sum(held.values()) > WHOLE:
+                if sum(held.values()) > TOTAL_POINTS:
                     return f"{kind.value}: {held} at {self.now + later:g} s"
         return ""
 
@@ -226,22 +240,22 @@
                             r.number,
                             r.base[0],
                             r.lease[0],
-                            max(0.0, r.end - self.now),
-                            r.told,
+                            max(0.0, r.lease_ends_at - self.now),
+                            r.reported,
                             r.demand[0],
-                            max(0.0, r.heard + HEARD - self.now),
-                            max(0.0, r.answered + LEASE - self.now),
+                            max(0.0, r.last_report_at + REPORT_TTL_SECONDS - self.now),
+                            max(0.0, r.last_acknowledged_at + LEASE_SECONDS - self.now),
                         )
-                        for h, r in made.rows.items()
+                        for h, r in made.records.items()
                     )
                 ),
                 tuple(
                     sorted(
-                        (h, c.number, c.amount, c.end if c.end == inf else c.end - self.now)
-                        for ledger in (made.base[0], made.lent[0])
-                        for h, cs in ledger.rows.items()
+                        (h, c.number, c.amount, c.ends_at if c.ends_at == inf else c.ends_at - self.now)
+                        for ledger in (made.base[0], made.leased[0])
+                        for h, cs in ledger.grants.items()
                         for c in cs
-                        if c.end > self.now
+                        if c.ends_at > self.now
                     )
                 ),
             )
@@ -251,7 +265,7 @@
             self.disk.era,
             max(0.0, self.disk.until - self.now),
             tuple(sorted(self.disk.rows.items())),
-            tuple(tuple((part(life.allocation), life.handed_over) for life in self.lives[name]) for name in NAMES),
+            tuple(tuple((part(life.allocation), life.is_handed_over) for life in self.lives[name]) for name in NAMES),
             frozenset(self.asleep),
             self.swapped,
             tuple((n, part(p)) for n, p in self.down),
@@ -260,11 +274,11 @@
 
 
 def _any_word(granter: LeaseIssuer, holder: str, part: Allocation, demand: tuple[float, ...], now: float) -> None:
-    row = granter._move(holder, Move.SPEAKS)
-    row.demand, row.told, row.heard = demand, (granter.epoch, row.number), now
-    granter._move(holder, Move.ACK)
-    for ledger in (*granter.base, *granter.lent):
-        ledger.acked(holder, row.number)
+    row = granter._move(holder, HolderEvent.REPORT)
+    row.demand, row.reported, row.last_report_at = demand, (granter.epoch, row.number), now
+    granter._move(holder, HolderEvent.ACK)
+    for ledger in (*granter.base, *granter.leased):
+        ledger.acknowledge(holder, row.number)
 
 
 def _taken(holder: LeaseHolder, part: Allocation) -> bool:
@@ -284,12 +298,15 @@
 
 RULES = {
     "a grant that replaces another counts beside it until it is known to have come": Rule(
-        Ledger, "out", lambda self, holder, now: self.last(holder), frozenset({"swap", "tell", "beat", "part"})
+        Ledger,
+        "outstanding",
+        lambda self, holder, now: self.newest_amount(holder),
+        frozenset({"swap", "tell", "beat", "part"}),
     ),
     "a lease is not used past its end": Rule(
         LeaseHolder,
-        "amount",
-        lambda self, kind, now: 0 if self.handed_over else self.allocation.base[0] + self.allocation.lease[0],
+        "usable_amount",
+        lambda self, kind, now: 0 if self.is_handed_over else self.allocation.base[0] + self.allocation.lease[0],
         frozenset({"line a", "time", "tell b", "tell c", "beat", "part"}),
     ),
     "only what is newer is taken": Rule(
