--- a/tests/daemon/test_handover.py
+++ b/tests/daemon/test_handover.py
@@ -34,7 +34,7 @@
         successor = limiter.start(("--take-over",))
         predecessor = limiter.succeed(successor)
         predecessor.send_signal(signal.SIGHUP)  # harmless in the middle of it
-        wait_for_log_line(successor, "hand-over: done")
+        wait_for_log_line(successor, "handover: done")
         status = limiter.ask(do="status")
         assert status["pid"] == successor.pid != old["pid"]
         assert status["listen"] == old["listen"]
@@ -67,14 +67,14 @@
         waiting.send(command(b"PING"))
         if way == "dies":
             scripted.close()
-        assert "this life serves on" in limiter.log("hand-over: came to no end")
+        assert "this life serves on" in limiter.log("handover: came to no end")
         assert waiting.line() == b"+PONG"
         assert limiter.ask(do="status")["hand_over"] == "whole"
         if way == "hangs":
             scripted.close()
         successor = limiter.start(("--take-over",))  # and the next one goes well
         limiter.succeed(successor).wait(PATIENCE)
-        wait_for_log_line(successor, "hand-over: done")
+        wait_for_log_line(successor, "handover: done")
 
 
 def test_successor_exits_with_a_reason_when_it_cannot_take_over(tmp_path: Path) -> None:
--- a/tests/handover/test_upgrade.py
+++ b/tests/handover/test_upgrade.py
@@ -52,7 +52,7 @@
     assert ping(limiter) == b"+PONG"
     old = start_next_copy(limiter)  # and another, from the copy that took over
     wait_until_ready(limiter)
-    assert "hand-over: done" in terminate(old)
+    assert "handover: done" in terminate(old)
     assert ping(limiter) == b"+PONG"
     assert len(list(limiter.state.iterdir())) == 2
     terminate(limiter.process)
@@ -119,7 +119,7 @@
     limiter.process.send_signal(signal.SIGSTOP)
     successor = limiter.next()
     assert successor.stderr is not None
-    while "hand-over: asked for" not in successor.stderr.readline():
+    while "handover: asked for" not in successor.stderr.readline():
         pass
     successor.send_signal(signal.SIGTERM)
     assert successor.wait(PATIENCE) == 0
--- a/tests/logs/test_logs.py
+++ b/tests/logs/test_logs.py
@@ -102,11 +102,11 @@
         try:
             raise ValueError("broken\nin two")
         except ValueError as fault:
-            logging.getLogger("thymeflow").error("module fault", exc_info=fault)
+            logging.getLogger("thymeflow").error("gateway fault", exc_info=fault)
     finally:
         log.to(log.plain)
         logging.getLogger().handlers[:] = before
     (text,) = path.read_text().splitlines()
     line = json.loads(text)
-    assert (line["kind"], line["level"], line["text"]) == ("fault", "error", "module fault")
+    assert (line["kind"], line["level"], line["text"]) == ("fault", "error", "gateway fault")
     assert "ValueError: broken" in line["trace"]
--- a/tests/test_limiter.py
+++ b/tests/test_limiter.py
@@ -180,7 +180,7 @@
     with Limiter(tmp_path) as limiter:
         client = limiter.connect()
         client.sock.sendall(b"*1\r\n$60000000\r\n" + b"x" * 2**17)
-        limiter.log("user agent garbled")
+        limiter.log("client command malformed")
         client.send(b"x")
         client.silent(0.2)
         client.send(b"x")
--- a/tests/test_message_formats.py
+++ b/tests/test_message_formats.py
@@ -511,7 +511,7 @@
         talk.send(draining=True)
         talk.send(late={"1": 2.0, "7": -1.0})
         talk.send(bye=1)
-        found += [limiter.log("hand-over: 0 of").partition("hand-over: ")[2], talk.line.recv(10).decode()]
+        found += [limiter.log("handover: 0 of").partition("handover: ")[2], talk.line.recv(10).decode()]
         talk.close()
         found.append(limiter.ask(do="status")["snapshot"]["remembered_from"])
     same("handover receiver", found)
--- a/thymeflow/backends/backends.py
+++ b/thymeflow/backends/backends.py
@@ -97,7 +97,7 @@
             else:
                 log.say(
                     "pool",
-                    f"all {self._max_connections} connections to application servers are busy",
+                    f"all {self._max_connections} connections to backends are busy",
                     most=self._max_connections,
                 )
                 self._end(handle, AttemptResult(Status.CONNECT_FAILED))
@@ -299,7 +299,7 @@
         handle = self._detach_closed(connection)
         if handle >= 0:
             address = connection.pool.address
-            log.say("reset", f"{address} broke a connection with a proxy pass out", address=address)
+            log.say("reset", f"{address} broke a connection with an attempt in flight", address=address)
             self._end(handle, AttemptResult(status))
 
     def _detach_closed(self, connection: Connection) -> int:
--- a/thymeflow/core/dispatcher.py
+++ b/thymeflow/core/dispatcher.py
@@ -113,9 +113,9 @@
     def _reject_for_capacity(self, response: Deferred[Response]) -> None:
         # Rejected before the gateway, as nothing was forwarded.
         log.say(
-            "unavailable",
-            f"{len(self._requests)} transactions hold {self._requests.memory_used} bytes",
-            transactions=len(self._requests),
+            "capacity",
+            f"{len(self._requests)} requests hold {self._requests.memory_used} bytes",
+            requests=len(self._requests),
             held=self._requests.memory_used,
         )
         response.callback(Response(ResponseKind.REJECTED, retry_after=FULL_RETRY_AFTER))
@@ -165,7 +165,7 @@
             self._is_running = False
 
     def _on_gateway_fault(self, event: events.Event, fault: Exception) -> None:
-        logging.getLogger("thymeflow").error("module fault on %s", type(event).__name__, exc_info=fault)
+        logging.getLogger("thymeflow").error("gateway fault on %s", type(event).__name__, exc_info=fault)
         pending = self._requests.find(getattr(event, "id", ""))
         if pending is not None:
             self._respond(pending, Response(ResponseKind.FAILED))
@@ -175,7 +175,7 @@
         handler(action)
 
     def _log_unsupported(self, action: actions.Action) -> None:
-        log.say("module", f"{type(action).__name__} is not to be had at this site")
+        log.say("gateway", f"{type(action).__name__} is not to be had at this site")
 
     def _set_timer(self, action: actions.SetTimer) -> None:
         self._deadlines.at(clock.now() + action.delay, self._on_timer, action.token)
@@ -207,7 +207,7 @@
 
     @staticmethod
     def _write_log(action: actions.WriteLog) -> None:
-        log.say("module", action.text)
+        log.say("gateway", action.text)
 
     @staticmethod
     def _subscribe_endpoints(_: actions.SubscribeEndpoints) -> None:
@@ -232,7 +232,7 @@
         pending = self._requests.find(action.id)
         now = clock.now()
         if pending is None:
-            log.say("module", f"proxy pass for {action.id}, which is over")
+            log.say("gateway", f"attempt for {action.id}, which is over")
             return
         number = pending.attempt_count
         pending.attempt_count += 1
@@ -273,7 +273,7 @@
 
     @staticmethod
     def _on_attempt_fault(failure: object) -> None:
-        logging.getLogger("thymeflow").error("proxy pass fault: %s", failure)
+        logging.getLogger("thymeflow").error("attempt fault: %s", failure)
 
     def _on_attempt_ended(
         self, result: AttemptResult, pending: PendingRequest, number: int, backend: int, sent_at: float
@@ -340,6 +340,6 @@
         # Guards the rule that each request gets one final response: the gateway should have given it.
         pending = self._requests.get(handle)
         if pending is not None and not pending.is_answered:
-            log.say("overdue", f"{pending.id} had no answer from the module by its deadline", request=pending.id)
+            log.say("overdue", f"{pending.id} had no response from the gateway by its deadline", request=pending.id)
             self._respond(pending, Response(ResponseKind.FAILED))
             self.handle(events.ClientDisconnected(pending.id))
--- a/thymeflow/core/request_counters.py
+++ b/thymeflow/core/request_counters.py
@@ -35,10 +35,10 @@
     def _write(self, _: int) -> None:
         self._is_scheduled = False
         log.note(
-            "unavailable answers",
-            f"by reason: {_joined(self.rejections)}; proxy passes: {_joined(self.attempts)}",
-            refused=dict(self.rejections),
-            passes=dict(self.attempts),
+            "rejections",
+            f"by reason: {_joined(self.rejections)}; attempts: {_joined(self.attempts)}",
+            rejected=dict(self.rejections),
+            attempts=dict(self.attempts),
         )
         self.rejections.clear()
         self.attempts.clear()
--- a/thymeflow/counter/client.py
+++ b/thymeflow/counter/client.py
@@ -74,7 +74,7 @@
 
     def on_malformed(self, fault: str) -> None:
         """Close the connection, as replies can no longer be assigned to calls."""
-        log.say("counter garbled", fault)
+        log.say("counter reply malformed", fault)
         self.hang_up()
         self.on_lost()
 
@@ -188,7 +188,7 @@
         oldest = self.written[0] if self.written else call
         if self._connection is not None and now - max(self._last_reply_at, oldest.started_at) > DEAD_PEER_TIMEOUT:
             log.say(
-                "counter silent",
+                "counter unresponsive",
                 f"{self._address}: no answer for {DEAD_PEER_TIMEOUT:g} s, connecting anew",
                 address=self._address,
                 waiting=len(self.written),
@@ -214,7 +214,7 @@
     def _parse_result(value: resp.Value) -> CounterResult | None:
         if isinstance(value, resp.ErrorReply):
             if value.startswith(b"ERR"):
-                log.say("counter odd", repr(bytes(value)[:80]))
+                log.say("counter error", repr(bytes(value)[:80]))
             return (Status.FULL, 0.0) if value.split()[:1] in ([b"BUSY"], [b"ERR"]) else None
         if not isinstance(value, bytes) or isinstance(value, resp.Simple) or not _TOTAL.fullmatch(value):
             return None
--- a/thymeflow/daemon/handover.py
+++ b/thymeflow/daemon/handover.py
@@ -114,7 +114,7 @@
 
     def abandon(self) -> None:
         """Stop at once, having accepted nothing: another process serves under this name."""
-        log.note("hand-over", "given up: the process that serves goes on")
+        log.note("handover", "given up: the process that serves goes on")
         instance = self._instance
         instance.lock = None  # the other process owns it too, and goes on owning it
         instance.exit_code = instance.exit_code or NO_HANDOVER
@@ -122,7 +122,7 @@
 
     def retreat(self) -> None:
         """Drain and stop, leaving name, socket and snapshot to the other process."""
-        log.note("hand-over", "the old life took everything back: this one finishes what it took")
+        log.note("handover", "the old life took everything back: this one finishes what it took")
         self.sender.state = SenderState.DRAINING  # name and snapshot are not ours to write
         self._instance.exit_code = NO_HANDOVER
         self.limiter.lifecycle.terminate(0.0)
--- a/thymeflow/decision/admission.py
+++ b/thymeflow/decision/admission.py
@@ -27,7 +27,7 @@
         plan = self.plans.get(event.plan)
         has_valid_units = isfinite(event.units) and event.units > 0
         if plan is None or not has_valid_units or event.remaining <= RETRY_MARGIN:
-            self.actions.append(RejectRequest(event.id, reason="absurd"))
+            self.actions.append(RejectRequest(event.id, reason="invalid"))
             return
         bucket = self.bucket_for(plan, event)
         # A class that is not known is treated as one that is not idempotent.
@@ -65,7 +65,7 @@
         updates[bucket.customer_id] = None
         if backend is None:
             advice = self.retry_after(bucket, event.units)
-            self.actions.append(RejectRequest(event.id, advice, reason or "no server"))
+            self.actions.append(RejectRequest(event.id, advice, reason or "no backend"))
             return
         bucket.requested_units += event.units if event.is_retry else 0.0
         bucket.charge(event.units)
@@ -89,7 +89,7 @@
         deficit = 1.0 - min(1.0, max(0.0, bucket.level / full_level)) if bucket.plan.rate else 0.0
         backends = self.warmed_up_backends * self.fraction_of("places")
         if self.in_flight >= pressure.concurrency_limit(backends, deficit, self.pressure):
-            return "places"
+            return "concurrency"
         sample = self.rng.random()
         fraction = self.adjust_shedding(pending, pressure.shedding_fraction(deficit, self.pressure))
         return "pressure" if sample < fraction else ""
--- a/thymeflow/decision/retries.py
+++ b/thymeflow/decision/retries.py
@@ -38,7 +38,7 @@
         if not pending.possibly_executed() or is_idempotent:
             # Its units are charged, and backends failed it and not its quota: it may come back soon.
             advice = MIN_RETRY_AFTER if self.limits.retry_after else 0.0
-            self.actions.append(RejectRequest(request_id, advice, "passes"))
+            self.actions.append(RejectRequest(request_id, advice, "attempts"))
         else:
             self.actions.append(FailRequest(request_id))
         self.finish_request(pending)
--- a/thymeflow/fleet/supervisor.py
+++ b/thymeflow/fleet/supervisor.py
@@ -153,7 +153,7 @@
         try:
             previous = registry.read_registry(self._names.supervisor_path("json"))
         except RegistryError as error:
-            log.note("roster", f"not used, the settings hold: {error}")
+            log.note("registry", f"not used, the settings hold: {error}")
             return None
         if previous is not None:
             self._sockets.ports = dict(previous.ports)
@@ -227,7 +227,7 @@
         try:
             registry.write_registry(self._names.supervisor_path("json"), current)
         except OSError as error:
-            log.say("roster", f"not written: {error}")
+            log.say("registry", f"not written: {error}")
 
     def _set_tick_timer(self) -> None:
         if self._tick_timer is not None:
--- a/thymeflow/frontend/client_connection.py
+++ b/thymeflow/frontend/client_connection.py
@@ -172,7 +172,7 @@
 
     def _on_malformed_input(self, fault: str) -> None:
         # Where the next command begins is not known any more: one error line, then the end.
-        log.say("user agent garbled", fault)
+        log.say("client command malformed", fault)
         self._fail_body()
         self._front.on_input_buffered(-self._parser.buffered_bytes())
         self._parser = resp.Parser()
@@ -260,7 +260,7 @@
             if core.is_open(request.id):
                 raise CallError("that id is in hand")  # noqa: EM101, TRY301  # one handler for all refused commands
         except CallError as fault:
-            log.say("user agent wrong", str(fault))
+            log.say("client command invalid", str(fault))
             self._reply(resp.error_reply(f"ERR {fault}"))
             return
         slot = PipelineSlot(None, request, body)
--- a/thymeflow/frontend/frontend.py
+++ b/thymeflow/frontend/frontend.py
@@ -68,7 +68,7 @@
             candidate = self._eviction_candidate(clock.now())
             if candidate is None or self.evicting_count >= MAX_EVICTING:
                 log.say(
-                    "user agents",
+                    "clients",
                     f"all {len(self.clients)} connections are in use; a new one was closed",
                     connections=len(self.clients),
                 )
--- a/thymeflow/handover/receiver.py
+++ b/thymeflow/handover/receiver.py
@@ -93,7 +93,7 @@
         elif previous is not self.state:
             self._restart_step_timer()
         if self.state is ReceiverState.FAILED and previous is not self.state:
-            log.note("hand-over", f"came to no end ({previous.value}, {event.value})")
+            log.note("handover", f"came to no end ({previous.value}, {event.value})")
         for action in actions:
             self._actions[action]()
 
@@ -110,7 +110,7 @@
             self._send_request(session)
 
     def _send_request(self, session: control_client.ControlSession) -> None:
-        log.note("hand-over", f"asked for, at {self._path}")
+        log.note("handover", f"asked for, at {self._path}")
         session.send(
             {
                 "do": "take",
@@ -121,7 +121,7 @@
         )
 
     def _give_up(self, cause: str) -> None:
-        log.note("hand-over", cause)
+        log.note("handover", cause)
         self.step(ReceiverEvent.ABORTED)
 
     def _on_message(self, message: Message) -> None:
@@ -193,7 +193,7 @@
             self._participant.inherit_allocation(self._allocation)
         fault = self._participant.accept(self._listening_socket)
         if fault:
-            log.note("hand-over", fault)
+            log.note("handover", fault)
             self.state = ReceiverState.FAILED
             self._connection().close()  # on which the sender accepts again
             self._abandon()
@@ -202,17 +202,17 @@
 
     def _complete(self) -> None:
         name = self._participant.limiter.configuration.name
-        log.note("hand-over", f"done: this life holds name, socket and state of {name}")
+        log.note("handover", f"done: this life holds name, socket and state of {name}")
 
     def _charge_late(self, value: object) -> None:
         try:
             charges = _parse_late_charges(value)
         except (ValueError, TypeError, AttributeError):
-            log.note("hand-over", "late charges that cannot be read; none of them is taken")
+            log.note("handover", "late charges that cannot be read; none of them is taken")
             return
         charges = {customer_id: units for customer_id, units in charges.items() if abs(units) < MAX_LATE_UNITS}
         charged = charge_late(self._participant.limiter.gateway, charges)
-        log.note("hand-over", f"{charged} of {len(charges)} customers charged for what came after the state")
+        log.note("handover", f"{charged} of {len(charges)} customers charged for what came after the state")
 
     def _abandon(self) -> None:
         if self._listening_socket is not None:
--- a/thymeflow/handover/sender.py
+++ b/thymeflow/handover/sender.py
@@ -95,7 +95,7 @@
         caller.on_disconnected = self._on_disconnected
         incarnation = str(message.get("life"))[:MAX_LOGGED_INCARNATION_LENGTH]
         pid = str(message.get("pid"))[:MAX_LOGGED_PID_LENGTH]
-        log.note("hand-over", f"to life {incarnation}, pid {pid}")
+        log.note("handover", f"to life {incarnation}, pid {pid}")
         self.step(SenderEvent.REQUESTED)
 
     def _find_rejection(self, message: Message) -> str | None:
@@ -123,7 +123,7 @@
         if self.state is SenderState.SERVING:
             self._step_timer.cancel()
             if previous is not self.state:
-                log.note("hand-over", f"came to no end ({previous.value}, {event.value}): this life serves on")
+                log.note("handover", f"came to no end ({previous.value}, {event.value}): this life serves on")
         elif previous is not self.state:
             self._step_timer.start(clock.now() + self._state_timeout(), self._on_timeout)
         is_rollback = previous is SenderState.DELEGATED and SenderAction.RESUME in actions
@@ -179,7 +179,7 @@
         self._send({"draining": True})
 
     def _delegate(self) -> None:
-        log.note("hand-over", "done: the next life accepts, this one finishes what it took")
+        log.note("handover", "done: the next life accepts, this one finishes what it took")
         self._confirm_delegation()
         self._participant.limiter.on_handed_over(True)
         self._report_open_connections()
--- a/thymeflow/handover/upgradable_limiter.py
+++ b/thymeflow/handover/upgradable_limiter.py
@@ -104,7 +104,7 @@
         try:
             control.listen()
         except (ControlError, OSError, ValueError) as fault:  # where Unix sockets are forbidden, all else works
-            log.note("hand-over", f"no successor can take over from this life: {fault}")
+            log.note("handover", f"no successor can take over from this life: {fault}")
             return
         self._control = control
         limiter.lifecycle.on_phase = self._on_phase
@@ -165,12 +165,12 @@
         if self._is_ending:
             self.limiter.reactor.callWhenRunning(self.limiter.reactor.stop)
         else:
-            log.note("hand-over", "given up: this life starts by itself")
+            log.note("handover", "given up: this life starts by itself")
             self._start_without_predecessor()
 
     def retreat(self) -> None:
         """Continue to serve: the old copy is gone, or serves as well."""
-        log.note("hand-over", "the earlier life ended before its last word: this one serves on")
+        log.note("handover", "the earlier life ended before its last word: this one serves on")
 
 
 def _socket_path(name: str) -> Path | None:
