--- a/tests/discovery/support.py
+++ b/tests/discovery/support.py
@@ -6,8 +6,8 @@
 from collections.abc import Callable
 from typing import Any
 
-from tests.test_net_parts import World
-from tests.test_net_parts import world as world
+from tests.network_support import InMemoryNetwork
+from tests.network_support import world as world
 from thymeflow.discovery.timeouts import FIRST_LIST_TIMEOUT
 from thymeflow.discovery.watch import Discovery
 from thymeflow.platform.endpoints import Address, EndpointUpdate
@@ -38,7 +38,7 @@
 
 
 def start_discovery(
-    world: World, on_change: Callable[[EndpointUpdate], None], pushed: bool = True, limiters: int = 200
+    world: InMemoryNetwork, on_change: Callable[[EndpointUpdate], None], pushed: bool = True, limiters: int = 200
 ) -> Discovery:
     """Start a watch at `ADDRESS` from `INITIAL_VERSION`."""
     discovery = Discovery(world.reactor, world.deadlines, ADDRESS, INITIAL_VERSION, on_change, limiters, 1, pushed)
@@ -46,7 +46,7 @@
     return discovery
 
 
-def connect(world: World, number: int) -> Any:
+def connect(world: InMemoryNetwork, number: int) -> Any:
     """Complete the connect of that number and receive the response's head; `ends` counts how often it is closed."""
     stream = world.up(number)
     stream.ends = 0
@@ -60,7 +60,7 @@
     return stream
 
 
-def wait_for_connect(world: World, known_connects: int, max_seconds: float = 9.0) -> float:
+def wait_for_connect(world: InMemoryNetwork, known_connects: int, max_seconds: float = 9.0) -> float:
     """Let time pass until there are more connects than those known; return the seconds until then."""
     started_at = clock.now()
     while len(world.reactor.tcpClients) <= known_connects and clock.now() - started_at < max_seconds:
--- a/tests/discovery/test_watch.py
+++ b/tests/discovery/test_watch.py
@@ -16,7 +16,7 @@
     wait_for_connect,
 )
 from tests.discovery.support import world as world
-from tests.test_net_parts import World
+from tests.network_support import InMemoryNetwork
 from thymeflow.decision.types import BackendState
 from thymeflow.discovery.backoff import INITIAL_BACKOFF, MAX_BACKOFF
 from thymeflow.discovery.timeouts import (
@@ -34,7 +34,7 @@
     return [update.change.version for update in updates]
 
 
-def test_indented_list_is_applied_when_complete_and_ignored_when_cut(world: World) -> None:
+def test_indented_list_is_applied_when_complete_and_ignored_when_cut(world: InMemoryNetwork) -> None:
     updates: list[EndpointUpdate] = []
     start_discovery(world, updates.append)
     stream = connect(world, 0)
@@ -53,7 +53,9 @@
     assert updates[1].change.backends[0].state is BackendState.DRAINING
 
 
-def test_watch_goes_on_unchanged_when_a_generation_goes_back(world: World, monkeypatch: pytest.MonkeyPatch) -> None:
+def test_watch_goes_on_unchanged_when_a_generation_goes_back(
+    world: InMemoryNetwork, monkeypatch: pytest.MonkeyPatch
+) -> None:
     updates = list[EndpointUpdate]()
     logged = list[str]()
     monkeypatch.setattr(log, "say", lambda kind, text, **fields: logged.append(text))
@@ -72,7 +74,7 @@
     assert [text.split(",")[0] for text in logged] == ["generation 42 is behind 43", "generation 41 is behind 43"]
 
 
-def test_list_and_watch_are_left_when_a_fetched_list_is_late_or_malformed(world: World) -> None:
+def test_list_and_watch_are_left_when_a_fetched_list_is_late_or_malformed(world: InMemoryNetwork) -> None:
     updates: list[EndpointUpdate] = []
     discovery = start_discovery(world, updates.append)
     stream = connect(world, 0)
@@ -102,7 +104,7 @@
 
 
 @pytest.mark.parametrize("pushed", [True, False])
-def test_idle_timeout_is_not_extended_when_a_new_watch_receives_nothing(world: World, pushed: bool) -> None:
+def test_idle_timeout_is_not_extended_when_a_new_watch_receives_nothing(world: InMemoryNetwork, pushed: bool) -> None:
     start_discovery(world, lambda update: None, pushed)
     first = connect(world, 0)
     first.dataReceived(HEARTBEAT)
@@ -117,7 +119,7 @@
     assert (first.ends, second.ends, third.ends) == (1, 0, 1)
 
 
-def test_a_stream_is_open_as_discovery_returns_when_the_agent_was_idle_meanwhile(world: World) -> None:
+def test_a_stream_is_open_as_discovery_returns_when_the_agent_was_idle_meanwhile(world: InMemoryNetwork) -> None:
     discovery = start_discovery(world, lambda update: None)
     streams = [connect(world, 0)]
     for _ in range(800):  # 8 s: never long without an attempt, never many at once
@@ -131,7 +133,7 @@
     assert sum(not stream.ends for stream in streams) == 1
 
 
-def test_first_list_is_awaited_when_it_arrives_slowly_in_pieces(world: World) -> None:
+def test_first_list_is_awaited_when_it_arrives_slowly_in_pieces(world: InMemoryNetwork) -> None:
     updates: list[EndpointUpdate] = []
     start_discovery(world, updates.append)
     stream = connect(world, 0)
@@ -143,7 +145,7 @@
     assert not stream.ends
 
 
-def test_backoff_and_streams_of_the_old_address_are_dropped_when_the_address_changes(world: World) -> None:
+def test_backoff_and_streams_of_the_old_address_are_dropped_when_the_address_changes(world: InMemoryNetwork) -> None:
     updates: list[EndpointUpdate] = []
     discovery = start_discovery(world, updates.append, pushed=False)
     old_stream = connect(world, 0)
@@ -160,7 +162,7 @@
     assert versions(updates) == [51]
 
 
-def test_backoff_starts_again_when_the_address_changes(world: World) -> None:
+def test_backoff_starts_again_when_the_address_changes(world: InMemoryNetwork) -> None:
     discovery = start_discovery(world, lambda update: None, pushed=False, limiters=3)
     for _ in range(5):
         discovery.backoff.next_wait()
--- a/tests/frontend/test_endings.py
+++ b/tests/frontend/test_endings.py
@@ -229,12 +229,12 @@
     limiter.connect(clock.now() + 1.0)  # discovery and the counter
     client.dataReceived(request(1))  # a server
     callers = Management(world.deadlines, lambda word: (True, ""))
-    make_gateway = [
+    made = [
         client,
         world.connected(callers.buildProtocol(None)),
         *(world.up(number) for number in range(len(world.reactor.tcpClients))),
     ]
-    assert len(make_gateway) == 2 + 1 + 3 + 1 and all(one.transport.handle.no_delay for one in make_gateway)
+    assert len(made) == 2 + 1 + 3 + 1 and all(one.transport.handle.no_delay for one in made)
 
 
 def test_a_full_table_drops_no_connection_on_which_bytes_wait(world: InMemoryNetwork) -> None:
@@ -244,7 +244,7 @@
         client.dataReceived(command(b"PING"))
     world.reactor.advance(CROWDED_IDLE_TIMEOUT + 0.05)
     for client in clients[1:]:
-        client.transport.handle.has_unread_bytes = b"*"
+        client.transport.handle.unread = b"*"
     world.connected(front.buildProtocol(None))
     assert [client.transport.disconnected for client in clients].count(True) == 1 and clients[0].transport.disconnected
     assert front.buildProtocol(None) is None
@@ -279,15 +279,15 @@
 def test_a_pass_that_waited_for_its_connection_is_written_only_where_it_still_stands(
     world: InMemoryNetwork, why: str
 ) -> None:
-    make_gateway, ends = make_backend_connections(world)
+    made, ends = make_backend_connections(world)
     there = [True]
     void = make_attempt_spec()._replace(
         is_connected=lambda: there[0], start_before=clock.now() + 0.3 if why == "past the window" else inf
     )
-    make_gateway.start_attempt(void).addCallback(ends.append)
-    make_gateway.start_attempt(make_attempt_spec()).addCallback(ends.append)
+    made.start_attempt(void).addCallback(ends.append)
+    made.start_attempt(make_attempt_spec()).addCallback(ends.append)
     if why == "late":
-        void_pass = make_gateway._attempts.items()[0]
+        void_pass = made._attempts.items()[0]
         void_pass.order = void_pass.order._replace(deadline=clock.now() + 0.2)  # its timer has not had its turn
     there[0] = why != "left"
     world.reactor.rightNow += 0.4
@@ -297,11 +297,11 @@
 
 
 def test_a_connection_that_ends_as_it_comes_up_strands_no_pass(world: InMemoryNetwork) -> None:
-    make_gateway, ends = make_backend_connections(world)
-    make_gateway.start_attempt(make_attempt_spec()).addCallback(ends.append)
-    make_gateway.start_attempt(make_attempt_spec()).addCallback(ends.append)
-    world.up(0, has_unread_bytes=b"-BUSY\r\n")  # no room there: it says so at once, or closes
-    assert [end.status for end in ends] == [Status.CONNECT_FAILED] and make_gateway.open_connections == 1
+    made, ends = make_backend_connections(world)
+    made.start_attempt(make_attempt_spec()).addCallback(ends.append)
+    made.start_attempt(make_attempt_spec()).addCallback(ends.append)
+    world.up(0, unread=b"-BUSY\r\n")  # no room there: it says so at once, or closes
+    assert [end.status for end in ends] == [Status.CONNECT_FAILED] and made.open_connections == 1
     world.up(1).dataReceived(served_reply(b"v"))
     assert [end.status for end in ends] == [Status.CONNECT_FAILED, Status.OK]
 
--- a/tests/network_support.py
+++ b/tests/network_support.py
@@ -30,7 +30,7 @@
     def __init__(self, transport: Any) -> None:
         self.transport = transport
         self.max_bytes = KERNEL_BUFFER
-        self.has_unread_bytes = b""
+        self.unread = b""
         self.departed = False  # the other end has closed
         self.half_closed = False
         self.no_delay = False
@@ -44,9 +44,9 @@
 
     def recv(self, max_bytes: int, flags: int) -> bytes:
         """Return the bytes that wait, without removing them."""
-        if not self.has_unread_bytes:
+        if not self.unread:
             raise BlockingIOError
-        return self.has_unread_bytes[:max_bytes]
+        return self.unread[:max_bytes]
 
     def shutdown(self, how: int) -> None:
         """Note the half-close."""
@@ -64,16 +64,16 @@
         monkeypatch.setattr(clock, "now", lambda: 1e9 + self.reactor.seconds())
         self.deadlines = clock.Deadlines(self.reactor)
 
-    def up(self, number: int, has_unread_bytes: bytes = b"") -> Any:
+    def up(self, number: int, unread: bytes = b"") -> Any:
         """Let the dial of that number succeed; return the protocol, with the handle of its socket."""
         *_, factory, _, _ = self.reactor.tcpClients[number]
-        return self.connected(factory.buildProtocol(None), has_unread_bytes)
+        return self.connected(factory.buildProtocol(None), unread)
 
-    def connected(self, protocol: Any, has_unread_bytes: bytes = b"") -> Any:
+    def connected(self, protocol: Any, unread: bytes = b"") -> Any:
         """Return the protocol on a connection in memory, with bytes that wait there."""
         transport: Any = StringTransport()  # type: ignore[no-untyped-call]
         transport.handle = FakeSocket(transport)
-        transport.handle.has_unread_bytes = has_unread_bytes
+        transport.handle.unread = unread
         transport.getHandle = lambda: transport.handle
         transport.setTcpNoDelay = lambda on: setattr(transport.handle, "no_delay", on)
         transport.registerProducer = lambda producer, streaming: None
--- a/tests/test_bad_input.py
+++ b/tests/test_bad_input.py
@@ -10,7 +10,7 @@
 import pytest
 
 from tests.limiter import SETTINGS, Limiter, Peer, command, refused, request
-from tests.test_net_parts import words
+from tests.network_support import parse_command
 from thymeflow.decision.settings import Idempotency
 from thymeflow.platform.configuration import ConfigurationError, from_source
 from thymeflow.platform.settings import settings_from
@@ -129,7 +129,7 @@
     text = f"c={name},t={name},d=480,units=2,spread=1,first=0".encode()
     call, told = CallReader(settings).read([b"SVC.QUERY", b"00000000b4d65521", b"%016x" % 1, text])
     assert (told.class_name, told.plan, told.units) == (name, name, 2.0)
-    assert words(call.encode(77))[3] == text.replace(b"d=480", b"d=77")
+    assert parse_command(call.encode(77))[3] == text.replace(b"d=480", b"d=77")
 
 
 def test_a_class_whose_effect_is_unknown_is_unsafe_and_one_that_is_not_listed_is_turned_away() -> None:
@@ -138,7 +138,7 @@
     )
     assert settings.classes[0].idempotency is Idempotency.NOT_IDEMPOTENT
     with pytest.raises(CallError, match="unknown class"):
-        CallReader(settings).read(words(request(1, "book")))
+        CallReader(settings).read(parse_command(request(1, "book")))
 
 
 @pytest.mark.parametrize(
--- a/tests/test_limiter.py
+++ b/tests/test_limiter.py
@@ -17,10 +17,6 @@
 from thymeflow.frontend.frontend import IDLE_TIMEOUT
 from thymeflow.quota import counter_encoding
 
-# Tests of other packages import these from here.
-SMALL = SMALL_PLAN
-GOOD = SERVED_REPLY
-
 
 def test_a_request_is_served_and_passed_on_with_nothing_changed_but_d(tmp_path: Path) -> None:
     with Limiter(tmp_path) as limiter:
--- a/tests/test_net_parts.py
+++ b/tests/test_net_parts.py
@@ -38,22 +38,19 @@
 from thymeflow.transport.commands import Call, CallReader
 from thymeflow.transport.flow import Flow
 
-# Tests of other packages import these from here.
-World = InMemoryNetwork
-words = parse_command
-__all__ = ["World", "words", "world"]
+__all__ = ["world"]
 
 
 @pytest.mark.parametrize("news", ["leaving", "left"])
 def test_a_pass_that_waits_for_a_connection_is_not_written_to_a_server_that_drains(
     world: InMemoryNetwork, news: str
 ) -> None:
-    make_gateway, ends = make_backend_connections(world)
-    make_gateway.start_attempt(make_attempt_spec()).addCallback(ends.append)
-    make_gateway.apply_update(one_backend_update(news))
+    made, ends = make_backend_connections(world)
+    made.start_attempt(make_attempt_spec()).addCallback(ends.append)
+    made.apply_update(one_backend_update(news))
     assert [end.status for end in ends] == [Status.CONNECT_FAILED]
     assert world.up(0).transport.value() == b""
-    make_gateway.start_attempt(make_attempt_spec()).addCallback(ends.append)
+    made.start_attempt(make_attempt_spec()).addCallback(ends.append)
     assert ends[1].status is Status.CONNECT_FAILED
 
 
@@ -61,15 +58,15 @@
     ("most", "status"), [(10**6, Status.RESET), (0, Status.CONNECT_FAILED), (7, Status.CONNECT_FAILED)]
 )
 def test_only_a_pass_written_to_its_last_byte_may_have_run(world: InMemoryNetwork, most: int, status: Status) -> None:
-    make_gateway, ends = make_backend_connections(world)
-    make_gateway.start_attempt(make_attempt_spec()).addCallback(ends.append)
+    made, ends = make_backend_connections(world)
+    made.start_attempt(make_attempt_spec()).addCallback(ends.append)
     server = world.up(0)
     server.dataReceived(served_reply(b"v"))  # the connection is warm and idle now
-    make_gateway.start_attempt(make_attempt_spec()).addCallback(ends.append)
+    made.start_attempt(make_attempt_spec()).addCallback(ends.append)
     server.dataReceived(served_reply(b"v"))
     server.transport.handle.max_bytes = most  # what the kernel does not take stays with the transport
     server.transport.clear()
-    make_gateway.start_attempt(make_attempt_spec()).addCallback(ends.append)
+    made.start_attempt(make_attempt_spec()).addCallback(ends.append)
     assert parse_command(server.transport.value())[0] == b"SVC.QUERY"  # nothing missing, nothing twice
     server.connectionLost()
     assert [end.status for end in ends] == [Status.OK, Status.OK, status]
@@ -77,10 +74,10 @@
 
 
 def test_a_connection_that_comes_free_serves_the_pass_that_waits(world: InMemoryNetwork) -> None:
-    make_gateway, ends = make_backend_connections(world)
-    make_gateway.start_attempt(make_attempt_spec()).addCallback(ends.append)
+    made, ends = make_backend_connections(world)
+    made.start_attempt(make_attempt_spec()).addCallback(ends.append)
     server = world.up(0)
-    make_gateway.start_attempt(make_attempt_spec()).addCallback(ends.append)
+    made.start_attempt(make_attempt_spec()).addCallback(ends.append)
     server.dataReceived(served_reply(b"v"))
     server.dataReceived(served_reply(b"w"))
     assert [end.value for end in ends] == [b"v", b"w"]
@@ -88,10 +85,10 @@
 
 @pytest.mark.parametrize("behind", [served_reply(b"v"), b"!noise", b"$9\r\n", b"-BUSY\r\n"])
 def test_what_comes_behind_an_answer_is_nobodys_answer(world: InMemoryNetwork, behind: bytes) -> None:
-    make_gateway, ends = make_backend_connections(world)
-    make_gateway.start_attempt(make_attempt_spec()).addCallback(ends.append)
+    made, ends = make_backend_connections(world)
+    made.start_attempt(make_attempt_spec()).addCallback(ends.append)
     server = world.up(0)
-    make_gateway.start_attempt(make_attempt_spec()).addCallback(ends.append)  # waits for a connection
+    made.start_attempt(make_attempt_spec()).addCallback(ends.append)  # waits for a connection
     server.dataReceived(served_reply(b"v") + behind)
     assert [end.value for end in ends] == [b"v"]
     assert server.closed
@@ -100,13 +97,13 @@
 
 
 def test_a_connection_with_bytes_unread_is_not_used_again(world: InMemoryNetwork) -> None:
-    make_gateway, ends = make_backend_connections(world)
-    make_gateway.start_attempt(make_attempt_spec()).addCallback(ends.append)
+    made, ends = make_backend_connections(world)
+    made.start_attempt(make_attempt_spec()).addCallback(ends.append)
     server = world.up(0)
     server.dataReceived(served_reply(b"v"))
     server.transport.clear()
-    server.transport.handle.has_unread_bytes = b"*3"  # it came after the look at what was read with the answer
-    make_gateway.start_attempt(make_attempt_spec()).addCallback(ends.append)
+    server.transport.handle.unread = b"*3"  # it came after the look at what was read with the answer
+    made.start_attempt(make_attempt_spec()).addCallback(ends.append)
     assert (server.closed, server.transport.value()) == (True, b"")
     world.up(1).dataReceived(served_reply(b"w"))
     assert [end.value for end in ends] == [b"v", b"w"]
@@ -126,8 +123,8 @@
     ],
 )
 def test_a_spoilt_answer_is_an_error_soon_and_ends_its_connection(world: InMemoryNetwork, text: bytes) -> None:
-    make_gateway, ends = make_backend_connections(world)
-    make_gateway.start_attempt(make_attempt_spec()).addCallback(ends.append)
+    made, ends = make_backend_connections(world)
+    made.start_attempt(make_attempt_spec()).addCallback(ends.append)
     server = world.up(0)
     server.dataReceived(text)
     world.reactor.advance(ANSWER_STALL + 0.01)
@@ -143,8 +140,8 @@
 
 
 def test_idle_connections_go_before_the_other_end_closes_them(world: InMemoryNetwork) -> None:
-    make_gateway, ends = make_backend_connections(world)
-    make_gateway.start_attempt(make_attempt_spec()).addCallback(ends.append)
+    made, ends = make_backend_connections(world)
+    made.start_attempt(make_attempt_spec()).addCallback(ends.append)
     server = world.up(0)
     server.dataReceived(served_reply(b"v"))
     world.reactor.pump([1.0] * int(Limits().connection_idle - 1))
@@ -153,11 +150,11 @@
 
 @pytest.mark.parametrize("moves", [True, False])
 def test_a_long_body_is_given_up_where_nothing_of_it_is_taken(world: InMemoryNetwork, moves: bool) -> None:
-    make_gateway, ends = make_backend_connections(world)
+    made, ends = make_backend_connections(world)
     body = Flow(300_000, lambda waits: None, lambda: None)
     call = make_attempt_spec().payload
     assert isinstance(call, Call)
-    make_gateway.start_attempt(AttemptSpec(1, call._replace(flow=body), inf)).addCallback(ends.append)
+    made.start_attempt(AttemptSpec(1, call._replace(flow=body), inf)).addCallback(ends.append)
     server = world.up(0)
     server.transport.handle.max_bytes = 0  # the kernel's buffer is full
     for _ in range(4):
--- a/tests/test_retune.py
+++ b/tests/test_retune.py
@@ -15,7 +15,7 @@
 from tests.helpers import KEYED, PLAN, SAFE, UNSAFE, ended, only_store, request, sends, settings, started
 from tests.limiter import PATIENCE, Limiter, Peer
 from tests.limiter import request as asked
-from tests.test_limiter import GOOD
+from tests.network_support import SERVED_REPLY
 from thymeflow.decision.events import SettingsChanged
 from thymeflow.decision.settings import Idempotency
 from thymeflow.decision.types import Status
@@ -142,7 +142,7 @@
         server.close()  # the old request goes on as it was taken: it is tried again
         again = passed_on()
         again.words()
-        again.send(GOOD)
+        again.send(SERVED_REPLY)
         assert agent.bulk() == b"value"
         limiter.terminate()
         limiter.process.send_signal(signal.SIGHUP)  # in the middle of a drain
