--- a/tests/discovery/support.py
+++ b/tests/discovery/support.py
@@ -9,7 +9,7 @@
 from tests.network_support import InMemoryNetwork
 from tests.network_support import world as world
 from thymeflow.discovery.timeouts import FIRST_LIST_TIMEOUT
-from thymeflow.discovery.watch import Discovery
+from thymeflow.discovery.watch import EndpointWatcher
 from thymeflow.platform.endpoints import Address, EndpointUpdate
 from thymeflow.runtime import clock
 
@@ -39,9 +39,11 @@
 
 def start_discovery(
     world: InMemoryNetwork, on_change: Callable[[EndpointUpdate], None], pushed: bool = True, limiters: int = 200
-) -> Discovery:
+) -> EndpointWatcher:
     """Start a watch at `ADDRESS` from `INITIAL_VERSION`."""
-    discovery = Discovery(world.reactor, world.deadlines, ADDRESS, INITIAL_VERSION, on_change, limiters, 1, pushed)
+    discovery = EndpointWatcher(
+        world.reactor, world.deadlines, ADDRESS, INITIAL_VERSION, on_change, limiters, 1, pushed
+    )
     discovery.start(clock.now() + FIRST_LIST_TIMEOUT)
     return discovery
 
--- a/tests/discovery/test_watch.py
+++ b/tests/discovery/test_watch.py
@@ -58,7 +58,7 @@
 ) -> None:
     updates = list[EndpointUpdate]()
     logged = list[str]()
-    monkeypatch.setattr(log, "say", lambda kind, text, **fields: logged.append(text))
+    monkeypatch.setattr(log, "emit_rate_limited", lambda kind, text, **fields: logged.append(text))
     start_discovery(world, updates.append)
     stream = connect(world, 0)
     for chunk in (
--- a/tests/frontend/test_endings.py
+++ b/tests/frontend/test_endings.py
@@ -37,7 +37,7 @@
 from thymeflow.frontend.frontend import IDLE_TIMEOUT
 from thymeflow.limiter.assembly import Limiter as AssembledLimiter
 from thymeflow.limiter.lifecycle import MAX_AWAITED_DEADLINE, TERMINATION_LINGER, Lifecycle
-from thymeflow.limiter.management import Management
+from thymeflow.limiter.management import ManagementServer
 from thymeflow.limiter.phases import Phase
 from thymeflow.runtime import clock
 
@@ -192,11 +192,11 @@
     limiter, client = connect_client(world)
     client.dataReceived(request(1))
     world.up(len(world.reactor.tcpClients) - 1).dataReceived(GOOD)
-    assert limiter.core.open_count() == 0
+    assert limiter.dispatcher.open_count() == 0
     world.reactor.pump([0.1] * int(IDLE_TIMEOUT / 0.1 + 2))
     assert client.transport.handle.half_closed and not client.aborted
     client.dataReceived(request(2))
-    assert limiter.core.open_count() == 0
+    assert limiter.dispatcher.open_count() == 0
     world.reactor.pump([0.1] * int(LINGER_TIMEOUT / 0.1 + 2))
     assert client.aborted
 
@@ -221,14 +221,14 @@
     world.reactor.advance(0.11)
     assert client.aborted
     client.connectionLost()
-    assert limiter.core.open_count() == 0
+    assert limiter.dispatcher.open_count() == 0
 
 
 def test_no_connection_holds_small_writes_back(world: InMemoryNetwork) -> None:
     limiter, client = connect_client(world)
     limiter.connect(clock.now() + 1.0)  # discovery and the counter
     client.dataReceived(request(1))  # a server
-    callers = Management(world.deadlines, lambda word: (True, ""))
+    callers = ManagementServer(world.deadlines, lambda word: (True, ""))
     made = [
         client,
         world.connected(callers.buildProtocol(None)),
@@ -268,7 +268,7 @@
         def stopListening(self) -> None:
             assert not waiting and len(taken) == 7
 
-    lifecycle = Lifecycle(world.deadlines, limiter.core, limiter.frontend, 1.0, lambda: None)
+    lifecycle = Lifecycle(world.deadlines, limiter.dispatcher, limiter.frontend, 1.0, lambda: None)
     lifecycle.phase, lifecycle.port = Phase.SERVING, Port()
     lifecycle.terminate(0.0)
     world.reactor.advance(0.01)
@@ -288,7 +288,7 @@
     made.start_attempt(make_attempt_spec()).addCallback(ends.append)
     if why == "late":
         void_pass = made._attempts.items()[0]
-        void_pass.order = void_pass.order._replace(deadline=clock.now() + 0.2)  # its timer has not had its turn
+        void_pass.spec = void_pass.spec._replace(deadline=clock.now() + 0.2)  # its timer has not had its turn
     there[0] = why != "left"
     world.reactor.rightNow += 0.4
     server = world.up(0)
@@ -316,7 +316,7 @@
 
 def test_what_comes_while_it_is_told_to_end_is_answered_before_it_may_be_killed(world: InMemoryNetwork) -> None:
     limiter, client = connect_client(world)
-    lifecycle = Lifecycle(world.deadlines, limiter.core, limiter.frontend, 60.0, lambda: None)
+    lifecycle = Lifecycle(world.deadlines, limiter.dispatcher, limiter.frontend, 60.0, lambda: None)
     lifecycle.phase = Phase.SERVING
     lifecycle.terminate()
     told = clock.now()
--- a/tests/frontend/test_limits.py
+++ b/tests/frontend/test_limits.py
@@ -30,10 +30,10 @@
     limiter = make_limiter(world, 256)
 
     def budgets() -> tuple[int, ...]:
-        front, core = limiter.frontend, limiter.core
+        front, core = limiter.frontend, limiter.dispatcher
         return (
             front._max_clients,
-            limiter.upstream._max_connections,
+            limiter.backends._max_connections,
             front.max_pending_response_bytes,
             front._max_unfinished_input_bytes,
             core._requests.memory_limit,
--- a/tests/logs/test_logs.py
+++ b/tests/logs/test_logs.py
@@ -10,6 +10,7 @@
 from thymeflow.logs.shared_file import SharedFile
 from thymeflow.logs.structured import StructuredLog
 from thymeflow.runtime import clock, log
+from thymeflow.runtime.log_kinds import LogKind
 from thymeflow.settings.sections import Log
 
 LINE_COUNT = 400
@@ -82,13 +83,13 @@
     path = tmp_path / "log"
     structured_log = StructuredLog(Log(file=str(path)), "n3", "cafe")
     try:
-        log.to(structured_log.write)
+        log.set_sink(structured_log.write)
         for number in range(5):
-            log.say("paced for the test", f"number {number}")
+            log.emit_rate_limited(LogKind.POOL, f"number {number}")
     finally:
-        log.to(log.plain)
+        log.set_sink(log.write_plain)
     (line,) = path.read_text().splitlines()
-    assert line.endswith(" paced for the test: number 0")
+    assert line.endswith(" pool: number 0")
     assert " n3 cafe " in line
 
 
@@ -98,13 +99,13 @@
     before = logging.getLogger().handlers[:]
     try:
         structured_log.install()
-        log.note("phase", "left out")
+        log.emit(LogKind.PHASE, "left out")
         try:
             raise ValueError("broken\nin two")
         except ValueError as fault:
             logging.getLogger("thymeflow").error("gateway fault", exc_info=fault)
     finally:
-        log.to(log.plain)
+        log.set_sink(log.write_plain)
         logging.getLogger().handlers[:] = before
     (text,) = path.read_text().splitlines()
     line = json.loads(text)
--- a/tests/shedding/test_threshold.py
+++ b/tests/shedding/test_threshold.py
@@ -154,7 +154,7 @@
     levels: tuple[float, ...], monkeypatch: pytest.MonkeyPatch
 ) -> None:
     lines = list[str]()
-    monkeypatch.setattr(log, "note", lambda kind, text, **fields: lines.append(text.split(":")[0]))
+    monkeypatch.setattr(log, "emit", lambda kind, text, **fields: lines.append(text.split(":")[0]))
     court = OutlierService(clock.Deadlines(MemoryReactorClock()), 1.0, lambda name, message: None)  # type: ignore[no-untyped-call]
 
     def beat(now: float) -> float:
--- a/tests/test_message_formats.py
+++ b/tests/test_message_formats.py
@@ -106,10 +106,10 @@
     def __init__(self) -> None:
         self.calls: list[Any] = []
 
-    def at(self, _: float, call: Any, argument: int = 0) -> list[Any]:
+    def schedule(self, _: float, call: Any, argument: int = 0) -> clock.ScheduledCall:
         """Call it later."""
         self.calls.append((call, argument))
-        return []
+        return clock.NOT_SCHEDULED
 
     def turn(self) -> None:
         """Call what is due."""
--- a/tests/test_net_parts.py
+++ b/tests/test_net_parts.py
@@ -29,7 +29,7 @@
 from thymeflow.decision.gateway import Gateway
 from thymeflow.decision.settings import Limits
 from thymeflow.decision.types import EndpointListKind, Status
-from thymeflow.discovery.watch import Discovery
+from thymeflow.discovery.watch import EndpointWatcher
 from thymeflow.platform.endpoints import Address, EndpointUpdate, endpoint_update
 from thymeflow.platform.settings import settings_from
 from thymeflow.quota.token_bucket import MIN_CALL_INTERVAL
@@ -248,7 +248,7 @@
 
 def test_a_silent_watch_is_dialled_anew_and_a_whole_list_can_be_asked_for(world: InMemoryNetwork) -> None:
     told: list[EndpointUpdate] = []
-    watch = Discovery(world.reactor, world.deadlines, Address("127.0.0.1", 9), 41, told.append, 3, 1)
+    watch = EndpointWatcher(world.reactor, world.deadlines, Address("127.0.0.1", 9), 41, told.append, 3, 1)
     watch.start(clock.now() + 1.0)
     reading = world.up(0)
     reading.transport.abortConnection = lambda: None
@@ -270,7 +270,7 @@
 
 def test_deadlines_fire_in_order_behind_one_timer_and_not_when_cancelled(world: InMemoryNetwork) -> None:
     fired: list[int] = []
-    entries = [world.deadlines.at(clock.now() + n, fired.append, n) for n in (5, 1, 3, 2, 4)]
+    entries = [world.deadlines.schedule(clock.now() + n, fired.append, n) for n in (5, 1, 3, 2, 4)]
     assert len(world.reactor.getDelayedCalls()) == 1
     world.deadlines.cancel(entries[2])
     world.reactor.pump([1.0] * 6)
--- a/tests/test_start.py
+++ b/tests/test_start.py
@@ -18,7 +18,7 @@
 
 from tests.limiter import PATIENCE, SETTINGS, Limiter, Peer, command, refused, request
 from tests.network_support import InMemoryNetwork, world
-from thymeflow.discovery.watch import FIRST_LIST_TIMEOUT, POLLED_IDLE_TIMEOUT, PUSHED_IDLE_TIMEOUT, Discovery
+from thymeflow.discovery.watch import FIRST_LIST_TIMEOUT, POLLED_IDLE_TIMEOUT, PUSHED_IDLE_TIMEOUT, EndpointWatcher
 from thymeflow.frontend.listener import bind_listener, start_listening
 from thymeflow.limiter.assembly import Limiter as Assembled
 from thymeflow.limiter.phases import Phase
@@ -229,7 +229,7 @@
     told, amid = list[float](), list[float]()
     world.deadlines.on_stall = told.append
     for after in (0.1, 0.2):  # the first finds the stall, the second runs in its wake
-        world.deadlines.at(
+        world.deadlines.schedule(
             clock.now() + after, lambda _: amid.append(clock.now() - world.deadlines.earliest_arrival(clock.now()))
         )
     begun = clock.now()
@@ -262,7 +262,7 @@
     world: InMemoryNetwork, seed: int, pushed: bool
 ) -> None:
     # Told 6 s after the silence began, by whatever word, and a second's grace: in a set of any size.
-    discovery = Discovery(
+    discovery = EndpointWatcher(
         world.reactor, world.deadlines, Address("127.0.0.1", 8), 1, lambda news: None, 250, seed, pushed
     )
     discovery.start(clock.now() + FIRST_LIST_TIMEOUT)
--- a/thymeflow/backends/attempts.py
+++ b/thymeflow/backends/attempts.py
@@ -16,10 +16,10 @@
 class Attempt:
     """One attempt, from its spec to its result."""
 
-    __slots__ = ("connection", "deadline_entry", "order", "result_deferred")
+    __slots__ = ("connection", "result_deferred", "spec", "timeout_call")
 
     def __init__(self, spec: AttemptSpec, result_deferred: Deferred[AttemptResult]) -> None:
-        self.order = spec
+        self.spec = spec
         self.result_deferred = result_deferred
         self.connection: Connection | None = None  # the one it was written to
-        self.deadline_entry: clock.Entry = []
+        self.timeout_call = clock.NOT_SCHEDULED
--- a/thymeflow/backends/backends.py
+++ b/thymeflow/backends/backends.py
@@ -21,6 +21,7 @@
 from thymeflow.decision.types import BackendState, EndpointListKind, Status
 from thymeflow.platform.endpoints import EndpointUpdate
 from thymeflow.runtime import clock, log
+from thymeflow.runtime.log_kinds import LogKind
 from thymeflow.runtime.slot_table import SlotTable
 from thymeflow.transport.commands import Call
 from thymeflow.transport.connections import dial
@@ -76,27 +77,27 @@
         while pool.waiting:
             self._end(pool.waiting.popleft(), AttemptResult(Status.CONNECT_FAILED))
 
-    def start_attempt(self, order: AttemptSpec) -> Deferred[AttemptResult]:
+    def start_attempt(self, spec: AttemptSpec) -> Deferred[AttemptResult]:
         """Begin an attempt; the Deferred never fails, and cancelling it gives the attempt up."""
         result_deferred: Deferred[AttemptResult] = Deferred(lambda _: self._give_up(handle, Status.CANCELLED))
-        attempt = Attempt(order, result_deferred)
+        attempt = Attempt(spec, result_deferred)
         handle = self._attempts.add(attempt)
-        pool = self._pools_by_id.get(order.backend)
-        if order.deadline <= clock.now():
+        pool = self._pools_by_id.get(spec.backend)
+        if spec.deadline <= clock.now():
             self._end(handle, AttemptResult(Status.TIMEOUT))
         elif pool is None or pool.state is not READY:
             self._end(handle, AttemptResult(Status.CONNECT_FAILED))
         else:
-            if order.deadline < inf:
-                attempt.deadline_entry = self._deadlines.at(order.deadline, self._on_deadline, handle)
+            if spec.deadline < inf:
+                attempt.timeout_call = self._deadlines.schedule(spec.deadline, self._on_deadline, handle)
             if connection := self._take_idle(pool):
                 self._send(connection, handle)
             elif self.open_connections < self._max_connections or self._close_longest_idle():
                 pool.waiting.append(handle)
                 self._dial(pool)
             else:
-                log.say(
-                    "pool",
+                log.emit_rate_limited(
+                    LogKind.POOL,
                     f"all {self._max_connections} connections to backends are busy",
                     most=self._max_connections,
                 )
@@ -118,7 +119,9 @@
     def _on_connect_failed(self, failure: Failure, pool: Pool) -> None:
         pool.dialing -= 1
         self.open_connections -= 1
-        log.say("connect failed", f"{pool.address}: {failure.getErrorMessage()}", address=pool.address)
+        log.emit_rate_limited(
+            LogKind.CONNECT_FAILED, f"{pool.address}: {failure.getErrorMessage()}", address=pool.address
+        )
         self._end_unserved(pool)
 
     def _end_unserved(self, pool: Pool) -> None:
@@ -145,7 +148,7 @@
             handle = pool.waiting.popleft()
             attempt = self._attempts.get(handle)
             assert attempt is not None
-            spec = attempt.order
+            spec = attempt.spec
             if now < min(spec.deadline, spec.start_before) and spec.is_connected():
                 self._send(connection, handle)
                 break
@@ -159,7 +162,7 @@
     def _send(self, connection: Connection, handle: int) -> None:
         attempt = self._attempts.get(handle)
         assert attempt is not None
-        call = attempt.order.payload
+        call = attempt.spec.payload
         assert isinstance(call, Call)
         # After a stall of this process an endpoint update may lie unread for longer than a drain's grace period.
         if self._deadlines.is_stalled(clock.now()) and not self._recheck(connection, handle, attempt):
@@ -169,7 +172,7 @@
         connection.is_reply_started = False
         connection.flow = None
         if call.flow is None:
-            connection.write(call.encode(max(1, int((attempt.order.deadline - clock.now()) * 1000.0))))
+            connection.write(call.encode(max(1, int((attempt.spec.deadline - clock.now()) * 1000.0))))
         else:
             self._send_long_body(connection, handle, attempt, call, call.flow)
 
@@ -188,9 +191,9 @@
         connection.body = body
         connection.shrink_buffers()
         connection.last_activity_at = clock.now()
-        self._deadlines.at(connection.last_activity_at + LONG_VALUE_TIMEOUT, self._check_body, handle)
+        self._deadlines.schedule(connection.last_activity_at + LONG_VALUE_TIMEOUT, self._check_body, handle)
         body.when_complete(lambda: self._on_body_received(handle, body.deadline))
-        attempt.order.on_response_started(None)
+        attempt.spec.on_response_started(None)
         connection.write(call.encode(call.wait))
         body.attach(connection)
 
@@ -198,7 +201,7 @@
         # The body has arrived completely from the client, whose deadline counts from now on.
         attempt = self._attempts.get(handle)
         if attempt is not None:
-            attempt.deadline_entry = self._deadlines.at(deadline, self._on_deadline, handle)
+            attempt.timeout_call = self._deadlines.schedule(deadline, self._on_deadline, handle)
 
     def _check_body(self, handle: int) -> None:
         # Guards both ends of a streamed body against a backend that stopped without closing its connection.
@@ -211,10 +214,14 @@
             connection.last_activity_at + LONG_VALUE_TIMEOUT if not connection.flushed else now + LONG_VALUE_TIMEOUT
         )
         if hung_at > now:
-            self._deadlines.at(hung_at, self._check_body, handle)
+            self._deadlines.schedule(hung_at, self._check_body, handle)
         else:
             address = connection.pool.address
-            log.say("body stuck", f"{address} takes nothing of a long body: never whole, it never ran", address=address)
+            log.emit_rate_limited(
+                LogKind.BODY_STUCK,
+                f"{address} takes nothing of a long body: never whole, it never ran",
+                address=address,
+            )
             self._give_up(handle, Status.CONNECT_FAILED)
 
     def on_body_failed(self, connection: Connection) -> None:
@@ -227,8 +234,7 @@
         transport = connection.transport
         attempt = self._attempts.get(handle)
         assert attempt is not None
-        if attempt.deadline_entry:
-            self._deadlines.cancel(attempt.deadline_entry)
+        self._deadlines.cancel(attempt.timeout_call)
 
         def set_paused(is_paused: bool) -> None:
             """Pause or resume reading from the backend."""
@@ -241,7 +247,7 @@
         connection.shrink_buffers()
         flow = Flow(length, set_paused, lambda: self._give_up(handle, Status.CANCELLED))
         connection.flow = flow
-        if not attempt.order.on_response_started(flow):
+        if not attempt.spec.on_response_started(flow):
             self._give_up(handle, Status.CANCELLED)
 
     def on_reply(self, connection: Connection, result: AttemptResult, is_reusable: bool) -> None:
@@ -257,7 +263,7 @@
 
     def on_reply_started(self, connection: Connection) -> None:
         """Watch a reply that has begun: one that stalls is treated as malformed."""
-        self._deadlines.at(clock.now() + STALL, self._check_reply, connection.attempt_handle)
+        self._deadlines.schedule(clock.now() + STALL, self._check_reply, connection.attempt_handle)
 
     def _check_reply(self, handle: int) -> None:
         attempt = self._attempts.get(handle)
@@ -272,7 +278,7 @@
         if stalled_at <= now:
             connection.on_malformed("an answer was begun and not ended")
         else:
-            self._deadlines.at(stalled_at, self._check_reply, handle)
+            self._deadlines.schedule(stalled_at, self._check_reply, handle)
 
     @staticmethod
     def _detach_flows(connection: Connection) -> None:
@@ -299,7 +305,9 @@
         handle = self._detach_closed(connection)
         if handle >= 0:
             address = connection.pool.address
-            log.say("reset", f"{address} broke a connection with an attempt in flight", address=address)
+            log.emit_rate_limited(
+                LogKind.RESET, f"{address} broke a connection with an attempt in flight", address=address
+            )
             self._end(handle, AttemptResult(status))
 
     def _detach_closed(self, connection: Connection) -> int:
@@ -328,13 +336,12 @@
             connection.attempt_handle = NO_ATTEMPT
             self._close(connection)
             self._detach_flows(connection)
-        elif pool := self._pools_by_id.get(attempt.order.backend):
+        elif pool := self._pools_by_id.get(attempt.spec.backend):
             pool.waiting.remove(handle)
         self._end(handle, AttemptResult(status))
 
     def _end(self, handle: int, result: AttemptResult) -> None:
         attempt = self._attempts.remove(handle)
         if attempt is not None:
-            if attempt.deadline_entry:
-                self._deadlines.cancel(attempt.deadline_entry)
+            self._deadlines.cancel(attempt.timeout_call)
             attempt.result_deferred.callback(result)
--- a/thymeflow/backends/connections.py
+++ b/thymeflow/backends/connections.py
@@ -8,6 +8,7 @@
 from thymeflow.core.types import AttemptResult
 from thymeflow.decision.types import Status
 from thymeflow.runtime import clock, log
+from thymeflow.runtime.log_kinds import LogKind
 from thymeflow.transport import resp
 from thymeflow.transport.connections import Link
 from thymeflow.transport.flow import Flow
@@ -113,7 +114,7 @@
         # What follows is a duplicate or noise: the next attempt on this connection would be given it as its reply.
         is_clean = not trailing and not fault and not self._parser.buffered_bytes()
         if not is_clean:
-            log.say("backend reply malformed", f"{self.pool.address}: more than the answer")
+            log.emit_rate_limited(LogKind.BACKEND_REPLY_MALFORMED, f"{self.pool.address}: more than the answer")
         if is_long:
             self.flow = None
         self.owner.on_reply(self, result, is_clean and self.body is None)
@@ -134,7 +135,9 @@
 
     def on_malformed(self, fault: str) -> None:
         """Close the connection; the attempt in flight may have been executed, and its reply is unknown."""
-        log.say("backend reply malformed", f"{self.pool.address}: {fault}", address=self.pool.address)
+        log.emit_rate_limited(
+            LogKind.BACKEND_REPLY_MALFORMED, f"{self.pool.address}: {fault}", address=self.pool.address
+        )
         self.hang_up()
         self.owner.on_malformed(self)
 
--- a/thymeflow/backends/pools.py
+++ b/thymeflow/backends/pools.py
@@ -96,4 +96,4 @@
         for pool in self._pools_by_id.values():
             while pool.idle and now - pool.idle[0].last_activity_at > IDLE_FRACTION * self.limits.connection_idle:
                 self._close(pool.idle.pop(0))
-        self._deadlines.at(now + SWEEP_INTERVAL, self._sweep)
+        self._deadlines.schedule(now + SWEEP_INTERVAL, self._sweep)
--- a/thymeflow/backends/replies.py
+++ b/thymeflow/backends/replies.py
@@ -7,6 +7,7 @@
 from thymeflow.core.types import AttemptResult
 from thymeflow.decision.types import LoadReport, Status
 from thymeflow.runtime import log
+from thymeflow.runtime.log_kinds import LogKind
 from thymeflow.transport import resp
 
 MAX_FIGURE = 1e6  # larger figures are dropped: 10,000 times a quota, or 17 minutes of service time
@@ -40,7 +41,7 @@
         if isfinite(number) and 0.0 <= number <= MAX_FIGURE:
             figures[name] = number
         else:
-            log.say("bad figures", repr(text[:60]))
+            log.emit_rate_limited(LogKind.BAD_FIGURES, repr(text[:60]))
 
 
 def _build_result(status: Status, value: bytes, texts: list[bytes]) -> AttemptResult:
--- a/thymeflow/core/dispatcher.py
+++ b/thymeflow/core/dispatcher.py
@@ -33,6 +33,7 @@
 from thymeflow.decision.settings import GatewaySettings
 from thymeflow.decision.types import Status
 from thymeflow.runtime import clock, log
+from thymeflow.runtime.log_kinds import LogKind
 from thymeflow.transport.flow import Flow
 
 MAX_REQUESTS = 1 << 16
@@ -59,7 +60,7 @@
         self._is_running = False
         self._counters = RequestCounters(deadlines)
         self.response_counts = dict.fromkeys(ResponseKind, 0)  # final responses so far
-        self.upstream: AttemptRunner
+        self.backends: AttemptRunner
         self.counter: CounterClient | None = None
         self.discovery: EndpointSource | None = None
         self._action_handlers: dict[type, Callable[[Any], None]] = {
@@ -112,8 +113,8 @@
 
     def _reject_for_capacity(self, response: Deferred[Response]) -> None:
         # Rejected before the gateway, as nothing was forwarded.
-        log.say(
-            "capacity",
+        log.emit_rate_limited(
+            LogKind.CAPACITY,
             f"{len(self._requests)} requests hold {self._requests.memory_used} bytes",
             requests=len(self._requests),
             held=self._requests.memory_used,
@@ -175,10 +176,10 @@
         handler(action)
 
     def _log_unsupported(self, action: actions.Action) -> None:
-        log.say("gateway", f"{type(action).__name__} is not to be had at this site")
+        log.emit_rate_limited(LogKind.GATEWAY, f"{type(action).__name__} is not to be had at this site")
 
     def _set_timer(self, action: actions.SetTimer) -> None:
-        self._deadlines.at(clock.now() + action.delay, self._on_timer, action.token)
+        self._deadlines.schedule(clock.now() + action.delay, self._on_timer, action.token)
 
     def _on_timer(self, token: int) -> None:
         self.handle(events.TimerFired(token))
@@ -197,7 +198,7 @@
             attempt.cancel()
 
     def _close_idle_connections(self, action: actions.CloseIdleConnections) -> None:
-        self.upstream.close_idle(action.backend)
+        self.backends.close_idle(action.backend)
 
     def _fetch_endpoints(self, action: actions.FetchEndpoints) -> None:
         if self.discovery is None:
@@ -207,7 +208,7 @@
 
     @staticmethod
     def _write_log(action: actions.WriteLog) -> None:
-        log.say("gateway", action.text)
+        log.emit_rate_limited(LogKind.GATEWAY, action.text)
 
     @staticmethod
     def _subscribe_endpoints(_: actions.SubscribeEndpoints) -> None:
@@ -232,7 +233,7 @@
         pending = self._requests.find(action.id)
         now = clock.now()
         if pending is None:
-            log.say("gateway", f"attempt for {action.id}, which is over")
+            log.emit_rate_limited(LogKind.GATEWAY, f"attempt for {action.id}, which is over")
             return
         number = pending.attempt_count
         pending.attempt_count += 1
@@ -252,7 +253,7 @@
             now + action.start_within,
             pending.incoming.is_connected,
         )
-        attempt = self.upstream.start_attempt(spec)
+        attempt = self.backends.start_attempt(spec)
         pending.open_attempts[number] = attempt
         attempt.addCallback(self._on_attempt_ended, pending, number, action.backend, now)
         attempt.addErrback(self._on_attempt_fault)
@@ -329,17 +330,18 @@
 
     def _set_overdue_timer(self, handle: int, pending: PendingRequest) -> None:
         end = pending.deadline + self._settings.rules.response_grace
-        pending.overdue_timer = self._deadlines.at(end, self._on_overdue, handle)
+        pending.overdue_timer = self._deadlines.schedule(end, self._on_overdue, handle)
 
     def _cancel_overdue_timer(self, response: Response, pending: PendingRequest) -> Response:
-        if pending.overdue_timer:
-            self._deadlines.cancel(pending.overdue_timer)
+        self._deadlines.cancel(pending.overdue_timer)
         return response
 
     def _on_overdue(self, handle: int) -> None:
         # Guards the rule that each request gets one final response: the gateway should have given it.
         pending = self._requests.get(handle)
         if pending is not None and not pending.is_answered:
-            log.say("overdue", f"{pending.id} had no response from the gateway by its deadline", request=pending.id)
+            log.emit_rate_limited(
+                LogKind.OVERDUE, f"{pending.id} had no response from the gateway by its deadline", request=pending.id
+            )
             self._respond(pending, Response(ResponseKind.FAILED))
             self.handle(events.ClientDisconnected(pending.id))
--- a/thymeflow/core/request_counters.py
+++ b/thymeflow/core/request_counters.py
@@ -6,6 +6,7 @@
 from __future__ import annotations
 
 from thymeflow.runtime import clock, log
+from thymeflow.runtime.log_kinds import LogKind
 
 LOG_INTERVAL = 5.0  # s between two lines; a day of a bench is a few of them, a day in service thousands
 
@@ -30,12 +31,12 @@
         counts[name] = counts.get(name, 0) + 1
         if counts is self.rejections and not self._is_scheduled:
             self._is_scheduled = True
-            self._deadlines.at(clock.now() + LOG_INTERVAL, self._write)
+            self._deadlines.schedule(clock.now() + LOG_INTERVAL, self._write)
 
     def _write(self, _: int) -> None:
         self._is_scheduled = False
-        log.note(
-            "rejections",
+        log.emit(
+            LogKind.REJECTIONS,
             f"by reason: {_joined(self.rejections)}; attempts: {_joined(self.attempts)}",
             rejected=dict(self.rejections),
             attempts=dict(self.attempts),
--- a/thymeflow/core/types.py
+++ b/thymeflow/core/types.py
@@ -137,6 +137,6 @@
         self.open_attempts: dict[int, Deferred[AttemptResult]] = {}  # by number
         self.is_answered = False
         self.is_settled = False  # the actual units were passed on
-        self.overdue_timer: clock.Entry = []
+        self.overdue_timer = clock.NOT_SCHEDULED
         self.body_received_at = 0.0  # when a long body was complete
         self.response_latency = -1.0  # s: to the first bytes of a long response
--- a/thymeflow/counter/client.py
+++ b/thymeflow/counter/client.py
@@ -15,6 +15,7 @@
 from thymeflow.decision.types import Status
 from thymeflow.platform.endpoints import Address
 from thymeflow.runtime import clock, log
+from thymeflow.runtime.log_kinds import LogKind
 from thymeflow.transport import resp
 from thymeflow.transport.connections import Link, dial
 
@@ -36,14 +37,14 @@
 class PendingCall:
     """One call, until its reply has arrived; its result may have been reported before."""
 
-    __slots__ = ("data", "deadline_entry", "is_reported", "result_deferred", "started_at")
+    __slots__ = ("data", "is_reported", "result_deferred", "started_at", "timeout_call")
 
     def __init__(self, data: bytes, started_at: float, result_deferred: Deferred[CounterResult]) -> None:
         self.data = data
         self.started_at = started_at
         self.result_deferred = result_deferred
         self.is_reported = False
-        self.deadline_entry: clock.Entry = []
+        self.timeout_call = clock.NOT_SCHEDULED
 
 
 class CounterConnection(Link):
@@ -74,7 +75,7 @@
 
     def on_malformed(self, fault: str) -> None:
         """Close the connection, as replies can no longer be assigned to calls."""
-        log.say("counter reply malformed", fault)
+        log.emit_rate_limited(LogKind.COUNTER_REPLY_MALFORMED, fault)
         self.hang_up()
         self.on_lost()
 
@@ -111,7 +112,7 @@
         elif len(self.written) + len(self._unwritten) >= MAX_PENDING_CALLS:
             self._report(call, (Status.FULL, 0.0))  # nothing was added, as when the counter rejects a call
         else:
-            call.deadline_entry = self._deadlines.at(deadline, lambda _: self._on_deadline(call))
+            call.timeout_call = self._deadlines.schedule(deadline, lambda _: self._on_deadline(call))
             if self._connection is None:
                 self._unwritten.append(call)
             else:
@@ -131,7 +132,7 @@
     def retire(self) -> None:
         """Complete the calls in flight, up to a timeout, and close the connection."""
         self._is_retired = True
-        self._deadlines.at(clock.now() + MOVE_TIMEOUT, self._close)
+        self._deadlines.schedule(clock.now() + MOVE_TIMEOUT, self._close)
         self._close_if_retired()
 
     def _close(self, _: int) -> None:
@@ -157,7 +158,9 @@
     def _on_connect_failed(self, failure: Failure) -> None:
         self._is_dialing = False
         self._reconnect_at = clock.now() + RECONNECT_WAIT
-        log.say("counter down", f"{self._address}: {failure.getErrorMessage()}", address=self._address)
+        log.emit_rate_limited(
+            LogKind.COUNTER_DOWN, f"{self._address}: {failure.getErrorMessage()}", address=self._address
+        )
         self._fail_unwritten()
 
     def _fail_unwritten(self) -> None:
@@ -187,8 +190,8 @@
             return
         oldest = self.written[0] if self.written else call
         if self._connection is not None and now - max(self._last_reply_at, oldest.started_at) > DEAD_PEER_TIMEOUT:
-            log.say(
-                "counter unresponsive",
+            log.emit_rate_limited(
+                LogKind.COUNTER_UNRESPONSIVE,
                 f"{self._address}: no answer for {DEAD_PEER_TIMEOUT:g} s, connecting anew",
                 address=self._address,
                 waiting=len(self.written),
@@ -214,7 +217,7 @@
     def _parse_result(value: resp.Value) -> CounterResult | None:
         if isinstance(value, resp.ErrorReply):
             if value.startswith(b"ERR"):
-                log.say("counter error", repr(bytes(value)[:80]))
+                log.emit_rate_limited(LogKind.COUNTER_ERROR, repr(bytes(value)[:80]))
             return (Status.FULL, 0.0) if value.split()[:1] in ([b"BUSY"], [b"ERR"]) else None
         if not isinstance(value, bytes) or isinstance(value, resp.Simple) or not _TOTAL.fullmatch(value):
             return None
@@ -236,12 +239,11 @@
     def _report(self, call: PendingCall, result: CounterResult) -> None:
         if not call.is_reported:
             call.is_reported = True
-            if call.deadline_entry:
-                self._deadlines.cancel(call.deadline_entry)
+            self._deadlines.cancel(call.timeout_call)
             call.result_deferred.callback(result)
 
 
-class Counter:
+class CounterClient:
     """The shared counter, over a few connections."""
 
     def __init__(self, reactor: object, deadlines: clock.Deadlines, address: Address) -> None:
--- a/thymeflow/daemon/allocation.py
+++ b/thymeflow/daemon/allocation.py
@@ -11,6 +11,7 @@
 from thymeflow.leases.holder import Allocation, LeaseHolder, allocation_from_message, message_of
 from thymeflow.leases.resources import TOTAL_POINTS, Resource
 from thymeflow.runtime import clock, log
+from thymeflow.runtime.log_kinds import LogKind
 
 DEMAND_SMOOTHING = 0.7  # weight of the earlier demand at each report; reports are half a second apart
 
@@ -36,11 +37,11 @@
         assert self._holder is not None
         return self._holder.usable_amount(Resource(resource), clock.monotonic()) / TOTAL_POINTS
 
-    def report(self, core: RequestDispatcher) -> Message | None:
+    def report(self, dispatcher: RequestDispatcher) -> Message | None:
         """Return the report to the lease issuer, or None if this process has no allocation to use."""
         if self._holder is None or self._holder.is_handed_over:
             return None
-        self._update_demand(clock.now(), sum(core.response_counts.values()))
+        self._update_demand(clock.now(), sum(dispatcher.response_counts.values()))
         now = clock.monotonic()
         return {
             **message_of(self._holder.allocation),
@@ -61,7 +62,7 @@
         try:
             allocation = allocation_from_message(message)
         except ValueError as fault:
-            log.say("budgets", f"a grant that cannot be read changes nothing: {fault}")
+            log.emit_rate_limited(LogKind.BUDGETS, f"a grant that cannot be read changes nothing: {fault}")
             return str(fault)
         if self._holder is None:
             return "this process goes by the even share: it was started without a part"
@@ -74,7 +75,7 @@
     def inherit(self, message: object) -> None:
         """Apply the allocation of the predecessor, which no longer uses it."""
         if self._holder is not None and not self.on_grant(message):
-            log.note("budgets", "the part was handed on with the state")
+            log.emit(LogKind.BUDGETS, "the part was handed on with the state")
 
     def on_taken_back(self, was_used: bool) -> None:
         """Use the allocation again after the successor is gone.
@@ -94,5 +95,5 @@
     try:
         return LeaseHolder(allocation_from_message(configured))
     except ValueError as fault:
-        log.note("budgets", f"the part in the configuration is not used: {fault}; no part until one is granted")
+        log.emit(LogKind.BUDGETS, f"the part in the configuration is not used: {fault}; no part until one is granted")
         return LeaseHolder()
--- a/thymeflow/daemon/control_requests.py
+++ b/thymeflow/daemon/control_requests.py
@@ -14,6 +14,7 @@
 from thymeflow.logs.structured import LEVELS
 from thymeflow.outliers.member import ejections_from_message
 from thymeflow.runtime import clock, log
+from thymeflow.runtime.log_kinds import LogKind
 
 WATCH_INTERVAL = 0.5  # s between status updates to watching callers
 MAX_LINGER_SECONDS = 60.0
@@ -83,7 +84,7 @@
     def tick(self, _: int = 0) -> None:
         """Send the status to callers that watch, now and at every interval."""
         self.update_watchers()
-        self._service.instance.limiter.deadlines.at(clock.now() + WATCH_INTERVAL, self.tick)
+        self._service.instance.limiter.deadlines.schedule(clock.now() + WATCH_INTERVAL, self.tick)
 
     def _build_status(self) -> Message:
         return build_status(self._service.instance, self._service.sender.state)
@@ -99,7 +100,7 @@
 
     def _drain(self, caller: ControlCaller, message: Message) -> None:
         linger = _linger_from_message(message)
-        caller.send({"ok": True, "open": self._service.instance.limiter.core.open_count()})
+        caller.send({"ok": True, "open": self._service.instance.limiter.dispatcher.open_count()})
         self._service.stop(linger)
 
     def _call_operator_action(self, caller: ControlCaller, message: Message) -> None:
@@ -116,7 +117,7 @@
             fault = f"level is {str(level)[:MAX_SHOWN]!r}; it may be {', '.join(LEVELS)}"
             raise ValueError(fault)
         self._service.instance.log_handler.set_level(level)
-        log.note("level", f"{level} from now on, until a reload")
+        log.emit(LogKind.LEVEL, f"{level} from now on, until a reload")
         caller.send({"ok": True})
 
     def _write_snapshot(self, caller: ControlCaller, _: Message) -> None:
@@ -144,7 +145,7 @@
         try:
             received = ejections_from_message(message.get("verdicts"))
         except ValueError as fault:
-            log.say("overload", f"verdicts that cannot be read change nothing: {fault}")
+            log.emit_rate_limited(LogKind.OVERLOAD, f"verdicts that cannot be read change nothing: {fault}")
         else:
             ejections.on_ejections(received, clock.now(), clock.monotonic())
 
@@ -155,7 +156,7 @@
         try:
             load_shedder.on_threshold(message.get("level"), clock.now(), clock.monotonic())
         except ValueError as fault:
-            log.say("overload", f"a level that cannot be read changes nothing: {fault}")
+            log.emit_rate_limited(LogKind.OVERLOAD, f"a level that cannot be read changes nothing: {fault}")
 
     def _send_socket(self, caller: ControlCaller, _: Message) -> None:
         # A supervisor that adopts this process keeps a duplicate of the listening socket, to outlast the process.
--- a/thymeflow/daemon/handover.py
+++ b/thymeflow/daemon/handover.py
@@ -20,6 +20,7 @@
 from thymeflow.handover.state_machine import SenderState
 from thymeflow.limiter.assembly import Limiter
 from thymeflow.runtime import log
+from thymeflow.runtime.log_kinds import LogKind
 
 PASSED_DESCRIPTORS = 2  # listening socket and lock
 
@@ -114,7 +115,7 @@
 
     def abandon(self) -> None:
         """Stop at once, having accepted nothing: another process serves under this name."""
-        log.note("handover", "given up: the process that serves goes on")
+        log.emit(LogKind.HANDOVER, "given up: the process that serves goes on")
         instance = self._instance
         instance.lock = None  # the other process owns it too, and goes on owning it
         instance.exit_code = instance.exit_code or NO_HANDOVER
@@ -122,7 +123,7 @@
 
     def retreat(self) -> None:
         """Drain and stop, leaving name, socket and snapshot to the other process."""
-        log.note("handover", "the old life took everything back: this one finishes what it took")
+        log.emit(LogKind.HANDOVER, "the old life took everything back: this one finishes what it took")
         self.sender.state = SenderState.DRAINING  # name and snapshot are not ours to write
         self._instance.exit_code = NO_HANDOVER
         self.limiter.lifecycle.terminate(0.0)
--- a/thymeflow/daemon/service.py
+++ b/thymeflow/daemon/service.py
@@ -27,6 +27,7 @@
 from thymeflow.limiter.phases import Phase
 from thymeflow.platform import configuration
 from thymeflow.runtime import clock, log
+from thymeflow.runtime.log_kinds import LogKind
 from thymeflow.settings import Settings, SettingsError
 from thymeflow.snapshot import schema
 
@@ -82,20 +83,20 @@
         self._listen(activation_sockets)
         self.instance.limiter.connect(clock.now() + FIRST_LIST_TIMEOUT)
         for unused in activation_sockets[1:]:
-            log.note("sockets", f"{unused.getsockname()} was handed in and is not used")
+            log.emit(LogKind.SOCKETS, f"{unused.getsockname()} was handed in and is not used")
             unused.close()
 
     def _log_start(self) -> None:
         instance = self.instance
         instance.log_handler.install()
-        log.note(
-            "start",
+        log.emit(
+            LogKind.START,
             f"life {instance.incarnation} of {instance.name}, pid {os.getpid()}",
             joins=self._options.joins,
             take_over=self._options.take_over,
         )
         if instance.notifier.fault:
-            log.note("notify", instance.notifier.fault)
+            log.emit(LogKind.NOTIFY, instance.notifier.fault)
 
     def _make_folder(self) -> None:
         folder = self.instance.folder
@@ -165,7 +166,7 @@
         instance = self.instance
         if phase is Phase.SERVING:
             start_seconds = clock.now() - instance.started_at
-            log.note("ready", f"{start_seconds:.3f} s after the start", seconds=round(start_seconds, 3))
+            log.emit(LogKind.READY, f"{start_seconds:.3f} s after the start", seconds=round(start_seconds, 3))
             instance.notifier.notify(ready=1, mainpid=os.getpid(), status=f"{instance.name} serves")
         elif phase is Phase.DRAINING:
             instance.notifier.notify(stopping=1, status=f"{instance.name} finishes what it took")
@@ -206,7 +207,7 @@
             settings = self._read_settings()
         except SettingsError as fault:
             message = f"our settings stay as they are: {' | '.join(map(str, fault.faults))}"
-            log.note("reload", message)
+            log.emit(LogKind.RELOAD, message)
             return message
         instance.settings = replace(instance.settings, log=settings.log, snapshot=settings.snapshot)
         instance.log_handler.set_level(settings.log.level)
@@ -215,7 +216,7 @@
     def _write_snapshot_at_interval(self, _: int) -> None:
         instance = self.instance
         snapshot_settings = instance.settings.snapshot
-        instance.limiter.deadlines.at(clock.now() + snapshot_settings.every, self._write_snapshot_at_interval)
+        instance.limiter.deadlines.schedule(clock.now() + snapshot_settings.every, self._write_snapshot_at_interval)
         if snapshot_settings.keep and instance.limiter.lifecycle.phase is Phase.SERVING:
             instance.snapshots.write_now(self._handover.owns_name)
 
--- a/thymeflow/daemon/snapshot_file.py
+++ b/thymeflow/daemon/snapshot_file.py
@@ -12,6 +12,7 @@
 from thymeflow.handover.control_socket import Message
 from thymeflow.platform import endpoints
 from thymeflow.runtime import clock, log
+from thymeflow.runtime.log_kinds import LogKind
 from thymeflow.snapshot import atomic_file, schema, store
 
 
@@ -49,7 +50,7 @@
             snapshot = schema.unpack(data)
             schema.check_applicable(snapshot, site, self._name, clock.now(), max_age_seconds)
         except schema.SnapshotError as fault:
-            log.note("snapshot", f"{self.path} is not used and the start values hold: {fault}")
+            log.emit(LogKind.SNAPSHOT, f"{self.path} is not used and the start values hold: {fault}")
             return None
         return snapshot
 
@@ -70,7 +71,9 @@
             return result
         self._failure_count += 1
         fault = str(result.getErrorMessage())
-        log.say("snapshot", f"{self.path} was not written, the old one stands: {fault}", failed=self._failure_count)
+        log.emit_rate_limited(
+            LogKind.SNAPSHOT, f"{self.path} was not written, the old one stands: {fault}", failed=self._failure_count
+        )
         return fault
 
     def _write(self, snapshot: schema.Snapshot) -> str:
@@ -87,4 +90,4 @@
         try:
             self._write(self.take_snapshot(True))
         except OSError as fault:
-            log.note("snapshot", f"the last one was not written, the old one stands: {fault}")
+            log.emit(LogKind.SNAPSHOT, f"the last one was not written, the old one stands: {fault}")
--- a/thymeflow/daemon/status.py
+++ b/thymeflow/daemon/status.py
@@ -39,9 +39,9 @@
             "other": len(backends) - len(ready),
             "ejected": sum(not backend.is_healthy("", now) for backend in ready),
         },
-        "open": limiter.core.open_count(),
+        "open": limiter.dispatcher.open_count(),
         "user_agents": len(limiter.frontend.clients),
-        "answers": {kind.value: count for kind, count in limiter.core.response_counts.items()},
+        "answers": {kind.value: count for kind, count in limiter.dispatcher.response_counts.items()},
         "customers": len(gateway.buckets),
         "pressure": round(gateway.pressure, 3),
         "counter_heard_s": round(now - gateway.last_gossip_at, 3) if gateway.last_gossip_at > 0 else None,
@@ -49,5 +49,5 @@
         "hand_over": sender_state.value,
         "log_lost": instance.log_handler.file.dropped_lines,
         "evidence": None if instance.ejections is None else instance.ejections.report(now),
-        "part": instance.allocation.report(limiter.core),
+        "part": instance.allocation.report(limiter.dispatcher),
     }
--- a/thymeflow/discovery/watch.py
+++ b/thymeflow/discovery/watch.py
@@ -30,6 +30,7 @@
 from thymeflow.platform.endpoints import Address, EndpointUpdate, endpoint_update
 from thymeflow.runtime import clock, log
 from thymeflow.runtime.clock import STALL
+from thymeflow.runtime.log_kinds import LogKind
 from thymeflow.transport.connections import Stream, dial, has_unread_bytes
 
 MAX_STREAMS = 3  # open or being opened, of which the first to receive a message is kept
@@ -91,7 +92,7 @@
             self._on_ended(self, reason)
 
 
-class Discovery:
+class EndpointWatcher:
     """The endpoint list as discovery reports it: each change is passed to `on_change`."""
 
     def __init__(
@@ -121,11 +122,11 @@
         self._dialing = 0
         self._epoch = 0  # counts the addresses; what comes from an earlier one is ignored
         self._is_retry_scheduled = False
-        self._idle_entry: clock.Entry = []  # the deadline by which a message has to be received
+        self._idle_timeout_call = clock.NOT_SCHEDULED  # the deadline by which a message has to be received
 
     def start(self, by: float) -> None:
         """Begin to watch, for good; at the time `by` the known list counts if no message was received."""
-        self._deadlines.at(by, self._on_first_message_overdue)
+        self._deadlines.schedule(by, self._on_first_message_overdue)
         self._open_stream(0)
 
     def _on_first_message_overdue(self, _: int) -> None:
@@ -133,9 +134,11 @@
         if self.is_ready:
             return
         if self._deadlines.is_stalled(now):  # the message may be what waits to be read
-            self._deadlines.at(now + STALL, self._on_first_message_overdue)
+            self._deadlines.schedule(now + STALL, self._on_first_message_overdue)
             return
-        log.note("discovery", f"no word from {self._address}: the list as it was known counts", version=self._version)
+        log.emit(
+            LogKind.DISCOVERY, f"no word from {self._address}: the list as it was known counts", version=self._version
+        )
         self._set_ready()
 
     def _set_ready(self) -> None:
@@ -164,9 +167,8 @@
         self._open_stream(self._epoch)
 
     def _set_idle_deadline(self, deadline: float) -> None:
-        if self._idle_entry:
-            self._deadlines.cancel(self._idle_entry)
-        self._idle_entry = self._deadlines.at(deadline, self._on_idle, self._epoch)
+        self._deadlines.cancel(self._idle_timeout_call)
+        self._idle_timeout_call = self._deadlines.schedule(deadline, self._on_idle, self._epoch)
 
     def _open_stream(self, epoch: int) -> None:
         if epoch != self._epoch:
@@ -216,14 +218,16 @@
             self._on_broken(reason)
 
     def _on_broken(self, reason: str) -> None:
-        log.say("discovery", f"watch at {self._address} broke: {reason}", address=self._address, version=self._version)
+        log.emit_rate_limited(
+            LogKind.DISCOVERY, f"watch at {self._address} broke: {reason}", address=self._address, version=self._version
+        )
         if self._current is None:
             self._schedule_retry(self.backoff.next_wait())
 
     def _schedule_retry(self, wait: float) -> None:
         if not self._is_retry_scheduled:
             self._is_retry_scheduled = True
-            self._deadlines.at(clock.now() + wait, self._open_stream, self._epoch)
+            self._deadlines.schedule(clock.now() + wait, self._open_stream, self._epoch)
 
     def _on_idle(self, epoch: int) -> None:
         # Nothing was received for as long as a watch may be idle: another stream is opened beside the open ones.
@@ -238,8 +242,8 @@
             self._set_idle_deadline(now + self._first_message_timeout)
             return
         if current is not None:
-            log.say(
-                "discovery",
+            log.emit_rate_limited(
+                LogKind.DISCOVERY,
                 f"watch at {self._address} is silent for {self._idle_timeout:g} s",
                 address=self._address,
                 version=self._version,
@@ -283,15 +287,15 @@
         try:
             return endpoint_update(json.loads(message))
         except UNREADABLE as fault:
-            log.say("discovery", f"unreadable message: {fault!r}")
+            log.emit_rate_limited(LogKind.DISCOVERY, f"unreadable message: {fault!r}")
             return None
 
     def _apply(self, change: EndpointUpdate) -> None:
         version = change.change.version
         if version < self._version:
             # It is late, or from a replica that lags: newer changes were received already, and apply.
-            log.say(
-                "discovery",
+            log.emit_rate_limited(
+                LogKind.DISCOVERY,
                 f"generation {version} is behind {self._version}, which was told: not taken",
                 version=self._version,
             )
@@ -301,7 +305,7 @@
 
     def fetch_complete_list(self) -> None:
         """Request the complete list once, beside the watch; a failure leaves list and watch as they are."""
-        timeout_entries: list[clock.Entry] = []
+        timeout_calls: list[clock.ScheduledCall] = []
 
         def on_message(_: EndpointStream, message: bytes) -> None:
             """Apply the list."""
@@ -311,16 +315,18 @@
 
         def on_ended(_stream: EndpointStream, _reason: str) -> None:
             """Cancel the timeout."""
-            for entry in timeout_entries:
-                self._deadlines.cancel(entry)
+            for timeout_call in timeout_calls:
+                self._deadlines.cancel(timeout_call)
 
         def on_connected(stream: EndpointStream) -> None:
             """Start the timeout."""
-            timeout_entries.append(self._deadlines.at(clock.now() + POLLED_IDLE_TIMEOUT, lambda _: stream.end("late")))
+            timeout_calls.append(
+                self._deadlines.schedule(clock.now() + POLLED_IDLE_TIMEOUT, lambda _: stream.end("late"))
+            )
 
         def on_connect_failed(_: Failure) -> None:
             """Log the failure."""
-            log.say("discovery", f"no list from {self._address}")
+            log.emit_rate_limited(LogKind.DISCOVERY, f"no list from {self._address}")
 
         connected = dial(
             self._reactor,
--- a/thymeflow/fleet/actions.py
+++ b/thymeflow/fleet/actions.py
@@ -4,6 +4,8 @@
 
 from dataclasses import dataclass, field
 
+from thymeflow.runtime.log_kinds import LogKind
+
 
 @dataclass(frozen=True, slots=True)
 class StartProcess:
@@ -40,7 +42,7 @@
 class WriteLog:
     """Write a log line."""
 
-    kind: str
+    kind: LogKind
     text: str
 
 
@@ -78,7 +80,7 @@
         """Append an action."""
         self.actions.append(action)
 
-    def log(self, kind: str, text: str) -> None:
+    def log(self, kind: LogKind, text: str) -> None:
         """Append a log line."""
         self.add(WriteLog(kind, text))
 
--- a/thymeflow/fleet/adoption.py
+++ b/thymeflow/fleet/adoption.py
@@ -19,6 +19,7 @@
 from thymeflow.handover import control_client
 from thymeflow.handover.control_socket import Message
 from thymeflow.runtime import clock, log
+from thymeflow.runtime.log_kinds import LogKind
 
 
 class MemberAdopter:
@@ -55,7 +56,7 @@
         is_serving = status["phase"] == SERVING_PHASE
         actions = self._controller.handle(clock.now(), MemberAdopted(number, str(status["life"]), is_serving))
         self._processes.follow(self._controller.members[number].run_id, number, status["pid"], process)
-        log.note("adopted", f"{self._names.name(number)}, pid {status['pid']}, {status['phase']}")
+        log.emit(LogKind.ADOPTED, f"{self._names.name(number)}, pid {status['pid']}, {status['phase']}")
         self._carry_out(actions)
         return _SocketCopy(self._reactor, self._names, self._sockets, number).begin()
 
--- a/thymeflow/fleet/control_requests.py
+++ b/thymeflow/fleet/control_requests.py
@@ -11,6 +11,7 @@
 from thymeflow.fleet.member_processes import ProcessEnvironment
 from thymeflow.handover.control_socket import ControlCaller, Message
 from thymeflow.runtime import log
+from thymeflow.runtime.log_kinds import LogKind
 from thymeflow.settings.units import Count, InvalidValueError
 
 MAX_MEMBERS = 256
@@ -90,12 +91,12 @@
         if program is not None and not self._controller.describe_operation():
             self._previous_programs[operation_id] = self._environment.program
             self._environment.program = program
-        log.note("order", f"{kind.value}{f' to {wanted_count}' if kind is OperationKind.SCALE else ''}")
+        log.emit(LogKind.ORDER, f"{kind.value}{f' to {wanted_count}' if kind is OperationKind.SCALE else ''}")
         self._decide(Operation(operation_id, kind, wanted_count))
 
     def report(self, report: ReportProgress) -> None:
         """Log a report of an operation, and send it to the caller who ordered it."""
-        log.note("order", report.text, done=report.is_done, good=report.is_successful)
+        log.emit(LogKind.ORDER, report.text, done=report.is_done, good=report.is_successful)
         if report.is_done:
             self._restore_program(report)
         caller = self._callers.get(report.operation_id)
@@ -123,7 +124,7 @@
         caller.send({"ok": not error, "why": error})
 
     def _leave(self, caller: ControlCaller) -> None:
-        log.note("leave", "the supervisor ends, its members go on")
+        log.emit(LogKind.LEAVE, "the supervisor ends, its members go on")
         caller.send({"ok": True, "why": f"{len(self._controller.members)} members go on by themselves"})
         self._handlers.leave()
 
--- a/thymeflow/fleet/lease_distributor.py
+++ b/thymeflow/fleet/lease_distributor.py
@@ -11,6 +11,7 @@
 from thymeflow.leases.issuer import HolderState, LeaseIssuer, Write
 from thymeflow.leases.resources import BASE_POINTS, LEASED_POINTS, TOTAL_POINTS, Resource
 from thymeflow.runtime import clock, log
+from thymeflow.runtime.log_kinds import LogKind
 
 TICK_SECONDS = 0.25  # between divisions of the fleet's limits
 
@@ -38,9 +39,9 @@
         """Continue from the previous supervisor's table, members of which may run."""
         self._issuer, error = grant_file.read(self._path, self._fleet_name, clock.monotonic(), may_have_members)
         if error:
-            log.note("budgets", f"nothing is granted from the table of before: {error}")
-        log.note(
-            "budgets",
+            log.emit(LogKind.BUDGETS, f"nothing is granted from the table of before: {error}")
+        log.emit(
+            LogKind.BUDGETS,
             f"era {self._issuer.epoch}, {len(self._issuer.records)} members may hold parts",
             era=self._issuer.epoch,
         )
@@ -65,7 +66,7 @@
             allocation = allocation_from_message(message)
             demand = tuple(float(value) for value in message["demand"])
         except (ValueError, TypeError, KeyError) as error:
-            log.say("budgets", f"{name} says of its part what cannot be read: {error}")
+            log.emit_rate_limited(LogKind.BUDGETS, f"{name} says of its part what cannot be read: {error}")
             return
         self._issuer.on_report(name, allocation, demand, clock.monotonic())
 
@@ -119,7 +120,7 @@
             grant_file.write(self._path, self._issuer, self._fleet_name)
         except OSError as error:
             if not self.write_error:
-                log.note("budgets", f"the table is not written, so nothing new is granted: {error}")
+                log.emit(LogKind.BUDGETS, f"the table is not written, so nothing new is granted: {error}")
             self.write_error = str(error)
             return False
         self.write_error = ""
@@ -132,7 +133,7 @@
                 self._write_and_grant(action)
             else:
                 self._send_allocation(action.holder, action.allocation)
-        self._deadlines.at(clock.now() + TICK_SECONDS, self._beat)
+        self._deadlines.schedule(clock.now() + TICK_SECONDS, self._beat)
 
     def _write_and_grant(self, action: Write) -> None:
         if not self._write_table():
--- a/thymeflow/fleet/member_lifecycle.py
+++ b/thymeflow/fleet/member_lifecycle.py
@@ -12,6 +12,7 @@
 from thymeflow.fleet.events import StatusReported
 from thymeflow.fleet.member_state import NO_RUN, Member, MemberState, Transition
 from thymeflow.fleet.restart_policy import RestartPolicy
+from thymeflow.runtime.log_kinds import LogKind
 from thymeflow.settings.sections import Fleet
 
 _TIMED_STATES = (MemberState.WAITING, MemberState.STARTING, MemberState.REPLACING, MemberState.STOPPING)
@@ -73,7 +74,7 @@
             self.stop(member)
         if adopted_count:
             text = f"{adopted_count} members were running and are adopted, {len(missing)} are started"
-            self._decisions.log("fleet", text)
+            self._decisions.log(LogKind.FLEET, text)
 
     def add_joining(self, numbers: range) -> None:
         """Schedule the start of new members that join a running set."""
@@ -237,12 +238,12 @@
                 f"member {member.number} ended {crash_count} times within {self._settings.crash_window:g} s and is "
                 f"not started again before an order; the last time it {reason}"
             )
-            self._decisions.log("crash loop", text)
+            self._decisions.log(LogKind.CRASH_LOOP, text)
         else:
             member.apply(Transition.END)
             backoff = self._policy.backoff_seconds(crash_count)
             member.deadline = self._decisions.now + backoff
-            self._decisions.log("member", f"{member.number} {reason}; started again in {backoff:.2f} s")
+            self._decisions.log(LogKind.MEMBER, f"{member.number} {reason}; started again in {backoff:.2f} s")
         self._on_fault(member, f"it {reason}")
 
     # --- time ----------------------------------------------------------------------------------------------
@@ -273,6 +274,6 @@
         # A process in the middle of a disk write cannot die at once: it is killed again later, not waited for.
         if not member.is_killed:
             member.is_killed = True
-            self._decisions.log("member", f"{member.number} {reason}: killed")
+            self._decisions.log(LogKind.MEMBER, f"{member.number} {reason}: killed")
         self._decisions.add(KillProcess(member.run_id))
         member.deadline = self._decisions.now + retry_seconds
--- a/thymeflow/fleet/member_processes.py
+++ b/thymeflow/fleet/member_processes.py
@@ -26,6 +26,7 @@
 from thymeflow.handover.control_socket import Message
 from thymeflow.leases.holder import EMPTY_ALLOCATION, message_of
 from thymeflow.runtime import clock, log
+from thymeflow.runtime.log_kinds import LogKind
 from thymeflow.settings.sections import Fleet
 
 STATUS_TIMEOUT_SECONDS = 1.0  # within which a running member answers
@@ -128,7 +129,7 @@
                 listen = self._sockets.address_text(number)
                 write_member(self._names, self._environment.template, listen, number, fleet_size)
             except OSError as error:
-                log.note("resize", f"{self._names.name(number)} was not told: {error}")
+                log.emit(LogKind.RESIZE, f"{self._names.name(number)} was not told: {error}")
                 continue
             self.send_signal(member.run_id, signal.SIGHUP)
 
@@ -150,7 +151,7 @@
         if process is None:
             spawn()
             return
-        log.note("adopted", f"{self._names.name(action.number)}, pid {status['pid']}")
+        log.emit(LogKind.ADOPTED, f"{self._names.name(action.number)}, pid {status['pid']}")
         self.follow(action.run_id, action.number, status["pid"], process)
 
     def _spawn(self, action: StartProcess) -> None:
@@ -162,7 +163,7 @@
             self._reactor.callLater(0, self._decide, event)
             return
         suffix = ", to take over" if action.is_replacement else ""
-        log.note("started", f"{name}, pid {pid}{suffix}", number=action.number)
+        log.emit(LogKind.STARTED, f"{name}, pid {pid}{suffix}", number=action.number)
         self.follow(action.run_id, action.number, pid, child)
 
     def _spawn_process(self, action: StartProcess) -> tuple[ChildProcess, int]:
@@ -245,7 +246,7 @@
         if process is None:
             end_run()
             return
-        log.note("adopted", f"{self._names.name(number)}, pid {status['pid']}, which took over")
+        log.emit(LogKind.ADOPTED, f"{self._names.name(number)}, pid {status['pid']}, which took over")
         self.follow(run_id, number, status["pid"], process)
 
     def _end_run(self, run_id: int, number: int, reason: str) -> None:
--- a/thymeflow/fleet/outlier_service.py
+++ b/thymeflow/fleet/outlier_service.py
@@ -14,6 +14,7 @@
 from thymeflow.outliers.ejection import ZONE, Ejection, EjectionKey, EjectionRecord, EjectionState
 from thymeflow.outliers.messages import keys_from_message, message_of, probes_from_message, zones_from_message
 from thymeflow.runtime import clock, log
+from thymeflow.runtime.log_kinds import LogKind
 from thymeflow.shedding.threshold import AdmissionThreshold
 
 TICK_SECONDS = 0.25
@@ -65,7 +66,7 @@
                 self._threshold.on_report(name, message["pressure"], clock.monotonic())
         except (ValueError, TypeError, KeyError, AttributeError) as error:
             self._coordinator.invalid_reports += 1
-            log.say("overload", f"{name} says of servers what cannot be: {error}")
+            log.emit_rate_limited(LogKind.OVERLOAD, f"{name} says of servers what cannot be: {error}")
             return
         self._coordinator.on_endpoint_list(name, server_count, zones)
         self._coordinator.on_report(name, against, good, probes, clock.monotonic())
@@ -98,12 +99,12 @@
         for key in self._coordinator.tick(now):
             reporters = ", ".join(sorted(self._coordinator.ejections[key].reported_by))
             text = f"{_describe_key(key)} is left alone by all, on the word of {reporters}"
-            log.note("overload", text, server=key[0])
+            log.emit(LogKind.OVERLOAD, text, server=key[0])
         self._log_state_changes(previous_states)
         for name in self._coordinator.reports:
             self._send_ejections(name, now)
         self._update_level(now)
-        self._deadlines.at(clock.now() + TICK_SECONDS, self._tick)
+        self._deadlines.schedule(clock.now() + TICK_SECONDS, self._tick)
 
     def _log_state_changes(self, previous_states: dict[EjectionKey, EjectionState]) -> None:
         for key, state in previous_states.items():
@@ -111,9 +112,9 @@
             if ejected is None and self._coordinator.is_covered_by_zone(key):
                 continue  # the ejection of its zone has replaced it, and is logged
             if ejected is None:
-                log.note("overload", f"{_describe_key(key)} is back with all", server=key[0])
+                log.emit(LogKind.OVERLOAD, f"{_describe_key(key)} is back with all", server=key[0])
             elif ejected.state is not state:
-                log.note("overload", f"{_describe_key(key)} is {ejected.state.value}", server=key[0])
+                log.emit(LogKind.OVERLOAD, f"{_describe_key(key)} is {ejected.state.value}", server=key[0])
 
     def _send_ejections(self, name: str, now: float) -> None:
         # Compared without their ends, which move with every tick.
@@ -128,14 +129,16 @@
         previous_level = round(self._threshold.value, 3)  # as it was sent: one that rounds to 0 began no shedding
         level = round(self._threshold.tick(now), 3)
         if (level > 0.0) != (previous_level > 0.0):
-            log.note(
-                "overload",
+            log.emit(
+                LogKind.OVERLOAD,
                 f"shedding by order {'begins' if level else 'is over'}: the back end's pressure is "
                 f"{self._threshold.pressure:.2f} at the middle one of {len(self._threshold.reports)} members",
                 level=level,
             )
         elif level:
-            log.say("overload", f"shedding what stands under {level:.2f} of the order, everywhere", level=level)
+            log.emit_rate_limited(
+                LogKind.OVERLOAD, f"shedding what stands under {level:.2f} of the order, everywhere", level=level
+            )
         for name in self._threshold.reports:
             self._send_level(name, level, now)
 
--- a/thymeflow/fleet/processes.py
+++ b/thymeflow/fleet/processes.py
@@ -84,7 +84,7 @@
 
     def _schedule_connect(self) -> None:
         if not self.is_ended:
-            self._deadlines.at(clock.now() + CONNECT_RETRY_SECONDS, self.connect)
+            self._deadlines.schedule(clock.now() + CONNECT_RETRY_SECONDS, self.connect)
 
     def _handle_connect(self, session: control_client.ControlSession) -> None:
         self._session = session
--- a/thymeflow/fleet/rollout.py
+++ b/thymeflow/fleet/rollout.py
@@ -14,6 +14,7 @@
 from thymeflow.fleet.events import Operation, OperationKind
 from thymeflow.fleet.member_lifecycle import MemberLifecycle
 from thymeflow.fleet.member_state import Member, MemberState
+from thymeflow.runtime.log_kinds import LogKind
 from thymeflow.settings.sections import Fleet
 
 NO_MEMBER = -1  # in place of a member's number
@@ -209,7 +210,7 @@
 
     def _fail_roll(self, progress: OperationProgress) -> None:
         untouched = ", ".join(str(number) for number in progress.queue)
-        self._decisions.log("roll", f"{progress.operation.kind.value} stopped: {progress.failure}")
+        self._decisions.log(LogKind.ROLL, f"{progress.operation.kind.value} stopped: {progress.failure}")
         self._abort(f"stopped: {progress.failure}; not touched: {untouched or 'none'}")
 
     def _roll_next(self, progress: OperationProgress) -> None:
--- a/thymeflow/fleet/supervisor.py
+++ b/thymeflow/fleet/supervisor.py
@@ -47,6 +47,7 @@
 from thymeflow.logs.structured import StructuredLog
 from thymeflow.platform import configuration
 from thymeflow.runtime import clock, log
+from thymeflow.runtime.log_kinds import LogKind
 from thymeflow.settings import SettingsError
 
 EXIT_DELAY_SECONDS = 0.1  # in which the last answer leaves
@@ -67,7 +68,7 @@
         self._controller = FleetController(self._fleet, random.Random(os.urandom(8)))
         self._log = StructuredLog(self.settings.log, "fleet", os.urandom(4).hex())
         self._notifier = Notifier(os.environ)
-        self._tick_timer: clock.Entry | None = None
+        self._tick_timer = clock.NOT_SCHEDULED
         self._written_registry = b""
         self._lock: NameLock
         self._control: ControlServer
@@ -153,12 +154,12 @@
         try:
             previous = registry.read_registry(self._names.supervisor_path("json"))
         except RegistryError as error:
-            log.note("registry", f"not used, the settings hold: {error}")
+            log.emit(LogKind.REGISTRY, f"not used, the settings hold: {error}")
             return None
         if previous is not None:
             self._sockets.ports = dict(previous.ports)
             if previous.working:
-                log.note("roll", f"{previous.working}, when the last supervisor ended; it is not gone on with")
+                log.emit(LogKind.ROLL, f"{previous.working}, when the last supervisor ended; it is not gone on with")
         return previous
 
     def _begin(self, adoptions: list[tuple[bool, int | None]], previous: registry.MemberRegistry | None) -> None:
@@ -210,7 +211,7 @@
             case ResizeFleet(size):
                 self._processes.resize(self._controller.members, size)
             case WriteLog(kind, text):
-                log.note(kind, text)
+                log.emit(kind, text)
             case ReportProgress():
                 self._requests.report(action)
             case Exit():
@@ -227,15 +228,13 @@
         try:
             registry.write_registry(self._names.supervisor_path("json"), current)
         except OSError as error:
-            log.say("registry", f"not written: {error}")
+            log.emit_rate_limited(LogKind.REGISTRY, f"not written: {error}")
 
     def _set_tick_timer(self) -> None:
-        if self._tick_timer is not None:
-            self._deadlines.cancel(self._tick_timer)
-            self._tick_timer = None
+        self._deadlines.cancel(self._tick_timer)
         deadline = self._controller.next_deadline()
         if deadline < inf:
-            self._tick_timer = self._deadlines.at(max(deadline, clock.now()), self._on_tick_timer)
+            self._tick_timer = self._deadlines.schedule(max(deadline, clock.now()), self._on_tick_timer)
 
     def _on_tick_timer(self, _: int) -> None:
         self._decide(Tick())
@@ -255,12 +254,12 @@
             template = registry.read_template(self._options.platform_path)
         except (SettingsError, configuration.ConfigurationError) as error:
             reason = f"the old settings stay: {' | '.join(str(error).splitlines())}"
-            log.note("reload", reason)
+            log.emit(LogKind.RELOAD, reason)
             return reason
         self._environment.template = template
         self._log.set_level(settings.log.level)
         self._processes.resize(self._controller.members, self._controller.fleet_size)
-        log.note("reload", "passed on to every member")
+        log.emit(LogKind.RELOAD, "passed on to every member")
         return ""
 
     # --- status --------------------------------------------------------------------------------------------
--- a/thymeflow/frontend/client_connection.py
+++ b/thymeflow/frontend/client_connection.py
@@ -15,6 +15,7 @@
 from thymeflow.core.types import IncomingRequest, Response
 from thymeflow.frontend.pipeline import PipelineSlot, ResponsePipeline, encode_response
 from thymeflow.runtime import clock, log
+from thymeflow.runtime.log_kinds import LogKind
 from thymeflow.transport import resp
 from thymeflow.transport.commands import QUERY, SUBMIT, CallError
 from thymeflow.transport.connections import has_unread_bytes
@@ -148,7 +149,7 @@
             self._is_body_blocked = False
             if slot.request is not None:
                 body.deadline = self._arrived_at + slot.request.remaining
-                self._front.core.body_received(slot.request.id, body.deadline)
+                self._front.dispatcher.body_received(slot.request.id, body.deadline)
             self._idle_since = self._last_activity_at
             body.finish()
 
@@ -172,7 +173,7 @@
 
     def _on_malformed_input(self, fault: str) -> None:
         # Where the next command begins is not known any more: one error line, then the end.
-        log.say("client command malformed", fault)
+        log.emit_rate_limited(LogKind.CLIENT_COMMAND_MALFORMED, fault)
         self._fail_body()
         self._front.on_input_buffered(-self._parser.buffered_bytes())
         self._parser = resp.Parser()
@@ -254,13 +255,13 @@
             self._reply(resp.error_reply(f"ERR unknown command '{name[:32].decode('ascii', 'replace')}'"))
 
     def _submit_request(self, words: list[bytes], body: Flow | None = None) -> None:
-        core = self._front.core
+        dispatcher = self._front.dispatcher
         try:
             call, request = self._front.reader.read(words)
-            if core.is_open(request.id):
+            if dispatcher.is_open(request.id):
                 raise CallError("that id is in hand")  # noqa: EM101, TRY301  # one handler for all refused commands
         except CallError as fault:
-            log.say("client command invalid", str(fault))
+            log.emit_rate_limited(LogKind.CLIENT_COMMAND_INVALID, str(fault))
             self._reply(resp.error_reply(f"ERR {fault}"))
             return
         slot = PipelineSlot(None, request, body)
@@ -276,7 +277,7 @@
             # Its time runs from when it reached this machine: what a stall took of it is gone, as is what comes
             # after the end of a process that is shutting down.
             request = request._replace(remaining=deadline - self._last_activity_at)
-        slot.response_deferred = core.submit(IncomingRequest(request, deadline, call, size, self.is_present))
+        slot.response_deferred = dispatcher.submit(IncomingRequest(request, deadline, call, size, self.is_present))
         slot.response_deferred.addCallbacks(self._answered, lambda _: None, callbackArgs=(slot,))
 
     def _answered(self, response: Response, slot: PipelineSlot, /) -> None:
@@ -290,8 +291,8 @@
         if self._front.pending_response_bytes > self._front.max_pending_response_bytes:
             # Guards the memory limit, past which the whole limiter would be killed: one client that
             # pipelines behind its own slow request, or takes no responses, is disconnected instead.
-            log.say(
-                "backlog",
+            log.emit_rate_limited(
+                LogKind.BACKLOG,
                 f"{self._front.pending_response_bytes} bytes of answers are held; a connection was closed",
                 held=self._front.pending_response_bytes,
             )
--- a/thymeflow/frontend/frontend.py
+++ b/thymeflow/frontend/frontend.py
@@ -15,6 +15,7 @@
 from thymeflow.frontend.client_connection import ClientConnection as ClientConnection
 from thymeflow.frontend.pipeline import PipelineSlot as PipelineSlot
 from thymeflow.runtime import clock, log
+from thymeflow.runtime.log_kinds import LogKind
 from thymeflow.runtime.slot_table import SlotTable
 from thymeflow.transport.commands import CallReader
 from thymeflow.transport.connections import has_unread_bytes
@@ -33,14 +34,14 @@
 
     def __init__(
         self,
-        core: RequestDispatcher,
+        dispatcher: RequestDispatcher,
         settings: GatewaySettings,
         deadlines: clock.Deadlines,
         max_clients: int,
         max_pending_response_bytes: int,
         max_unfinished_input_bytes: int,
     ) -> None:
-        self.core = core
+        self.dispatcher = dispatcher
         self.reader = CallReader(settings)
         self.deadlines = deadlines
         self.pending_response_bytes = 0  # of responses not taken yet
@@ -67,8 +68,8 @@
         if self.clients.is_full():
             candidate = self._eviction_candidate(clock.now())
             if candidate is None or self.evicting_count >= MAX_EVICTING:
-                log.say(
-                    "clients",
+                log.emit_rate_limited(
+                    LogKind.CLIENTS,
                     f"all {len(self.clients)} connections are in use; a new one was closed",
                     connections=len(self.clients),
                 )
@@ -102,8 +103,9 @@
         """Count bytes of incomplete commands; guards the memory limit against many that are never completed."""
         self._unfinished_input_bytes += change
         if change > 0 and self._unfinished_input_bytes > self._max_unfinished_input_bytes:
-            log.say(
-                "input", f"{self._unfinished_input_bytes} bytes of unfinished commands are held; the longest was let go"
+            log.emit_rate_limited(
+                LogKind.INPUT,
+                f"{self._unfinished_input_bytes} bytes of unfinished commands are held; the longest was let go",
             )
             max(self.clients.items(), key=ClientConnection.input_backlog).evict()
 
@@ -115,7 +117,7 @@
         idle_timeout = CROWDED_IDLE_TIMEOUT if is_crowded else IDLE_TIMEOUT
         for connection in self.clients.items():
             connection.enforce_timeouts(now, idle_timeout)
-        self.deadlines.at(now + SWEEP_INTERVAL, self._sweep)
+        self.deadlines.schedule(now + SWEEP_INTERVAL, self._sweep)
 
     def close(self) -> None:
         """Accept nothing more, and drain all connections."""
@@ -134,7 +136,7 @@
         for connection in self.clients.items():
             # Who has just connected has a request on its way: a close that crosses it would lose it.
             if connection.is_awaiting_first_command(now):
-                self.deadlines.at(now + DRAIN_GRACE, self._on_drain_grace_over, connection.handle)
+                self.deadlines.schedule(now + DRAIN_GRACE, self._on_drain_grace_over, connection.handle)
             else:
                 self._finish(connection)
 
--- a/thymeflow/frontend/pipeline.py
+++ b/thymeflow/frontend/pipeline.py
@@ -12,6 +12,7 @@
 from thymeflow.core.types import Response, ResponseKind
 from thymeflow.decision.events import RequestReceived
 from thymeflow.runtime import clock, log
+from thymeflow.runtime.log_kinds import LogKind
 from thymeflow.transport import resp
 from thymeflow.transport.connections import Stream
 from thymeflow.transport.flow import Flow
@@ -127,7 +128,9 @@
 
     def on_broken(self) -> None:
         """Close the connection: that tells the client that the value is incomplete."""
-        log.say("cut short", "a long answer broke off on its way; the user agent's connection was closed")
+        log.emit_rate_limited(
+            LogKind.CUT_SHORT, "a long answer broke off on its way; the user agent's connection was closed"
+        )
         self._is_closing = True
         self._cancel_slots()
         self._close_write_side()
--- a/thymeflow/handover/control_client.py
+++ b/thymeflow/handover/control_client.py
@@ -100,7 +100,7 @@
         self._message = message
         self._on_intermediate = on_intermediate
         self._session: ControlSession | None = None
-        self._timer = deadlines.at(deadline, self._on_timeout)
+        self._timer = deadlines.schedule(deadline, self._on_timeout)
 
     def on_connected(self, session: ControlSession) -> None:
         """Send the request, unless it has ended already."""
--- a/thymeflow/handover/control_socket.py
+++ b/thymeflow/handover/control_socket.py
@@ -258,7 +258,7 @@
         if not self._is_check_scheduled:
             self._is_check_scheduled = True
             interval = self._timeout_seconds / OVERDUE_CHECKS_PER_TIMEOUT
-            self._deadlines.at(clock.now() + interval, self._disconnect_overdue_callers)
+            self._deadlines.schedule(clock.now() + interval, self._disconnect_overdue_callers)
 
     def _disconnect_overdue_callers(self, _: int) -> None:
         self._is_check_scheduled = False
--- a/thymeflow/handover/participant.py
+++ b/thymeflow/handover/participant.py
@@ -66,4 +66,4 @@
 
 def count_open_connections(limiter: Limiter) -> int:
     """Return how many descriptors a limiter uses for connections of clients and to backends."""
-    return len(limiter.frontend.clients) + limiter.upstream.open_connections
+    return len(limiter.frontend.clients) + limiter.backends.open_connections
--- a/thymeflow/handover/receiver.py
+++ b/thymeflow/handover/receiver.py
@@ -18,6 +18,7 @@
 from thymeflow.handover.state_machine import ReceiverAction, ReceiverEvent, ReceiverState, advance_receiver
 from thymeflow.handover.step_timer import StepTimer
 from thymeflow.runtime import clock, log
+from thymeflow.runtime.log_kinds import LogKind
 from thymeflow.snapshot import schema
 from thymeflow.snapshot.late_charges import charge_late
 
@@ -93,7 +94,7 @@
         elif previous is not self.state:
             self._restart_step_timer()
         if self.state is ReceiverState.FAILED and previous is not self.state:
-            log.note("handover", f"came to no end ({previous.value}, {event.value})")
+            log.emit(LogKind.HANDOVER, f"came to no end ({previous.value}, {event.value})")
         for action in actions:
             self._actions[action]()
 
@@ -110,7 +111,7 @@
             self._send_request(session)
 
     def _send_request(self, session: control_client.ControlSession) -> None:
-        log.note("handover", f"asked for, at {self._path}")
+        log.emit(LogKind.HANDOVER, f"asked for, at {self._path}")
         session.send(
             {
                 "do": "take",
@@ -121,7 +122,7 @@
         )
 
     def _give_up(self, cause: str) -> None:
-        log.note("handover", cause)
+        log.emit(LogKind.HANDOVER, cause)
         self.step(ReceiverEvent.ABORTED)
 
     def _on_message(self, message: Message) -> None:
@@ -193,7 +194,7 @@
             self._participant.inherit_allocation(self._allocation)
         fault = self._participant.accept(self._listening_socket)
         if fault:
-            log.note("handover", fault)
+            log.emit(LogKind.HANDOVER, fault)
             self.state = ReceiverState.FAILED
             self._connection().close()  # on which the sender accepts again
             self._abandon()
@@ -202,17 +203,17 @@
 
     def _complete(self) -> None:
         name = self._participant.limiter.configuration.name
-        log.note("handover", f"done: this life holds name, socket and state of {name}")
+        log.emit(LogKind.HANDOVER, f"done: this life holds name, socket and state of {name}")
 
     def _charge_late(self, value: object) -> None:
         try:
             charges = _parse_late_charges(value)
         except (ValueError, TypeError, AttributeError):
-            log.note("handover", "late charges that cannot be read; none of them is taken")
+            log.emit(LogKind.HANDOVER, "late charges that cannot be read; none of them is taken")
             return
         charges = {customer_id: units for customer_id, units in charges.items() if abs(units) < MAX_LATE_UNITS}
         charged = charge_late(self._participant.limiter.gateway, charges)
-        log.note("handover", f"{charged} of {len(charges)} customers charged for what came after the state")
+        log.emit(LogKind.HANDOVER, f"{charged} of {len(charges)} customers charged for what came after the state")
 
     def _abandon(self) -> None:
         if self._listening_socket is not None:
--- a/thymeflow/handover/sender.py
+++ b/thymeflow/handover/sender.py
@@ -16,6 +16,7 @@
 from thymeflow.handover.step_timer import StepTimer
 from thymeflow.limiter.phases import Phase
 from thymeflow.runtime import clock, log
+from thymeflow.runtime.log_kinds import LogKind
 from thymeflow.snapshot import schema
 from thymeflow.snapshot.late_charges import LateCharges
 
@@ -95,7 +96,7 @@
         caller.on_disconnected = self._on_disconnected
         incarnation = str(message.get("life"))[:MAX_LOGGED_INCARNATION_LENGTH]
         pid = str(message.get("pid"))[:MAX_LOGGED_PID_LENGTH]
-        log.note("handover", f"to life {incarnation}, pid {pid}")
+        log.emit(LogKind.HANDOVER, f"to life {incarnation}, pid {pid}")
         self.step(SenderEvent.REQUESTED)
 
     def _find_rejection(self, message: Message) -> str | None:
@@ -123,7 +124,7 @@
         if self.state is SenderState.SERVING:
             self._step_timer.cancel()
             if previous is not self.state:
-                log.note("handover", f"came to no end ({previous.value}, {event.value}): this life serves on")
+                log.emit(LogKind.HANDOVER, f"came to no end ({previous.value}, {event.value}): this life serves on")
         elif previous is not self.state:
             self._step_timer.start(clock.now() + self._state_timeout(), self._on_timeout)
         is_rollback = previous is SenderState.DELEGATED and SenderAction.RESUME in actions
@@ -150,7 +151,7 @@
         limiter = self._participant.limiter
         limiter.lifecycle.port.stopReading()  # new connections wait in the kernel's queue
         if limiter.counter is not None:
-            limiter.core.counter = RejectingCounter()
+            limiter.dispatcher.counter = RejectingCounter()
         state = schema.pack(self._participant.snapshots.take_snapshot(True))
         self._late_charges = LateCharges(limiter.gateway, clock.now())
         limiter.lifecycle.on_stopping = self._send_late_charges
@@ -179,9 +180,9 @@
         self._send({"draining": True})
 
     def _delegate(self) -> None:
-        log.note("handover", "done: the next life accepts, this one finishes what it took")
+        log.emit(LogKind.HANDOVER, "done: the next life accepts, this one finishes what it took")
         self._confirm_delegation()
-        self._participant.limiter.on_handed_over(True)
+        self._participant.limiter.on_handover_changed(True)
         self._report_open_connections()
 
     def _report_open_connections(self, _: int = 0) -> None:
@@ -189,7 +190,7 @@
             limiter = self._participant.limiter
             self._send({"held": count_open_connections(limiter)})
             next_at = clock.now() + CONNECTION_REPORT_INTERVAL_SECONDS
-            limiter.deadlines.at(next_at, self._report_open_connections)
+            limiter.deadlines.schedule(next_at, self._report_open_connections)
 
     def _drain(self) -> None:
         self._participant.limiter.lifecycle.terminate(0.0)
@@ -215,8 +216,8 @@
         self._is_accept_permitted = False
         limiter.lifecycle.on_stopping = _no_last_messages
         if limiter.counter is not None:
-            limiter.core.counter = limiter.counter
-        limiter.on_handed_over(False)
+            limiter.dispatcher.counter = limiter.counter
+        limiter.on_handover_changed(False)
         self._participant.on_resumed()
 
     def _disconnect_receiver(self) -> None:
--- a/thymeflow/handover/step_timer.py
+++ b/thymeflow/handover/step_timer.py
@@ -13,14 +13,13 @@
 
     def __init__(self, participant: HandoverParticipant) -> None:
         self._participant = participant
-        self._entry: clock.Entry = []
+        self._timeout_call = clock.NOT_SCHEDULED
 
     def start(self, deadline: float, on_timeout: Callable[[], None]) -> None:
         """Begin a step that has to end before `deadline`, in Unix seconds; replaces the step before."""
         self.cancel()
-        self._entry = self._participant.limiter.deadlines.at(deadline, lambda _: on_timeout())
+        self._timeout_call = self._participant.limiter.deadlines.schedule(deadline, lambda _: on_timeout())
 
     def cancel(self) -> None:
         """End the current step, if there is one."""
-        if self._entry:
-            self._participant.limiter.deadlines.cancel(self._entry)
+        self._participant.limiter.deadlines.cancel(self._timeout_call)
--- a/thymeflow/handover/upgradable_limiter.py
+++ b/thymeflow/handover/upgradable_limiter.py
@@ -25,6 +25,7 @@
 from thymeflow.limiter.phases import Phase
 from thymeflow.platform import configuration
 from thymeflow.runtime import clock, log
+from thymeflow.runtime.log_kinds import LogKind
 from thymeflow.snapshot.store import SnapshotStore
 
 MAX_CALLERS = 4  # at the control socket: a successor, and some that should not be there
@@ -104,7 +105,7 @@
         try:
             control.listen()
         except (ControlError, OSError, ValueError) as fault:  # where Unix sockets are forbidden, all else works
-            log.note("handover", f"no successor can take over from this life: {fault}")
+            log.emit(LogKind.HANDOVER, f"no successor can take over from this life: {fault}")
             return
         self._control = control
         limiter.lifecycle.on_phase = self._on_phase
@@ -165,12 +166,12 @@
         if self._is_ending:
             self.limiter.reactor.callWhenRunning(self.limiter.reactor.stop)
         else:
-            log.note("handover", "given up: this life starts by itself")
+            log.emit(LogKind.HANDOVER, "given up: this life starts by itself")
             self._start_without_predecessor()
 
     def retreat(self) -> None:
         """Continue to serve: the old copy is gone, or serves as well."""
-        log.note("handover", "the earlier life ended before its last word: this one serves on")
+        log.emit(LogKind.HANDOVER, "the earlier life ended before its last word: this one serves on")
 
 
 def _socket_path(name: str) -> Path | None:
--- a/thymeflow/limiter/assembly.py
+++ b/thymeflow/limiter/assembly.py
@@ -8,20 +8,21 @@
 
 from thymeflow.backends.backends import BackendConnections
 from thymeflow.core.dispatcher import RequestDispatcher
-from thymeflow.counter.client import Counter
+from thymeflow.counter.client import CounterClient
 from thymeflow.decision.factory import create_gateway
 from thymeflow.decision.gateway import Gateway
 from thymeflow.decision.gateway_state import INITIAL_FILL
 from thymeflow.decision.settings import DiscoveryMode, GatewaySettings
-from thymeflow.discovery.watch import FIRST_LIST_TIMEOUT, Discovery
+from thymeflow.discovery.watch import FIRST_LIST_TIMEOUT, EndpointWatcher
 from thymeflow.frontend.frontend import Frontend
 from thymeflow.frontend.listener import bind_listener, start_listening
 from thymeflow.limiter.lifecycle import TERMINATION_LINGER, Lifecycle
-from thymeflow.limiter.management import MAX_CALLERS, Management
+from thymeflow.limiter.management import MAX_CALLERS, ManagementServer
 from thymeflow.limiter.phases import Phase
 from thymeflow.limiter.reload import Reload
 from thymeflow.platform import configuration, endpoints
 from thymeflow.runtime import clock, log
+from thymeflow.runtime.log_kinds import LogKind
 from thymeflow.transport.commands import CallReader
 
 CLIENT_FRACTION = 0.7  # of the descriptors: for clients; the rest is for backends
@@ -61,8 +62,8 @@
 
 
 def _log_stall(seconds: float) -> None:
-    log.say(
-        "stall",
+    log.emit_rate_limited(
+        LogKind.STALL,
         f"no turn for {seconds:.2f} s: what waited has come before it, and has less time left",
         seconds=round(seconds, 3),
     )
@@ -90,29 +91,31 @@
         self._has_queue = False  # connections may wait at it already
         budgets = self._budgets(None)
         self.gateway = gateway or make_gateway(given)
-        self.core = RequestDispatcher(settings, self.gateway, self.deadlines, budgets.request_bytes)
-        self.upstream = self.core.upstream = BackendConnections(
+        self.dispatcher = RequestDispatcher(settings, self.gateway, self.deadlines, budgets.request_bytes)
+        self.backends = self.dispatcher.backends = BackendConnections(
             reactor, self.deadlines, settings.limits, budgets.backend_connections
         )
         self.frontend = self._make_frontend(budgets)
         longest_deadline = longest_deadline_of(settings)
-        self.lifecycle = Lifecycle(self.deadlines, self.core, self.frontend, longest_deadline, reactor.stop, linger)
+        self.lifecycle = Lifecycle(
+            self.deadlines, self.dispatcher, self.frontend, longest_deadline, reactor.stop, linger
+        )
         self.on_endpoints: Callable[[endpoints.EndpointUpdate], None] = lambda _: None  # for a copy of the list
         self.on_endpoints_changed(given.endpoints)
         self.discovery = self._make_discovery()
-        self.core.discovery = self.discovery
-        self.upstream.read_endpoint_updates = self.discovery.read_pending
+        self.dispatcher.discovery = self.discovery
+        self.backends.read_endpoint_updates = self.discovery.read_pending
         self.discovery.on_ready = self.on_endpoints_ready
         self.on_endpoints_available: Callable[[], None] = lambda: None  # for other parts that wait for the list
-        self.counter: Counter | None = None
+        self.counter: CounterClient | None = None
         if given.counter is not None:
-            self.core.counter = self.counter = Counter(reactor, self.deadlines, given.counter)
+            self.dispatcher.counter = self.counter = CounterClient(reactor, self.deadlines, given.counter)
         self.reload = Reload(given, self.discovery, self.counter, self.apply_settings, load)
         self.lifecycle.on_reload = self.reload.now
 
     def _make_frontend(self, budgets: Budgets) -> Frontend:
         return Frontend(
-            self.core,
+            self.dispatcher,
             self.configuration.settings,
             self.deadlines,
             budgets.client_connections,
@@ -120,9 +123,9 @@
             budgets.unfinished_input_bytes,
         )
 
-    def _make_discovery(self) -> Discovery:
+    def _make_discovery(self) -> EndpointWatcher:
         given = self.configuration
-        return Discovery(
+        return EndpointWatcher(
             self.reactor,
             self.deadlines,
             given.discovery,
@@ -135,7 +138,7 @@
 
     def on_endpoints_changed(self, news: endpoints.EndpointUpdate) -> None:
         """Apply a change of the endpoint list."""
-        self.core.apply_endpoints(news.change, lambda: self.upstream.apply_update(news))
+        self.dispatcher.apply_endpoints(news.change, lambda: self.backends.apply_update(news))
         self.on_endpoints(news)
         if news.addresses:
             self.lifecycle.on_endpoints_known()
@@ -143,8 +146,8 @@
     def apply_settings(self, settings: GatewaySettings) -> None:
         """Apply other settings from now on; what is open keeps the rules that it was accepted under."""
         self.frontend.reader = CallReader(settings)
-        self.core.apply_settings(settings)
-        self.upstream.limits = settings.limits
+        self.dispatcher.apply_settings(settings)
+        self.backends.limits = settings.limits
         self.discovery.backoff.resize(settings.limiter_count)
         self.lifecycle.longest_deadline = max(self.lifecycle.longest_deadline, longest_deadline_of(settings))
 
@@ -166,11 +169,11 @@
         if where is not None:
             port = self.reactor.listenTCP(
                 where.port,
-                Management(self.deadlines, self.lifecycle.on_command),
+                ManagementServer(self.deadlines, self.lifecycle.on_command),
                 backlog=MAX_CALLERS,
                 interface=where.host,
             )
-            log.note("calls", f"operators may call at {where.host}:{port.getHost().port}")
+            log.emit(LogKind.CALLS, f"operators may call at {where.host}:{port.getHost().port}")
 
     def connect(self, by: float) -> None:
         """Connect to counter and discovery, once; `by`: when to go on though discovery has not answered."""
@@ -185,8 +188,8 @@
         """Share the limits with an earlier process that has so many descriptors open; None: it has ended."""
         budgets = self._budgets(descriptor_count)
         self.frontend.set_limits(budgets.client_connections, budgets.response_bytes, budgets.unfinished_input_bytes)
-        self.upstream.set_max_connections(budgets.backend_connections)
-        self.core.set_memory_limit(budgets.request_bytes)
+        self.backends.set_max_connections(budgets.backend_connections)
+        self.dispatcher.set_memory_limit(budgets.request_bytes)
 
     def _budgets(self, predecessor_descriptors: int | None) -> Budgets:
         connections = self.configuration.sockets - configuration.RESERVED_SOCKETS
@@ -204,10 +207,10 @@
             int(memory * INPUT_MEMORY_FRACTION),
         )
 
-    def on_handed_over(self, handed: bool) -> None:
+    def on_handover_changed(self, is_handed_over: bool) -> None:
         """Stop accepting, as a successor does, or accept again if it does not."""
-        self.upstream.set_resting(handed)
-        if handed:
+        self.backends.set_resting(is_handed_over)
+        if is_handed_over:
             self.lifecycle.on_handed_over()
         else:
             self.lifecycle.resume()
@@ -238,7 +241,7 @@
         try:
             start_listening(listener)
         except OSError as fault:  # another process listened in between, which had only bound it as we did
-            log.note("cannot listen", f"{self.configuration.listen}: {fault.strerror}")
+            log.emit(LogKind.CANNOT_LISTEN, f"{self.configuration.listen}: {fault.strerror}")
             self.exit_code = CANNOT_LISTEN
             self.reactor.callWhenRunning(self.reactor.stop)
             return
--- a/thymeflow/limiter/lifecycle.py
+++ b/thymeflow/limiter/lifecycle.py
@@ -11,6 +11,7 @@
 from thymeflow.limiter import phases
 from thymeflow.limiter.phases import OperatorCommand, Phase
 from thymeflow.runtime import clock, log
+from thymeflow.runtime.log_kinds import LogKind
 
 TERMINATION_LINGER = 0.7  # s after SIGTERM: clients still connect and are served, as they are not notified yet
 EVACUATION_DELAY = 0.5  # s after `evacuate`: the balancer polls every 0.1 s, and forwards for 0.2 s more
@@ -27,7 +28,7 @@
     def __init__(
         self,
         deadlines: clock.Deadlines,
-        core: RequestDispatcher,
+        dispatcher: RequestDispatcher,
         front: Frontend,
         longest_deadline: float,
         stop: Callable[[], None],
@@ -35,7 +36,7 @@
     ) -> None:
         self.phase = Phase.STARTING
         self._deadlines = deadlines
-        self._core = core
+        self._dispatcher = dispatcher
         self._front = front
         self.longest_deadline = longest_deadline
         self._stop = stop
@@ -61,12 +62,12 @@
         """Carry out an operator's command; return whether it was accepted, and the reason as text."""
         phase, is_accepted, reason = phases.apply_command(self.phase, command, self.takes_clients())
         if command is not OperatorCommand.READY:
-            log.note("call", f"{command.value}: {'yes' if is_accepted else 'no'}, {reason}")
+            log.emit(LogKind.CALL, f"{command.value}: {'yes' if is_accepted else 'no'}, {reason}")
         if phase is not self.phase:
             self._enter(phase)
             self._evacuation_count += 1
             if phase is Phase.EVACUATED:
-                self._deadlines.at(clock.now() + EVACUATION_DELAY, self._drain_evacuated, self._evacuation_count)
+                self._deadlines.schedule(clock.now() + EVACUATION_DELAY, self._drain_evacuated, self._evacuation_count)
             else:
                 self._front.resume()
         return is_accepted, reason
@@ -77,7 +78,7 @@
 
     def _enter(self, phase: Phase) -> None:
         self.phase = phase
-        log.note("phase", phase.value, phase=phase.value)
+        log.emit(LogKind.PHASE, phase.value, phase=phase.value)
         self.on_phase(phase)
 
     def on_endpoints_known(self) -> None:
@@ -90,7 +91,7 @@
         self.port = port
         host = port.getHost()
         self.listen_address = f"{host.host}:{host.port}"
-        log.note("listening", self.listen_address, port=host.port)
+        log.emit(LogKind.LISTENING, self.listen_address, port=host.port)
         self._serve_if_ready()
 
     def _serve_if_ready(self) -> None:
@@ -119,8 +120,8 @@
             awaited = min(self.longest_deadline, MAX_AWAITED_DEADLINE)
             self._front.exit_deadline = now + TERMINATION_LINGER + awaited - TERMINATION_MARGIN
             close_at = now + (self._linger if linger is None else linger)
-            self._deadlines.at(close_at, self._on_linger_over)
-            self._deadlines.at(close_at + self.longest_deadline + UNTAKEN_RESPONSE_GRACE, self._complete_shutdown)
+            self._deadlines.schedule(close_at, self._on_linger_over)
+            self._deadlines.schedule(close_at + self.longest_deadline + UNTAKEN_RESPONSE_GRACE, self._complete_shutdown)
 
     def reload_settings(self) -> None:
         """Reload (SIGHUP): harmless in every phase; while draining, requests in flight still need their counter."""
@@ -145,17 +146,17 @@
             self.port.doRead()  # accepts some of them at a time
 
     def _stop_if_idle(self) -> None:
-        if self._is_closed and not len(self._front.clients) and not self._core.open_count():
+        if self._is_closed and not len(self._front.clients) and not self._dispatcher.open_count():
             self._complete_shutdown(0)
         elif self._is_closed and not len(self._front.clients):
             # Attempts that were given up still end.
-            self._deadlines.at(clock.now() + STOP_CHECK_INTERVAL, lambda _: self._stop_if_idle())
+            self._deadlines.schedule(clock.now() + STOP_CHECK_INTERVAL, lambda _: self._stop_if_idle())
 
     def _complete_shutdown(self, _: int) -> None:
         if self.phase is not Phase.STOPPED:
             self._enter(Phase.STOPPED)
             delay = self.on_stopping()
             if delay > 0.0:
-                self._deadlines.at(clock.now() + delay, lambda _: self._stop())
+                self._deadlines.schedule(clock.now() + delay, lambda _: self._stop())
             else:
                 self._stop()
--- a/thymeflow/limiter/management.py
+++ b/thymeflow/limiter/management.py
@@ -15,6 +15,7 @@
 
 from thymeflow.limiter.phases import OperatorCommand
 from thymeflow.runtime import clock, log
+from thymeflow.runtime.log_kinds import LogKind
 from thymeflow.runtime.slot_table import SlotTable
 
 MAX_LINE = 256  # bytes of a command line; the longest command has eight
@@ -40,7 +41,7 @@
 
     transport: Any
 
-    def __init__(self, management: Management) -> None:
+    def __init__(self, management: ManagementServer) -> None:
         self._management = management
         self._buffer = b""
         self._is_answered = False
@@ -80,7 +81,7 @@
         self._management.callers.remove(self.handle)
 
 
-class Management(Factory):
+class ManagementServer(Factory):
     """The listening side."""
 
     noisy = False
@@ -94,19 +95,21 @@
         """Accept a caller; where no slot is free, close the one that has been idle for longest."""
         if self.callers.is_full():
             oldest = min(self.callers.items(), key=lambda caller: caller.active_at)
-            log.say("calls", f"all {MAX_CALLERS} places are taken; the caller that was silent for longest was closed")
+            log.emit_rate_limited(
+                LogKind.CALLS, f"all {MAX_CALLERS} places are taken; the caller that was silent for longest was closed"
+            )
             self._close(oldest.handle)
         return Caller(self)
 
     def register(self, caller: Caller) -> int:
         """Return the caller's handle in the table, with its first deadline set."""
         handle = self.callers.add(caller)
-        self._deadlines.at(clock.now() + CALLER_TIMEOUT, self._on_timeout, handle)
+        self._deadlines.schedule(clock.now() + CALLER_TIMEOUT, self._on_timeout, handle)
         return handle
 
     def expect_close(self, caller: Caller) -> None:
         """Set the deadline by which an answered caller should have closed."""
-        self._deadlines.at(clock.now() + CALLER_TIMEOUT, self._on_timeout, caller.handle)
+        self._deadlines.schedule(clock.now() + CALLER_TIMEOUT, self._on_timeout, caller.handle)
 
     def _on_timeout(self, handle: int) -> None:
         caller = self.callers.get(handle)
--- a/thymeflow/limiter/reload.py
+++ b/thymeflow/limiter/reload.py
@@ -10,11 +10,12 @@
 
 from collections.abc import Callable
 
-from thymeflow.counter.client import Counter
+from thymeflow.counter.client import CounterClient
 from thymeflow.decision.settings import GatewaySettings
-from thymeflow.discovery.watch import Discovery
+from thymeflow.discovery.watch import EndpointWatcher
 from thymeflow.platform import configuration
 from thymeflow.runtime import log
+from thymeflow.runtime.log_kinds import LogKind
 
 FIXED_UNTIL_RESTART = ("listen", "management", "sockets", "memory")
 
@@ -45,8 +46,8 @@
     def __init__(
         self,
         given: configuration.Configuration,
-        discovery: Discovery,
-        counter: Counter | None,
+        discovery: EndpointWatcher,
+        counter: CounterClient | None,
         apply_settings: Callable[[GatewaySettings], None],
         load: Callable[[], configuration.Configuration],
     ) -> None:
@@ -64,20 +65,20 @@
             configuration.check_reload(given, self._given)
         except configuration.ConfigurationError as fault:
             self.last = f"the old settings stay: {fault}"
-            log.note("reload", self.last)
+            log.emit(LogKind.RELOAD, self.last)
             return False
         before = self._given
         self._given = given
         self.last = f"discovery at {given.discovery}, counter at {given.counter or 'none'}"
-        log.note("reload", self.last)
+        log.emit(LogKind.RELOAD, self.last)
         if given.discovery != before.discovery:
             self._discovery.set_address(given.discovery)
         if self._counter is not None and given.counter is not None and given.counter != before.counter:
             self._counter.set_address(given.counter)
         if given.settings != before.settings:
-            log.note("reload", f"settings taken: {describe_differences(before.settings, given.settings)}")
+            log.emit(LogKind.RELOAD, f"settings taken: {describe_differences(before.settings, given.settings)}")
             self._apply_settings(given.settings)
         changed = [name for name in FIXED_UNTIL_RESTART if getattr(given, name) != getattr(before, name)]
         if changed:
-            log.note("reload", f"{', '.join(changed)} differ and hold from the next start")
+            log.emit(LogKind.RELOAD, f"{', '.join(changed)} differ and hold from the next start")
         return True
--- a/thymeflow/logs/structured.py
+++ b/thymeflow/logs/structured.py
@@ -123,4 +123,4 @@
         root.setLevel(logging.INFO)
         logging.getLogger("twisted").setLevel(logging.ERROR)
         PythonLoggingObserver().start()  # type: ignore[no-untyped-call]
-        log.to(self.write)
+        log.set_sink(self.write)
--- a/thymeflow/platform/endpoints.py
+++ b/thymeflow/platform/endpoints.py
@@ -10,6 +10,7 @@
 from thymeflow.decision.events import EndpointsChanged
 from thymeflow.decision.types import Backend, BackendState, EndpointListKind
 from thymeflow.runtime import log
+from thymeflow.runtime.log_kinds import LogKind
 
 BACKEND_STATES = {"active": BackendState.READY, "leaving": BackendState.DRAINING, "left": BackendState.GONE}
 PLAIN_ID = re.compile(r"s-[0-9a-f]{8}")
@@ -61,7 +62,9 @@
     state = BACKEND_STATES.get(lifecycle, BackendState.DRAINING)
     if lifecycle not in BACKEND_STATES:
         # A later discovery's state: whether the backend takes new requests is not known, so it gets none.
-        log.say("discovery", f"{entry['instanceId']}: lifecycle {lifecycle!r} is unknown, nothing new goes there")
+        log.emit_rate_limited(
+            LogKind.DISCOVERY, f"{entry['instanceId']}: lifecycle {lifecycle!r} is unknown, nothing new goes there"
+        )
     weight = float(entry.get("weight", 1.0))
     started_at_ms = float(entry.get("startedAtMs", 0))
     if not (isfinite(weight) and weight >= 0.0 and isfinite(started_at_ms)):
--- a/thymeflow/runtime/clock.py
+++ b/thymeflow/runtime/clock.py
@@ -13,7 +13,7 @@
 import heapq
 import time
 from collections.abc import Callable
-from typing import Any, Protocol
+from typing import Protocol
 
 _OFFSET = time.time() - time.monotonic()
 _MAX_CANCELLED = 256  # cancelled deadlines that stay in the heap before they are removed together
@@ -22,9 +22,21 @@
 
 STARTED_AT = time.time()  # Unix time in seconds at which this process started, after the interpreter's own start
 
-# [when, order, callback, argument]; the callback is None once it is cancelled or past. A plain list, since the heap
-# compares thousands of them in a second.
-Entry = list[Any]
+
+class ScheduledCall:
+    """A callback that `Deadlines` calls once; the handle by which it is cancelled."""
+
+    __slots__ = ("argument", "callback")
+
+    def __init__(self, callback: Callable[[int], None] | None, argument: int = 0) -> None:
+        self.callback = callback  # None once it is cancelled or past
+        self.argument = argument
+
+
+NOT_SCHEDULED = ScheduledCall(None)  # to cancel it does nothing
+
+# Time, order of scheduling, call. Times compare first, then the order, so that the heap never compares calls.
+_HeapEntry = tuple[float, int, ScheduledCall]
 
 
 class DelayedCall(Protocol):
@@ -63,7 +75,7 @@
 
     def __init__(self, reactor: TimerReactor) -> None:
         self._reactor = reactor
-        self._heap: list[Entry] = []
+        self._heap: list[_HeapEntry] = []
         self._order = 0
         self._cancelled_count = 0
         self._timer: DelayedCall | None = None
@@ -73,29 +85,29 @@
         self._settling_turns = 0
         self.on_stall: Callable[[float], None] = _ignore_stall
 
-    def at(self, when: float, callback: Callable[[int], None], argument: int = 0) -> Entry:
-        """Call back with the argument at the time `when`, and return the entry that `cancel` takes."""
+    def schedule(self, when: float, callback: Callable[[int], None], argument: int = 0) -> ScheduledCall:
+        """Call back with the argument at the time `when` (Unix seconds), and return what `cancel` takes."""
         self._order += 1
-        entry: Entry = [when, self._order, callback, argument]
-        heapq.heappush(self._heap, entry)
-        if self._heap[0] is entry:
+        call = ScheduledCall(callback, argument)
+        heapq.heappush(self._heap, (when, self._order, call))
+        if self._heap[0][2] is call:
             self._arm()
-        return entry
+        return call
 
-    def cancel(self, entry: Entry) -> None:
+    def cancel(self, call: ScheduledCall) -> None:
         """Cancel a deadline; one that is past or cancelled already is left as it is."""
-        if entry[2] is None:
+        if call.callback is None:
             return
-        entry[2] = None
+        call.callback = None
         self._cancelled_count += 1
         if self._cancelled_count > _MAX_CANCELLED and self._cancelled_count * 2 > len(self._heap):
-            self._heap = [other for other in self._heap if other[2] is not None]
+            self._heap = [entry for entry in self._heap if entry[2].callback is not None]
             heapq.heapify(self._heap)
             self._cancelled_count = 0
 
-    def _head(self) -> Entry | None:
+    def _head(self) -> _HeapEntry | None:
         heap = self._heap
-        while heap and heap[0][2] is None:
+        while heap and heap[0][2].callback is None:
             heapq.heappop(heap)
             self._cancelled_count -= 1
         return heap[0] if heap else None
@@ -119,12 +131,12 @@
         self._settling_turns = SETTLING_TURNS
         self._waiting_since = min(since, self._waiting_since) if self._waiting_since is not None else since
         if not is_settling:
-            self.at(now(), self._settle)
+            self.schedule(now(), self._settle)
 
     def _settle(self, _: int) -> None:
         self._settling_turns -= 1
         if self._settling_turns:
-            self.at(now(), self._settle)  # in the next turn
+            self.schedule(now(), self._settle)  # in the next turn
         else:
             self._waiting_since = None
 
@@ -154,13 +166,13 @@
                 self.on_stall(fired_at - head[0])
                 self.mark_waiting(head[0])
             while self._heap and self._heap[0][0] <= fired_at:
-                entry = heapq.heappop(self._heap)
-                callback = entry[2]
-                entry[2] = None
+                _, _, call = heapq.heappop(self._heap)
+                callback = call.callback
+                call.callback = None
                 if callback is None:
                     self._cancelled_count -= 1
                 else:
-                    callback(entry[3])
+                    callback(call.argument)
         finally:
             self._is_running = False
             self._arm()
--- a/thymeflow/runtime/log.py
+++ b/thymeflow/runtime/log.py
@@ -12,6 +12,7 @@
 from collections.abc import Callable
 
 from thymeflow.runtime import clock
+from thymeflow.runtime.log_kinds import LogKind
 
 MIN_INTERVAL = 1.0  # s: between two lines of one kind
 MAX_TEXT_LENGTH = 300  # characters of a line's text
@@ -23,22 +24,22 @@
 _skipped: dict[str, int] = {}  # lines left out since the last one, by kind
 
 
-def plain(kind: str, text: str, skipped: int, _: dict[str, object]) -> None:
+def write_plain(kind: str, text: str, skipped: int, _: dict[str, object]) -> None:
     """Write a line as plain text, with the standard library's logging."""
     suffix = f" ({skipped} more of this kind before)" if skipped else ""
     _log.info("%s: %s%s", kind, text, suffix)
 
 
-_sink: Sink = plain
+_sink: Sink = write_plain
 
 
-def to(sink: Sink) -> None:
+def set_sink(sink: Sink) -> None:
     """Send all lines from now on to another sink."""
     global _sink
     _sink = sink
 
 
-def say(kind: str, text: str, **fields: object) -> None:
+def emit_rate_limited(kind: LogKind, text: str, **fields: object) -> None:
     """Write `kind: text`, or count it if that kind was written less than `MIN_INTERVAL` ago."""
     now = clock.now()
     if now - _written_at.get(kind, 0.0) < MIN_INTERVAL:
@@ -48,7 +49,7 @@
     _sink(kind, " ".join(text.split())[:MAX_TEXT_LENGTH], _skipped.pop(kind, 0), fields)
 
 
-def note(kind: str, text: str, **fields: object) -> None:
+def emit(kind: LogKind, text: str, **fields: object) -> None:
     """Write `kind: text` without a limit in rate: for what happens a few times in a process."""
     _sink(kind, text, 0, fields)
 
--- a/thymeflow/snapshot/store.py
+++ b/thymeflow/snapshot/store.py
@@ -6,6 +6,7 @@
 from thymeflow.decision.types import EndpointListKind
 from thymeflow.platform import endpoints
 from thymeflow.runtime import clock, log
+from thymeflow.runtime.log_kinds import LogKind
 from thymeflow.snapshot import restore, schema
 
 
@@ -31,8 +32,8 @@
         result = restore.restore_gateway(self._gateway, snapshot, clock.now())
         self._awaiting_endpoints = snapshot
         self._source = source
-        log.note(
-            "snapshot",
+        log.emit(
+            LogKind.SNAPSHOT,
             f"{result.restored} customers remembered from the {source} of life {snapshot.life}, taken "
             f"{clock.now() - snapshot.taken:.1f} s ago{'' if snapshot.final else ' in passing'}; "
             f"{result.skipped} left out",
--- a/thymeflow/testkit/fakes/backend.py
+++ b/thymeflow/testkit/fakes/backend.py
@@ -215,7 +215,7 @@
             self._busy += 1
             crowd = 1.0 + self.thrash * len(self._waiting) / self.slots
             work = crowd * self._rng.expovariate(1.0 / self.mean)
-            self._deadlines.at(clock.now() + work, lambda _: end(work))
+            self._deadlines.schedule(clock.now() + work, lambda _: end(work))
 
         def end(work: float) -> None:
             if life != self.generation:
--- a/thymeflow/testkit/fakes/counter.py
+++ b/thymeflow/testkit/fakes/counter.py
@@ -91,7 +91,7 @@
                     break
         if any(c.calls for c in self.connections) and not self._armed:
             self._armed = True
-            self._deadlines.at(self._free_at, self._again)
+            self._deadlines.schedule(self._free_at, self._again)
 
     def _again(self, _: int) -> None:
         self._armed = False
--- a/thymeflow/testkit/fakes/discovery.py
+++ b/thymeflow/testkit/fakes/discovery.py
@@ -80,7 +80,7 @@
     def _beat(self, _: int) -> None:
         for watch in self.watches:
             watch.say(None)
-        self._deadlines.at(clock.now() + BEAT, self._beat)
+        self._deadlines.schedule(clock.now() + BEAT, self._beat)
 
     def put(self, *entries: dict[str, Any]) -> None:
         """Entries have changed; who watches is told."""
--- a/thymeflow/testkit/fakes/load_generator.py
+++ b/thymeflow/testkit/fakes/load_generator.py
@@ -155,9 +155,9 @@
             if self.stopped or self._generation[customer.number] != generation:
                 return
             self.ask(customer, self._rng.choice(classes))
-            self._deadlines.at(clock.now() + self._rng.expovariate(customer.rate), next_one)
+            self._deadlines.schedule(clock.now() + self._rng.expovariate(customer.rate), next_one)
 
-        self._deadlines.at(clock.now() + self._rng.expovariate(customer.rate), next_one)
+        self._deadlines.schedule(clock.now() + self._rng.expovariate(customer.rate), next_one)
 
     def stop(self) -> None:
         """Ask nothing more; what is open still gets its answer."""
@@ -180,7 +180,7 @@
         result = Result(f"{self._salt << 40 | self._count:016x}", customer, cls, limiter, now, now + allowed)
         self.results.append(result)
         self.open[result.id] = result
-        self._deadlines.at(result.deadline + SLACK, lambda _: self._overdue(result))
+        self._deadlines.schedule(result.deadline + SLACK, lambda _: self._overdue(result))
         self._send(result)
         return result
 
@@ -275,7 +275,7 @@
         pace = self.pace.get(connection.result.cls) if connection.result else None
         if pace:
             connection.transport.pauseProducing()
-            self._deadlines.at(clock.now() + taken / pace, lambda _: connection.transport.resumeProducing())
+            self._deadlines.schedule(clock.now() + taken / pace, lambda _: connection.transport.resumeProducing())
 
     def killed(self, limiter: int) -> None:
         """A limiter is killed outright: what is open there is lost through no fault of its own."""
--- a/thymeflow/testkit/faults/cluster.py
+++ b/thymeflow/testkit/faults/cluster.py
@@ -278,7 +278,7 @@
             self.begun = clock.now()
             self.load()
             for step in self.schedule.steps:
-                self.deadlines.at(self.begun + step.at, lambda _, step=step: self.act(step))  # type: ignore[misc]
+                self.deadlines.schedule(self.begun + step.at, lambda _, step=step: self.act(step))  # type: ignore[misc]
             while clock.now() < self.begun + self.schedule.seconds:
                 yield sleep(0.05)
             self.world.agents.stop()
--- a/thymeflow/testkit/faults/fault_modes.py
+++ b/thymeflow/testkit/faults/fault_modes.py
@@ -25,13 +25,13 @@
 
 def deaf() -> None:
     """Takes the first word of discovery and none that comes later."""
-    take = watch.Discovery._apply
+    take = watch.EndpointWatcher._apply
 
-    def once(self: watch.Discovery, change: EndpointUpdate) -> None:
+    def once(self: watch.EndpointWatcher, change: EndpointUpdate) -> None:
         if not self.is_ready:
             take(self, change)
 
-    watch.Discovery._apply = once  # type: ignore[method-assign]
+    watch.EndpointWatcher._apply = once  # type: ignore[method-assign]
 
 
 def mute() -> None:
@@ -51,12 +51,12 @@
     """Sends calls with a key to a second server as well, now and then."""
     begin, count = backends.BackendConnections.start_attempt, [0]
 
-    def twice(self: backends.BackendConnections, order: AttemptSpec) -> Deferred[AttemptResult]:
-        going = begin(self, order)
-        count[0] += isinstance(order.payload, Call) and order.payload.verb == SUBMIT
-        others = [n for n in self._pools_by_id if n != order.backend]
+    def twice(self: backends.BackendConnections, spec: AttemptSpec) -> Deferred[AttemptResult]:
+        going = begin(self, spec)
+        count[0] += isinstance(spec.payload, Call) and spec.payload.verb == SUBMIT
+        others = [n for n in self._pools_by_id if n != spec.backend]
         if others and count[0] % SOME == 1:
-            begin(self, order._replace(backend=others[0]))
+            begin(self, spec._replace(backend=others[0]))
         return going
 
     backends.BackendConnections.start_attempt = twice  # type: ignore[method-assign]
--- a/thymeflow/testkit/faults/proxy.py
+++ b/thymeflow/testkit/faults/proxy.py
@@ -135,7 +135,7 @@
             if not self.left:
                 self._block()
         if self.delay:
-            self._deadlines.at(clock.now() + self.delay, lambda _: end.other.put(data))
+            self._deadlines.schedule(clock.now() + self.delay, lambda _: end.other.put(data))
         else:
             end.other.put(data)
 
@@ -144,7 +144,7 @@
         if self._blocked(end.way):
             self._held.append((end, b""))
         elif self.delay:
-            self._deadlines.at(clock.now() + self.delay, lambda _: self._end(end.other))
+            self._deadlines.schedule(clock.now() + self.delay, lambda _: self._end(end.other))
         else:
             self._end(end.other)
 
--- a/thymeflow/transport/connections.py
+++ b/thymeflow/transport/connections.py
@@ -183,22 +183,22 @@
     """
     settled: Deferred[StreamT] = Deferred()
     connector = reactor.connectTCP(address.host, address.port, _SingleConnectionFactory(build, settled), timeout=None)
-    entry: clock.Entry = []
+    timeout_call = clock.NOT_SCHEDULED
 
     def give_up(_: int) -> None:
         """Stop connecting, or wait a little longer if the process itself was stalled."""
-        nonlocal entry
+        nonlocal timeout_call
         now = clock.now()
         if deadlines.is_stalled(now):
-            entry = deadlines.at(now + clock.STALL, give_up)
+            timeout_call = deadlines.schedule(now + clock.STALL, give_up)
         else:
             connector.stopConnecting()
 
-    entry = deadlines.at(deadline, give_up)
+    timeout_call = deadlines.schedule(deadline, give_up)
 
     def cancel_deadline(result: StreamT | Failure) -> StreamT | Failure:
         """Cancel the deadline, and pass the result on."""
-        deadlines.cancel(entry)
+        deadlines.cancel(timeout_call)
         return result
 
     return settled.addBoth(cancel_deadline)
