--- a/thymeflow/core/dispatcher.py
+++ b/thymeflow/core/dispatcher.py
@@ -185,7 +185,7 @@
         self.handle(events.TimerFired(token))
 
     def _reject(self, action: actions.RejectRequest) -> None:
-        self._counters.add(self._counters.rejections, action.reason)
+        self._counters.add(self._counters.rejections, action.reason.value)
         self._finish(action.id, Response(ResponseKind.REJECTED, retry_after=action.retry_after))
 
     def _fail(self, action: actions.FailRequest) -> None:
--- a/thymeflow/daemon/instance.py
+++ b/thymeflow/daemon/instance.py
@@ -11,20 +11,21 @@
 
 from thymeflow.daemon.allocation import MemberAllocation
 from thymeflow.daemon.lock import NameLock
+from thymeflow.daemon.member_bounds import MemberBounds
 from thymeflow.daemon.notify import Notifier
 from thymeflow.daemon.snapshot_file import SnapshotFile
 from thymeflow.decision.gateway import Gateway
-from thymeflow.decision.gateway_state import INITIAL_FILL
 from thymeflow.handover.control_socket import ControlError, ControlServer, MessageHandler
 from thymeflow.handover.reactor_types import UnixReactor
 from thymeflow.limiter.assembly import Limiter, make_gateway
 from thymeflow.logs.structured import StructuredLog
 from thymeflow.outliers.member import MemberEjections
 from thymeflow.platform import configuration
+from thymeflow.quota.buckets import INITIAL_FILL_FRACTION
 from thymeflow.runtime import clock
 from thymeflow.runtime.clock import TimerReactor
 from thymeflow.settings import Settings
-from thymeflow.shedding.threshold import LoadShedder
+from thymeflow.shedding.load_shedder import LoadShedder
 from thymeflow.snapshot import restore, schema
 
 
@@ -92,26 +93,26 @@
     def _build_gateway(self, initial: configuration.Configuration) -> Gateway:
         budgets = self.settings.budgets
         # Members of a fleet are on one machine, whose monotonic clock does not step as the wall clock does.
-        gateway = make_gateway(
+        return make_gateway(
             replace(initial, units=budgets.units),
-            0.0 if self._is_joining else INITIAL_FILL,
+            0.0 if self._is_joining else INITIAL_FILL_FRACTION,
             clock.monotonic() - clock.now(),
         )
-        # The keys are names of `leases.resources`, which messages between processes carry.
-        fleet_limits = {"calls": float(budgets.calls), "trials": float(budgets.trials)}
-        if budgets.connections:
-            fleet_limits["connections"] = float(budgets.connections)
-        gateway.fleet_limits = fleet_limits
-        return gateway
 
     def _connect_to_fleet(self, gateway: Gateway) -> None:
         if self.settings.overload.together:
             self.ejections = MemberEjections(gateway)
             self.load_shedder = LoadShedder(gateway)
         self.snapshots.set_gateway(gateway)
-        self.allocation.connect(gateway)
-        if self.load_shedder is not None:
-            self.load_shedder.limit_retries()
+        gateway.set_fleet_bounds(MemberBounds(self.allocation, self._fleet_limits(), self.ejections, self.load_shedder))
+
+    def _fleet_limits(self) -> dict[str, float]:
+        budgets = self.settings.budgets
+        # The keys are names of `leases.resources`, which messages between processes carry.
+        limits = {"calls": float(budgets.calls), "trials": float(budgets.trials)}
+        if budgets.connections:
+            limits["connections"] = float(budgets.connections)
+        return limits
 
     def open_control(self, handler: MessageHandler) -> str:
         """Open the control socket, if the settings want one; return the fault, or an empty string."""
--- /dev/null
+++ b/thymeflow/daemon/member_bounds.py
@@ -0,0 +1,64 @@
+"""The bounds of a fleet's member: its allocation, the fleet's limits, ejections and load shedding."""
+
+from __future__ import annotations
+
+from collections.abc import Mapping
+from math import inf
+from typing import Protocol
+
+from thymeflow.decision.settings import Plan, RequestClass
+from thymeflow.health.backend_stats import BackendStats
+from thymeflow.outliers.member import MemberEjections
+from thymeflow.shedding.load_shedder import LoadShedder
+
+
+class FractionSource(Protocol):
+    """Knows which fractions of the fleet's resources this member may use."""
+
+    def fraction(self, resource: str, even_fraction: float) -> float:
+        """Return the fraction of a resource; `even_fraction`: where nothing is allocated to this member."""
+
+
+class MemberBounds:
+    """The `FleetBounds` of a member; without ejections or a load shedder its gateway goes by its own view there."""
+
+    def __init__(
+        self,
+        allocation: FractionSource,
+        limits: Mapping[str, float],
+        ejections: MemberEjections | None = None,
+        load_shedder: LoadShedder | None = None,
+    ) -> None:
+        """`limits`: how much of a resource the complete fleet may use, by the resource's name."""
+        self._allocation = allocation
+        self._limits = limits
+        self._ejections = ejections
+        self._load_shedder = load_shedder
+
+    def fraction_of(self, resource: str, even_fraction: float) -> float:
+        """Return the allocated fraction of a resource; of retries less, the more is shed."""
+        fraction = self._allocation.fraction(resource, even_fraction)
+        if self._load_shedder is None:
+            return fraction
+        return self._load_shedder.limited_fraction(resource, fraction)
+
+    def limit_of(self, resource: str, even_fraction: float) -> float:
+        """Return how much of a resource this member may use, infinity where the fleet does not limit it."""
+        limit = self._limits.get(resource)
+        return inf if limit is None else limit * self.fraction_of(resource, even_fraction)
+
+    def filter_backends(
+        self, ready: list[BackendStats], healthy: list[BackendStats], class_name: str, now: float
+    ) -> list[BackendStats]:
+        """Return the ready backends that a class may use by the fleet's ejections."""
+        if self._ejections is None:
+            return healthy
+        return self._ejections.eligible_backends(ready, healthy, class_name, now)
+
+    def adjust_shedding(
+        self, request_class: RequestClass, plan: Plan, customer_id: int, local_fraction: float
+    ) -> float:
+        """Return the fraction of such requests to shed by the fleet's admission threshold."""
+        if self._load_shedder is None:
+            return local_fraction
+        return self._load_shedder.rejected_fraction(request_class, plan, customer_id, local_fraction)
--- a/thymeflow/daemon/status.py
+++ b/thymeflow/daemon/status.py
@@ -22,6 +22,7 @@
     gateway = limiter.gateway
     phase = limiter.lifecycle.phase
     backends = list(gateway.backends.values())
+    last_gossip_at = gateway.token_buckets.last_gossip_at
     ready = [backend for backend in backends if backend.endpoint.state is BackendState.READY]
     return {
         "name": instance.name,
@@ -43,8 +44,8 @@
         "user_agents": len(limiter.frontend.clients),
         "answers": {kind.value: count for kind, count in limiter.dispatcher.response_counts.items()},
         "customers": len(gateway.buckets),
-        "pressure": round(gateway.pressure, 3),
-        "counter_heard_s": round(now - gateway.last_gossip_at, 3) if gateway.last_gossip_at > 0 else None,
+        "pressure": round(gateway.registry.pressure, 3),
+        "counter_heard_s": round(now - last_gossip_at, 3) if last_gossip_at > 0 else None,
         "snapshot": instance.snapshots.status(),
         "hand_over": sender_state.value,
         "log_lost": instance.log_handler.file.dropped_lines,
--- a/thymeflow/decision/actions.py
+++ b/thymeflow/decision/actions.py
@@ -5,9 +5,11 @@
 from math import inf
 from typing import NamedTuple, Union
 
+from thymeflow.decision.types import RejectionReason
+
 
 class StartAttempt(NamedTuple):
-    """Start an attempt; a timeout of 0 lasts until the client gives up. It may begin `within` so many seconds."""
+    """Start an attempt, if it can start within so many seconds; a timeout of 0 lasts until the client gives up."""
 
     id: str
     backend: int
@@ -16,15 +18,15 @@
 
 
 class RejectRequest(NamedTuple):
-    """Final answer: declined, and trying again is harmless; `reason` is one of a few words for the log."""
+    """Final response: rejected without effect, so that a retry is harmless; `retry_after` is in s, 0: no advice."""
 
     id: str
+    reason: RejectionReason
     retry_after: float = 0.0
-    reason: str = ""
 
 
 class FailRequest(NamedTuple):
-    """Final answer: failed, nothing promised."""
+    """Final response: failed, and possibly executed."""
 
     id: str
 
--- a/thymeflow/decision/admission.py
+++ b/thymeflow/decision/admission.py
@@ -4,43 +4,65 @@
 
 from math import inf, isfinite
 
-from thymeflow.decision.actions import RejectRequest, StartAttempt
-from thymeflow.decision.balancing import Balancing
+from thymeflow.decision.actions import RejectRequest
+from thymeflow.decision.balancing import LoadBalancer
+from thymeflow.decision.context import DecisionContext
 from thymeflow.decision.events import RequestReceived
-from thymeflow.decision.gateway_state import RETRY_BUDGET_PER_REQUEST, TimerKind
-from thymeflow.decision.request_state import AttemptRecord, RequestState
-from thymeflow.decision.settings import RequestClass
+from thymeflow.decision.fleet_bounds import FleetResource
+from thymeflow.decision.open_requests import MIN_RETRY_AFTER_SECONDS, RETRY_MARGIN_SECONDS, OpenRequests
+from thymeflow.decision.request_state import RequestState
+from thymeflow.decision.retries import RetryPolicy
+from thymeflow.decision.settings import Plan, RequestClass
+from thymeflow.decision.types import RejectionReason
 from thymeflow.health import pressure
-from thymeflow.health.backend_stats import ALL_CLASSES, EJECTION_FAILURES, BackendStats, FailureStreak
+from thymeflow.health.backend_registry import BackendRegistry
+from thymeflow.quota.buckets import ReportQueue, TokenBuckets
 from thymeflow.quota.token_bucket import TokenBucket
 
-MIN_RETRY_AFTER = 0.1  # s
-HALF_OPEN_TIMEOUT_FRACTION = 0.5  # of the latency objective: how long a failing backend is waited for
-RETRY_MARGIN = 0.02  # s: attempts stop this long before an idempotency window or the client's time ends
 
+class AdmissionPolicy:
+    """Admits requests by quota, concurrency and pressure, or rejects them."""
 
-class Admission(Balancing):
-    """Admission of requests by quota, concurrency and pressure, and the start of their first attempts."""
+    def __init__(
+        self,
+        context: DecisionContext,
+        buckets: TokenBuckets,
+        reports: ReportQueue,
+        registry: BackendRegistry,
+        balancer: LoadBalancer,
+        requests: OpenRequests,
+        retries: RetryPolicy,
+    ) -> None:
+        self._context = context
+        self._buckets = buckets
+        self._reports = reports
+        self._registry = registry
+        self._balancer = balancer
+        self._requests = requests
+        self._retries = retries
 
-    def on_request(self, event: RequestReceived) -> None:
-        """Charge a request and start its first attempt at once, or reject it at once."""
-        plan = self.plans.get(event.plan)
+    def plan_of(self, event: RequestReceived) -> Plan | None:
+        """Return the plan of a request, None where it is not known or the units are invalid."""
         has_valid_units = isfinite(event.units) and event.units > 0
-        if plan is None or not has_valid_units or event.remaining <= RETRY_MARGIN:
-            self.actions.append(RejectRequest(event.id, reason="invalid"))
-            return
-        bucket = self.bucket_for(plan, event)
-        # A class that is not known is treated as one that is not idempotent.
-        unknown = RequestClass(event.class_name, event.remaining, event.remaining)
-        request_class = self.classes.get(event.class_name, unknown)
-        deadline = self.now + min(event.remaining, self._useful_seconds(request_class))
-        pending = RequestState(event, request_class, bucket, deadline, self.limits.max_attempts)
+        return self._context.plans.get(event.plan) if has_valid_units else None
+
+    def receive(self, event: RequestReceived) -> RequestState | None:
+        """Count the demand of a request; None where it is invalid and therefore rejected."""
+        context = self._context
+        plan = self.plan_of(event)
+        if plan is None or event.remaining <= RETRY_MARGIN_SECONDS:
+            context.emit(RejectRequest(event.id, RejectionReason.INVALID))
+            return None
+        bucket = self._buckets.get_for(event, plan)
+        request_class = context.classes.get(event.class_name)
+        if request_class is None:  # treated as one that is not idempotent
+            request_class = RequestClass(event.class_name, event.remaining, event.remaining)
+        deadline = context.now + min(event.remaining, self._useful_seconds(request_class))
+        pending = RequestState(event, request_class, bucket, deadline, context.limits.max_attempts)
         if not event.is_retry:  # a client's retry is the same demand again, not more of it
             bucket.local_rate += event.units / bucket.local_rate_memory
             bucket.requested_units += event.units
-        sample = self.rng.random()
-        if not self.waits_for_counter(pending, sample):
-            self.admit(pending, bucket.can_admit(event.units, sample))
+        return pending
 
     @staticmethod
     def _useful_seconds(request_class: RequestClass) -> float:
@@ -50,66 +72,46 @@
             return inf
         return request_class.latency_objective
 
-    def waits_for_counter(self, pending: RequestState, sample: float) -> bool:
-        """Return whether `admit` is called later, with the counter's reply; never so in this class."""
-        del pending, sample
-        return False
-
     def admit(self, pending: RequestState, is_within_quota: bool) -> None:
         """Charge a request and start its first attempt, or reject it."""
         event = pending.request
         bucket = pending.bucket
-        reason = self.rejection_reason(pending, bucket) if is_within_quota else "quota"
-        backend = None if reason else self.select_backend(pending)
-        updates = self.deferred_updates if backend is None else self.pending_updates
-        updates[bucket.customer_id] = None
+        reason = self._rejection_reason(pending, bucket) if is_within_quota else RejectionReason.QUOTA
+        backend = None if reason else self._balancer.select_backend(pending)
         if backend is None:
-            advice = self.retry_after(bucket, event.units)
-            self.actions.append(RejectRequest(event.id, advice, reason or "no backend"))
+            self._reports.deferred[bucket.customer_id] = None
+            advice = self._retry_after_seconds(bucket, event.units)
+            rejection = RejectRequest(event.id, reason or RejectionReason.NO_BACKEND, advice)
+            self._context.emit(rejection)
             return
+        self._reports.pending[bucket.customer_id] = None
         bucket.requested_units += event.units if event.is_retry else 0.0
         bucket.charge(event.units)
         bucket.ceiling_level -= event.units  # the hard ceiling goes by declared units and is not settled
-        self.retry_budget = min(self.max_retry_budget(), self.retry_budget + RETRY_BUDGET_PER_REQUEST)
-        self.pending[event.id] = pending
-        delay = pending.deadline - self.now - 2.0 * self.settings.timer_resolution
-        self.set_timer(delay, TimerKind.DEADLINE, event.id)
-        self.start_attempt(pending, backend)
+        self._retries.earn()
+        self._requests.open(pending, backend)
 
-    def retry_after(self, bucket: TokenBucket, units: float) -> float:
+    def _retry_after_seconds(self, bucket: TokenBucket, units: float) -> float:
         """Return the seconds until the bucket holds the units, 0 where no advice may be given."""
-        if not self.limits.retry_after:
+        limits = self._context.limits
+        if not limits.retry_after:
             return 0.0
         refill_rate = max(1e-9, bucket.plan.rate * bucket.quota_fraction(bucket.local_rate))
-        return min(max(MIN_RETRY_AFTER, (units - bucket.level) / refill_rate), self.limits.max_retry_after)
+        refill_seconds = (units - bucket.level) / refill_rate
+        return min(max(MIN_RETRY_AFTER_SECONDS, refill_seconds), limits.max_retry_after)
 
-    def rejection_reason(self, pending: RequestState, bucket: TokenBucket) -> str:
-        """Return why a request within its quota is rejected, "" where it is not; full buckets come first."""
+    def _rejection_reason(self, pending: RequestState, bucket: TokenBucket) -> RejectionReason | None:
+        """Return why a request within its quota is rejected, if it is; full buckets come first."""
+        context = self._context
+        registry = self._registry
         full_level = max(pending.request.units, bucket.plan.burst * bucket.quota_fraction(bucket.local_rate))
         deficit = 1.0 - min(1.0, max(0.0, bucket.level / full_level)) if bucket.plan.rate else 0.0
-        backends = self.warmed_up_backends * self.fraction_of("places")
-        if self.in_flight >= pressure.concurrency_limit(backends, deficit, self.pressure):
-            return "concurrency"
-        sample = self.rng.random()
-        fraction = self.adjust_shedding(pending, pressure.shedding_fraction(deficit, self.pressure))
-        return "pressure" if sample < fraction else ""
-
-    def start_attempt(self, pending: RequestState, backend: BackendStats, start_within: float = inf) -> None:
-        """Start an attempt; one at a failing backend is a half-open probe with a time-out of its own."""
-        class_name = pending.request_class.name
-        pending.attempts.append(AttemptRecord(backend, self.now))
-        backend.in_flight += 1
-        backend.send_interval = self.now - backend.last_sent_at
-        backend.last_sent_at = self.now
-        self.in_flight += 1
-        pending.bucket.attempts_in_flight += 1
-        timeout = 0.0
-        if backend.consecutive_failures(class_name):
-            # One probe at a time, cut short while there is time for another backend.
-            remaining = pending.deadline - self.now
-            timeout = HALF_OPEN_TIMEOUT_FRACTION * min(pending.request_class.latency_objective, remaining)
-            for name in (ALL_CLASSES, class_name):
-                streak = backend.failures.get(name)
-                if streak is not None and streak.failure_count >= EJECTION_FAILURES:
-                    backend.failures[name] = FailureStreak(streak.failure_count, self.now + timeout)
-        self.actions.append(StartAttempt(pending.request.id, backend.endpoint.id, timeout, start_within))
+        backends = registry.warmed_up_backends * context.fraction_of(FleetResource.CONCURRENCY)
+        if registry.in_flight >= pressure.concurrency_limit(backends, deficit, registry.pressure):
+            return RejectionReason.CONCURRENCY
+        sample = context.rng.random()
+        local_fraction = pressure.shedding_fraction(deficit, registry.pressure)
+        fraction = context.fleet_bounds.adjust_shedding(
+            pending.request_class, bucket.plan, bucket.customer_id, local_fraction
+        )
+        return RejectionReason.PRESSURE if sample < fraction else None
--- a/thymeflow/decision/balancing.py
+++ b/thymeflow/decision/balancing.py
@@ -4,51 +4,61 @@
 
 from math import inf
 
-from thymeflow.decision.gateway_state import GatewayState
+from thymeflow.decision.context import DecisionContext
+from thymeflow.decision.fleet_bounds import FleetResource
 from thymeflow.decision.request_state import RequestState
 from thymeflow.decision.settings import Idempotency, IdempotencyScope
 from thymeflow.decision.types import BackendState
 from thymeflow.health import slow_start
+from thymeflow.health.backend_registry import BackendRegistry
 from thymeflow.health.backend_stats import BackendStats
 
 MAX_EJECTED_FRACTION = 0.7  # of the backends; beyond it none is ejected, as the cause lies elsewhere
 
 
-class Balancing(GatewayState):
-    """Selection of backends: health, idempotency scope, slow start, then least expected wait."""
+class LoadBalancer:
+    """Selects backends: by health, idempotency scope, slow start, then least expected wait."""
+
+    def __init__(self, context: DecisionContext, registry: BackendRegistry) -> None:
+        self._context = context
+        self._registry = registry
 
     def select_backend(self, pending: RequestState) -> BackendStats | None:
         """Return the permitted backend with the least expected wait, None where there is none."""
+        settings = self._context.settings
+        rng = self._context.rng
         ready = self._ready_backends()
         candidates = self._healthy_backends(ready, pending.request_class.name)
         candidates = self._in_idempotency_scope(candidates, pending)
         endpoints = [backend.endpoint for backend in candidates]
-        warming_up = slow_start.target_loads(endpoints, self.now, self.settings.rules)
+        warming_up = slow_start.target_loads(endpoints, self._context.now, settings.rules)
         # Slow start, sampled anew each time: budgets that hundreds of gateways save up are spent in step.
         load = 0.0 if pending.attempts else sum(warming_up.values())
-        if load and self.rng.random() * (max(1.0, len(ready) - len(warming_up)) + load) < load:
-            return self.backends[self.rng.choices(list(warming_up), list(warming_up.values()))[0]]
+        if load and rng.random() * (max(1.0, len(ready) - len(warming_up)) + load) < load:
+            return self._registry.backends[rng.choices(list(warming_up), list(warming_up.values()))[0]]
         tried = {backend.endpoint.id for backend, _ in pending.attempts}
         candidates = [b for b in candidates if b.endpoint.id not in tried and b.endpoint.id not in warming_up]
         # With few attempts in flight queue lengths say little, and equal ranks herd: rank a weighted sample.
-        sample_size = 2 + self.in_flight
+        sample_size = 2 + self._registry.in_flight
         if sample_size < len(candidates):
             weights = [max(0.01, backend.endpoint.weight) for backend in candidates]
-            candidates = self.rng.choices(candidates, weights, k=sample_size)
-        zone = self.settings.zone
-        return min(candidates, key=lambda b: (b.expected_wait(zone), self.rng.random()), default=None)
+            candidates = rng.choices(candidates, weights, k=sample_size)
+        zone = settings.zone
+        return min(candidates, key=lambda b: (b.expected_wait(zone), rng.random()), default=None)
 
     def _ready_backends(self) -> list[BackendStats]:
-        backends = self.backends.values()
+        backends = self._registry.backends.values()
         ready = [backend for backend in backends if backend.endpoint.state is BackendState.READY]
-        max_connections = self.fleet_limit("connections")  # a backend holds one for each attempt in flight
+        # A backend holds one connection for each attempt in flight.
+        max_connections = self._context.limit_of(FleetResource.CONNECTIONS)
         if max_connections == inf:
             return ready
         return [backend for backend in ready if backend.in_flight + 1 <= max_connections]
 
     def _healthy_backends(self, ready: list[BackendStats], class_name: str) -> list[BackendStats]:
-        healthy = [backend for backend in ready if backend.is_healthy(class_name, self.now)]
-        healthy = self.filter_backends(ready, healthy, class_name, self.now)
+        now = self._context.now
+        healthy = [backend for backend in ready if backend.is_healthy(class_name, now)]
+        healthy = self._context.fleet_bounds.filter_backends(ready, healthy, class_name, now)
         return healthy if len(healthy) >= (1.0 - MAX_EJECTED_FRACTION) * len(ready) else ready
 
     @staticmethod
--- a/thymeflow/decision/factory.py
+++ b/thymeflow/decision/factory.py
@@ -1,18 +1,20 @@
-"""Chooses the class of gateway for a set of limiters."""
+"""Creates the gateway for a set of limiters, with the strategy of quota admission that suits it."""
 
 from __future__ import annotations
 
 from thymeflow.decision.gateway import Gateway
-from thymeflow.decision.gateway_state import INITIAL_FILL
 from thymeflow.decision.settings import GatewaySettings
+from thymeflow.quota.buckets import INITIAL_FILL_FRACTION
 from thymeflow.quota.token_bucket import SMALL_SET_SIZE
 
 
-def create_gateway(settings: GatewaySettings, seed: int, initial_fill: float = INITIAL_FILL) -> Gateway:
+def create_gateway(
+    settings: GatewaySettings, seed: int, initial_fill: float = INITIAL_FILL_FRACTION
+) -> Gateway:
     """Create the gateway for a set of this size; `initial_fill` is the fraction of the burst in new buckets."""
     if settings.limiter_count > SMALL_SET_SIZE and settings.information.counter:
         # Loaded only where it is used: small sets go by their slices.
-        from thymeflow.quota.counter_first import CounterFirstGateway
+        from thymeflow.decision.counter_first_admission import CounterFirstAdmission
 
-        return CounterFirstGateway(settings, seed, initial_fill)
+        return Gateway(settings, seed, initial_fill, CounterFirstAdmission)
     return Gateway(settings, seed, initial_fill)
--- a/thymeflow/decision/gateway.py
+++ b/thymeflow/decision/gateway.py
@@ -3,10 +3,12 @@
 from __future__ import annotations
 
 from collections.abc import Callable
-from math import exp, inf
-from typing import Any
+from math import inf
 
 from thymeflow.decision.actions import Action, SubscribeEndpoints
+from thymeflow.decision.admission import AdmissionPolicy
+from thymeflow.decision.balancing import LoadBalancer
+from thymeflow.decision.context import DecisionContext, TimerKind
 from thymeflow.decision.events import (
     AttemptEnded,
     ClientDisconnected,
@@ -20,85 +22,134 @@
     SettingsChanged,
     TimerFired,
 )
-from thymeflow.decision.gateway_state import INITIAL_FILL, TimerKind
-from thymeflow.decision.request_state import RequestState
-from thymeflow.decision.results import Results
-from thymeflow.decision.retries import Retries
+from thymeflow.decision.fleet_bounds import FleetBounds
+from thymeflow.decision.open_requests import OpenRequests
+from thymeflow.decision.outcomes import AttemptOutcomes
+from thymeflow.decision.quota_admission import ImmediateAdmission, QuotaAdmission, QuotaAdmissionFactory
+from thymeflow.decision.retries import RetryPolicy
 from thymeflow.decision.settings import DiscoveryMode, GatewaySettings
-from thymeflow.decision.types import BackendState, EndpointListKind
-from thymeflow.gossip.aggregation import GossipAggregation
+from thymeflow.decision.types import EndpointListKind
+from thymeflow.gossip.aggregator import GossipAggregator
 from thymeflow.gossip.publisher import GossipPublisher
+from thymeflow.health.backend_registry import BackendRegistry
 from thymeflow.health.backend_stats import BackendStats
-from thymeflow.quota.counter_updates import CounterUpdates
+from thymeflow.quota.buckets import (
+    INITIAL_FILL_FRACTION,
+    BucketFactory,
+    ReportQueue,
+    TokenBuckets,
+    create_token_bucket,
+)
+from thymeflow.quota.counter_reporter import CounterReporter
+from thymeflow.quota.token_bucket import TokenBucket
 
-TICK_INTERVAL = 0.1  # s: well under the memory of demand
-ROUND_INTERVAL = 0.5  # s: between rounds of gossip
-IDLE_BUCKET_TTL = 20.0  # s: buckets of idle customers are full again before; over a counter's window
-PRESSURE_MEMORY_SECONDS = 6.0  # a limiter that rejects all gets no responses and must try again
-GOSSIP_FRACTION = 0.7  # of what peers can take in: all limiters together then fit into it
+TICK_INTERVAL_SECONDS = 0.1  # well under the memory of demand
+ROUND_INTERVAL_SECONDS = 0.5  # between rounds of gossip
 
 
-class Gateway(Retries, Results, GossipPublisher, GossipAggregation, CounterUpdates):
+class Gateway:
     """One gateway: hand it every event in order, and carry out the actions that it returns."""
 
-    def __init__(self, settings: GatewaySettings, seed: int, initial_fill: float = INITIAL_FILL) -> None:
-        super().__init__(settings, seed, initial_fill)
-        self.handlers: dict[type, Callable[[Any], None]] = {
-            RequestReceived: self.on_request,
-            AttemptEnded: self.on_attempt_ended,
-            TimerFired: self.on_timer,
-            EndpointsChanged: self.on_endpoints_changed,
-            GossipReceived: self.on_gossip,
-            ClientDisconnected: self.on_client_disconnected,
-            CounterReplied: self.on_counter_replied,
-            ResponseStarted: self.on_response_started,
-            RequestBodyStarted: self.on_request_body_started,
-            SettingsChanged: self.on_settings_changed,
+    def __init__(
+        self,
+        settings: GatewaySettings,
+        seed: int,
+        initial_fill: float = INITIAL_FILL_FRACTION,
+        create_quota_admission: QuotaAdmissionFactory = ImmediateAdmission,
+        create_bucket: BucketFactory = create_token_bucket,
+    ) -> None:
+        """`initial_fill`: fraction of the burst in new buckets; 0 for a limiter that joins a running set."""
+        context = DecisionContext(settings, seed)
+        self.context = context
+        self.timers = context.timers
+        self.registry = BackendRegistry(context.probe_interval_seconds)
+        self.token_buckets = TokenBuckets(context, create_bucket, initial_fill)
+        self.reports = ReportQueue()
+        self.reporter = CounterReporter(context, self.token_buckets, self.reports)
+        self._publisher = GossipPublisher(context, self.token_buckets, self.reports, self.registry)
+        self.aggregator = GossipAggregator(context, self.token_buckets, self.registry, self._publisher)
+        self.balancer = LoadBalancer(context, self.registry)
+        self._requests = OpenRequests(context, self.registry)
+        self.pending = self._requests.by_id
+        self.retries = RetryPolicy(context, self.balancer, self._requests)
+        self._outcomes = AttemptOutcomes(context, self.registry, self.token_buckets, self.reports)
+        admission = AdmissionPolicy(
+            context,
+            self.token_buckets,
+            self.reports,
+            self.registry,
+            self.balancer,
+            self._requests,
+            self.retries,
+        )
+        self.quota_admission = create_quota_admission(context, admission, self.token_buckets, self.reporter)
+        self._last_round_at = -inf
+        self._handlers = self._handlers_by_event(self.quota_admission)
+
+    def _handlers_by_event(self, quota_admission: QuotaAdmission) -> dict[type, Callable[..., None]]:
+        return {
+            RequestReceived: quota_admission.on_request,
+            AttemptEnded: self._on_attempt_ended,
+            TimerFired: self._on_timer,
+            EndpointsChanged: self._on_endpoints_changed,
+            GossipReceived: self.aggregator.on_gossip,
+            ClientDisconnected: self._on_client_disconnected,
+            CounterReplied: quota_admission.on_counter_replied,
+            ResponseStarted: self._on_response_started,
+            RequestBodyStarted: self._on_request_body_started,
+            SettingsChanged: self._on_settings_changed,
         }
 
+    @property
+    def settings(self) -> GatewaySettings:
+        """The settings in force."""
+        return self.context.settings
+
+    @property
+    def backends(self) -> dict[int, BackendStats]:
+        """The backends of the endpoint list, by id."""
+        return self.registry.backends
+
+    @property
+    def buckets(self) -> dict[int, TokenBucket]:
+        """The token buckets of customers, by customer id."""
+        return self.token_buckets.by_customer
+
+    def set_fleet_bounds(self, fleet_bounds: FleetBounds) -> None:
+        """Go by the bounds of a fleet from now on."""
+        self.context.set_fleet_bounds(fleet_bounds)
+
     def handle(self, now: float, event: Event) -> list[Action]:
         """Decide on one event; `now` is in seconds and never goes back."""
-        self.now = now
-        self.actions = []
-        if self.started_at == -inf:
+        actions = self.context.begin_event(now)
+        if self.context.started_at == -inf:
             self._start()
-        handler = self.handlers.get(type(event))
+        handler = self._handlers.get(type(event))
         if handler is not None:
             handler(event)
-        return self.actions
+        return actions
 
     def _start(self) -> None:
-        self.started_at = self.now
+        context = self.context
+        context.started_at = context.now
         # Gateways that start together must not send gossip in step.
-        self.set_timer(TICK_INTERVAL * self.rng.random(), TimerKind.TICK)
-        if self.settings.discovery is DiscoveryMode.POLL:
-            self.actions.append(SubscribeEndpoints())
+        context.set_timer(TICK_INTERVAL_SECONDS * context.rng.random(), TimerKind.TICK)
+        if context.settings.discovery is DiscoveryMode.POLL:
+            context.emit(SubscribeEndpoints())
 
-    def on_endpoints_changed(self, event: EndpointsChanged) -> None:
-        """Apply a change of the endpoint list; drains and losses count at once."""
+    def _on_endpoints_changed(self, event: EndpointsChanged) -> None:
+        context = self.context
         if event.kind is EndpointListKind.FAILED:
-            self.set_timer(1.0 + self.rng.random(), TimerKind.SUBSCRIBE)
-        elif event.kind is not EndpointListKind.DELTA:
-            self.backends = {e.id: self.backends[e.id] for e in event.backends if e.id in self.backends}
-        for endpoint in event.backends:
-            backend = self.backends.pop(endpoint.id, None)
-            if backend is None or endpoint.started > backend.endpoint.started:
-                backend = BackendStats(endpoint, self.now, self.probe_interval)
-            if endpoint.state is not BackendState.GONE:
-                self.backends[endpoint.id] = backend
-                backend.endpoint = endpoint
-        self.count_warmed_up_backends()
-
-    def on_settings_changed(self, event: SettingsChanged) -> None:
-        """Take other settings into use; open requests keep the rules under which they were admitted."""
-        has_other_size = event.settings.limiter_count != self.settings.limiter_count
-        self.apply_settings(event.settings)
-        for bucket in self.buckets.values():  # filled at the old rate until now; the level stays
-            bucket.refresh(self.now)
-            bucket.plan = self.plans.get(bucket.plan.name, bucket.plan)
-            bucket.set_changed = bucket.set_changed or has_other_size
-
-    def on_attempt_ended(self, event: AttemptEnded) -> None:
+            context.set_timer(1.0 + context.rng.random(), TimerKind.SUBSCRIBE)
+        self.registry.apply_endpoints(event, context.now, context.settings.rules)
+
+    def _on_settings_changed(self, event: SettingsChanged) -> None:
+        # Open requests keep the rules under which they were admitted.
+        set_changed = event.settings.limiter_count != self.context.settings.limiter_count
+        self.context.apply_settings(event.settings)
+        self.token_buckets.apply_plans(set_changed)
+
+    def _on_attempt_ended(self, event: AttemptEnded) -> None:
         """Learn from an attempt's result, settle its units, and retry or finish its request."""
         pending = self.pending.get(event.id)
         if pending is None or event.attempt not in pending.in_flight():
@@ -106,82 +157,65 @@
         attempt = pending.attempts[event.attempt]
         pending.results[event.attempt] = event.status
         if not pending.response_started:  # else its capacity was given back as its response began
-            attempt.backend.in_flight -= 1
-            self.in_flight -= 1
+            self.registry.release(attempt.backend)
         pending.bucket.attempts_in_flight -= 1
-        self.record_result(pending, attempt, event)
+        self._outcomes.record(pending, attempt, event)
         if event.request_answered or pending.is_answered:
-            self.finish_request(pending)
-        elif not pending.in_flight() and not self.retry(pending):
-            self.finish_unanswered(pending)
+            self._requests.finish(pending)
+        elif not pending.in_flight() and not self.retries.retry(pending):
+            self._requests.finish_unanswered(pending)
 
-    def on_response_started(self, event: ResponseStarted) -> None:
+    def _on_response_started(self, event: ResponseStarted) -> None:
         """Give back the backend's capacity: a client that reads slowly takes none of it."""
         pending = self.pending.get(event.id)
         if pending is not None:
             pending.is_streaming = True
             pending.response_started = True
-            pending.attempts[event.attempt].backend.in_flight -= 1
-            self.in_flight -= 1
+            self.registry.release(pending.attempts[event.attempt].backend)
 
-    def on_request_body_started(self, event: RequestBodyStarted) -> None:
+    def _on_request_body_started(self, event: RequestBodyStarted) -> None:
         """Note that a long body goes into the present attempt, so that there can be no other."""
         pending = self.pending.get(event.id)
         if pending is not None:
             pending.is_streaming = True
 
-    def on_client_disconnected(self, event: ClientDisconnected) -> None:
-        """End the request; no answer is owed."""
+    def _on_client_disconnected(self, event: ClientDisconnected) -> None:
+        """End the request; no response is owed."""
+        self.quota_admission.on_client_disconnected(event.id)
         pending = self.pending.get(event.id)
         if pending is not None:
             pending.is_streaming = False
-            self.finish_request(pending)
+            self._requests.finish(pending)
 
-    def on_timer(self, event: TimerFired) -> None:
+    def _on_timer(self, event: TimerFired) -> None:
         """Serve a timer by the purpose that it was set for."""
         timer = self.timers.pop(event.token, None)
         if timer is None:
             return
-        if timer.kind is TimerKind.TICK:
-            self.on_tick()
-        elif timer.kind is TimerKind.SUBSCRIBE:
-            self.actions.append(SubscribeEndpoints())
-        elif timer.kind is TimerKind.DEADLINE:
+        if timer.kind is TimerKind.DEADLINE:
             pending = self.pending.get(timer.subject)
             if pending is not None and not pending.is_answered and not pending.is_streaming:
-                self._on_deadline(pending)
-
-    def _on_deadline(self, pending: RequestState) -> None:
-        for number in pending.in_flight():  # no response to the end: the same evidence as a time-out
-            backend, sent_at = pending.attempts[number]
-            backend.record_no_response(pending.request_class.name, sent_at, self.now)
-            self.observe_latency(1.0)
-        self.finish_unanswered(pending)
+                self._outcomes.record_deadline(pending)
+                self._requests.finish_unanswered(pending)
+        elif timer.kind is TimerKind.TICK:
+            self._on_tick()
+        elif timer.kind is TimerKind.SUBSCRIBE:
+            self.context.emit(SubscribeEndpoints())
+        else:
+            self.quota_admission.on_counter_timeout(int(timer.subject))
 
-    def on_tick(self) -> None:
+    def _on_tick(self) -> None:
         """Drop idle customers, let the pressure decay, and report what is due."""
-        self.set_timer(TICK_INTERVAL, TimerKind.TICK)
-        is_round = self.now - self.last_round_at >= ROUND_INTERVAL
-        self.pressure *= exp(-TICK_INTERVAL / PRESSURE_MEMORY_SECONDS)
-        self.count_warmed_up_backends()
+        context = self.context
+        context.set_timer(TICK_INTERVAL_SECONDS, TimerKind.TICK)
+        is_round = context.now - self._last_round_at >= ROUND_INTERVAL_SECONDS
+        self.registry.decay_pressure(TICK_INTERVAL_SECONDS)
+        self.registry.count_warmed_up_backends(context.now, context.settings.rules)
         if is_round:
-            self.last_round_at = self.now
-            self._drop_idle_buckets()
-        if self.limits.gossip:
-            capacity = self.settings.information.max_gossip_per_second
-            allowance = self.gossip_allowance + GOSSIP_FRACTION * capacity * TICK_INTERVAL
-            self.gossip_allowance = min(capacity, allowance)
-            self.publish_gossip(is_round)
-        elif self.settings.information.counter:
-            self.send_pending_updates(TICK_INTERVAL)
-
-    def _drop_idle_buckets(self) -> None:
-        self.buckets = {
-            customer_id: bucket
-            for customer_id, bucket in self.buckets.items()
-            if self.now - bucket.last_seen_at <= IDLE_BUCKET_TTL or bucket.attempts_in_flight
-        }
-        # Most customers come once: what is cached of them must end, or memory and CPU time grow all day.
-        updates = self.pending_updates | self.deferred_updates
-        self.pending_updates = {customer_id: None for customer_id in updates if customer_id in self.buckets}
-        self.deferred_updates = {}
+            self._last_round_at = context.now
+            self.token_buckets.drop_idle()
+            self.reports.begin_round(self.token_buckets.by_customer)
+        if context.limits.gossip:
+            self._publisher.publish(is_round, TICK_INTERVAL_SECONDS)
+        elif context.settings.information.counter:
+            self.reporter.send_pending(TICK_INTERVAL_SECONDS)
--- a/thymeflow/decision/request_state.py
+++ b/thymeflow/decision/request_state.py
@@ -7,12 +7,10 @@
 
 from thymeflow.decision.events import RequestReceived
 from thymeflow.decision.settings import RequestClass
-from thymeflow.decision.types import Status
+from thymeflow.decision.types import NOT_EXECUTED, Status
 from thymeflow.health.backend_stats import BackendStats
 from thymeflow.quota.token_bucket import TokenBucket
 
-NOT_EXECUTED = (Status.FULL, Status.CONNECT_FAILED, Status.MOOT)  # as the platform's wire defines them
-
 
 class AttemptRecord(NamedTuple):
     """An attempt that was started."""
--- a/thymeflow/decision/types.py
+++ b/thymeflow/decision/types.py
@@ -6,7 +6,7 @@
 
 from __future__ import annotations
 
-from enum import IntEnum
+from enum import IntEnum, StrEnum
 from typing import NamedTuple
 
 
@@ -40,6 +40,21 @@
     MOOT = 8
 
 
+NOT_EXECUTED = (Status.FULL, Status.CONNECT_FAILED, Status.MOOT)  # as the platform's wire defines them
+
+
+class RejectionReason(StrEnum):
+    """Why a request was rejected; operators find the values in the log, and in docs/on-call.md."""
+
+    QUOTA = "quota"
+    CONCURRENCY = "concurrency"
+    PRESSURE = "pressure"
+    NO_BACKEND = "no backend"
+    ATTEMPTS = "attempts"
+    LATE = "late"
+    INVALID = "invalid"
+
+
 class Backend(NamedTuple):
     """A backend as discovery lists it; `started` is 0 when it started long ago."""
 
--- a/thymeflow/gossip/aggregation.py
+++ b/thymeflow/gossip/aggregator.py
@@ -2,10 +2,12 @@
 
 from __future__ import annotations
 
+from thymeflow.decision.context import DecisionContext
 from thymeflow.decision.events import GossipReceived
-from thymeflow.decision.gateway_state import SMOOTHING, GatewayState
 from thymeflow.gossip import codec
-from thymeflow.gossip.publisher import AGGREGATOR_COUNT
+from thymeflow.gossip.publisher import AGGREGATOR_COUNT, GossipPublisher
+from thymeflow.health.backend_registry import BackendRegistry
+from thymeflow.quota.buckets import TokenBuckets
 from thymeflow.quota.token_bucket import (
     DEMAND_MEMORY_SECONDS,
     MIN_REMOTE_MEMORY_SECONDS,
@@ -18,32 +20,43 @@
 MAX_REPORT = 10.0  # times the burst, or the largest request: units of a later report that are believed
 
 
-class GossipAggregation(GatewayState):
+class GossipAggregator:
     """Validates messages and updates the buckets that they are about."""
 
+    def __init__(
+        self, context: DecisionContext, buckets: TokenBuckets, registry: BackendRegistry, publisher: GossipPublisher
+    ) -> None:
+        self._context = context
+        self._buckets = buckets
+        self._registry = registry
+        self._publisher = publisher
+        self.peer_sequences: dict[int, tuple[int, int]] = {}  # incarnation and last sequence number, by peer
+
     def on_gossip(self, event: GossipReceived) -> None:
-        """Take in a message of a peer; one that is malformed, foreign or old changes nothing."""
+        """Apply the message of a peer; one that is malformed, foreign or old changes nothing."""
+        context = self._context
         sender = event.sender
         message = codec.decode(event.data)
         if message is None or not self._is_new(sender, message):
             return
         self.peer_sequences[sender] = (message.incarnation, message.sequence)
-        self.last_gossip_at = self.now
-        self.pressure += SMOOTHING * (message.pressure - self.pressure)
+        self._buckets.last_gossip_at = context.now
+        self._registry.observe_peer_pressure(message.pressure)
         for entry in message.entries:
-            if entry.plan < len(self.settings.plans):
+            if entry.plan < len(context.settings.plans):
                 self._apply(sender, message.incarnation, entry)
 
     def _is_new(self, sender: int, message: codec.Message) -> bool:
         incarnation, last = self.peer_sequences.get(sender, (-1, 0))
-        if not 0 <= sender < self.settings.limiter_count:
+        if not 0 <= sender < self._context.settings.limiter_count:
             return False
         return incarnation != message.incarnation or 0 < (message.sequence - last) & 0xFFFF < SEQUENCE_HALF
 
     def _apply(self, sender: int, incarnation: int, entry: codec.Entry) -> None:
-        bucket = self.get_bucket(entry.customer_id, self.settings.plans[entry.plan])
-        bucket.refresh(self.now)
-        bucket.last_update_at = self.now
+        context = self._context
+        bucket = self._buckets.get(entry.customer_id, context.settings.plans[entry.plan])
+        bucket.refresh(context.now)
+        bucket.last_update_at = context.now
         if not entry.is_aggregate:
             self._aggregate(bucket, sender, incarnation, entry)
         elif not bucket.is_aggregator and (not bucket.members or sender in bucket.members[:AGGREGATOR_COUNT]):
@@ -53,13 +66,13 @@
             bucket.remote_rate = max(0.0, entry.second - bucket.local_rate)
 
     def _aggregate(self, bucket: TokenBucket, sender: int, incarnation: int, entry: codec.Entry) -> None:
-        max_units = self.settings.information.max_units
+        max_units = self._context.settings.information.max_units
         previous = bucket.peer_reports.get(sender)
         is_first = previous is None or previous.incarnation != incarnation
         units = codec.increase(entry.first, 0.0 if previous is None or is_first else previous.requested)
         charged = codec.change(entry.second, 0.0 if previous is None or is_first else previous.charged)
-        bucket.peer_reports[sender] = PeerReport(incarnation, entry.first, entry.second, self.now)
-        self.pending_replies.setdefault(bucket.customer_id, {})[sender] = None
+        bucket.peer_reports[sender] = PeerReport(incarnation, entry.first, entry.second, self._context.now)
+        self._publisher.request_reply(bucket.customer_id, (sender,))
         max_believed = MAX_NEW_REPORT * max_units if is_first else MAX_REPORT * max(bucket.plan.burst, max_units)
         if units <= max_believed:
             bucket.is_aggregator = True
--- a/thymeflow/gossip/publisher.py
+++ b/thymeflow/gossip/publisher.py
@@ -2,12 +2,15 @@
 
 from __future__ import annotations
 
+from collections.abc import Iterable
 from dataclasses import dataclass, field
 
 from thymeflow.decision.actions import SendGossip
-from thymeflow.decision.gateway_state import GatewayState
+from thymeflow.decision.context import DecisionContext
 from thymeflow.decision.settings import Plan
 from thymeflow.gossip import codec
+from thymeflow.health.backend_registry import BackendRegistry
+from thymeflow.quota.buckets import ReportQueue, TokenBuckets
 from thymeflow.quota.token_bucket import TokenBucket
 
 AGGREGATOR_COUNT = 2  # limiters of a customer's set that aggregate what the set requests and charges
@@ -15,6 +18,7 @@
 SET_NOTIFICATION_SECONDS = 4.0  # between notifications of the complete set
 MIN_BUSY_DEMAND = 0.5  # of the rate, from which a reply changes what peers admit
 MAX_BUSY_LEVEL = 0.6  # of the burst, under which a reply changes what peers admit
+GOSSIP_FRACTION = 0.7  # of what peers can take in: all limiters together then fit into it
 
 
 @dataclass(slots=True)
@@ -32,54 +36,76 @@
             self.entries.setdefault(peer, []).append(entry)
 
 
-class GossipPublisher(GatewayState):
+class GossipPublisher:
     """Sends reports when they are due, and aggregates once a round."""
 
-    def publish_gossip(self, is_round: bool) -> None:
+    def __init__(
+        self, context: DecisionContext, buckets: TokenBuckets, reports: ReportQueue, registry: BackendRegistry
+    ) -> None:
+        self._context = context
+        self._buckets = buckets
+        self._reports = reports
+        self._registry = registry
+        self._incarnation = context.rng.randrange(1 << 16)
+        self._sequence = 0
+        self._allowance = 1.0  # messages
+        self._pending_replies: dict[int, dict[int, None]] = {}  # peers that get an aggregate, by customer
+
+    def request_reply(self, customer_id: int, peers: Iterable[int]) -> None:
+        """Send peers the aggregate of a customer with the next messages."""
+        self._pending_replies.setdefault(customer_id, {}).update(dict.fromkeys(peers))
+
+    def publish(self, is_round: bool, elapsed_seconds: float) -> None:
         """Send reports of local demand and, once a round, replies; both within the allowance."""
-        outbox = _Outbox(self.settings.plans)
+        context = self._context
+        capacity = context.settings.information.max_gossip_per_second
+        allowance = self._allowance + GOSSIP_FRACTION * capacity * elapsed_seconds
+        self._allowance = min(capacity, allowance)
+        outbox = _Outbox(context.settings.plans)
         self._add_reports(outbox)
-        has_allowance = self.gossip_allowance > 0.0  # aggregates wait for the allowance, reports do not
+        has_allowance = self._allowance > 0.0  # aggregates wait for the allowance, reports do not
         if is_round and has_allowance:
             self._request_replies()
         if has_allowance:
             self._add_replies(outbox)
-        self.pending_updates = {}
-        self.pending_replies = {}
+        self._reports.clear_pending()
+        self._pending_replies = {}
         if is_round:
             # Silence means that no customer is busy only while some limiters send messages.
             for _ in range(AGGREGATOR_COUNT):
-                outbox.entries.setdefault(self.rng.randrange(self.settings.limiter_count), [])
-        outbox.entries.pop(self.settings.index, None)
+                outbox.entries.setdefault(context.rng.randrange(context.settings.limiter_count), [])
+        outbox.entries.pop(context.settings.index, None)
         self._send(outbox)
 
     def _add_reports(self, outbox: _Outbox) -> None:
-        for customer_id in self.pending_updates:
-            bucket = self.buckets.get(customer_id)
+        for customer_id in self._reports.pending:
+            bucket = self._buckets.by_customer.get(customer_id)
             if bucket is not None:
                 for peer in bucket.members[:AGGREGATOR_COUNT]:
                     outbox.add(peer, bucket, False, bucket.requested_units, bucket.charged_units)
 
     def _request_replies(self) -> None:
-        for bucket in self.buckets.values():
+        now = self._context.now
+        index = self._context.settings.index
+        for bucket in self._buckets.by_customer.values():
             if not bucket.peer_reports:
                 continue
             reports = bucket.peer_reports.items()
-            peers = [peer for peer, report in reports if self.now - report.received_at < ACTIVE_SECONDS]
-            is_first_member = bucket.members[:1] == [self.settings.index]
-            is_notification_needed = is_first_member and self.now - bucket.set_notified_at >= SET_NOTIFICATION_SECONDS
+            peers = [peer for peer, report in reports if now - report.received_at < ACTIVE_SECONDS]
+            is_first_member = bucket.members[:1] == [index]
+            is_notification_needed = is_first_member and now - bucket.set_notified_at >= SET_NOTIFICATION_SECONDS
             if is_notification_needed and bucket.local_rate + bucket.remote_rate > bucket.plan.rate:
                 # Members that have not seen the customer yet are notified as well.
-                bucket.set_notified_at = self.now
+                bucket.set_notified_at = now
                 peers = bucket.members
-            self.pending_replies.setdefault(bucket.customer_id, {}).update(dict.fromkeys(peers))
+            self.request_reply(bucket.customer_id, peers)
 
     def _add_replies(self, outbox: _Outbox) -> None:
-        for customer_id, peers in self.pending_replies.items():
-            bucket = self.buckets.get(customer_id)
+        for customer_id, peers in self._pending_replies.items():
+            bucket = self._buckets.by_customer.get(customer_id)
             if bucket is None:
                 continue
-            bucket.refresh(self.now)
+            bucket.refresh(self._context.now)
             demand = bucket.local_rate + bucket.remote_rate
             has_demand = demand > MIN_BUSY_DEMAND * bucket.plan.rate
             if has_demand or bucket.global_level < MAX_BUSY_LEVEL * bucket.plan.burst:
@@ -87,9 +113,10 @@
                     outbox.add(peer, bucket, True, bucket.global_level, demand)
 
     def _send(self, outbox: _Outbox) -> None:
+        pressure = self._registry.pressure
         for peer, entries in outbox.entries.items():
             for chunk in codec.chunks(entries):
-                self.sequence = (self.sequence + 1) & 0xFFFF
-                self.gossip_allowance -= 1.0
-                message = codec.Message(self.incarnation, self.sequence, self.pressure, chunk)
-                self.actions.append(SendGossip(peer, codec.encode(message)))
+                self._sequence = (self._sequence + 1) & 0xFFFF
+                self._allowance -= 1.0
+                message = codec.Message(self._incarnation, self._sequence, pressure, chunk)
+                self._context.emit(SendGossip(peer, codec.encode(message)))
--- a/thymeflow/limiter/assembly.py
+++ b/thymeflow/limiter/assembly.py
@@ -11,7 +11,6 @@
 from thymeflow.counter.client import CounterClient
 from thymeflow.decision.factory import create_gateway
 from thymeflow.decision.gateway import Gateway
-from thymeflow.decision.gateway_state import INITIAL_FILL
 from thymeflow.decision.settings import DiscoveryMode, GatewaySettings
 from thymeflow.discovery.watch import FIRST_LIST_TIMEOUT, EndpointWatcher
 from thymeflow.frontend.frontend import Frontend
@@ -21,6 +20,7 @@
 from thymeflow.limiter.phases import Phase
 from thymeflow.limiter.reload import Reload
 from thymeflow.platform import configuration, endpoints
+from thymeflow.quota.buckets import INITIAL_FILL_FRACTION
 from thymeflow.runtime import clock, log
 from thymeflow.runtime.log_kinds import LogKind
 from thymeflow.transport.commands import CallReader
@@ -49,15 +49,18 @@
     return max((request_class.deadline for request_class in settings.classes), default=0.0)
 
 
-def make_gateway(given: configuration.Configuration, start: float = INITIAL_FILL, offset: float = 0.0) -> Gateway:
+def make_gateway(
+    given: configuration.Configuration, start: float = INITIAL_FILL_FRACTION, offset: float = 0.0
+) -> Gateway:
     """Return the gateway of a configuration.
 
     `offset`: from our clock to one that all limiters of the set share, in seconds.
     """
     if given.units == configuration.UNITS_BY_RESERVATION and given.settings.information.counter:
-        from thymeflow.quota.strict import StrictGateway  # elsewhere it is not used, and not loaded
+        # Loaded only where it is used.
+        from thymeflow.decision.reserved_admission import create_reserving_gateway
 
-        return StrictGateway(given.settings, given.seed, start, offset)
+        return create_reserving_gateway(given.settings, given.seed, start, offset)
     return create_gateway(given.settings, given.seed, start)
 
 
--- a/thymeflow/outliers/member.py
+++ b/thymeflow/outliers/member.py
@@ -53,7 +53,6 @@
         self._active: dict[EjectionKey, ActiveEjection] = {}
         self._open_probes: dict[int, OpenProbe] = {}  # by permit
         self._probe_results: dict[int, bool] = {}  # by permit: whether the probe succeeded
-        gateway.filter_backends = self.eligible_backends
 
     def on_ejections(self, ejections: list[Ejection], now: float, monotonic_now: float) -> None:
         """Replace all ejections by these.
@@ -97,7 +96,7 @@
             "trials": self._probe_results_message(now),
             "servers": len(self._gateway.backends),
             "zones": self._zones_message(),
-            "pressure": round(self._gateway.pressure, PRESSURE_DECIMALS),
+            "pressure": round(self._gateway.registry.pressure, PRESSURE_DECIMALS),
         }
 
     # Ejections.
@@ -137,7 +136,7 @@
         request that may be retried anywhere makes it. One with an idempotency key may have to stay in its group for a
         retry, which a probe would prevent; and a backend in slow start is selected by other rules.
         """
-        request_class = self._gateway.classes.get(class_name)
+        request_class = self._gateway.context.classes.get(class_name)
         if request_class is None or request_class.idempotency is not Idempotency.IDEMPOTENT:
             return None
         for backend in ready:
--- a/thymeflow/quota/strict.py
+++ b/thymeflow/quota/strict.py
@@ -1,39 +1,17 @@
-"""Customers' units by base and reservations, in place of slices by demand and estimates.
-
-A `StrictGateway` never admits more of a quota, over all limiters together, than one true bucket would: see
-`reservations`. Its price is a counter call for most requests that the base does not cover, for which they wait. No
-I/O, no clock.
-"""
+"""A customer's token bucket whose units come from a base slice, and from reservations at the counter."""
 
 from __future__ import annotations
 
-from math import exp, inf, isfinite
-from typing import NamedTuple
+from math import exp, inf
 
 from thymeflow.decision.actions import AddToCounter
-from thymeflow.decision.admission import RETRY_MARGIN
-from thymeflow.decision.events import ClientDisconnected, CounterReplied, RequestReceived
-from thymeflow.decision.gateway import IDLE_BUCKET_TTL, Gateway
-from thymeflow.decision.gateway_state import INITIAL_FILL, CounterCall
-from thymeflow.decision.settings import GatewaySettings, Plan
-from thymeflow.decision.types import Status
+from thymeflow.decision.settings import Plan
 from thymeflow.quota import counter_encoding, reservations
-from thymeflow.quota.counter_updates import NO_CALL
+from thymeflow.quota.buckets import IDLE_BUCKET_TTL_SECONDS
 from thymeflow.quota.token_bucket import DEMAND_MEMORY_SECONDS, TokenBucket
 
-MAX_RESERVATIONS = 2  # that a request waits for: one of each window that may have units left
 RESERVED_WINDOWS = 2.0  # windows for which a counter name is reserved from
 LATE_CALL_SECONDS = 1.0  # that a counter name lives longer, for calls that are late
-MIN_REMAINING_SECONDS = 0.5  # that a request must have left, for the counter to be waited for
-PAUSE_AFTER_LOST_CALL = 1.0  # s: in which no request waits for another call
-
-
-class WaitingRequest(NamedTuple):
-    """A request that waits for the counter."""
-
-    since: float
-    reservations: int  # that it has waited for, this one included
-    request: RequestReceived
 
 
 class StrictTokenBucket(TokenBucket):
@@ -96,7 +74,7 @@
         if not was_member_of_set:
             # A customer that was dropped had asked nothing for the time-to-live, and no longer is known of it.
             filled = self._initial_fill * split.base_burst if self.member_count == 1 else 0.0
-            filled += split.base_rate * min(IDLE_BUCKET_TTL, elapsed)
+            filled += split.base_rate * min(IDLE_BUCKET_TTL_SECONDS, elapsed)
             self.level = self._base_fraction() * min(split.base_burst, filled)
         elif not was_inside:
             self.level = min(self.level, 0.0)
@@ -176,98 +154,3 @@
 
     def on_counter_rejected(self, name: int, amount: float) -> None:
         """Do nothing: nothing was reserved."""
-
-
-class StrictGateway(Gateway):
-    """A gateway whose customers' units are bounded over the complete fleet."""
-
-    def __init__(
-        self, settings: GatewaySettings, seed: int, initial_fill: float = INITIAL_FILL, clock_offset: float = 0.0
-    ) -> None:
-        """`clock_offset`: seconds from the clock of events to the one that the set shares."""
-        super().__init__(settings, seed, initial_fill)
-        self._clock_offset = clock_offset
-        self.bucket_factory = self._create_bucket
-        self.counter_ignored_until = -inf
-        self.waiting: dict[int, list[WaitingRequest]] = {}  # by customer id
-
-    def _create_bucket(
-        self, plan: Plan, customer_id: int, now: float, started_at: float, initial_fill: float
-    ) -> StrictTokenBucket:
-        return StrictTokenBucket(
-            plan,
-            customer_id,
-            now,
-            started_at,
-            initial_fill,
-            index=self.settings.index,
-            clock_offset=self._clock_offset,
-        )
-
-    def on_request(self, event: RequestReceived) -> None:
-        """Let a request wait for the counter where it lacks units that a reservation may bring."""
-        plan = self.plans.get(event.plan)
-        has_valid_units = isfinite(event.units) and event.units > 0
-        if plan is None or not has_valid_units or not self._waits_for_reservation(event, plan, 0):
-            self._decide(event)
-
-    def _decide(self, event: RequestReceived) -> None:
-        super().on_request(event)
-        customer_id = counter_encoding.customer_id(event.customer)
-        # Units are reserved when a request wants them: there is nothing to report.
-        self.pending_updates.pop(customer_id, None)
-        self.deferred_updates.pop(customer_id, None)
-
-    def _waits_for_reservation(self, event: RequestReceived, plan: Plan, previous: int) -> bool:
-        customer_id = counter_encoding.customer_id(event.customer)
-        bucket = self.get_bucket(customer_id, plan)
-        if not isinstance(bucket, StrictTokenBucket) or previous >= MAX_RESERVATIONS:
-            return False
-        bucket.refresh(self.now)
-        if not bucket.members or bucket.set_changed:
-            bucket.join_set(event.first_limiter, event.set_size, self.settings.limiter_count, self.started_at)
-        missing = bucket.missing_units(event.units)
-        if missing <= 0.0 or event.remaining < MIN_REMAINING_SECONDS or self.now < self.counter_ignored_until:
-            return False
-        waiting = self.waiting.get(customer_id)
-        if waiting is None:
-            if not self._reserve(bucket, missing):
-                return False
-            waiting = self.waiting[customer_id] = []
-        waiting.append(WaitingRequest(self.now, previous + 1, event))
-        return True
-
-    def _reserve(self, bucket: StrictTokenBucket, missing: float) -> bool:
-        if not self.settings.information.counter or self.call_credit < 1.0:
-            return False
-        call = bucket.reservation_call(missing)
-        if call is None:
-            return False
-        self.call_credit -= 1.0
-        self.actions.append(call)
-        self.counter_calls[call.name] = CounterCall(bucket.customer_id, call.amount)
-        return True
-
-    def on_counter_replied(self, event: CounterReplied) -> None:
-        """Admit the requests that waited for this reply, let them wait once more, or reject them."""
-        customer_id = self.counter_calls.get(event.name, NO_CALL).customer_id
-        super().on_counter_replied(event)
-        if event.status in (Status.TIMEOUT, Status.CONNECT_FAILED):
-            self.counter_ignored_until = self.now + PAUSE_AFTER_LOST_CALL
-        elif event.status is Status.OK:
-            self.counter_ignored_until = -inf
-        for row in self.waiting.pop(customer_id, []):
-            request = row.request._replace(remaining=row.request.remaining - (self.now - row.since))
-            plan = self.plans.get(request.plan)
-            has_time = request.remaining > RETRY_MARGIN
-            if not has_time or plan is None or not self._waits_for_reservation(request, plan, row.reservations):
-                self._decide(request)
-
-    def on_client_disconnected(self, event: ClientDisconnected) -> None:
-        """End the request, also where it waits for the counter, whose reply is still waited for."""
-        self.waiting = {
-            customer_id: [row for row in rows if row.request.id != event.id]
-            for customer_id, rows in self.waiting.items()
-            if rows
-        }
-        super().on_client_disconnected(event)
--- a/thymeflow/shedding/load_shedder.py
+++ b/thymeflow/shedding/load_shedder.py
@@ -5,13 +5,13 @@
 from math import inf
 
 from thymeflow.decision.gateway import Gateway
-from thymeflow.decision.gateway_state import MAX_FLEET_RETRY_BUDGET
-from thymeflow.decision.request_state import RequestState
+from thymeflow.decision.retries import MAX_FLEET_RETRY_BUDGET
+from thymeflow.decision.settings import Plan, RequestClass
 from thymeflow.shedding.errors import InvalidFractionError
 from thymeflow.shedding.priority import PriorityOrder
 
 THRESHOLD_LEASE_SECONDS = 3.0  # how long a threshold is valid; then each member sheds by its own pressure
-RETRY_RESOURCE = "attempts"  # the name of retries in `Gateway.fraction_of`
+RETRY_RESOURCE = "attempts"  # the name of retries in `FleetBounds.fraction_of`
 SHARED_RETRY_BUDGET = MAX_FLEET_RETRY_BUDGET  # retries that all gateways together may save up
 
 
@@ -25,7 +25,6 @@
         self._threshold = 0.0
         self._expires_at = -inf  # s on the gateway's clock
         self._clock_offset = 0.0  # s: from the gateway's clock to the one that all members share
-        gateway.adjust_shedding = self.rejected_fraction
 
     def on_threshold(self, level: object, now: float, monotonic_now: float) -> None:
         """Use the fleet's threshold for the length of a lease.
@@ -40,32 +39,25 @@
         self._expires_at = now + THRESHOLD_LEASE_SECONDS
         self._clock_offset = monotonic_now - now
 
-    def limit_retries(self) -> None:
-        """Let the gateway save up fewer retries the more is shed, as little is admitted then, and retries add to it.
+    def limited_fraction(self, resource: str, fraction: float) -> float:
+        """Return the fraction of a resource to use; of retries less, the more is shed, as retries add to the load.
 
-        The one retry that every gateway may save up is part of its share here, or the sum would grow with the fleet.
+        The one retry that every gateway may save up is part of its fraction, or the sum would grow with the fleet.
         """
-        unlimited_fraction_of = self._gateway.fraction_of
-
-        def fraction_of(resource: str) -> float:
-            """Return this gateway's fraction of a resource of the fleet."""
-            fraction = unlimited_fraction_of(resource)
-            if resource != RETRY_RESOURCE:
-                return fraction
-            threshold = self._threshold if self._gateway.now < self._expires_at else 0.0
-            return max(0.0, fraction * (1.0 - threshold) - 1.0 / SHARED_RETRY_BUDGET)
-
-        self._gateway.fraction_of = fraction_of
-
-    def rejected_fraction(self, pending: RequestState, local_fraction: float) -> float:
-        """Return the fraction of requests like this one to reject; `local_fraction`: by the gateway's own pressure."""
-        now = self._gateway.now
+        if resource != RETRY_RESOURCE:
+            return fraction
+        threshold = self._threshold if self._gateway.context.now < self._expires_at else 0.0
+        return max(0.0, fraction * (1.0 - threshold) - 1.0 / SHARED_RETRY_BUDGET)
+
+    def rejected_fraction(
+        self, request_class: RequestClass, plan: Plan, customer_id: int, local_fraction: float
+    ) -> float:
+        """Return the fraction of such requests to reject; `local_fraction`: by the gateway's own pressure."""
+        now = self._gateway.context.now
         if now >= self._expires_at:
             return local_fraction
         if self._settings is not self._gateway.settings:  # the priority weights may have changed
             self._settings = self._gateway.settings
             self._order = PriorityOrder(self._gateway.settings)
-        bucket = pending.bucket
-        shared_now = now + self._clock_offset
-        rank = self._order.rank(pending.request_class, bucket.plan, bucket.customer_id, shared_now)
+        rank = self._order.rank(request_class, plan, customer_id, now + self._clock_offset)
         return float(rank < self._threshold)
--- a/thymeflow/snapshot/restore.py
+++ b/thymeflow/snapshot/restore.py
@@ -28,6 +28,7 @@
 from thymeflow.decision.types import Backend, BackendState, EndpointListKind
 from thymeflow.health.backend_stats import BackendStats, FailureStreak
 from thymeflow.platform.endpoints import Address, EndpointUpdate
+from thymeflow.quota.buckets import BucketStart
 from thymeflow.quota.counter_ledger import CounterLedger, UncertainAmount
 from thymeflow.quota.token_bucket import TokenBucket
 from thymeflow.snapshot.late_charges import spend
@@ -148,15 +149,15 @@
         taken=now,
         final=final,
         gateways=gateway.settings.limiter_count,
-        pressure=gateway.pressure,
-        usual=gateway.mean_latency_ratio,
-        budget=gateway.retry_budget,
-        call_rate=gateway.call_rate,
+        pressure=gateway.registry.pressure,
+        usual=gateway.registry.mean_latency_ratio,
+        budget=gateway.retries.budget,
+        call_rate=gateway.reporter.call_rate,
         version=version,
         servers=servers,
         health=tuple(_health_record(stats) for stats in gateway.backends.values()),
         stores=tuple(
-            _store_record(bucket, gateway.counter_calls) for bucket in gateway.buckets.values() if bucket.members
+            _store_record(bucket, gateway.reporter.calls) for bucket in gateway.buckets.values() if bucket.members
         ),
     )
 
@@ -189,7 +190,7 @@
 
 
 def _restored_bucket(record: StoreRecord, plan: Plan, snapshot: Snapshot, now: float, gateway: Gateway) -> TokenBucket:
-    bucket = gateway.bucket_factory(plan, record.number, now, now, 0.0)
+    bucket = gateway.token_buckets.create(plan, record.number, BucketStart(now, now, 0.0))
     updated_at = min(record.at, now)  # a clock that was stepped back must not refill twice
     _restore_fields(bucket, record, plan, updated_at)
     bucket.last_seen_at = now
@@ -227,7 +228,7 @@
 def restore_gateway(gateway: Gateway, snapshot: Snapshot, now: float) -> RestoreResult:
     """Restore a new gateway's state, except that of backends; buckets of unknown plans are skipped."""
     skipped = 0
-    plans = gateway.plans
+    plans = gateway.context.plans
     for record in snapshot.stores:
         plan = plans.get(record.plan)
         if plan is None or record.number in gateway.buckets:
@@ -236,12 +237,12 @@
         bucket = _restored_bucket(record, plan, snapshot, now, gateway)
         bucket.set_changed = snapshot.gateways != gateway.settings.limiter_count
         gateway.buckets[record.number] = bucket
-    gateway.pressure = min(1.0, max(0.0, snapshot.pressure))
-    gateway.mean_latency_ratio = max(MIN_MEAN_LATENCY_RATIO, snapshot.usual)
-    gateway.retry_budget = min(gateway.max_retry_budget(), max(0.0, snapshot.budget))
-    min_call_rate = gateway.call_rate * MIN_CALL_RATE_FACTOR
-    max_call_rate = gateway.call_rate * MAX_CALL_RATE_FACTOR
-    gateway.call_rate = min(max(min_call_rate, snapshot.call_rate), max_call_rate)
+    gateway.registry.pressure = min(1.0, max(0.0, snapshot.pressure))
+    gateway.registry.mean_latency_ratio = max(MIN_MEAN_LATENCY_RATIO, snapshot.usual)
+    gateway.retries.budget = min(gateway.retries.max_budget(), max(0.0, snapshot.budget))
+    min_call_rate = gateway.reporter.call_rate * MIN_CALL_RATE_FACTOR
+    max_call_rate = gateway.reporter.call_rate * MAX_CALL_RATE_FACTOR
+    gateway.reporter.call_rate = min(max(min_call_rate, snapshot.call_rate), max_call_rate)
     return RestoreResult(len(snapshot.stores) - skipped, skipped)
 
 
