--- a/thymeflow/fleet/member_state.py
+++ b/thymeflow/fleet/member_state.py
@@ -7,6 +7,8 @@
 from enum import Enum
 from math import inf
 
+from thymeflow.runtime.transitions import TransitionTable
+
 NO_RUN = -1  # in place of a run's id
 
 
@@ -36,27 +38,29 @@
     RESET = "reset"  # after an end on purpose, or out of a crash loop
 
 
-TRANSITIONS: dict[tuple[MemberState, Transition], MemberState] = {
-    (MemberState.WAITING, Transition.START): MemberState.STARTING,
-    (MemberState.WAITING, Transition.ADOPT): MemberState.STARTING,
-    (MemberState.WAITING, Transition.STOP): MemberState.STOPPED,
-    (MemberState.STARTING, Transition.BECOME_READY): MemberState.READY,
-    (MemberState.STARTING, Transition.END): MemberState.WAITING,
-    (MemberState.STARTING, Transition.ENTER_CRASH_LOOP): MemberState.CRASH_LOOP,
-    (MemberState.STARTING, Transition.STOP): MemberState.STOPPING,
-    (MemberState.READY, Transition.END): MemberState.WAITING,
-    (MemberState.READY, Transition.ENTER_CRASH_LOOP): MemberState.CRASH_LOOP,
-    (MemberState.READY, Transition.REPLACE): MemberState.REPLACING,
-    (MemberState.READY, Transition.STOP): MemberState.STOPPING,
-    (MemberState.REPLACING, Transition.FINISH_REPLACEMENT): MemberState.READY,
-    (MemberState.REPLACING, Transition.END): MemberState.WAITING,
-    (MemberState.REPLACING, Transition.ENTER_CRASH_LOOP): MemberState.CRASH_LOOP,
-    (MemberState.REPLACING, Transition.STOP): MemberState.STOPPING,
-    (MemberState.STOPPING, Transition.END): MemberState.STOPPED,
-    (MemberState.STOPPED, Transition.RESET): MemberState.WAITING,
-    (MemberState.CRASH_LOOP, Transition.RESET): MemberState.WAITING,
-    (MemberState.CRASH_LOOP, Transition.STOP): MemberState.STOPPED,
-}
+TRANSITIONS: TransitionTable[MemberState, Transition, MemberState] = TransitionTable(
+    {
+        (MemberState.WAITING, Transition.START): MemberState.STARTING,
+        (MemberState.WAITING, Transition.ADOPT): MemberState.STARTING,
+        (MemberState.WAITING, Transition.STOP): MemberState.STOPPED,
+        (MemberState.STARTING, Transition.BECOME_READY): MemberState.READY,
+        (MemberState.STARTING, Transition.END): MemberState.WAITING,
+        (MemberState.STARTING, Transition.ENTER_CRASH_LOOP): MemberState.CRASH_LOOP,
+        (MemberState.STARTING, Transition.STOP): MemberState.STOPPING,
+        (MemberState.READY, Transition.END): MemberState.WAITING,
+        (MemberState.READY, Transition.ENTER_CRASH_LOOP): MemberState.CRASH_LOOP,
+        (MemberState.READY, Transition.REPLACE): MemberState.REPLACING,
+        (MemberState.READY, Transition.STOP): MemberState.STOPPING,
+        (MemberState.REPLACING, Transition.FINISH_REPLACEMENT): MemberState.READY,
+        (MemberState.REPLACING, Transition.END): MemberState.WAITING,
+        (MemberState.REPLACING, Transition.ENTER_CRASH_LOOP): MemberState.CRASH_LOOP,
+        (MemberState.REPLACING, Transition.STOP): MemberState.STOPPING,
+        (MemberState.STOPPING, Transition.END): MemberState.STOPPED,
+        (MemberState.STOPPED, Transition.RESET): MemberState.WAITING,
+        (MemberState.CRASH_LOOP, Transition.RESET): MemberState.WAITING,
+        (MemberState.CRASH_LOOP, Transition.STOP): MemberState.STOPPED,
+    }
+)
 
 
 @dataclass(slots=True)
@@ -79,6 +83,6 @@
     def apply(self, transition: Transition) -> None:
         """Go to the next state.
 
-        :raises KeyError: the transition is illegal in this state, which is a fault of the controller.
+        :raises IllegalTransitionError: the transition is illegal in this state: a programming error of the controller.
         """
         self.state = TRANSITIONS[self.state, transition]
--- a/thymeflow/handover/state_machine.py
+++ b/thymeflow/handover/state_machine.py
@@ -18,6 +18,8 @@
 from enum import Enum
 from typing import NamedTuple
 
+from thymeflow.runtime.transitions import TransitionTable
+
 
 class SenderState(Enum):
     """The state of the old process."""
@@ -63,57 +65,61 @@
     actions: tuple[SenderAction, ...] = ()
 
 
-SENDER_TRANSITIONS: dict[tuple[SenderState, SenderEvent], SenderTransition] = {
-    (SenderState.SERVING, SenderEvent.REQUESTED): SenderTransition(
-        SenderState.DESCRIPTORS_SENT, (SenderAction.SEND_DESCRIPTORS,)
-    ),
-    (SenderState.SERVING, SenderEvent.SHUTDOWN_REQUESTED): SenderTransition(SenderState.SERVING),
-    (SenderState.DESCRIPTORS_SENT, SenderEvent.RECEIVER_READY): SenderTransition(
-        SenderState.TRANSFERRING_STATE, (SenderAction.PAUSE_LISTENER,)
-    ),
-    (SenderState.DESCRIPTORS_SENT, SenderEvent.DISCONNECTED): SenderTransition(SenderState.SERVING),
-    (SenderState.DESCRIPTORS_SENT, SenderEvent.TIMED_OUT): SenderTransition(
-        SenderState.SERVING, (SenderAction.DISCONNECT_RECEIVER,)
-    ),
-    (SenderState.DESCRIPTORS_SENT, SenderEvent.SHUTDOWN_REQUESTED): SenderTransition(
-        SenderState.SERVING, (SenderAction.DISCONNECT_RECEIVER,)
-    ),
-    (SenderState.TRANSFERRING_STATE, SenderEvent.STATE_ACCEPTED): SenderTransition(
-        SenderState.LISTENER_PAUSED, (SenderAction.PERMIT_ACCEPT,)
-    ),
-    (SenderState.TRANSFERRING_STATE, SenderEvent.DISCONNECTED): SenderTransition(
-        SenderState.SERVING, (SenderAction.RESUME,)
-    ),
-    (SenderState.TRANSFERRING_STATE, SenderEvent.TIMED_OUT): SenderTransition(
-        SenderState.SERVING, (SenderAction.DISCONNECT_RECEIVER, SenderAction.RESUME)
-    ),
-    (SenderState.TRANSFERRING_STATE, SenderEvent.SHUTDOWN_REQUESTED): SenderTransition(
-        SenderState.SERVING, (SenderAction.DISCONNECT_RECEIVER, SenderAction.RESUME)
-    ),
-    (SenderState.LISTENER_PAUSED, SenderEvent.RECEIVER_SERVING): SenderTransition(
-        SenderState.DELEGATED, (SenderAction.DELEGATE,)
-    ),
-    (SenderState.LISTENER_PAUSED, SenderEvent.DISCONNECTED): SenderTransition(
-        SenderState.SERVING, (SenderAction.RESUME,)
-    ),
-    (SenderState.LISTENER_PAUSED, SenderEvent.TIMED_OUT): SenderTransition(
-        SenderState.SERVING, (SenderAction.DISCONNECT_RECEIVER, SenderAction.RESUME)
-    ),
-    # The receiver accepts by now, or is about to.
-    (SenderState.LISTENER_PAUSED, SenderEvent.SHUTDOWN_REQUESTED): SenderTransition(SenderState.DRAINING),
-    # The receiver is dead, so no other process accepts.
-    (SenderState.DELEGATED, SenderEvent.DISCONNECTED): SenderTransition(SenderState.SERVING, (SenderAction.RESUME,)),
-    # The receiver outlived the rollback window.
-    (SenderState.DELEGATED, SenderEvent.TIMED_OUT): SenderTransition(SenderState.DRAINING, (SenderAction.DRAIN,)),
-    (SenderState.DELEGATED, SenderEvent.SHUTDOWN_REQUESTED): SenderTransition(SenderState.DRAINING),
-    # The sender was asked to end before this message arrived.
-    (SenderState.DRAINING, SenderEvent.RECEIVER_SERVING): SenderTransition(
-        SenderState.DRAINING, (SenderAction.CONFIRM_DELEGATION,)
-    ),
-    (SenderState.DRAINING, SenderEvent.DISCONNECTED): SenderTransition(SenderState.DRAINING),
-    (SenderState.DRAINING, SenderEvent.TIMED_OUT): SenderTransition(SenderState.DRAINING),
-    (SenderState.DRAINING, SenderEvent.SHUTDOWN_REQUESTED): SenderTransition(SenderState.DRAINING),
-}
+SENDER_TRANSITIONS: TransitionTable[SenderState, SenderEvent, SenderTransition] = TransitionTable(
+    {
+        (SenderState.SERVING, SenderEvent.REQUESTED): SenderTransition(
+            SenderState.DESCRIPTORS_SENT, (SenderAction.SEND_DESCRIPTORS,)
+        ),
+        (SenderState.SERVING, SenderEvent.SHUTDOWN_REQUESTED): SenderTransition(SenderState.SERVING),
+        (SenderState.DESCRIPTORS_SENT, SenderEvent.RECEIVER_READY): SenderTransition(
+            SenderState.TRANSFERRING_STATE, (SenderAction.PAUSE_LISTENER,)
+        ),
+        (SenderState.DESCRIPTORS_SENT, SenderEvent.DISCONNECTED): SenderTransition(SenderState.SERVING),
+        (SenderState.DESCRIPTORS_SENT, SenderEvent.TIMED_OUT): SenderTransition(
+            SenderState.SERVING, (SenderAction.DISCONNECT_RECEIVER,)
+        ),
+        (SenderState.DESCRIPTORS_SENT, SenderEvent.SHUTDOWN_REQUESTED): SenderTransition(
+            SenderState.SERVING, (SenderAction.DISCONNECT_RECEIVER,)
+        ),
+        (SenderState.TRANSFERRING_STATE, SenderEvent.STATE_ACCEPTED): SenderTransition(
+            SenderState.LISTENER_PAUSED, (SenderAction.PERMIT_ACCEPT,)
+        ),
+        (SenderState.TRANSFERRING_STATE, SenderEvent.DISCONNECTED): SenderTransition(
+            SenderState.SERVING, (SenderAction.RESUME,)
+        ),
+        (SenderState.TRANSFERRING_STATE, SenderEvent.TIMED_OUT): SenderTransition(
+            SenderState.SERVING, (SenderAction.DISCONNECT_RECEIVER, SenderAction.RESUME)
+        ),
+        (SenderState.TRANSFERRING_STATE, SenderEvent.SHUTDOWN_REQUESTED): SenderTransition(
+            SenderState.SERVING, (SenderAction.DISCONNECT_RECEIVER, SenderAction.RESUME)
+        ),
+        (SenderState.LISTENER_PAUSED, SenderEvent.RECEIVER_SERVING): SenderTransition(
+            SenderState.DELEGATED, (SenderAction.DELEGATE,)
+        ),
+        (SenderState.LISTENER_PAUSED, SenderEvent.DISCONNECTED): SenderTransition(
+            SenderState.SERVING, (SenderAction.RESUME,)
+        ),
+        (SenderState.LISTENER_PAUSED, SenderEvent.TIMED_OUT): SenderTransition(
+            SenderState.SERVING, (SenderAction.DISCONNECT_RECEIVER, SenderAction.RESUME)
+        ),
+        # The receiver accepts by now, or is about to.
+        (SenderState.LISTENER_PAUSED, SenderEvent.SHUTDOWN_REQUESTED): SenderTransition(SenderState.DRAINING),
+        # The receiver is dead, so no other process accepts.
+        (SenderState.DELEGATED, SenderEvent.DISCONNECTED): SenderTransition(
+            SenderState.SERVING, (SenderAction.RESUME,)
+        ),
+        # The receiver outlived the rollback window.
+        (SenderState.DELEGATED, SenderEvent.TIMED_OUT): SenderTransition(SenderState.DRAINING, (SenderAction.DRAIN,)),
+        (SenderState.DELEGATED, SenderEvent.SHUTDOWN_REQUESTED): SenderTransition(SenderState.DRAINING),
+        # The sender was asked to end before this message arrived.
+        (SenderState.DRAINING, SenderEvent.RECEIVER_SERVING): SenderTransition(
+            SenderState.DRAINING, (SenderAction.CONFIRM_DELEGATION,)
+        ),
+        (SenderState.DRAINING, SenderEvent.DISCONNECTED): SenderTransition(SenderState.DRAINING),
+        (SenderState.DRAINING, SenderEvent.TIMED_OUT): SenderTransition(SenderState.DRAINING),
+        (SenderState.DRAINING, SenderEvent.SHUTDOWN_REQUESTED): SenderTransition(SenderState.DRAINING),
+    }
+)
 
 
 def advance_sender(state: SenderState, event: SenderEvent) -> SenderTransition:
@@ -174,41 +180,43 @@
 )
 FAULTS = (ReceiverEvent.DISCONNECTED, ReceiverEvent.TIMED_OUT, ReceiverEvent.ABORTED)
 
-RECEIVER_TRANSITIONS: dict[tuple[ReceiverState, ReceiverEvent], ReceiverTransition] = {
-    (ReceiverState.REQUESTING, ReceiverEvent.DESCRIPTORS_RECEIVED): ReceiverTransition(
-        ReceiverState.STARTING_UP, (ReceiverAction.START_UP,)
-    ),
-    (ReceiverState.STARTING_UP, ReceiverEvent.STARTED_UP): ReceiverTransition(
-        ReceiverState.AWAITING_STATE, (ReceiverAction.SEND_READY,)
-    ),
-    (ReceiverState.AWAITING_STATE, ReceiverEvent.STATE_RECEIVED): ReceiverTransition(
-        ReceiverState.AWAITING_PERMISSION, (ReceiverAction.RESTORE_STATE,)
-    ),
-    (ReceiverState.AWAITING_PERMISSION, ReceiverEvent.ACCEPT_PERMITTED): ReceiverTransition(
-        ReceiverState.AWAITING_CONFIRMATION, (ReceiverAction.START_ACCEPTING,)
-    ),
-    (ReceiverState.AWAITING_CONFIRMATION, ReceiverEvent.DELEGATION_CONFIRMED): ReceiverTransition(
-        ReceiverState.COMPLETED, (ReceiverAction.COMPLETE,)
-    ),
-    (ReceiverState.AWAITING_CONFIRMATION, ReceiverEvent.DISCONNECTED): ReceiverTransition(
-        ReceiverState.FAILED, (ReceiverAction.RETREAT,)
-    ),
-    # The sender may have delegated already, with its confirmation on the way: only the end of the connection shows
-    # that it has not, since earlier messages arrive before it. To retreat on a guess could leave no process that
-    # accepts.
-    (ReceiverState.AWAITING_CONFIRMATION, ReceiverEvent.TIMED_OUT): ReceiverTransition(
-        ReceiverState.AWAITING_CONFIRMATION
-    ),
-    (ReceiverState.COMPLETED, ReceiverEvent.DISCONNECTED): ReceiverTransition(ReceiverState.COMPLETED),
-    (ReceiverState.COMPLETED, ReceiverEvent.TIMED_OUT): ReceiverTransition(ReceiverState.COMPLETED),
-    (ReceiverState.FAILED, ReceiverEvent.DISCONNECTED): ReceiverTransition(ReceiverState.FAILED),
-    (ReceiverState.FAILED, ReceiverEvent.TIMED_OUT): ReceiverTransition(ReceiverState.FAILED),
-    **{
-        (state, fault): ReceiverTransition(ReceiverState.FAILED, (ReceiverAction.ABANDON,))
-        for state in STATES_BEFORE_ACCEPTING
-        for fault in FAULTS
-    },
-}
+RECEIVER_TRANSITIONS: TransitionTable[ReceiverState, ReceiverEvent, ReceiverTransition] = TransitionTable(
+    {
+        (ReceiverState.REQUESTING, ReceiverEvent.DESCRIPTORS_RECEIVED): ReceiverTransition(
+            ReceiverState.STARTING_UP, (ReceiverAction.START_UP,)
+        ),
+        (ReceiverState.STARTING_UP, ReceiverEvent.STARTED_UP): ReceiverTransition(
+            ReceiverState.AWAITING_STATE, (ReceiverAction.SEND_READY,)
+        ),
+        (ReceiverState.AWAITING_STATE, ReceiverEvent.STATE_RECEIVED): ReceiverTransition(
+            ReceiverState.AWAITING_PERMISSION, (ReceiverAction.RESTORE_STATE,)
+        ),
+        (ReceiverState.AWAITING_PERMISSION, ReceiverEvent.ACCEPT_PERMITTED): ReceiverTransition(
+            ReceiverState.AWAITING_CONFIRMATION, (ReceiverAction.START_ACCEPTING,)
+        ),
+        (ReceiverState.AWAITING_CONFIRMATION, ReceiverEvent.DELEGATION_CONFIRMED): ReceiverTransition(
+            ReceiverState.COMPLETED, (ReceiverAction.COMPLETE,)
+        ),
+        (ReceiverState.AWAITING_CONFIRMATION, ReceiverEvent.DISCONNECTED): ReceiverTransition(
+            ReceiverState.FAILED, (ReceiverAction.RETREAT,)
+        ),
+        # The sender may have delegated already, with its confirmation on the way: only the end of the connection shows
+        # that it has not, since earlier messages arrive before it. To retreat on a guess could leave no process that
+        # accepts.
+        (ReceiverState.AWAITING_CONFIRMATION, ReceiverEvent.TIMED_OUT): ReceiverTransition(
+            ReceiverState.AWAITING_CONFIRMATION
+        ),
+        (ReceiverState.COMPLETED, ReceiverEvent.DISCONNECTED): ReceiverTransition(ReceiverState.COMPLETED),
+        (ReceiverState.COMPLETED, ReceiverEvent.TIMED_OUT): ReceiverTransition(ReceiverState.COMPLETED),
+        (ReceiverState.FAILED, ReceiverEvent.DISCONNECTED): ReceiverTransition(ReceiverState.FAILED),
+        (ReceiverState.FAILED, ReceiverEvent.TIMED_OUT): ReceiverTransition(ReceiverState.FAILED),
+        **{
+            (state, fault): ReceiverTransition(ReceiverState.FAILED, (ReceiverAction.ABANDON,))
+            for state in STATES_BEFORE_ACCEPTING
+            for fault in FAULTS
+        },
+    }
+)
 
 
 def advance_receiver(state: ReceiverState, event: ReceiverEvent) -> ReceiverTransition:
--- a/thymeflow/leases/holder_state.py
+++ b/thymeflow/leases/holder_state.py
@@ -7,6 +7,7 @@
 from math import inf
 
 from thymeflow.leases.resources import Resource
+from thymeflow.runtime.transitions import TransitionTable
 
 
 class HolderState(Enum):
@@ -29,26 +30,27 @@
     DEATH = "death"  # its process is known to have ended, from the kernel
 
 
-# A pair that is not in the table is illegal, and raises KeyError.
-HOLDER_TRANSITIONS: dict[tuple[HolderState, HolderEvent], HolderState] = {
-    (HolderState.ABSENT, HolderEvent.STARTING): HolderState.NOT_REPORTING,
-    (HolderState.ABSENT, HolderEvent.DEATH): HolderState.ABSENT,
-    (HolderState.ABSENT, HolderEvent.REPORT): HolderState.ACKNOWLEDGED,
-    (HolderState.NOT_REPORTING, HolderEvent.STARTING): HolderState.NOT_REPORTING,
-    (HolderState.NOT_REPORTING, HolderEvent.REPORT): HolderState.ACKNOWLEDGED,
-    (HolderState.NOT_REPORTING, HolderEvent.UNRESPONSIVE): HolderState.NOT_REPORTING,
-    (HolderState.NOT_REPORTING, HolderEvent.DEATH): HolderState.ABSENT,
-    (HolderState.ACKNOWLEDGED, HolderEvent.REPORT): HolderState.ACKNOWLEDGED,
-    (HolderState.ACKNOWLEDGED, HolderEvent.GRANT): HolderState.GRANT_PENDING,
-    (HolderState.ACKNOWLEDGED, HolderEvent.ACK): HolderState.ACKNOWLEDGED,
-    (HolderState.ACKNOWLEDGED, HolderEvent.UNRESPONSIVE): HolderState.NOT_REPORTING,
-    (HolderState.ACKNOWLEDGED, HolderEvent.DEATH): HolderState.ABSENT,
-    (HolderState.GRANT_PENDING, HolderEvent.REPORT): HolderState.GRANT_PENDING,
-    (HolderState.GRANT_PENDING, HolderEvent.GRANT): HolderState.GRANT_PENDING,
-    (HolderState.GRANT_PENDING, HolderEvent.ACK): HolderState.ACKNOWLEDGED,
-    (HolderState.GRANT_PENDING, HolderEvent.UNRESPONSIVE): HolderState.NOT_REPORTING,
-    (HolderState.GRANT_PENDING, HolderEvent.DEATH): HolderState.ABSENT,
-}
+HOLDER_TRANSITIONS: TransitionTable[HolderState, HolderEvent, HolderState] = TransitionTable(
+    {
+        (HolderState.ABSENT, HolderEvent.STARTING): HolderState.NOT_REPORTING,
+        (HolderState.ABSENT, HolderEvent.DEATH): HolderState.ABSENT,
+        (HolderState.ABSENT, HolderEvent.REPORT): HolderState.ACKNOWLEDGED,
+        (HolderState.NOT_REPORTING, HolderEvent.STARTING): HolderState.NOT_REPORTING,
+        (HolderState.NOT_REPORTING, HolderEvent.REPORT): HolderState.ACKNOWLEDGED,
+        (HolderState.NOT_REPORTING, HolderEvent.UNRESPONSIVE): HolderState.NOT_REPORTING,
+        (HolderState.NOT_REPORTING, HolderEvent.DEATH): HolderState.ABSENT,
+        (HolderState.ACKNOWLEDGED, HolderEvent.REPORT): HolderState.ACKNOWLEDGED,
+        (HolderState.ACKNOWLEDGED, HolderEvent.GRANT): HolderState.GRANT_PENDING,
+        (HolderState.ACKNOWLEDGED, HolderEvent.ACK): HolderState.ACKNOWLEDGED,
+        (HolderState.ACKNOWLEDGED, HolderEvent.UNRESPONSIVE): HolderState.NOT_REPORTING,
+        (HolderState.ACKNOWLEDGED, HolderEvent.DEATH): HolderState.ABSENT,
+        (HolderState.GRANT_PENDING, HolderEvent.REPORT): HolderState.GRANT_PENDING,
+        (HolderState.GRANT_PENDING, HolderEvent.GRANT): HolderState.GRANT_PENDING,
+        (HolderState.GRANT_PENDING, HolderEvent.ACK): HolderState.ACKNOWLEDGED,
+        (HolderState.GRANT_PENDING, HolderEvent.UNRESPONSIVE): HolderState.NOT_REPORTING,
+        (HolderState.GRANT_PENDING, HolderEvent.DEATH): HolderState.ABSENT,
+    }
+)
 
 
 @dataclass(slots=True)
--- a/thymeflow/leases/issuer.py
+++ b/thymeflow/leases/issuer.py
@@ -65,9 +65,9 @@
         """Return the record of a holder, a new one if it is unknown."""
         return self.records.setdefault(holder, HolderRecord())
 
-    def _move(self, holder: HolderName, move: HolderEvent) -> HolderRecord:
+    def _move(self, holder: HolderName, event: HolderEvent) -> HolderRecord:
         row = self.record_of(holder)
-        row.state = HOLDER_TRANSITIONS[row.state, move]
+        row.state = HOLDER_TRANSITIONS[row.state, event]
         return row
 
     # Events.
--- a/thymeflow/limiter/phases.py
+++ b/thymeflow/limiter/phases.py
@@ -5,6 +5,8 @@
 from enum import Enum
 from typing import NamedTuple
 
+from thymeflow.runtime.transitions import TransitionTable
+
 
 class Phase(Enum):
     """Where the process is in its lifecycle."""
@@ -34,15 +36,17 @@
 
 
 # What is not in the table changes nothing and is rejected, with the phase as the reason.
-TRANSITIONS: dict[tuple[Phase, OperatorCommand], Transition] = {
-    (Phase.SERVING, OperatorCommand.EVACUATE): Transition(Phase.EVACUATED, True, "user agents are sent away"),
-    (Phase.EVACUATED, OperatorCommand.EVACUATE): Transition(Phase.EVACUATED, True, "evacuated already"),
-    (Phase.EVACUATED, OperatorCommand.ACTIVATE): Transition(Phase.SERVING, True, "back at work"),
-    (Phase.SERVING, OperatorCommand.ACTIVATE): Transition(Phase.SERVING, True, "at work already"),
-    (Phase.STARTING, OperatorCommand.ACTIVATE): Transition(
-        Phase.STARTING, True, "will be at work as soon as it has started"
-    ),
-}
+TRANSITIONS: TransitionTable[Phase, OperatorCommand, Transition] = TransitionTable(
+    {
+        (Phase.SERVING, OperatorCommand.EVACUATE): Transition(Phase.EVACUATED, True, "user agents are sent away"),
+        (Phase.EVACUATED, OperatorCommand.EVACUATE): Transition(Phase.EVACUATED, True, "evacuated already"),
+        (Phase.EVACUATED, OperatorCommand.ACTIVATE): Transition(Phase.SERVING, True, "back at work"),
+        (Phase.SERVING, OperatorCommand.ACTIVATE): Transition(Phase.SERVING, True, "at work already"),
+        (Phase.STARTING, OperatorCommand.ACTIVATE): Transition(
+            Phase.STARTING, True, "will be at work as soon as it has started"
+        ),
+    }
+)
 REASONS = {
     Phase.STARTING: "it is starting and takes no user agents yet",
     Phase.SERVING: "it takes user agents",
@@ -57,6 +61,5 @@
     """Return the effect of a command in a phase; `takes_clients`: whether clients are accepted now."""
     if command is OperatorCommand.READY:
         return Transition(phase, takes_clients, REASONS[phase])
-    if (phase, command) in TRANSITIONS:
-        return TRANSITIONS[phase, command]
-    return Transition(phase, False, REASONS[phase])
+    rejection = Transition(phase, False, REASONS[phase])
+    return TRANSITIONS.get((phase, command), rejection)
--- a/thymeflow/outliers/ejection.py
+++ b/thymeflow/outliers/ejection.py
@@ -7,6 +7,8 @@
 from math import inf
 from typing import NamedTuple
 
+from thymeflow.runtime.transitions import TransitionTable
+
 ZONE = -1  # in place of a backend's number in a key: the ejection is of a zone; also in messages
 
 
@@ -38,16 +40,18 @@
     DONE = "done"  # the recovery, or the time after it, is complete
 
 
-# None: the ejection is removed. A pair that is not in the table is illegal, and raises KeyError.
-TRANSITIONS: dict[tuple[EjectionState, EjectionEvent], EjectionState | None] = {
-    (EjectionState.EJECTED, EjectionEvent.SUCCESS): EjectionState.RECOVERING,
-    (EjectionState.EJECTED, EjectionEvent.FAILURE): EjectionState.EJECTED,
-    (EjectionState.RECOVERING, EjectionEvent.SUCCESS): EjectionState.RECOVERING,
-    (EjectionState.RECOVERING, EjectionEvent.FAILURE): EjectionState.EJECTED,
-    (EjectionState.RECOVERING, EjectionEvent.STEP): EjectionState.RECOVERING,
-    (EjectionState.RECOVERING, EjectionEvent.DONE): EjectionState.RECOVERED,
-    (EjectionState.RECOVERED, EjectionEvent.DONE): None,
-}
+# None: the ejection is removed.
+TRANSITIONS: TransitionTable[EjectionState, EjectionEvent, EjectionState | None] = TransitionTable(
+    {
+        (EjectionState.EJECTED, EjectionEvent.SUCCESS): EjectionState.RECOVERING,
+        (EjectionState.EJECTED, EjectionEvent.FAILURE): EjectionState.EJECTED,
+        (EjectionState.RECOVERING, EjectionEvent.SUCCESS): EjectionState.RECOVERING,
+        (EjectionState.RECOVERING, EjectionEvent.FAILURE): EjectionState.EJECTED,
+        (EjectionState.RECOVERING, EjectionEvent.STEP): EjectionState.RECOVERING,
+        (EjectionState.RECOVERING, EjectionEvent.DONE): EjectionState.RECOVERED,
+        (EjectionState.RECOVERED, EjectionEvent.DONE): None,
+    }
+)
 
 
 @dataclass(frozen=True, slots=True)
