--- a/thymeflow/fleet/outlier_service.py
+++ b/thymeflow/fleet/outlier_service.py
@@ -15,6 +15,7 @@
 from thymeflow.outliers.messages import keys_from_message, message_of, probes_from_message, zones_from_message
 from thymeflow.runtime import clock, log
 from thymeflow.runtime.log_kinds import LogKind
+from thymeflow.runtime.value_checks import is_integer, quote
 from thymeflow.shedding.threshold import AdmissionThreshold
 
 TICK_SECONDS = 0.25
@@ -151,8 +152,8 @@
 
 def _server_count_of(message: Message) -> int:
     count = message["servers"]
-    if type(count) is not int or count < 0:
-        text = f"servers is {str(count)[:40]!r}, no count"
+    if not is_integer(count) or count < 0:
+        text = f"servers is {quote(count)}, no count"
         raise MalformedReportError(text)
     return count
 
--- a/thymeflow/leases/allocation.py
+++ b/thymeflow/leases/allocation.py
@@ -3,10 +3,10 @@
 from __future__ import annotations
 
 from dataclasses import dataclass
-from math import isfinite
 
 from thymeflow.leases.errors import MalformedAllocationError
 from thymeflow.leases.resources import TOTAL_POINTS, Resource
+from thymeflow.runtime.value_checks import is_finite_number, is_integer
 
 MIN_RESOURCE_COUNT = 2  # amounts in messages of the oldest version that is read; they are of the first resources
 
@@ -31,19 +31,19 @@
 def allocation_from_message(message: object) -> Allocation:
     """Parse the message form of an allocation.
 
-    :raises MalformedAllocationError: a ValueError that says what is wrong with the message.
+    :raises MalformedAllocationError: the message is malformed; the text names the value.
     """
-    # The keys, and the words of the texts, are part of the protocol between supervisor and members.
+    # The keys and the error texts belong to the protocol between supervisor and members, and stay as they are.
     if not isinstance(message, dict):
         text = "a part is a table"
         raise MalformedAllocationError(text)
     epoch = message.get("era")
     number = message.get("number")
     ends_at = message.get("end")
-    if type(epoch) is not int or type(number) is not int or epoch < 0 or number < 0:
+    if not is_integer(epoch) or not is_integer(number) or epoch < 0 or number < 0:
         text = f"era {epoch!r} and number {number!r} are no whole numbers from 0 on"
         raise MalformedAllocationError(text)
-    if isinstance(ends_at, bool) or not isinstance(ends_at, (int, float)) or not isfinite(ends_at):
+    if not is_finite_number(ends_at):
         text = f"end is {ends_at!r}, no time"
         raise MalformedAllocationError(text)
     base = _amounts_from_message("base", message.get("base"))
@@ -66,7 +66,7 @@
     if (
         not isinstance(amounts, list)
         or not MIN_RESOURCE_COUNT <= len(amounts) <= len(Resource)
-        or not all(type(amount) is int and 0 <= amount <= TOTAL_POINTS for amount in amounts)
+        or not all(is_integer(amount) and 0 <= amount <= TOTAL_POINTS for amount in amounts)
     ):
         text = f"{key} is {amounts!r}, not {len(Resource)} whole numbers from 0 to {TOTAL_POINTS}"
         raise MalformedAllocationError(text)
--- a/thymeflow/leases/errors.py
+++ b/thymeflow/leases/errors.py
@@ -14,8 +14,8 @@
 
 
 class MalformedAllocationError(LeaseError, ValueError):
-    """A message is no allocation; the text says why in one line."""
+    """A message is no allocation; the text gives the reason in one line."""
 
 
 class GrantFileError(LeaseError):
-    """The grant file cannot be used; the text says why in one line."""
+    """The grant file cannot be used; the text gives the reason in one line."""
--- a/thymeflow/outliers/errors.py
+++ b/thymeflow/outliers/errors.py
@@ -10,4 +10,4 @@
 
 
 class MalformedOutlierMessageError(OutlierError, ValueError):
-    """A report or an ejection in a message cannot be parsed; the text says why in one line."""
+    """A report or an ejection in a message cannot be parsed; the text gives the reason in one line."""
--- a/thymeflow/outliers/messages.py
+++ b/thymeflow/outliers/messages.py
@@ -1,19 +1,17 @@
 """The message forms of members' reports and of ejections, between the members and the coordinator's process.
 
-The forms, and the words of the error texts, are part of that protocol.
+The forms and the error texts belong to that protocol, and stay as they are.
 """
 
 from __future__ import annotations
 
-from math import isfinite
-
 from thymeflow.outliers.ejection import Ejection, EjectionKey
 from thymeflow.outliers.errors import MalformedOutlierMessageError
+from thymeflow.runtime.value_checks import is_finite_number, is_integer, quote
 
 MAX_ROWS = 512  # of one list in a message
 MAX_NAME_LENGTH = 64  # characters of a class or a zone; more are cut off
-MAX_SHOWN_LENGTH = 40  # characters of a malformed value in an error text
-MAX_SHOWN_ROW_LENGTH = 60
+MAX_QUOTED_ROW_CHARACTERS = 60  # of a malformed ejection in an error text
 EJECTION_TYPES = [int, str, int, int, bool, bool]  # of the first values of an ejection's row; the last is a time
 TIME_DECIMALS = 3
 
@@ -21,10 +19,10 @@
 def keys_from_message(rows: object) -> set[EjectionKey]:
     """Parse the keys of backends, or of classes at them, in a report.
 
-    :raises MalformedOutlierMessageError: a ValueError that says what is wrong.
+    :raises MalformedOutlierMessageError: the message is malformed; the text quotes the value.
     """
     if not isinstance(rows, list) or len(rows) > MAX_ROWS:
-        text = f"{str(rows)[:MAX_SHOWN_LENGTH]!r} is no list of at most {MAX_ROWS} rows"
+        text = f"{quote(rows)} is no list of at most {MAX_ROWS} rows"
         raise MalformedOutlierMessageError(text)
     return {_key_from_row(row) for row in rows}
 
@@ -32,14 +30,14 @@
 def zones_from_message(zones: object) -> dict[str, frozenset[int]]:
     """Parse the backends by zone in a report.
 
-    :raises MalformedOutlierMessageError: a ValueError that says what is wrong.
+    :raises MalformedOutlierMessageError: the message is malformed; the text quotes the value.
     """
     if (
         not isinstance(zones, dict)
         or len(zones) > MAX_ROWS
         or not all(_is_list_of_backends(backends) for backends in zones.values())
     ):
-        text = f"{str(zones)[:MAX_SHOWN_LENGTH]!r} are no zones"
+        text = f"{quote(zones)} are no zones"
         raise MalformedOutlierMessageError(text)
     return {str(zone)[:MAX_NAME_LENGTH]: frozenset(backends) for zone, backends in zones.items()}
 
@@ -47,12 +45,12 @@
 def probes_from_message(results: object) -> dict[int, bool]:
     """Parse the results of half-open probes in a report: by permit, whether the probe succeeded.
 
-    :raises MalformedOutlierMessageError: a ValueError that says what is wrong.
+    :raises MalformedOutlierMessageError: the message is malformed; the text quotes the value.
     """
     if not isinstance(results, dict) or not all(
         permit.isascii() and permit.isdigit() and type(succeeded) is bool for permit, succeeded in results.items()
     ):
-        text = f"{str(results)[:MAX_SHOWN_LENGTH]!r} are no trials"
+        text = f"{quote(results)} are no trials"
         raise MalformedOutlierMessageError(text)
     return {int(permit): succeeded for permit, succeeded in results.items()}
 
@@ -72,10 +70,10 @@
 def ejections_from_message(rows: object) -> list[Ejection]:
     """Parse the rows of ejections.
 
-    :raises MalformedOutlierMessageError: a ValueError that says what is wrong.
+    :raises MalformedOutlierMessageError: the message is malformed; the text quotes the value.
     """
     if not isinstance(rows, list):
-        text = f"{str(rows)[:MAX_SHOWN_LENGTH]!r} is no list"
+        text = f"{quote(rows)} is no list"
         raise MalformedOutlierMessageError(text)
     return [_ejection_from_row(row) for row in rows]
 
@@ -84,11 +82,11 @@
     if (
         not isinstance(row, list)
         or len(row) != len(EjectionKey._fields)
-        or type(row[0]) is not int
+        or not is_integer(row[0])
         or row[0] < 0
         or not isinstance(row[1], str)
     ):
-        text = f"{str(row)[:MAX_SHOWN_LENGTH]!r} is no server and class"
+        text = f"{quote(row)} is no server and class"
         raise MalformedOutlierMessageError(text)
     return EjectionKey(row[0], row[1][:MAX_NAME_LENGTH])
 
@@ -96,7 +94,7 @@
 def _is_list_of_backends(backends: object) -> bool:
     if not isinstance(backends, list) or len(backends) > MAX_ROWS:
         return False
-    return all(type(backend) is int for backend in backends)
+    return all(is_integer(backend) for backend in backends)
 
 
 def _ejection_from_row(row: object) -> Ejection:
@@ -105,11 +103,9 @@
         not isinstance(row, list)
         or [type(value) for value in row[:type_count]] != EJECTION_TYPES
         or len(row) != type_count + 1
-        or isinstance(row[type_count], bool)
-        or not isinstance(row[type_count], int | float)
-        or not isfinite(row[type_count])
+        or not is_finite_number(row[type_count])
     ):
-        text = f"{str(row)[:MAX_SHOWN_ROW_LENGTH]!r} is no verdict"
+        text = f"{quote(row, MAX_QUOTED_ROW_CHARACTERS)} is no verdict"
         raise MalformedOutlierMessageError(text)
     backend, name, number, permit, is_allowed, is_cleared, ends_at = row
     return Ejection(EjectionKey(backend, name), number, permit, is_allowed, is_cleared, float(ends_at))
--- a/thymeflow/shedding/errors.py
+++ b/thymeflow/shedding/errors.py
@@ -3,8 +3,7 @@
 from __future__ import annotations
 
 from thymeflow.errors import ThymeflowError
-
-MAX_SHOWN_LENGTH = 40  # characters of an invalid value in an error text
+from thymeflow.runtime.value_checks import quote
 
 
 class SheddingError(ThymeflowError):
@@ -12,7 +11,7 @@
 
 
 class InvalidFractionError(SheddingError, ValueError):
-    """A reported pressure or threshold is no number from 0 to 1; the text says which."""
+    """A reported pressure or threshold is no number from 0 to 1; the text names and quotes it."""
 
     def __init__(self, name: str, value: object) -> None:
-        super().__init__(f"{name} is {str(value)[:MAX_SHOWN_LENGTH]!r}, no figure from 0 to 1")
+        super().__init__(f"{name} is {quote(value)}, no figure from 0 to 1")
--- a/thymeflow/shedding/load_shedder.py
+++ b/thymeflow/shedding/load_shedder.py
@@ -7,6 +7,7 @@
 from thymeflow.decision.gateway import Gateway
 from thymeflow.decision.gateway_state import MAX_FLEET_RETRY_BUDGET
 from thymeflow.decision.request_state import RequestState
+from thymeflow.runtime.value_checks import is_fraction
 from thymeflow.shedding.errors import InvalidFractionError
 from thymeflow.shedding.priority import PriorityOrder
 
@@ -34,7 +35,7 @@
 
         :raises InvalidFractionError: a ValueError, where the threshold is no number from 0 to 1.
         """
-        if isinstance(level, bool) or not isinstance(level, int | float) or not 0.0 <= level <= 1.0:
+        if not is_fraction(level):
             raise InvalidFractionError(name="level", value=level)
         self._threshold = float(level)
         self._expires_at = now + THRESHOLD_LEASE_SECONDS
--- a/thymeflow/shedding/threshold.py
+++ b/thymeflow/shedding/threshold.py
@@ -12,10 +12,10 @@
 from __future__ import annotations
 
 from dataclasses import dataclass
-from math import isfinite
 from statistics import median_low
 
 from thymeflow.health.pressure import PRESSURE_THRESHOLD
+from thymeflow.runtime.value_checks import is_fraction
 from thymeflow.shedding.errors import InvalidFractionError
 from thymeflow.shedding.load_shedder import LoadShedder as LoadShedder
 from thymeflow.shedding.priority import PriorityOrder as PriorityOrder
@@ -55,12 +55,7 @@
 
         :raises InvalidFractionError: a ValueError, where that is no number from 0 to 1.
         """
-        if (
-            isinstance(pressure, bool)
-            or not isinstance(pressure, int | float)
-            or not isfinite(pressure)
-            or not 0.0 <= pressure <= 1.0
-        ):
+        if not is_fraction(pressure):
             raise InvalidFractionError(name="pressure", value=pressure)
         self.reports[member] = PressureReport(now, float(pressure))
 
