--- a/thymeflow/fleet/adoption.py
+++ b/thymeflow/fleet/adoption.py
@@ -11,9 +11,10 @@
 from thymeflow.fleet.actions import Action
 from thymeflow.fleet.controller import FleetController
 from thymeflow.fleet.events import MemberAdopted
-from thymeflow.fleet.member_processes import SERVING_PHASE, MemberProcesses
+from thymeflow.fleet.member_processes import MemberProcesses
 from thymeflow.fleet.member_sockets import MemberSockets
-from thymeflow.fleet.processes import AdoptedProcess
+from thymeflow.fleet.member_status import UNKNOWN_PID, MemberStatus
+from thymeflow.fleet.processes import AdoptedProcess, RunProcess
 from thymeflow.fleet.reactor import FleetReactor
 from thymeflow.fleet.registry import FleetNames
 from thymeflow.handover import control_client
@@ -46,17 +47,18 @@
         requested = self._processes.request_status(number)
         return requested.addCallbacks(partial(self._on_status, number), _ignore_failure)
 
-    def _on_status(self, number: int, status: Message) -> Deferred[int | None] | None:
-        if not status.get("ok") or not isinstance(status.get("pid"), int):
+    def _on_status(self, number: int, status: MemberStatus) -> Deferred[int | None] | None:
+        if not status.message.get("ok") or status.pid == UNKNOWN_PID:
             return None
         try:
-            process = AdoptedProcess(self._reactor, status["pid"])
+            process = AdoptedProcess(self._reactor, status.pid)
         except OSError:
             return None
-        is_serving = status["phase"] == SERVING_PHASE
-        actions = self._controller.handle(clock.now(), MemberAdopted(number, str(status["life"]), is_serving))
-        self._processes.follow(self._controller.members[number].run_id, number, status["pid"], process)
-        log.emit(LogKind.ADOPTED, f"{self._names.name(number)}, pid {status['pid']}, {status['phase']}")
+        event = MemberAdopted(number, status.incarnation, status.is_serving)
+        actions = self._controller.handle(clock.now(), event)
+        run_id = self._controller.members[number].run_id
+        self._processes.follow(RunProcess(run_id, number, status.pid, process))
+        log.emit(LogKind.ADOPTED, f"{self._names.name(number)}, pid {status.pid}, {status.phase}")
         self._carry_out(actions)
         return _SocketCopy(self._reactor, self._names, self._sockets, number).begin()
 
--- a/thymeflow/fleet/control_requests.py
+++ b/thymeflow/fleet/control_requests.py
@@ -7,7 +7,7 @@
 
 from thymeflow.fleet.actions import ReportProgress
 from thymeflow.fleet.controller import FleetController
-from thymeflow.fleet.events import Event, Operation, OperationKind
+from thymeflow.fleet.events import EventHandler, Operation, OperationKind
 from thymeflow.fleet.member_processes import ProcessEnvironment
 from thymeflow.handover.control_socket import ControlCaller, Message
 from thymeflow.runtime import log
@@ -38,12 +38,12 @@
         controller: FleetController,
         environment: ProcessEnvironment,
         handlers: RequestHandlers,
-        decide: Callable[[Event], None],
+        handler: EventHandler,
     ) -> None:
         self._controller = controller
         self._environment = environment
         self._handlers = handlers
-        self._decide = decide
+        self._handler = handler
         self._last_operation_id = 0
         self._callers: dict[int, ControlCaller] = {}  # by operation
         self._previous_programs: dict[int, str] = {}  # by operation that replaced the program
@@ -89,10 +89,9 @@
             caller.is_persistent = True
             self._callers[operation_id] = caller
         if program is not None and not self._controller.describe_operation():
-            self._previous_programs[operation_id] = self._environment.program
-            self._environment.program = program
+            self._previous_programs[operation_id] = self._environment.use_program(program)
         log.emit(LogKind.ORDER, f"{kind.value}{f' to {wanted_count}' if kind is OperationKind.SCALE else ''}")
-        self._decide(Operation(operation_id, kind, wanted_count))
+        self._handler.decide(Operation(operation_id, kind, wanted_count))
 
     def report(self, report: ReportProgress) -> None:
         """Log a report of an operation, and send it to the caller who ordered it."""
@@ -108,7 +107,7 @@
     def _restore_program(self, report: ReportProgress) -> None:
         previous = self._previous_programs.pop(report.operation_id, None)
         if previous is not None and not report.is_successful:
-            self._environment.program = previous  # the next restart must not use a program that failed
+            self._environment.use_program(previous)  # the next restart must not use a program that failed
 
     def _send_status(self, caller: ControlCaller) -> None:
         caller.send({"ok": True, **self._handlers.status()})
--- a/thymeflow/fleet/controller.py
+++ b/thymeflow/fleet/controller.py
@@ -55,8 +55,7 @@
         self._decisions.begin(now)
         match event:
             case FleetStarted(count):
-                self._operations.wanted_count = count
-                self._lifecycle.start_fleet(count)
+                self._operations.start_fleet(count)
             case MemberAdopted(number, incarnation, is_serving):
                 self._lifecycle.adopt(number, incarnation, is_serving)
             case StatusReported():
--- a/thymeflow/fleet/errors.py
+++ b/thymeflow/fleet/errors.py
@@ -19,7 +19,3 @@
 
 class RegistryError(FleetError, ValueError):
     """A file of the fleet cannot be read, or an address of a member is out of range."""
-
-
-class MalformedReportError(FleetError, ValueError):
-    """A member's report holds a value that is out of its domain."""
--- a/thymeflow/fleet/events.py
+++ b/thymeflow/fleet/events.py
@@ -4,6 +4,7 @@
 
 from dataclasses import dataclass
 from enum import Enum
+from typing import Protocol
 
 
 @dataclass(frozen=True, slots=True)
@@ -63,4 +64,14 @@
     count: int = 0
 
 
+class EventHandler(Protocol):
+    """The supervisor, as its parts see it."""
+
+    def decide(self, event: Event) -> None:
+        """Decide on an event, and carry out the actions."""
+
+    def fleet_size(self) -> int:
+        """Return the size of the fleet that members are notified of."""
+
+
 Event = Tick | FleetStarted | MemberAdopted | StatusReported | RunEnded | Operation
--- a/thymeflow/fleet/lease_distributor.py
+++ b/thymeflow/fleet/lease_distributor.py
@@ -5,11 +5,12 @@
 from collections.abc import Callable
 from pathlib import Path
 
+from thymeflow.fleet.status_messages import JsonObject, lease_status
 from thymeflow.handover.control_socket import Message
 from thymeflow.leases import grant_file
-from thymeflow.leases.holder import Allocation, allocation_from_message, message_of
+from thymeflow.leases.allocation import Allocation, message_of, report_from_message
+from thymeflow.leases.errors import MalformedAllocationError
 from thymeflow.leases.issuer import HolderState, LeaseIssuer, Write
-from thymeflow.leases.resources import BASE_POINTS, LEASED_POINTS, TOTAL_POINTS, Resource
 from thymeflow.runtime import clock, log
 from thymeflow.runtime.log_kinds import LogKind
 
@@ -60,15 +61,14 @@
             allocation = Allocation(allocation.epoch, allocation.number)  # starts with nothing, is granted later
         return message_of(allocation)
 
-    def on_report(self, name: str, message: Message) -> None:
+    def on_report(self, name: str, message: object) -> None:
         """Handle a member's report of its allocation; a malformed one changes nothing."""
         try:
-            allocation = allocation_from_message(message)
-            demand = tuple(float(value) for value in message["demand"])
-        except (ValueError, TypeError, KeyError) as error:
+            report = report_from_message(message)
+        except MalformedAllocationError as error:
             log.emit_rate_limited(LogKind.BUDGETS, f"{name} says of its part what cannot be read: {error}")
             return
-        self._issuer.on_report(name, allocation, demand, clock.monotonic())
+        self._issuer.on_report(name, report.allocation, report.demand, clock.monotonic())
 
     def on_disconnected(self, name: str) -> None:
         """Handle the end of the connection to a member."""
@@ -78,42 +78,9 @@
         """Handle the end of all processes of a member."""
         self._issuer.on_death(name)
 
-    def status(self) -> dict[str, object]:
-        """Return the limits, allocations and their ends as JSON takes them; amounts in points of the whole."""
-        # The keys, here and in `_member_status`, are those of the control socket and of `thymeflow budgets --json`.
-        now = clock.monotonic()
-        return {
-            "whole": TOTAL_POINTS,
-            "base": BASE_POINTS,
-            "pool": LEASED_POINTS,
-            "era": self._issuer.epoch,
-            "fault": self.write_error,
-            "free": {
-                resource.value: {
-                    "base": self._issuer.base[index].free(now),
-                    "pool": self._issuer.leased[index].free(now),
-                }
-                for index, resource in enumerate(Resource)
-            },
-            "members": {name: self._member_status(name, now) for name in sorted(self._issuer.records)},
-        }
-
-    def _member_status(self, name: str, now: float) -> dict[str, object]:
-        issuer = self._issuer
-        row = issuer.records[name]
-        return {
-            "state": row.state.value,
-            "number": row.number,
-            "told": list(row.reported),
-            "ends_in_s": round(max(0.0, row.lease_ends_at - now), 2),
-            "demand": list(row.demand),
-            "base": {
-                resource.value: issuer.base[index].outstanding(name, now) for index, resource in enumerate(Resource)
-            },
-            "lease": {
-                resource.value: issuer.leased[index].outstanding(name, now) for index, resource in enumerate(Resource)
-            },
-        }
+    def status(self) -> JsonObject:
+        """Return the limits, allocations and their ends in the form of the control socket."""
+        return lease_status(self._issuer, self.write_error, clock.monotonic())
 
     def _write_table(self) -> bool:
         try:
--- a/thymeflow/fleet/member_processes.py
+++ b/thymeflow/fleet/member_processes.py
@@ -6,22 +6,30 @@
 import shlex
 import signal
 from collections.abc import Callable
-from dataclasses import dataclass, field
 from functools import partial
 
 from twisted.internet.defer import Deferred
 from twisted.python.failure import Failure
 
 from thymeflow.fleet.actions import StartProcess
-from thymeflow.fleet.events import Event, RunEnded, StatusReported
+from thymeflow.fleet.events import EventHandler, RunEnded, StatusReported
 from thymeflow.fleet.lease_distributor import LeaseDistributor
+from thymeflow.fleet.member_runs import MemberRuns
 from thymeflow.fleet.member_sockets import MemberSockets, format_address
 from thymeflow.fleet.member_state import NO_RUN, Member
+from thymeflow.fleet.member_status import MemberStatus, status_from_message
 from thymeflow.fleet.options import SupervisorOptions
 from thymeflow.fleet.outlier_service import OutlierService
-from thymeflow.fleet.processes import AdoptedProcess, ChildProcess, MemberRun, member_command, spawn_member
+from thymeflow.fleet.processes import (
+    AdoptedProcess,
+    ChildProcess,
+    MemberRun,
+    RunProcess,
+    member_command,
+    spawn_member,
+)
 from thymeflow.fleet.reactor import FleetReactor
-from thymeflow.fleet.registry import ConfigurationTemplate, FleetNames, write_member
+from thymeflow.fleet.registry import ConfigurationTemplate, FleetNames, read_template, write_member
 from thymeflow.handover import control_client
 from thymeflow.handover.control_socket import Message
 from thymeflow.leases.holder import EMPTY_ALLOCATION, message_of
@@ -30,27 +38,48 @@
 from thymeflow.settings.sections import Fleet
 
 STATUS_TIMEOUT_SECONDS = 1.0  # within which a running member answers
-SERVING_PHASE = "serving"  # the value of a status's `phase`
+OUTPUT_FILE_MODE = 0o600
 SUPERVISOR_VARIABLES = ("LISTEN_", "NOTIFY_")  # prefixes of variables that members do not inherit
 
 
-@dataclass(slots=True)
 class ProcessEnvironment:
-    """What all processes of members are started with; the supervisor fills in and replaces parts of it."""
+    """What all processes of members are started with."""
 
-    options: SupervisorOptions
-    settings: Fleet
-    names: FleetNames
-    program: str
-    output_descriptor: int = -1
-    template: ConfigurationTemplate = field(default_factory=dict)
+    def __init__(self, options: SupervisorOptions, settings: Fleet, names: FleetNames) -> None:
+        self.names = names
+        self.program = options.program  # command line; empty: this program
+        self.output_descriptor = -1  # -1 until `open`
+        self.template: ConfigurationTemplate = {}
+        self._options = options
+        self._settings = settings
+
+    def read_template(self) -> None:
+        """Read the platform's configuration, which later starts use.
+
+        :raises ConfigurationError: it is invalid; the previous one stays in use.
+        """
+        self.template = read_template(self._options.platform_path)
+
+    def open_output(self) -> None:
+        """Open the file that the output of all processes goes to.
+
+        :raises OSError: it cannot be opened.
+        """
+        path = self.names.supervisor_path("out")
+        self.output_descriptor = os.open(path, os.O_WRONLY | os.O_APPEND | os.O_CREAT | os.O_CLOEXEC, OUTPUT_FILE_MODE)
+
+    def use_program(self, program: str) -> str:
+        """Start later processes with this command line; return the previous one."""
+        previous = self.program
+        self.program = program
+        return previous
 
     def command(self, action: StartProcess) -> list[str]:
         """Return the command line of a process."""
         arguments = ["--platform", str(self.names.path(action.number, "json"))]
         arguments += ["--state", str(self.names.folder), "--detach"]
-        if self.options.settings_path:
-            arguments += ["--settings", self.options.settings_path]
+        if self._options.settings_path:
+            arguments += ["--settings", self._options.settings_path]
         if action.is_joining:
             arguments.append("--joins")
         if action.is_replacement:
@@ -60,14 +89,14 @@
     def variables(self) -> dict[str, str]:
         """Return the environment variables of a process."""
         variables = {name: value for name, value in os.environ.items() if not name.startswith(SUPERVISOR_VARIABLES)}
-        variables["THYMEFLOW_DAEMON_DRAIN_LINGER"] = f"{self.settings.linger:g}s"
+        variables["THYMEFLOW_DAEMON_DRAIN_LINGER"] = f"{self._settings.linger:g}s"
         return variables
 
 
 class MemberProcesses:
-    """The running processes of all members.
+    """Starts, adopts and follows the processes of all members.
 
-    Status reports and ends become events for `decide`; leases and outliers are reported on the way.
+    Status reports and ends become events for the handler; reports to leases and outliers are passed on to these.
     """
 
     def __init__(
@@ -76,49 +105,33 @@
         deadlines: clock.Deadlines,
         environment: ProcessEnvironment,
         sockets: MemberSockets,
+        runs: MemberRuns,
         leases: LeaseDistributor,
         outliers: OutlierService,
-        decide: Callable[[Event], None],
-        fleet_size: Callable[[], int],
+        handler: EventHandler,
     ) -> None:
         self._reactor = reactor
         self._deadlines = deadlines
         self._environment = environment
         self._names = environment.names
         self._sockets = sockets
+        self._runs = runs
         self._leases = leases
         self._outliers = outliers
-        self._decide = decide
-        self._fleet_size = fleet_size
-        self._runs: dict[int, MemberRun] = {}
-        self._member_numbers: dict[int, int] = {}  # by run
-
-    # --- queries and messages ------------------------------------------------------------------------------
+        self._handler = handler
 
-    def run(self, run_id: int) -> MemberRun | None:
-        """Return a run, None where it has ended."""
-        return self._runs.get(run_id)
+    # --- requests and messages ------------------------------------------------------------------------------
 
-    def send(self, name: str, message: Message) -> None:
-        """Send a message to all runs of a member."""
-        for run_id, number in self._member_numbers.items():
-            if self._names.name(number) == name and run_id in self._runs:
-                self._runs[run_id].send(message)
-
-    def send_signal(self, run_id: int, signal_number: int) -> None:
-        """Send a signal to a run, unless it has ended."""
-        if run_id in self._runs:
-            self._runs[run_id].send_signal(signal_number)
-
-    def request_status(self, number: int) -> Deferred[Message]:
+    def request_status(self, number: int) -> Deferred[MemberStatus]:
         """Request the status of whichever process has the member's name; fails where none answers."""
-        return control_client.send_request(
+        requested = control_client.send_request(
             self._reactor,
             self._deadlines,
             self._names.path(number, "sock"),
             {"do": "status"},
             clock.now() + STATUS_TIMEOUT_SECONDS,
         )
+        return requested.addCallback(status_from_message)
 
     def resize(self, members: dict[int, Member], fleet_size: int) -> None:
         """Rewrite the configuration of all members for a size, and let those that run read it again."""
@@ -129,9 +142,9 @@
                 listen = self._sockets.address_text(number)
                 write_member(self._names, self._environment.template, listen, number, fleet_size)
             except OSError as error:
-                log.emit(LogKind.RESIZE, f"{self._names.name(number)} was not told: {error}")
+                log.emit(LogKind.RESIZE, f"{self._names.name(number)} was not notified: {error}")
                 continue
-            self.send_signal(member.run_id, signal.SIGHUP)
+            self._runs.send_signal(member.run_id, signal.SIGHUP)
 
     # --- starts --------------------------------------------------------------------------------------------
 
@@ -146,13 +159,13 @@
             partial(self._adopt_or_spawn, action, spawn), partial(_call_ignoring_failure, spawn)
         )
 
-    def _adopt_or_spawn(self, action: StartProcess, spawn: Callable[[], None], status: Message) -> None:
+    def _adopt_or_spawn(self, action: StartProcess, spawn: Callable[[], None], status: MemberStatus) -> None:
         process = self._adopted_process(status)
         if process is None:
             spawn()
             return
-        log.emit(LogKind.ADOPTED, f"{self._names.name(action.number)}, pid {status['pid']}")
-        self.follow(action.run_id, action.number, status["pid"], process)
+        log.emit(LogKind.ADOPTED, f"{self._names.name(action.number)}, pid {status.pid}")
+        self.follow(RunProcess(action.run_id, action.number, status.pid, process))
 
     def _spawn(self, action: StartProcess) -> None:
         name = self._names.name(action.number)
@@ -160,11 +173,11 @@
             child, pid = self._spawn_process(action)
         except (OSError, ValueError) as error:
             event = RunEnded(action.run_id, f"could not be started: {error}")
-            self._reactor.callLater(0, self._decide, event)
+            self._reactor.callLater(0, self._handler.decide, event)
             return
         suffix = ", to take over" if action.is_replacement else ""
         log.emit(LogKind.STARTED, f"{name}, pid {pid}{suffix}", number=action.number)
-        self.follow(action.run_id, action.number, pid, child)
+        self.follow(RunProcess(action.run_id, action.number, pid, child))
 
     def _spawn_process(self, action: StartProcess) -> tuple[ChildProcess, int]:
         listening = self._sockets.open(action.number)
@@ -174,7 +187,7 @@
             self._environment.template,
             format_address(listening),
             action.number,
-            self._fleet_size(),
+            self._handler.fleet_size(),
             allocation,
         )
         return spawn_member(
@@ -190,72 +203,64 @@
             return message_of(EMPTY_ALLOCATION)
         return self._leases.on_starting(self._names.name(action.number))
 
-    def _adopted_process(self, status: Message) -> AdoptedProcess | None:
+    def _adopted_process(self, status: MemberStatus) -> AdoptedProcess | None:
         try:
-            return AdoptedProcess(self._reactor, status["pid"])
-        except (OSError, KeyError, TypeError):
+            return AdoptedProcess(self._reactor, status.pid)
+        except OSError:
             return None
 
     # --- following -----------------------------------------------------------------------------------------
 
-    def follow(self, run_id: int, number: int, pid: int, process: ChildProcess | AdoptedProcess) -> None:
+    def follow(self, process: RunProcess) -> None:
         """Follow a process until it ends."""
-        run = MemberRun(
-            self._reactor,
-            self._deadlines,
-            self._names.path(number, "sock"),
-            pid,
-            on_status=partial(self._on_status, run_id, number),
-            on_ended=partial(self._on_process_ended, run_id, number, process),
-            on_disconnected=partial(self._on_disconnected, number),
-        )
-        self._runs[run_id] = run
-        self._member_numbers[run_id] = number
+        path = self._names.path(process.number, "sock")
+        run = MemberRun(self._reactor, self._deadlines, path, process, self)
+        self._runs.add(run)
         # Not at once: the actions that this start is one of are still being carried out.
-        self._reactor.callLater(0, process.report_end_to, run)
+        self._reactor.callLater(0, process.handle.report_end_to, run)
         run.connect()
 
-    def _on_status(self, run_id: int, number: int, status: Message) -> None:
-        # The keys are those of the status that members send over their control sockets.
-        name = self._names.name(number)
-        if status.get("part") is not None:
-            self._leases.on_report(name, status["part"])
-        if status.get("evidence") is not None:
-            self._outliers.on_report(name, status["evidence"])
-        is_serving = status.get("phase") == SERVING_PHASE
-        self._decide(StatusReported(run_id, str(status.get("life")), is_serving, bool(status.get("healthy"))))
-
-    def _on_disconnected(self, number: int) -> None:
-        if number in self._member_numbers.values():
-            self._leases.on_disconnected(self._names.name(number))
-            self._outliers.on_member_gone(self._names.name(number))
-
-    def _on_process_ended(self, run_id: int, number: int, process: ChildProcess | AdoptedProcess, reason: str) -> None:
-        end_run = partial(self._end_run, run_id, number, reason)
-        if isinstance(process, ChildProcess):
+    def on_status(self, run: MemberRun, status: MemberStatus) -> None:
+        """Handle a status report of a run."""
+        name = self._names.name(run.number)
+        if status.allocation_report is not None:
+            self._leases.on_report(name, status.allocation_report)
+        if status.outlier_report is not None:
+            self._outliers.on_report(name, status.outlier_report)
+        self._handler.decide(StatusReported(run.run_id, status.incarnation, status.is_serving, status.is_healthy))
+
+    def on_disconnected(self, run: MemberRun) -> None:
+        """Handle the end of the connection to a run."""
+        if self._runs.has_run_of(run.number):
+            self._leases.on_disconnected(self._names.name(run.number))
+            self._outliers.on_member_gone(self._names.name(run.number))
+
+    def on_ended(self, run: MemberRun, reason: str) -> None:
+        """Handle the end of a run's process."""
+        end_run = partial(self._end_run, run, reason)
+        if not run.is_adopted:
             end_run()
             return
         # An adopted process may have been in a handover that the previous supervisor had begun: then its
         # successor answers to the name, and is the same member.
-        self.request_status(number).addCallbacks(
-            partial(self._follow_successor, run_id, number, end_run), partial(_call_ignoring_failure, end_run)
+        self.request_status(run.number).addCallbacks(
+            partial(self._follow_successor, run, end_run), partial(_call_ignoring_failure, end_run)
         )
 
-    def _follow_successor(self, run_id: int, number: int, end_run: Callable[[], None], status: Message) -> None:
+    def _follow_successor(self, run: MemberRun, end_run: Callable[[], None], status: MemberStatus) -> None:
         process = self._adopted_process(status)
         if process is None:
             end_run()
             return
-        log.emit(LogKind.ADOPTED, f"{self._names.name(number)}, pid {status['pid']}, which took over")
-        self.follow(run_id, number, status["pid"], process)
-
-    def _end_run(self, run_id: int, number: int, reason: str) -> None:
-        self._runs.pop(run_id, None)
-        self._member_numbers.pop(run_id, None)
-        if number not in self._member_numbers.values():
-            self._leases.on_death(self._names.name(number))
-            self._outliers.on_member_gone(self._names.name(number))
-        self._decide(RunEnded(run_id, reason))
+        log.emit(LogKind.ADOPTED, f"{self._names.name(run.number)}, pid {status.pid}, which took over")
+        self.follow(RunProcess(run.run_id, run.number, status.pid, process))
+
+    def _end_run(self, run: MemberRun, reason: str) -> None:
+        self._runs.remove(run.run_id)
+        if not self._runs.has_run_of(run.number):
+            self._leases.on_death(self._names.name(run.number))
+            self._outliers.on_member_gone(self._names.name(run.number))
+        self._handler.decide(RunEnded(run.run_id, reason))
 
 
 def _call_ignoring_failure(function: Callable[[], None], _: Failure) -> None:
--- a/thymeflow/fleet/member_sockets.py
+++ b/thymeflow/fleet/member_sockets.py
@@ -27,6 +27,10 @@
     def __contains__(self, number: int) -> bool:
         return number in self._sockets
 
+    def restore_ports(self, ports: dict[str, int]) -> None:
+        """Let members listen on the ports of before, where the system chose them."""
+        self.ports = dict(ports)
+
     def open(self, number: int) -> socket.socket:
         """Return a member's socket, opened if it is not open yet.
 
--- a/thymeflow/fleet/outlier_service.py
+++ b/thymeflow/fleet/outlier_service.py
@@ -8,14 +8,14 @@
 from collections.abc import Callable
 from dataclasses import dataclass, field, replace
 
-from thymeflow.fleet.errors import MalformedReportError
+from thymeflow.fleet.status_messages import JsonObject, outlier_status
 from thymeflow.handover.control_socket import Message
 from thymeflow.outliers.coordinator import OutlierCoordinator
-from thymeflow.outliers.ejection import ZONE, Ejection, EjectionKey, EjectionRecord, EjectionState
-from thymeflow.outliers.messages import keys_from_message, message_of, probes_from_message, zones_from_message
+from thymeflow.outliers.ejection import Ejection, EjectionKey, EjectionState
+from thymeflow.outliers.errors import MalformedOutlierMessageError
+from thymeflow.outliers.messages import message_of, report_from_message
 from thymeflow.runtime import clock, log
 from thymeflow.runtime.log_kinds import LogKind
-from thymeflow.runtime.value_checks import is_integer, quote
 from thymeflow.shedding.threshold import AdmissionThreshold
 
 TICK_SECONDS = 0.25
@@ -54,23 +54,19 @@
         """Begin to evaluate the reports, every `TICK_SECONDS`."""
         self._tick(0)
 
-    def on_report(self, name: str, message: Message) -> None:
-        """Handle a member's report about servers; a malformed one is counted and left out."""
+    def on_report(self, name: str, message: object) -> None:
+        """Handle a member's report about backends; a malformed one is counted and ignored."""
         try:
-            # The keys are those of the messages between members and supervisor.
-            against = keys_from_message(message["against"])
-            good = keys_from_message(message["good"])
-            probes = probes_from_message(message["trials"])
-            server_count = _server_count_of(message)
-            zones = zones_from_message(message.get("zones", {}))
-            if "pressure" in message:  # members of the previous version report neither zones nor pressure
-                self._threshold.on_report(name, message["pressure"], clock.monotonic())
-        except (ValueError, TypeError, KeyError, AttributeError) as error:
+            report = report_from_message(message)
+        except MalformedOutlierMessageError as error:
             self._coordinator.invalid_reports += 1
             log.emit_rate_limited(LogKind.OVERLOAD, f"{name} says of servers what cannot be: {error}")
             return
-        self._coordinator.on_endpoint_list(name, server_count, zones)
-        self._coordinator.on_report(name, against, good, probes, clock.monotonic())
+        now = clock.monotonic()
+        if report.pressure is not None:
+            self._threshold.on_report(name, report.pressure, now)
+        self._coordinator.on_endpoint_list(name, report.backend_count, report.zones)
+        self._coordinator.on_report(name, report.ejecting, report.responding, report.probe_results, now)
 
     def on_member_gone(self, name: str) -> None:
         """Handle the end of a member, or of the connection to it."""
@@ -79,20 +75,9 @@
         self._sent_ejections.pop(name, None)
         self._sent_levels.pop(name, None)
 
-    def status(self) -> dict[str, object]:
-        """Return the level, and the ejections with the members that reported them, as JSON takes them."""
-        # The keys, here and in `_ejection_status`, are those of the control socket and of `thymeflow overload --json`.
-        now = clock.monotonic()
-        return {
-            "level": round(self._threshold.value, 3),
-            "pressure": round(self._threshold.pressure, 3),
-            "every_s": self._coordinator.probe_interval,
-            "left_out": self._coordinator.invalid_reports,
-            "members": sorted(self._coordinator.reports),
-            "cases": [
-                _ejection_status(key, ejected, now) for key, ejected in sorted(self._coordinator.ejections.items())
-            ],
-        }
+    def status(self) -> JsonObject:
+        """Return the threshold, and the ejections with the members that reported them, in the control socket's form."""
+        return outlier_status(self._coordinator, self._threshold, clock.monotonic())
 
     def _tick(self, _: int) -> None:
         now = clock.monotonic()
@@ -100,7 +85,7 @@
         for key in self._coordinator.tick(now):
             reporters = ", ".join(sorted(self._coordinator.ejections[key].reported_by))
             text = f"{_describe_key(key)} is left alone by all, on the word of {reporters}"
-            log.emit(LogKind.OVERLOAD, text, server=key[0])
+            log.emit(LogKind.OVERLOAD, text, server=key.backend)
         self._log_state_changes(previous_states)
         for name in self._coordinator.reports:
             self._send_ejections(name, now)
@@ -113,9 +98,9 @@
             if ejected is None and self._coordinator.is_covered_by_zone(key):
                 continue  # the ejection of its zone has replaced it, and is logged
             if ejected is None:
-                log.emit(LogKind.OVERLOAD, f"{_describe_key(key)} is back with all", server=key[0])
+                log.emit(LogKind.OVERLOAD, f"{_describe_key(key)} is back with all", server=key.backend)
             elif ejected.state is not state:
-                log.emit(LogKind.OVERLOAD, f"{_describe_key(key)} is {ejected.state.value}", server=key[0])
+                log.emit(LogKind.OVERLOAD, f"{_describe_key(key)} is {ejected.state.value}", server=key.backend)
 
     def _send_ejections(self, name: str, now: float) -> None:
         # Compared without their ends, which move with every tick.
@@ -150,29 +135,7 @@
             self._send(name, {"do": "shed", "level": level})
 
 
-def _server_count_of(message: Message) -> int:
-    count = message["servers"]
-    if not is_integer(count) or count < 0:
-        text = f"servers is {quote(count)}, no count"
-        raise MalformedReportError(text)
-    return count
-
-
-def _ejection_status(key: EjectionKey, ejected: EjectionRecord, now: float) -> dict[str, object]:
-    is_zone = key[0] == ZONE
-    return {
-        "server": key[0],
-        "class": "" if is_zone else key[1],
-        "zone": key[1] if is_zone else "",
-        "state": ejected.state.value,
-        "for_s": round(now - ejected.ejected_at, 2),
-        "words": sorted(ejected.reported_by),
-        "trial": ejected.probing_member if ejected.state is EjectionState.EJECTED else "",
-        "let_in": ejected.admitted_count,
-    }
-
-
 def _describe_key(key: EjectionKey) -> str:
-    if key[0] == ZONE:
-        return f"zone {key[1]}"
-    return f"server {key[0]:08x}" + (f" for {key[1]}" if key[1] else "")
+    if key.is_zone():
+        return f"zone {key.name}"
+    return f"server {key.backend:08x}" + (f" for {key.name}" if key.name else "")
--- a/thymeflow/fleet/processes.py
+++ b/thymeflow/fleet/processes.py
@@ -7,13 +7,16 @@
 import signal
 import socket
 import sys
-from collections.abc import Callable, Mapping, Sequence
+from collections.abc import Mapping, Sequence
+from dataclasses import dataclass
 from pathlib import Path
+from typing import Protocol
 
 from twisted.internet.error import ProcessTerminated
 from twisted.internet.protocol import ProcessProtocol
 from twisted.python.failure import Failure
 
+from thymeflow.fleet.member_status import MemberStatus, status_from_message
 from thymeflow.fleet.reactor import FleetReactor
 from thymeflow.handover import control_client
 from thymeflow.handover.control_socket import Message
@@ -24,33 +27,40 @@
 SHELL_SCRIPT = 'LISTEN_PID=$$ exec "$@"'  # the process's own pid, as sd_listen_fds(3) wants it
 
 
-class MemberRun:
-    """One process of a member, followed over the control socket at `path`.
+class RunObserver(Protocol):
+    """What is notified of a run's life cycle."""
+
+    def on_status(self, run: MemberRun, status: MemberStatus) -> None:
+        """Handle a status report."""
+
+    def on_disconnected(self, run: MemberRun) -> None:
+        """Handle the end of a connection, after which the run connects again."""
+
+    def on_ended(self, run: MemberRun, reason: str) -> None:
+        """Handle the end of the process, once; `reason` completes a sentence that begins with the member's name."""
 
-    `on_status` gets each of its status reports, `on_ended` the reason of its end, once, and `on_disconnected` is
-    called whenever the connection to it ends.
-    """
+
+class MemberRun:
+    """One process of a member, followed over the control socket at `path`."""
 
     def __init__(
         self,
         reactor: FleetReactor,
         deadlines: clock.Deadlines,
         path: Path,
-        pid: int,
-        *,
-        on_status: Callable[[Message], None],
-        on_ended: Callable[[str], None],
-        on_disconnected: Callable[[], None],
+        process: RunProcess,
+        observer: RunObserver,
     ) -> None:
-        self.pid = pid
+        self.run_id = process.run_id
+        self.number = process.number
+        self.pid = process.pid
+        self.is_adopted = isinstance(process.handle, AdoptedProcess)
         self.is_ended = False
         self.last_status: Message = {}
         self._reactor = reactor
         self._deadlines = deadlines
         self._path = path
-        self._on_status = on_status
-        self._on_ended = on_ended
-        self._on_disconnected = on_disconnected
+        self._observer = observer
         self._session: control_client.ControlSession | None = None
 
     def connect(self, _: int = 0) -> None:
@@ -80,7 +90,7 @@
         self.is_ended = True
         if self._session is not None:
             self._session.close()
-        self._on_ended(reason)
+        self._observer.on_ended(self, reason)
 
     def _schedule_connect(self) -> None:
         if not self.is_ended:
@@ -98,18 +108,19 @@
 
     def _handle_disconnect(self) -> None:
         self._session = None
-        self._on_disconnected()
+        self._observer.on_disconnected(self)
         self._schedule_connect()
 
     def _handle_message(self, message: Message) -> None:
-        status = message.get("status")
-        if not isinstance(status, dict) or status.get("pid") != self.pid:
+        content = message.get("status")
+        status = status_from_message(content) if isinstance(content, dict) else None
+        if status is None or status.pid != self.pid:
             # The name still belongs to the process that this one is to replace, or to an earlier one: retry.
             if self._session is not None:
                 self._session.close()
             return
-        self.last_status = status
-        self._on_status(status)
+        self.last_status = status.message
+        self._observer.on_status(self, status)
 
 
 class ChildProcess(ProcessProtocol):
@@ -117,7 +128,7 @@
 
     def __init__(self) -> None:
         self._run: MemberRun | None = None
-        self._end_reason = ""  # kept for a run that begins to follow after the end
+        self._end_reason = ""  # for a run that begins to follow after the end
 
     def report_end_to(self, run: MemberRun) -> None:
         """Notify a run of the process's end, also where it has ended already."""
@@ -173,6 +184,16 @@
         """Do nothing: the reactor stops."""
 
 
+@dataclass(frozen=True, slots=True)
+class RunProcess:
+    """A process of a member, and the run that it belongs to."""
+
+    run_id: int
+    number: int  # of the member
+    pid: int
+    handle: ChildProcess | AdoptedProcess
+
+
 def member_command(program: Sequence[str], arguments: Sequence[str]) -> list[str]:
     """Return the command line of a member; an empty program stands for this one."""
     return [*(program or (sys.executable, "-m", "thymeflow")), "serve", *arguments]
--- a/thymeflow/fleet/rollout.py
+++ b/thymeflow/fleet/rollout.py
@@ -66,6 +66,11 @@
 
     # --- begin ---------------------------------------------------------------------------------------------
 
+    def start_fleet(self, count: int) -> None:
+        """Want so many members from now on, and start those that are missing."""
+        self.wanted_count = count
+        self._lifecycle.start_fleet(count)
+
     def begin(self, operation: Operation) -> None:
         """Begin an operation; all but a shutdown are rejected while another is in progress."""
         if self._progress is not None and operation.kind is not OperationKind.SHUTDOWN:
--- a/thymeflow/fleet/supervisor.py
+++ b/thymeflow/fleet/supervisor.py
@@ -20,7 +20,6 @@
 from thymeflow.daemon.exit_codes import BAD_CONFIGURATION, CANNOT_LISTEN, NAME_TAKEN
 from thymeflow.daemon.lock import NameLock, NameTakenError, is_name_free
 from thymeflow.daemon.notify import Notifier
-from thymeflow.fleet import registry
 from thymeflow.fleet.actions import (
     Action,
     Exit,
@@ -34,16 +33,19 @@
 from thymeflow.fleet.adoption import MemberAdopter
 from thymeflow.fleet.control_requests import ControlRequests, RequestHandlers
 from thymeflow.fleet.controller import FleetController
-from thymeflow.fleet.errors import RegistryError, SupervisorError
+from thymeflow.fleet.errors import SupervisorError
 from thymeflow.fleet.events import Event, FleetStarted, OperationKind, Tick
 from thymeflow.fleet.lease_distributor import LeaseDistributor
 from thymeflow.fleet.member_processes import MemberProcesses, ProcessEnvironment
+from thymeflow.fleet.member_runs import MemberRuns
 from thymeflow.fleet.member_sockets import MemberSockets
-from thymeflow.fleet.member_state import Member, MemberState
 from thymeflow.fleet.options import SupervisorOptions as SupervisorOptions
 from thymeflow.fleet.outlier_service import OutlierService
 from thymeflow.fleet.reactor import FleetReactor
-from thymeflow.handover.control_socket import ControlError, ControlServer, Message
+from thymeflow.fleet.registry import FleetNames, MemberRegistry
+from thymeflow.fleet.registry_store import RegistryStore
+from thymeflow.fleet.status_messages import JsonObject, fleet_status
+from thymeflow.handover.control_socket import ControlError, ControlServer
 from thymeflow.logs.structured import StructuredLog
 from thymeflow.platform import configuration
 from thymeflow.runtime import clock, log
@@ -63,37 +65,38 @@
         self._options = options
         self._reactor = reactor
         self._fleet = self.settings.fleet
-        self._names = registry.FleetNames(options.state_folder, self._fleet.name)
+        self._names = FleetNames(options.state_folder, self._fleet.name)
         self._deadlines = clock.Deadlines(reactor)
         self._controller = FleetController(self._fleet, random.Random(os.urandom(8)))
         self._log = StructuredLog(self.settings.log, "fleet", os.urandom(4).hex())
         self._notifier = Notifier(os.environ)
         self._tick_timer = clock.NOT_SCHEDULED
-        self._written_registry = b""
         self._lock: NameLock
         self._control: ControlServer
-        self._environment = ProcessEnvironment(options, self._fleet, self._names, options.program)
+        self._registry = RegistryStore(self._names.supervisor_path("json"))
+        self._environment = ProcessEnvironment(options, self._fleet, self._names)
         self._sockets = MemberSockets(self._fleet.listen)
+        self._runs = MemberRuns(self._names)
         self._leases = LeaseDistributor(
             self._deadlines,
             self._names.supervisor_path("grants"),
             self._fleet.name,
-            self._send_to_member,
-            self._fleet_size,
+            self._runs.send,
+            self.fleet_size,
         )
-        self._outliers = OutlierService(self._deadlines, float(self.settings.budgets.trials), self._send_to_member)
+        self._outliers = OutlierService(self._deadlines, float(self.settings.budgets.trials), self._runs.send)
         self._processes = MemberProcesses(
             reactor,
             self._deadlines,
             self._environment,
             self._sockets,
+            self._runs,
             self._leases,
             self._outliers,
-            self._decide,
-            self._fleet_size,
+            self,
         )
         handlers = RequestHandlers(self.status, self._leases.status, self._outliers.status, self._reload, self._end)
-        self._requests = ControlRequests(self._controller, self._environment, handlers, self._decide)
+        self._requests = ControlRequests(self._controller, self._environment, handlers, self)
 
     # --- start and end -------------------------------------------------------------------------------------
 
@@ -135,11 +138,9 @@
 
     def _open_files(self) -> None:
         self._options.state_folder.mkdir(mode=0o700, parents=True, exist_ok=True)
-        self._environment.template = registry.read_template(self._options.platform_path)
+        self._environment.read_template()
         self._lock = NameLock.acquire(self._names.supervisor_path("lock"), "supervisor")
-        self._environment.output_descriptor = os.open(
-            self._names.supervisor_path("out"), os.O_WRONLY | os.O_APPEND | os.O_CREAT | os.O_CLOEXEC, 0o600
-        )
+        self._environment.open_output()
         self._control = ControlServer(
             self._reactor,
             self._deadlines,
@@ -150,26 +151,22 @@
         )
         self._control.listen()
 
-    def _read_previous_registry(self) -> registry.MemberRegistry | None:
-        try:
-            previous = registry.read_registry(self._names.supervisor_path("json"))
-        except RegistryError as error:
-            log.emit(LogKind.REGISTRY, f"not used, the settings hold: {error}")
-            return None
+    def _read_previous_registry(self) -> MemberRegistry | None:
+        previous = self._registry.read_previous()
         if previous is not None:
-            self._sockets.ports = dict(previous.ports)
+            self._sockets.restore_ports(previous.ports)
             if previous.working:
-                log.emit(LogKind.ROLL, f"{previous.working}, when the last supervisor ended; it is not gone on with")
+                log.emit(LogKind.ROLL, f"{previous.working}, when the last supervisor ended; it is not resumed")
         return previous
 
-    def _begin(self, adoptions: list[tuple[bool, int | None]], previous: registry.MemberRegistry | None) -> None:
+    def _begin(self, adoptions: list[tuple[bool, int | None]], previous: MemberRegistry | None) -> None:
         has_adopted = any(is_successful and number is not None for is_successful, number in adoptions)
         for name in self._leases.holders():
             if is_name_free(self._names.folder / f"{name}.lock"):
                 self._leases.on_death(name)  # the kernel has released the lock: its process has ended
         # The count that was ordered last holds where members still run; a new start goes by the settings.
         count = previous.count if previous is not None and has_adopted else self._fleet.instances
-        self._decide(FleetStarted(count))
+        self.decide(FleetStarted(count))
         self._notifier.notify(ready=1, mainpid=os.getpid(), status=f"{count} members")
 
     def _install_signal_handlers(self) -> None:
@@ -190,7 +187,8 @@
 
     # --- decisions -----------------------------------------------------------------------------------------
 
-    def _decide(self, event: Event) -> None:
+    def decide(self, event: Event) -> None:
+        """Let the controller decide on an event, and carry out its actions."""
         self._carry_out(self._controller.handle(clock.now(), event))
 
     def _carry_out(self, actions: list[Action]) -> None:
@@ -205,9 +203,9 @@
             case StartProcess():
                 self._processes.start(action)
             case StopProcess(run_id):
-                self._processes.send_signal(run_id, signal.SIGTERM)
+                self._runs.send_signal(run_id, signal.SIGTERM)
             case KillProcess(run_id):
-                self._processes.send_signal(run_id, signal.SIGKILL)
+                self._runs.send_signal(run_id, signal.SIGKILL)
             case ResizeFleet(size):
                 self._processes.resize(self._controller.members, size)
             case WriteLog(kind, text):
@@ -219,16 +217,10 @@
                 self._end()
 
     def _write_registry(self) -> None:
-        controller = self._controller
-        current = registry.MemberRegistry(controller.wanted_count, self._sockets.ports, controller.describe_operation())
-        content = repr(current).encode()
-        if content == self._written_registry or not controller.wanted_count:
-            return
-        self._written_registry = content
-        try:
-            registry.write_registry(self._names.supervisor_path("json"), current)
-        except OSError as error:
-            log.emit_rate_limited(LogKind.REGISTRY, f"not written: {error}")
+        wanted_count = self._controller.wanted_count
+        if wanted_count:  # 0 until the fleet has started
+            operation = self._controller.describe_operation()
+            self._registry.write_if_changed(MemberRegistry(wanted_count, self._sockets.ports, operation))
 
     def _set_tick_timer(self) -> None:
         self._deadlines.cancel(self._tick_timer)
@@ -237,57 +229,31 @@
             self._tick_timer = self._deadlines.schedule(max(deadline, clock.now()), self._on_tick_timer)
 
     def _on_tick_timer(self, _: int) -> None:
-        self._decide(Tick())
+        self.decide(Tick())
 
     # --- members -------------------------------------------------------------------------------------------
 
-    def _fleet_size(self) -> int:
+    def fleet_size(self) -> int:
+        """Return the size of the fleet that members are notified of."""
         return self._controller.fleet_size
 
-    def _send_to_member(self, name: str, message: Message) -> None:
-        self._processes.send(name, message)
-
     def _reload(self) -> str:
         """Read the settings and the platform's file again; return why they are invalid, and then change nothing."""
         try:
             settings = self._options.read_settings()
-            template = registry.read_template(self._options.platform_path)
+            self._environment.read_template()
         except (SettingsError, configuration.ConfigurationError) as error:
             reason = f"the old settings stay: {' | '.join(str(error).splitlines())}"
             log.emit(LogKind.RELOAD, reason)
             return reason
-        self._environment.template = template
         self._log.set_level(settings.log.level)
         self._processes.resize(self._controller.members, self._controller.fleet_size)
         log.emit(LogKind.RELOAD, "passed on to every member")
         return ""
 
-    # --- status --------------------------------------------------------------------------------------------
-
-    def status(self) -> dict[str, object]:
-        """Return the status of the fleet and of each member, as JSON takes it."""
-        # The keys, here and in `_member_status`, are those of the control socket and of the printed JSON.
-        members = self._controller.members
-        serving_states = (MemberState.READY, MemberState.REPLACING)
-        return {
-            "wanted": self._controller.wanted_count,
-            "ready": sum(member.state in serving_states for member in members.values()),
-            "working": self._controller.describe_operation(),
-            "pid": os.getpid(),
-            "members": [self._member_status(member) for _, member in sorted(members.items())],
-        }
-
-    def _member_status(self, member: Member) -> dict[str, object]:
-        run = self._processes.run(member.run_id)
-        return {
-            "name": self._names.name(member.number),
-            "state": member.state.value,
-            "why": member.last_crash_reason,
-            "crashes": len(member.crashed_at),
-            "pid": run.pid if run else None,
-            "listen": self._sockets.address_text(member.number),
-            "told": run.last_status if run else {},
-        }
+    def status(self) -> JsonObject:
+        """Return the status of the fleet and of each member in the form of the control socket."""
+        return fleet_status(self._controller, self._names, self._runs, self._sockets)
 
 
 def supervise(options: SupervisorOptions) -> int:
--- a/thymeflow/leases/allocation.py
+++ b/thymeflow/leases/allocation.py
@@ -2,11 +2,12 @@
 
 from __future__ import annotations
 
+from collections.abc import Iterable
 from dataclasses import dataclass
 
 from thymeflow.leases.errors import MalformedAllocationError
 from thymeflow.leases.resources import TOTAL_POINTS, Resource
-from thymeflow.runtime.value_checks import is_finite_number, is_integer
+from thymeflow.runtime.value_checks import is_finite_number, is_integer, quote
 
 MIN_RESOURCE_COUNT = 2  # amounts in messages of the oldest version that is read; they are of the first resources
 
@@ -28,6 +29,14 @@
 EMPTY_ALLOCATION = Allocation()
 
 
+@dataclass(frozen=True, slots=True)
+class AllocationReport:
+    """What a holder reports: the allocation that it has, and its demand by resource."""
+
+    allocation: Allocation
+    demand: tuple[float, ...]
+
+
 def allocation_from_message(message: object) -> Allocation:
     """Parse the message form of an allocation.
 
@@ -51,6 +60,16 @@
     return Allocation(epoch, number, base, lease, float(ends_at))
 
 
+def report_from_message(message: object) -> AllocationReport:
+    """Parse the message form of a report: that of its allocation, with `demand` beside it.
+
+    :raises MalformedAllocationError: the message is malformed; the text names the value.
+    """
+    allocation = allocation_from_message(message)
+    demand = message.get("demand") if isinstance(message, dict) else None
+    return AllocationReport(allocation, _demand_from_message(demand))
+
+
 def message_of(allocation: Allocation) -> dict[str, object]:
     """Return the message form of an allocation, which `allocation_from_message` parses."""
     return {
@@ -62,6 +81,16 @@
     }
 
 
+def _demand_from_message(demand: object) -> tuple[float, ...]:
+    try:
+        if isinstance(demand, Iterable):
+            return tuple(float(amount) for amount in demand)
+    except (TypeError, ValueError, OverflowError):
+        pass  # rejected below
+    text = f"demand is {quote(demand)}, not a list of numbers"
+    raise MalformedAllocationError(text)
+
+
 def _amounts_from_message(key: str, amounts: object) -> tuple[int, ...]:
     if (
         not isinstance(amounts, list)
--- a/thymeflow/outliers/messages.py
+++ b/thymeflow/outliers/messages.py
@@ -5,9 +5,11 @@
 
 from __future__ import annotations
 
+from dataclasses import dataclass
+
 from thymeflow.outliers.ejection import Ejection, EjectionKey
 from thymeflow.outliers.errors import MalformedOutlierMessageError
-from thymeflow.runtime.value_checks import is_finite_number, is_integer, quote
+from thymeflow.runtime.value_checks import is_finite_number, is_fraction, is_integer, quote
 
 MAX_ROWS = 512  # of one list in a message
 MAX_NAME_LENGTH = 64  # characters of a class or a zone; more are cut off
@@ -16,6 +18,36 @@
 TIME_DECIMALS = 3
 
 
+@dataclass(frozen=True, slots=True)
+class OutlierReport:
+    """What a member reports of the backends."""
+
+    ejecting: set[EjectionKey]
+    responding: set[EjectionKey]
+    probe_results: dict[int, bool]  # by permit: whether the probe succeeded
+    backend_count: int  # in the member's endpoint list
+    zones: dict[str, frozenset[int]]  # backends by zone, in the same list
+    pressure: float | None  # None: the member's version does not report it
+
+
+def report_from_message(message: object) -> OutlierReport:
+    """Parse a member's report.
+
+    :raises MalformedOutlierMessageError: the message is malformed; the text quotes the value.
+    """
+    if not isinstance(message, dict):
+        text = f"{quote(message)} is no report"
+        raise MalformedOutlierMessageError(text)
+    return OutlierReport(
+        ejecting=keys_from_message(message.get("against")),
+        responding=keys_from_message(message.get("good")),
+        probe_results=probes_from_message(message.get("trials")),
+        backend_count=_backend_count_from_message(message.get("servers")),
+        zones=zones_from_message(message.get("zones", {})),  # the previous version reports neither these
+        pressure=_pressure_from_message(message["pressure"]) if "pressure" in message else None,  # nor this
+    )
+
+
 def keys_from_message(rows: object) -> set[EjectionKey]:
     """Parse the keys of backends, or of classes at them, in a report.
 
@@ -78,6 +110,20 @@
     return [_ejection_from_row(row) for row in rows]
 
 
+def _backend_count_from_message(count: object) -> int:
+    if not is_integer(count) or count < 0:
+        text = f"servers is {quote(count)}, no count"
+        raise MalformedOutlierMessageError(text)
+    return count
+
+
+def _pressure_from_message(pressure: object) -> float:
+    if not is_fraction(pressure):
+        text = f"pressure is {quote(pressure)}, no figure from 0 to 1"
+        raise MalformedOutlierMessageError(text)
+    return float(pressure)
+
+
 def _key_from_row(row: object) -> EjectionKey:
     if (
         not isinstance(row, list)
