--- a/thymeflow/decision/settings.py
+++ b/thymeflow/decision/settings.py
@@ -10,6 +10,8 @@
 from enum import Enum
 from math import isfinite
 
+from thymeflow.errors import ThymeflowError
+
 
 class Idempotency(Enum):
     """What a second run of a request would do."""
@@ -46,7 +48,7 @@
 _REPORTED_NAMES = {"GatewaySettings": "Settings", "limiter_count": "gateways", "timer_resolution": "tick"}
 
 
-class InvalidSettingError(ValueError):
+class InvalidSettingError(ThymeflowError, ValueError):
     """A setting makes no sense; `name` is the field's."""
 
     def __init__(self, owner: str, name: str, value: object) -> None:
--- a/thymeflow/simulator.py
+++ b/thymeflow/simulator.py
@@ -42,6 +42,7 @@
 from thymeflow.decision.factory import create_gateway
 from thymeflow.decision.gateway import Gateway
 from thymeflow.decision.types import Backend, BackendState, EndpointListKind, LoadReport, Status
+from thymeflow.errors import ThymeflowError
 from thymeflow.platform.settings import JsonObject, settings_from
 
 Fields = dict[str, str]
@@ -49,7 +50,7 @@
 MAX_SHOWN_LINE = 200  # characters of a malformed line in its message
 
 
-class MalformedLineError(ValueError):
+class MalformedLineError(ThymeflowError, ValueError):
     """A line is not of the wire's form."""
 
 
--- a/thymeflow/snapshot/errors.py
+++ b/thymeflow/snapshot/errors.py
@@ -9,5 +9,5 @@
     """The snapshot cannot be used; the text gives the cause in one line."""
 
 
-class InvalidValueError(SnapshotError):
+class InvalidFieldError(SnapshotError):
     """A value is not of the type that its field requires; the text names the field."""
--- a/thymeflow/snapshot/schema.py
+++ b/thymeflow/snapshot/schema.py
@@ -19,7 +19,7 @@
 from typing import NamedTuple
 
 from thymeflow.decision.settings import GatewaySettings, Plan
-from thymeflow.snapshot.errors import InvalidValueError
+from thymeflow.snapshot.errors import InvalidFieldError
 from thymeflow.snapshot.errors import SnapshotError as SnapshotError
 from thymeflow.snapshot.validation import convert_record
 
@@ -182,14 +182,14 @@
     :raises SnapshotError: if they are incomplete, damaged or of an unknown version.
     """
     if len(data) > MAX_SNAPSHOT_BYTES:
-        message = f"it holds {len(data)} bytes, over the {MAX_SNAPSHOT_BYTES} that one may have"
+        message = f"it has {len(data)} bytes, more than the maximum of {MAX_SNAPSHOT_BYTES}"
         raise SnapshotError(message)
     line, newline, body = data.partition(b"\n")
     header = _parse_header(line, has_newline=bool(newline))
     _check_body(header, body)
     snapshot = _parse_body(header, body)
     if header.site != snapshot.site or header.taken != _taken_text(snapshot.taken):
-        message = "its first line and its content differ"
+        message = "its header and its content differ"
         raise SnapshotError(message)
     return snapshot
 
@@ -205,17 +205,17 @@
         message = f"it is of version {quoted}, and this program reads versions {UNCHARGED_VERSION} and {VERSION}"
         raise SnapshotError(message)
     if len(header_fields) != HEADER_FIELD_COUNT or not header_fields[BODY_BYTES_INDEX].isdigit():
-        message = "its first line is damaged"
+        message = "its header is damaged"
         raise SnapshotError(message)
     return Header(*header_fields[1:])
 
 
 def _check_body(header: Header, body: bytes) -> None:
     if len(body) != int(header.body_bytes):
-        message = f"it was cut: {len(body)} bytes of {header.body_bytes} are there"
+        message = f"it was cut: it has {len(body)} of {header.body_bytes} bytes"
         raise SnapshotError(message)
     if _body_digest(body) != header.digest:
-        message = "its checksum does not fit its content"
+        message = "its checksum does not match its content"
         raise SnapshotError(message)
 
 
@@ -225,13 +225,13 @@
         if header.version == str(UNCHARGED_VERSION):
             _upgrade_uncharged_version(content)
         return convert_record(Snapshot, content, "snapshot")
-    except (InvalidValueError, ValueError, RecursionError) as fault:
-        message = f"a value is not of its type: {fault}"
+    except (InvalidFieldError, ValueError, RecursionError) as error:
+        message = f"a value is not of its type: {error}"
         raise SnapshotError(message) from None
 
 
 def _upgrade_uncharged_version(content: object) -> None:
-    # An upgrade from a program before version 2 hands version 1 over: its records held no charges and had other names.
+    # A predecessor from before version 2 sends version 1, whose records have no charges and other names.
     stores = content.get("stores") if isinstance(content, dict) else None
     if not isinstance(stores, list):
         return
@@ -253,7 +253,7 @@
     :raises SnapshotError: if it is of another site or limiter, from the future or too old.
     """
     if snapshot.site != site:
-        message = f"it is of another site or place in the set ({snapshot.site}, here {site})"
+        message = f"it is of another site or index ({snapshot.site}, here {site})"
         raise SnapshotError(message)
     if snapshot.name != name:
         message = f"it is of the limiter {snapshot.name!r}, here {name!r}"
@@ -263,5 +263,5 @@
         message = f"it was taken {-age_seconds:.1f} s in the future"
         raise SnapshotError(message)
     if age_seconds > max_age_seconds:
-        message = f"it is {age_seconds:.1f} s old, and is read within {max_age_seconds:g} s"
+        message = f"it is {age_seconds:.1f} s old, over the maximum age of {max_age_seconds:g} s"
         raise SnapshotError(message)
--- a/thymeflow/snapshot/validation.py
+++ b/thymeflow/snapshot/validation.py
@@ -7,7 +7,7 @@
 from math import isfinite
 from typing import TYPE_CHECKING, NamedTuple, TypeVar, get_args, get_origin, get_type_hints
 
-from thymeflow.snapshot.errors import InvalidValueError as InvalidValueError
+from thymeflow.snapshot.errors import InvalidFieldError as InvalidFieldError
 
 if TYPE_CHECKING:
     from _typeshed import DataclassInstance
@@ -30,7 +30,7 @@
 def convert_record(cls: type[Record], value: object, where: str) -> Record:
     """Return the value, read from JSON, as an instance of a dataclass; `where` is its name in error texts.
 
-    :raises InvalidValueError: if a value is not of its field's type, or a field is missing or unknown.
+    :raises InvalidFieldError: if a value is not of its field's type, or a field is missing or unknown.
     """
     record = _convert(cls, value, where)
     assert isinstance(record, cls)
@@ -62,21 +62,21 @@
         return tuple([_convert(item_kind, item, f"{where}[{index}]") for index, (item_kind, item) in pairs])
     if origin is dict and isinstance(value, dict):
         return {key: _convert(arguments[1], item, f"{where}[{key!r}]") for key, item in value.items()}
-    message = f"{where} is {_quote(value)}, not what belongs there"
-    raise InvalidValueError(message)
+    message = f"{where} is {_quote(value)}, which is not of the type that the field requires"
+    raise InvalidFieldError(message)
 
 
 def _convert_number(value: float, where: str) -> float:
     if not isfinite(value) or abs(value) > MAX_MAGNITUDE:
-        message = f"{where} is {value}, which no amount can be"
-        raise InvalidValueError(message)
+        message = f"{where} is {value}, which is out of range"
+        raise InvalidFieldError(message)
     return float(value)
 
 
 def _check_plain(kind: type, value: object, where: str) -> object:
     if type(value) is not kind:  # exactly, as a bool is an int too
-        message = f"{where} is {_quote(value)}, no {kind.__name__}"
-        raise InvalidValueError(message)
+        message = f"{where} is {_quote(value)}, not of type {kind.__name__}"
+        raise InvalidFieldError(message)
     return value
 
 
@@ -84,12 +84,12 @@
     specs = _field_specs(cls)
     for name in value:
         if name not in specs:
-            message = f"{where} has {name[:MAX_QUOTED_LENGTH]!r}, which is not known"
-            raise InvalidValueError(message)
+            message = f"{where} has the unknown field {name[:MAX_QUOTED_LENGTH]!r}"
+            raise InvalidFieldError(message)
     for name, spec in specs.items():
         if spec.is_required and name not in value:
             message = f"{where}.{name} is missing"
-            raise InvalidValueError(message)
+            raise InvalidFieldError(message)
     return cls(**{name: _convert(specs[name].kind, item, f"{where}.{name}") for name, item in value.items()})
 
 
--- a/thymeflow/testkit/faults/schedule.py
+++ b/thymeflow/testkit/faults/schedule.py
@@ -19,6 +19,8 @@
 from math import isfinite
 from typing import Any, TypeGuard
 
+from thymeflow.errors import ThymeflowError
+
 MOST_LIMITERS, MOST_SERVERS, MOST_SECONDS, MOST_STEPS = 64, 64, 600.0, 2000
 LINES = ("run", "serve")  # the platform's run line, or our daemon
 WORDS = {"line": LINES, "units": ("demand", "tickets")}
@@ -72,7 +74,7 @@
 WANTS_AMOUNT = (Do.DELAY, Do.STALL)
 
 
-class ScheduleError(Exception):
+class ScheduleError(ThymeflowError):
     """The schedule cannot be played; `faults` has a line for each reason, with its place."""
 
     def __init__(self, faults: list[str]) -> None:
