--- a/tests/daemon/test_handover.py
+++ b/tests/daemon/test_handover.py
@@ -67,7 +67,7 @@
         waiting.send(command(b"PING"))
         if way == "dies":
             scripted.close()
-        assert "this life serves on" in limiter.log("handover: came to no end")
+        assert "this incarnation continues to serve" in limiter.log("handover: failed in state")
         assert waiting.line() == b"+PONG"
         assert limiter.ask(do="status")["hand_over"] == "whole"
         if way == "hangs":
@@ -89,4 +89,4 @@
         wait_for_exit(limiter.process)
         exit_code, log = wait_for_exit(limiter.start(("--take-over",)))
         assert exit_code == 5
-        assert "nobody to take over from" in log
+        assert "no predecessor to take over from" in log
--- a/tests/daemon/test_snapshots.py
+++ b/tests/daemon/test_snapshots.py
@@ -19,7 +19,7 @@
         limiter.terminate()
         assert wait_for_exit(limiter.process).code == 0
         limiter.process = limiter.start(())
-        assert "1 customers remembered from the file" in wait_for_log_line(limiter.process, "snapshot:")
+        assert "restored 1 customers from the snapshot file" in wait_for_log_line(limiter.process, "snapshot:")
         limiter.port = int(limiter.log("listening:").rsplit(":", 1)[1])
         assert spend_quota(limiter, 200) <= 1
         before = limiter.ask(do="status")["snapshot"]["at"]
@@ -49,7 +49,7 @@
         path = limiter.state / "n0.state"
         path.write_bytes(corrupt(path.read_bytes()))
         limiter.process = limiter.start(())
-        line = wait_for_log_line(limiter.process, "is not used and the start values hold")
+        line = wait_for_log_line(limiter.process, "is ignored, and token buckets start with defaults")
         assert re.search(why, line)
         limiter.port = int(limiter.log("listening:").rsplit(":", 1)[1])
         assert spend_quota(limiter, 200) >= 8
--- a/tests/handover/test_upgrade.py
+++ b/tests/handover/test_upgrade.py
@@ -119,7 +119,7 @@
     limiter.process.send_signal(signal.SIGSTOP)
     successor = limiter.next()
     assert successor.stderr is not None
-    while "handover: asked for" not in successor.stderr.readline():
+    while "handover: requested at" not in successor.stderr.readline():
         pass
     successor.send_signal(signal.SIGTERM)
     assert successor.wait(PATIENCE) == 0
@@ -131,7 +131,7 @@
     kill(limiter.process)  # its socket remains
     limiter.config["known"]["instances"] = []
     successor = start_next_copy(limiter) and limiter.process
-    limiter.log("given up: this life starts by itself")
+    limiter.log("abandoned: this incarnation starts without a predecessor")
     limiter.log("listening:")
     successor.send_signal(signal.SIGTERM)
     assert successor.wait(PATIENCE) == 0
--- a/tests/test_message_formats.py
+++ b/tests/test_message_formats.py
@@ -17,7 +17,7 @@
 from collections.abc import Iterator
 from contextlib import contextmanager
 from pathlib import Path
-from typing import Any
+from typing import Any, cast
 
 import pytest
 
@@ -142,7 +142,9 @@
 
     def __init__(self) -> None:
         super().__init__()
-        self.transport, self.heard = Transport(), list[Any]()
+        self.sent = Transport()
+        self.transport = cast("Any", self.sent)
+        self.heard: list[Any] = []
 
     def on_message(self, message: dict[str, Any]) -> None:
         """Keep it."""
@@ -343,8 +345,8 @@
     for data in (b"[]\n", b"x" * (64 * 1024 + 1), b"{}" + b" " * 64 * 1024 + b"\n", b"\xff\n"):
         other = Heard()
         other.dataReceived(data)
-        broken.append([other.transport.written, other.heard])
-    same("control line", [line.transport.written, line.heard, broken])
+        broken.append([other.sent.written, other.heard])
+    same("control line", [line.sent.written, line.heard, broken])
 
 
 def test_operators_calls_have_the_same_answers_when_they_are_made_in_each_phase() -> None:
--- a/tests/test_stored_formats.py
+++ b/tests/test_stored_formats.py
@@ -31,6 +31,7 @@
 from thymeflow.platform.endpoints import Address
 from thymeflow.runtime import clock
 from thymeflow.snapshot import restore, schema
+from thymeflow.snapshot.store import SnapshotSource, SnapshotStore
 
 DATA = Path(__file__).resolve().parent / "data" / "before-rename"
 TAKEN_AT = 1100.25  # s: when the snapshots of the data were taken
@@ -152,16 +153,16 @@
     monkeypatch.setattr(clock, "now", lambda: RESTORED_AT)
     (tmp_path / "n0.state").write_bytes(stored("snapshot-v2-final"))
     known = restore.endpoint_update_of(schema.unpack(stored("snapshot-v2-final")))
-    memory = SnapshotFile(tmp_path / "n0.state", "n0", "0b1c2d3e", known)
-    gateway = restarted_gateway()
-    memory.set_gateway(gateway)
-    memory.on_endpoint_update(known)
-    before = memory.status()
-    found = memory.read_usable(site_digest(), 30.0)
-    assert found is not None and plain(found) == expected("snapshot-v2-final")
-    memory.restore(found, "file")
-    memory.write_last()
-    assert [before, memory.status()] == expected("snapshot status")
+    store = SnapshotStore("n0", "0b1c2d3e", known)
+    snapshot_file = SnapshotFile(tmp_path / "n0.state", store)
+    store.set_gateway(restarted_gateway())
+    store.on_endpoint_update(known)
+    before = snapshot_file.status()
+    snapshot = snapshot_file.read_usable(site_digest(), 30.0)
+    assert snapshot is not None and plain(snapshot) == expected("snapshot-v2-final")
+    store.restore(snapshot, SnapshotSource.FILE)
+    snapshot_file.write_last()
+    assert [before, snapshot_file.status()] == expected("snapshot status")
     assert (tmp_path / "n0.state").read_bytes() == stored("snapshot-v2-last")
 
 
--- a/thymeflow/daemon/activation.py
+++ b/thymeflow/daemon/activation.py
@@ -10,6 +10,7 @@
 
 FIRST_DESCRIPTOR = 3
 MAX_DESCRIPTORS = 16
+MAX_SHOWN_LENGTH = 20  # characters of an invalid value in an error text
 
 
 def take_activation_sockets(environment: MutableMapping[str, str], pid: int) -> list[socket.socket]:
@@ -21,9 +22,9 @@
     count = environment.pop("LISTEN_FDS", "")
     environment.pop("LISTEN_FDNAMES", None)
     if not count or intended_pid != str(pid):
-        return []  # none, or meant for a process before this one
+        return []  # none, or intended for an earlier process
     if not count.isascii() or not count.isdigit() or not 1 <= int(count) <= MAX_DESCRIPTORS:
-        message = f"LISTEN_FDS is {count[:20]!r}, no number from 1 to {MAX_DESCRIPTORS}"
+        message = f"LISTEN_FDS is {count[:MAX_SHOWN_LENGTH]!r}, not a number from 1 to {MAX_DESCRIPTORS}"
         raise BadDescriptorError(message)
     descriptors = range(FIRST_DESCRIPTOR, FIRST_DESCRIPTOR + int(count))
     sockets = _open_sockets(descriptors)
--- a/thymeflow/daemon/allocation.py
+++ b/thymeflow/daemon/allocation.py
@@ -13,22 +13,23 @@
 from thymeflow.runtime import clock, log
 from thymeflow.runtime.log_kinds import LogKind
 
-DEMAND_SMOOTHING = 0.7  # weight of the earlier demand at each report; reports are half a second apart
+DEMAND_SMOOTHING_FRACTION = 0.7  # weight of the earlier demand at each report; reports are half a second apart
+# Why a grant is not applied; recorded tests compare these texts, which no process is sent.
+NOT_ALLOCATED_TEXT = "this process goes by the even share: it was started without a part"
+NOT_NEWER_TEXT = "it is not newer than what is held"
 
 
 class MemberAllocation:
     """The allocation of this process, if it has one."""
 
     def __init__(self, configured: object) -> None:
-        self._holder: LeaseHolder | None = None
+        self._holder = None if configured is None else _configured_holder(configured)
         self._demand_per_second = 0.0  # smoothed
         self._last_response_count = 0
         self._last_report_at = clock.now()
-        if configured is not None:
-            self._holder = _configured_holder(configured)
 
     def connect(self, gateway: Gateway) -> None:
-        """Let the gateway take its fractions of the fleet limits from here, if there is an allocation."""
+        """Let the gateway read its fractions of the fleet limits from here, if there is an allocation."""
         if self._holder is not None:
             gateway.fraction_of = self.fraction
 
@@ -38,7 +39,10 @@
         return self._holder.usable_amount(Resource(resource), clock.monotonic()) / TOTAL_POINTS
 
     def report(self, dispatcher: RequestDispatcher) -> Message | None:
-        """Return the report to the lease issuer, or None if this process has no allocation to use."""
+        """Return the report to the lease issuer, or None if this process has no allocation to use.
+
+        The keys are a format.
+        """
         if self._holder is None or self._holder.is_handed_over:
             return None
         self._update_demand(clock.now(), sum(dispatcher.response_counts.values()))
@@ -53,7 +57,7 @@
         if now <= self._last_report_at:
             return
         rate = max(0, response_count - self._last_response_count) / (now - self._last_report_at)
-        self._demand_per_second += (1.0 - DEMAND_SMOOTHING) * (rate - self._demand_per_second)
+        self._demand_per_second += (1.0 - DEMAND_SMOOTHING_FRACTION) * (rate - self._demand_per_second)
         self._last_response_count = response_count
         self._last_report_at = now
 
@@ -61,12 +65,12 @@
         """Apply a grant; return why it is not applied, or an empty string."""
         try:
             allocation = allocation_from_message(message)
-        except ValueError as fault:
-            log.emit_rate_limited(LogKind.BUDGETS, f"a grant that cannot be read changes nothing: {fault}")
-            return str(fault)
+        except ValueError as error:
+            log.emit_rate_limited(LogKind.BUDGETS, f"ignored a grant that cannot be parsed: {error}")
+            return str(error)
         if self._holder is None:
-            return "this process goes by the even share: it was started without a part"
-        return "" if self._holder.on_grant(allocation) else "it is not newer than what is held"
+            return NOT_ALLOCATED_TEXT
+        return "" if self._holder.on_grant(allocation) else NOT_NEWER_TEXT
 
     def hand_over(self) -> Message | None:
         """Return the allocation for the successor; from now on this process uses none of it."""
@@ -75,25 +79,26 @@
     def inherit(self, message: object) -> None:
         """Apply the allocation of the predecessor, which no longer uses it."""
         if self._holder is not None and not self.on_grant(message):
-            log.emit(LogKind.BUDGETS, "the part was handed on with the state")
+            log.emit(LogKind.BUDGETS, "the allocation of the predecessor is in use")
 
-    def on_taken_back(self, was_used: bool) -> None:
+    def on_rolled_back(self, was_used: bool) -> None:
         """Use the allocation again after the successor is gone.
 
         `was_used`: the successor may have used it, and may be using it still.
         """
         if self._holder is None:
             return
-        if was_used:  # a later grant comes under a number that the successor does not have
+        if was_used:  # nothing is left of it until a grant comes, under a number that the successor does not have
             allocation = self._holder.allocation
-            self._holder.allocation = Allocation(allocation.epoch, allocation.number)
-        self._holder.take_back()
+            self._holder = LeaseHolder(Allocation(allocation.epoch, allocation.number))
+        else:
+            self._holder.take_back()
 
 
 def _configured_holder(configured: object) -> LeaseHolder:
     """Return a holder of the configured allocation, or an empty one if that cannot be read."""
     try:
         return LeaseHolder(allocation_from_message(configured))
-    except ValueError as fault:
-        log.emit(LogKind.BUDGETS, f"the part in the configuration is not used: {fault}; no part until one is granted")
+    except ValueError as error:
+        log.emit(LogKind.BUDGETS, f"ignored the allocation in the configuration; none until a grant: {error}")
         return LeaseHolder()
--- a/thymeflow/daemon/control_requests.py
+++ b/thymeflow/daemon/control_requests.py
@@ -1,4 +1,4 @@
-"""The requests of the control socket: one method for each command, and status updates for those that watch."""
+"""The requests of the control socket: one method for each command, and status updates for callers that watch."""
 
 from __future__ import annotations
 
@@ -6,33 +6,32 @@
 from functools import partial
 from typing import Protocol
 
+from thymeflow.daemon import control_messages
+from thymeflow.daemon.control_messages import ControlCommand
 from thymeflow.daemon.instance import Instance
 from thymeflow.daemon.status import build_status
 from thymeflow.handover.control_socket import ControlCaller, Message
 from thymeflow.handover.sender import HandoverSender
 from thymeflow.limiter import phases
-from thymeflow.logs.structured import LEVELS
 from thymeflow.outliers.member import ejections_from_message
 from thymeflow.runtime import clock, log
 from thymeflow.runtime.log_kinds import LogKind
 
-WATCH_INTERVAL = 0.5  # s between status updates to watching callers
-MAX_LINGER_SECONDS = 60.0
-MAX_SHOWN = 40  # characters of a bad value in a message
+WATCH_INTERVAL_SECONDS = 0.5  # between status updates to watching callers
 
 
 class ControllableService(Protocol):
     """What control requests need of the service that they act on."""
 
     instance: Instance
-    last_reload: str  # what the last reload resulted in
+    last_reload: str  # the result of the last reload
 
     @property
     def sender(self) -> HandoverSender:
         """The sender that hands the instance over to a successor."""
 
     def stop(self, linger: float | None) -> None:
-        """Drain and stop; `linger`: seconds for which clients may still come, None for the configured ones."""
+        """Drain and stop; `linger`: seconds for which new connections are accepted, None for the configured ones."""
 
     def reload(self) -> bool:
         """Read all configuration again; return whether it is in force."""
@@ -44,35 +43,36 @@
     def __init__(self, service: ControllableService) -> None:
         self._service = service
         self._watchers: list[ControlCaller] = []
-        # The commands, by their names in messages; an error message lists them in this order.
-        self._commands: dict[str, Callable[[ControlCaller, Message], None]] = {
-            "status": self._status,
-            "watch": self._watch,
-            "drain": self._drain,
-            "reload": self._reload,
-            "evacuate": self._call_operator_action,
-            "activate": self._call_operator_action,
-            "level": self._set_log_level,
-            "snapshot": self._write_snapshot,
-            "socket": self._send_socket,
-            "part": self._apply_allocation,
-            "verdicts": self._apply_ejections,
-            "shed": self._apply_admission_threshold,
+        evacuate = partial(self._call_operator_action, phases.OperatorCommand.EVACUATE)
+        activate = partial(self._call_operator_action, phases.OperatorCommand.ACTIVATE)
+        self._handlers: dict[ControlCommand, Callable[[ControlCaller, Message], None]] = {
+            ControlCommand.SEND_STATUS: self._send_status,
+            ControlCommand.WATCH_STATUS: self._watch_status,
+            ControlCommand.DRAIN: self._drain,
+            ControlCommand.RELOAD: self._reload,
+            ControlCommand.EVACUATE: evacuate,
+            ControlCommand.ACTIVATE: activate,
+            ControlCommand.SET_LOG_LEVEL: self._set_log_level,
+            ControlCommand.WRITE_SNAPSHOT: self._write_snapshot,
+            ControlCommand.SEND_LISTENING_SOCKET: self._send_listening_socket,
+            ControlCommand.APPLY_ALLOCATION: self._apply_allocation,
+            ControlCommand.APPLY_EJECTIONS: self._apply_ejections,
+            ControlCommand.APPLY_ADMISSION_THRESHOLD: self._apply_admission_threshold,
         }
 
     def handle(self, caller: ControlCaller, message: Message) -> None:
         """Handle one request.
 
-        :raises ValueError: if a value of the request is out of range; the text is for the caller.
+        :raises InvalidRequestError: if a value of the request is out of its domain; the text is for the caller.
         """
-        command = message.get("do")
         if self._service.sender.handle(caller, message):
             return
-        if isinstance(command, str) and command in self._commands:
-            self._commands[command](caller, message)
+        try:
+            command = control_messages.command_from_message(message)
+        except control_messages.UnknownCommandError as error:
+            caller.send({"ok": False, "why": str(error)})
         else:
-            why = f"'do' is {str(command)[:MAX_SHOWN]!r}; it may be {', '.join(self._commands)}"
-            caller.send({"ok": False, "why": why})
+            self._handlers[command](caller, message)
 
     def update_watchers(self) -> None:
         """Send the status to callers that watch."""
@@ -84,27 +84,26 @@
     def tick(self, _: int = 0) -> None:
         """Send the status to callers that watch, now and at every interval."""
         self.update_watchers()
-        self._service.instance.limiter.deadlines.schedule(clock.now() + WATCH_INTERVAL, self.tick)
+        self._service.instance.limiter.deadlines.schedule(clock.now() + WATCH_INTERVAL_SECONDS, self.tick)
 
     def _build_status(self) -> Message:
         return build_status(self._service.instance, self._service.sender.state)
 
-    def _status(self, caller: ControlCaller, _: Message) -> None:
+    def _send_status(self, caller: ControlCaller, _: Message) -> None:
         caller.send({"ok": True, **self._build_status()})
 
-    def _watch(self, caller: ControlCaller, _: Message) -> None:
-        caller.is_persistent = True
+    def _watch_status(self, caller: ControlCaller, _: Message) -> None:
         self._watchers.append(caller)
-        caller.on_disconnected = partial(self._watchers.remove, caller)
+        caller.keep_open(partial(self._watchers.remove, caller))
         caller.send({"status": self._build_status()})
 
     def _drain(self, caller: ControlCaller, message: Message) -> None:
-        linger = _linger_from_message(message)
+        linger_seconds = control_messages.linger_seconds_from_message(message)
         caller.send({"ok": True, "open": self._service.instance.limiter.dispatcher.open_count()})
-        self._service.stop(linger)
+        self._service.stop(linger_seconds)
 
-    def _call_operator_action(self, caller: ControlCaller, message: Message) -> None:
-        is_done, why = self._service.instance.limiter.lifecycle.on_command(phases.OperatorCommand(message["do"]))
+    def _call_operator_action(self, command: phases.OperatorCommand, caller: ControlCaller, _: Message) -> None:
+        is_done, why = self._service.instance.limiter.lifecycle.on_command(command)
         caller.send({"ok": is_done, "why": why})
 
     def _reload(self, caller: ControlCaller, _: Message) -> None:
@@ -112,30 +111,27 @@
         caller.send({"ok": is_reloaded, "why": self._service.last_reload})
 
     def _set_log_level(self, caller: ControlCaller, message: Message) -> None:
-        level = message.get("level")
-        if level not in LEVELS:
-            fault = f"level is {str(level)[:MAX_SHOWN]!r}; it may be {', '.join(LEVELS)}"
-            raise ValueError(fault)
+        level = control_messages.log_level_from_message(message)
         self._service.instance.log_handler.set_level(level)
         log.emit(LogKind.LEVEL, f"{level} from now on, until a reload")
         caller.send({"ok": True})
 
     def _write_snapshot(self, caller: ControlCaller, _: Message) -> None:
-        snapshots = self._service.instance.snapshots
+        snapshot_file = self._service.instance.snapshot_file
 
-        def on_written(fault: str) -> None:
-            """Respond when the write has ended."""
-            caller.send({"ok": not fault, "why": fault, "path": str(snapshots.path), **snapshots.status()})
+        def on_written(cause: str) -> None:
+            """Respond when the write has ended; `cause` is empty if it succeeded."""
+            caller.send({"ok": not cause, "why": cause, "path": str(snapshot_file.path), **snapshot_file.status()})
 
-        writing = snapshots.write_now()
+        writing = snapshot_file.write_now()
         if writing is None:
-            caller.send({"ok": False, "why": "one is being written, or this life does not hold the name"})
+            caller.send({"ok": False, "why": "another write is in progress"})
         else:
             writing.addCallback(on_written)
 
     def _apply_allocation(self, _: ControlCaller, message: Message) -> None:
         # No response: the next status update reports the allocation in force to the watching supervisor.
-        self._service.instance.allocation.on_grant(message.get("part"))
+        self._service.instance.allocation.on_grant(control_messages.allocation_field(message))
         self.update_watchers()
 
     def _apply_ejections(self, _: ControlCaller, message: Message) -> None:
@@ -143,9 +139,9 @@
         if ejections is None:
             return
         try:
-            received = ejections_from_message(message.get("verdicts"))
-        except ValueError as fault:
-            log.emit_rate_limited(LogKind.OVERLOAD, f"verdicts that cannot be read change nothing: {fault}")
+            received = ejections_from_message(control_messages.ejections_field(message))
+        except ValueError as error:
+            log.emit_rate_limited(LogKind.OVERLOAD, f"ignored ejections that cannot be parsed: {error}")
         else:
             ejections.on_ejections(received, clock.now(), clock.monotonic())
 
@@ -153,29 +149,16 @@
         load_shedder = self._service.instance.load_shedder
         if load_shedder is None:
             return
+        threshold = control_messages.admission_threshold_field(message)
         try:
-            load_shedder.on_threshold(message.get("level"), clock.now(), clock.monotonic())
-        except ValueError as fault:
-            log.emit_rate_limited(LogKind.OVERLOAD, f"a level that cannot be read changes nothing: {fault}")
+            load_shedder.on_threshold(threshold, clock.now(), clock.monotonic())
+        except ValueError as error:
+            log.emit_rate_limited(LogKind.OVERLOAD, f"ignored an admission threshold that cannot be parsed: {error}")
 
-    def _send_socket(self, caller: ControlCaller, _: Message) -> None:
-        # A supervisor that adopts this process keeps a duplicate of the listening socket, to outlast the process.
+    def _send_listening_socket(self, caller: ControlCaller, _: Message) -> None:
+        # A supervisor that adopts this process holds a duplicate of the listening socket, to outlast the process.
         lifecycle = self._service.instance.limiter.lifecycle
         if lifecycle.port is None:
-            caller.send({"ok": False, "why": "it does not listen"})
+            caller.send({"ok": False, "why": "the limiter does not listen"})
         else:
             caller.send({"ok": True, "listen": lifecycle.listen_address}, lifecycle.port.fileno())
-
-
-def _linger_from_message(message: Message) -> float | None:
-    """Return the seconds for which clients may still come, or None if the message has no `linger`.
-
-    :raises ValueError: if it is not a number in range.
-    """
-    linger: object = message.get("linger")
-    if linger is None:
-        return None
-    if isinstance(linger, bool) or not isinstance(linger, int | float) or not 0.0 <= linger <= MAX_LINGER_SECONDS:
-        fault = f"linger is {str(linger)[:MAX_SHOWN]!r}, no number of seconds from 0 to {MAX_LINGER_SECONDS:g}"
-        raise ValueError(fault)
-    return linger
--- a/thymeflow/daemon/errors.py
+++ b/thymeflow/daemon/errors.py
@@ -10,8 +10,8 @@
 
 
 class StartError(DaemonError):
-    """The daemon cannot start; the text says why in one line, `code` is the exit code."""
+    """The daemon cannot start; the text gives the cause in one line."""
 
-    def __init__(self, why: str, code: int) -> None:
-        super().__init__(why)
-        self.code = code
+    def __init__(self, cause: str, exit_code: int) -> None:
+        super().__init__(cause)
+        self.exit_code = exit_code
--- a/thymeflow/daemon/handover.py
+++ b/thymeflow/daemon/handover.py
@@ -1,6 +1,6 @@
 """The daemon's side of a hot restart: what its sender and receiver do with name, sockets and state.
 
-Who accepts at which step is decided by `thymeflow.handover.state_machine`.
+Which process accepts at which step is decided by `thymeflow.handover.state_machine`.
 """
 
 from __future__ import annotations
@@ -10,17 +10,16 @@
 
 from thymeflow.daemon.exit_codes import NO_HANDOVER
 from thymeflow.daemon.instance import Instance
-from thymeflow.daemon.lock import NameLock, NameTakenError
-from thymeflow.daemon.snapshot_file import SnapshotFile
+from thymeflow.daemon.lock import NameTakenError
 from thymeflow.handover.control_socket import Message
 from thymeflow.handover.listening_sockets import BadDescriptorError, duplicate_listening_socket
 from thymeflow.handover.participant import RejectedHandoverError
 from thymeflow.handover.receiver import HandoverReceiver
 from thymeflow.handover.sender import DELEGATED_STATES, HandoverSender
-from thymeflow.handover.state_machine import SenderState
 from thymeflow.limiter.assembly import Limiter
 from thymeflow.runtime import log
 from thymeflow.runtime.log_kinds import LogKind
+from thymeflow.snapshot.store import SnapshotStore
 
 PASSED_DESCRIPTORS = 2  # listening socket and lock
 
@@ -45,22 +44,17 @@
         return self.sender.state not in DELEGATED_STATES and self._instance.lock is not None
 
     def on_endpoints_known(self) -> None:
-        """Continue taking over, if that waits for the endpoint list."""
+        """Continue a handover to this process that waits for the endpoint list."""
         if self.receiver is not None:
             self.receiver.on_endpoints_known()
 
     @property
     def limiter(self) -> Limiter:
-        """The limiter that is handed over or taken over to."""
+        """The limiter that is handed over, or that takes over."""
         return self._instance.limiter
 
-    @limiter.setter
-    def limiter(self, limiter: Limiter) -> None:
-        """Replace the limiter; `HandoverParticipant` declares a plain attribute."""
-        self._instance.limiter = limiter
-
     @property
-    def snapshots(self) -> SnapshotFile:
+    def snapshots(self) -> SnapshotStore:
         """The snapshot store of the limiter."""
         return self._instance.snapshots
 
@@ -82,19 +76,18 @@
         try:
             _check_count(descriptors)
             listening = duplicate_listening_socket(descriptors[0])
-            self._instance.lock = NameLock.adopt(self._instance.path("lock"), descriptors[1])
-        except (BadDescriptorError, NameTakenError, OSError) as fault:
-            raise RejectedHandoverError(str(fault)) from None
+            self._instance.adopt_name(descriptors[1])
+        except (BadDescriptorError, NameTakenError, OSError) as error:
+            raise RejectedHandoverError(str(error)) from None
         return listening
 
     def accept(self, listening: socket.socket) -> str:
-        """Own the name and accept connections from now on; return the fault, or an empty string."""
-        fault = self._open_control()
-        if not fault:
-            assert self._instance.lock is not None
-            self._instance.lock.write_owner(self.incarnation)
+        """Own the name and accept connections from now on; return why not, or an empty string."""
+        cause = self._open_control()
+        if not cause:
+            self._instance.write_owner()
             self.limiter.listen(listening)
-        return fault
+        return cause
 
     def hand_over_allocation(self) -> Message | None:
         """Return the allocation of the fleet limits for the successor, and stop using it."""
@@ -104,32 +97,34 @@
         """Use the allocation of the predecessor."""
         self._instance.allocation.inherit(message)
 
-    def on_taken_back(self, used: bool) -> None:
-        """Use the allocation again; `used`: the successor may have used it."""
-        self._instance.allocation.on_taken_back(used)
+    def on_rolled_back(self, was_used: bool) -> None:
+        """Use the allocation again; `was_used`: the successor may have used it."""
+        self._instance.allocation.on_rolled_back(was_used)
 
     def on_resumed(self) -> None:
         """Write this process as the owner of the name again."""
         if self._instance.lock is not None:
-            self._instance.lock.write_owner(self.incarnation)
+            self._instance.write_owner()
 
     def abandon(self) -> None:
         """Stop at once, having accepted nothing: another process serves under this name."""
-        log.emit(LogKind.HANDOVER, "given up: the process that serves goes on")
+        log.emit(LogKind.HANDOVER, "abandoned: the predecessor continues to serve")
         instance = self._instance
-        instance.lock = None  # the other process owns it too, and goes on owning it
-        instance.exit_code = instance.exit_code or NO_HANDOVER
+        instance.forget_name()
+        instance.set_exit_code(instance.exit_code or NO_HANDOVER)
         instance.reactor.callWhenRunning(instance.reactor.stop)
 
     def retreat(self) -> None:
         """Drain and stop, leaving name, socket and snapshot to the other process."""
-        log.emit(LogKind.HANDOVER, "the old life took everything back: this one finishes what it took")
-        self.sender.state = SenderState.DRAINING  # name and snapshot are not ours to write
-        self._instance.exit_code = NO_HANDOVER
+        log.emit(
+            LogKind.HANDOVER, "rolled back: the predecessor serves, and this incarnation completes its open requests"
+        )
+        self.sender.relinquish()  # name and snapshot are not ours to write
+        self._instance.set_exit_code(NO_HANDOVER)
         self.limiter.lifecycle.terminate(0.0)
 
 
 def _check_count(descriptors: list[int]) -> None:
     if len(descriptors) != PASSED_DESCRIPTORS:
-        message = f"{len(descriptors)} descriptors came with it, not {PASSED_DESCRIPTORS}"
+        message = f"{len(descriptors)} descriptors came with the offer, not {PASSED_DESCRIPTORS}"
         raise BadDescriptorError(message)
--- a/thymeflow/daemon/instance.py
+++ b/thymeflow/daemon/instance.py
@@ -1,4 +1,4 @@
-"""One limiter of the daemon, with its name, files, lock, log and what it keeps beside its gateway."""
+"""One limiter of the daemon, with its name, files, lock, log and its parts of a fleet."""
 
 from __future__ import annotations
 
@@ -26,6 +26,9 @@
 from thymeflow.settings import Settings
 from thymeflow.shedding.threshold import LoadShedder
 from thymeflow.snapshot import restore, schema
+from thymeflow.snapshot.store import SnapshotSource, SnapshotStore
+
+INCARNATION_BYTES = 4  # of the random identifier of one process
 
 
 class Reactor(UnixReactor, TimerReactor, Protocol):
@@ -58,12 +61,13 @@
         self._is_joining = is_joining
         self.configuration = load()
         self.name = self.configuration.name
-        self.incarnation = secrets.token_hex(4)
+        self.incarnation = secrets.token_hex(INCARNATION_BYTES)
         self.started_at = clock.now()
         self.log_handler = StructuredLog(settings.log, self.name, self.incarnation)
         self.notifier = Notifier(os.environ)
         self.folder = Path(settings.daemon.state or f".thymeflow-{self.name}")
-        self.snapshots = SnapshotFile(self.path("state"), self.name, self.incarnation, self.configuration.endpoints)
+        self.snapshots = SnapshotStore(self.name, self.incarnation, self.configuration.endpoints)
+        self.snapshot_file = SnapshotFile(self.path("state"), self.snapshots)
         self.allocation = MemberAllocation(self.configuration.allocation)
         self.ejections: MemberEjections | None = None
         self.load_shedder: LoadShedder | None = None
@@ -75,6 +79,40 @@
         """Return the path of a file of this instance: `lock`, `sock` or `state`."""
         return self.folder / f"{self.name}.{suffix}"
 
+    def acquire_name(self) -> None:
+        """Own the name from now on.
+
+        :raises NameTakenError: if another process owns it.
+        :raises OSError: if the lock file cannot be opened.
+        """
+        self.lock = NameLock.acquire(self.path("lock"), self.incarnation)
+
+    def adopt_name(self, descriptor: int) -> None:
+        """Own the name by the predecessor's lock, an open descriptor.
+
+        :raises NameTakenError: if the descriptor is not that of the lock file.
+        :raises OSError: if there is no such file or descriptor.
+        """
+        self.lock = NameLock.adopt(self.path("lock"), descriptor)
+
+    def write_owner(self) -> None:
+        """Write this process into the lock file as the owner of the name."""
+        assert self.lock is not None
+        self.lock.write_owner(self.incarnation)
+
+    def forget_name(self) -> None:
+        """Leave the name to the other process that owns the same lock."""
+        self.lock = None
+
+    def set_exit_code(self, exit_code: int) -> None:
+        """Set the code that this process exits with."""
+        self.exit_code = exit_code
+
+    def apply_reloaded(self, settings: Settings) -> None:
+        """Apply those sections of the settings that a reload may change."""
+        self.settings = replace(self.settings, log=settings.log, snapshot=settings.snapshot)
+        self.log_handler.set_level(settings.log.level)
+
     def build_limiter(self, snapshot: schema.Snapshot | None, on_endpoints_known: Callable[[], None]) -> None:
         """Build the limiter, from the snapshot if there is one, and call back when its endpoints are known."""
         initial = self.configuration
@@ -87,7 +125,7 @@
         self.limiter.on_endpoints_available = on_endpoints_known
         self.snapshots.on_endpoint_update(initial.endpoints)
         if snapshot is not None:
-            self.snapshots.restore(snapshot, "file")
+            self.snapshots.restore(snapshot, SnapshotSource.FILE)
 
     def _build_gateway(self, initial: configuration.Configuration) -> Gateway:
         budgets = self.settings.budgets
@@ -114,7 +152,7 @@
             self.load_shedder.limit_retries()
 
     def open_control(self, handler: MessageHandler) -> str:
-        """Open the control socket, if the settings want one; return the fault, or an empty string."""
+        """Open the control socket, if the settings have one; return why not, or an empty string."""
         daemon = self.settings.daemon
         if not daemon.control:
             return ""
@@ -128,6 +166,6 @@
         )
         try:
             self.control.listen()
-        except (ControlError, OSError) as fault:
-            return f"control socket: {fault}"
+        except (ControlError, OSError) as error:
+            return f"control socket: {error}"
         return ""
--- a/thymeflow/daemon/lock.py
+++ b/thymeflow/daemon/lock.py
@@ -16,7 +16,7 @@
 
 
 class NameTakenError(DaemonError):
-    """Another process holds the name."""
+    """Another process owns the name."""
 
 
 class NameLock:
@@ -55,7 +55,7 @@
         file_status = os.stat(path)
         descriptor_status = os.fstat(descriptor)
         if (file_status.st_dev, file_status.st_ino) != (descriptor_status.st_dev, descriptor_status.st_ino):
-            message = f"the lock passed on is not that of {path}"
+            message = f"the lock of the predecessor is not that of {path}"
             raise NameTakenError(message)
         return cls(path, descriptor)
 
--- a/thymeflow/daemon/notify.py
+++ b/thymeflow/daemon/notify.py
@@ -16,7 +16,7 @@
 
     def __init__(self, environment: Mapping[str, str]) -> None:
         address = environment.get("NOTIFY_SOCKET", "")
-        self.lost = 0  # datagrams that could not be sent
+        self.dropped_count = 0  # datagrams that could not be sent
         self._address: str | None = None
         if address.startswith("@"):
             self._address = "\0" + address[1:]
@@ -36,4 +36,4 @@
             sender.setblocking(False)
             sender.sendto(text.encode(), self._address)
             is_sent = True
-        self.lost += not is_sent
+        self.dropped_count += not is_sent
--- a/thymeflow/daemon/service.py
+++ b/thymeflow/daemon/service.py
@@ -9,7 +9,7 @@
 import socket
 import sys
 from collections.abc import Callable
-from dataclasses import dataclass, replace
+from dataclasses import dataclass
 from typing import cast
 
 from thymeflow.daemon.activation import take_activation_sockets
@@ -18,7 +18,7 @@
 from thymeflow.daemon.exit_codes import BAD_CONFIGURATION, CANNOT_LISTEN, NAME_TAKEN
 from thymeflow.daemon.handover import DaemonHandover
 from thymeflow.daemon.instance import Instance, Reactor
-from thymeflow.daemon.lock import NameLock, NameTakenError
+from thymeflow.daemon.lock import NameTakenError
 from thymeflow.discovery.watch import FIRST_LIST_TIMEOUT
 from thymeflow.frontend.listener import bind_listener
 from thymeflow.handover.listening_sockets import BadDescriptorError
@@ -36,7 +36,7 @@
 class Options:
     """How a start differs from a plain one."""
 
-    joins: bool = False  # a running set, which uses all of every quota already: token buckets start empty
+    joins: bool = False  # a running set, which uses every quota in full already: token buckets start empty
     take_over: bool = False  # from a running process of the same name
 
 
@@ -55,7 +55,7 @@
         self._reactor = reactor
         self._read_settings = read_settings
         self.instance = Instance(settings, load, options.joins, reactor)
-        self.last_reload = ""  # what the last reload resulted in
+        self.last_reload = ""  # the result of the last reload
         self._requests = ControlRequestHandler(self)
         self._handover = DaemonHandover(self.instance, self._open_control, options.take_over)
 
@@ -65,7 +65,7 @@
         return self._handover.sender
 
     def start(self) -> None:
-        """Take name and sockets, restore the snapshot, and serve; or begin to take over from a running process.
+        """Acquire name and sockets, restore the snapshot, and serve; or request a handover from a running process.
 
         :raises StartError: if the daemon cannot start.
         """
@@ -78,12 +78,12 @@
             return
         activation_sockets = self._take_sockets_and_name()
         self._build_limiter(self._read_snapshot())
-        if fault := self._open_control():
-            raise StartError(fault, CANNOT_LISTEN)
+        if cause := self._open_control():
+            raise StartError(cause, CANNOT_LISTEN)
         self._listen(activation_sockets)
         self.instance.limiter.connect(clock.now() + FIRST_LIST_TIMEOUT)
         for unused in activation_sockets[1:]:
-            log.emit(LogKind.SOCKETS, f"{unused.getsockname()} was handed in and is not used")
+            log.emit(LogKind.SOCKETS, f"{unused.getsockname()} was passed in by the service manager and is not used")
             unused.close()
 
     def _log_start(self) -> None:
@@ -91,7 +91,7 @@
         instance.log_handler.install()
         log.emit(
             LogKind.START,
-            f"life {instance.incarnation} of {instance.name}, pid {os.getpid()}",
+            f"incarnation {instance.incarnation} of {instance.name}, pid {os.getpid()}",
             joins=self._options.joins,
             take_over=self._options.take_over,
         )
@@ -102,23 +102,22 @@
         folder = self.instance.folder
         try:
             folder.mkdir(mode=0o700, parents=True, exist_ok=True)
-        except OSError as fault:
-            message = f"[daemon] state {folder}: {fault.strerror}"
+        except OSError as error:
+            message = f"[daemon] state {folder}: {error.strerror}"
             raise StartError(message, BAD_CONFIGURATION) from None
 
     def _take_sockets_and_name(self) -> list[socket.socket]:
         instance = self.instance
-        path = instance.path("lock")
         try:
             sockets = take_activation_sockets(os.environ, os.getpid())
-            instance.lock = NameLock.acquire(path, instance.incarnation)
-        except BadDescriptorError as fault:
-            message = f"sockets handed in: {fault}"
+            instance.acquire_name()
+        except BadDescriptorError as error:
+            message = f"activation sockets: {error}"
             raise StartError(message, CANNOT_LISTEN) from None
-        except NameTakenError as fault:
-            raise StartError(str(fault), NAME_TAKEN) from None
-        except OSError as fault:
-            message = f"{path}: {fault.strerror}"
+        except NameTakenError as error:
+            raise StartError(str(error), NAME_TAKEN) from None
+        except OSError as error:
+            message = f"{instance.path('lock')}: {error.strerror}"
             raise StartError(message, NAME_TAKEN) from None
         return sockets
 
@@ -126,7 +125,7 @@
         instance = self.instance
         snapshot_settings = instance.settings.snapshot
         site = schema.site_digest(instance.configuration.settings)
-        return instance.snapshots.read_usable(site, snapshot_settings.fresh) if snapshot_settings.keep else None
+        return instance.snapshot_file.read_usable(site, snapshot_settings.fresh) if snapshot_settings.keep else None
 
     def _build_limiter(self, snapshot: schema.Snapshot | None) -> None:
         self.instance.build_limiter(snapshot, self._handover.on_endpoints_known)
@@ -140,14 +139,14 @@
         try:
             listening = activation_sockets[0] if activation_sockets else bind_listener(address.host, address.port)
             self.instance.limiter.listen(listening, waited=bool(activation_sockets))
-        except OSError as fault:
-            message = f"{address}: {fault.strerror}"
+        except OSError as error:
+            message = f"{address}: {error.strerror}"
             raise StartError(message, CANNOT_LISTEN) from None
 
     def install_signal_handlers(self) -> None:
-        """Handle signals from now on; those that come before the reactor runs are handled as it begins.
+        """Handle signals from now on; those that arrive before the reactor runs are handled when it starts.
 
-        A process that is notified of READY=1 may signal at once, and the reactor runs only some moments later.
+        A process that is notified of READY=1 may send a signal at once, and the reactor starts some moments later.
         """
         for number, handler in ((signal.SIGTERM, self.stop), (signal.SIGINT, self.stop), (signal.SIGHUP, self.reload)):
             signal.signal(number, lambda *_, handler=handler: self._reactor.callFromThread(handler))
@@ -169,13 +168,13 @@
             log.emit(LogKind.READY, f"{start_seconds:.3f} s after the start", seconds=round(start_seconds, 3))
             instance.notifier.notify(ready=1, mainpid=os.getpid(), status=f"{instance.name} serves")
         elif phase is Phase.DRAINING:
-            instance.notifier.notify(stopping=1, status=f"{instance.name} finishes what it took")
+            instance.notifier.notify(stopping=1, status=f"{instance.name} completes its open requests")
         self._requests.update_watchers()
 
     def stop(self, linger: float | None = None) -> None:
-        """Drain and stop, on a signal or a control request, however often it comes.
+        """Drain and stop, on a signal or a control request; later calls change nothing.
 
-        `linger`: seconds for which clients may still come; None for the configured ones.
+        `linger`: seconds for which new connections are still accepted; None for the configured ones.
         """
         receiver = self._handover.receiver
         if receiver is not None and not receiver.is_serving():
@@ -185,9 +184,9 @@
         self.instance.limiter.lifecycle.terminate(linger)
 
     def reload(self) -> bool:
-        """Read the platform's file and the settings again; what is not usable changes nothing.
+        """Read the platform's file and the settings again; a file that cannot be used changes nothing.
 
-        Returns whether both are in force; `last_reload` then says what changed, or why not.
+        Returns whether both are in force; `last_reload` then describes what changed, or why not.
         """
         instance = self.instance
         if instance.limiter.lifecycle.phase is Phase.STOPPED:
@@ -201,24 +200,23 @@
         return is_reloaded and not settings_fault
 
     def _reload_settings(self) -> str:
-        """Read the settings again; return why they stay as they are, or an empty string."""
-        instance = self.instance
+        """Read the settings again; return why they are unchanged, or an empty string."""
         try:
             settings = self._read_settings()
-        except SettingsError as fault:
-            message = f"our settings stay as they are: {' | '.join(map(str, fault.faults))}"
+        except SettingsError as error:
+            message = f"the thymeflow settings are unchanged: {' | '.join(map(str, error.faults))}"
             log.emit(LogKind.RELOAD, message)
             return message
-        instance.settings = replace(instance.settings, log=settings.log, snapshot=settings.snapshot)
-        instance.log_handler.set_level(settings.log.level)
+        self.instance.apply_reloaded(settings)
         return ""
 
     def _write_snapshot_at_interval(self, _: int) -> None:
         instance = self.instance
         snapshot_settings = instance.settings.snapshot
         instance.limiter.deadlines.schedule(clock.now() + snapshot_settings.every, self._write_snapshot_at_interval)
-        if snapshot_settings.keep and instance.limiter.lifecycle.phase is Phase.SERVING:
-            instance.snapshots.write_now(self._handover.owns_name)
+        is_serving = instance.limiter.lifecycle.phase is Phase.SERVING
+        if snapshot_settings.keep and is_serving and self._handover.owns_name():
+            instance.snapshot_file.write_now()
 
     def _finish(self) -> None:
         # After the reactor nothing more can be forwarded, so this snapshot is final.
@@ -227,7 +225,7 @@
             instance.control.close()
         if self._handover.owns_name() and instance.lock is not None:
             if instance.settings.snapshot.keep:
-                instance.snapshots.write_last()
+                instance.snapshot_file.write_last()
             instance.lock.release()
         instance.log_handler.file.close()
 
@@ -248,12 +246,12 @@
         service = Service(settings, load, options, reactor, read_settings)
         service.install_signal_handlers()
         service.start()
-    except configuration.ConfigurationError as fault:
-        print(f"thymeflow: bad configuration: {fault}", file=sys.stderr)
+    except configuration.ConfigurationError as error:
+        print(f"thymeflow: bad configuration: {error}", file=sys.stderr)
         return BAD_CONFIGURATION
-    except StartError as fault:
-        print(f"thymeflow: cannot start: {fault}", file=sys.stderr)
-        return fault.code
+    except StartError as error:
+        print(f"thymeflow: cannot start: {error}", file=sys.stderr)
+        return error.exit_code
     if early_signals:
         reactor.callFromThread(service.reload)
     with contextlib.suppress(KeyboardInterrupt):
--- a/thymeflow/daemon/snapshot_file.py
+++ b/thymeflow/daemon/snapshot_file.py
@@ -2,7 +2,6 @@
 
 from __future__ import annotations
 
-from collections.abc import Callable
 from pathlib import Path
 
 from twisted.internet.defer import Deferred
@@ -10,35 +9,31 @@
 from twisted.python.failure import Failure
 
 from thymeflow.handover.control_socket import Message
-from thymeflow.platform import endpoints
 from thymeflow.runtime import clock, log
 from thymeflow.runtime.log_kinds import LogKind
-from thymeflow.snapshot import atomic_file, schema, store
+from thymeflow.snapshot import atomic_file, schema
+from thymeflow.snapshot.store import SnapshotStore
 
 
-def _always() -> bool:
-    return True
+class SnapshotFile:
+    """The file that the snapshots of one incarnation are written to."""
 
-
-class SnapshotFile(store.SnapshotStore):
-    """The snapshot store of one incarnation, with the file that it writes to."""
-
-    def __init__(self, path: Path, name: str, incarnation: str, first_list: endpoints.EndpointUpdate) -> None:
-        super().__init__(name, incarnation, first_list)
+    def __init__(self, path: Path, store: SnapshotStore) -> None:
         self.path = path
+        self._store = store
         self._is_writing = False
         self._written_at = 0.0  # s, 0.0 before the first write
         self._written_bytes = 0
         self._failure_count = 0
 
     def status(self) -> Message:
-        """Return the snapshot's part of the instance status."""
+        """Return what the instance status reports of snapshots; the keys are a format."""
         return {
             "at": self._written_at,
             "age_s": round(clock.now() - self._written_at, 1) if self._written_at else None,
             "bytes": self._written_bytes,
             "failed": self._failure_count,
-            "remembered_from": self._source,
+            "remembered_from": self._store.source.value,
         }
 
     def read_usable(self, site: str, max_age_seconds: float) -> schema.Snapshot | None:
@@ -48,21 +43,21 @@
             if data is None:
                 return None
             snapshot = schema.unpack(data)
-            schema.check_applicable(snapshot, site, self._name, clock.now(), max_age_seconds)
-        except schema.SnapshotError as fault:
-            log.emit(LogKind.SNAPSHOT, f"{self.path} is not used and the start values hold: {fault}")
+            schema.check_applicable(snapshot, site, self._store.name, clock.now(), max_age_seconds)
+        except schema.SnapshotError as error:
+            log.emit(LogKind.SNAPSHOT, f"{self.path} is ignored, and token buckets start with defaults: {error}")
             return None
         return snapshot
 
-    def write_now(self, is_owner: Callable[[], bool] = _always) -> Deferred[str] | None:
-        """Write in a thread; the Deferred fires with an empty string or the fault.
+    def write_now(self) -> Deferred[str] | None:
+        """Write in a thread; the Deferred fires with an empty string or the cause of a failure.
 
-        Returns None while another write is in progress, or if this process does not own the name.
+        Returns None while another write is in progress.
         """
-        if self._is_writing or not is_owner():
+        if self._is_writing:
             return None
         self._is_writing = True
-        writing: Deferred[str] = deferToThread(self._write, self.take_snapshot(False))
+        writing: Deferred[str] = deferToThread(self._write, self._store.take_snapshot(False))
         return writing.addBoth(self._on_written)
 
     def _on_written(self, result: str | Failure) -> str:
@@ -70,11 +65,13 @@
         if isinstance(result, str):
             return result
         self._failure_count += 1
-        fault = str(result.getErrorMessage())
+        cause = str(result.getErrorMessage())
         log.emit_rate_limited(
-            LogKind.SNAPSHOT, f"{self.path} was not written, the old one stands: {fault}", failed=self._failure_count
+            LogKind.SNAPSHOT,
+            f"{self.path} was not written, and its earlier content remains: {cause}",
+            failed=self._failure_count,
         )
-        return fault
+        return cause
 
     def _write(self, snapshot: schema.Snapshot) -> str:
         data = schema.pack(snapshot)
@@ -88,6 +85,8 @@
     def write_last(self) -> None:
         """Write the final snapshot at once; call it when no more requests can be forwarded."""
         try:
-            self._write(self.take_snapshot(True))
-        except OSError as fault:
-            log.emit(LogKind.SNAPSHOT, f"the last one was not written, the old one stands: {fault}")
+            self._write(self._store.take_snapshot(True))
+        except OSError as error:
+            log.emit(
+                LogKind.SNAPSHOT, f"the final one was not written, and the earlier content of the file remains: {error}"
+            )
--- a/thymeflow/daemon/status.py
+++ b/thymeflow/daemon/status.py
@@ -16,7 +16,7 @@
 
 
 def build_status(instance: Instance, sender_state: SenderState) -> Message:
-    """Return all that can be reported of an instance now."""
+    """Return the present state of an instance."""
     limiter = instance.limiter
     now = clock.now()
     gateway = limiter.gateway
@@ -45,7 +45,7 @@
         "customers": len(gateway.buckets),
         "pressure": round(gateway.pressure, 3),
         "counter_heard_s": round(now - gateway.last_gossip_at, 3) if gateway.last_gossip_at > 0 else None,
-        "snapshot": instance.snapshots.status(),
+        "snapshot": instance.snapshot_file.status(),
         "hand_over": sender_state.value,
         "log_lost": instance.log_handler.file.dropped_lines,
         "evidence": None if instance.ejections is None else instance.ejections.report(now),
--- a/thymeflow/handover/control_client.py
+++ b/thymeflow/handover/control_client.py
@@ -29,14 +29,20 @@
 class ControlSession(ControlConnection):
     """An open connection to a control socket; messages and the end go to callbacks."""
 
-    def __init__(self, message_handler: Callable[[Message], None], close_handler: Callable[[], None]) -> None:
+    def __init__(
+        self,
+        message_handler: Callable[[Message], None],
+        close_handler: Callable[[], None],
+        connected: Deferred[ControlSession],
+    ) -> None:
         super().__init__()
         self._message_handler = message_handler
         self._close_handler = close_handler
+        self._connected = connected
 
     def connectionMade(self) -> None:
-        """Notify the factory that the connection is established."""
-        self.factory.on_connected(self)
+        """Fire the Deferred of `open_session`."""
+        self._connected.callback(self)
 
     def on_message(self, message: Message) -> None:
         """Pass the message to the session's handler."""
@@ -58,13 +64,8 @@
 
     def buildProtocol(self, addr: IAddress | None) -> ControlSession:  # noqa: ARG002 (Twisted's signature)
         """Return the session."""
-        self._session.factory = self
         return self._session
 
-    def on_connected(self, session: ControlSession) -> None:
-        """Fire the Deferred of `open_session`."""
-        self._connected.callback(session)
-
     def clientConnectionFailed(self, connector: IConnector, reason: Failure) -> None:  # noqa: ARG002 (Twisted's signature)
         """Fail the Deferred of `open_session`."""
         self._connected.errback(NoAnswerError(reason.getErrorMessage()))
@@ -76,15 +77,15 @@
     message_handler: Callable[[Message], None],
     close_handler: Callable[[], None] = _ignore_close,
 ) -> Deferred[ControlSession]:
-    """Open a session; the Deferred fails with NoAnswerError where nobody listens."""
+    """Open a session; the Deferred fails with NoAnswerError if no process listens at the path."""
     connected: Deferred[ControlSession] = Deferred()
-    session = ControlSession(message_handler, close_handler)
+    session = ControlSession(message_handler, close_handler, connected)
     reactor.connectUNIX(str(path), _SessionFactory(session, connected), timeout=CONNECT_TIMEOUT_SECONDS)
     return connected
 
 
 class _Request:
-    """One request that is in flight, until its final reply, a fault or the deadline."""
+    """One request in flight, until its final reply, an error or the deadline."""
 
     def __init__(
         self,
@@ -115,7 +116,7 @@
         self._fail(failure.getErrorMessage())
 
     def on_message(self, message: Message) -> None:
-        """Take the final reply, which has `ok`; pass on any other message."""
+        """Deliver the final reply, which has `ok`; forward any other message."""
         if "ok" in message:
             self._finish()
             if not self.reply.called:
@@ -125,10 +126,10 @@
 
     def on_closed(self) -> None:
         """Fail, as the other end closed first."""
-        self._fail("the other end closed without an answer")
+        self._fail("the connection was closed before a reply")
 
     def _on_timeout(self, _: int) -> None:
-        self._fail("no answer in time")
+        self._fail("no reply before the deadline")
 
     def _fail(self, cause: str) -> None:
         self._finish()
@@ -152,7 +153,7 @@
     """Send a request and return its final reply, the first message that has `ok`.
 
     Messages before it go to `on_intermediate`. `deadline` is a time in Unix seconds; the Deferred fails with
-    NoAnswerError where no final reply arrives before it.
+    NoAnswerError if no final reply arrives before it.
     """
     request = _Request(deadlines, path, message, deadline, on_intermediate)
     connected = open_session(reactor, path, request.on_message, request.on_closed)
--- a/thymeflow/handover/control_socket.py
+++ b/thymeflow/handover/control_socket.py
@@ -13,7 +13,7 @@
 import struct
 from collections.abc import Callable
 from pathlib import Path
-from typing import Any
+from typing import Any, cast
 
 from twisted.internet.error import CannotListenError
 from twisted.internet.interfaces import IAddress, IFileDescriptorReceiver
@@ -22,7 +22,8 @@
 from zope.interface import implementer
 
 from thymeflow.handover.errors import ControlError as ControlError
-from thymeflow.handover.reactor_types import ListeningPort, UnixReactor
+from thymeflow.handover.errors import InvalidRequestError
+from thymeflow.handover.reactor_types import ListeningPort, UnixReactor, UnixTransport
 from thymeflow.runtime import clock
 from thymeflow.runtime.slot_table import SlotTable
 
@@ -33,8 +34,9 @@
 OVERDUE_CHECKS_PER_TIMEOUT = 4.0
 SOCKET_MODE = 0o600
 PEER_CREDENTIALS_FORMAT = "3i"  # struct ucred: pid, uid, gid (unix(7))
+INVALID_REQUEST_PREFIX = "ValueError"  # of the reply to an invalid request: a format, not the name of a class
 
-Message = dict[str, Any]  # a JSON object; its keys are the format of each command
+Message = dict[str, Any]  # a JSON object as it is read or written; the keys are the format of each command
 MessageHandler = Callable[["ControlCaller", Message], None]
 
 
@@ -46,18 +48,20 @@
 class ControlConnection(Protocol):
     """One connection that carries JSON objects, a line each, and file descriptors beside them."""
 
-    transport: Any  # Twisted's Unix server or client, whose type does not declare the attributes used here
-    factory: Any  # the factory that made the connection; each subclass knows its own
-
     def __init__(self) -> None:
         self._buffer = bytearray()
         self.descriptors: list[int] = []  # received, in order; code that removes one has to close it
         self.is_closed = False
 
+    @property
+    def unix_transport(self) -> UnixTransport:
+        """The transport, as a type that declares what is used of it here."""
+        return cast("UnixTransport", self.transport)
+
     def is_same_user(self) -> bool:
         """Return whether the other end runs as the same user (SO_PEERCRED, unix(7))."""
         size = struct.calcsize(PEER_CREDENTIALS_FORMAT)
-        credentials = self.transport.getHandle().getsockopt(socket.SOL_SOCKET, socket.SO_PEERCRED, size)
+        credentials = self.unix_transport.getHandle().getsockopt(socket.SOL_SOCKET, socket.SO_PEERCRED, size)
         _, user_id, _ = struct.unpack(PEER_CREDENTIALS_FORMAT, credentials)
         return bool(user_id == os.geteuid())
 
@@ -66,8 +70,8 @@
         if self.is_closed:
             return
         for descriptor in descriptors:
-            self.transport.sendFileDescriptor(descriptor)
-        self.transport.write(json.dumps(message, separators=(",", ":")).encode() + b"\n")
+            self.unix_transport.sendFileDescriptor(descriptor)
+        self.unix_transport.write(json.dumps(message, separators=(",", ":")).encode() + b"\n")
 
     def fileDescriptorReceived(self, descriptor: int) -> None:
         """Keep a descriptor for the message that refers to it; close it at once if too many are unclaimed."""
@@ -113,7 +117,11 @@
 
     def close(self) -> None:
         """Close the connection once what was written has been sent."""
-        self.transport.loseConnection()
+        self.unix_transport.loseConnection()
+
+    def abort(self) -> None:
+        """Close the connection at once, without sending what is still to be sent."""
+        self.unix_transport.abortConnection()
 
     def connectionLost(self, reason: Failure = connectionDone) -> None:  # noqa: ARG002 (Twisted's signature)
         """Close the descriptors that were not claimed, and notify the subclass."""
@@ -136,23 +144,35 @@
         self.handle = -1
         self.is_persistent = False  # it watches or takes over, and need not send another line
         self.last_message_at = clock.now()
-        self.on_disconnected: Callable[[], None] = _do_nothing
+        self._on_disconnected: Callable[[], None] = _do_nothing
 
     def connectionMade(self) -> None:
         """Occupy a slot; reject the connection if none is free."""
         if self._server.callers.is_full():
-            self.reject("all places for callers are taken; try again in a moment")
+            self.reject("the maximum number of callers is connected; try again in a moment")
             return
         self.handle = self._server.callers.add(self)
         self._server.schedule_overdue_check()
 
+    def keep_open(self, on_disconnected: Callable[[], None]) -> None:
+        """Expect no further lines from now on; `on_disconnected` is called when the connection ends."""
+        self.is_persistent = True
+        self._on_disconnected = on_disconnected
+
+    def abort_silently(self) -> None:
+        """Close the connection at once, without the callback of `keep_open`."""
+        self._on_disconnected = _do_nothing
+        self.abort()
+
     def on_message(self, message: Message) -> None:
         """Pass the message to the server's handler; a malformed one is answered and does not end the process."""
         self.last_message_at = clock.now()
         try:
             self._server.handler(self, message)
-        except (KeyError, ValueError, TypeError) as fault:
-            self.send({"ok": False, "why": f"{type(fault).__name__}: {fault}"})
+        except InvalidRequestError as error:
+            self.send({"ok": False, "why": f"{INVALID_REQUEST_PREFIX}: {error}"})
+        except (KeyError, ValueError, TypeError) as error:
+            self.send({"ok": False, "why": f"{type(error).__name__}: {error}"})
 
     def is_overdue(self, timeout_seconds: float) -> bool:
         """Return whether no complete line came within the timeout, or too much that was sent is unread."""
@@ -162,13 +182,13 @@
 
     def unsent_bytes(self) -> int:
         """Return the number of bytes that the caller has not read yet."""
-        transport = self.transport
+        transport = self.unix_transport
         return len(transport.dataBuffer) + sum(map(len, transport._tempDataBuffer))
 
     def on_closed(self) -> None:
         """Free the slot."""
         self._server.callers.remove(self.handle)
-        self.on_disconnected()
+        self._on_disconnected()
 
 
 class ControlServer(Factory):
@@ -217,8 +237,8 @@
             self._socket_path.unlink()
         try:
             self._port = self._reactor.listenUNIX(str(self._socket_path), self, mode=SOCKET_MODE)
-        except CannotListenError as fault:  # not an OSError, though it wraps one
-            message = f"{self._socket_path}: {fault.socketError}"
+        except CannotListenError as error:  # not an OSError, though it wraps one
+            message = f"{self._socket_path}: {error.socketError}"
             raise ControlError(message) from None
         self.publish_link()
 
@@ -264,7 +284,7 @@
         self._is_check_scheduled = False
         for caller in self.callers.items():
             if caller.is_overdue(self._timeout_seconds):
-                caller.transport.abortConnection()
+                caller.abort()
         if len(self.callers):
             self.schedule_overdue_check()
 
--- a/thymeflow/handover/errors.py
+++ b/thymeflow/handover/errors.py
@@ -14,7 +14,11 @@
 
 
 class NoAnswerError(HandoverError):
-    """Nobody listens at the control socket, or no reply arrived before the deadline."""
+    """No process listens at the control socket, or no reply arrived before the deadline."""
+
+
+class InvalidRequestError(HandoverError, ValueError):
+    """A value of a control request is out of its domain; the text names it and its domain."""
 
 
 class BadDescriptorError(HandoverError):
--- a/thymeflow/handover/listening_sockets.py
+++ b/thymeflow/handover/listening_sockets.py
@@ -15,8 +15,8 @@
     """
     try:
         candidate = socket.socket(fileno=os.dup(descriptor))
-    except OSError as fault:
-        message = f"descriptor {descriptor} is no socket ({fault.strerror})"
+    except OSError as error:
+        message = f"descriptor {descriptor} is not a socket ({error.strerror})"
         raise BadDescriptorError(message) from None
     try:
         _check_listening_stream(candidate, descriptor)
@@ -31,7 +31,7 @@
     is_listening = candidate.getsockopt(socket.SOL_SOCKET, socket.SO_ACCEPTCONN)
     family = candidate.family
     if not is_listening or candidate.type != socket.SOCK_STREAM:
-        message = f"descriptor {descriptor} is a socket that does not listen for streams"
+        message = f"descriptor {descriptor} is a socket that does not listen for stream connections"
         raise BadDescriptorError(message)
     if family not in (socket.AF_INET, socket.AF_INET6):
         message = f"descriptor {descriptor} is of the family {family.name}, not AF_INET or AF_INET6"
--- a/thymeflow/handover/participant.py
+++ b/thymeflow/handover/participant.py
@@ -14,8 +14,13 @@
 class HandoverParticipant(Protocol):
     """A limiter process that can take over from another and be taken over: the daemon, or the platform's run."""
 
-    incarnation: str
-    limiter: Limiter
+    @property
+    def incarnation(self) -> str:
+        """The random identifier of this process."""
+
+    @property
+    def limiter(self) -> Limiter:
+        """The limiter that is handed over, or that takes over."""
 
     @property
     def snapshots(self) -> SnapshotStore:
@@ -31,7 +36,7 @@
 
     @property
     def requires_same_site(self) -> bool:
-        """Whether plans and index have to be equal; otherwise the part of the state that applies is restored."""
+        """Whether plans and index have to be equal; otherwise only the state that still applies is restored."""
 
     def descriptors(self) -> list[int]:
         """Return the descriptors that the sender passes, the listening socket first."""
@@ -46,16 +51,16 @@
         """Start to accept connections; return the fault as text, empty if there is none."""
 
     def hand_over_allocation(self) -> Message | None:
-        """Give up the allocation of fleet limits and return it as a message; None if there is none."""
+        """Return the allocation of fleet limits as a message and stop using it; None if there is none."""
 
     def inherit_allocation(self, message: object) -> None:
-        """Take over the allocation of the previous process."""
+        """Use the allocation of the predecessor."""
 
-    def on_taken_back(self, used: bool) -> None:
-        """Handle a rollback of the state; `used` if the other process was permitted to use it and may still run."""
+    def on_rolled_back(self, was_used: bool) -> None:
+        """Handle a rollback; `was_used` if the successor was permitted to use the allocation and may still run."""
 
     def on_resumed(self) -> None:
-        """Handle a completed rollback: this process accepts again."""
+        """Handle the end of a rollback: this process accepts again."""
 
     def abandon(self) -> None:
         """Handle a failed handover in a receiver that has not accepted any connection."""
--- a/thymeflow/handover/reactor_types.py
+++ b/thymeflow/handover/reactor_types.py
@@ -1,7 +1,8 @@
-"""The parts of Twisted's reactor that control sockets use, as types (its interfaces carry none that mypy reads)."""
+"""What control sockets use of Twisted's reactor and transports, as types: Twisted's interfaces declare none."""
 
 from __future__ import annotations
 
+import socket
 from typing import Protocol
 
 from twisted.internet.protocol import ClientFactory, Factory
@@ -22,3 +23,30 @@
 
     def connectUNIX(self, address: str, factory: ClientFactory, timeout: float) -> object:  # noqa: N802 (Twisted's name)
         """Connect to a path; the factory is notified of the result within `timeout` seconds."""
+
+
+class UnixTransport(Protocol):
+    """One connected Unix socket."""
+
+    @property
+    def dataBuffer(self) -> bytes:  # noqa: N802 (Twisted's name)
+        """The bytes to be sent next."""
+
+    @property
+    def _tempDataBuffer(self) -> list[bytes]:  # noqa: N802 (Twisted's name)
+        """The bytes to be sent after those of `dataBuffer`."""
+
+    def getHandle(self) -> socket.socket:  # noqa: N802 (Twisted's name)
+        """Return the connected socket."""
+
+    def write(self, data: bytes) -> None:
+        """Send bytes after all that were written before."""
+
+    def sendFileDescriptor(self, descriptor: int) -> None:
+        """Send a descriptor beside the first of the bytes that are written next."""
+
+    def loseConnection(self) -> None:
+        """Close the connection once all bytes have been sent."""
+
+    def abortConnection(self) -> None:  # noqa: N802 (Twisted's name)
+        """Close the connection at once."""
--- a/thymeflow/handover/receiver.py
+++ b/thymeflow/handover/receiver.py
@@ -1,7 +1,4 @@
-"""The receiver of a handover: carries out the actions of `state_machine.RECEIVER_TRANSITIONS`.
-
-The keys and commands of the messages are a format: two versions of the program talk to each other.
-"""
+"""The receiver of a handover: carries out the actions of `state_machine.RECEIVER_TRANSITIONS`."""
 
 from __future__ import annotations
 
@@ -12,30 +9,29 @@
 from twisted.python.failure import Failure
 
 from thymeflow.discovery.watch import FIRST_LIST_TIMEOUT
-from thymeflow.handover import control_client
+from thymeflow.handover import control_client, messages
 from thymeflow.handover.control_socket import ControlConnection, Message
 from thymeflow.handover.participant import HandoverParticipant, RejectedHandoverError
-from thymeflow.handover.state_machine import ReceiverAction, ReceiverEvent, ReceiverState, advance_receiver
+from thymeflow.handover.state_machine import (
+    ReceiverAction,
+    ReceiverEvent,
+    ReceiverState,
+    SenderEvent,
+    advance_receiver,
+)
 from thymeflow.handover.step_timer import StepTimer
 from thymeflow.runtime import clock, log
 from thymeflow.runtime.log_kinds import LogKind
 from thymeflow.snapshot import schema
 from thymeflow.snapshot.late_charges import charge_late
+from thymeflow.snapshot.store import SnapshotSource
 
 MAX_DISCOVERY_WAIT_FRACTION = 0.5  # of a step's time limit: for the first reply of discovery
 MAX_LATE_UNITS = 1e9  # of one customer; larger late charges are ignored
-MAX_REJECTION_LENGTH = 200  # characters of the sender's text that are logged
-# The key by which a message is recognized, in the order in which they are looked for.
-EVENTS_BY_KEY = {
-    "offer": ReceiverEvent.DESCRIPTORS_RECEIVED,
-    "state": ReceiverEvent.STATE_RECEIVED,
-    "yours": ReceiverEvent.ACCEPT_PERMITTED,
-    "draining": ReceiverEvent.DELEGATION_CONFIRMED,
-}
 
 
 class HandoverReceiver:
-    """Takes listening socket and state over from the process that has them, or leaves that process as it was."""
+    """Takes over listening socket and state from the process that has them, or leaves that process as it was."""
 
     def __init__(self, participant: HandoverParticipant, path: Path) -> None:
         self._participant = participant
@@ -44,7 +40,7 @@
         self._sender: ControlConnection | None = None
         self._listening_socket: socket.socket | None = None
         self._step_timer = StepTimer(participant)
-        self._allocation: object = None  # arrives with the state; used once the state is
+        self._allocation: object = None  # arrives with the state, and is used from the same moment on
         self._actions = {
             ReceiverAction.START_UP: self._start_up,
             ReceiverAction.SEND_READY: self._send_ready,
@@ -61,8 +57,8 @@
         reactor = self._participant.limiter.reactor
         try:
             connecting = control_client.open_session(reactor, self._path, self._on_message, self._on_disconnected)
-        except OSError as fault:  # the system forbids Unix sockets
-            self._give_up(f"nobody to take over from: {fault}")
+        except OSError as error:  # the system forbids Unix sockets
+            self._abort(f"no predecessor to take over from: {error}")
             return
         connecting.addCallbacks(self._on_connected, self._on_connect_failed)
 
@@ -94,52 +90,45 @@
         elif previous is not self.state:
             self._restart_step_timer()
         if self.state is ReceiverState.FAILED and previous is not self.state:
-            log.emit(LogKind.HANDOVER, f"came to no end ({previous.value}, {event.value})")
+            log.emit(LogKind.HANDOVER, f"failed in state {previous.value!r} on {event.value!r}")
         for action in actions:
             self._actions[action]()
 
     def _on_connect_failed(self, failure: Failure) -> None:
-        self._give_up(f"nobody to take over from: {failure.getErrorMessage()}")
+        self._abort(f"no predecessor to take over from: {failure.getErrorMessage()}")
 
     def _on_connected(self, session: control_client.ControlSession) -> None:
         self._sender = session
         if not session.is_same_user():
-            self._give_up("who listens there runs as another user")
+            self._abort(f"the process that listens at {self._path} runs as another user")
         elif self.state is ReceiverState.FAILED:
             session.close()  # it took too long to connect
         else:
             self._send_request(session)
 
     def _send_request(self, session: control_client.ControlSession) -> None:
-        log.emit(LogKind.HANDOVER, f"asked for, at {self._path}")
-        session.send(
-            {
-                "do": "take",
-                "life": self._participant.incarnation,
-                "pid": os.getpid(),
-                "site": schema.site_digest(self._participant.limiter.configuration.settings),
-            }
-        )
-
-    def _give_up(self, cause: str) -> None:
+        log.emit(LogKind.HANDOVER, f"requested at {self._path}")
+        site = schema.site_digest(self._participant.limiter.configuration.settings)
+        session.send(messages.request_message(self._participant.incarnation, os.getpid(), site))
+
+    def _abort(self, cause: str) -> None:
         log.emit(LogKind.HANDOVER, cause)
         self.step(ReceiverEvent.ABORTED)
 
     def _on_message(self, message: Message) -> None:
-        if type(message.get("held")) is int:
-            self._participant.limiter.limit_beside_predecessor(message["held"])
-        if message.get("part") is not None:
-            self._allocation = message["part"]
-        for key, event in EVENTS_BY_KEY.items():
-            if key in message:
-                self.step(event)
-                return
-        if "late" in message:
-            self._charge_late(message["late"])
-        elif "bye" in message and self._sender is not None:
+        received = messages.parse_sender_message(message)
+        if received.open_connections is not None:
+            self._participant.limiter.limit_beside_predecessor(received.open_connections)
+        if received.allocation is not None:
+            self._allocation = received.allocation
+        if received.event is not None:
+            self.step(received.event)
+        elif received.has_late_charges:
+            self._charge_late(received.late_charges)
+        elif received.is_last and self._sender is not None:
             self._sender.close()
-        elif message.get("ok") is False:
-            self._give_up(f"refused: {str(message.get('why'))[:MAX_REJECTION_LENGTH]}")
+        elif received.rejection is not None:
+            self._abort(f"rejected: {received.rejection}")
 
     def _connection(self) -> ControlConnection:
         assert self._sender is not None
@@ -149,8 +138,8 @@
         connection = self._connection()
         try:
             self._listening_socket = self._participant.adopt_descriptors(connection.descriptors)
-        except RejectedHandoverError as fault:
-            self._give_up(f"what was offered cannot be used: {fault}")
+        except RejectedHandoverError as error:
+            self._abort(f"the descriptors of the predecessor cannot be used: {error}")
             return
         os.close(connection.descriptors[0])
         connection.descriptors.clear()
@@ -158,17 +147,17 @@
         self._participant.limiter.connect(clock.now() + discovery_wait)
 
     def _send_ready(self) -> None:
-        self._connection().send({"do": "ready"})
+        self._connection().send(messages.step_message(SenderEvent.RECEIVER_READY))
 
     def _restore_state(self) -> None:
         connection = self._connection()
         try:
             snapshot = self._read_snapshot(connection)
-        except (schema.SnapshotError, OSError) as fault:
-            self._give_up(f"the state cannot be used: {fault}")
+        except (schema.SnapshotError, OSError) as error:
+            self._abort(f"the state of the predecessor cannot be used: {error}")
             return
-        self._participant.snapshots.restore(snapshot, "hand-over")
-        connection.send({"do": "took"})
+        self._participant.snapshots.restore(snapshot, SnapshotSource.HANDOVER)
+        connection.send(messages.step_message(SenderEvent.STATE_ACCEPTED))
 
     def _read_snapshot(self, connection: ControlConnection) -> schema.Snapshot:
         """Read and check the snapshot in the descriptor that came with it.
@@ -177,7 +166,7 @@
         :raises OSError: if it cannot be read.
         """
         if len(connection.descriptors) != 1:
-            message = f"{len(connection.descriptors)} descriptors came with it, not 1"
+            message = f"{len(connection.descriptors)} descriptors came with the state, not 1"
             raise schema.SnapshotError(message)
         with os.fdopen(connection.descriptors.pop(), "rb") as file:
             file.seek(0)
@@ -192,24 +181,24 @@
         assert self._listening_socket is not None
         if self._allocation is not None:
             self._participant.inherit_allocation(self._allocation)
-        fault = self._participant.accept(self._listening_socket)
-        if fault:
-            log.emit(LogKind.HANDOVER, fault)
+        cause = self._participant.accept(self._listening_socket)
+        if cause:
+            log.emit(LogKind.HANDOVER, cause)
             self.state = ReceiverState.FAILED
             self._connection().close()  # on which the sender accepts again
             self._abandon()
             return
-        self._connection().send({"do": "serving"})
+        self._connection().send(messages.step_message(SenderEvent.RECEIVER_SERVING))
 
     def _complete(self) -> None:
         name = self._participant.limiter.configuration.name
-        log.emit(LogKind.HANDOVER, f"done: this life holds name, socket and state of {name}")
+        log.emit(LogKind.HANDOVER, f"done: this incarnation owns name, socket and state of {name}")
 
     def _charge_late(self, value: object) -> None:
         try:
-            charges = _parse_late_charges(value)
+            charges = messages.parse_late_charges(value)
         except (ValueError, TypeError, AttributeError):
-            log.emit(LogKind.HANDOVER, "late charges that cannot be read; none of them is taken")
+            log.emit(LogKind.HANDOVER, "ignored late charges that cannot be parsed")
             return
         charges = {customer_id: units for customer_id, units in charges.items() if abs(units) < MAX_LATE_UNITS}
         charged = charge_late(self._participant.limiter.gateway, charges)
@@ -221,15 +210,3 @@
         if self._sender is not None:
             self._sender.close()
         self._participant.abandon()
-
-
-def _parse_late_charges(value: object) -> dict[int, float]:
-    """Return units by customer.
-
-    :raises ValueError: if a key or an amount is not a number.
-    :raises TypeError: if the value is not an object, or an amount has another type.
-    """
-    if not isinstance(value, dict):
-        message = "late charges are not an object"
-        raise TypeError(message)
-    return {int(customer_id): float(units) for customer_id, units in value.items()}
--- a/thymeflow/handover/sender.py
+++ b/thymeflow/handover/sender.py
@@ -1,7 +1,4 @@
-"""The sender of a handover: carries out the actions of `state_machine.SENDER_TRANSITIONS`.
-
-The keys and commands of the messages are a format: two versions of the program talk to each other.
-"""
+"""The sender of a handover: carries out the actions of `state_machine.SENDER_TRANSITIONS`."""
 
 from __future__ import annotations
 
@@ -10,6 +7,7 @@
 from twisted.internet.defer import Deferred, succeed
 
 from thymeflow.decision.types import Status
+from thymeflow.handover import messages
 from thymeflow.handover.control_socket import ControlCaller, Message
 from thymeflow.handover.participant import HandoverParticipant, count_open_connections
 from thymeflow.handover.state_machine import SenderAction, SenderEvent, SenderState, advance_sender
@@ -21,16 +19,9 @@
 from thymeflow.snapshot.late_charges import LateCharges
 
 MAX_LATE_CHARGES_PER_MESSAGE = 500  # customers
-FLUSH_SECONDS = 0.2  # for the last messages to leave before the process ends
-CONNECTION_REPORT_INTERVAL_SECONDS = 0.2  # at which the receiver is notified of the connections still open here
-MAX_LOGGED_INCARNATION_LENGTH = 20
-MAX_LOGGED_PID_LENGTH = 10
+FLUSH_SECONDS = 0.2  # for the last messages to be sent before the process ends
+CONNECTION_REPORT_INTERVAL_SECONDS = 0.2  # at which the receiver is notified of the connections that are still open
 DELEGATED_STATES = (SenderState.DELEGATED, SenderState.DRAINING)  # states in which the receiver is the active process
-RECEIVER_EVENTS = (
-    SenderEvent.RECEIVER_READY.value,
-    SenderEvent.STATE_ACCEPTED.value,
-    SenderEvent.RECEIVER_SERVING.value,
-)
 
 
 class RejectingCounter:
@@ -47,17 +38,13 @@
     return 0.0
 
 
-def _ignore_disconnect() -> None:
-    """Ignore the end of a connection that this side closed."""
-
-
 class HandoverSender:
     """Hands the listening socket and the state to a receiver, and rolls back where it fails."""
 
     def __init__(self, participant: HandoverParticipant) -> None:
         self._participant = participant
         self.state = SenderState.SERVING
-        self.peer: ControlCaller | None = None
+        self._receiver: ControlCaller | None = None
         self._late_charges: LateCharges | None = None
         self._state_descriptor = -1
         self._is_allocation_handed_over = False
@@ -77,35 +64,33 @@
 
     def handle(self, caller: ControlCaller, message: Message) -> bool:
         """Process a message if it belongs to a handover; return whether it does."""
-        command = message.get("do")
-        if command == SenderEvent.REQUESTED.value:
-            self._on_request(caller, message)
-        elif caller is self.peer and command in RECEIVER_EVENTS:
-            self.step(SenderEvent(command))
-        else:
+        if messages.is_request(message):
+            self._on_request(caller, messages.parse_request(message))
+            return True
+        event = messages.parse_step(message)
+        if caller is not self._receiver or event is None:
             return False
+        self.step(event)
         return True
 
-    def _on_request(self, caller: ControlCaller, message: Message) -> None:
-        rejection = self._find_rejection(message)
+    def _on_request(self, caller: ControlCaller, request: messages.HandoverRequest) -> None:
+        rejection = self._find_rejection(request)
         if rejection is not None:
-            caller.send({"ok": False, "why": rejection})
+            caller.send(messages.rejection_message(rejection))
             return
-        self.peer = caller
-        caller.is_persistent = True
-        caller.on_disconnected = self._on_disconnected
-        incarnation = str(message.get("life"))[:MAX_LOGGED_INCARNATION_LENGTH]
-        pid = str(message.get("pid"))[:MAX_LOGGED_PID_LENGTH]
-        log.emit(LogKind.HANDOVER, f"to life {incarnation}, pid {pid}")
+        self._receiver = caller
+        caller.keep_open(self._on_disconnected)
+        log.emit(LogKind.HANDOVER, f"requested by incarnation {request.incarnation}, pid {request.pid}")
         self.step(SenderEvent.REQUESTED)
 
-    def _find_rejection(self, message: Message) -> str | None:
+    def _find_rejection(self, request: messages.HandoverRequest) -> str | None:
+        # The texts are sent to the receiver, of any version, and are a format.
         limiter = self._participant.limiter
         phase = limiter.lifecycle.phase
         if phase not in (Phase.SERVING, Phase.EVACUATED):
             return f"it is {phase.value}"
         requires_same_site = self._participant.requires_same_site
-        if requires_same_site and message.get("site") != schema.site_digest(limiter.gateway.settings):
+        if requires_same_site and request.site != schema.site_digest(limiter.gateway.settings):
             return "plans or place in the set differ: restart it instead"
         if self.state is not SenderState.SERVING:
             return f"a hand-over is under way ({self.state.value})"
@@ -117,6 +102,10 @@
     def _on_timeout(self) -> None:
         self.step(SenderEvent.TIMED_OUT)
 
+    def relinquish(self) -> None:
+        """Leave name and state to another process for good, without handing anything over."""
+        self.state = SenderState.DRAINING
+
     def step(self, event: SenderEvent) -> None:
         """Make the transition for an input, and carry out its actions."""
         previous = self.state
@@ -124,7 +113,10 @@
         if self.state is SenderState.SERVING:
             self._step_timer.cancel()
             if previous is not self.state:
-                log.emit(LogKind.HANDOVER, f"came to no end ({previous.value}, {event.value}): this life serves on")
+                log.emit(
+                    LogKind.HANDOVER,
+                    f"failed in state {previous.value!r} on {event.value!r}: this incarnation continues to serve",
+                )
         elif previous is not self.state:
             self._step_timer.start(clock.now() + self._state_timeout(), self._on_timeout)
         is_rollback = previous is SenderState.DELEGATED and SenderAction.RESUME in actions
@@ -139,12 +131,13 @@
         return self._participant.step_timeout
 
     def _send(self, message: Message, *descriptors: int) -> None:
-        if self.peer is not None:
-            self.peer.send(message, *descriptors)
+        if self._receiver is not None:
+            self._receiver.send(message, *descriptors)
 
     def _send_descriptors(self) -> None:
         participant = self._participant
-        message = {"offer": participant.limiter.lifecycle.listen_address, "life": participant.incarnation}
+        address = participant.limiter.lifecycle.listen_address
+        message = messages.descriptors_message(address, participant.incarnation)
         self._send(message, *participant.descriptors())
 
     def _pause_listener(self) -> None:
@@ -159,11 +152,9 @@
         with os.fdopen(os.dup(self._state_descriptor), "wb") as file:
             file.write(state)
         self._is_allocation_handed_over = True
-        message = {
-            "state": len(state),
-            "held": count_open_connections(limiter),
-            "part": self._participant.hand_over_allocation(),
-        }
+        message = messages.state_message(
+            len(state), count_open_connections(limiter), self._participant.hand_over_allocation()
+        )
         self._send(message, self._state_descriptor)
 
     def _close_state_descriptor(self) -> None:
@@ -174,21 +165,24 @@
     def _permit_accept(self) -> None:
         self._close_state_descriptor()
         self._is_accept_permitted = True
-        self._send({"yours": True})
+        self._send(messages.permission_message())
 
     def _confirm_delegation(self) -> None:
-        self._send({"draining": True})
+        self._send(messages.delegation_message())
 
     def _delegate(self) -> None:
-        log.emit(LogKind.HANDOVER, "done: the next life accepts, this one finishes what it took")
+        log.emit(
+            LogKind.HANDOVER,
+            "done: the successor accepts connections, and this incarnation completes its open requests",
+        )
         self._confirm_delegation()
         self._participant.limiter.on_handover_changed(True)
         self._report_open_connections()
 
     def _report_open_connections(self, _: int = 0) -> None:
-        if self.state in DELEGATED_STATES and self.peer is not None and not self.peer.is_closed:
+        if self.state in DELEGATED_STATES and self._receiver is not None and not self._receiver.is_closed:
             limiter = self._participant.limiter
-            self._send({"held": count_open_connections(limiter)})
+            self._send(messages.open_connections_message(count_open_connections(limiter)))
             next_at = clock.now() + CONNECTION_REPORT_INTERVAL_SECONDS
             limiter.deadlines.schedule(next_at, self._report_open_connections)
 
@@ -196,14 +190,14 @@
         self._participant.limiter.lifecycle.terminate(0.0)
 
     def _send_late_charges(self) -> float:
-        """Send what was charged since the snapshot; return the seconds that the messages need to leave."""
-        if self._late_charges is None or self.peer is None or self.peer.is_closed:
+        """Send what was charged since the snapshot; return the seconds that the messages need to be sent."""
+        if self._late_charges is None or self._receiver is None or self._receiver.is_closed:
             return 0.0
         charges = list(self._late_charges.units().items())
         for start in range(0, len(charges), MAX_LATE_CHARGES_PER_MESSAGE):
             chunk = charges[start : start + MAX_LATE_CHARGES_PER_MESSAGE]
-            self._send({"late": {str(customer_id): units for customer_id, units in chunk}})
-        self._send({"bye": len(charges)})
+            self._send(messages.late_charges_message(dict(chunk)))
+        self._send(messages.last_message(len(charges)))
         return FLUSH_SECONDS
 
     def _resume(self) -> None:
@@ -211,7 +205,7 @@
         limiter = self._participant.limiter
         if self._is_allocation_handed_over:
             self._is_allocation_handed_over = False
-            self._participant.on_taken_back(self._is_accept_permitted)
+            self._participant.on_rolled_back(self._is_accept_permitted)
         self._late_charges = None
         self._is_accept_permitted = False
         limiter.lifecycle.on_stopping = _no_last_messages
@@ -221,11 +215,10 @@
         self._participant.on_resumed()
 
     def _disconnect_receiver(self) -> None:
-        receiver = self.peer
+        receiver = self._receiver
         if receiver is not None:
-            self.peer = None
-            receiver.on_disconnected = _ignore_disconnect
-            receiver.transport.abortConnection()
+            self._receiver = None
+            receiver.abort_silently()
 
     def _reject_input(self) -> None:
-        self._send({"ok": False, "why": f"out of turn while {self.state.value}"})
+        self._send(messages.rejection_message(f"out of turn while {self.state.value}"))
--- a/thymeflow/handover/upgradable_limiter.py
+++ b/thymeflow/handover/upgradable_limiter.py
@@ -35,20 +35,20 @@
 class UpgradableLimiter:
     """One copy of the limiter, from its start to its end."""
 
-    step_timeout = 1.5  # seconds, for a step of a handover; the whole start has 6 s
+    step_timeout = 1.5  # seconds, for a step of a handover; the complete start has 6 s
     rollback_window = 30.0  # seconds for which the old copy can take over again; the platform ends it long before
-    requires_same_site = False  # a release may bring other plans: the part of the state that applies is restored
+    requires_same_site = False  # a release may bring other plans: the state that still applies is restored
 
-    def __init__(self, given: configuration.Configuration, reactor: UnixReactor) -> None:
-        self.limiter = Limiter(given, reactor)
+    def __init__(self, initial: configuration.Configuration, reactor: UnixReactor) -> None:
+        self.limiter = Limiter(initial, reactor)
         self.incarnation = secrets.token_hex(INCARNATION_BYTES)
-        self.code = 0  # exit code
-        self.snapshots = SnapshotStore(given.name, self.incarnation, given.endpoints)
+        self._exit_code = 0
+        self.snapshots = SnapshotStore(initial.name, self.incarnation, initial.endpoints)
         self.snapshots.set_gateway(self.limiter.gateway)
-        self.snapshots.on_endpoint_update(given.endpoints)
+        self.snapshots.on_endpoint_update(initial.endpoints)
         self.limiter.on_endpoints = self.snapshots.on_endpoint_update
         self.limiter.on_endpoints_available = self._on_endpoints_ready
-        self._path = _socket_path(given.name)
+        self._path = _socket_path(initial.name)
         self._control: ControlServer | None = None
         self._is_ending = False
         self._sender = HandoverSender(self)
@@ -76,7 +76,7 @@
         """Clean up after the reactor has stopped, and return the exit code."""
         if self._control is not None:
             self._control.remove_socket_file()
-        return self.code or self.limiter.exit_code
+        return self._exit_code or self.limiter.exit_code
 
     def _on_endpoints_ready(self) -> None:
         if self._receiver is not None:
@@ -86,9 +86,9 @@
         address = self.limiter.configuration.listen
         try:
             listening_socket = bind_listener(address.host, address.port, shared=True)
-        except OSError as fault:
-            print(f"thymeflow: cannot listen: {address}: {fault.strerror}", file=sys.stderr)
-            self.code = CANNOT_LISTEN
+        except OSError as error:
+            print(f"thymeflow: cannot listen: {address}: {error.strerror}", file=sys.stderr)
+            self._exit_code = CANNOT_LISTEN
             self.limiter.reactor.callWhenRunning(self.limiter.reactor.stop)
             return
         self._open_control_socket()
@@ -104,8 +104,8 @@
         )
         try:
             control.listen()
-        except (ControlError, OSError, ValueError) as fault:  # where Unix sockets are forbidden, all else works
-            log.emit(LogKind.HANDOVER, f"no successor can take over from this life: {fault}")
+        except (ControlError, OSError, ValueError) as error:  # where Unix sockets are forbidden, all else works
+            log.emit(LogKind.HANDOVER, f"no successor can take over from this incarnation: {error}")
             return
         self._control = control
         limiter.lifecycle.on_phase = self._on_phase
@@ -116,7 +116,7 @@
 
     def _on_control_message(self, caller: ControlCaller, message: Message) -> None:
         if not self._sender.handle(caller, message):
-            caller.send({"ok": False, "why": "only a successor has anything to ask here"})
+            caller.send({"ok": False, "why": "only a successor's requests are accepted at this socket"})
 
     # The methods of `participant.HandoverParticipant`.
 
@@ -131,18 +131,18 @@
         """
         try:
             listening_socket = _checked_listening_socket(descriptors)
-        except (listening_sockets.BadDescriptorError, OSError) as fault:
-            raise RejectedHandoverError(str(fault)) from None
+        except (listening_sockets.BadDescriptorError, OSError) as error:
+            raise RejectedHandoverError(str(error)) from None
         host, port = listening_socket.getsockname()[:2]
         expected = self.limiter.configuration.listen
         if host != expected.host or expected.port not in (0, port):
             listening_socket.close()
-            message = f"it listens at {host}:{port}, and {expected} is wanted"
+            message = f"the listening socket is at {host}:{port}, not at {expected}"
             raise RejectedHandoverError(message)
         return listening_socket
 
     def accept(self, listening: socket.socket) -> str:
-        """Start to accept connections; there is no fault to return."""
+        """Start to accept connections; return an empty string, as this cannot fail."""
         self._open_control_socket()
         self.limiter.listen(listening)
         return ""
@@ -153,25 +153,28 @@
     def inherit_allocation(self, message: object) -> None:
         """Ignore an allocation: the platform grants none."""
 
-    def on_taken_back(self, used: bool) -> None:
-        """Do nothing: there is no allocation to take back."""
+    def on_rolled_back(self, was_used: bool) -> None:
+        """Do nothing: there is no allocation to use again."""
 
     def on_resumed(self) -> None:
-        """Let successors find this process again."""
+        """Publish the path of this process's control socket to successors again."""
         if self._control is not None:
             self._control.publish_link()
 
     def abandon(self) -> None:
-        """Start without a handover, at the shared address, unless the process was asked to end."""
+        """Start without a handover, at the shared address, unless this process is shutting down."""
         if self._is_ending:
             self.limiter.reactor.callWhenRunning(self.limiter.reactor.stop)
         else:
-            log.emit(LogKind.HANDOVER, "given up: this life starts by itself")
+            log.emit(LogKind.HANDOVER, "abandoned: this incarnation starts without a predecessor")
             self._start_without_predecessor()
 
     def retreat(self) -> None:
         """Continue to serve: the old copy is gone, or serves as well."""
-        log.emit(LogKind.HANDOVER, "the earlier life ended before its last word: this one serves on")
+        log.emit(
+            LogKind.HANDOVER,
+            "the predecessor ended before it confirmed the delegation: this incarnation continues to serve",
+        )
 
 
 def _socket_path(name: str) -> Path | None:
@@ -183,6 +186,6 @@
 
 def _checked_listening_socket(descriptors: list[int]) -> socket.socket:
     if len(descriptors) != 1:
-        message = f"{len(descriptors)} descriptors came with it, not 1"
+        message = f"{len(descriptors)} descriptors came with the offer, not 1"
         raise listening_sockets.BadDescriptorError(message)
     return listening_sockets.duplicate_listening_socket(descriptors[0])
--- a/thymeflow/logs/shared_file.py
+++ b/thymeflow/logs/shared_file.py
@@ -1,8 +1,8 @@
 """A log file that many processes append to, and that may be rotated while they do.
 
-One line is one write to a descriptor opened for appending, which the kernel puts in one piece behind all that the file
-contains (POSIX write with O_APPEND); its length is bounded, so that it stays one write. Before a line, and at most once
-a second, the path is checked: if it names another file by now, that one is opened.
+One line is one write to a descriptor opened for appending, which the kernel appends atomically (POSIX write with
+O_APPEND); its length is bounded, so that it stays one write. Before a line, and at most once a second, the path is
+checked: if it names another file by now, that one is opened.
 """
 
 from __future__ import annotations
@@ -13,7 +13,7 @@
 from collections.abc import Callable
 from pathlib import Path
 
-ROTATION_CHECK_INTERVAL = 1.0  # s
+ROTATION_CHECK_INTERVAL_SECONDS = 1.0
 TRUNCATION_SUFFIX = b'...cut"}\n'
 STANDARD_ERROR = 2
 FILE_MODE = 0o640
@@ -29,7 +29,7 @@
         self._path = path
         self._max_line_bytes = max_line_bytes
         self._now = now
-        self._checked_at = -ROTATION_CHECK_INTERVAL
+        self._checked_at = -ROTATION_CHECK_INTERVAL_SECONDS
         self._descriptor = STANDARD_ERROR if path is None else _open_for_append(path)
         self.dropped_lines = 0  # lines that could not be written, such as on a full disk
 
@@ -45,17 +45,17 @@
     def _truncate(self, data: bytes) -> bytes:
         if len(data) + 1 <= self._max_line_bytes:
             return data
-        # Cut JSON would not be read by anything: it ends as one string, which most readers survive.
+        # The suffix ends a JSON line as one string, which most readers can parse.
         prefix = data[: self._max_line_bytes - len(TRUNCATION_SUFFIX)]
         return prefix.decode(errors="ignore").encode() + TRUNCATION_SUFFIX[:-1]
 
     def _follow_rotation(self) -> None:
         now = self._now()
-        if self._path is None or now - self._checked_at < ROTATION_CHECK_INTERVAL:
+        if self._path is None or now - self._checked_at < ROTATION_CHECK_INTERVAL_SECONDS:
             return
         self._checked_at = now
         opened = os.fstat(self._descriptor)
-        with contextlib.suppress(OSError):  # the folder may be missing for a moment: the old file takes lines
+        with contextlib.suppress(OSError):  # while the folder is missing, lines go to the old file
             if not _is_same_file(self._path, opened):
                 descriptor = _open_for_append(self._path)
                 os.close(self._descriptor)
--- a/thymeflow/logs/structured.py
+++ b/thymeflow/logs/structured.py
@@ -1,7 +1,7 @@
 """Structured log lines with structlog: the writer is bound once, kind and typed fields come with each line.
 
-Every line has `instance`, `life` (the incarnation, new at each start), `pid` and `kind`, also those that Twisted or the
-standard library write. The text form is the one that `docs/on-call.md` shows.
+Every line has `instance`, `life`, `pid` and `kind`, also those that Twisted or the standard library write. The names of
+these fields are a format: `life` is the incarnation, new at each start. `docs/on-call.md` shows the text form.
 """
 
 from __future__ import annotations
@@ -52,7 +52,7 @@
 
 
 def render_text(_: WrappedLogger, __: str, event: EventDict) -> str:
-    """Return the form of `docs/on-call.md`: time, instance, kind, text, how many lines were left out."""
+    """Return the form of `docs/on-call.md`: time, writer, kind, text, and how many lines were suppressed before it."""
     skipped = event.get("skipped", 0)
     more = f" ({skipped} more of this kind before)" if skipped else ""
     trace = f" | {event[TRACE_FIELD]}" if TRACE_FIELD in event else ""
@@ -100,7 +100,7 @@
     def write(self, kind: str, text: str, skipped: int, fields: Fields, level: int = logging.INFO) -> None:
         """Write one line, if its level is high enough; fields with names of the head get a prefix.
 
-        `skipped`: how many lines of this kind were left out before it.
+        `skipped`: how many lines of this kind were suppressed before it.
         """
         if level < self.level:
             return
@@ -122,5 +122,5 @@
         root.handlers[:] = [_LibraryHandler(self)]
         root.setLevel(logging.INFO)
         logging.getLogger("twisted").setLevel(logging.ERROR)
-        PythonLoggingObserver().start()  # type: ignore[no-untyped-call]
+        PythonLoggingObserver().start()  # type: ignore[no-untyped-call]  # Twisted declares no type for it
         log.set_sink(self.write)
--- a/thymeflow/settings/errors.py
+++ b/thymeflow/settings/errors.py
@@ -11,7 +11,7 @@
 class Fault:
     """One fault: where it is, what is wrong and what to write instead.
 
-    Line 0 stands for the whole file or the environment. `thymeflow check --json` prints the fields under these names.
+    Line 0 stands for the file itself or the environment. `thymeflow check --json` prints the fields under these names.
     """
 
     file: str
@@ -40,7 +40,7 @@
 
 
 class InvalidValueError(SettingsReaderError, ValueError):
-    """The text is not a value of its kind; `mend` says what to write instead."""
+    """The text is not a value of its kind; `mend` is what to write instead."""
 
     def __init__(self, why: str, mend: str) -> None:
         super().__init__(why)
--- a/thymeflow/settings/ini_file.py
+++ b/thymeflow/settings/ini_file.py
@@ -8,7 +8,7 @@
 
 from thymeflow.settings.errors import Fault, SettingsError
 
-MAX_BYTES = 1 << 20  # of a settings file; a larger one is something else
+MAX_BYTES = 1 << 20  # of a settings file
 
 RawSections = dict[str, dict[str, str]]  # section, key, text
 
--- a/thymeflow/settings/reader.py
+++ b/thymeflow/settings/reader.py
@@ -1,7 +1,7 @@
 """The reader of the settings: INI text and the environment in, frozen dataclasses out.
 
 Every fault of a file is reported, not only the first, each with file, line, section, key and what to write instead.
-Nothing is taken from a file that has one.
+No value is used of a file that has a fault.
 """
 
 from __future__ import annotations
@@ -73,7 +73,7 @@
             self._faults.append(Fault(file.name, line, section, key, str(error), error.mend))
 
     def add_environment(self, environment: Mapping[str, str]) -> None:
-        """Read every variable with the prefix; its value goes before that of the file."""
+        """Read every variable with the prefix; its value overrides that of the file."""
         settings_by_variable = {
             _variable_name(section, key): (section, key) for section in self._kinds for key in self._kinds[section]
         }
--- a/thymeflow/settings/sections.py
+++ b/thymeflow/settings/sections.py
@@ -1,4 +1,4 @@
-"""The sections of the settings file. A later subsystem adds its section here and finds it in `Settings`.
+"""The sections of the settings file. A new subsystem adds its section here and finds it in `Settings`.
 
 Field names are the keys of the file with `_` for `-`: they are a format, and stay as they are. Durations are in
 seconds. The annotated example is deploy/thymeflow.ini, and a test reads it and compares it with these defaults.
@@ -23,8 +23,8 @@
     control: Annotated[bool, Switch()] = True
     control_callers: Annotated[int, Count(1, 64)] = 8
     control_patience: Annotated[float, Duration(0.1, 60.0)] = 5.0
-    hand_over: Annotated[float, Duration(0.5, 60.0)] = 5.0  # one step of a handover, at most
-    drain_linger: Annotated[float, Duration(0.0, 10.0)] = 0.7  # after SIGTERM clients still come for so long
+    hand_over: Annotated[float, Duration(0.5, 60.0)] = 5.0  # time limit of one step of a handover
+    drain_linger: Annotated[float, Duration(0.0, 10.0)] = 0.7  # after SIGTERM, new connections are still accepted
 
 
 @dataclass(frozen=True, slots=True)
@@ -34,7 +34,7 @@
     form: Annotated[str, Choice(("text", "json"))] = "text"
     file: Annotated[str, Text()] = ""  # standard error if empty
     level: Annotated[str, Choice(("debug", "info", "warning", "error"))] = "info"
-    most_line: Annotated[int, Size(256, 1 << 16)] = 4096  # bytes of a line, at most
+    most_line: Annotated[int, Size(256, 1 << 16)] = 4096  # maximum length of a line, in bytes
 
 
 @dataclass(frozen=True, slots=True)
@@ -53,13 +53,13 @@
     instances: Annotated[int, Count(1, 256)] = 3
     name: Annotated[str, Text(r"[a-z][a-z0-9]{0,15}", "n")] = "n"  # instances are n0, n1, ...
     listen: Annotated[str, Text(ADDRESS, "127.0.0.1:7000")] = "127.0.0.1:0"  # +1 for each member; port 0: any free port
-    spread: Annotated[float, Duration(0.0, 600.0)] = 2.0  # a start of all members is spread over it
-    ready: Annotated[float, Duration(0.2, 600.0)] = 20.0  # from a start to readiness, at most
-    settle: Annotated[float, Duration(0.0, 600.0)] = 1.0  # healthy for so long before a rolling restart goes on
-    stop: Annotated[float, Duration(0.2, 600.0)] = 15.0  # from drain to the end, at most
+    spread: Annotated[float, Duration(0.0, 600.0)] = 2.0  # the starts of all members are spread over this time
+    ready: Annotated[float, Duration(0.2, 600.0)] = 20.0  # time limit from a start to readiness
+    settle: Annotated[float, Duration(0.0, 600.0)] = 1.0  # healthy for this long before a rollout continues
+    stop: Annotated[float, Duration(0.2, 600.0)] = 15.0  # time limit from drain to exit
     wait: Annotated[float, Duration(0.01, 60.0)] = 0.5  # backoff before the first restart; doubles, with jitter
     longest_wait: Annotated[float, Duration(0.1, 3600.0)] = 30.0  # longest backoff
-    crashes: Annotated[int, Count(1, 100)] = 5  # so many within `crash_window` are a crash loop
+    crashes: Annotated[int, Count(1, 100)] = 5  # this many within `crash_window` are a crash loop
     crash_window: Annotated[float, Duration(1.0, 86400.0)] = 60.0
     linger: Annotated[float, Duration(0.0, 10.0)] = 0.1  # short: the supervisor keeps the sockets open
 
--- a/thymeflow/settings/units.py
+++ b/thymeflow/settings/units.py
@@ -1,7 +1,7 @@
 """Kinds of values with units: how the text of each kind is read, and how a value is written again.
 
-A kind is put into a field's annotation, `Annotated[float, Duration(0.1, 60.0)]`, and says itself what it would accept
-instead, so that a message always ends in a remedy.
+A kind is put into a field's annotation, `Annotated[float, Duration(0.1, 60.0)]`, and describes what it accepts, so that
+every error ends in a remedy. The error texts are recorded in tests and stay as they are.
 """
 
 from __future__ import annotations
@@ -18,7 +18,7 @@
 _AMOUNT = re.compile(r"([0-9]+(?:\.[0-9]+)?)\s*([a-zA-Z]*)")
 UNITS_PER_SECOND = {"us": 1e6, "ms": 1e3, "s": 1.0, "m": 1 / 60.0, "h": 1 / 3600.0}
 SECONDS_PER_SHOWN_UNIT = {"h": 3600.0, "m": 60.0, "s": 1.0, "ms": 1e-3}  # the largest first
-SHOWN_TOLERANCE = 1e-9  # of a unit: a duration closer to a whole number of them is shown so
+SHOWN_TOLERANCE = 1e-9  # of a unit: a duration closer to an integer multiple is shown as that
 BYTES_PER_UNIT = {"B": 1, "KB": 1 << 10, "MB": 1 << 20, "GB": 1 << 30}
 SWITCH_VALUES = {"yes": True, "on": True, "true": True, "no": False, "off": False, "false": False}
 MAX_COUNT_DIGITS = 12
@@ -45,22 +45,22 @@
 def _read_amount(text: str, units: dict[str, float] | dict[str, int], mend: str) -> _Amount:
     match = _AMOUNT.fullmatch(text)
     if match is None:
-        why = f"{text!r} is no amount with a unit"
-        raise InvalidValueError(why, mend)
+        cause = f"{text!r} is no amount with a unit"
+        raise InvalidValueError(cause, mend)
     digits, unit = match.groups()
     if not unit:
-        why = f"{text!r} has no unit"
-        raise InvalidValueError(why, mend)
+        cause = f"{text!r} has no unit"
+        raise InvalidValueError(cause, mend)
     if unit not in units:
-        why = f"{text!r} has the unknown unit {unit!r}"
-        raise InvalidValueError(why, mend)
+        cause = f"{text!r} has the unknown unit {unit!r}"
+        raise InvalidValueError(cause, mend)
     return _Amount(float(digits), unit)
 
 
 def _check_range(text: str, value: float, minimum: float, maximum: float, mend: str) -> None:
     if not isfinite(value) or not minimum <= value <= maximum:
-        why = f"{text!r} is out of range"
-        raise InvalidValueError(why, mend)
+        cause = f"{text!r} is out of range"
+        raise InvalidValueError(cause, mend)
 
 
 @dataclass(frozen=True, slots=True)
@@ -79,7 +79,7 @@
         return seconds
 
     def show(self, value: float) -> str:
-        """Return the seconds as text, in the largest unit of which they are a whole number."""
+        """Return the seconds as text, in the largest unit of which they are an integer multiple."""
         for unit, seconds in SECONDS_PER_SHOWN_UNIT.items():
             count = value / seconds
             if value >= seconds and abs(count - round(count)) < SHOWN_TOLERANCE:
@@ -103,7 +103,7 @@
         return int(size)
 
     def show(self, value: int) -> str:
-        """Return the bytes as text, in the largest unit of which they are a whole number."""
+        """Return the bytes as text, in the largest unit of which they are an integer multiple."""
         for unit, size in reversed(BYTES_PER_UNIT.items()):
             if value >= size and value % size == 0:
                 return f"{value // size}{unit}"
@@ -112,7 +112,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Count:
-    """A whole number."""
+    """An integer that is not negative."""
 
     minimum: int = 0
     maximum: int = 1 << 31
@@ -121,8 +121,8 @@
         """Return the number that a text stands for."""
         mend = f"write a whole number from {self.minimum} to {self.maximum}"
         if not text.isascii() or not text.isdigit() or len(text) > MAX_COUNT_DIGITS:
-            why = f"{text!r} is no whole number"
-            raise InvalidValueError(why, mend)
+            cause = f"{text!r} is no whole number"
+            raise InvalidValueError(cause, mend)
         _check_range(text, int(text), self.minimum, self.maximum, mend)
         return int(text)
 
@@ -138,8 +138,8 @@
     def read(self, text: str) -> bool:
         """Return whether a text means yes."""
         if text.lower() not in SWITCH_VALUES:
-            why = f"{text!r} is neither yes nor no"
-            raise InvalidValueError(why, "write yes or no")
+            cause = f"{text!r} is neither yes nor no"
+            raise InvalidValueError(cause, "write yes or no")
         return SWITCH_VALUES[text.lower()]
 
     def show(self, value: bool) -> str:
@@ -156,8 +156,8 @@
     def read(self, text: str) -> str:
         """Return the text, which is one of the choices."""
         if text not in self.choices:
-            why = f"{text!r} is not known here"
-            raise InvalidValueError(why, f"write one of {', '.join(self.choices)}")
+            cause = f"{text!r} is not known here"
+            raise InvalidValueError(cause, f"write one of {', '.join(self.choices)}")
         return text
 
     def show(self, value: str) -> str:
@@ -175,8 +175,8 @@
     def read(self, text: str) -> str:
         """Return the text, which matches the pattern."""
         if self.pattern and not re.fullmatch(self.pattern, text):
-            why = f"{text!r} has not the form wanted"
-            raise InvalidValueError(why, f"write it like {self.example}")
+            cause = f"{text!r} has not the form wanted"
+            raise InvalidValueError(cause, f"write it like {self.example}")
         return text
 
     def show(self, value: str) -> str:
--- a/thymeflow/snapshot/atomic_file.py
+++ b/thymeflow/snapshot/atomic_file.py
@@ -1,4 +1,4 @@
-"""Files that are replaced atomically: a reader sees the old content or the new, never a part of it.
+"""Files that are replaced atomically: a reader sees all of the old content or all of the new.
 
 The content goes to a temporary file beside the target, which is synchronized and then renamed over it. A failure on
 the way leaves the old file as it was. The caller decides what a write has to survive, since each fsync waits for the
@@ -75,6 +75,6 @@
             return file.read(MAX_SNAPSHOT_BYTES + 1)
     except FileNotFoundError:
         return None
-    except OSError as fault:
-        message = f"it cannot be read: {fault.strerror}"
+    except OSError as error:
+        message = f"it cannot be read: {error.strerror}"
         raise SnapshotError(message) from None
--- a/thymeflow/snapshot/restore.py
+++ b/thymeflow/snapshot/restore.py
@@ -5,7 +5,7 @@
 
 - after a *final* snapshot, taken when nothing more could be forwarded, each bucket continues at its old level and
   refills for the time that has passed;
-- after one of a running limiter, the customer may have gone on spending until the process died. Its bucket is charged
+- after one of a running limiter, the customer may have continued to spend until the process died. Its bucket is charged
   its own demand over the whole gap, but never below empty. The margin is what a customer that was idle at the
   snapshot spent between it and the death: at most its share of the burst, once.
 
@@ -95,7 +95,7 @@
 
 
 def _ejection_end(ejected_until: float) -> float:
-    # The gateway has minus infinity for "never"; a snapshot holds finite numbers only.
+    # The gateway has minus infinity for "never"; a snapshot has finite numbers only.
     return 0.0 if ejected_until == -inf else ejected_until
 
 
--- a/thymeflow/snapshot/store.py
+++ b/thymeflow/snapshot/store.py
@@ -2,6 +2,8 @@
 
 from __future__ import annotations
 
+from enum import Enum
+
 from thymeflow.decision.gateway import Gateway
 from thymeflow.decision.types import EndpointListKind
 from thymeflow.platform import endpoints
@@ -10,33 +12,44 @@
 from thymeflow.snapshot import restore, schema
 
 
+class SnapshotSource(Enum):
+    """Where a restored snapshot came from; the values are printed in the status, and are a format."""
+
+    NONE = "none"
+    FILE = "file"
+    HANDOVER = "hand-over"
+
+
+_SOURCE_TEXTS = {SnapshotSource.FILE: "snapshot file", SnapshotSource.HANDOVER: "handover"}
+
+
 class SnapshotStore:
     """Takes snapshots of a gateway, and restores one that an earlier process took."""
 
-    def __init__(self, name: str, incarnation: str, first_list: endpoints.EndpointUpdate) -> None:
-        self._name = name
+    def __init__(self, name: str, incarnation: str, initial_endpoints: endpoints.EndpointUpdate) -> None:
+        self.name = name
+        self.source = SnapshotSource.NONE
+        self.version = initial_endpoints.change.version  # of the endpoint list
         self._incarnation = incarnation
-        self.version = first_list.change.version
         self._addresses: dict[int, endpoints.Address] = {}
         self._gateway: Gateway | None = None
         self._awaiting_endpoints: schema.Snapshot | None = None  # its health records wait for the endpoint list
-        self._source = "none"
 
     def set_gateway(self, gateway: Gateway) -> None:
         """Set the gateway whose state this is."""
         self._gateway = gateway
 
-    def restore(self, snapshot: schema.Snapshot, source: str) -> None:
+    def restore(self, snapshot: schema.Snapshot, source: SnapshotSource) -> None:
         """Restore the gateway's state from a snapshot that came from `source`."""
         assert self._gateway is not None
         result = restore.restore_gateway(self._gateway, snapshot, clock.now())
         self._awaiting_endpoints = snapshot
-        self._source = source
+        self.source = source
         log.emit(
             LogKind.SNAPSHOT,
-            f"{result.restored} customers remembered from the {source} of life {snapshot.life}, taken "
-            f"{clock.now() - snapshot.taken:.1f} s ago{'' if snapshot.final else ' in passing'}; "
-            f"{result.skipped} left out",
+            f"restored {result.restored} customers from the {_SOURCE_TEXTS[source]} of incarnation {snapshot.life}, "
+            f"taken {clock.now() - snapshot.taken:.1f} s ago{'' if snapshot.final else ' while it was running'}; "
+            f"skipped {result.skipped}",
             customers=result.restored,
             left=result.skipped,
             final=snapshot.final,
@@ -44,7 +57,7 @@
         self._restore_health()
 
     def on_endpoint_update(self, update: endpoints.EndpointUpdate) -> None:
-        """Keep the addresses of an update of the endpoint list, as the gateway has none."""
+        """Store the addresses of an update of the endpoint list, as the gateway has none."""
         if update.change.kind is not EndpointListKind.DELTA:
             self._addresses.clear()
         for backend in update.change.backends:
@@ -65,5 +78,5 @@
         """Return the state as it is now; `final` if nothing more can be forwarded."""
         assert self._gateway is not None
         return restore.take_snapshot(
-            self._gateway, self._name, self._incarnation, clock.now(), final, self.version, self._addresses
+            self._gateway, self.name, self._incarnation, clock.now(), final, self.version, self._addresses
         )
