--- a/thymeflow/cli/__init__.py
+++ b/thymeflow/cli/__init__.py
@@ -1,7 +1,7 @@
 """The command line. Commands are thin: each parses, calls one function of a subsystem and prints.
 
-What a command does not need is not imported: the group finds its commands by name. The docstrings of commands are their
-help texts.
+A command imports only what it needs: the group finds its commands by name. The docstrings of commands are their help
+texts.
 """
 
 from __future__ import annotations
@@ -45,12 +45,12 @@
 @click.command(cls=LazyGroup, context_settings={"help_option_names": ["-h", "--help"], "max_content_width": 100})
 @click.version_option(package_name="thymeflow")
 def thymeflow() -> None:
-    """Hold customers to their quotas in front of a fleet of servers.
+    """Enforce the quotas of customers in front of a fleet of backends.
 
     Without a command: one limiter as the platform starts it, from the JSON that BALANCER_CONFIG names.
 
-    Exit codes: 0 done; 1 asked for and not reached; 2 bad settings, configuration or usage; 3 cannot listen;
-    4 the name is held by another process; 5 no hand-over; 6 nobody answers.
+    Exit codes: 0 done; 1 requested and not done; 2 bad settings, configuration or usage; 3 cannot listen;
+    4 another process owns the name; 5 handover failed; 6 no reply from the control socket.
     """
 
 
--- a/thymeflow/cli/check.py
+++ b/thymeflow/cli/check.py
@@ -19,7 +19,7 @@
 
 
 def find_conflicts(settings: Settings) -> list[Fault]:
-    """Return what is wrong with values that are right one by one."""
+    """Return the faults of combinations of values that are valid one by one."""
     faults = []
     fleet = settings.fleet
     if fleet.longest_wait < fleet.wait:
@@ -37,10 +37,10 @@
 @click.command()
 @settings_option
 @platform_option
-@click.option("--show", is_flag=True, help="Print all settings in force, start values included.")
+@click.option("--show", is_flag=True, help="Print all settings in force, defaults included.")
 @json_option
 def check(settings_path: str | None, platform: str | None, show: bool, as_json: bool) -> None:
-    """Check settings and configuration, and tell every fault with its mend."""
+    """Check settings and configuration, and print every fault with its remedy."""
     faults: list[Fault] = []
     settings = Settings()
     try:
--- a/thymeflow/cli/control.py
+++ b/thymeflow/cli/control.py
@@ -14,8 +14,8 @@
     from thymeflow.daemon.instance import Reactor
     from thymeflow.handover.control_socket import Message
 
-STATUS_TIMEOUT = 5.0  # s
-FLEET_TIMEOUT = 3600.0  # s; a rolling restart of many members may take long
+STATUS_TIMEOUT_SECONDS = 5.0
+FLEET_TIMEOUT_SECONDS = 3600.0  # a rollout to many members takes long
 FLEET_SOCKET = "fleet"  # name of the supervisor's control socket
 
 
@@ -28,8 +28,8 @@
 ) -> Message:
     """Send one request to a control socket and return its response; exit if there is none.
 
-    `on_progress` is called with messages that come before the response. The reactor runs once in a process, so there
-    can be only one request.
+    `timeout` is in seconds. `on_progress` is called with messages that arrive before the response. The reactor runs
+    once in a process, so there can be only one request.
     """
     from twisted.internet import reactor as installed_reactor
 
--- a/thymeflow/cli/demo.py
+++ b/thymeflow/cli/demo.py
@@ -1,4 +1,4 @@
-"""`thymeflow demo`: what a newcomer runs first."""
+"""`thymeflow demo`: three limiters with fake peers, for a first look."""
 
 from __future__ import annotations
 
@@ -13,13 +13,13 @@
     type=click.FloatRange(4.0, 3600.0),
     default=20.0,
     show_default=True,
-    help="For about how long requests are made.",
+    help="For about how long requests are sent.",
 )
 def demo(seconds: float) -> None:
-    """Show three limiters at work, with stand-ins for all that they need.
+    """Run three limiters with fakes of all that they need.
 
-    Real requests of four plans over loopback, a server killed and back, an upgrade while serving. Nothing has to be
-    written before, and nothing is left behind. Ctrl-C ends it early, with the same summary.
+    Sends real requests of four plans over loopback, kills a backend and restarts it, and upgrades while serving. It
+    needs no settings and leaves no files. Ctrl-C ends it early, with the same summary.
     """
     from thymeflow.testkit.demo import play
 
--- a/thymeflow/cli/faults.py
+++ b/thymeflow/cli/faults.py
@@ -13,7 +13,7 @@
 
 @click.group("lab")
 def faults() -> None:
-    """Play faults between real limiters on loopback, with stand-ins for all that they talk to."""
+    """Inject faults between real limiters on loopback and fakes of their peers."""
 
 
 @faults.command("play")
@@ -22,10 +22,10 @@
     "--broken",
     type=click.Choice(["deaf", "mute", "double", "sulky", "free"]),
     default=None,
-    help="Break the limiters on purpose: a judge has to find it.",
+    help="Run limiters with a fault of their own, which an invariant checker has to report.",
 )
 def run_schedule(file: str, broken: str | None) -> None:
-    """Play the schedule in FILE once; exit code 1 where a judge found something."""
+    """Run the schedule in FILE once; exit code 1 if an invariant checker reports a violation."""
     from thymeflow.testkit.faults import runner
     from thymeflow.testkit.faults.schedule import ScheduleError, parse
 
@@ -51,7 +51,7 @@
 def generate_schedule(
     seed: int, faults: int, limiters: int, servers: int, seconds: float, line: str, units: str
 ) -> None:
-    """Print a schedule drawn from a seed, for `play`."""
+    """Print a schedule generated from a seed, for `play`."""
     from thymeflow.testkit.faults.schedule import Schedule, drawn, text_of
 
     empty = replace(Schedule(), seed=seed, limiters=limiters, servers=servers, seconds=seconds, line=line, units=units)
--- a/thymeflow/cli/fleet.py
+++ b/thymeflow/cli/fleet.py
@@ -10,7 +10,7 @@
 
 import click
 
-from thymeflow.cli.control import FLEET_SOCKET, FLEET_TIMEOUT, STATUS_TIMEOUT, send_request
+from thymeflow.cli.control import FLEET_SOCKET, FLEET_TIMEOUT_SECONDS, STATUS_TIMEOUT_SECONDS, send_request
 from thymeflow.cli.options import (
     ControlOptions,
     control_options,
@@ -28,7 +28,7 @@
 
 @click.group()
 def fleet() -> None:
-    """Run many instances as one: start, roll, scale and stop them."""
+    """Run many instances as one: start, upgrade, scale and stop them."""
 
 
 @fleet.command()
@@ -38,11 +38,11 @@
     "--platform",
     type=click.Path(dir_okay=False),
     default=None,
-    help="The platform's JSON for every member; [daemon] platform where it is left out.",
+    help="The platform's JSON for every member; default: [daemon] platform.",
 )
-@click.option("--program", default="", help="Command line of the members; this very program where left out.")
+@click.option("--program", default="", help="Command line of the members; default: this program.")
 def up(settings_path: str | None, state: str | None, platform: str | None, program: str) -> None:
-    """Start the fleet, or adopt the one that runs, and supervise it in the foreground."""
+    """Start the fleet, or adopt the one that is running, and supervise it in the foreground."""
     settings = read_or_exit(settings_path)
     platform_path = platform or settings.daemon.platform or os.environ.get("BALANCER_CONFIG", "")
     if not platform_path:
@@ -61,9 +61,9 @@
 
 
 def _run_operation(options: ControlOptions, message: Message) -> None:
-    """Let the supervisor carry out an operation, and print how it goes on."""
+    """Let the supervisor carry out an operation, and print its progress."""
     path = options.socket_path(FLEET_SOCKET)
-    response = send_request(path, message, FLEET_TIMEOUT, progress_printer(time.monotonic()))
+    response = send_request(path, message, FLEET_TIMEOUT_SECONDS, progress_printer(time.monotonic()))
     print_response(response, options.as_json, "")
 
 
@@ -73,7 +73,7 @@
     rows = [
         f"{status['ready']} of {status['wanted']} members are ready{operation}",
         f"{'name':8} {'state':11} {'pid':>8} {'listen':22} {'up s':>8} {'open':>5} {'served':>8} "
-        f"{'refused':>8} {'failed':>6}",
+        f"{'rejected':>8} {'failed':>6}",
     ]
     rows.extend(_format_member(member) for member in status["members"])
     return "\n".join(rows)
@@ -94,7 +94,7 @@
 @control_options
 def status(options: ControlOptions) -> None:
     """Show every member."""
-    response = send_request(options.socket_path(FLEET_SOCKET), {"do": "status"}, STATUS_TIMEOUT)
+    response = send_request(options.socket_path(FLEET_SOCKET), {"do": "status"}, STATUS_TIMEOUT_SECONDS)
     print_response(response, options.as_json, format_table(response) if response.get("ok") else "")
 
 
@@ -102,22 +102,22 @@
 @click.argument("count", type=click.IntRange(1, 256))
 @control_options
 def scale(options: ControlOptions, count: int) -> None:
-    """Have COUNT members from now on, while serving."""
+    """Change the number of members to COUNT, while serving."""
     _run_operation(options, {"do": "scale", "count": count})
 
 
 @fleet.command()
 @control_options
 def restart(options: ControlOptions) -> None:
-    """Stop and start members one by one; out of a crash loop, too."""
+    """Stop and start members one by one, those in a crash loop included."""
     _run_operation(options, {"do": "restart"})
 
 
 @fleet.command()
-@click.option("--program", default=None, help="Command line of the new program; the present one where left out.")
+@click.option("--program", default=None, help="Command line of the new program; default: the present one.")
 @control_options
 def upgrade(options: ControlOptions, program: str | None) -> None:
-    """Replace members one by one, each by a process that takes over its socket and its state."""
+    """Replace members one by one, each by a successor that takes over its socket and its state."""
     _run_operation(options, {"do": "upgrade", **({"program": program} if program else {})})
 
 
@@ -131,12 +131,12 @@
 @fleet.command()
 @control_options
 def down(options: ControlOptions) -> None:
-    """Let every member finish what it took and end, then the supervisor."""
+    """Shut down every member gracefully, then the supervisor."""
     _run_operation(options, {"do": "down"})
 
 
 @fleet.command()
 @control_options
 def leave(options: ControlOptions) -> None:
-    """End the supervisor alone; its members go on, and the next `up` adopts them."""
+    """End the supervisor alone; its members continue to serve, and the next `up` adopts them."""
     _run_operation(options, {"do": "leave"})
--- a/thymeflow/cli/options.py
+++ b/thymeflow/cli/options.py
@@ -21,20 +21,20 @@
     "settings_path",
     type=click.Path(dir_okay=False),
     default=None,
-    help="Our INI file; start values where it is left out. THYMEFLOW_SECTION_KEY variables go before it.",
+    help="The settings file (INI); default: no file. THYMEFLOW_SECTION_KEY variables override it.",
 )
 state_option = click.option(
     "--state",
     type=click.Path(file_okay=False),
     default=None,
-    help="The folder of control sockets; [daemon] state where it is left out.",
+    help="The folder of control sockets; default: [daemon] state.",
 )
 json_option = click.option("--json", "as_json", is_flag=True, help="Print JSON, for programs.")
 platform_option = click.option(
     "--platform",
     type=click.Path(dir_okay=False),
     default=None,
-    help="The platform's JSON; [daemon] platform or BALANCER_CONFIG where it is left out.",
+    help="The platform's JSON; default: [daemon] platform, or BALANCER_CONFIG.",
 )
 
 
--- a/thymeflow/cli/output.py
+++ b/thymeflow/cli/output.py
@@ -1,4 +1,4 @@
-"""How commands print what they found, and the exit codes that they end with."""
+"""How commands print responses, and the exit codes of the commands."""
 
 from __future__ import annotations
 
@@ -19,26 +19,26 @@
 NO_RESPONSE = 6
 
 
-def fail(why: str, code: int) -> NoReturn:
+def fail(cause: str, exit_code: int) -> NoReturn:
     """Print one line on standard error, and exit."""
-    click.echo(f"thymeflow: {why}", err=True)
-    sys.exit(code)
+    click.echo(f"thymeflow: {cause}", err=True)
+    sys.exit(exit_code)
 
 
 def print_response(response: Message, as_json: bool, text: str) -> NoReturn:
-    """Print a response of a control socket, and exit; the exit code says whether the request succeeded."""
+    """Print a response of a control socket, and exit, with an exit code by whether the request succeeded."""
     is_ok = bool(response.get("ok"))
     if as_json:
         click.echo(json.dumps(response))
     elif is_ok:
         click.echo(text or str(response.get("why", "done")))
     else:
-        click.echo(f"thymeflow: {response.get('why', 'refused')}", err=True)
+        click.echo(f"thymeflow: {response.get('why', 'rejected')}", err=True)
     sys.exit(0 if is_ok else NOT_DONE)
 
 
 def progress_printer(started_at: float) -> Callable[[Message], None]:
-    """Return a function that prints messages on the way to a response.
+    """Return a function that prints messages that arrive before a response.
 
     `started_at`: on the monotonic clock; each line has the seconds since then.
     """
--- a/thymeflow/cli/overload.py
+++ b/thymeflow/cli/overload.py
@@ -1,4 +1,4 @@
-"""`thymeflow overload`: which backends the fleet has ejected, by whose reports, and which member probes them."""
+"""`thymeflow overload`: which backends the fleet has ejected, by which reports, and which member probes them."""
 
 from __future__ import annotations
 
@@ -6,9 +6,10 @@
 
 import click
 
-from thymeflow.cli.control import FLEET_SOCKET, STATUS_TIMEOUT, send_request
+from thymeflow.cli.control import FLEET_SOCKET, STATUS_TIMEOUT_SECONDS, send_request
 from thymeflow.cli.options import ControlOptions, control_options
 from thymeflow.cli.output import print_response
+from thymeflow.cli.terms import EJECTION_STATES, shown
 
 if TYPE_CHECKING:
     from thymeflow.handover.control_socket import Message
@@ -17,11 +18,10 @@
 def format_table(response: Message) -> str:
     """Return the ejections as a table for people."""
     rows = [
-        f"shed is what stands under {response['level']:.2f} of the order; pressure of the back end is "
-        f"{response['pressure']:.2f}",
-        f"{len(response['members'])} members speak; {response['left_out']} words were left out; "
-        f"a condemned server is tried every {response['every_s']:g} s by one of them",
-        f"{'server':10} {'class':14} {'state':10} {'for s':>8} {'trial':8} {'let in':>6}  on the word of",
+        f"admission threshold {response['level']:.2f}; pressure of the backends {response['pressure']:.2f}",
+        f"{len(response['members'])} members report; {response['left_out']} invalid reports were ignored; "
+        f"one member probes an ejected backend every {response['every_s']:g} s",
+        f"{'backend':10} {'class':14} {'state':10} {'for s':>8} {'prober':8} {'users':>6}  reported by",
     ]
     rows.extend(_format_ejection(ejection) for ejection in response["cases"])
     return "\n".join(rows)
@@ -30,7 +30,8 @@
 def _format_ejection(ejection: Message) -> str:
     target = f"zone {ejection['zone']}" if ejection["zone"] else f"{ejection['server']:08x}"
     return (
-        f"{target:10} {ejection['class'] or 'all':14} {ejection['state']:10} {ejection['for_s']:8.1f} "
+        f"{target:10} {ejection['class'] or 'all':14} {shown(ejection['state'], EJECTION_STATES):10} "
+        f"{ejection['for_s']:8.1f} "
         f"{ejection['trial'] or '-':8} {ejection['let_in']:6}  {', '.join(ejection['words'])}"
     )
 
@@ -38,6 +39,6 @@
 @click.command()
 @control_options
 def overload(options: ControlOptions) -> None:
-    """Show which servers the fleet leaves alone, on whose word, and who tries them."""
-    response = send_request(options.socket_path(FLEET_SOCKET), {"do": "overload"}, STATUS_TIMEOUT)
+    """Show the backends that the fleet has ejected, the members that reported them, and those that probe them."""
+    response = send_request(options.socket_path(FLEET_SOCKET), {"do": "overload"}, STATUS_TIMEOUT_SECONDS)
     print_response(response, options.as_json, format_table(response) if response.get("ok") else "")
--- a/thymeflow/cli/serve.py
+++ b/thymeflow/cli/serve.py
@@ -16,21 +16,25 @@
 @click.command()
 @settings_option
 @platform_option
-@click.option("--state", type=click.Path(file_okay=False), default=None, help="Goes before [daemon] state.")
-@click.option("--joins", is_flag=True, help="Into a running set: customers' stores start empty.")
+@click.option(
+    "--state", type=click.Path(file_okay=False), default=None, help="The state folder; overrides [daemon] state."
+)
+@click.option("--joins", is_flag=True, help="Join a running set of limiters: token buckets start empty.")
 @click.option(
     "--take-over",
     is_flag=True,
-    help="Take socket, name and state from the running process of this name, then let it drain.",
+    help="Take over socket, name and state from the running process of this name, which then drains.",
+)
+@click.option(
+    "--detach", is_flag=True, help="Run in a session of its own, so that it outlives the shell that started it."
 )
-@click.option("--detach", is_flag=True, help="In a session of its own, so that it outlives who started it.")
 def serve(
     settings_path: str | None, platform: str | None, state: str | None, joins: bool, take_over: bool, detach: bool
 ) -> None:
     """Run one limiter as a daemon, in the foreground."""
     settings = read_or_exit(settings_path)
     if detach:
-        with contextlib.suppress(OSError):  # it leads a session already
+        with contextlib.suppress(OSError):  # it is a session leader already
             os.setsid()
 
     from thymeflow.daemon import service
--- a/thymeflow/cli/snapshot.py
+++ b/thymeflow/cli/snapshot.py
@@ -10,7 +10,7 @@
 
 import click
 
-from thymeflow.cli.control import STATUS_TIMEOUT, send_request
+from thymeflow.cli.control import STATUS_TIMEOUT_SECONDS, send_request
 from thymeflow.cli.options import ControlOptions, control_options, json_option
 from thymeflow.cli.output import BAD_SETTINGS, fail, print_response
 
@@ -20,22 +20,27 @@
 
 @click.group()
 def snapshot() -> None:
-    """What an instance remembers from one life to the next."""  # noqa: D401 - the help text
+    """Show or write snapshots, which an instance restores after a restart."""
 
 
 @snapshot.command()
 @click.argument("file", type=click.Path(dir_okay=False))
-@click.option("--customers", type=click.IntRange(0, 100000), default=10, help="How many, the emptiest first.")
+@click.option(
+    "--customers",
+    type=click.IntRange(0, 100000),
+    default=10,
+    help="How many customers to show, those with the emptiest buckets first.",
+)
 @json_option
 def show(file: str, customers: int, as_json: bool) -> None:
-    """Show what lies in a snapshot FILE, and whether it is sound."""
+    """Show the content of a snapshot FILE, and whether it is valid."""
     from dataclasses import asdict
 
-    found = _read_snapshot(file)
+    content = _read_snapshot(file)
     if as_json:
-        click.echo(json.dumps(asdict(found)))
+        click.echo(json.dumps(asdict(content)))
         sys.exit(0)
-    click.echo(format_snapshot(found, customers))
+    click.echo(format_snapshot(content, customers))
 
 
 def _read_snapshot(file: str) -> Snapshot:
@@ -51,19 +56,20 @@
         fail(f"{file}: {error}", BAD_SETTINGS)
 
 
-def format_snapshot(found: Snapshot, max_customers: int) -> str:
+def format_snapshot(content: Snapshot, max_customers: int) -> str:
     """Return a snapshot as lines for people, with the customers whose buckets are the emptiest."""
-    age_seconds = time.time() - found.taken
-    kind = "the last of its life" if found.final else "taken in passing"
+    age_seconds = time.time() - content.taken
+    kind = "final" if content.final else "taken while running"
     lines = [
-        f"{found.name}, life {found.life}, site {found.site}: {kind}, {age_seconds:.1f} s old, one of {found.gateways}",
-        f"{len(found.servers)} servers (list {found.version}), {len(found.stores)} customers, "
-        f"pressure {found.pressure:.2f}",
+        f"{content.name}, incarnation {content.life}, site {content.site}: {kind}, {age_seconds:.1f} s old, "
+        f"one of {content.gateways} limiters",
+        f"{len(content.servers)} backends (endpoint list version {content.version}), {len(content.stores)} customers, "
+        f"pressure {content.pressure:.2f}",
     ]
-    for bucket in sorted(found.stores, key=lambda store: store.level)[:max_customers]:
+    for bucket in sorted(content.stores, key=lambda store: store.level)[:max_customers]:
         lines.append(
-            f"  {bucket.number:08x} {bucket.plan:12} level {bucket.level:9.2f}  asks {bucket.own:7.2f}/s here, "
-            f"{bucket.others:7.2f}/s elsewhere; charged {bucket.charged:.1f}"
+            f"  {bucket.number:08x} {bucket.plan:12} level {bucket.level:9.2f}  demand {bucket.own:7.2f}/s here, "
+            f"{bucket.others:7.2f}/s at other limiters; charged {bucket.charged:.1f}"
         )
     return "\n".join(lines)
 
@@ -73,5 +79,5 @@
 @control_options
 def take(options: ControlOptions, name: str) -> None:
     """Let instance NAME write its snapshot now."""
-    response = send_request(options.socket_path(name), {"do": "snapshot"}, STATUS_TIMEOUT)
+    response = send_request(options.socket_path(name), {"do": "snapshot"}, STATUS_TIMEOUT_SECONDS)
     print_response(response, options.as_json, f"{response.get('path')}: {response.get('bytes')} bytes")
--- a/thymeflow/daemon/control_requests.py
+++ b/thymeflow/daemon/control_requests.py
@@ -156,7 +156,7 @@
             log.emit_rate_limited(LogKind.OVERLOAD, f"ignored an admission threshold that cannot be parsed: {error}")
 
     def _send_listening_socket(self, caller: ControlCaller, _: Message) -> None:
-        # A supervisor that adopts this process holds a duplicate of the listening socket, to outlast the process.
+        # A supervisor that adopts this process duplicates the listening socket, which then outlasts the process.
         lifecycle = self._service.instance.limiter.lifecycle
         if lifecycle.port is None:
             caller.send({"ok": False, "why": "the limiter does not listen"})
--- a/thymeflow/daemon/instance.py
+++ b/thymeflow/daemon/instance.py
@@ -1,4 +1,4 @@
-"""One limiter of the daemon, with its name, files, lock, log and its parts of a fleet."""
+"""One limiter of the daemon, with its name, files, lock and log, and what its fleet grants it."""
 
 from __future__ import annotations
 
--- a/thymeflow/daemon/notify.py
+++ b/thymeflow/daemon/notify.py
@@ -22,9 +22,9 @@
             self._address = "\0" + address[1:]
         elif address.startswith("/"):
             self._address = address
-        self.fault = ""  # why NOTIFY_SOCKET is not usable
+        self.error = ""  # why NOTIFY_SOCKET is not usable
         if address and self._address is None:
-            self.fault = f"NOTIFY_SOCKET {address!r} is neither a path nor @name"
+            self.error = f"NOTIFY_SOCKET {address!r} is neither a path nor @name"
 
     def notify(self, **variables: object) -> None:
         """Send `NAME=value` lines, names in capitals; a line end within a value would forge another line."""
--- a/thymeflow/daemon/service.py
+++ b/thymeflow/daemon/service.py
@@ -95,8 +95,8 @@
             joins=self._options.joins,
             take_over=self._options.take_over,
         )
-        if instance.notifier.fault:
-            log.emit(LogKind.NOTIFY, instance.notifier.fault)
+        if instance.notifier.error:
+            log.emit(LogKind.NOTIFY, instance.notifier.error)
 
     def _make_folder(self) -> None:
         folder = self.instance.folder
@@ -192,12 +192,12 @@
         if instance.limiter.lifecycle.phase is Phase.STOPPED:
             return False
         instance.notifier.notify(reloading=1, monotonic_usec=int(clock.monotonic() * 1e6))
-        settings_fault = self._reload_settings()
+        settings_error = self._reload_settings()
         is_reloaded = instance.limiter.reload.now()
-        self.last_reload = " | ".join(filter(None, (instance.limiter.reload.last, settings_fault)))
+        self.last_reload = " | ".join(filter(None, (instance.limiter.reload.last, settings_error)))
         instance.notifier.notify(ready=1)
         self._requests.update_watchers()
-        return is_reloaded and not settings_fault
+        return is_reloaded and not settings_error
 
     def _reload_settings(self) -> str:
         """Read the settings again; return why they are unchanged, or an empty string."""
--- a/thymeflow/handover/messages.py
+++ b/thymeflow/handover/messages.py
@@ -69,7 +69,7 @@
 
 
 def parse_request(message: Message) -> HandoverRequest:
-    """Return the request for a handover that a message holds."""
+    """Return the content of a request for a handover."""
     return HandoverRequest(
         str(message.get("life"))[:MAX_LOGGED_INCARNATION_LENGTH],
         str(message.get("pid"))[:MAX_LOGGED_PID_LENGTH],
@@ -127,7 +127,7 @@
 
 
 def parse_sender_message(message: Message) -> SenderMessage:
-    """Return what a message of the sender holds."""
+    """Return the content of a message of the sender."""
     open_connections = message.get("held")
     is_rejection = message.get("ok") is False
     return SenderMessage(
--- a/thymeflow/handover/participant.py
+++ b/thymeflow/handover/participant.py
@@ -48,7 +48,7 @@
         """
 
     def accept(self, listening: socket.socket) -> str:
-        """Start to accept connections; return the fault as text, empty if there is none."""
+        """Start to accept connections; return why it cannot, or an empty string."""
 
     def hand_over_allocation(self) -> Message | None:
         """Return the allocation of fleet limits as a message and stop using it; None if there is none."""
