--- a/tests/daemon/support.py
+++ b/tests/daemon/support.py
@@ -2,16 +2,14 @@
 
 from __future__ import annotations
 
-import array
 import json
-import os
 import select
-import socket
 import subprocess
 import time
 from collections.abc import Callable
 from typing import Any, NamedTuple, TypeVar
 
+from tests.control_session import ControlSession, connect_session
 from tests.limiter import PATIENCE, Limiter, request
 from thymeflow.platform.settings import settings_from
 from thymeflow.snapshot.schema import site_digest
@@ -80,36 +78,18 @@
     raise AssertionError(message)
 
 
-class ScriptedSuccessor:
-    """A successor played by the test, which can stop at any step of a handover."""
-
-    def __init__(self, limiter: Limiter) -> None:
-        self.sock = socket.socket(socket.AF_UNIX)
-        self.sock.settimeout(PATIENCE)
-        self.sock.connect(str(limiter.state / "n0.sock"))
-        self.descriptors: list[int] = []
-        self.send(do="take", life="x", pid=1, site=site_digest(settings_from(limiter.config["settings"])))
-
-    def send(self, **message: object) -> None:
-        """Send one message."""
-        self.sock.sendall(json.dumps(message).encode() + b"\n")
-
-    def receive(self) -> dict[str, Any]:
-        """Return the next message, and keep the descriptors that come with it."""
-        data = b""
-        while not data.endswith(b"\n"):
-            chunk, ancillary, _, _ = self.sock.recvmsg(4096, socket.CMSG_SPACE(16))
-            data += chunk
-            for _, _, value in ancillary:
-                descriptors = array.array("i")
-                descriptors.frombytes(value)
-                self.descriptors += descriptors
-            assert chunk, "closed"
-        message: dict[str, Any] = json.loads(data)
-        return message
-
-    def close(self) -> None:
-        """Close the connection and all descriptors."""
-        self.sock.close()
-        for descriptor in self.descriptors:
-            os.close(descriptor)
+def restart(limiter: Limiter, **configuration: object) -> None:
+    """Drain the daemon, which writes its final snapshot, and start it again with a changed configuration."""
+    limiter.ask(do="drain", linger=0.1)
+    limiter.process.communicate(timeout=PATIENCE)
+    limiter.config.update(configuration)
+    limiter.path.write_text(json.dumps(limiter.config))
+    limiter.process = limiter.start(())
+    limiter.port = int(limiter.log("listening:").rsplit(":", 1)[1])
+
+
+def request_handover(limiter: Limiter) -> ControlSession:
+    """Return the session of a successor that the test plays, which can stop at any step of a handover."""
+    session = connect_session(limiter.state / "n0.sock")
+    session.send(do="take", life="x", pid=1, site=site_digest(settings_from(limiter.config["settings"])))
+    return session
--- a/tests/daemon/test_handover.py
+++ b/tests/daemon/test_handover.py
@@ -11,8 +11,8 @@
 from tests.daemon.support import (
     RESPONSE,
     SMALL_QUOTA,
-    ScriptedSuccessor,
     poll_until,
+    request_handover,
     spend_quota,
     wait_for_exit,
     wait_for_log_line,
@@ -54,7 +54,7 @@
 @pytest.mark.parametrize("way", ["dies", "hangs"])
 def test_predecessor_serves_on_when_its_successor_dies_or_hangs(tmp_path: Path, steps: int, way: str) -> None:
     with Limiter(tmp_path, serve=(), environment={"THYMEFLOW_DAEMON_HAND_OVER": "500ms"}) as limiter:
-        scripted = ScriptedSuccessor(limiter)
+        scripted = request_handover(limiter)
         assert "offer" in scripted.receive()
         assert len(scripted.descriptors) == 2
         if steps:
--- /dev/null
+++ b/tests/handover/test_message_formats.py
@@ -0,0 +1,134 @@
+"""The framing of control sockets, and the messages of both sides of a handover, which two versions share."""
+
+from __future__ import annotations
+
+import os
+import socket
+from pathlib import Path
+from typing import Any, cast
+
+from tests.control_session import ControlSession, control_session
+from tests.daemon.support import restart
+from tests.limiter import PATIENCE, Limiter
+from tests.recorded_messages import ALLOCATION, Json, assert_as_recorded, masked
+from thymeflow.handover.control_socket import MAX_LINE_BYTES, ControlConnection, Message
+
+STATE_HEAD_BYTES = 21  # of a snapshot: its format and version
+
+
+class RecordingTransport:
+    """A transport that records what is written to it."""
+
+    def __init__(self) -> None:
+        self.written: list[str | int] = []
+
+    def write(self, data: bytes) -> None:
+        """Record bytes."""
+        self.written.append(data.decode())
+
+    def sendFileDescriptor(self, descriptor: int) -> None:
+        """Record a descriptor."""
+        self.written.append(descriptor)
+
+    def loseConnection(self) -> None:
+        """Record the end."""
+        self.written.append("closed")
+
+
+class RecordingConnection(ControlConnection):
+    """A control connection that records its messages."""
+
+    def __init__(self) -> None:
+        super().__init__()
+        self.recording = RecordingTransport()
+        self.transport = cast("Any", self.recording)
+        self.messages: list[Message] = []
+
+    def on_message(self, message: Message) -> None:
+        """Record a message."""
+        self.messages.append(message)
+
+
+def test_control_connection_has_the_same_framing_when_messages_are_written_and_read() -> None:
+    connection = RecordingConnection()
+    connection.send({"ok": True, "why": "é", "n": [1, 2.5, None]}, 7, 8)
+    for data in (b'{"do":"sta', b'tus"}\n{"do":', b'"watch","x":[1]}\n\n'):
+        connection.dataReceived(data)
+    rejected = []
+    for data in (b"[]\n", b"x" * (MAX_LINE_BYTES + 1), b"{}" + b" " * MAX_LINE_BYTES + b"\n", b"\xff\n"):
+        other = RecordingConnection()
+        other.dataReceived(data)
+        rejected.append([other.recording.written, other.messages])
+    assert_as_recorded("control line", [connection.recording.written, connection.messages, rejected])
+
+
+def test_messages_of_the_sender_are_the_same_when_a_receiver_takes_over(tmp_path: Path) -> None:
+    with Limiter(tmp_path, serve=()) as limiter:
+        restart(limiter, part=ALLOCATION)
+        client = limiter.connect()
+        backend = limiter.served(client, 1)
+        with control_session(limiter.state / "n0.sock") as session:
+            site = (limiter.state / "n0.state").read_text().split(" ")[2]
+            session.send(do="take", life="0b1c2d3e", pid=os.getpid(), site=site)
+            messages: list[Json] = [masked(session.receive()), len(session.descriptors)]
+            rejection = limiter.ask(do="take", life="x", pid=1, site=site)
+            session.send(do="took")  # out of turn
+            messages += [rejection, session.receive()]
+            session.send(do="ready")
+            offer = session.receive()
+            state = os.pread(session.descriptors[-1], offer["state"] + 1, 0)
+            is_complete = len(state) == offer["state"]
+            messages += [list(offer), offer["held"], offer["part"], is_complete, state[:STATE_HEAD_BYTES].decode()]
+            limiter.served(client, 2, backend)
+            session.send(do="took")
+            messages.append(session.receive())
+            session.send(do="serving")
+            messages += [session.receive(), sorted(session.receive_with("held"))]
+            limiter.terminate()
+            messages += [session.receive_with("late"), session.receive_with("bye")]
+    assert_as_recorded("handover sender", messages)
+
+
+def test_messages_of_the_receiver_are_the_same_when_it_takes_over(tmp_path: Path) -> None:
+    with Limiter(tmp_path, serve=()) as limiter, socket.socket(socket.AF_UNIX) as listener:
+        limiter.ask(do="drain", linger=0.1)
+        limiter.process.communicate(timeout=PATIENCE)
+        listener.bind(str(limiter.state / "n0.sock"))
+        listener.listen()
+        listener.settimeout(PATIENCE)
+        limiter.process = limiter.start(("--take-over",))
+        session = ControlSession(listener.accept()[0])
+        request = session.receive()
+        state = (limiter.state / "n0.state").read_bytes()
+        messages: list[Json] = [masked(request), request["site"] == state.split(b" ")[2].decode()]
+        messages += permit_and_receive(session, limiter, state)
+        session.send(draining=True)
+        session.send(late={"1": 2.0, "7": -1.0})
+        session.send(bye=1)
+        messages.append(limiter.log("handover: 0 of").partition("handover: ")[2])
+        messages.append(session.connection.recv(10).decode())
+        session.close()
+        messages.append(limiter.ask(do="status")["snapshot"]["remembered_from"])
+    assert_as_recorded("handover receiver", messages)
+
+
+def permit_and_receive(session: ControlSession, limiter: Limiter, state: bytes) -> list[Json]:
+    """Send descriptors, state and permission; return the receiver's message after each."""
+    messages: list[Json] = []
+    with (
+        socket.create_server(("127.0.0.1", 0)) as listening,
+        (limiter.state / "n0.lock").open("rb+") as lock,
+        (limiter.state / "handed").open("wb+") as state_file,
+    ):
+        address = f"127.0.0.1:{listening.getsockname()[1]}"
+        session.send(listening.fileno(), lock.fileno(), offer=address, life="0a1b2c3d")
+        watch, _ = limiter.watch()
+        watch.send(b"1\r\n\n\r\n")
+        messages.append(session.receive())
+        state_file.write(state)
+        state_file.flush()
+        session.send(state_file.fileno(), state=len(state), held=0, part=None)
+        messages.append(session.receive())
+        session.send(yours=True)
+        messages.append(session.receive())
+    return messages
