--- /dev/null
+++ b/tests/fleet/test_stored_files.py
@@ -0,0 +1,43 @@
+"""The fleet's files as an earlier version wrote them: the registry and the configuration of a member."""
+
+from __future__ import annotations
+
+import json
+from pathlib import Path
+
+from tests.recorded_messages import ALLOCATION
+from tests.stored_files import STORED_FOLDER, plain, recorded_value, stored
+from thymeflow.fleet import registry
+from thymeflow.platform import configuration
+
+MASKED_SEED = b"5eed5eed5eed5eed"
+
+
+def member_configuration(folder: Path) -> bytes:
+    """Return a member's configuration as the supervisor writes it, with its random seed masked."""
+    names = registry.FleetNames(folder, "web")
+    template = registry.read_template(STORED_FOLDER / "platform.json")
+    registry.write_member(names, template, "127.0.0.1:7402", 2, 3, ALLOCATION)
+    written = names.path(2, "json").read_bytes()
+    return written.replace(json.loads(written)["seed"].encode(), MASKED_SEED)
+
+
+def test_fleet_file_has_the_same_values_and_bytes_when_an_earlier_version_wrote_it(tmp_path: Path) -> None:
+    content = registry.read_registry(STORED_FOLDER / "fleet.json")
+    assert content is not None and plain(content) == recorded_value("fleet.json")
+    registry.write_registry(tmp_path / "fleet.json", content)
+    assert (tmp_path / "fleet.json").read_bytes() == stored("fleet.json")
+
+
+def test_fleet_file_is_read_alike_when_it_has_no_order() -> None:
+    content = registry.read_registry(STORED_FOLDER / "fleet-no-order.json")
+    assert plain(content) == recorded_value("fleet-no-order.json")
+
+
+def test_member_configuration_has_the_same_bytes_when_the_supervisor_writes_it(tmp_path: Path) -> None:
+    assert member_configuration(tmp_path) == stored("web2.json")
+
+
+def test_member_configuration_has_the_same_values_when_a_member_reads_it() -> None:
+    content = configuration.from_source(json.loads(stored("web2.json")), "web2.json", {})
+    assert plain(content) == recorded_value("web2.json")
--- /dev/null
+++ b/tests/stored_files.py
@@ -0,0 +1,43 @@
+"""Files that an earlier version wrote, under `data/before-rename`, and the values that it read from them.
+
+Values are compared as plain lists in declared order, so that neither the name of a class nor that of a field counts;
+keys count where they stand in a file.
+"""
+
+from __future__ import annotations
+
+import json
+from collections.abc import Mapping
+from dataclasses import fields, is_dataclass
+from enum import Enum
+from pathlib import Path
+from typing import Any
+
+STORED_FOLDER = Path(__file__).resolve().parent / "data" / "before-rename"
+
+
+def stored(name: str) -> bytes:
+    """Return a file of the earlier version."""
+    return (STORED_FOLDER / name).read_bytes()
+
+
+def recorded_value(name: str) -> Any:
+    """Return the values that the earlier version read from a file, or what else it derived from it."""
+    return json.loads((STORED_FOLDER / "stored-values.json").read_text())[name]
+
+
+def plain(value: Any) -> Any:
+    """Return a value without our names: records as lists in declared order, sets sorted, enums by value."""
+    if is_dataclass(value):
+        return [plain(getattr(value, field.name)) for field in fields(value)]
+    if hasattr(value, "__struct_fields__"):
+        return [plain(getattr(value, name)) for name in value.__struct_fields__]
+    if isinstance(value, Enum):
+        return value.value
+    if isinstance(value, Mapping):
+        return [[str(key), plain(item)] for key, item in value.items()]
+    if isinstance(value, frozenset | set):
+        return sorted(plain(item) for item in value)
+    if isinstance(value, list | tuple):
+        return [plain(item) for item in value]
+    return value
