--- a/tests/daemon/test_handover.py
+++ b/tests/daemon/test_handover.py
@@ -11,8 +11,8 @@
 from tests.daemon.support import (
     RESPONSE,
     SMALL_QUOTA,
-    ScriptedSuccessor,
     poll_until,
+    request_handover,
     spend_quota,
     wait_for_exit,
     wait_for_log_line,
@@ -54,7 +54,7 @@
 @pytest.mark.parametrize("way", ["dies", "hangs"])
 def test_predecessor_serves_on_when_its_successor_dies_or_hangs(tmp_path: Path, steps: int, way: str) -> None:
     with Limiter(tmp_path, serve=(), environment={"THYMEFLOW_DAEMON_HAND_OVER": "500ms"}) as limiter:
-        scripted = ScriptedSuccessor(limiter)
+        scripted = request_handover(limiter)
         assert "offer" in scripted.receive()
         assert len(scripted.descriptors) == 2
         if steps:
@@ -67,7 +67,7 @@
         waiting.send(command(b"PING"))
         if way == "dies":
             scripted.close()
-        assert "this life serves on" in limiter.log("handover: came to no end")
+        assert "this incarnation continues to serve" in limiter.log("handover: failed in state")
         assert waiting.line() == b"+PONG"
         assert limiter.ask(do="status")["hand_over"] == "whole"
         if way == "hangs":
@@ -89,4 +89,4 @@
         wait_for_exit(limiter.process)
         exit_code, log = wait_for_exit(limiter.start(("--take-over",)))
         assert exit_code == 5
-        assert "nobody to take over from" in log
+        assert "no predecessor to take over from" in log
--- a/thymeflow/daemon/notify.py
+++ b/thymeflow/daemon/notify.py
@@ -16,15 +16,15 @@
 
     def __init__(self, environment: Mapping[str, str]) -> None:
         address = environment.get("NOTIFY_SOCKET", "")
-        self.lost = 0  # datagrams that could not be sent
+        self.dropped_count = 0  # datagrams that could not be sent
         self._address: str | None = None
         if address.startswith("@"):
             self._address = "\0" + address[1:]
         elif address.startswith("/"):
             self._address = address
-        self.fault = ""  # why NOTIFY_SOCKET is not usable
+        self.error = ""  # why NOTIFY_SOCKET is not usable
         if address and self._address is None:
-            self.fault = f"NOTIFY_SOCKET {address!r} is neither a path nor @name"
+            self.error = f"NOTIFY_SOCKET {address!r} is neither a path nor @name"
 
     def notify(self, **variables: object) -> None:
         """Send `NAME=value` lines, names in capitals; a line end within a value would forge another line."""
@@ -36,4 +36,4 @@
             sender.setblocking(False)
             sender.sendto(text.encode(), self._address)
             is_sent = True
-        self.lost += not is_sent
+        self.dropped_count += not is_sent
