--- a/thymeflow/leases/issuer.py
+++ b/thymeflow/leases/issuer.py
@@ -7,8 +7,9 @@
 
 from __future__ import annotations
 
+import copy
 from collections.abc import Iterator
-from dataclasses import dataclass
+from dataclasses import dataclass, replace
 from math import inf
 
 from thymeflow.leases.allocation import Allocation
@@ -277,6 +278,19 @@
 
     # Small helpers.
 
+    def clone(self) -> LeaseIssuer:
+        """Return an independent issuer in the same state, for model checking."""
+        clone = copy.copy(self)
+        clone.records = {
+            holder: replace(record, base=list(record.base), lease=list(record.lease))
+            for holder, record in self.records.items()
+        }
+        clone.base = [ledger.copy() for ledger in self.base]
+        clone.leased = [ledger.copy() for ledger in self.leased]
+        clone.durable_amounts = dict(self.durable_amounts)
+        clone._sends_by_version = dict(self._sends_by_version)
+        return clone
+
     def _present_count(self) -> int:
         return sum(row.state is not HolderState.ABSENT for row in self.records.values())
 
