--- a/benchmarks/in_service.py
+++ b/benchmarks/in_service.py
@@ -1,7 +1,7 @@
-"""What the days in service ask of the run line, measured over our own stand-ins; exit 1 past a bound.
+"""What the run line needs in service, measured in a test environment; exit code 1 where a bound is exceeded.
 
-python benchmarks/in_service.py long        # twenty 4 MiB answers at once at a 64 MB limit, small ones beside them
-python benchmarks/in_service.py upgrades    # ten upgrades under load, and what ended at the door meanwhile
+PYTHONPATH=. python benchmarks/in_service.py long      # twenty values of 4 MiB at once, at a memory limit of 64 MB
+PYTHONPATH=. python benchmarks/in_service.py upgrades  # ten upgrades under load
 """
 
 from __future__ import annotations
@@ -14,161 +14,226 @@
 import tempfile
 import threading
 import time
-from collections import Counter as EventCounts
+from collections import Counter
+from collections.abc import Callable
 from pathlib import Path
-from typing import Any
 
 import psutil
-from twisted.internet.defer import inlineCallbacks
+from twisted.internet.defer import Deferred, inlineCallbacks
 
+from benchmarks.frame import run_script
 from thymeflow.testkit.async_steps import Steps, reactor, sleep
-from thymeflow.testkit.fakes import Customer, World
-
-ROOT = Path(__file__).resolve().parent.parent
-MEMORY, LONG, MOST = 64, 20, 4 * 2**20  # MB of the limit; answers at once, and their bytes
-PACE = 1e6  # bytes a second that each of their readers takes
-SMALL = 100.0  # small requests a second beside them
-UPGRADES, LOAD = 10, 200.0  # how many, and requests a second all the while
-
-
-class Copy:
-    """One process of the run line, and what it logs."""
-
-    def __init__(self, config: Path, folder: Path) -> None:
-        self.begun, self.lines = time.monotonic(), list[str]()
+from thymeflow.testkit.fakes import Customer, Environment, RequestOutcome, RequestResult
+from thymeflow.testkit.fakes.site import CHECK_CLASS, KEYED_CLASS, VIEW_CLASS, PlanQuota
+from thymeflow.testkit.types import Address, JsonObject
+
+SOURCE_ROOT = Path(__file__).resolve().parent.parent
+SEED = 3
+BACKEND_COUNT = 4
+PLAN = "korporat"
+QUOTA = PlanQuota(5000.0, 5000.0)
+
+MEMORY_LIMIT_MB = 64
+LONG_VALUE_COUNT = 20  # at once
+LONG_VALUE_BYTES = 4 * 2**20
+LONG_VALUE_DEADLINE_SECONDS = 20.0
+READ_BYTES_PER_SECOND = 1e6  # by the client of each long value
+SHORT_REQUESTS_PER_SECOND = 100.0  # beside the long values
+LONG_MEAN_WORK_SECONDS = 0.01
+ALONE_SECONDS = 4.0  # in which only short values are requested
+
+UPGRADE_COUNT = 10
+UPGRADE_INTERVAL_SECONDS = 1.0
+UPGRADE_REQUESTS_PER_SECOND = 200.0
+UPGRADE_CUSTOMER_COUNT = 20
+
+
+class LimiterUnderTest:
+    """One process of the run line, and its log."""
+
+    def __init__(self, config_path: Path, folder: Path) -> None:
         self.process = subprocess.Popen(
             [sys.executable, "-m", "thymeflow"],
-            cwd=ROOT,
+            cwd=SOURCE_ROOT,
             stderr=subprocess.PIPE,
             text=True,
-            env={**os.environ, "BALANCER_CONFIG": str(config), "TMPDIR": str(folder)},
+            env={**os.environ, "BALANCER_CONFIG": str(config_path), "TMPDIR": str(folder)},
         )
-        threading.Thread(target=self._read, daemon=True).start()
+        self._started_at = time.monotonic()
+        self._log_lines: list[str] = []
+        threading.Thread(target=self._read_log, daemon=True).start()
 
-    def _read(self) -> None:
+    def _read_log(self) -> None:
         assert self.process.stderr is not None
         for line in self.process.stderr:
-            self.lines.append(line)
+            self._log_lines.append(line)
 
-    def said(self, part: str) -> str:
-        """The line that holds the part, once there is one."""
-        return next((line for line in self.lines if part in line), "")
+    def log_line(self, text: str) -> str:
+        """Return the first log line with a text, empty while there is none."""
+        return next((line for line in self._log_lines if text in line), "")
+
+    def address(self) -> Address:
+        """Return where it listens."""
+        return "127.0.0.1", int(self.log_line("listening:").rsplit(":", 1)[1])
 
     @inlineCallbacks
-    def ready(self) -> Steps:
-        """Wait until it serves; seconds since its start."""
-        while not self.said("phase: serving"):
-            assert self.process.poll() is None, self.lines
+    def wait_until_serving(self) -> Steps:
+        """Wait until it serves, and return the seconds since its start."""
+        while not self.log_line("phase: serving"):
+            assert self.process.poll() is None, self._log_lines
             yield sleep(0.005)
-        return time.monotonic() - self.begun
-
-
-def p99(results: list[Any]) -> float:
-    """Of the answer times of what was served, in ms."""
-    times = sorted(r.ended - r.begun for r in results if r.verdict == "served")
-    return times[int(0.99 * len(times))] * 1e3 if times else float("nan")
-
-
-def started(world: World, folder: Path) -> tuple[Copy, dict[str, Any], Path]:
-    """The first copy, its configuration and the file of that."""
-    config, path = {**world.config(1, MEMORY), "mgmt": "127.0.0.1:0"}, folder / "config.json"
-    path.write_text(json.dumps(config))
-    return Copy(path, folder), config, path
-
-
-@inlineCallbacks
-def long(world: World, folder: Path) -> Steps:
-    """The exit code for long values."""
-    copy, _, _ = started(world, folder)
-    yield copy.ready()
-    world.addresses[0] = ("127.0.0.1", int(copy.said("listening:").rsplit(":", 1)[1]))
-    for server in world.servers:
-        server.mean, server.long = 0.01, {"booking-view": MOST}
-    world.agents.pace = {"booking-view": PACE}
-    small = Customer(1, "korporat", SMALL)
-    world.agents.begin(small, ("table-check",))
-    yield sleep(4.0)
-    alone = p99([r for r in world.agents.results if r.cls == "table-check"])
-    first = len(world.agents.results)
-    big = [world.agents.ask(Customer(10 + n, "korporat", 1.0), "booking-view", 0, 20.0) for n in range(LONG)]
-    watched, peak = psutil.Process(copy.process.pid), 0
-    while not all(result.verdict for result in big):
-        peak = max(peak, watched.memory_info().rss)
-        yield sleep(0.01)
-    beside = p99([r for r in world.agents.results[first:] if r.cls == "table-check"])
-    world.agents.stop()
-    whole = sum(r.verdict == "served" and not r.wrong for r in big)
-    took = max(r.ended - r.begun for r in big)
-    copy.process.send_signal(signal.SIGTERM)
-    good = whole == LONG and peak < MEMORY * 2**20
-    print(
-        f"long-values: whole={whole}/{LONG} bytes={MOST} took_s={took:.1f} peak_mb={peak / 2**20:.1f}/{MEMORY} "
-        f"small_p99_ms={alone:.1f}->{beside:.1f} within={'yes' if good else 'no'}",
-        flush=True,
-    )
-    return int(not good)
-
-
-@inlineCallbacks
-def upgrades(world: World, folder: Path) -> Steps:
-    """The exit code for upgrades."""
-    copy, config, path = started(world, folder)
-    yield copy.ready()
-    world.addresses[0] = ("127.0.0.1", int(copy.said("listening:").rsplit(":", 1)[1]))
-    path.write_text(json.dumps({**config, "listen": "{}:{}".format(*world.addresses[0])}))
-    for number in range(20):
-        world.agents.begin(Customer(number, "korporat", LOAD / 20), ("table-check", "booking-make"))
-    ready, both = list[float](), 0
-    for _ in range(UPGRADES):
-        yield sleep(1.0)
-        old, copy = copy, Copy(path, folder)
-        ready.append((yield copy.ready()))
-        both = max(both, sum(psutil.Process(c.process.pid).memory_info().rss for c in (old, copy)))
-        old.process.send_signal(signal.SIGTERM)
-        while old.process.poll() is None:
+        return time.monotonic() - self._started_at
+
+    @inlineCallbacks
+    def terminate(self) -> Steps:
+        """Shut it down gracefully."""
+        self.process.send_signal(signal.SIGTERM)
+        while self.process.poll() is None:
+            yield sleep(0.01)
+        assert self.process.returncode == 0, self._log_lines
+
+    def memory_bytes(self) -> int:
+        """Return its resident memory."""
+        memory: int = psutil.Process(self.process.pid).memory_info().rss
+        return memory
+
+
+class ServiceBenchmark:
+    """A test environment with one limiter."""
+
+    def __init__(self, folder: Path) -> None:
+        self._folder = folder
+        self._config_path = folder / "config.json"
+        self._environment = Environment(reactor, SEED, backend_count=BACKEND_COUNT, plans={PLAN: QUOTA})
+
+    def _write_config(self, config: JsonObject) -> None:
+        self._config_path.write_text(json.dumps(config))
+
+    def _start_limiter(self) -> LimiterUnderTest:
+        return LimiterUnderTest(self._config_path, self._folder)
+
+    @inlineCallbacks
+    def _start(self) -> Steps:
+        """Start everything, and return the limiter with its configuration."""
+        self._environment.start()
+        config = {**self._environment.config(1, MEMORY_LIMIT_MB), "mgmt": "127.0.0.1:0"}
+        self._write_config(config)
+        limiter = self._start_limiter()
+        yield limiter.wait_until_serving()
+        self._environment.limiter_addresses[0] = limiter.address()
+        return limiter, config
+
+    # Long values.
+
+    @inlineCallbacks
+    def measure_long_values(self) -> Steps:
+        """Request long values beside short ones; return the exit code."""
+        limiter, _ = yield self._start()
+        clients = self._environment.clients
+        for backend in self._environment.backends:
+            backend.behavior.mean_work_seconds = LONG_MEAN_WORK_SECONDS
+            backend.behavior.min_value_bytes = {VIEW_CLASS: LONG_VALUE_BYTES}
+        clients.read_bytes_per_second = {VIEW_CLASS: READ_BYTES_PER_SECOND}
+        clients.start_customer(Customer(1, PLAN, SHORT_REQUESTS_PER_SECOND), (CHECK_CLASS,))
+        yield sleep(ALONE_SECONDS)
+        p99_alone_ms = p99_ms(clients.results)
+        first_beside = len(clients.results)
+        long_results = [
+            clients.send_request(Customer(10 + number, PLAN, 1.0), VIEW_CLASS, 0, LONG_VALUE_DEADLINE_SECONDS)
+            for number in range(LONG_VALUE_COUNT)
+        ]
+        peak_bytes = 0
+        while not all(result.is_finished for result in long_results):
+            peak_bytes = max(peak_bytes, limiter.memory_bytes())
             yield sleep(0.01)
-        assert old.process.returncode == 0, old.lines
-    yield sleep(1.0)
-    world.agents.stop()
-    while world.agents.open:
-        yield sleep(0.05)
-    copy.process.send_signal(signal.SIGTERM)
-    results = world.agents.results
-    found = EventCounts(r.verdict for r in results)
-    resent, twice = sum(r.resent for r in results), len(world.answered_twice()) + len(world.unlawful())
-    good = not (found["refused connect"] or found["unanswered"] or twice)
-    print(
-        f"upgrades: n={UPGRADES} asked={len(results)} refused_connects={found['refused connect']} "
-        f"unanswered={found['unanswered']} twice={twice} crossed_a_close={resent} ready_s={max(ready):.2f} "
-        f"both_mb={both / 2**20:.0f} within={'yes' if good else 'no'}",
-        flush=True,
+        p99_beside_ms = p99_ms(clients.results[first_beside:])
+        clients.stop()
+        limiter.process.send_signal(signal.SIGTERM)
+        complete_count = sum(result.is_served and not result.has_wrong_value for result in long_results)
+        is_within = complete_count == LONG_VALUE_COUNT and peak_bytes < MEMORY_LIMIT_MB * 2**20
+        print(
+            f"long-values: whole={complete_count}/{LONG_VALUE_COUNT} bytes={LONG_VALUE_BYTES} "
+            f"took_s={max(result.duration_seconds for result in long_results):.1f} "
+            f"peak_mb={peak_bytes / 2**20:.1f}/{MEMORY_LIMIT_MB} small_p99_ms={p99_alone_ms:.1f}->{p99_beside_ms:.1f} "
+            f"within={'yes' if is_within else 'no'}",
+            flush=True,
+        )
+        return int(not is_within)
+
+    # Upgrades.
+
+    @inlineCallbacks
+    def measure_upgrades(self) -> Steps:
+        """Upgrade the limiter again and again under load; return the exit code."""
+        limiter, config = yield self._start()
+        clients = self._environment.clients
+        self._write_config({**config, "listen": "{}:{}".format(*self._environment.limiter_addresses[0])})
+        for number in range(UPGRADE_CUSTOMER_COUNT):
+            customer = Customer(number, PLAN, UPGRADE_REQUESTS_PER_SECOND / UPGRADE_CUSTOMER_COUNT)
+            clients.start_customer(customer, (CHECK_CLASS, KEYED_CLASS))
+        max_ready_seconds = 0.0
+        max_memory_bytes = 0
+        for _ in range(UPGRADE_COUNT):
+            yield sleep(UPGRADE_INTERVAL_SECONDS)
+            predecessor = limiter
+            limiter = self._start_limiter()
+            ready_seconds = yield limiter.wait_until_serving()
+            max_ready_seconds = max(max_ready_seconds, ready_seconds)
+            max_memory_bytes = max(max_memory_bytes, predecessor.memory_bytes() + limiter.memory_bytes())
+            yield predecessor.terminate()
+        yield sleep(UPGRADE_INTERVAL_SECONDS)
+        clients.stop()
+        while clients.pending:
+            yield sleep(0.05)
+        limiter.process.send_signal(signal.SIGTERM)
+        return self._evaluate_upgrades(max_ready_seconds, max_memory_bytes)
+
+    def _evaluate_upgrades(self, max_ready_seconds: float, max_memory_bytes: int) -> int:
+        results = self._environment.clients.results
+        outcomes = Counter(result.outcome for result in results)
+        refused_count = outcomes[RequestOutcome.CONNECT_REFUSED]
+        unanswered_count = outcomes[RequestOutcome.UNANSWERED]
+        violations = self._environment.attempt_violations()
+        twice_count = len(self._environment.wrongly_answered()) + len(violations)
+        is_within = not (refused_count or unanswered_count or twice_count)
+        print(
+            f"upgrades: n={UPGRADE_COUNT} asked={len(results)} refused_connects={refused_count} "
+            f"unanswered={unanswered_count} twice={twice_count} "
+            f"crossed_a_close={sum(result.is_resent for result in results)} ready_s={max_ready_seconds:.2f} "
+            f"both_mb={max_memory_bytes / 2**20:.0f} within={'yes' if is_within else 'no'}",
+            flush=True,
+        )
+        return int(not is_within)
+
+
+def p99_ms(results: list[RequestResult]) -> float:
+    """Return the 99th percentile of the durations of served short requests."""
+    durations = sorted(
+        result.duration_seconds for result in results if result.request_class == CHECK_CLASS and result.is_served
     )
-    return int(not good)
+    return durations[int(0.99 * len(durations))] * 1e3 if durations else float("nan")
+
+
+SCENARIOS: dict[str, Callable[[ServiceBenchmark], Deferred[int]]] = {
+    "long": ServiceBenchmark.measure_long_values,
+    "upgrades": ServiceBenchmark.measure_upgrades,
+}
 
 
 def main() -> int:
-    """Measure; the exit code."""
-    kinds = {"long": long, "upgrades": upgrades}
-    if len(sys.argv) != 2 or sys.argv[1] not in kinds:
+    """Measure, and return the exit code."""
+    if len(sys.argv) != 2 or sys.argv[1] not in SCENARIOS:
         print(__doc__, file=sys.stderr)
         return 2
-    code: list[int] = []
-    plans = {"korporat": (5000.0, 5000.0)}
-
-    def begin() -> None:
-        world = World(reactor, 3, servers=4, plans=plans)
-        world.start()
-        kinds[sys.argv[1]](world, folder).addCallbacks(code.append, lambda failure: failure.printTraceback()).addBoth(
-            lambda _: reactor.stop()
-        )
-
+    scenario = SCENARIOS[sys.argv[1]]
     with tempfile.TemporaryDirectory(prefix="tf") as name:
         folder = Path(name)
-        reactor.callWhenRunning(begin)
-        reactor.run()
+        end = run_script(lambda: scenario(ServiceBenchmark(folder)))
     for process in psutil.Process().children(recursive=True):
         process.kill()
-    return code[0] if code else 1
+    for crash in end.crashes:
+        print(crash, file=sys.stderr)
+    return end.results[0] if end.results else 1
 
 
 if __name__ == "__main__":
--- a/benchmarks/prove_budgets.py
+++ b/benchmarks/prove_budgets.py
@@ -1,18 +1,17 @@
 """`make prove-budgets`: what a fleet may do, divided among twelve real members, through forty faults under load.
 
-The sums are read from the grant table on the disk, which allows for all that can be in force, not from members' words.
-Then the fleet is scaled to 24, to 4 and back, eight of twelve are killed at once, and it is measured each time how soon
-those that are there hold the whole. Twelve of the platform's run line follow, with a relay on every link and customers
-that ask three times their quotas; what reached the stand-in servers is held to the one true store of each customer,
-first with the counter up and faults on links and processes, then with all killed. Last, the minds are explored, and
-each of their rules is left out. FULL=1 plays four times as many faults. Broken on purpose, this has to fail: BREAK=free
-lets the granter grant what is not free, and BREAK=demand divides units by demand and belief.
+The sums are read from the grant file on the disk, which covers all that can be in force, not from members' reports.
+Then the fleet is scaled to 24, to 4 and back, eight of twelve are killed at once, and each time the proof measures
+how soon the remaining members have the fleet's limits again. Twelve of the platform's run line follow, with a fault
+proxy on every link and customers that request three times their quotas; what reached the fake backends is compared
+with a single token bucket for each customer, first with the counter up and faults on links and processes, then with
+all limiters killed. Last, the lease model is explored, and each of its rules is left out. FULL=1 injects four times
+as many faults. FAULT_MODE puts in a fault that the proof has to find: over-allocate lets the lease issuer grant what
+is not free, and demand-quotas divides units by demand.
 """
 
 from __future__ import annotations
 
-import contextlib
-import os
 import random
 import shutil
 import signal
@@ -20,250 +19,308 @@
 import tempfile
 import time
 from pathlib import Path
-from typing import Any
 
 from twisted.internet.defer import inlineCallbacks
 from twisted.internet.task import LoopingCall
+from twisted.python.failure import Failure
 
-from thymeflow.leases import grant_file
-from thymeflow.leases.resources import TOTAL_POINTS, Resource
+from benchmarks.frame import FAULT_MODE, IS_FULL, Proof
+from benchmarks.grant_watch import GrantWatch
+from benchmarks.run_line_schedule import KILL_AT_SECONDS, LIMITER_COUNT, run_line_schedule
 from thymeflow.testkit.async_steps import Steps, reactor, sleep
-from thymeflow.testkit.fakes import Customer, World
-from thymeflow.testkit.fakes.site import CLASSES, PLANS
-from thymeflow.testkit.faults.cluster import Rig
-from thymeflow.testkit.faults.fleet_cluster import Fleet
-from thymeflow.testkit.faults.invariants import got, judged
-from thymeflow.testkit.faults.quota_checks import firsts, worst
-from thymeflow.testkit.faults.schedule import Do, Link, Schedule, Step, Way
-from thymeflow.testkit.lease_model import RULES, Model, caught
-from thymeflow.testkit.model_checker import explored
-
-FULL, BREAK = os.environ.get("FULL") == "1", os.environ.get("BREAK", "")
-MEMBERS, VICTIMS = 12, 8
-FAULTS = 160 if FULL else 40
-PACE = 0.5  # s between faults
-LONGEST_STOP = 5.0  # s
-REGAINED = 5.0  # s: in which survivors have to hold what LEAST says
-LEAST = 90.0  # percent of the whole
-DEPTH = 6 if FULL else 5
-PATIENCE = 60.0  # s: for a fleet to be ready
-UP, RESTARTS = 105.0, 110.0  # percent of the one true store that a customer may get: counter up, through restarts
-KILLED = 15.0  # s: when all of the run line are killed
-BROKEN = (
+from thymeflow.testkit.fakes import Customer, Environment
+from thymeflow.testkit.fakes.site import PLANS, REQUEST_CLASSES
+from thymeflow.testkit.faults.cluster import ClusterHarness
+from thymeflow.testkit.faults.invariants import check_all, highest_quota_use
+from thymeflow.testkit.faults.quota_checks import first_attempts, highest_use
+from thymeflow.testkit.faults.schedule import FaultAction
+from thymeflow.testkit.fleet_harness import FleetHarness, fleet_settings
+from thymeflow.testkit.lease_model import LeaseModel
+from thymeflow.testkit.lease_rules import RULES, violation_without
+from thymeflow.testkit.model_checker import Exploration, explore
+
+FAULT_SEED = 23
+SEED = 7
+BACKEND_COUNT = 8
+MEMBER_COUNT = 12
+VICTIM_COUNT = 8
+SCALED_MEMBER_COUNTS = (24, 4, 12)
+SCALE_STEP = 3  # members, of a fault that scales the fleet
+FAULT_COUNT = 160 if IS_FULL else 40
+FAULT_INTERVAL_SECONDS = 0.5
+MIN_PAUSE_SECONDS = 0.2
+MAX_PAUSE_SECONDS = 5.0
+CUSTOMER_COUNT = 36
+REGAIN_TIMEOUT_SECONDS = 5.0  # in which the remaining members have to have MIN_SHARE_PERCENT
+RESTART_DELAY_SECONDS = REGAIN_TIMEOUT_SECONDS + 2.0  # of members that ended
+MIN_SHARE_PERCENT = 90.0  # of the fleet's limits
+READY_TIMEOUT_SECONDS = 60.0
+MAX_SUM_PERCENT = 100.0
+MAX_USE_PERCENT_COUNTER_UP = 105.0  # of a quota
+MAX_USE_PERCENT_RESTARTS = 110.0
+MODEL_DEPTH = 6 if IS_FULL else 5
+MAX_SHOWN_FAILURES = 10
+MAX_SHOWN_VIOLATIONS = 3  # of each checker
+FAULT_KINDS = ("kill", "stop", "stop", "stop", "supervisor", "scale")
+# Run in place of the supervisor.
+OVER_ALLOCATE_CODE = (
     "import sys; from thymeflow.leases.ledger import Ledger; Ledger.free = lambda self, now: self.total; "
     "from thymeflow.cli import run; sys.exit(run())"
 )
 
 
-def run_line() -> Schedule:
-    """Twelve of the platform's run line through faults on links and processes, and through two restarts."""
-    all_of, some, others = tuple(range(MEMBERS)), (0, 3, 6, 9), (1, 4, 7)
-    steps = [
-        Step(1.0, Do.STOP, (2, 5)),
-        Step(4.0, Do.GO_ON, (2, 5)),
-        Step(2.0, Do.SILENCE, some, Link.COUNTER),
-        Step(5.0, Do.HEAL, some, Link.COUNTER),
-        Step(3.0, Do.DELAY, others, Link.COUNTER, amount=0.2),
-        Step(7.0, Do.HEAL, others, Link.COUNTER),
-        Step(6.0, Do.SILENCE, some, Link.COUNTER, Way.IN),
-        Step(8.0, Do.HEAL, some, Link.COUNTER),
-        Step(8.5, Do.CUT, others, Link.COUNTER),
-        Step(10.0, Do.HEAL, others, Link.COUNTER),
-        Step(9.0, Do.STALL, some, Link.COUNTER, amount=200),
-        Step(11.0, Do.HEAL, some, Link.COUNTER),
-        Step(KILLED, Do.KILL, all_of),
-        Step(KILLED + 0.05, Do.START, all_of),
-        Step(KILLED + 5.0, Do.KILL, all_of[:VICTIMS]),
-        Step(KILLED + 6.0, Do.START, all_of[:VICTIMS]),
-    ]
-    return Schedule(
-        limiters=MEMBERS,
-        servers=4,
-        seconds=KILLED + 11.0,
-        seed=23,
-        demand=3.0,
-        customers=16,
-        units="demand" if BREAK == "demand" else "tickets",
-        steps=tuple(steps),
-    )
-
-
-class Proof:
-    """The run."""
+def _ignore_error(_: Failure) -> None:
+    """Go on where an order failed, as its supervisor may be killed meanwhile."""
+
+
+class BudgetProof:
+    """One run, and its figures."""
 
     def __init__(self) -> None:
-        self.folder = Path(tempfile.mkdtemp(prefix="tf-"))
-        self.rng = random.Random(23)
-        self.world = World(reactor, 7, servers=8)
-        self.world.start()
-        self.fleet = Fleet(
-            self.world, self.folder, MEMBERS, code=BROKEN if BREAK == "free" else "", wait=REGAINED + 2.0
+        self._folder = Path(tempfile.mkdtemp(prefix="tf-"))
+        self._rng = random.Random(FAULT_SEED)
+        self._environment = Environment(reactor, SEED, backend_count=BACKEND_COUNT)
+        self._environment.start()
+        self._fleet = FleetHarness(
+            self._environment,
+            self._folder,
+            MEMBER_COUNT,
+            fleet_settings(self._folder, MEMBER_COUNT, restart_delay_seconds=RESTART_DELAY_SECONDS),
+            supervisor_code=OVER_ALLOCATE_CODE if FAULT_MODE == "over-allocate" else "",
+        )
+        self.proof = Proof("prove-budgets")
+        self._grants = GrantWatch(self._fleet.state / "fleet.grants", self.proof)
+        self._customers: list[Customer] = []
+        self._fault_count = 0
+        self._regained_share_percent = 0.0
+        self._regained_seconds = 0.0
+        self._fleet_use_percent = 0.0  # of the customer that used most of its quota
+        self._counter_up_use_percent = 0.0
+        self._restart_use_percent = 0.0
+        self._quota_used_percent = 0.0  # of all quotas together, while the counter was up
+        self._exploration: Exploration | None = None
+        self._caught_count = 0
+
+    @inlineCallbacks
+    def run(self) -> Steps:
+        """Run all phases."""
+        self._fleet.start_supervisor()
+        yield self._fleet.wait_until_ready(MEMBER_COUNT)
+        LoopingCall(self._grants.read).start(0.01)
+        self._start_load()
+        self.proof.report(f"{MEMBER_COUNT} members under load")
+        yield self._inject_faults()
+        pids: list[int] = []
+        for member_count in SCALED_MEMBER_COUNTS:
+            yield self._scale(member_count)
+            pids = yield self._fleet.running_pids()
+        yield self._kill_members(pids)
+        self._environment.clients.stop()
+        yield self._fleet.wait_until_ready(MEMBER_COUNT)
+        yield self._fleet.order(do="down")
+        self._evaluate_fleet_use()
+        yield self._run_limiters_without_fleet()
+        self._explore_model()
+
+    def _start_load(self) -> None:
+        plans = list(PLANS)
+        for index in range(CUSTOMER_COUNT):
+            plan = plans[index % len(plans)]
+            units_per_second = PLANS[plan].units_per_second
+            demand_fraction = 3.0 if index % 3 == 0 and units_per_second < 5.0 else 0.7
+            customer = Customer(
+                1 + index,
+                plan,
+                demand_fraction * units_per_second,
+                first_limiter=index % MEMBER_COUNT,
+                spread=3,
+                limiter_count=MEMBER_COUNT,
+                first_limiter_fraction=0.5,
+            )
+            self._customers.append(customer)
+            self._environment.clients.start_customer(customer, REQUEST_CLASSES)
+
+    # Faults in the fleet.
+
+    @inlineCallbacks
+    def _inject_faults(self) -> Steps:
+        for _ in range(FAULT_COUNT):
+            yield self._inject_fault()
+            yield sleep(FAULT_INTERVAL_SECONDS)
+        yield sleep(MAX_PAUSE_SECONDS)
+        end = time.monotonic() + READY_TIMEOUT_SECONDS
+        while self._grants.total_percent() < MIN_SHARE_PERCENT and time.monotonic() < end:
+            yield sleep(0.02)
+        self.proof.report(
+            f"{self._fault_count} faults injected; {self._grants.holder_count()} members have "
+            f"{self._grants.total_percent():.1f}%"
         )
-        self.begun, self.most, self.faults, self.looks = time.monotonic(), 0.0, 0, 0
-        self.held: dict[str, float] = {}  # percent of the whole by member, of the kind that has least
-        self.units = {"fleet": 0.0, "up": 0.0, "restart": 0.0}  # worst customer, percent of the one true store
-        self.used = 0.0  # percent of their quotas that customers got while the counter was up
-        self.wrong: list[str] = []
-        self.customers: list[Customer] = []
-
-    def say(self, text: str) -> None:
-        """Progress, with the seconds since the beginning."""
-        print(f"{time.monotonic() - self.begun:6.1f} s  {text}", flush=True)
-
-    def look(self) -> None:
-        """Read the table as it is on the disk now."""
-        with contextlib.suppress(OSError):
-            data = (self.fleet.state / "fleet.grants").read_bytes()
-            try:
-                found = grant_file.unpack(data, "n")
-            except grant_file.GrantFileError as fault:
-                self.wrong.append(f"the table on the disk: {fault}")
-                return
-            self.looks += 1
-            kinds = range(len(Resource))
-            sums = [sum(r.noted[k] + r.noted[k + len(Resource)] for r in found.rows.values()) for k in kinds]
-            self.most = max(self.most, *(100.0 * s / TOTAL_POINTS for s in sums))
-            self.held = {
-                h: min(100.0 * (r.noted[k] + r.noted[k + len(Resource)]) / TOTAL_POINTS for k in kinds)
-                for h, r in found.rows.items()
-            }
 
     @inlineCallbacks
-    def fault(self) -> Steps:
-        """One of the faults."""
-        self.faults += 1
-        what = self.rng.choice(["kill", "stop", "stop", "stop", "supervisor", "scale"])
-        pids = yield self.fleet.pids()
-        if what == "supervisor" or not pids:
-            self.fleet.kill_supervisor()
-            self.fleet.up()
-        elif what == "scale":
-            count = self.rng.choice([MEMBERS - 3, MEMBERS, MEMBERS + 3])
-            self.fleet.order(do="scale", count=count).addErrback(lambda _: None)
+    def _inject_fault(self) -> Steps:
+        self._fault_count += 1
+        kind = self._rng.choice(FAULT_KINDS)
+        pids = yield self._fleet.running_pids()
+        if kind == "supervisor" or not pids:
+            self._fleet.kill_supervisor()
+            self._fleet.start_supervisor()
+        elif kind == "scale":
+            count = self._rng.choice([MEMBER_COUNT - SCALE_STEP, MEMBER_COUNT, MEMBER_COUNT + SCALE_STEP])
+            self._fleet.order(do="scale", count=count).addErrback(_ignore_error)
         else:
-            pid = self.rng.choice(pids)
-            self.fleet.signal(pid, signal.SIGKILL if what == "kill" else signal.SIGSTOP)
-            if what == "stop":
-                reactor.callLater(self.rng.uniform(0.2, LONGEST_STOP), self.fleet.signal, pid, signal.SIGCONT)
+            pid = self._rng.choice(pids)
+            self._fleet.signal_member(pid, signal.SIGKILL if kind == "kill" else signal.SIGSTOP)
+            if kind == "stop":
+                pause_seconds = self._rng.uniform(MIN_PAUSE_SECONDS, MAX_PAUSE_SECONDS)
+                reactor.callLater(pause_seconds, self._fleet.signal_member, pid, signal.SIGCONT)
 
     @inlineCallbacks
-    def scaled(self, count: int) -> Steps:
-        """Another size under load: those that are there then hold the whole soon."""
-        self.fleet.order(do="scale", count=count).addErrback(lambda _: None)
-        yield self.fleet.ready(count)
-        began, members = time.monotonic(), [f"n{n}" for n in range(count)]
-        while (share := sum(self.held.get(n, 0.0) for n in members)) < LEAST and time.monotonic() < began + REGAINED:
+    def _wait_until_regained(self, members: list[str]) -> Steps:
+        """Wait until these members have the fleet's limits again; return their share and the time that it took."""
+        started_at = time.monotonic()
+        share_percent = self._grants.total_percent(members)
+        while share_percent < MIN_SHARE_PERCENT and time.monotonic() < started_at + REGAIN_TIMEOUT_SECONDS:
             yield sleep(0.01)
-        self.say(f"{count} members hold {share:.1f}% {time.monotonic() - began:.2f} s after they were ready")
-        self.wrong += [f"{count} members hold {share:.1f}% after {REGAINED:g} s"] * (share < LEAST)
+            share_percent = self._grants.total_percent(members)
+        return share_percent, time.monotonic() - started_at
 
     @inlineCallbacks
-    def run(self) -> Steps:
-        """All of it."""
-        self.fleet.up()
-        yield self.fleet.ready(MEMBERS)
-        LoopingCall(self.look).start(0.01)
-        for n in range(36):
-            plan = list(PLANS)[n % len(PLANS)]
-            demand = 3.0 if n % 3 == 0 and PLANS[plan][0] < 5.0 else 0.7
-            self.customers.append(
-                Customer(1 + n, plan, demand * PLANS[plan][0], first=n % MEMBERS, spread=3, of=MEMBERS, favourite=0.5)
-            )
-            self.world.agents.begin(self.customers[-1], CLASSES)
-        self.say(f"{MEMBERS} members under load")
-        for _ in range(FAULTS):
-            yield self.fault()
-            yield sleep(PACE)
-        yield sleep(LONGEST_STOP)
-        yield self.fleet.order(do="scale", count=MEMBERS)
-        pids = yield self.fleet.ready(MEMBERS)
-        end = time.monotonic() + PATIENCE
-        while sum(self.held.values()) < LEAST and time.monotonic() < end:
-            yield sleep(0.02)
-        self.say(f"{self.faults} faults played; {sum(self.held.values()):.1f}% is held by {len(self.held)} members")
-        for count in (2 * MEMBERS, MEMBERS // 3, MEMBERS):
-            yield self.scaled(count)
-            pids = yield self.fleet.pids()
-        for pid in pids[:VICTIMS]:
-            self.fleet.signal(pid, signal.SIGKILL)
-        killed = time.monotonic()
-        survivors = [f"n{n}" for n in range(VICTIMS, MEMBERS)]
-        while (share := sum(self.held.get(n, 0.0) for n in survivors)) < LEAST and time.monotonic() < killed + REGAINED:
-            yield sleep(0.01)
-        regained = time.monotonic() - killed
-        self.say(f"{VICTIMS} of {MEMBERS} killed: the others hold {share:.1f}% after {regained:.2f} s")
-        self.world.agents.stop()
-        yield self.fleet.ready(MEMBERS)
-        yield self.fleet.order(do="down")
-        quota = {c.name: PLANS[c.plan] for c in self.customers}
-        self.units["fleet"] = worst(firsts(self.world.arrivals(), lambda _: True), lambda name: quota[name]).percent
-        self.say(f"the worst customer of the fleet got {self.units['fleet']:.1f}% of its quota in a span")
-        yield self.run_lines()
-        started = time.monotonic()
-        found = explored(Model.running(), DEPTH)
-        missed = [name for name, rule in RULES.items() if not caught(rule)]
-        self.say(f"{found.states} states explored to depth {found.depth} in {time.monotonic() - started:.1f} s")
-        self.wrong += [found.fault] * bool(found.fault) + [f"not caught: {name}" for name in missed]
-        self.wrong += [f"the sum came to {self.most:.3f}%"] * (self.most > 100.0)
-        self.wrong += [f"survivors hold {share:.1f}% after {regained:.1f} s"] * (share < LEAST)
-        self.wrong += [
-            f"a customer got {percent:.1f}% of its quota: {what}"
-            for what, percent in self.units.items()
-            if percent > (UP if what == "up" else RESTARTS)
-        ]
-        for fault in self.wrong[:10]:
-            print(f"fault: {fault}")
-        print(
-            f"prove-budgets: max_sum_pct={self.most:.3f} worst_units_pct_up={self.units['up']:.1f} "
-            f"worst_units_pct_restart={max(self.units['restart'], self.units['fleet']):.1f} "
-            f"units_used_pct_up={self.used:.1f} used_after_loss_pct={share:.1f} regained_s={regained:.2f} "
-            f"faults={self.faults} looks={self.looks} states_explored={found.states} "
-            f"broken_caught={len(RULES) - len(missed)}/{len(RULES)}",
-            flush=True,
+    def _scale(self, member_count: int) -> Steps:
+        """Scale the fleet under load; its members have the fleet's limits soon after."""
+        self._fleet.order(do="scale", count=member_count).addErrback(_ignore_error)
+        yield self._fleet.wait_until_ready(member_count)
+        members = [f"n{number}" for number in range(member_count)]
+        share_percent, seconds = yield self._wait_until_regained(members)
+        self.proof.report(f"{member_count} members have {share_percent:.1f}% {seconds:.2f} s after they were ready")
+        self.proof.fail_if(
+            share_percent < MIN_SHARE_PERCENT,
+            f"{member_count} members have {share_percent:.1f}% after {REGAIN_TIMEOUT_SECONDS:g} s",
         )
 
     @inlineCallbacks
-    def run_lines(self) -> Steps:
-        """The platform's run line, strictly divided, held to the true stores."""
-        schedule = run_line()
-        rig = Rig(reactor, schedule, self.folder)
-        yield rig.play()
-        self.faults += len([s for s in schedule.steps if s.do not in (Do.HEAL, Do.GO_ON, Do.START)])
-        self.units["up"] = got(rig, rig.begun + KILLED).percent
-        self.units["restart"] = got(rig).percent
-        quota, sent = 0.0, 0.0
-        for customer in {
-            r.customer.name: r.customer for r in rig.world.agents.results if r.begun < rig.begun + KILLED
-        }.values():
-            rate, burst = rig.world.plans[customer.plan]
-            quota += burst + rate * KILLED
-            sent += sum(
-                a.units for a in rig.world.arrivals() if a.customer == customer.name and a.at < rig.begun + KILLED
-            )
-        self.used = 100.0 * sent / quota
-        self.wrong += [f"{judge}: {fault}" for judge, faults in judged(rig).items() for fault in faults[:3]]
-        self.say(
-            f"{MEMBERS} of the run line: the worst customer got {self.units['up']:.1f}% of its quota with the "
-            f"counter up, {self.units['restart']:.1f}% through restarts; all together {self.used:.1f}%"
+    def _kill_members(self, pids: list[int]) -> Steps:
+        for pid in pids[:VICTIM_COUNT]:
+            self._fleet.signal_member(pid, signal.SIGKILL)
+        survivors = [f"n{number}" for number in range(VICTIM_COUNT, MEMBER_COUNT)]
+        share_percent, seconds = yield self._wait_until_regained(survivors)
+        self._regained_share_percent = share_percent
+        self._regained_seconds = seconds
+        self.proof.report(
+            f"{VICTIM_COUNT} of {MEMBER_COUNT} killed: the others have {share_percent:.1f}% after {seconds:.2f} s"
+        )
+
+    # What customers used.
+
+    def _evaluate_fleet_use(self) -> None:
+        quotas = {customer.name: PLANS[customer.plan] for customer in self._customers}
+        attempts = first_attempts(self._environment.received(), lambda _: True)
+        self._fleet_use_percent = highest_use(attempts, quotas.__getitem__).percent
+        self.proof.report(f"the highest use of a quota in a span was {self._fleet_use_percent:.1f}% in the fleet")
+
+    @inlineCallbacks
+    def _run_limiters_without_fleet(self) -> Steps:
+        """Run limiters of the platform's run line, which reserve units, and compare with one bucket a customer."""
+        quota_mode = "demand" if FAULT_MODE == "demand-quotas" else "tickets"
+        schedule = run_line_schedule(quota_mode)
+        cluster = ClusterHarness(reactor, schedule, self._folder)
+        yield cluster.run()
+        ending_actions = (FaultAction.HEAL_LINK, FaultAction.RESUME_LIMITER, FaultAction.START_LIMITER)
+        self._fault_count += sum(step.action not in ending_actions for step in schedule.steps)
+        killed_at = cluster.load_started_at + KILL_AT_SECONDS
+        self._counter_up_use_percent = highest_quota_use(cluster, killed_at).percent
+        self._restart_use_percent = highest_quota_use(cluster).percent
+        self._quota_used_percent = self._used_percent_of_all(cluster, killed_at)
+        for checker, violations in check_all(cluster).items():
+            for violation in violations[:MAX_SHOWN_VIOLATIONS]:
+                self.proof.fail_if(True, f"{checker}: {violation}")
+        self.proof.report(
+            f"{LIMITER_COUNT} of the run line: the highest use of a quota was {self._counter_up_use_percent:.1f}% with "
+            f"the counter up, {self._restart_use_percent:.1f}% through restarts; all quotas together "
+            f"{self._quota_used_percent:.1f}%"
+        )
+
+    @staticmethod
+    def _used_percent_of_all(cluster: ClusterHarness, until: float) -> float:
+        """Return how much of all customers' quotas together was used until a time."""
+        environment = cluster.environment
+        results = environment.clients.results
+        customers = {result.customer.name: result.customer for result in results if result.started_at < until}
+        quotas = [environment.plans[customer.plan] for customer in customers.values()]
+        quota_units = sum(quota.burst_units + quota.units_per_second * KILL_AT_SECONDS for quota in quotas)
+        used_units = sum(
+            request.units
+            for request in environment.received()
+            if request.customer in customers and request.received_at < until
+        )
+        return 100.0 * used_units / quota_units
+
+    # The model, and the end.
+
+    def _explore_model(self) -> None:
+        started_at = time.monotonic()
+        exploration = explore(LeaseModel.all_running(), MODEL_DEPTH)
+        missed = [name for name, rule in RULES.items() if not violation_without(rule)]
+        self._exploration = exploration
+        self._caught_count = len(RULES) - len(missed)
+        self.proof.report(
+            f"{exploration.state_count} states explored to depth {exploration.depth} in "
+            f"{time.monotonic() - started_at:.1f} s"
         )
+        self.proof.fail_if(bool(exploration.violation), exploration.violation)
+        for name in missed:
+            self.proof.fail_if(True, f"not caught: {name}")
+
+    def _check_bounds(self) -> None:
+        sum_percent = self._grants.max_sum_percent
+        self.proof.fail_if(sum_percent > MAX_SUM_PERCENT, f"the sum came to {sum_percent:.3f}%")
+        self.proof.fail_if(
+            self._regained_share_percent < MIN_SHARE_PERCENT,
+            f"survivors have {self._regained_share_percent:.1f}% after {self._regained_seconds:.1f} s",
+        )
+        for name, percent, max_percent in (
+            ("fleet", self._fleet_use_percent, MAX_USE_PERCENT_RESTARTS),
+            ("up", self._counter_up_use_percent, MAX_USE_PERCENT_COUNTER_UP),
+            ("restart", self._restart_use_percent, MAX_USE_PERCENT_RESTARTS),
+        ):
+            self.proof.fail_if(percent > max_percent, f"a customer used {percent:.1f}% of its quota: {name}")
+
+    def _figures(self) -> dict[str, object]:
+        return {
+            "max_sum_pct": f"{self._grants.max_sum_percent:.3f}",
+            "worst_units_pct_up": f"{self._counter_up_use_percent:.1f}",
+            "worst_units_pct_restart": f"{max(self._restart_use_percent, self._fleet_use_percent):.1f}",
+            "units_used_pct_up": f"{self._quota_used_percent:.1f}",
+            "used_after_loss_pct": f"{self._regained_share_percent:.1f}",
+            "regained_s": f"{self._regained_seconds:.2f}",
+            "faults": self._fault_count,
+            "looks": self._grants.read_count,
+            "states_explored": self._exploration.state_count if self._exploration else 0,
+            "broken_caught": f"{self._caught_count}/{len(RULES)}",
+        }
+
+    def finish(self, *, is_complete: bool) -> int:
+        """Print the failures, and after a complete run the last line; return the exit code."""
+        if is_complete:
+            self._check_bounds()
+        self.proof.print_failures(MAX_SHOWN_FAILURES)
+        if is_complete:
+            self.proof.print_last_line(self._figures())
+        return self.proof.exit_code()
 
-    def clean(self) -> None:
-        """End what is left."""
-        self.fleet.end()
-        shutil.rmtree(self.folder, ignore_errors=True)
+    def clean_up(self) -> None:
+        """End what is left, and remove the folder."""
+        self._fleet.end()
+        shutil.rmtree(self._folder, ignore_errors=True)
 
 
 def main() -> int:
-    """The exit code."""
-    proof, crashed = Proof(), list[Any]()
-    reactor.callWhenRunning(lambda: proof.run().addErrback(crashed.append).addBoth(lambda _: reactor.stop()))
+    """Run, evaluate and clean up; return the exit code."""
+    budget_proof = BudgetProof()
     try:
-        reactor.run()
+        is_complete = budget_proof.proof.run(budget_proof.run)
     finally:
-        proof.clean()
-    for failure in crashed:
-        print(f"fault: {failure.getTraceback()}")
-    return int(bool(crashed or proof.wrong))
+        budget_proof.clean_up()
+    return budget_proof.finish(is_complete=is_complete)
 
 
 if __name__ == "__main__":
--- a/benchmarks/prove_fleet.py
+++ b/benchmarks/prove_fleet.py
@@ -1,301 +1,263 @@
 """`make prove-fleet`: twenty real limiters on loopback, under load, through all that happens to a fleet.
 
-One run: start, roll, kill -9, scale from 20 to 24, upgrade, scale back, stop. What is told was counted outside the
-program: at the servers, which note each call that reached them whole, and at the user agents, which count every
-answer. FULL=1 runs the phases longer. BREAK=memory starts members without snapshots: broken on purpose, this has to
-fail with units minted.
+One run: start, roll, kill -9, scale from 20 to 24, upgrade, scale back, stop. The figures are counted outside the
+program: at the backends, which record each complete request, and at the clients, which count every response. FULL=1
+makes the phases longer. FAULT_MODE=no-snapshots starts members without snapshots, which the proof has to find by the
+units that were minted. KEEP=1 keeps the folder.
 """
 
 from __future__ import annotations
 
-import contextlib
-import json
 import os
 import shutil
 import signal
-import subprocess
 import sys
 import tempfile
-import time
-from collections import Counter as EventCounts
+from collections import Counter
 from pathlib import Path
-from typing import Any
 
 import psutil
-from twisted.internet.defer import Deferred, inlineCallbacks
+from twisted.internet.defer import inlineCallbacks
 
-from thymeflow.handover.control_client import NoAnswerError, send_request
+from benchmarks.frame import FAULT_MODE, IS_FULL, Proof
 from thymeflow.runtime import clock
 from thymeflow.testkit.async_steps import Steps, reactor, sleep
-from thymeflow.testkit.fakes import Customer, World
-from thymeflow.testkit.fakes.site import CLASSES, PLANS
+from thymeflow.testkit.fakes import Customer, Environment, RequestOutcome
+from thymeflow.testkit.fakes.site import PLANS, REQUEST_CLASSES, PlanQuota
+from thymeflow.testkit.fleet_harness import FleetHarness
 
-FULL = os.environ.get("FULL") == "1"
-BREAK = os.environ.get("BREAK", "")
-MEMBERS, MORE = 20, 24
-PARTY = ("pesta", (0.5, 60.0))  # a plan whose burst is worth two minutes of its rate: minting would show
-PARTY_PACE = 4.0  # requests a second of each party customer, whose set is one limiter
-ORDINARY, SHARE = 64, 0.9  # customers of the other plans, and what they ask of their quota
-LATE_AFTER = 10.0  # s after joining, from when a late joiner has to be like its peers
-MOST_GAP = 0.05
-MARGIN = 3.0  # units: what docs/fleet.md promises for a customer of one limiter
-LONGEST = 300.0 if FULL else 100.0  # s: past it something hangs, and that is a failure
+SEED = 7
+BACKEND_COUNT = 12
+MEAN_WORK_SECONDS = 0.03
+MEMBER_COUNT = 20
+SCALED_MEMBER_COUNT = 24
+KILLED_MEMBER = 5
+BURSTY_PLAN = "pesta"
+BURSTY_QUOTA = PlanQuota(0.5, 60.0)  # a burst of two minutes of the rate, so that minted units show
+BURSTY_REQUESTS_PER_SECOND = 4.0  # of each customer of that plan, each of which uses one limiter
+ORDINARY_CUSTOMER_COUNT = 64
+FIRST_ORDINARY_CUSTOMER = 1000
+ORDINARY_DEMAND_FRACTION = 0.9  # of the quota
+LATE_JOINER_SETTLING_SECONDS = 10.0  # after which a member that joined late has to be like its peers
+LATE_JOINER_OBSERVED_SECONDS = 6.0
+MAX_LATE_JOINER_GAP = 0.05
+MAX_EXTRA_UNITS = 3.0  # beyond its quota, that docs/fleet.md allows a customer of one limiter
+MIN_REQUEST_COUNT = 1000
+MAX_SHOWN_RESULTS = 5
+LOAD_SECONDS = 30.0 if IS_FULL else 5.0
+ORDER_TIMEOUT_SECONDS = 90.0
+TIMEOUT_SECONDS = 300.0 if IS_FULL else 100.0
+FIGURE_NAMES = (
+    "requests",
+    "unanswered",
+    "twice",
+    "ready_s",
+    "refused_connects",
+    "late_joiner_gap",
+    "minted_units",
+    "rss_mb_each",
+    "lost_to_kill",
+    "failed",
+)
 
 
-class Proof:
-    """The run."""
+def make_folder() -> Path:
+    """Return a temporary folder, in memory where the machine has one that can be written.
 
-    def __init__(self) -> None:
-        # Twenty-four snapshots a second, each with its fsync, are a trial of the machine's disk and not of this
-        # program: in memory where the machine has such a folder, as docs/fleet.md advises for a state folder.
-        memory = Path("/dev/shm")
-        self.folder = Path(tempfile.mkdtemp(prefix="tf-", dir=memory if os.access(memory, os.W_OK) else None))
-        self.world = World(reactor, 7, servers=12, plans={**PLANS, PARTY[0]: PARTY[1]})
-        self.world.start()
-        for server in self.world.servers:
-            server.mean = 0.03
-        (self.folder / "platform.json").write_text(json.dumps(self.world.config(MEMBERS)))
-        (self.folder / "thymeflow.ini").write_text(
-            f"[fleet]\ninstances = {MEMBERS}\nspread = 900ms\nsettle = {'2s' if FULL else '150ms'}\n"
-            f"[log]\nform = json\nfile = {self.folder}/log\n"
-            f"[snapshot]\nevery = 1s\nkeep = {'no' if BREAK == 'memory' else 'yes'}\n"
-        )
-        self.begun = time.monotonic()
-        self.facts: dict[str, Any] = {}
-        self.faults: list[str] = []
-        self.supervisor: subprocess.Popen[bytes] | None = None
+    Twenty-four snapshots a second, each with its fsync, would test the machine's disk and not this program;
+    docs/fleet.md advises the same for a state folder.
+    """
+    memory = Path("/dev/shm")
+    return Path(tempfile.mkdtemp(prefix="tf-", dir=memory if os.access(memory, os.W_OK) else None))
 
-    def say(self, text: str) -> None:
-        """Progress, with the seconds since the beginning."""
-        print(f"{time.monotonic() - self.begun:6.1f} s  {text}", flush=True)
 
-    def up(self) -> None:
-        """Start a supervisor."""
-        self.supervisor = subprocess.Popen(
-            [
-                sys.executable,
-                "-m",
-                "thymeflow",
-                "fleet",
-                "up",
-                "--settings",
-                str(self.folder / "thymeflow.ini"),
-                "--platform",
-                str(self.folder / "platform.json"),
-                "--state",
-                str(self.folder / "s"),
-            ],
-            stdout=subprocess.DEVNULL,
-        )
+def settings_text(folder: Path) -> str:
+    """Return the INI file of the fleet."""
+    return (
+        f"[fleet]\ninstances = {MEMBER_COUNT}\nspread = 900ms\nsettle = {'2s' if IS_FULL else '150ms'}\n"
+        f"[log]\nform = json\nfile = {folder}/log\n"
+        f"[snapshot]\nevery = 1s\nkeep = {'no' if FAULT_MODE == 'no-snapshots' else 'yes'}\n"
+    )
 
-    def order(self, patience: float = 90.0, **message: Any) -> Deferred[dict[str, Any]]:
-        """Ask the supervisor; progress is not printed, only the end counts."""
-        return send_request(
-            reactor, self.world.deadlines, self.folder / "s" / "fleet.sock", message, clock.now() + patience
-        )
 
-    @inlineCallbacks
-    def status(self) -> Steps:
-        """The fleet's status; {} while nobody answers."""
-        try:
-            answer = yield self.order(2.0, do="status")
-        except NoAnswerError:
-            return {}
-        return answer
+class FleetProof:
+    """One run."""
+
+    def __init__(self) -> None:
+        self._folder = make_folder()
+        self._environment = Environment(
+            reactor, SEED, backend_count=BACKEND_COUNT, plans={**PLANS, BURSTY_PLAN: BURSTY_QUOTA}
+        )
+        self._environment.start()
+        for backend in self._environment.backends:
+            backend.behavior.mean_work_seconds = MEAN_WORK_SECONDS
+        self._fleet = FleetHarness(self._environment, self._folder, MEMBER_COUNT, settings_text(self._folder))
+        self._figures: dict[str, float] = {}
+        self.proof = Proof("prove-fleet")
 
     @inlineCallbacks
-    def ready(self, count: int, within: float) -> Steps:
-        """Wait until so many members are ready; their status."""
-        end = time.monotonic() + within
-        while time.monotonic() < end:
-            status = yield self.status()
-            if status.get("ready") == count and not status.get("working"):
-                for number, member in enumerate(status["members"]):
-                    host, _, port = member["listen"].rpartition(":")
-                    self.world.addresses[number] = (host, int(port))
-                return status
+    def run(self) -> Steps:
+        """Run all phases."""
+        self._fleet.start_supervisor()
+        yield self._fleet.wait_until_ready(MEMBER_COUNT, 30.0)
+        self._figures["ready_s"] = round(self.proof.elapsed_seconds(), 2)
+        self.proof.report(f"{MEMBER_COUNT} members are ready")
+        self._start_load(MEMBER_COUNT)
+        load_started_at = clock.now()
+        yield sleep(LOAD_SECONDS)
+        yield self._order("restart")
+        yield self._kill_member()
+        yield self._scale_up_and_upgrade()
+        self._start_load(MEMBER_COUNT)
+        yield sleep(0.5)
+        yield self._order("scale", count=MEMBER_COUNT)
+        yield self._fleet.wait_until_ready(MEMBER_COUNT, 20.0)
+        yield sleep(1.0)
+        self._environment.clients.stop()
+        load_seconds = clock.now() - load_started_at
+        while self._environment.clients.pending:
             yield sleep(0.05)
-        raise AssertionError(f"{count} members were not ready within {within:g} s")
+        self._evaluate(load_seconds)
+        yield self._order("down")
 
     @inlineCallbacks
-    def ordered(self, **message: Any) -> Steps:
-        """An order and its end; one that is not reached is a fault."""
-        before = time.monotonic()
-        answer = yield self.order(**message)
-        self.say(f"{message['do']}: {answer.get('why')} ({time.monotonic() - before:.1f} s)")
-        if not answer.get("ok"):
-            self.faults.append(f"{message['do']}: {answer.get('why')}")
+    def _order(self, order: str, **arguments: int) -> Steps:
+        """Give an order and wait for its end; a negative reply is a failure."""
+        started_at = clock.now()
+        reply = yield self._fleet.order(ORDER_TIMEOUT_SECONDS, do=order, **arguments)
+        self.proof.report(f"{order}: {reply.get('why')} ({clock.now() - started_at:.1f} s)")
+        self.proof.fail_if(not reply.get("ok"), f"{order}: {reply.get('why')}")
 
-    def customers(self, gateways: int) -> None:
-        """Deal all customers out over the set as it is now; each asks from now on as before."""
+    def _start_load(self, limiter_count: int) -> None:
+        """Distribute all customers over the limiters as they are now; each sends requests from now on as before."""
         plans = list(PLANS)
-        for n in range(ORDINARY):
-            plan = plans[n % len(plans)]
-            self.world.agents.begin(
-                Customer(
-                    1000 + n,
-                    plan,
-                    SHARE * PLANS[plan][0],
-                    first=(n * 7) % gateways,
-                    spread=3,
-                    of=gateways,
-                    favourite=0.5,
-                ),
-                CLASSES,
+        for index in range(ORDINARY_CUSTOMER_COUNT):
+            plan = plans[index % len(plans)]
+            customer = Customer(
+                FIRST_ORDINARY_CUSTOMER + index,
+                plan,
+                ORDINARY_DEMAND_FRACTION * PLANS[plan].units_per_second,
+                first_limiter=(index * 7) % limiter_count,
+                spread=3,
+                limiter_count=limiter_count,
+                first_limiter_fraction=0.5,
             )
-        for n in range(MEMBERS):
-            self.world.agents.begin(Customer(1 + n, PARTY[0], PARTY_PACE, first=n, of=gateways), CLASSES)
+            self._environment.clients.start_customer(customer, REQUEST_CLASSES)
+        for index in range(MEMBER_COUNT):
+            customer = self._bursty_customer(index, limiter_count)
+            self._environment.clients.start_customer(customer, REQUEST_CLASSES)
+
+    @staticmethod
+    def _bursty_customer(index: int, limiter_count: int = 1) -> Customer:
+        return Customer(
+            1 + index, BURSTY_PLAN, BURSTY_REQUESTS_PER_SECOND, first_limiter=index, limiter_count=limiter_count
+        )
 
     @inlineCallbacks
-    def run(self) -> Steps:
-        """All phases."""
-        world = self.world
-        self.up()
-        yield self.ready(MEMBERS, 30.0)
-        self.facts["ready_s"] = round(time.monotonic() - self.begun, 2)
-        self.say(f"{MEMBERS} members are ready")
-        self.customers(MEMBERS)
-        loaded = clock.now()
-        yield sleep(30.0 if FULL else 5.0)
-        if FULL:
-            self.say("spent")
-        yield self.ordered(do="restart")
-        status = yield self.status()
-        rss = [psutil.Process(m["pid"]).memory_info().rss / 2**20 for m in status["members"]]
-        self.facts["rss_mb_each"] = round(sum(rss) / len(rss), 1)
-        victim = status["members"][5]
-        world.agents.killed(5)
-        os.kill(victim["pid"], signal.SIGKILL)
-        killed = time.monotonic()
+    def _kill_member(self) -> Steps:
+        status = yield self._fleet.status()
+        memory_mb = [psutil.Process(member.pid).memory_info().rss / 2**20 for member in status.members]
+        self._figures["rss_mb_each"] = round(sum(memory_mb) / len(memory_mb), 1)
+        victim = status.members[KILLED_MEMBER]
+        self._environment.clients.on_limiter_killed(KILLED_MEMBER)
+        self._fleet.signal_member(victim.pid, signal.SIGKILL)
+        killed_at = clock.now()
         yield sleep(0.3)
-        yield self.ready(MEMBERS, 20.0)
-        self.say(f"killed {victim['name']}, back after {time.monotonic() - killed:.1f} s")
-        yield self.ordered(do="scale", count=MORE)
-        yield self.ready(MORE, 20.0)
-        joined = clock.now()
-        self.customers(MORE)
-        yield self.ordered(do="upgrade")
-        if clock.now() < joined + LATE_AFTER + 6.0:
-            yield sleep(joined + LATE_AFTER + 6.0 - clock.now())
-        since, until = joined + LATE_AFTER, clock.now()
-        late = world.room_share(set(range(MEMBERS, MORE)), since, until, PARTY[0])
-        peers = world.room_share(set(range(MEMBERS)), since, until, PARTY[0])
-        self.facts["late_joiner_gap"] = round(abs(late - peers), 3)
-        self.say(f"refused with room: late joiners {late:.3f}, their peers {peers:.3f} over {until - since:.0f} s")
-        self.customers(MEMBERS)
-        yield sleep(0.5)
-        yield self.ordered(do="scale", count=MEMBERS)
-        yield self.ready(MEMBERS, 20.0)
-        yield sleep(1.0)
-        world.agents.stop()
-        span = clock.now() - loaded
-        while world.agents.open:
-            yield sleep(0.05)
-        self.judge(span)
-        yield self.ordered(do="down")
+        yield self._fleet.wait_until_ready(MEMBER_COUNT, 20.0)
+        self.proof.report(f"killed {victim.name}, back after {clock.now() - killed_at:.1f} s")
 
-    def judge(self, span: float) -> None:
-        """What was seen from outside."""
-        world = self.world
-        results = world.agents.results
-        verdicts = EventCounts(r.verdict for r in results)
-        allowed = PARTY[1][1] + PARTY[1][0] * span + MARGIN
-        sent = [world.units_sent(Customer(1 + n, PARTY[0], PARTY_PACE)) for n in range(MEMBERS)]
-        asked = PARTY_PACE * span
-        self.say(
-            f"party customers were sent on {min(sent):.0f} to {max(sent):.0f} units of {allowed:.1f} allowed and "
-            f"about {asked:.0f} asked"
+    @inlineCallbacks
+    def _scale_up_and_upgrade(self) -> Steps:
+        yield self._order("scale", count=SCALED_MEMBER_COUNT)
+        yield self._fleet.wait_until_ready(SCALED_MEMBER_COUNT, 20.0)
+        joined_at = clock.now()
+        self._start_load(SCALED_MEMBER_COUNT)
+        yield self._order("upgrade")
+        since = joined_at + LATE_JOINER_SETTLING_SECONDS
+        remaining_seconds = since + LATE_JOINER_OBSERVED_SECONDS - clock.now()
+        if remaining_seconds > 0.0:
+            yield sleep(remaining_seconds)
+        until = clock.now()
+        late_fraction = self._rejected_fraction(range(MEMBER_COUNT, SCALED_MEMBER_COUNT), since, until)
+        peer_fraction = self._rejected_fraction(range(MEMBER_COUNT), since, until)
+        self._figures["late_joiner_gap"] = round(abs(late_fraction - peer_fraction), 3)
+        self.proof.report(
+            f"rejected within quota: late joiners {late_fraction:.3f}, their peers {peer_fraction:.3f} over "
+            f"{until - since:.0f} s"
         )
-        unanswered, twice = world.unanswered(), world.answered_twice()
-        for result in (unanswered + twice)[:5]:
-            at = time.monotonic() - self.begun - (clock.now() - result.begun)
-            self.say(
-                f"{result.id} at {at:.2f} s through {result.limiter}: {result.verdict}, {result.answers} answers, "
-                f"{'; '.join(result.notes)}"
-            )
-        cpu = psutil.Process().cpu_times()
-        self.say(f"this process, stand-ins and user agents: {cpu.user + cpu.system:.0f} s of CPU")
-        self.say(f"verdicts {dict(verdicts)}; counter turned away {world.counter.turned_away} of {world.counter.calls}")
-        self.facts.update(
+
+    def _rejected_fraction(self, limiters: range, since: float, until: float) -> float:
+        return self._environment.rejected_within_quota_fraction(set(limiters), since, until, BURSTY_PLAN)
+
+    def _evaluate(self, load_seconds: float) -> None:
+        """Evaluate what was seen from outside."""
+        environment = self._environment
+        results = environment.clients.results
+        outcomes = Counter(result.outcome for result in results)
+        unanswered = environment.unanswered()
+        wrongly_answered = environment.wrongly_answered()
+        self._figures.update(
             requests=len(results),
             unanswered=len(unanswered),
-            twice=len(twice) + len(world.unlawful()),
-            lost_to_kill=sum(r.verdict == "unanswered" and r.killed for r in results),
-            refused_connects=verdicts["refused connect"],
-            failed=verdicts["failed"],  # no server here fails: a member that knows another size of the set does
-            minted_units=round(max(0.0, max(sent) - allowed), 1),
+            twice=len(wrongly_answered) + len(environment.attempt_violations()),
+            lost_to_kill=outcomes[RequestOutcome.UNANSWERED] - len(unanswered),
+            refused_connects=outcomes[RequestOutcome.CONNECT_REFUSED],
+            failed=outcomes[RequestOutcome.FAILED],  # backends do not fail: a member with a wrong fleet size does
+            minted_units=self._minted_units(load_seconds),
         )
-
-    def verdict(self) -> int:
-        """The last line, and the exit code."""
-        facts = self.facts
-        order = (
-            "requests",
-            "unanswered",
-            "twice",
-            "ready_s",
-            "refused_connects",
-            "late_joiner_gap",
-            "minted_units",
-            "rss_mb_each",
-            "lost_to_kill",
-            "failed",
+        for result in (unanswered + wrongly_answered)[:MAX_SHOWN_RESULTS]:
+            started_at = self.proof.elapsed_seconds() - (clock.now() - result.started_at)
+            self.proof.report(
+                f"{result.request_id} at {started_at:.2f} s through {result.limiter}: {result.outcome.value}, "
+                f"{result.response_count} responses, {'; '.join(result.details)}"
+            )
+        cpu = psutil.Process().cpu_times()
+        self.proof.report(f"this process, fakes and clients: {cpu.user + cpu.system:.0f} s of CPU")
+        counts = {outcome.value: count for outcome, count in outcomes.items()}
+        self.proof.report(
+            f"outcomes {counts}; the counter rejected {environment.counter.rejected_count} of "
+            f"{environment.counter.call_count} calls"
         )
-        missed = [name for name in order if name not in facts]
-        bad = bool(
-            self.faults
-            or missed
-            or facts["unanswered"]
-            or facts["twice"]
-            or facts["minted_units"]
-            or facts["late_joiner_gap"] > MOST_GAP
-            or facts["refused_connects"]
-            or facts["failed"]
-            or facts["requests"] < 1000
+
+    def _minted_units(self, load_seconds: float) -> float:
+        allowed_units = BURSTY_QUOTA.burst_units + BURSTY_QUOTA.units_per_second * load_seconds + MAX_EXTRA_UNITS
+        forwarded = [self._environment.units_received(self._bursty_customer(index)) for index in range(MEMBER_COUNT)]
+        self.proof.report(
+            f"{min(forwarded):.0f} to {max(forwarded):.0f} units of each bursty customer were forwarded, of "
+            f"{allowed_units:.1f} allowed and about {BURSTY_REQUESTS_PER_SECOND * load_seconds:.0f} requested"
         )
-        for fault in self.faults + [f"not measured: {name}" for name in missed]:
-            self.say(f"FAULT {fault}")
-        print("prove-fleet: " + " ".join(f"{name}={facts.get(name, '?')}" for name in order), flush=True)
-        return int(bad)
+        return round(max(0.0, max(forwarded) - allowed_units), 1)
+
+    def finish(self) -> int:
+        """Print the failures and the last line, and return the exit code."""
+        figures = self._figures
+        for name in FIGURE_NAMES:
+            self.proof.fail_if(name not in figures, f"not measured: {name}")
+        for name in ("unanswered", "twice", "minted_units", "refused_connects", "failed"):
+            self.proof.fail_if(figures.get(name, 0) != 0, f"{name} is {figures.get(name)}")
+        gap = figures.get("late_joiner_gap", 0.0)
+        self.proof.fail_if(gap > MAX_LATE_JOINER_GAP, f"late_joiner_gap is {gap}, over {MAX_LATE_JOINER_GAP}")
+        request_count = figures.get("requests", MIN_REQUEST_COUNT)
+        self.proof.fail_if(request_count < MIN_REQUEST_COUNT, f"only {request_count} requests were sent")
+        self.proof.print_failures()
+        self.proof.print_last_line({name: figures.get(name, "?") for name in FIGURE_NAMES})
+        return self.proof.exit_code()
 
-    def clean(self) -> None:
-        """End what is left, by the ids of what we started, and remove the folder."""
-        for path in (self.folder / "s").glob("*.lock"):
-            words = path.read_text().split()
-            if path.stem != "fleet" and words and words[0].isdigit():
-                with contextlib.suppress(psutil.Error):
-                    process = psutil.Process(int(words[0]))
-                    if str(self.folder) in " ".join(process.cmdline()):
-                        process.kill()
-        if self.supervisor is not None and self.supervisor.poll() is None:
-            self.supervisor.kill()
-        if self.supervisor is not None:
-            self.supervisor.wait()
+    def clean_up(self) -> None:
+        """End what is left, and remove the folder."""
+        self._fleet.end()
         if os.environ.get("KEEP") != "1":
-            shutil.rmtree(self.folder, ignore_errors=True)
+            shutil.rmtree(self._folder, ignore_errors=True)
 
 
 def main() -> int:
-    """Run, judge, clean up."""
-    proof = Proof()
-
-    def failed(failure: Any) -> None:
-        proof.faults.append(failure.getErrorMessage() or repr(failure.value))
-        failure.printTraceback()
-
-    def hung() -> None:
-        proof.faults.append(f"no end within {LONGEST:g} s")
-        reactor.stop()
-
-    reactor.callWhenRunning(
-        lambda: proof.run().addErrback(failed).addBoth(lambda _: reactor.stop() if reactor.running else None)
-    )
-    reactor.callLater(LONGEST, hung)
+    """Run, evaluate and clean up; return the exit code."""
+    fleet_proof = FleetProof()
     try:
-        reactor.run()
-        return proof.verdict()
+        fleet_proof.proof.run(fleet_proof.run, TIMEOUT_SECONDS)
+        return fleet_proof.finish()
     finally:
-        proof.clean()
+        fleet_proof.clean_up()
 
 
 if __name__ == "__main__":
--- a/benchmarks/run_line.py
+++ b/benchmarks/run_line.py
@@ -1,9 +1,9 @@
-"""What the platform's run line costs, against another tree: start, idle memory and CPU a request, in turn.
+"""What the platform's run line costs, against another tree: start, idle memory and CPU per request, in turn.
 
-    python benchmarks/run_line.py OTHER_TREE [ROUNDS]
+    PYTHONPATH=. python benchmarks/run_line.py OTHER_TREE [ROUNDS]
 
-Both trees run under this Python, one after the other in each round, over the same stand-ins; the figures are
-medians, and the last line compares them with what DEVELOPERS.md allows: 3%, 1 MB, 3%.
+Both trees run under this Python, one after the other in each round, in the same test environment; the figures are
+medians, and the last line compares them with the budget: 3% for the start, 1 MB of memory, 3% of CPU.
 """
 
 from __future__ import annotations
@@ -18,110 +18,161 @@
 import time
 from pathlib import Path
 from statistics import median
-from typing import Any
+from typing import NamedTuple
 
 import psutil
 from twisted.internet.defer import inlineCallbacks
 from twisted.internet.threads import deferToThread
 
+from benchmarks.frame import ScriptEnd, run_script
 from thymeflow.testkit.async_steps import Steps, reactor, sleep
-from thymeflow.testkit.fakes import Customer, World
+from thymeflow.testkit.fakes import Customer, Environment
+from thymeflow.testkit.fakes.site import CHECK_CLASS, PlanQuota
+from thymeflow.testkit.types import Address
 
-REQUESTS, PACE = 2400, 600.0  # a round; open-loop, a second
+SEED = 3
+BACKEND_COUNT = 4
+MEAN_WORK_SECONDS = 0.002
+PLAN = "korporat"
+QUOTA = PlanQuota(5000.0, 5000.0)
+REQUEST_COUNT = 2400  # in a round
+REQUESTS_PER_SECOND = 600.0
+IDLE_SECONDS = 1.0  # before its memory is read
+DEFAULT_ROUNDS = 5
+MAX_START_RATIO = 1.03
+MAX_EXTRA_MEMORY_MB = 1.0
+MAX_CPU_RATIO = 1.03
+SOURCE_ROOT = Path(__file__).resolve().parent.parent
 
 
-def pong(address: tuple[str, int]) -> None:
-    """Wait for the yes that the front waits for: what the log says comes before or after it, as the tree has it."""
-    with socket.create_connection(address, 10.0) as front:
-        front.sendall(b"*1\r\n$4\r\nPING\r\n")
-        assert front.recv(100) == b"+PONG\r\n"
+class Cost(NamedTuple):
+    """What one run of one tree cost."""
+
+    start_seconds: float
+    memory_mb: float
+    cpu_ms_per_request: float
+
+
+def wait_for_pong(address: Address) -> None:
+    """Wait for the reply that the platform waits for; it may come before the line in the log or after it."""
+    with socket.create_connection(address, 10.0) as connection:
+        connection.sendall(b"*1\r\n$4\r\nPING\r\n")
+        assert connection.recv(100) == b"+PONG\r\n"
 
 
 @inlineCallbacks
-def one(world: World, tree: Path, config: Path) -> Steps:
-    """Start, idle MB and CPU ms a request of one tree."""
-    begun = time.monotonic()
+def start_limiter(environment: Environment, tree: Path, config_path: Path) -> Steps:
+    """Start the run line of a tree, wait until it serves, and return the process."""
     process = subprocess.Popen(
         [sys.executable, "-m", "thymeflow"],
         cwd=tree,
         stderr=subprocess.PIPE,
         text=True,
-        env={**os.environ, "BALANCER_CONFIG": str(config)},
+        env={**os.environ, "BALANCER_CONFIG": str(config_path)},
     )
     assert process.stderr is not None
-    while "phase: serving" not in (line := (yield deferToThread(process.stderr.readline))):  # discovery has to answer
+    line = ""
+    while "phase: serving" not in line:
+        line = yield deferToThread(process.stderr.readline)  # in a thread, as discovery has to respond meanwhile
         if "listening:" in line:
-            world.addresses[0] = ("127.0.0.1", int(line.rsplit(":", 1)[1]))
-    yield deferToThread(pong, world.addresses[0])
-    start = time.monotonic() - begun
+            environment.limiter_addresses[0] = ("127.0.0.1", int(line.rsplit(":", 1)[1]))
+    yield deferToThread(wait_for_pong, environment.limiter_addresses[0])
+    return process
+
+
+@inlineCallbacks
+def send_load(environment: Environment) -> Steps:
+    """Send the requests of a round, and wait for their responses."""
+    customer = Customer(1, PLAN, REQUESTS_PER_SECOND)
+    started_at = time.monotonic()
+    for number in range(REQUEST_COUNT):
+        environment.clients.send_request(customer, CHECK_CLASS)
+        early_seconds = number / REQUESTS_PER_SECOND - (time.monotonic() - started_at)
+        if early_seconds > 0.0:
+            yield sleep(early_seconds)
+    while environment.clients.pending:
+        yield sleep(0.05)
+
+
+@inlineCallbacks
+def measure_tree(environment: Environment, tree: Path, config_path: Path) -> Steps:
+    """Run the run line of a tree once, and return its Cost."""
+    started_at = time.monotonic()
+    process = yield start_limiter(environment, tree, config_path)
+    start_seconds = time.monotonic() - started_at
     watched = psutil.Process(process.pid)
-    yield sleep(1.0)
-    memory = watched.memory_info().rss / 2**20
+    yield sleep(IDLE_SECONDS)
+    memory_mb = watched.memory_info().rss / 2**20
     before = watched.cpu_times()
-    customer = Customer(1, "korporat", PACE)
-    asked = time.monotonic()
-    for number in range(REQUESTS):
-        world.agents.ask(customer, "table-check")
-        ahead = number / PACE - (time.monotonic() - asked)
-        if ahead > 0.0:
-            yield sleep(ahead)
-    while world.agents.open:
-        yield sleep(0.05)
+    yield send_load(environment)
     after = watched.cpu_times()
-    cpu = (after.user + after.system - before.user - before.system) / REQUESTS * 1e3
+    cpu_seconds = after.user + after.system - before.user - before.system
     process.send_signal(signal.SIGTERM)
-    world.agents.close()
+    environment.clients.close()
     yield sleep(1.0)
     process.communicate(timeout=20)
-    return start, memory, cpu
+    return Cost(start_seconds, memory_mb, cpu_seconds / REQUEST_COUNT * 1e3)
+
+
+def median_cost(costs: list[Cost]) -> Cost:
+    """Return the medians."""
+    return Cost(
+        median(cost.start_seconds for cost in costs),
+        median(cost.memory_mb for cost in costs),
+        median(cost.cpu_ms_per_request for cost in costs),
+    )
+
+
+def compare(old: Cost, new: Cost) -> bool:
+    """Print the last line, and return whether the new costs are within the budget."""
+    is_within = (
+        new.start_seconds <= old.start_seconds * MAX_START_RATIO
+        and new.memory_mb <= old.memory_mb + MAX_EXTRA_MEMORY_MB
+        and new.cpu_ms_per_request <= old.cpu_ms_per_request * MAX_CPU_RATIO
+    )
+    print(
+        f"run-line: start_s={old.start_seconds:.3f}->{new.start_seconds:.3f} "
+        f"idle_mb={old.memory_mb:.2f}->{new.memory_mb:.2f} "
+        f"cpu_ms={old.cpu_ms_per_request:.3f}->{new.cpu_ms_per_request:.3f} within={'yes' if is_within else 'no'}",
+        flush=True,
+    )
+    return is_within
 
 
 @inlineCallbacks
-def measure(other: Path, rounds: int) -> Steps:
-    """All rounds; the exit code."""
-    world = World(reactor, 3, servers=4, plans={"korporat": (5000.0, 5000.0)})
-    world.start()
-    for server in world.servers:
-        server.mean = 0.002
-    found: dict[str, list[Any]] = {"other": [], "this": []}
-    for tree in (other, Path(__file__).resolve().parent.parent):
-        # As the deploy file's build does; else a tree whose files are newer than their bytecode pays at each start.
+def measure(other_tree: Path, rounds: int) -> Steps:
+    """Measure all rounds, and return the exit code."""
+    environment = Environment(reactor, SEED, backend_count=BACKEND_COUNT, plans={PLAN: QUOTA})
+    environment.start()
+    for backend in environment.backends:
+        backend.behavior.mean_work_seconds = MEAN_WORK_SECONDS
+    trees = {"other": other_tree, "this": SOURCE_ROOT}
+    costs: dict[str, list[Cost]] = {name: [] for name in trees}
+    for tree in trees.values():
+        # As the build of the deploy file does: else files that are newer than their bytecode cost at each start.
         subprocess.run([sys.executable, "-m", "compileall", "-q", "thymeflow"], cwd=tree, check=True)
     with tempfile.TemporaryDirectory() as folder:
-        config = Path(folder) / "config.json"
-        config.write_text(json.dumps(world.config(1)))
-        for turn in range(rounds):
-            for name in (("other", "this"), ("this", "other"))[turn % 2]:
-                tree = other if name == "other" else Path(__file__).resolve().parent.parent
-                found[name].append((yield one(world, tree, config)))
+        config_path = Path(folder) / "config.json"
+        config_path.write_text(json.dumps(environment.config(1)))
+        for number in range(rounds):
+            for name in ("other", "this") if number % 2 == 0 else ("this", "other"):
+                cost = yield measure_tree(environment, trees[name], config_path)
+                costs[name].append(cost)
                 print(
-                    f"round {turn + 1} {name}: start {found[name][-1][0]:.3f} s, {found[name][-1][1]:.2f} MB, "
-                    f"{found[name][-1][2]:.3f} ms a request",
+                    f"round {number + 1} {name}: start {cost.start_seconds:.3f} s, {cost.memory_mb:.2f} MB, "
+                    f"{cost.cpu_ms_per_request:.3f} ms a request",
                     flush=True,
                 )
-    old, new = ([median(values) for values in zip(*found[name], strict=True)] for name in ("other", "this"))
-    good = new[0] <= old[0] * 1.03 and new[1] <= old[1] + 1.0 and new[2] <= old[2] * 1.03
-    print(
-        f"run-line: start_s={old[0]:.3f}->{new[0]:.3f} idle_mb={old[1]:.2f}->{new[1]:.2f} "
-        f"cpu_ms={old[2]:.3f}->{new[2]:.3f} within={'yes' if good else 'no'}",
-        flush=True,
-    )
-    return int(not good)
+    return int(not compare(median_cost(costs["other"]), median_cost(costs["this"])))
 
 
 def main() -> int:
-    """Measure; the exit code."""
-    code: list[int] = []
-    rounds = int(sys.argv[2]) if len(sys.argv) > 2 else 5
-    reactor.callWhenRunning(
-        lambda: (
-            measure(Path(sys.argv[1]), rounds)
-            .addCallbacks(code.append, lambda failure: failure.printTraceback())
-            .addBoth(lambda _: reactor.stop())
-        )
-    )
-    reactor.run()
-    return code[0] if code else 1
+    """Measure, and return the exit code."""
+    rounds = int(sys.argv[2]) if len(sys.argv) > 2 else DEFAULT_ROUNDS
+    end: ScriptEnd[int] = run_script(lambda: measure(Path(sys.argv[1]), rounds))
+    for crash in end.crashes:
+        print(crash, file=sys.stderr)
+    return end.results[0] if end.results else 1
 
 
 if __name__ == "__main__":
--- a/tests/leases/test_lease_issuer.py
+++ b/tests/leases/test_lease_issuer.py
@@ -21,8 +21,9 @@
 from thymeflow.leases.issuer import HOLDER_TRANSITIONS, HolderEvent, HolderState, LeaseIssuer, Write
 from thymeflow.leases.ledger import Ledger
 from thymeflow.leases.resources import BASE_POINTS, LEASED_POINTS, TOTAL_POINTS, Resource, divide_by_demand
-from thymeflow.testkit.lease_model import RULES, Model, caught
-from thymeflow.testkit.model_checker import explored
+from thymeflow.testkit.lease_model import LeaseModel
+from thymeflow.testkit.lease_rules import RULES, violation_without
+from thymeflow.testkit.model_checker import explore
 
 ONES = (1.0,) * len(Resource)
 
@@ -82,15 +83,15 @@
 
 
 def test_sum_in_force_never_exceeds_the_total_in_all_states_of_the_lease_model() -> None:
-    found = explored(Model.running(), 4)
-    assert not found.fault and found.states > 1000, found
-    found = explored(Model(), 5)
-    assert not found.fault and found.states > 100, found
+    exploration = explore(LeaseModel.all_running(), 4)
+    assert not exploration.violation and exploration.state_count > 1000, exploration
+    exploration = explore(LeaseModel(), 5)
+    assert not exploration.violation and exploration.state_count > 100, exploration
 
 
 @pytest.mark.parametrize("rule", RULES)
 def test_model_checker_finds_a_fault_when_a_rule_is_left_out(rule: str) -> None:
-    assert caught(RULES[rule])
+    assert violation_without(RULES[rule])
 
 
 def test_lease_is_unusable_a_margin_before_its_end_when_the_holder_was_stopped() -> None:
--- a/tests/limiter.py
+++ b/tests/limiter.py
@@ -20,7 +20,7 @@
 from pathlib import Path
 from typing import Any
 
-from thymeflow.testkit.ports import free_port
+from thymeflow.testkit.ports import reserve_port
 
 ROOT = Path(__file__).resolve().parent.parent
 PATIENCE = 20.0  # s: for what must happen; only a failing test waits so long
@@ -173,7 +173,7 @@
         # A port of the system's choice may be taken by somebody's connection while a killed life's successor starts;
         # and one that is not told anything listens later than the test asks for it.
         if managed or not told:
-            self.port = free_port()
+            self.port = reserve_port()
             config["listen"] = f"127.0.0.1:{self.port}"
             path.write_text(json.dumps(config))
         self.process = self.start(serve)
--- a/tests/test_between.py
+++ b/tests/test_between.py
@@ -1,4 +1,4 @@
-"""The rig between processes: schedules as data, faults over real limiters, and every judge seen catching something."""
+"""Fault injection: schedules as data, faults between real limiters, and each checker seen to find a fault."""
 
 from __future__ import annotations
 
@@ -6,40 +6,62 @@
 import sys
 from dataclasses import replace
 from pathlib import Path
+from typing import NamedTuple
 
 import pytest
 from hypothesis import given
 from hypothesis import strategies as st
 
 from tests.limiter import ROOT
-from thymeflow.testkit.faults.schedule import Do, Link, Schedule, ScheduleError, Step, drawn, parse, text_of
+from thymeflow.testkit.faults.schedule import (
+    RESERVED_QUOTAS,
+    FaultAction,
+    FaultStep,
+    Link,
+    Schedule,
+    ScheduleError,
+    in_order,
+)
+from thymeflow.testkit.faults.schedule_file import parse, text_of
+from thymeflow.testkit.faults.schedule_generator import generate
+
+MANY_LIMITERS = tuple(range(10))
+
+
+class PlayedRun(NamedTuple):
+    """A run of `thymeflow lab play`: its exit code, the figures of its last line, and all that it printed."""
 
+    exit_code: int
+    figures: dict[str, int]
+    output: str
 
-def played(folder: Path, schedule: Schedule, *words: str) -> tuple[int, dict[str, int], str]:
-    """Play it in a process of its own; exit code, the figures of the last line, and all that was said."""
+
+def play(folder: Path, schedule: Schedule, *arguments: str) -> PlayedRun:
+    """Run a schedule in a process of its own."""
     file = folder / "schedule.toml"
     file.write_text(text_of(schedule))
-    done = subprocess.run(
-        [sys.executable, "-m", "thymeflow", "lab", "play", str(file), *words],
+    process = subprocess.run(
+        [sys.executable, "-m", "thymeflow", "lab", "play", str(file), *arguments],
         cwd=ROOT,
         capture_output=True,
         text=True,
         check=False,
     )
-    last = done.stdout.rstrip().rpartition("\n")[2]
-    assert last.startswith("lab play: "), done.stdout + done.stderr
-    figures = dict(pair.split("=") for pair in last.split()[2:])
-    return done.returncode, {name: int(value) for name, value in figures.items()}, done.stdout
+    last_line = process.stdout.rstrip().rpartition("\n")[2]
+    assert last_line.startswith("lab play: "), process.stdout + process.stderr
+    figures = dict(pair.split("=") for pair in last_line.split()[2:])
+    return PlayedRun(process.returncode, {name: int(value) for name, value in figures.items()}, process.stdout)
 
 
 @given(st.integers(0, 2**48), st.integers(0, 30))
-def test_a_drawn_schedule_is_the_same_again_and_reads_back_as_it_was_written(seed: int, faults: int) -> None:
-    world = replace(Schedule(), seed=seed)
-    assert drawn(world, faults) == drawn(world, faults) == parse(text_of(drawn(world, faults)))
+def test_generated_schedule_is_the_same_again_and_is_read_back_as_it_was_written(seed: int, fault_count: int) -> None:
+    cluster = replace(Schedule(), seed=seed)
+    schedule = generate(cluster, fault_count)
+    assert schedule == generate(cluster, fault_count) == parse(text_of(schedule))
 
 
 @pytest.mark.parametrize(
-    ("text", "said"),
+    ("text", "expected_error"),
     [
         ("limiters = 0", "limiters = 0 is no int from 1 to 64"),
         ("seconds = nan", "seconds = nan is no float"),
@@ -54,57 +76,86 @@
         ("limiters = [", "Invalid value"),
     ],
 )
-def test_a_schedule_that_cannot_be_played_says_what_and_where(text: str, said: str) -> None:
-    with pytest.raises(ScheduleError) as found:
+def test_schedule_is_rejected_with_reason_and_place_when_it_cannot_be_run(text: str, expected_error: str) -> None:
+    with pytest.raises(ScheduleError) as raised:
         parse(text)
-    assert any(said in fault for fault in found.value.faults), found.value.faults
-
-
-def test_ten_limiters_killed_and_started_together_three_times_lose_nothing(tmp_path: Path) -> None:
-    # Under load, discovery silent for the first two seconds of each life, the counter turning everyone away.
-    all_of, steps = tuple(range(10)), list[Step]()
-    for at in (0.5, 3.0, 5.5):
-        steps += [
-            Step(at, Do.KILL, all_of),
-            Step(at, Do.COUNTER_FULL),
-            Step(at, Do.SILENCE, all_of, Link.DISCOVERY),
-            Step(at + 0.01, Do.START, all_of),
-            Step(at + 2.0, Do.HEAL, all_of, Link.DISCOVERY),
-            Step(at + 2.0, Do.SERVER_DRAINS, (0,)),
-            Step(at + 2.0, Do.COUNTER_WELL),
-        ]
-    world = Schedule(limiters=10, seconds=8.0, seed=5, demand=0.3, customers=24, steps=tuple(steps))
-    code, figures, said = played(tmp_path, world)
-    assert code == 0, said
-    assert figures["served"] > 0 and figures["steps"] >= len(steps)
-
-
-def test_drawn_faults_on_every_link_break_no_rule(tmp_path: Path) -> None:
-    code, figures, said = played(tmp_path, drawn(Schedule(limiters=4, seconds=5.0, seed=11, demand=0.4), 12))
-    assert code == 0 and figures["served"] > 0, said
-
-
-@pytest.mark.parametrize("line", ["run", "serve"])
-def test_units_by_tickets_keep_to_the_quotas_through_faults_on_every_link_and_a_counter_that_forgets(
-    tmp_path: Path, line: str
+    assert any(expected_error in error for error in raised.value.errors), raised.value.errors
+
+
+def restart_of_all(at: float) -> list[FaultStep]:
+    """Kill and start all limiters, with discovery silent and the counter rejecting all calls for two seconds."""
+    return [
+        FaultStep(at, FaultAction.KILL_LIMITER, MANY_LIMITERS),
+        FaultStep(at, FaultAction.SATURATE_COUNTER),
+        FaultStep(at, FaultAction.BLACKHOLE_LINK, MANY_LIMITERS, Link.DISCOVERY),
+        FaultStep(at + 0.01, FaultAction.START_LIMITER, MANY_LIMITERS),
+        FaultStep(at + 2.0, FaultAction.HEAL_LINK, MANY_LIMITERS, Link.DISCOVERY),
+        FaultStep(at + 2.0, FaultAction.DRAIN_BACKEND, (0,)),
+        FaultStep(at + 2.0, FaultAction.RELIEVE_COUNTER),
+    ]
+
+
+def test_nothing_is_lost_when_ten_limiters_are_killed_and_started_together_three_times(tmp_path: Path) -> None:
+    steps = [step for at in (0.5, 3.0, 5.5) for step in restart_of_all(at)]
+    schedule = Schedule(
+        limiter_count=10, load_seconds=8.0, seed=5, demand_fraction=0.3, customer_count=24, steps=tuple(steps)
+    )
+    run = play(tmp_path, schedule)
+    assert run.exit_code == 0, run.output
+    assert run.figures["served"] > 0
+    assert run.figures["steps"] >= len(steps)
+
+
+def test_no_checker_finds_anything_when_generated_faults_hit_every_link(tmp_path: Path) -> None:
+    cluster = Schedule(limiter_count=4, load_seconds=5.0, seed=11, demand_fraction=0.4)
+    run = play(tmp_path, generate(cluster, 12))
+    assert run.exit_code == 0, run.output
+    assert run.figures["served"] > 0, run.output
+
+
+@pytest.mark.parametrize("command", ["run", "serve"])
+def test_reserved_units_stay_within_quotas_when_links_are_faulty_and_the_counter_forgets(
+    tmp_path: Path, command: str
 ) -> None:
-    world = Schedule(limiters=4, seconds=8.0, seed=21, demand=3.0, customers=8, line=line, units="tickets")
-    faults = drawn(world, 10)
-    steps = (*faults.steps, Step(3.0, Do.COUNTER_FORGETS))
-    code, figures, said = played(tmp_path, replace(faults, steps=tuple(sorted(steps, key=lambda s: s.at))))
-    assert code == 0 and figures["served"] > 0, said
+    cluster = Schedule(
+        limiter_count=4,
+        load_seconds=8.0,
+        seed=21,
+        demand_fraction=3.0,
+        customer_count=8,
+        command=command,
+        quota_mode=RESERVED_QUOTAS,
+    )
+    schedule = generate(cluster, 10)
+    steps = in_order([*schedule.steps, FaultStep(3.0, FaultAction.CLEAR_COUNTER)])
+    run = play(tmp_path, replace(schedule, steps=steps))
+    assert run.exit_code == 0, run.output
+    assert run.figures["served"] > 0, run.output
+
+
+DEFAULT_CLUSTER = Schedule(limiter_count=2, load_seconds=3.0, seed=2, demand_fraction=0.8, mean_work_seconds=0.1)
+# Three of four backends drain, so that what is still forwarded to them a second later is seen.
+DRAINING_CLUSTER = replace(DEFAULT_CLUSTER, steps=(FaultStep(0.2, FaultAction.DRAIN_BACKEND, (1, 2, 3)),))
+QUOTA_CLUSTER = Schedule(
+    limiter_count=4, load_seconds=8.0, seed=2, demand_fraction=3.0, customer_count=4, quota_mode=RESERVED_QUOTAS
+)
 
 
 @pytest.mark.parametrize(
-    ("broken", "judge"),
-    [("deaf", "drains"), ("mute", "answers"), ("double", "effects"), ("sulky", "ends"), ("free", "quotas")],
+    ("fault_mode", "checker", "schedule"),
+    [
+        ("ignore-endpoint-updates", "drains", DRAINING_CLUSTER),
+        ("drop-responses", "answers", DEFAULT_CLUSTER),
+        ("duplicate-attempts", "effects", DEFAULT_CLUSTER),
+        ("exit-with-failure", "ends", DEFAULT_CLUSTER),
+        ("overspend-quotas", "quotas", QUOTA_CLUSTER),
+    ],
 )
-def test_each_judge_catches_a_limiter_that_is_broken_on_purpose(tmp_path: Path, broken: str, judge: str) -> None:
-    # With three servers draining, what still goes to them a second later is seen.
-    steps = (Step(0.2, Do.SERVER_DRAINS, (1, 2, 3)),) if broken == "deaf" else ()
-    world = Schedule(limiters=2, seconds=3.0, seed=2, demand=0.8, work=0.1, steps=steps)
-    if broken == "free":
-        world = Schedule(limiters=4, seconds=8.0, seed=2, demand=3.0, customers=4, units="tickets")
-    code, figures, said = played(tmp_path, world, "--broken", broken)
-    assert code == 1 and figures[judge] > 0, said
-    assert parse(said[said.index("limiters =") : said.rindex("lab play:")]) == world
+def test_checker_finds_the_fault_when_it_is_put_into_the_limiters(
+    tmp_path: Path, fault_mode: str, checker: str, schedule: Schedule
+) -> None:
+    run = play(tmp_path, schedule, "--broken", fault_mode)
+    assert run.exit_code == 1, run.output
+    assert run.figures[checker] > 0, run.output
+    printed = run.output[run.output.index("limiters =") : run.output.rindex("lab play:")]
+    assert parse(printed) == schedule
--- a/tests/test_judges.py
+++ b/tests/test_judges.py
@@ -1,52 +1,67 @@
-"""The judges of the stand-ins: what the rules forbid is named, and what they allow is not."""
+"""Checks of attempts in the test environment: violations of the protocol are described, legal retries are not."""
 
 from __future__ import annotations
 
-from typing import Any
-
 import pytest
 from twisted.internet.testing import MemoryReactorClock
 
 from thymeflow.runtime import clock
-from thymeflow.testkit.fakes import World
-from thymeflow.testkit.fakes.site import KEYED, WINDOW
+from thymeflow.testkit.fakes import Environment
+from thymeflow.testkit.fakes.site import KEYED_CLASS, RETRY_WINDOW_SECONDS
+
+REQUEST_ID = "r"
+
+
+class VirtualEnvironment:
+    """Two backends on a virtual clock, which receive attempts of one request with an idempotency key."""
+
+    def __init__(self, monkeypatch: pytest.MonkeyPatch) -> None:
+        self._reactor = MemoryReactorClock()  # type: ignore[no-untyped-call]
+        monkeypatch.setattr(clock, "now", lambda: 1e9 + self._reactor.seconds())
+        self.environment = Environment(self._reactor, 3, backend_count=2)
+
+    def advance(self, seconds: float) -> None:
+        """Advance the clock."""
+        self._reactor.advance(seconds)
+
+    def receive_attempt(self, backend: int, work_seconds: float = 0.01, *, is_reset: bool = False) -> None:
+        """Have a backend receive an attempt and work for about so long; `is_reset`: its connection ends at once."""
+        fake = self.environment.backends[backend]
+        fake.behavior.mean_work_seconds = work_seconds
+        request = fake.on_request("c", REQUEST_ID, {"c": KEYED_CLASS}, True, lambda _: None)
+        assert request is not None
+        if is_reset:
+            request.ended_at = clock.now()
 
 
 @pytest.fixture
-def world(monkeypatch: pytest.MonkeyPatch) -> World:
-    reactor: Any = MemoryReactorClock()  # type: ignore[no-untyped-call]
-    monkeypatch.setattr(clock, "now", lambda: 1e9 + reactor.seconds())
-    return World(reactor, 3, servers=2)
-
-
-def sent(world: World, server: int, work: float = 0.01, cut: bool = False) -> None:
-    """One pass of the one request, at that server, which then works for about so long; `cut`: its connection ends."""
-    world.servers[server].mean = work
-    arrival = world.servers[server].take("c", "r", {"c": KEYED}, True, lambda answer: None)
-    assert arrival is not None
-    if cut:
-        arrival.over = clock.now()
-
-
-def test_a_repeat_after_a_reset_in_its_window_is_lawful_and_one_effect(world: World) -> None:
-    sent(world, 0, cut=True)
-    world.reactor.advance(1.0)
-    sent(world, 1)
-    world.reactor.advance(1.0)
-    assert world.unlawful() == [] and world.keys.effects == {"r": 1}
-
-
-def test_two_out_at_once_are_caught(world: World) -> None:
-    sent(world, 0, work=1e6)
-    world.reactor.advance(0.2)
-    sent(world, 1)
-    assert world.unlawful() == ["r: out at s0 and s1 at once"]
-
-
-def test_a_repeat_past_its_window_is_caught_with_its_second_effect(world: World) -> None:
-    sent(world, 0)
-    world.reactor.advance(WINDOW + 1.0)
-    sent(world, 1)
-    world.reactor.advance(WINDOW + 1.0)
-    faults = world.unlawful()
-    assert "r: 2 effects" in faults and any("repeated 3.00 s" in fault for fault in faults)
+def virtual(monkeypatch: pytest.MonkeyPatch) -> VirtualEnvironment:
+    return VirtualEnvironment(monkeypatch)
+
+
+def test_retry_in_its_window_is_legal_and_one_effect_when_the_first_attempt_was_reset(
+    virtual: VirtualEnvironment,
+) -> None:
+    virtual.receive_attempt(0, is_reset=True)
+    virtual.advance(1.0)
+    virtual.receive_attempt(1)
+    virtual.advance(1.0)
+    assert virtual.environment.attempt_violations() == []
+    assert virtual.environment.idempotency.effect_counts == {REQUEST_ID: 1}
+
+
+def test_two_attempts_are_a_violation_when_both_are_in_flight(virtual: VirtualEnvironment) -> None:
+    virtual.receive_attempt(0, work_seconds=1e6)
+    virtual.advance(0.2)
+    virtual.receive_attempt(1)
+    assert virtual.environment.attempt_violations() == ["r: out at s0 and s1 at once"]
+
+
+def test_retry_is_a_violation_with_its_second_effect_when_its_window_is_past(virtual: VirtualEnvironment) -> None:
+    virtual.receive_attempt(0)
+    virtual.advance(RETRY_WINDOW_SECONDS + 1.0)
+    virtual.receive_attempt(1)
+    virtual.advance(RETRY_WINDOW_SECONDS + 1.0)
+    violations = virtual.environment.attempt_violations()
+    assert "r: 2 effects" in violations
+    assert any("repeated 3.00 s" in violation for violation in violations)
--- a/thymeflow/cli/demo.py
+++ b/thymeflow/cli/demo.py
@@ -21,6 +21,6 @@
     Real requests of four plans over loopback, a server killed and back, an upgrade while serving. Nothing has to be
     written before, and nothing is left behind. Ctrl-C ends it early, with the same summary.
     """
-    from thymeflow.testkit.demo import play
+    from thymeflow.testkit.demo import run_demo
 
-    sys.exit(play(seconds))
+    sys.exit(run_demo(seconds))
--- a/thymeflow/cli/faults.py
+++ b/thymeflow/cli/faults.py
@@ -10,34 +10,44 @@
 
 from thymeflow.cli.output import BAD_SETTINGS, fail
 
+# As in thymeflow.testkit.faults.fault_modes, which is not imported here: it loads the whole limiter.
+FAULT_MODES = (
+    "ignore-endpoint-updates",
+    "drop-responses",
+    "duplicate-attempts",
+    "exit-with-failure",
+    "overspend-quotas",
+)
+
 
 @click.group("lab")
 def faults() -> None:
-    """Play faults between real limiters on loopback, with stand-ins for all that they talk to."""
+    """Inject faults between real limiters on loopback, with fakes of all that they talk to."""
 
 
 @faults.command("play")
 @click.argument("file", type=click.Path(exists=True, dir_okay=False))
 @click.option(
     "--broken",
-    type=click.Choice(["deaf", "mute", "double", "sulky", "free"]),
+    type=click.Choice(FAULT_MODES),
     default=None,
-    help="Break the limiters on purpose: a judge has to find it.",
+    help="Put this fault into the limiters: a checker has to find it.",
 )
 def run_schedule(file: str, broken: str | None) -> None:
-    """Play the schedule in FILE once; exit code 1 where a judge found something."""
+    """Run the schedule in FILE once; exit code 1 where a checker found something."""
     from thymeflow.testkit.faults import runner
-    from thymeflow.testkit.faults.schedule import ScheduleError, parse
+    from thymeflow.testkit.faults.schedule import ScheduleError
+    from thymeflow.testkit.faults.schedule_file import parse
 
     try:
         schedule = parse(Path(file).read_text())
     except ScheduleError as error:
-        for fault in error.faults:
-            click.echo(f"thymeflow: {file}: {fault}", err=True)
+        for reason in error.errors:
+            click.echo(f"thymeflow: {file}: {reason}", err=True)
         sys.exit(BAD_SETTINGS)
     except (OSError, UnicodeDecodeError) as error:
         fail(f"{file}: {error}", BAD_SETTINGS)
-    sys.exit(runner.play(schedule, click.echo, broken or ""))
+    sys.exit(runner.run_schedule(schedule, click.echo, broken or ""))
 
 
 @faults.command("draw")
@@ -51,8 +61,18 @@
 def generate_schedule(
     seed: int, faults: int, limiters: int, servers: int, seconds: float, line: str, units: str
 ) -> None:
-    """Print a schedule drawn from a seed, for `play`."""
-    from thymeflow.testkit.faults.schedule import Schedule, drawn, text_of
+    """Print a schedule generated from a seed, for `play`."""
+    from thymeflow.testkit.faults.schedule import Schedule
+    from thymeflow.testkit.faults.schedule_file import text_of
+    from thymeflow.testkit.faults.schedule_generator import generate
 
-    empty = replace(Schedule(), seed=seed, limiters=limiters, servers=servers, seconds=seconds, line=line, units=units)
-    click.echo(text_of(drawn(empty, faults)), nl=False)
+    cluster = replace(
+        Schedule(),
+        seed=seed,
+        limiter_count=limiters,
+        backend_count=servers,
+        load_seconds=seconds,
+        command=line,
+        quota_mode=units,
+    )
+    click.echo(text_of(generate(cluster, faults)), nl=False)
--- a/thymeflow/testkit/fakes/__init__.py
+++ b/thymeflow/testkit/fakes/__init__.py
@@ -1,13 +1,25 @@
-"""Stand-ins for what a limiter talks to, written from the protocol's public words; plain on purpose.
+"""Fakes of what a limiter talks to: backends, a counter, discovery and clients, in one reactor on loopback.
 
-Application servers, a counter, discovery and user agents, all in one reactor on loopback, so that what each saw
-can be held against what the others saw. They misbehave only when told to.
+They follow the protocol's pages, so that what each of them saw can be compared with what the others saw. They
+misbehave only where a caller makes them.
 """
 
-from thymeflow.testkit.fakes.backend import Arrival, Meter, Server
-from thymeflow.testkit.fakes.counter import Counter
-from thymeflow.testkit.fakes.discovery import Discovery
-from thymeflow.testkit.fakes.environment import World
-from thymeflow.testkit.fakes.load_generator import Agents, Customer, Result
+from thymeflow.testkit.fakes.backend import FakeBackend
+from thymeflow.testkit.fakes.backend_records import ReceivedRequest
+from thymeflow.testkit.fakes.counter import FakeCounter
+from thymeflow.testkit.fakes.discovery import FakeDiscovery
+from thymeflow.testkit.fakes.environment import Environment
+from thymeflow.testkit.fakes.load_generator import LoadGenerator
+from thymeflow.testkit.fakes.requests import Customer, RequestOutcome, RequestResult
 
-__all__ = ["Agents", "Arrival", "Counter", "Customer", "Discovery", "Meter", "Result", "Server", "World"]
+__all__ = [
+    "Customer",
+    "Environment",
+    "FakeBackend",
+    "FakeCounter",
+    "FakeDiscovery",
+    "LoadGenerator",
+    "ReceivedRequest",
+    "RequestOutcome",
+    "RequestResult",
+]
--- a/thymeflow/testkit/fakes/backend.py
+++ b/thymeflow/testkit/fakes/backend.py
@@ -1,248 +1,171 @@
-"""An application server: takes calls, works for a while, answers; notes each call that reached it whole."""
+"""A fake backend: receives requests, works for a random time, responds, and records each complete request."""
 
 from __future__ import annotations
 
 import random
 from collections import deque
 from collections.abc import Callable
-from dataclasses import dataclass
+from dataclasses import dataclass, field
 from math import inf
-from typing import Any
 
-from twisted.internet.protocol import Factory, Protocol, connectionDone
-from twisted.python.failure import Failure
+from twisted.internet.interfaces import IAddress
+from twisted.internet.protocol import Factory
 
 from thymeflow.runtime import clock
-from thymeflow.testkit.ports import free_port
+from thymeflow.testkit.fakes.backend_connection import BackendConnection
+from thymeflow.testkit.fakes.backend_records import IdempotencyStore, ReceivedRequest, UsageMeter
+from thymeflow.testkit.listener import LoopbackListener
+from thymeflow.testkit.types import Address, JsonObject, NetworkReactor
 from thymeflow.transport import resp
 
-VERBS = (b"SVC.QUERY", b"SVC.SUBMIT")
+MAX_USAGE_PERCENT = 999  # that a response reports
 
 
 @dataclass(slots=True)
-class Arrival:
-    """A call whose last byte has come; `since` where our own turn was late: the earliest at which it can have."""
-
-    at: float
-    since: float
-    server: int
-    request: str
-    customer: str
-    cls: str
-    units: float
-    keyed: bool
-    over: float = inf  # when its answer was written, or its connection ended: until then it is out
-
-
-class Keys:
-    """What servers of one group remember of keyed calls: a key that ran to its end is not run again for a while."""
-
-    def __init__(self, window: float) -> None:
-        self.window, self.effects = window, dict[str, int]()
-        self._done: dict[str, float] = {}
-
-    def run(self, request: str, now: float) -> None:
-        """A keyed call has run to its end: an effect, unless the key is remembered."""
-        if now - self._done.get(request, -inf) > self.window:
-            self.effects[request] = self.effects.get(request, 0) + 1
-        self._done[request] = now
-
-
-class Meter:
-    """Use of each customer over all servers, as they tell it: percent of its rate over the last seconds."""
-
-    SPAN = 2.0  # s
-
-    def __init__(self, rates: dict[str, float]) -> None:
-        self._rates, self._seen = rates, dict[str, deque[tuple[float, float]]]()
-
-    def add(self, customer: str, plan: str, units: float, now: float) -> float:
-        """Count units and tell the percentage."""
-        seen = self._seen.setdefault(customer, deque())
-        seen.append((now, units))
-        while seen and now - seen[0][0] > self.SPAN:
-            seen.popleft()
-        return 100.0 * sum(u for _, u in seen) / (self.SPAN * max(1e-9, self._rates.get(plan, 1.0)))
-
-
-def terms_of(text: bytes) -> dict[str, str]:
-    """The list of names and values of a call."""
-    found = {}
-    for pair in text.decode("ascii", "replace").split(","):
-        name, _, value = pair.partition("=")
-        found[name] = value
-    return found
-
-
-class _Connection(Protocol):
-    transport: Any
-
-    def __init__(self, server: Server) -> None:
-        self._server, self._parser = server, resp.Parser()
-        self._answers: deque[list[bytes | None]] = deque()  # in the order of their calls
-        self._out: list[Arrival] = []
-        self.closed = False
-
-    def connectionMade(self) -> None:
-        self._server.connections.add(self)
-        self.transport.setTcpNoDelay(True)
-
-    def dataReceived(self, data: bytes) -> None:
-        found, fault = self._parser.feed(data)
-        for words in found:
-            self._call(words)
-        if fault:
-            self.transport.abortConnection()
-
-    def _call(self, words: resp.Event) -> None:
-        if not isinstance(words, list) or len(words) < 4 or words[0] not in VERBS:
-            self._put(
-                b"+OK\r\n"
-                if isinstance(words, list) and words[:1] in ([b"CLIENT"], [b"SELECT"])
-                else b"-ERR unknown\r\n"
-            )
-            return
-        _, customer, request, text = words[:4]
-        assert isinstance(customer, bytes) and isinstance(request, bytes) and isinstance(text, bytes)
-        place: list[bytes | None] = [None]
-        self._answers.append(place)
-
-        def answered(answer: bytes) -> None:
-            place[0] = answer
-            self._flush()
+class BackendBehavior:
+    """How a backend works; callers change it while it runs."""
 
-        arrival = self._server.take(customer.decode(), request.decode(), terms_of(text), words[0] == VERBS[1], answered)
-        if arrival is not None:
-            self._out = [a for a in self._out if a.over == inf] + [arrival]
+    mean_work_seconds: float = 0.02
+    slots: int = 8  # requests that are worked on at a time
+    queue_capacity: int = 64  # requests that wait for a slot; further ones are rejected
+    slowdown_per_queued: float = 0.0  # by how much work takes longer, for each queued request and slot
+    error_fraction: float = 0.0  # of responses are errors
+    cost_factor: float = 1.0  # true units for each declared one
+    min_value_bytes: dict[str, int] = field(default_factory=dict)  # by class: shorter values are filled up
 
-    def _put(self, answer: bytes) -> None:
-        self._answers.append([answer])
-        self._flush()
 
-    def _flush(self) -> None:
-        while self._answers and self._answers[0][0] is not None:
-            answer = self._answers.popleft()[0]
-            if not self.closed and answer:
-                self.transport.write(answer)
+@dataclass(slots=True)
+class _Execution:
+    """A request that was accepted, until its response."""
 
-    def connectionLost(self, reason: Failure = connectionDone) -> None:
-        self.closed = True
-        self._server.connections.discard(self)
-        for arrival in self._out:
-            arrival.over = min(arrival.over, self._server.last_sent_at())
+    request: ReceivedRequest
+    used_percent: float
+    incarnation: int  # of the backend when the request arrived
+    respond: Callable[[bytes], None]
 
 
-class Server(Factory):
-    """One server of some slots; what finds none waits, and past its waiting room is turned away."""
+class FakeBackend(Factory):
+    """One backend with some slots and a queue."""
 
     noisy = False
 
     def __init__(
         self,
-        reactor: Any,
+        reactor: NetworkReactor,
         deadlines: clock.Deadlines,
         number: int,
-        meter: Meter,
-        keys: Keys,
+        usage: UsageMeter,
+        idempotency: IdempotencyStore,
         rng: random.Random,
-        slots: int = 8,
-        room: int = 64,
-        mean: float = 0.02,
-        cost: float = 1.0,
     ) -> None:
-        self.number, self.arrivals, self.connections = number, list[Arrival](), set[_Connection]()
-        self.mean, self.cost = mean, cost  # s of work; true units for a declared one
-        self.thrash = 0.0  # how much longer work takes for each one that waits for a slot
-        self.error_rate = 0.0
-        self.long: dict[str, int] = {}  # by class: bytes that a value is filled up to
-        self._reactor, self._deadlines, self._meter, self._keys, self._rng = reactor, deadlines, meter, keys, rng
-        self.slots, self._room, self._busy = slots, room, 0
-        self._waiting: deque[tuple[Arrival, Callable[[], None]]] = deque()
-        self._port: Any = None
-        self.address = ("127.0.0.1", 0)
-        self.generation = 0  # of its life; work of an earlier one is not answered
-
-    def buildProtocol(self, addr: Any) -> _Connection:
-        """A new connection."""
-        return _Connection(self)
+        self.number = number
+        self.behavior = BackendBehavior()
+        self.received: list[ReceivedRequest] = []
+        self.connections: set[BackendConnection] = set()
+        self._deadlines = deadlines
+        self._usage = usage
+        self._idempotency = idempotency
+        self._rng = rng
+        self._busy_slots = 0
+        self._queue: deque[_Execution] = deque()
+        self._listener = LoopbackListener(reactor, self)
+        self._incarnation = 0  # work of an earlier one gets no response
+
+    @property
+    def address(self) -> Address:
+        """Return where it listens, or listened last."""
+        return self._listener.address
+
+    def buildProtocol(self, addr: IAddress | None) -> BackendConnection:  # noqa: ARG002  # Twisted passes it
+        """Return the protocol of a new connection."""
+        return BackendConnection(self)
+
+    def is_up(self) -> bool:
+        """Return whether it listens."""
+        return self._listener.is_open()
 
     def start(self) -> None:
-        """Listen, at the address it had before if there was one."""
-        port = self.address[1] or free_port()
-        self._port = self._reactor.listenTCP(port, self, interface=self.address[0], backlog=511)
-        self.address = ("127.0.0.1", self._port.getHost().port)
-
-    def last_sent_at(self) -> float:
-        """The earliest at which what is read now can have come."""
-        return self._deadlines.earliest_arrival(clock.now())
-
-    def up(self) -> bool:
-        """Whether it listens."""
-        return self._port is not None
-
-    def start_again(self) -> None:
-        """Listen again, unless it does."""
-        if self._port is None:
-            self.start()
-
-    def die(self) -> Any:
-        """End as a killed process does: connections are reset, new ones refused."""
-        self.generation += 1
-        self._busy = 0
-        self._waiting.clear()
+        """Listen, at its earlier address if there was one; does nothing while it listens."""
+        self._listener.open()
+
+    def kill(self) -> None:
+        """End as a killed process does: connections are reset and new ones refused."""
+        self._incarnation += 1
+        self._busy_slots = 0
+        self._queue.clear()
         for connection in list(self.connections):
             connection.transport.abortConnection()
-        port, self._port = self._port, None
-        return port.stopListening() if port else None
+        self._listener.close()
+
+    def earliest_arrival(self) -> float:
+        """Return the earliest time at which what is read now can have arrived."""
+        return self._deadlines.earliest_arrival(clock.now())
 
-    def take(
-        self, customer: str, request: str, terms: dict[str, str], keyed: bool, answered: Callable[[bytes], None]
-    ) -> Arrival | None:
-        """A call has come; None where it is turned away."""
+    def on_request(
+        self,
+        customer: str,
+        request_id: str,
+        terms: dict[str, str],
+        has_idempotency_key: bool,
+        respond: Callable[[bytes], None],
+    ) -> ReceivedRequest | None:
+        """Record a request and work on it; return None where it is rejected, as the queue is full."""
         now = clock.now()
-        units = float(terms.get("units", "1"))
-        if self._busy >= self.slots and len(self._waiting) >= self._room:
-            answered(b"-BUSY\r\n")
+        if self._busy_slots >= self.behavior.slots and len(self._queue) >= self.behavior.queue_capacity:
+            respond(b"-BUSY\r\n")
             return None
-        arrival = Arrival(
-            now, self._deadlines.earliest_arrival(now), self.number, request, customer, terms.get("c", ""), units, keyed
+        request = ReceivedRequest(
+            now,
+            self._deadlines.earliest_arrival(now),
+            self.number,
+            request_id,
+            customer,
+            terms.get("c", ""),
+            float(terms.get("units", "1")),
+            has_idempotency_key,
         )
-        self.arrivals.append(arrival)
-        used = self._meter.add(customer, terms.get("t", ""), units, now)
-        life = self.generation
-
-        def begin() -> None:
-            self._busy += 1
-            crowd = 1.0 + self.thrash * len(self._waiting) / self.slots
-            work = crowd * self._rng.expovariate(1.0 / self.mean)
-            self._deadlines.schedule(clock.now() + work, lambda _: end(work))
-
-        def end(work: float) -> None:
-            if life != self.generation:
-                return
-            self._busy -= 1
-            arrival.over = min(arrival.over, clock.now())
-            if keyed:
-                self._keys.run(request, clock.now())
-            figures = b"used=%d,cost=%.3f" % (min(999, round(used)), units * self.cost)
-            if self._rng.random() < self.error_rate:
-                answered(b"-ERR failed " + figures + b"\r\n")
-            else:
-                value = (b"%b:%d " % (request.encode(), self.number)).ljust(self.long.get(terms.get("c", ""), 0), b".")
-                answered(b"*3\r\n" + resp.bulk(value) + resp.bulk(figures) + resp.bulk(b"avg_ms=%.2f" % (work * 1e3)))
-            while self._waiting and self._busy < self.slots:
-                waits, go_on = self._waiting.popleft()
-                if waits.over == inf:  # one whose connection has ended meanwhile was called off
-                    go_on()
-
-        if self._busy < self.slots:
-            begin()
+        self.received.append(request)
+        used_percent = self._usage.add(customer, terms.get("t", ""), request.units, now)
+        execution = _Execution(request, used_percent, self._incarnation, respond)
+        if self._busy_slots < self.behavior.slots:
+            self._begin(execution)
         else:
-            self._waiting.append((arrival, begin))
-        return arrival
+            self._queue.append(execution)
+        return request
+
+    def _begin(self, execution: _Execution) -> None:
+        self._busy_slots += 1
+        slowdown = 1.0 + self.behavior.slowdown_per_queued * len(self._queue) / self.behavior.slots
+        work_seconds = slowdown * self._rng.expovariate(1.0 / self.behavior.mean_work_seconds)
+        self._deadlines.schedule(clock.now() + work_seconds, lambda _: self._finish(execution, work_seconds))
 
-    def endpoint(self, lifecycle: str = "active") -> dict[str, Any]:
-        """As discovery lists it."""
+    def _finish(self, execution: _Execution, work_seconds: float) -> None:
+        if execution.incarnation != self._incarnation:
+            return
+        self._busy_slots -= 1
+        request = execution.request
+        request.ended_at = min(request.ended_at, clock.now())
+        if request.has_idempotency_key:
+            self._idempotency.record_effect(request.request_id, clock.now())
+        execution.respond(self._response(execution, work_seconds))
+        while self._queue and self._busy_slots < self.behavior.slots:
+            queued = self._queue.popleft()
+            if queued.request.ended_at == inf:  # otherwise its connection has ended
+                self._begin(queued)
+
+    def _response(self, execution: _Execution, work_seconds: float) -> bytes:
+        request = execution.request
+        used = min(MAX_USAGE_PERCENT, round(execution.used_percent))
+        figures = b"used=%d,cost=%.3f" % (used, request.units * self.behavior.cost_factor)
+        if self._rng.random() < self.behavior.error_fraction:
+            return b"-ERR failed " + figures + b"\r\n"
+        value = b"%b:%d " % (request.request_id.encode(), self.number)
+        value = value.ljust(self.behavior.min_value_bytes.get(request.request_class, 0), b".")
+        load_report = b"avg_ms=%.2f" % (work_seconds * 1e3)
+        return b"*3\r\n" + resp.bulk(value) + resp.bulk(figures) + resp.bulk(load_report)
+
+    def endpoint(self, lifecycle: str = "active") -> JsonObject:
+        """Return its entry in discovery's endpoint list."""
         return {
             "instanceId": f"s-{self.number + 1:08x}",
             "hostPort": "{}:{}".format(*self.address),
--- a/thymeflow/testkit/fakes/environment.py
+++ b/thymeflow/testkit/fakes/environment.py
@@ -1,77 +1,80 @@
-"""All stand-ins round some limiters, and what is told of them from outside."""
+"""The test environment of some limiters: all fakes in one reactor, and what they show of the limiters."""
 
 from __future__ import annotations
 
 import random
 from collections.abc import Callable
-from typing import Any
+from typing import NamedTuple
 
 from thymeflow.runtime import clock
 from thymeflow.testkit.fakes import site
-from thymeflow.testkit.fakes.backend import Arrival, Keys, Meter, Server
-from thymeflow.testkit.fakes.counter import Counter
-from thymeflow.testkit.fakes.discovery import Discovery
-from thymeflow.testkit.fakes.load_generator import Agents, Customer, Result
+from thymeflow.testkit.fakes.backend import FakeBackend
+from thymeflow.testkit.fakes.backend_records import IdempotencyStore, ReceivedRequest, UsageMeter
+from thymeflow.testkit.fakes.counter import DEFAULT_CALLS_PER_SECOND, FakeCounter
+from thymeflow.testkit.fakes.discovery import FakeDiscovery
+from thymeflow.testkit.fakes.load_generator import LoadGenerator
+from thymeflow.testkit.fakes.reference_bucket import ReferenceBucket
+from thymeflow.testkit.fakes.requests import Customer, RequestOutcome, RequestResult
+from thymeflow.testkit.types import Address, JsonObject, NetworkReactor
 
-SLACK = 0.05  # s: on every limit of time (PROTOCOL, rules on sockets)
+TIMING_TOLERANCE_SECONDS = 0.05  # on every time limit between a limiter and its backends
 
 
-class TrueStore:
-    """A customer's quota as one store over all limiters would hold it."""
+class Rejection(NamedTuple):
+    """A request that was not served, and whether its customer's quota would have covered it."""
 
-    def __init__(self, rate: float, burst: float, now: float) -> None:
-        self.rate, self.burst, self.level, self.at = rate, burst, burst, now
+    at: float
+    result: RequestResult
+    was_within_quota: bool
 
-    def now(self, now: float) -> float:
-        """Its level."""
-        self.level = min(self.burst, self.level + self.rate * max(0.0, now - self.at))
-        self.at = max(self.at, now)
-        return self.level
 
-    def take(self, units: float, now: float) -> None:
-        """Units were sent on; it does not go below empty, so that each refusal is judged by what there is."""
-        self.level = max(0.0, self.now(now) - units)
+def _is_never_excused(_: str) -> bool:
+    """Excuse no request."""
+    return False
 
 
-class World:
-    """Servers, counter, discovery and user agents in one reactor."""
+class Environment:
+    """Backends, counter, discovery and clients."""
 
     def __init__(
         self,
-        reactor: Any,
+        reactor: NetworkReactor,
         seed: int,
-        servers: int = 6,
-        plans: dict[str, tuple[float, float]] | None = None,
-        capacity: float = 540.0,
+        backend_count: int = 6,
+        plans: site.Plans | None = None,
+        counter_calls_per_second: float = DEFAULT_CALLS_PER_SECOND,
     ) -> None:
-        self.reactor, self.rng = reactor, random.Random(seed)
+        self.reactor = reactor
+        self.rng = random.Random(seed)
         self.plans = plans or site.PLANS
         self.deadlines = clock.Deadlines(reactor)
-        self.meter = Meter({name: rate for name, (rate, _) in self.plans.items()})
-        self.keys = Keys(site.WINDOW)
-        self.servers = [
-            Server(reactor, self.deadlines, n, self.meter, self.keys, random.Random(seed * 1000 + n))
-            for n in range(servers)
+        self.idempotency = IdempotencyStore(site.RETRY_WINDOW_SECONDS)
+        usage = UsageMeter({name: quota.units_per_second for name, quota in self.plans.items()})
+        self.backends = [
+            FakeBackend(reactor, self.deadlines, number, usage, self.idempotency, random.Random(seed * 1000 + number))
+            for number in range(backend_count)
         ]
-        self.counter = Counter(reactor, self.deadlines, capacity)
-        self.discovery = Discovery(reactor, self.deadlines)
-        self.addresses: dict[int, tuple[str, int]] = {}
-        self.agents = Agents(reactor, self.deadlines, random.Random(seed + 1), lambda n: self.addresses[n])
-        self.agents.on_end = self._ended
-        self.stores: dict[int, TrueStore] = {}
-        self.refusals: list[tuple[float, Result, bool]] = []  # when, what was not served, and whether with room
-        self.asked: list[tuple[float, Result]] = []
+        self.counter = FakeCounter(reactor, self.deadlines, counter_calls_per_second)
+        self.discovery = FakeDiscovery(reactor, self.deadlines)
+        self.limiter_addresses: dict[int, Address] = {}
+        self.clients = LoadGenerator(
+            reactor, self.deadlines, random.Random(seed + 1), self.limiter_addresses.__getitem__
+        )
+        self.clients.on_finished.append(self._on_finished)
+        self.rejections: list[Rejection] = []
+        self._finished: list[tuple[float, RequestResult]] = []
+        self._buckets: dict[int, ReferenceBucket] = {}  # by customer number
 
     def start(self) -> None:
-        """Open all of them."""
-        for server in self.servers:
-            server.start()
+        """Start all fakes, with all backends in the endpoint list."""
+        for backend in self.backends:
+            backend.start()
         self.counter.start()
         self.discovery.start()
-        self.discovery.put(*(s.endpoint() for s in self.servers))
+        self.discovery.update(*(backend.endpoint() for backend in self.backends))
 
-    def config(self, gateways: int, memory_mb: int = 192, sockets: int = 1024) -> dict[str, Any]:
-        """The platform's JSON for limiters of this world."""
+    def config(self, limiter_count: int, memory_mb: int = 192, sockets: int = 1024) -> JsonObject:
+        """Return the platform's JSON for limiters of this environment."""
         return {
             "name": "n0",
             "listen": "127.0.0.1:0",
@@ -79,73 +82,90 @@
             "counter": "{}:{}".format(*self.counter.address),
             "seed": f"{self.rng.getrandbits(64):016x}",
             "limits": {"cores": 1.0, "memory_mb": memory_mb, "sockets": sockets},
-            "known": self.discovery.whole(),
-            "settings": site.settings(gateways, self.plans),
+            "known": self.discovery.complete_list(),
+            "settings": site.settings(limiter_count, self.plans),
         }
 
-    def store(self, customer: Customer) -> TrueStore:
-        """The customer's quota."""
-        store = self.stores.get(customer.number)
-        if store is None:
-            rate, burst = self.plans[customer.plan]
-            store = self.stores[customer.number] = TrueStore(rate, burst, clock.now())
-        return store
-
-    def _ended(self, result: Result) -> None:
-        store, now = self.store(result.customer), clock.now()
-        self.asked.append((now, result))
-        if result.verdict == "served":
-            store.take(result.customer.units, result.begun)
+    def bucket_of(self, customer: Customer) -> ReferenceBucket:
+        """Return the customer's quota."""
+        bucket = self._buckets.get(customer.number)
+        if bucket is None:
+            bucket = ReferenceBucket(self.plans[customer.plan], clock.now())
+            self._buckets[customer.number] = bucket
+        return bucket
+
+    def _on_finished(self, result: RequestResult) -> None:
+        bucket = self.bucket_of(result.customer)
+        now = clock.now()
+        self._finished.append((now, result))
+        if result.is_served:
+            bucket.consume(result.customer.units, result.started_at)
         else:
-            room = store.now(now) >= result.customer.units
-            self.refusals.append((now, result, room))
+            was_within_quota = bucket.level_at(now) >= result.customer.units
+            self.rejections.append(Rejection(now, result, was_within_quota))
 
-    def arrivals(self) -> list[Arrival]:
-        """All calls that reached a server whole, in the order of their times."""
-        return sorted((a for s in self.servers for a in s.arrivals), key=lambda a: a.at)
+    def received(self) -> list[ReceivedRequest]:
+        """Return all complete requests that backends received, in the order of their times."""
+        received = (request for backend in self.backends for request in backend.received)
+        return sorted(received, key=lambda request: request.received_at)
 
-    def unlawful(self, excused: Callable[[str], bool] = lambda request: False) -> list[str]:
-        """Where a request came to servers as the rules forbid, in words; a keyed one may be repeated in its window.
+    def attempt_violations(self, is_excused: Callable[[str], bool] = _is_never_excused) -> list[str]:
+        """Describe where attempts of a request broke the protocol; one with a key may be retried in its window.
 
-        `excused`: requests on whose way something kept bytes back, so that servers saw them later than they were sent.
+        :param is_excused: by request id, whether a fault delayed its bytes, so that backends received an attempt later
+            than it was sent.
         """
-        faults = [
-            f"{request}: {count} effects"
-            for request, count in self.keys.effects.items()
-            if count > 1 and not excused(request)
+        violations = [
+            f"{request_id}: {count} effects"
+            for request_id, count in self.idempotency.effect_counts.items()
+            if count > 1 and not is_excused(request_id)
         ]
-        first: dict[str, Arrival] = {}
-        before: dict[str, Arrival] = {}
-        for arrival in self.arrivals():
-            request, last = arrival.request, before.get(arrival.request)
-            if excused(request):
+        first_attempts: dict[str, ReceivedRequest] = {}
+        last_attempts: dict[str, ReceivedRequest] = {}
+        for attempt in self.received():
+            request_id = attempt.request_id
+            if is_excused(request_id):
                 continue
-            if last is not None and last.over > arrival.at + SLACK:
-                faults.append(f"{request}: out at s{last.server} and s{arrival.server} at once")
-            if arrival.keyed and arrival.since - first.setdefault(request, arrival).at > site.WINDOW + SLACK:
-                faults.append(f"{request}: repeated {arrival.at - first[request].at:.2f} s after it was first sent")
-            before[request] = arrival
-        return faults
-
-    def answered_twice(self) -> list[Result]:
-        """Requests with more than one answer, or with another's."""
-        return [r for r in self.agents.results if r.answers > 1 or r.wrong]
-
-    def unanswered(self) -> list[Result]:
-        """Requests that were taken and got no answer, those aside that a killed limiter held."""
-        return [r for r in self.agents.results if r.verdict == "unanswered" and not r.killed]
-
-    def room_share(self, limiters: set[int], since: float, until: float, without: str = "") -> float:
-        """Of what was asked of some limiters in a span, the share not served though its customer had room."""
-
-        def counts(at: float, result: Result) -> bool:
-            return result.limiter in limiters and since <= at < until and result.customer.plan != without
-
-        asked = sum(counts(at, result) for at, result in self.asked)
-        refused = sum(room and counts(at, result) for at, result, room in self.refusals)
-        return refused / asked if asked else 0.0
-
-    def units_sent(self, customer: Customer, since: float = 0.0) -> float:
-        """Units of a customer that reached servers, each request once."""
-        seen = {a.request: a.units for a in self.arrivals() if a.customer == customer.name and a.at >= since}
-        return sum(seen.values())
+            last = last_attempts.get(request_id)
+            if last is not None and last.ended_at > attempt.received_at + TIMING_TOLERANCE_SECONDS:
+                violations.append(f"{request_id}: out at s{last.backend} and s{attempt.backend} at once")
+            if attempt.has_idempotency_key:
+                first = first_attempts.setdefault(request_id, attempt)
+                max_delay_seconds = site.RETRY_WINDOW_SECONDS + TIMING_TOLERANCE_SECONDS
+                if attempt.earliest_at - first.received_at > max_delay_seconds:
+                    delay_seconds = attempt.received_at - first.received_at
+                    violations.append(f"{request_id}: repeated {delay_seconds:.2f} s after it was first sent")
+            last_attempts[request_id] = attempt
+        return violations
+
+    def wrongly_answered(self) -> list[RequestResult]:
+        """Return the requests with more than one response, or with that of another request."""
+        return [result for result in self.clients.results if result.response_count > 1 or result.has_wrong_value]
+
+    def unanswered(self) -> list[RequestResult]:
+        """Return the accepted requests without a response, except those that a killed limiter had."""
+        return [
+            result
+            for result in self.clients.results
+            if result.outcome is RequestOutcome.UNANSWERED and not result.is_limiter_killed
+        ]
+
+    def rejected_within_quota_fraction(
+        self, limiters: set[int], since: float, until: float, excluded_plan: str = ""
+    ) -> float:
+        """Return the fraction of some limiters' requests that were not served though the quota covered them."""
+
+        def is_selected(at: float, result: RequestResult) -> bool:
+            """Return whether a result is of these limiters and this span."""
+            return result.limiter in limiters and since <= at < until and result.customer.plan != excluded_plan
+
+        finished_count = sum(is_selected(at, result) for at, result in self._finished)
+        rejected_count = sum(
+            rejection.was_within_quota and is_selected(rejection.at, rejection.result) for rejection in self.rejections
+        )
+        return rejected_count / finished_count if finished_count else 0.0
+
+    def units_received(self, customer: Customer) -> float:
+        """Return a customer's units that reached backends, each request counted once."""
+        units = {request.request_id: request.units for request in self.received() if request.customer == customer.name}
+        return sum(units.values())
--- a/thymeflow/testkit/fakes/load_generator.py
+++ b/thymeflow/testkit/fakes/load_generator.py
@@ -1,284 +1,228 @@
-"""User agents: customers that ask, open-loop, and a count of every byte of answer for each request.
+"""The clients: customers that send requests open-loop, and the outcome of each request.
 
-A request is written on a connection on which nothing else is open. A connection that ends before any byte of the
-answer, after it has served before, may have crossed the request: it is written once more on a new one, as the
-protocol allows. Whatever else happens to a request is counted, and nothing is ever tried again by itself.
+A request is sent on a connection on which nothing else is pending. A connection that ends before any byte of the
+response, and has served before, may have been closed while the request was on its way: the request is sent once more on
+a new connection, as the protocol allows. Everything else that happens to a request is recorded, and nothing is retried.
 """
 
 from __future__ import annotations
 
 import random
 from collections.abc import Callable
-from dataclasses import dataclass, field
-from typing import Any
-
-from twisted.internet.protocol import ClientFactory, Protocol, connectionDone
-from twisted.python.failure import Failure
 
 from thymeflow.runtime import clock
-from thymeflow.testkit.fakes.site import KEYED
+from thymeflow.testkit.fakes.client_connection import ClientConnection, ClientConnectionFactory
+from thymeflow.testkit.fakes.requests import Customer, RequestOutcome, RequestResult
+from thymeflow.testkit.fakes.site import KEYED_CLASS
+from thymeflow.testkit.types import Address, NetworkReactor
 from thymeflow.transport import resp
 
-CONNECT = 2.0  # s
-SLACK = 1.0  # s past its deadline, after which a request without an answer is unanswered
-
-
-@dataclass(slots=True)
-class Customer:
-    """Who asks how much, and through which limiters."""
-
-    number: int
-    plan: str
-    rate: float  # requests a second
-    units: float = 1.0
-    first: int = 0
-    spread: int = 1
-    of: int = 1  # limiters, round which its set is counted
-    favourite: float = 0.0  # share that goes through the first of its set, beside its even part
-
-    @property
-    def name(self) -> str:
-        """As it stands in calls."""
-        return f"{self.number:016x}"
-
-
-@dataclass(slots=True)
-class Result:
-    """What became of one request."""
-
-    id: str
-    customer: Customer
-    cls: str
-    limiter: int
-    begun: float
-    deadline: float
-    ended: float = 0.0
-    verdict: str = ""  # served, refused, failed, unanswered, refused connect; "" while open
-    wait: float = 0.0  # advice, s
-    answers: int = 0  # whole answers that came
-    wrong: bool = False  # a value that no server made for it
-    resent: bool = False
-    killed: bool = False  # the limiter was killed while it was open
-    notes: list[str] = field(default_factory=list)
-
-
-class _Connection(Protocol):
-    transport: Any
-
-    def __init__(self, agents: Agents, limiter: int) -> None:
-        self._agents, self.limiter, self._parser = agents, limiter, resp.Parser(resp.MAX_LONG_VALUE)
-        self._long = b""  # the first bytes of a long value
-        self.result: Result | None = None
-        self.last: Result | None = None
-        self.used, self.closed, self.begun = False, False, False
-        self.port = 0
-
-    def connectionMade(self) -> None:
-        self.transport.setTcpNoDelay(True)
-        self.port = self.transport.getHost().port
-        self._agents.up(self)
-
-    def ask(self, result: Result, line: bytes) -> None:
-        self.result, self.begun = result, False
-        self.transport.write(line)
-
-    def dataReceived(self, data: bytes) -> None:
-        found, _ = self._parser.feed(data)
-        self.begun = True
-        for value in found:
-            if isinstance(value, resp.Begin):
-                self._long = b""
-            elif isinstance(value, resp.Chunk):
-                self._long = (self._long + value.data)[:64]
-                self._agents.slowly(self, len(value.data))
-            elif isinstance(value, resp.Closed):
-                self._answer(self._long)
-            elif not isinstance(value, resp.End):
-                self._answer(value)
-
-    def _answer(self, value: resp.Event) -> None:
-        result, self.result = self.result, None
-        if result is None:
-            if self.last is not None:  # bytes that nobody asked for: a second answer to the last one
-                self.last.answers += 1
-            return
-        self.last, self.used = result, True
-        self._agents.answered(result, value)
-        self._agents.free(self)
-
-    def connectionLost(self, reason: Failure = connectionDone) -> None:
-        self.closed = True
-        result, self.result = self.result, None
-        self._agents.lost(self, result)
-
-
-class _Dialler(ClientFactory):
-    noisy = False
+CONNECT_TIMEOUT_SECONDS = 2.0
+RESPONSE_TOLERANCE_SECONDS = 1.0  # past its deadline, after which a request without a response is unanswered
+DEADLINE_SECONDS = 2.0
+KEYED_DEADLINE_SECONDS = 3.0
+REQUEST_BODY = b"table for two"
 
-    def __init__(self, agents: Agents, limiter: int, result: Result, line: bytes) -> None:
-        self._agents, self._limiter, self.result, self.line = agents, limiter, result, line
 
-    def buildProtocol(self, addr: Any) -> _Connection:
-        made = _Connection(self._agents, self._limiter)
-        self._agents.dialled[made] = (self.result, self.line)
-        return made
+def _is_never_refused(_limiter: int, _local_port: int) -> bool:
+    """Know of no fault proxy that refuses connections."""
+    return False
 
-    def clientConnectionFailed(self, connector: Any, reason: Failure) -> None:
-        self._agents.refused(self.result)
 
-
-class Agents:
-    """All user agents, and what became of all that they asked."""
+class LoadGenerator:
+    """All clients, and the results of all their requests."""
 
     def __init__(
-        self, reactor: Any, deadlines: clock.Deadlines, rng: random.Random, address: Callable[[int], tuple[str, int]]
+        self,
+        reactor: NetworkReactor,
+        deadlines: clock.Deadlines,
+        rng: random.Random,
+        address_of: Callable[[int], Address],
     ) -> None:
-        self.results: list[Result] = []
-        self.open: dict[str, Result] = {}
-        self.dialled: dict[_Connection, tuple[Result, bytes]] = {}
-        self.on_end: Callable[[Result], None] = lambda result: None
-        self.not_taken: Callable[[int, int], bool] = lambda limiter, port: False  # a relay was refused for that port
-        self.stopped = False
-        self.pace: dict[str, float] = {}  # by class: bytes a second that are taken of a long answer
-        self._reactor, self._deadlines, self._rng, self._address = reactor, deadlines, rng, address
-        self._idle: dict[int, list[_Connection]] = {}
-        self._connections: set[_Connection] = set()
-        self._count = 0
-        self._salt = rng.getrandbits(24)
-        self._generation: dict[int, int] = {}
-
-    def begin(self, customer: Customer, classes: tuple[str, ...]) -> None:
-        """Let a customer ask from now on, at random moments, until `stop`."""
-        generation = self._generation[customer.number] = self._generation.get(customer.number, 0) + 1
-
-        def next_one(_: int) -> None:
-            if self.stopped or self._generation[customer.number] != generation:
+        """`address_of` returns the address of a limiter by its number."""
+        self.results: list[RequestResult] = []
+        self.pending: dict[str, RequestResult] = {}  # by request id
+        self.on_finished: list[Callable[[RequestResult], None]] = []  # called in this order
+        # Whether a fault proxy refused the connection from a local port to a limiter.
+        self.was_connect_refused: Callable[[int, int], bool] = _is_never_refused
+        self.read_bytes_per_second: dict[str, float] = {}  # of long values, by class
+        self._reactor = reactor
+        self._deadlines = deadlines
+        self._rng = rng
+        self._address_of = address_of
+        self._is_stopped = False
+        self._idle: dict[int, list[ClientConnection]] = {}  # by limiter
+        self._connections: set[ClientConnection] = set()
+        self._request_count = 0
+        self._id_prefix = rng.getrandbits(24)
+        self._generations: dict[int, int] = {}  # by customer number: how often it was started
+
+    def start_customer(self, customer: Customer, request_classes: tuple[str, ...]) -> None:
+        """Send requests of a customer at random times until `stop`, or until the customer is started again."""
+        generation = self._generations.get(customer.number, 0) + 1
+        self._generations[customer.number] = generation
+
+        def schedule_next() -> None:
+            """Schedule the next request after a random interval."""
+            interval_seconds = self._rng.expovariate(customer.requests_per_second)
+            self._deadlines.schedule(clock.now() + interval_seconds, send_next)
+
+        def send_next(_: int) -> None:
+            """Send a request and schedule the next one."""
+            if self._is_stopped or self._generations[customer.number] != generation:
                 return
-            self.ask(customer, self._rng.choice(classes))
-            self._deadlines.schedule(clock.now() + self._rng.expovariate(customer.rate), next_one)
+            self.send_request(customer, self._rng.choice(request_classes))
+            schedule_next()
 
-        self._deadlines.schedule(clock.now() + self._rng.expovariate(customer.rate), next_one)
+        schedule_next()
 
     def stop(self) -> None:
-        """Ask nothing more; what is open still gets its answer."""
-        self.stopped = True
+        """Send no more requests; those that are pending still get their responses."""
+        self._is_stopped = True
 
     def close(self) -> None:
-        """End all connections."""
+        """Close all connections."""
         for connection in list(self._connections):
             connection.transport.abortConnection()
 
-    def ask(self, customer: Customer, cls: str, limiter: int | None = None, deadline: float | None = None) -> Result:
-        """One request, now; through a limiter of the customer's set unless one is named."""
+    def send_request(
+        self,
+        customer: Customer,
+        request_class: str,
+        limiter: int | None = None,
+        deadline_seconds: float | None = None,
+    ) -> RequestResult:
+        """Send one request now, through one of the customer's limiters unless one is given."""
         now = clock.now()
-        self._count += 1
+        self._request_count += 1
         if limiter is None:
-            favourite = self._rng.random() < customer.favourite
-            place = 0 if favourite else self._rng.randrange(customer.spread)
-            limiter = (customer.first + place) % max(customer.of, customer.first + 1)
-        allowed = (3.0 if cls == KEYED else 2.0) if deadline is None else deadline
-        result = Result(f"{self._salt << 40 | self._count:016x}", customer, cls, limiter, now, now + allowed)
+            limiter = self._select_limiter(customer)
+        if deadline_seconds is None:
+            deadline_seconds = KEYED_DEADLINE_SECONDS if request_class == KEYED_CLASS else DEADLINE_SECONDS
+        request_id = f"{self._id_prefix << 40 | self._request_count:016x}"
+        result = RequestResult(request_id, customer, request_class, limiter, now, now + deadline_seconds)
         self.results.append(result)
-        self.open[result.id] = result
-        self._deadlines.schedule(result.deadline + SLACK, lambda _: self._overdue(result))
+        self.pending[request_id] = result
+        self._deadlines.schedule(result.deadline + RESPONSE_TOLERANCE_SECONDS, lambda _: self._on_overdue(result))
         self._send(result)
         return result
 
-    def _line(self, result: Result) -> bytes:
-        customer, keyed = result.customer, result.cls == KEYED
-        left = max(1, int((result.deadline - clock.now()) * 1000))
+    def _select_limiter(self, customer: Customer) -> int:
+        is_first = self._rng.random() < customer.first_limiter_fraction
+        offset = 0 if is_first else self._rng.randrange(customer.spread)
+        return (customer.first_limiter + offset) % max(customer.limiter_count, customer.first_limiter + 1)
+
+    @staticmethod
+    def _command(result: RequestResult) -> bytes:
+        customer = result.customer
+        has_key = result.request_class == KEYED_CLASS
+        remaining_ms = max(1, int((result.deadline - clock.now()) * 1000))
+        key_term = f",k={result.request_id}" if has_key else ""
         terms = (
-            f"c={result.cls},t={customer.plan},d={left}{f',k={result.id}' if keyed else ''},"
-            f"units={customer.units:g},spread={customer.spread},first={customer.first}"
+            f"c={result.request_class},t={customer.plan},d={remaining_ms}{key_term},"
+            f"units={customer.units:g},spread={customer.spread},first={customer.first_limiter}"
         )
-        words = [b"SVC.SUBMIT" if keyed else b"SVC.QUERY", customer.name.encode(), result.id.encode(), terms.encode()]
-        return resp.command(*words, *([b"table for two"] if keyed else []))
+        verb = b"SVC.SUBMIT" if has_key else b"SVC.QUERY"
+        body = [REQUEST_BODY] if has_key else []
+        return resp.command(verb, customer.name.encode(), result.request_id.encode(), terms.encode(), *body)
 
-    def _send(self, result: Result) -> None:
+    def _send(self, result: RequestResult) -> None:
         idle = self._idle.setdefault(result.limiter, [])
-        while idle and not result.resent:  # what is written once more goes over a new connection
+        while idle and not result.is_resent:  # a request that is sent once more needs a new connection
             connection = idle.pop()
-            if not connection.closed:
-                connection.ask(result, self._line(result))
+            if not connection.is_closed:
+                connection.send(result, self._command(result))
                 return
-        host, port = self._address(result.limiter)
-        self._reactor.connectTCP(
-            host, port, _Dialler(self, result.limiter, result, self._line(result)), timeout=CONNECT
-        )
+        host, port = self._address_of(result.limiter)
+        factory = ClientConnectionFactory(self, result.limiter, result, self._command(result))
+        self._reactor.connectTCP(host, port, factory, timeout=CONNECT_TIMEOUT_SECONDS)
 
-    def up(self, connection: _Connection) -> None:
-        """A connection is up: its request goes out."""
+    def on_connected(self, connection: ClientConnection) -> None:
+        """Register an established connection."""
         self._connections.add(connection)
-        connection.ask(*self.dialled.pop(connection))
 
-    def free(self, connection: _Connection) -> None:
-        """A connection has nothing open."""
+    def on_idle(self, connection: ClientConnection) -> None:
+        """Use the connection for another request of its limiter."""
         self._idle.setdefault(connection.limiter, []).append(connection)
 
-    def answered(self, result: Result, value: resp.Event) -> None:
-        """A whole answer has come."""
-        result.answers += 1
-        if result.verdict:
-            result.notes.append("a late answer")
-            return
-        if isinstance(value, resp.ErrorReply):
-            words = value.split()
-            busy = words[:1] == [b"BUSY"]
-            result.wait = int(words[1]) / 1000.0 if busy and len(words) > 1 and words[1].isdigit() else 0.0
-            if not busy:
-                result.notes.append(value.decode("ascii", "replace"))
-            self._end(result, "refused" if busy else "failed")
+    def on_response(self, result: RequestResult, value: resp.Event) -> None:
+        """Record a complete response."""
+        result.response_count += 1
+        if result.is_finished:
+            result.details.append("a late answer")
+        elif isinstance(value, resp.ErrorReply):
+            self._on_error_reply(result, value)
         elif isinstance(value, bytes):
-            result.wrong = not value.startswith(result.id.encode() + b":")
-            self._end(result, "served")
+            result.has_wrong_value = not value.startswith(result.request_id.encode() + b":")
+            self._finish(result, RequestOutcome.SERVED)
         else:
-            self._end(result, "failed")
-
-    def _end(self, result: Result, verdict: str) -> None:
-        result.verdict, result.ended = verdict, self._deadlines.earliest_arrival(clock.now())
-        self.open.pop(result.id, None)
-        self.on_end(result)
-
-    def refused(self, result: Result) -> None:
-        """No connection came up."""
-        if not result.verdict:
-            self._end(result, "refused connect")
-
-    def lost(self, connection: _Connection, result: Result | None) -> None:
-        """A connection has ended, with a request open on it or not."""
+            self._finish(result, RequestOutcome.FAILED)
+
+    def _on_error_reply(self, result: RequestResult, reply: resp.ErrorReply) -> None:
+        words = reply.split()
+        if words[:1] == [b"BUSY"]:
+            if len(words) > 1 and words[1].isdigit():
+                result.retry_after_seconds = int(words[1]) / 1000.0
+            self._finish(result, RequestOutcome.REJECTED)
+        else:
+            result.details.append(reply.decode("ascii", "replace"))
+            self._finish(result, RequestOutcome.FAILED)
+
+    def _finish(self, result: RequestResult, outcome: RequestOutcome) -> None:
+        result.outcome = outcome
+        result.finished_at = self._deadlines.earliest_arrival(clock.now())
+        self.pending.pop(result.request_id, None)
+        for callback in self.on_finished:
+            callback(result)
+
+    def on_connect_failed(self, result: RequestResult) -> None:
+        """Record that there was no connection for a request."""
+        if not result.is_finished:
+            self._finish(result, RequestOutcome.CONNECT_REFUSED)
+
+    def on_disconnected(self, connection: ClientConnection, result: RequestResult | None) -> None:
+        """Remove a connection; send its pending request once more where the protocol allows it."""
         self._connections.discard(connection)
         idle = self._idle.get(connection.limiter, [])
         if connection in idle:
             idle.remove(connection)
-        if result is None or result.verdict:
+        if result is None or result.is_finished:
             return
-        if not connection.begun and self.not_taken(connection.limiter, connection.port):
-            self._end(result, "refused connect")
-        elif connection.used and not connection.begun and not result.resent and not result.killed:
-            result.resent = True
+        if not connection.has_response_bytes and self.was_connect_refused(connection.limiter, connection.local_port):
+            self._finish(result, RequestOutcome.CONNECT_REFUSED)
+        elif self._may_resend(connection, result):
+            result.is_resent = True
             self._send(result)
         else:
-            state = "used before" if connection.used else "new"
-            result.notes.append(
-                f"the connection ({state}{', a second one' if result.resent else ''}) ended without an "
-                f"answer {clock.now() - result.begun:.3f} s after the request"
+            state = "used before" if connection.has_served else "new"
+            result.details.append(
+                f"the connection ({state}{', a second one' if result.is_resent else ''}) ended without an "
+                f"answer {clock.now() - result.started_at:.3f} s after the request"
             )
-            self._end(result, "unanswered")
+            self._finish(result, RequestOutcome.UNANSWERED)
+
+    @staticmethod
+    def _may_resend(connection: ClientConnection, result: RequestResult) -> bool:
+        has_crossed_close = connection.has_served and not connection.has_response_bytes
+        return has_crossed_close and not result.is_resent and not result.is_limiter_killed
 
-    def _overdue(self, result: Result) -> None:
-        if not result.verdict:
-            result.notes.append("no answer in time")
-            self._end(result, "unanswered")
+    def _on_overdue(self, result: RequestResult) -> None:
+        if not result.is_finished:
+            result.details.append("no answer in time")
+            self._finish(result, RequestOutcome.UNANSWERED)
 
-    def slowly(self, connection: _Connection, taken: int) -> None:
-        """Bytes of a long answer were taken: no more for a while, where its class has a pace."""
-        pace = self.pace.get(connection.result.cls) if connection.result else None
-        if pace:
+    def on_long_value_bytes(self, connection: ClientConnection, byte_count: int) -> None:
+        """Read no more for a while, where the class has a reading rate."""
+        if connection.result is None:
+            return
+        bytes_per_second = self.read_bytes_per_second.get(connection.result.request_class)
+        if bytes_per_second:
             connection.transport.pauseProducing()
-            self._deadlines.schedule(clock.now() + taken / pace, lambda _: connection.transport.resumeProducing())
+            resume_at = clock.now() + byte_count / bytes_per_second
+            self._deadlines.schedule(resume_at, lambda _: connection.transport.resumeProducing())
 
-    def killed(self, limiter: int) -> None:
-        """A limiter is killed outright: what is open there is lost through no fault of its own."""
-        for result in self.open.values():
+    def on_limiter_killed(self, limiter: int) -> None:
+        """Mark the requests that are pending at a limiter as lost to its kill."""
+        for result in self.pending.values():
             if result.limiter == limiter:
-                result.killed = True
+                result.is_limiter_killed = True
--- a/thymeflow/testkit/fakes/site.py
+++ b/thymeflow/testkit/fakes/site.py
@@ -1,24 +1,43 @@
-"""A table-booking site of our own making: four plans, three classes, as the platform tells them."""
+"""The settings of a table-booking deployment of our own making: four plans and three classes of requests."""
 
 from __future__ import annotations
 
-from typing import Any
+from typing import NamedTuple
 
-PLANS = {"kedai": (2.0, 10.0), "biasa": (3.0, 15.0), "rangkaian": (8.0, 32.0), "korporat": (20.0, 40.0)}
-CLASSES = ("table-check", "booking-view", "booking-make")  # the last is keyed: its effect must come once
-KEYED = "booking-make"
-WINDOW = 2.0  # s after its first sending, in which it may be repeated anywhere
-MOST_UNITS = 4.0
+from thymeflow.testkit.types import JsonObject
 
 
-def settings(gateways: int, plans: dict[str, tuple[float, float]] | None = None, step: float = 0.002) -> dict[str, Any]:
-    """The settings object; plans are name to units a second and burst."""
+class PlanQuota(NamedTuple):
+    """The quota of a customer of one plan."""
+
+    units_per_second: float
+    burst_units: float
+
+
+Plans = dict[str, PlanQuota]
+
+PLANS: Plans = {
+    "kedai": PlanQuota(2.0, 10.0),
+    "biasa": PlanQuota(3.0, 15.0),
+    "rangkaian": PlanQuota(8.0, 32.0),
+    "korporat": PlanQuota(20.0, 40.0),
+}
+CHECK_CLASS = "table-check"
+VIEW_CLASS = "booking-view"
+KEYED_CLASS = "booking-make"  # its requests have an idempotency key: the effect must come once
+REQUEST_CLASSES = (CHECK_CLASS, VIEW_CLASS, KEYED_CLASS)
+RETRY_WINDOW_SECONDS = 2.0  # after its first attempt, in which a request with a key may be retried at any backend
+MAX_UNITS = 4.0
+
+
+def settings(limiter_count: int, plans: Plans | None = None) -> JsonObject:
+    """Return the `settings` object of the platform's JSON for a set of limiters."""
     return {
         "index": 0,
-        "balancers": gateways,
+        "balancers": limiter_count,
         "zone": "floor-2",
         "azs": ["floor-2"],
-        "step": step,
+        "step": 0.002,
         "caps": {
             "cancel": True,
             "max-attempts": 4,
@@ -29,14 +48,22 @@
             "open-cap": 20000,
         },
         "classes": [
-            {"name": "table-check", "on-time": 1.0, "deadline": 2.0, "effect": "retryable"},
-            {"name": "booking-view", "on-time": 1.0, "deadline": 2.0, "effect": "retryable"},
-            {"name": KEYED, "on-time": 1.5, "deadline": 3.0, "effect": "dedup", "key-scope": "all", "window": WINDOW},
+            {"name": CHECK_CLASS, "on-time": 1.0, "deadline": 2.0, "effect": "retryable"},
+            {"name": VIEW_CLASS, "on-time": 1.0, "deadline": 2.0, "effect": "retryable"},
+            {
+                "name": KEYED_CLASS,
+                "on-time": 1.5,
+                "deadline": 3.0,
+                "effect": "dedup",
+                "key-scope": "all",
+                "window": RETRY_WINDOW_SECONDS,
+            },
         ],
-        "family-info": {"may-count": True, "counter-timeout": 0.05, "trued-up": True, "most-units": MOST_UNITS},
+        "family-info": {"may-count": True, "counter-timeout": 0.05, "trued-up": True, "most-units": MAX_UNITS},
         "report": {"how": "inline", "fields": ["avg_ms"]},
         "rules": {"drain-grace": 1.0, "grace-to-answer": 0.008},
         "tiers-of-service": [
-            {"name": name, "refill": rate, "most-at-once": burst} for name, (rate, burst) in (plans or PLANS).items()
+            {"name": name, "refill": quota.units_per_second, "most-at-once": quota.burst_units}
+            for name, quota in (plans or PLANS).items()
         ],
     }
--- a/thymeflow/testkit/faults/__init__.py
+++ b/thymeflow/testkit/faults/__init__.py
@@ -1,1 +1,1 @@
-"""Faults between real processes: relays on every link, processes that are stopped and killed, judges outside."""
+"""Faults between real processes: proxies on every link, processes that are paused and killed, checks from outside."""
--- a/thymeflow/testkit/faults/fault_modes.py
+++ b/thymeflow/testkit/faults/fault_modes.py
@@ -1,80 +1,91 @@
-"""Limiters broken on purpose, one way each, so that every judge is seen catching something.
+"""Limiters with a fault put in, one for each invariant checker, so that each is seen to find its fault.
 
-python -m thymeflow.testkit.faults.fault_modes NAME [the arguments of thymeflow]
+python -m thymeflow.testkit.faults.fault_modes MODE [the arguments of thymeflow]
 """
 
 from __future__ import annotations
 
 import sys
 from collections.abc import Callable
-from typing import Any
+from unittest.mock import patch
 
 from twisted.internet.defer import Deferred
 
 from thymeflow import __main__ as program
 from thymeflow.backends import backends
-from thymeflow.core.types import AttemptResult, AttemptSpec
+from thymeflow.core.types import AttemptResult, AttemptSpec, Response
 from thymeflow.discovery import watch
 from thymeflow.frontend import frontend
 from thymeflow.platform.endpoints import EndpointUpdate
 from thymeflow.quota.strict import StrictTokenBucket
 from thymeflow.transport.commands import SUBMIT, Call
 
-SOME = 10  # every so many
+FAULT_INTERVAL = 10  # every tenth request is hit
 
 
-def deaf() -> None:
-    """Takes the first word of discovery and none that comes later."""
-    take = watch.EndpointWatcher._apply
+def ignore_endpoint_updates() -> None:
+    """Apply the first message of discovery and none that follows."""
+    apply_update = watch.EndpointWatcher._apply
 
-    def once(self: watch.EndpointWatcher, change: EndpointUpdate) -> None:
+    def apply_first(self: watch.EndpointWatcher, change: EndpointUpdate) -> None:
+        """Apply an update before the watcher is ready."""
         if not self.is_ready:
-            take(self, change)
+            apply_update(self, change)
 
-    watch.EndpointWatcher._apply = once  # type: ignore[method-assign]
+    patch.object(watch.EndpointWatcher, "_apply", apply_first).start()
 
 
-def mute() -> None:
-    """Ends the connection in place of an answer, for some requests and whenever they come."""
-    answered = frontend.ClientConnection._answered
+def drop_responses() -> None:
+    """Close the connection in place of a response, for some requests and whenever they come."""
+    write_response = frontend.ClientConnection._answered
 
-    def some(self: frontend.ClientConnection, answer: Any, place: frontend.PipelineSlot) -> None:
-        if place.request is None or int(place.request.id, 16) % SOME:
-            answered(self, answer, place)
+    def write_nine_of_ten(self: frontend.ClientConnection, response: Response, slot: frontend.PipelineSlot) -> None:
+        """Write the response, or close the connection."""
+        if slot.request is None or int(slot.request.id, 16) % FAULT_INTERVAL:
+            write_response(self, response, slot)
         else:
             self.transport.abortConnection()
 
-    frontend.ClientConnection._answered = some  # type: ignore[method-assign]
+    patch.object(frontend.ClientConnection, "_answered", write_nine_of_ten).start()
 
 
-def double() -> None:
-    """Sends calls with a key to a second server as well, now and then."""
-    begin, count = backends.BackendConnections.start_attempt, [0]
+def duplicate_attempts() -> None:
+    """Send attempts to a second backend as well, after every tenth request with an idempotency key."""
+    start_attempt = backends.BackendConnections.start_attempt
+    keyed_count = 0
 
-    def twice(self: backends.BackendConnections, spec: AttemptSpec) -> Deferred[AttemptResult]:
-        going = begin(self, spec)
-        count[0] += isinstance(spec.payload, Call) and spec.payload.verb == SUBMIT
-        others = [n for n in self._pools_by_id if n != spec.backend]
-        if others and count[0] % SOME == 1:
-            begin(self, spec._replace(backend=others[0]))
-        return going
+    def start_and_duplicate(self: backends.BackendConnections, spec: AttemptSpec) -> Deferred[AttemptResult]:
+        """Start the attempt, and at times another one."""
+        nonlocal keyed_count
+        result = start_attempt(self, spec)
+        keyed_count += isinstance(spec.payload, Call) and spec.payload.verb == SUBMIT
+        other_backends = [backend for backend in self._pools_by_id if backend != spec.backend]
+        if other_backends and keyed_count % FAULT_INTERVAL == 1:
+            start_attempt(self, spec._replace(backend=other_backends[0]))
+        return result
 
-    backends.BackendConnections.start_attempt = twice  # type: ignore[method-assign]
+    patch.object(backends.BackendConnections, "start_attempt", start_and_duplicate).start()
 
 
-def sulky() -> None:
-    """Ends with a failure when it is told to end."""
+def exit_with_failure() -> None:
+    """Exit with status 1 after a graceful shutdown."""
     main = program.main
-    program.main = lambda: main() or 1
+    patch.object(program, "main", lambda: main() or 1).start()
 
 
-def free() -> None:
-    """Has of each customer's base what the whole set has."""
-    StrictTokenBucket._base_fraction = lambda self: 1.0  # type: ignore[method-assign]
+def overspend_quotas() -> None:
+    """Let each limiter use the base fraction of a quota that is meant for all limiters together."""
+    patch.object(StrictTokenBucket, "_base_fraction", lambda _: 1.0).start()
 
 
-WAYS: dict[str, Callable[[], None]] = {"deaf": deaf, "mute": mute, "double": double, "sulky": sulky, "free": free}
+FAULT_MODES: dict[str, Callable[[], None]] = {
+    "ignore-endpoint-updates": ignore_endpoint_updates,
+    "drop-responses": drop_responses,
+    "duplicate-attempts": duplicate_attempts,
+    "exit-with-failure": exit_with_failure,
+    "overspend-quotas": overspend_quotas,
+}
 
 if __name__ == "__main__":
-    WAYS[sys.argv.pop(1)]()
+    FAULT_MODES[sys.argv.pop(1)]()
     sys.exit(program.entry())
--- a/thymeflow/testkit/faults/process.py
+++ b/thymeflow/testkit/faults/process.py
@@ -1,4 +1,4 @@
-"""One limiter as a real process: started, stopped, gone on with, killed, and started again with what is on disk."""
+"""One limiter as a real process: started, paused, resumed, killed, and started again with what is on disk."""
 
 from __future__ import annotations
 
@@ -9,77 +9,85 @@
 import subprocess
 import sys
 from pathlib import Path
-from typing import Any
 
-WAIT = 20.0  # s: for a process to end; only a failing run waits so long
+from thymeflow.testkit.faults.schedule import SERVE_COMMAND
+from thymeflow.testkit.types import JsonObject
 
+EXIT_TIMEOUT_SECONDS = 20.0
+SOURCE_ROOT = Path(__file__).parents[3]
 
-class Process:
-    """A limiter of a number. Only processes that were started here are signalled, by their handles."""
 
-    def __init__(self, number: int, folder: Path, line: str, config: dict[str, Any], broken: str = "") -> None:
-        self.number, self._folder, self._line = number, folder, line
-        self._program = ["thymeflow.testkit.faults.fault_modes", broken] if broken else ["thymeflow"]
-        self.stopped, self.killed, self.starts = False, False, 0
-        self._popen: subprocess.Popen[bytes] | None = None
-        self._path, self.log = folder / f"n{number}.json", folder / f"n{number}.log"
+class LimiterProcess:
+    """The process of one limiter. Only processes that were started here are signalled, by their handles."""
+
+    def __init__(self, number: int, folder: Path, command: str, config: JsonObject, fault_mode: str = "") -> None:
+        """`fault_mode`: the fault to put into the limiter; see `fault_modes`."""
+        self.number = number
+        self.log_path = folder / f"n{number}.log"
         self.config = config
-        self.codes: list[int] = []  # of lives that ended by themselves
+        self.exit_codes: list[int] = []  # of processes that ended by themselves
+        self.is_paused = False
+        self._is_killed = False
+        self._config_path = folder / f"n{number}.json"
+        self._module = ["thymeflow.testkit.faults.fault_modes", fault_mode] if fault_mode else ["thymeflow"]
+        self._arguments: list[str] = []
+        if command == SERVE_COMMAND:
+            self._arguments = ["serve", "--state", str(folder / f"s{number}")]
+        self._process: subprocess.Popen[bytes] | None = None
 
-    def up(self) -> bool:
-        """Whether it runs, stopped or not."""
-        return self._popen is not None and self._popen.poll() is None
+    def is_running(self) -> bool:
+        """Return whether there is a process, paused or not."""
+        return self._process is not None and self._process.poll() is None
 
     def start(self) -> None:
-        """Start a life, unless one runs."""
-        if self.up():
+        """Start a process, unless one is running."""
+        if self.is_running():
             return
-        self.reap()
-        self._path.write_text(json.dumps(self.config))
-        words = ["serve", "--state", str(self._folder / f"s{self.number}")] if self._line == "serve" else []
-        with self.log.open("ab") as log:
-            self._popen = subprocess.Popen(
-                [sys.executable, "-m", *self._program, *words],
+        self._record_exit()
+        self._config_path.write_text(json.dumps(self.config))
+        environment = {
+            **os.environ,
+            "BALANCER_CONFIG": str(self._config_path),
+            "PYTHONPATH": str(SOURCE_ROOT),
+            "THYMEFLOW_BUDGETS_UNITS": str(self.config["units"]),
+        }
+        with self.log_path.open("ab") as log:
+            self._process = subprocess.Popen(
+                [sys.executable, "-m", *self._module, *self._arguments],
                 stdout=log,
                 stderr=log,
-                cwd=Path(__file__).parents[3],
-                env={
-                    **os.environ,
-                    "BALANCER_CONFIG": str(self._path),
-                    "PYTHONPATH": str(Path(__file__).parents[3]),
-                    "THYMEFLOW_BUDGETS_UNITS": str(self.config["units"]),
-                },
+                cwd=SOURCE_ROOT,
+                env=environment,
             )
-        self.stopped = self.killed = False
-        self.starts += 1
+        self.is_paused = False
+        self._is_killed = False
 
     def signal(self, number: int) -> None:
-        """Send a signal to the life that runs."""
-        if self._popen is None or not self.up():
+        """Send a signal to the process, if one is running."""
+        if self._process is None or not self.is_running():
             return
-        self._popen.send_signal(number)
+        self._process.send_signal(number)
         if number == signal.SIGKILL:
-            self.killed = True
-            self._popen.wait(WAIT)
+            self._is_killed = True
+            self._process.wait(EXIT_TIMEOUT_SECONDS)
         elif number in (signal.SIGSTOP, signal.SIGCONT):
-            self.stopped = number == signal.SIGSTOP
+            self.is_paused = number == signal.SIGSTOP
 
-    def reap(self) -> None:
-        """Note how a life that ended by itself did so."""
-        if self._popen is not None and self._popen.poll() is not None:
-            if not self.killed:
-                self.codes.append(self._popen.returncode)
-            self._popen = None
+    def _record_exit(self) -> None:
+        if self._process is not None and self._process.poll() is not None:
+            if not self._is_killed:
+                self.exit_codes.append(self._process.returncode)
+            self._process = None
 
     def end(self) -> None:
-        """End it for good, in good order if it still does."""
-        if self._popen is not None:
+        """Terminate the process, and kill it where it does not end in time."""
+        if self._process is not None:
             with contextlib.suppress(subprocess.TimeoutExpired):
                 self.signal(signal.SIGCONT)
                 self.signal(signal.SIGTERM)
-                self._popen.wait(WAIT)
-            self.reap()
-        if self._popen is not None:
+                self._process.wait(EXIT_TIMEOUT_SECONDS)
+            self._record_exit()
+        if self._process is not None:
             self.signal(signal.SIGKILL)
-            self.codes.append(-signal.SIGKILL)  # it did not end when told to
-            self._popen = None
+            self.exit_codes.append(-signal.SIGKILL)
+            self._process = None
--- a/thymeflow/testkit/faults/proxy.py
+++ b/thymeflow/testkit/faults/proxy.py
@@ -1,195 +1,219 @@
-"""A relay on loopback that stands on one link and can cut it, go silent, delay, stall in a message, and heal.
+"""A fault proxy on loopback for one link: it can cut, blackhole, delay, stall in a message, and heal.
 
-Bytes that a silent or stalled link holds back are kept, at most what two kernels buffer and one read more: a sender
-whose bytes nobody takes sees what it would see with a cut cable, and after the heal they come as they would then.
+Bytes that are blocked by a blackholed or stalled link are buffered, at most what two kernels buffer and one read more:
+a sender whose bytes nobody reads sees what it would see with a cut cable, and after the fault the bytes are delivered.
 """
 
 from __future__ import annotations
 
-from collections.abc import Callable
 from typing import Any
 
+from twisted.internet.interfaces import IAddress, IConnector
 from twisted.internet.protocol import ClientFactory, Factory, Protocol, connectionDone
 from twisted.python.failure import Failure
 
 from thymeflow.runtime import clock
-from thymeflow.testkit.faults.schedule import Do, Way
-from thymeflow.testkit.ports import free_port
+from thymeflow.testkit.faults.schedule import Direction, FaultAction
+from thymeflow.testkit.listener import LoopbackListener
+from thymeflow.testkit.types import Address, NetworkReactor
 
-Address = tuple[str, int]
-UNBOUND = -1  # bytes that may still pass before a stall: any number
+UNLIMITED = -1  # bytes that may pass before a stall
+CONNECT_TIMEOUT_SECONDS = 5.0
 
 
-class _End(Protocol):
-    """One connection at the relay; `other` is the one that it is joined to."""
+class _ProxyConnection(Protocol):
+    """One of the two connections of a proxied connection; `peer` is the other one."""
 
-    transport: Any
+    transport: Any  # Twisted's transports share no static type
 
-    def __init__(self, relay: Relay, way: Way) -> None:
-        self.relay, self.way, self.other = relay, way, self
-        self.up, self.early = False, bytearray()
+    def __init__(self, proxy: FaultProxy, direction: Direction, *, is_accepted: bool) -> None:
+        """`direction`: of the bytes that are read here; `is_accepted`: opened by the other end, not by the proxy."""
+        self.direction = direction
+        self.peer = self
+        self.is_up = False
+        self.early_bytes = bytearray()  # to be written once the connection is up
+        self._proxy = proxy
+        self._is_accepted = is_accepted
 
     def connectionMade(self) -> None:
-        self.up = True
+        """Register with the proxy, and have it connect to the target."""
+        self.is_up = True
         self.transport.setTcpNoDelay(True)
-        self.relay.ends.add(self)
-        self.relay.pace(self)
+        self._proxy.on_connected(self)
+        if self._is_accepted:
+            self._proxy.connect_target(self)
 
     def dataReceived(self, data: bytes) -> None:
-        self.relay.passes(self, data)
+        """Forward bytes as the fault allows."""
+        self._proxy.on_data(self, data)
 
-    def put(self, data: bytes) -> None:
-        """Write towards this connection's far side, now or as soon as it is up."""
-        if self.up:
+    def send(self, data: bytes) -> None:
+        """Write bytes, now or as soon as the connection is up."""
+        if self.is_up:
             self.transport.write(data)
         else:
-            self.early += data
+            self.early_bytes += data
 
-    def connectionLost(self, reason: Failure = connectionDone) -> None:
-        self.up = False
-        self.relay.ends.discard(self)
-        self.relay.ended(self)
+    def close(self) -> None:
+        """Close the connection, if it is up."""
+        if self.is_up:
+            self.transport.loseConnection()
 
+    def connectionLost(self, reason: Failure = connectionDone) -> None:  # noqa: ARG002  # Twisted passes it
+        """Close the peer as the fault allows."""
+        self.is_up = False
+        self._proxy.on_closed(self)
 
-class _Near(_End):
-    """From whoever opens the link."""
-
-    def connectionMade(self) -> None:
-        super().connectionMade()
-        self.relay.join(self)
 
+class _TargetFactory(ClientFactory):
+    """Makes the connection to the target."""
 
-class _Dialler(ClientFactory):
     noisy = False
 
-    def __init__(self, far: _End) -> None:
-        self._far = far
+    def __init__(self, proxy: FaultProxy, connection: _ProxyConnection) -> None:
+        self._proxy = proxy
+        self._connection = connection
 
-    def buildProtocol(self, addr: Any) -> _End:
-        return self._far
+    def buildProtocol(self, addr: IAddress | None) -> _ProxyConnection:  # noqa: ARG002  # Twisted passes it
+        """Return the connection."""
+        return self._connection
 
-    def clientConnectionFailed(self, connector: Any, reason: Failure) -> None:
-        near = self._far.other
-        if near.up:
-            near.relay.refused.add(near.transport.getPeer().port)
-            near.transport.abortConnection()
+    def clientConnectionFailed(self, connector: IConnector, reason: Failure) -> None:  # noqa: ARG002  # likewise
+        """Reset the accepted connection."""
+        self._proxy.on_target_refused(self._connection.peer)
 
 
-class Relay(Factory):
-    """One link. `opened_by_limiter`: the near side is the limiter's, so that what comes from there goes out."""
+class FaultProxy(Factory):
+    """The proxy of one link; `is_opened_by_limiter`: the limiter is the side that connects."""
 
     noisy = False
 
     def __init__(
-        self, reactor: Any, deadlines: clock.Deadlines, target: Callable[[], Address], opened_by_limiter: bool = True
+        self,
+        reactor: NetworkReactor,
+        deadlines: clock.Deadlines,
+        target: Address,
+        *,
+        is_opened_by_limiter: bool = True,
     ) -> None:
-        self._reactor, self._deadlines, self._target = reactor, deadlines, target
-        self._near = Way.OUT if opened_by_limiter else Way.IN
-        self._far = Way.IN if opened_by_limiter else Way.OUT
-        self.ends: set[_End] = set()
-        self.silent: set[Way] = set()
-        self.delay, self.left, self.cut = 0.0, UNBOUND, False
-        self.refused: set[int] = set()  # ports of who was not let through, as nobody listens there
-        self._held: list[tuple[_End, bytes]] = []  # what a silence or a stall holds back, in order
-        self._port: Any = None
-        self.address: Address = ("127.0.0.1", 0)
+        self.refused_ports: set[int] = set()  # local ports of connections that the target refused
+        self._reactor = reactor
+        self._deadlines = deadlines
+        self._target = target
+        self._accepted_direction = Direction.OUT if is_opened_by_limiter else Direction.IN
+        self._target_direction = Direction.IN if is_opened_by_limiter else Direction.OUT
+        self._connections: set[_ProxyConnection] = set()
+        self._blackholed_directions: set[Direction] = set()
+        self._delay_seconds = 0.0
+        self._bytes_before_stall = UNLIMITED
+        self._blocked: list[tuple[_ProxyConnection, bytes]] = []  # in order of arrival; no bytes: the end
+        self._listener = LoopbackListener(reactor, self)
+
+    @property
+    def address(self) -> Address:
+        """Return where it listens, or listened last."""
+        return self._listener.address
 
     def start(self) -> None:
-        """Listen, at the address it had before if there was one."""
-        port = self.address[1] or free_port()
-        self._port = self._reactor.listenTCP(port, self, interface="127.0.0.1", backlog=511)
-        self.address = ("127.0.0.1", self._port.getHost().port)
-
-    def buildProtocol(self, addr: Any) -> _End:
-        """Somebody opens the link."""
-        return _Near(self, self._near)
-
-    def join(self, near: _End) -> None:
-        """Open the far side for it."""
-        far = _End(self, self._far)
-        near.other, far.other = far, near
-        host, port = self._target()
-        self._reactor.connectTCP(host, port, _Dialler(far), timeout=5.0)
-
-    def _blocked(self, way: Way) -> bool:
-        return way in self.silent or self.left == 0
-
-    def pace(self, end: _End) -> None:
-        """Take bytes from it, or leave them with the kernel; and let what waited for it be written."""
-        if end.early:
-            end.transport.write(bytes(end.early))
-            end.early.clear()
-        if self._blocked(end.way):
-            end.transport.pauseProducing()
-
-    def passes(self, end: _End, data: bytes) -> None:
-        """Bytes have come."""
-        if self._blocked(end.way):
-            self._held.append((end, data))
+        """Listen, at its earlier address if there was one."""
+        self._listener.open()
+
+    def buildProtocol(self, addr: IAddress | None) -> _ProxyConnection:  # noqa: ARG002  # Twisted passes it
+        """Return the protocol of an accepted connection."""
+        return _ProxyConnection(self, self._accepted_direction, is_accepted=True)
+
+    def connect_target(self, accepted: _ProxyConnection) -> None:
+        """Open the connection to the target for an accepted one."""
+        connection = _ProxyConnection(self, self._target_direction, is_accepted=False)
+        accepted.peer = connection
+        connection.peer = accepted
+        host, port = self._target
+        self._reactor.connectTCP(host, port, _TargetFactory(self, connection), timeout=CONNECT_TIMEOUT_SECONDS)
+
+    def on_target_refused(self, accepted: _ProxyConnection) -> None:
+        """Reset an accepted connection, as the target refused the other one."""
+        if accepted.is_up:
+            self.refused_ports.add(accepted.transport.getPeer().port)
+            accepted.transport.abortConnection()
+
+    def _is_blocked(self, direction: Direction) -> bool:
+        return direction in self._blackholed_directions or self._bytes_before_stall == 0
+
+    def on_connected(self, connection: _ProxyConnection) -> None:
+        """Write what waited for the connection, and read from it as the fault allows."""
+        self._connections.add(connection)
+        if connection.early_bytes:
+            connection.transport.write(bytes(connection.early_bytes))
+            connection.early_bytes.clear()
+        if self._is_blocked(connection.direction):
+            connection.transport.pauseProducing()
+
+    def on_data(self, connection: _ProxyConnection, data: bytes) -> None:
+        """Forward bytes to the peer as the fault allows."""
+        if self._is_blocked(connection.direction):
+            self._blocked.append((connection, data))
             return
-        if self.left != UNBOUND:
-            data, rest = data[: self.left], data[self.left :]
-            self.left -= len(data)
-            if rest:
-                self._held.append((end, rest))
-            if not self.left:
-                self._block()
-        if self.delay:
-            self._deadlines.schedule(clock.now() + self.delay, lambda _: end.other.put(data))
+        if self._bytes_before_stall != UNLIMITED:
+            blocked_data = data[self._bytes_before_stall :]
+            data = data[: self._bytes_before_stall]
+            self._bytes_before_stall -= len(data)
+            if blocked_data:
+                self._blocked.append((connection, blocked_data))
+            if not self._bytes_before_stall:
+                self._pause_blocked()
+        if self._delay_seconds:
+            self._deadlines.schedule(clock.now() + self._delay_seconds, lambda _: connection.peer.send(data))
         else:
-            end.other.put(data)
-
-    def ended(self, end: _End) -> None:
-        """One side has ended: so does the other, unless nobody can be told."""
-        if self._blocked(end.way):
-            self._held.append((end, b""))
-        elif self.delay:
-            self._deadlines.schedule(clock.now() + self.delay, lambda _: self._end(end.other))
+            connection.peer.send(data)
+
+    def on_closed(self, connection: _ProxyConnection) -> None:
+        """Close the peer, unless the end is blocked too."""
+        self._connections.discard(connection)
+        if self._is_blocked(connection.direction):
+            self._blocked.append((connection, b""))
+        elif self._delay_seconds:
+            self._deadlines.schedule(clock.now() + self._delay_seconds, lambda _: connection.peer.close())
         else:
-            self._end(end.other)
-
-    @staticmethod
-    def _end(end: _End) -> None:
-        if end.up:
-            end.transport.loseConnection()
-
-    def _block(self) -> None:
-        for end in self.ends:
-            if self._blocked(end.way):
-                end.transport.pauseProducing()
-
-    def act(self, do: Do, way: Way, amount: float) -> None:
-        """A fault, or the end of all."""
-        if do is Do.CUT:
-            self.cut = True
-            self._held.clear()
-            for end in list(self.ends):
-                end.transport.abortConnection()
-            port, self._port = self._port, None
-            if port is not None:
-                port.stopListening()
-        elif do is Do.SILENCE:
-            self.silent |= {Way.OUT, Way.IN} if way is Way.BOTH else {way}
-            self._block()
-        elif do is Do.DELAY:
-            self.delay = amount
-        elif do is Do.STALL:
-            self.left = int(amount)
-            self._block()
-        elif do is Do.HEAL:
+            connection.peer.close()
+
+    def _pause_blocked(self) -> None:
+        for connection in self._connections:
+            if self._is_blocked(connection.direction):
+                connection.transport.pauseProducing()
+
+    def apply(self, action: FaultAction, direction: Direction, amount: float) -> None:
+        """Begin a fault, or end all."""
+        if action is FaultAction.CUT_LINK:
+            self._cut()
+        elif action is FaultAction.BLACKHOLE_LINK:
+            both = {Direction.OUT, Direction.IN}
+            self._blackholed_directions |= both if direction is Direction.BOTH else {direction}
+            self._pause_blocked()
+        elif action is FaultAction.DELAY_LINK:
+            self._delay_seconds = amount
+        elif action is FaultAction.STALL_LINK:
+            self._bytes_before_stall = int(amount)
+            self._pause_blocked()
+        elif action is FaultAction.HEAL_LINK:
             self._heal()
 
+    def _cut(self) -> None:
+        self._blocked.clear()
+        for connection in list(self._connections):
+            connection.transport.abortConnection()
+        self._listener.close()
+
     def _heal(self) -> None:
-        self.silent.clear()
-        self.delay, self.left = 0.0, UNBOUND
-        held, self._held = self._held, []
-        for end, data in held:
+        self._blackholed_directions.clear()
+        self._delay_seconds = 0.0
+        self._bytes_before_stall = UNLIMITED
+        blocked = self._blocked
+        self._blocked = []
+        for connection, data in blocked:
             if data:
-                end.other.put(data)
+                connection.peer.send(data)
             else:
-                self._end(end.other)
-        for end in self.ends:
-            end.transport.resumeProducing()
-        if self._port is None:
-            self.cut = False
-            self.start()
+                connection.peer.close()
+        for connection in self._connections:
+            connection.transport.resumeProducing()
+        self._listener.open()
--- a/thymeflow/testkit/faults/runner.py
+++ b/thymeflow/testkit/faults/runner.py
@@ -1,53 +1,69 @@
-"""Playing a schedule from the command line, and saying what the judges found."""
+"""Running a schedule from the command line, and printing what the invariant checkers found."""
 
 from __future__ import annotations
 
 import shutil
 import tempfile
 from collections import Counter
+from collections.abc import Callable
 from pathlib import Path
-from typing import Any
 
-from thymeflow.testkit.faults.cluster import Rig
-from thymeflow.testkit.faults.invariants import judged
-from thymeflow.testkit.faults.schedule import Schedule, text_of
+from twisted.python.failure import Failure
 
-SHOWN = 5  # faults of a judge that are written out
+from thymeflow.testkit.async_steps import reactor
+from thymeflow.testkit.faults.cluster import ClusterHarness
+from thymeflow.testkit.faults.invariants import check_all
+from thymeflow.testkit.faults.schedule import Schedule
+from thymeflow.testkit.faults.schedule_file import text_of
 
+MAX_SHOWN_VIOLATIONS = 5  # of each checker
+HARNESS_NAME = "rig"  # among the printed names of checkers: faults of the harness itself
 
-def play(schedule: Schedule, say: Any = print, broken: str = "") -> int:
-    """Play it once; 0 where no judge found anything, else 1 with the faults and the schedule to play again.
 
-    `broken`: a way in which the limiters are broken on purpose.
-    """
-    from twisted.internet import reactor
+def run_schedule(schedule: Schedule, echo: Callable[[str], object] = print, fault_mode: str = "") -> int:
+    """Run a schedule once; return 0 where no checker found anything, else 1 with the violations and the schedule.
 
-    loop: Any = reactor
+    `fault_mode`: the fault to put into the limiters; see `fault_modes`.
+    """
     folder = Path(tempfile.mkdtemp(prefix="thymeflow-lab-"))
-    rig, crashed = Rig(loop, schedule, folder, broken), list[str]()
-
-    def failed(failure: Any) -> None:
-        crashed.append(f"the rig itself: {failure.getTraceback()}")
-
-    loop.callWhenRunning(lambda: rig.play().addErrback(failed).addBoth(lambda _: loop.stop()))
-    loop.run()
-    found = {"rig": crashed, **judged(rig)} if rig.begun else {"rig": crashed, "ends": rig.stuck}
-    for judge, faults in found.items():
-        for fault in faults[:SHOWN]:
-            say(f"{judge}: {fault}")
-        if len(faults) > SHOWN:
-            say(f"{judge}: and {len(faults) - SHOWN} more")
-    verdicts = Counter(r.verdict.replace(" ", "_") for r in rig.world.agents.results)
-    bad = any(found.values())
-    if bad:
-        say(f"the schedule, to play it again with `thymeflow lab play FILE` (logs in {folder}):\n{text_of(schedule)}")
+    cluster = ClusterHarness(reactor, schedule, folder, fault_mode)
+    crashes: list[str] = []
+
+    def on_crash(failure: Failure) -> None:
+        """Record a failure of the harness itself."""
+        crashes.append(f"the rig itself: {failure.getTraceback()}")
+
+    reactor.callWhenRunning(lambda: cluster.run().addErrback(on_crash).addBoth(lambda _: reactor.stop()))
+    reactor.run()
+    if cluster.load_started_at:
+        violations = {HARNESS_NAME: crashes, **check_all(cluster)}
+    else:
+        violations = {HARNESS_NAME: crashes, "ends": cluster.stalls}
+    _print_violations(violations, echo)
+    has_violations = any(violations.values())
+    if has_violations:
+        echo(f"the schedule, to play it again with `thymeflow lab play FILE` (logs in {folder}):\n{text_of(schedule)}")
     else:
         shutil.rmtree(folder, ignore_errors=True)
-    said = [
-        f"requests={sum(verdicts.values())}",
-        *(f"{k}={n}" for k, n in sorted(verdicts.items())),
-        f"steps={len(rig.done)}",
-        *(f"{k}={len(f)}" for k, f in found.items()),
+    echo(_summary(cluster, violations))
+    return int(has_violations)
+
+
+def _print_violations(violations: dict[str, list[str]], echo: Callable[[str], object]) -> None:
+    for checker, texts in violations.items():
+        for text in texts[:MAX_SHOWN_VIOLATIONS]:
+            echo(f"{checker}: {text}")
+        if len(texts) > MAX_SHOWN_VIOLATIONS:
+            echo(f"{checker}: and {len(texts) - MAX_SHOWN_VIOLATIONS} more")
+
+
+def _summary(cluster: ClusterHarness, violations: dict[str, list[str]]) -> str:
+    results = cluster.environment.clients.results
+    counts = Counter(result.outcome.value.replace(" ", "_") for result in results)
+    figures = [
+        f"requests={len(results)}",
+        *(f"{outcome}={count}" for outcome, count in sorted(counts.items())),
+        f"steps={len(cluster.injector.applied)}",
+        *(f"{checker}={len(texts)}" for checker, texts in violations.items()),
     ]
-    say(f"lab play: {' '.join(said)}")
-    return int(bad)
+    return f"lab play: {' '.join(figures)}"
