--- a/thymeflow/testkit/lease_model.py
+++ b/thymeflow/testkit/lease_model.py
@@ -1,14 +1,17 @@
-"""One granter and three holders as minds, with all that may happen between them, for `lab.explore`.
+"""A model of one lease issuer and three holders, with all that may happen between them, for the model checker.
 
-Messages are lost, come twice, late and in any order; holders die, are started, sleep, and hand on to a next life; the
-granter dies before and after its table is written, and another comes after it. Time goes on in halves of a lease.
+Messages are lost, repeated, delayed and reordered; holders die, are started, are paused, and hand over to a next
+process; the issuer dies before and after its grant file is written, and another one takes over. Time advances in halves
+of a lease.
 """
 
 from __future__ import annotations
 
 import copy
-from collections.abc import Callable, Hashable, Iterable
+from collections.abc import Callable, Hashable, Iterator
 from dataclasses import dataclass, field, replace
+from enum import Enum
+from functools import partial
 from math import inf
 
 from thymeflow.leases.holder import Allocation, LeaseHolder
@@ -16,331 +19,288 @@
     COVERED_PERIOD_SECONDS,
     LEASE_SECONDS,
     REPORT_TTL_SECONDS,
-    HolderEvent,
     HolderState,
     LeaseIssuer,
     Send,
     Write,
 )
-from thymeflow.leases.ledger import Ledger
 from thymeflow.leases.resources import TOTAL_POINTS, Resource
-from thymeflow.testkit.model_checker import explored
 
-NAMES = ("a", "b", "c")
+HOLDERS = ("a", "b", "c")
+PREDECESSOR_HOLDER = "a"  # the one that hands over to a next process
+PAUSABLE_HOLDER = "b"
 DEMAND = {"a": (4.0,) * len(Resource), "b": (1.0,) * len(Resource), "c": (0.0,) * len(Resource)}
-OTHERWISE = {"a": DEMAND["b"], "b": DEMAND["a"], "c": DEMAND["c"]}
-MOST_MAIL = 2  # messages on the way, more are lost
+SWAPPED_DEMAND = {"a": DEMAND["b"], "b": DEMAND["a"], "c": DEMAND["c"]}
+MAX_MESSAGES = 2  # on their way in each direction; further ones are lost
+TIME_STEP_SECONDS = LEASE_SECONDS / 2
+CHECKED_DELAYS_SECONDS = (0.0, LEASE_SECONDS / 2, LEASE_SECONDS)
+
+
+class IssuerDeath(Enum):
+    """When the issuer dies in a tick."""
+
+    NEVER = "never"
+    BEFORE_WRITE = "before its grant file is written"
+    AFTER_WRITE = "after its grant file is written"
 
 
 @dataclass
-class Disk:
-    """The table as it is on the disk."""
+class GrantFile:
+    """The grant file as it is on the disk."""
+
+    epoch: int = 0
+    covered_until: float = 0.0
+    rows: dict[str, tuple[int, tuple[int, ...]]] = field(default_factory=dict)  # by holder: number and amounts
+
 
-    era: int = 0
-    until: float = 0.0
-    rows: dict[str, tuple[int, tuple[int, ...]]] = field(default_factory=dict)
+Step = tuple[str, Callable[["LeaseModel"], object]]
 
 
-class Model:
-    """The world; see `lab.explore.World`."""
+class LeaseModel:
+    """The state of issuer, holders, messages and disk; a `Model` of the model checker."""
 
     def __init__(self) -> None:
-        self.now, self.disk = 0.0, Disk()
-        self.granter: LeaseIssuer | None = None
-        self.lives: dict[str, list[LeaseHolder]] = {name: [] for name in NAMES}  # the last one has the name
-        self.asleep: set[str] = set()
-        self.down: list[tuple[str, Allocation]] = []  # parts on their way to holders
-        self.up: list[tuple[str, Allocation]] = []  # words of holders on their way to the granter
-        self.swapped = False  # who asks most is another
+        self.now = 0.0
+        self.grant_file = GrantFile()
+        self.issuer: LeaseIssuer | None = None
+        self.processes: dict[str, list[LeaseHolder]] = {name: [] for name in HOLDERS}  # the last one is in charge
+        self.paused: set[str] = set()
+        self.grants: list[tuple[str, Allocation]] = []  # on their way to holders
+        self.reports: list[tuple[str, Allocation]] = []  # on their way to the issuer
+        self.is_demand_swapped = False
         self.take_over()
 
     @classmethod
-    def running(cls) -> Model:
-        """All three run, and have what was divided among them."""
-        made = cls()
-        for name in NAMES:
-            made.start(name)
-        for name in NAMES * 3:
-            made.tell(name)
-            made.beat()
-            while made.down:
-                made.told(0, False)
-        for name in NAMES:
-            made.tell(name)
-        return made
-
-    def copied(self) -> Model:
-        """Another world, as this one is; by hand, as it is done a million times."""
-        made = copy.copy(self)
-        made.disk = replace(self.disk, rows=dict(self.disk.rows))
-        made.lives = {name: [copy.copy(life) for life in lives] for name, lives in self.lives.items()}
-        made.asleep, made.down, made.up = set(self.asleep), list(self.down), list(self.up)
-        if self.granter is not None:
-            made.granter = granter = copy.copy(self.granter)
-            granter.records = {
-                h: replace(r, base=list(r.base), lease=list(r.lease)) for h, r in granter.records.items()
-            }
-            granter.base, granter.leased = [x.copy() for x in granter.base], [x.copy() for x in granter.leased]
-            granter._sends_by_version, granter.durable_amounts = (
-                dict(granter._sends_by_version),
-                dict(granter.durable_amounts),
-            )
-        return made
-
-    # --- what may happen -----------------------------------------------------------------------------------
+    def all_running(cls) -> LeaseModel:
+        """Return a model in which all three holders run and have acknowledged what was divided among them."""
+        model = cls()
+        for name in HOLDERS:
+            model.start(name)
+        for name in HOLDERS * 3:
+            model.report(name)
+            model.tick()
+            while model.grants:
+                model.deliver_grant(0)
+        for name in HOLDERS:
+            model.report(name)
+        return model
+
+    def copy(self) -> LeaseModel:
+        """Return an independent model in the same state; by hand, as it is called a million times."""
+        model = copy.copy(self)
+        model.grant_file = replace(self.grant_file, rows=dict(self.grant_file.rows))
+        model.processes = {
+            name: [copy.copy(process) for process in processes] for name, processes in self.processes.items()
+        }
+        model.paused = set(self.paused)
+        model.grants = list(self.grants)
+        model.reports = list(self.reports)
+        if self.issuer is not None:
+            model.issuer = self.issuer.clone()
+        return model
+
+    # Steps of the issuer.
+
+    def _live_issuer(self) -> LeaseIssuer:
+        assert self.issuer is not None
+        return self.issuer
 
     def take_over(self) -> None:
-        """A granter begins, by the table on the disk; it knows who is dead by the kernel's word."""
-        self.granter = made = LeaseIssuer(self.disk.era + 1, self.now)
-        made.resize(len(NAMES))
-        for name, (number, noted) in self.disk.rows.items():
-            made.restore_grant(name, number, noted, min(self.disk.until, self.now + COVERED_PERIOD_SECONDS), self.now)
-            if not self.lives[name]:
-                made.on_death(name)
-
-    def write(self) -> None:
-        """Its table is written."""
-        made = self.granter
-        assert made is not None
-        self.disk = Disk(
-            made.epoch,
-            made.durable_until,
-            {
-                name: (row.number, made.durable_amounts[name])
-                for name, row in made.records.items()
-                if row.state is not HolderState.ABSENT and name in made.durable_amounts
-            },
-        )
-
-    def beat(self, dies: str = "") -> None:
-        """It divides; `dies`: before its table is written, or after."""
-        made = self.granter
-        assert made is not None
-        for action in made.tick(self.now):
+        """Start an issuer from the grant file; the kernel shows it which holders are dead."""
+        issuer = LeaseIssuer(self.grant_file.epoch + 1, self.now)
+        self.issuer = issuer
+        issuer.resize(len(HOLDERS))
+        covered_until = min(self.grant_file.covered_until, self.now + COVERED_PERIOD_SECONDS)
+        for name, (number, amounts) in self.grant_file.rows.items():
+            issuer.restore_grant(name, number, amounts, covered_until, self.now)
+            if not self.processes[name]:
+                issuer.on_death(name)
+
+    def _write_grant_file(self) -> None:
+        issuer = self._live_issuer()
+        rows = {
+            name: (record.number, issuer.durable_amounts[name])
+            for name, record in issuer.records.items()
+            if record.state is not HolderState.ABSENT and name in issuer.durable_amounts
+        }
+        self.grant_file = GrantFile(issuer.epoch, issuer.durable_until, rows)
+
+    def tick(self, death: IssuerDeath = IssuerDeath.NEVER) -> None:
+        """Have the issuer divide the resources, and die during it where that is wanted."""
+        issuer = self._live_issuer()
+        survives = death is IssuerDeath.NEVER
+        for action in issuer.tick(self.now):
             if isinstance(action, Write):
-                if dies == "before":
+                if death is IssuerDeath.BEFORE_WRITE:
                     break
-                self.write()
-                for send in () if dies else made.on_written(action.version):
-                    self._post(send)
-            elif not dies:
-                self._post(action)
-        if dies:
-            self.granter = None
-
-    def _post(self, send: Send) -> None:
-        if len(self.down) < MOST_MAIL:
-            self.down.append((send.holder, send.allocation))
+                self._write_grant_file()
+                if survives:
+                    for send in issuer.on_written(action.version):
+                        self._send_grant(send)
+            elif survives:
+                self._send_grant(action)
+        if not survives:
+            self.issuer = None
+
+    def _send_grant(self, send: Send) -> None:
+        if len(self.grants) < MAX_MESSAGES:
+            self.grants.append((send.holder, send.allocation))
+
+    # Steps of holders.
 
     def start(self, name: str) -> None:
-        """A process is started under a name whose last one is dead."""
-        made = self.granter
-        assert made is not None
-        part, _ = made.on_starting(name, self.now)
-        self.write()
-        self.lives[name] = [LeaseHolder(part)]
+        """Start a process under a name whose last process is dead."""
+        allocation, _ = self._live_issuer().on_starting(name, self.now)
+        self._write_grant_file()
+        self.processes[name] = [LeaseHolder(allocation)]
 
     def die(self, name: str) -> None:
-        """All processes of a name end."""
-        self.lives[name] = []
-        self.asleep.discard(name)
-        self.up = [(n, part) for n, part in self.up if n != name]  # what is told of a life that is over counts not
-        if self.granter is not None:
-            self.granter.on_death(name)
+        """End all processes of a name."""
+        self.processes[name] = []
+        self.paused.discard(name)
+        self.reports = [report for report in self.reports if report[0] != name]  # reports of the dead are ignored
+        if self.issuer is not None:
+            self.issuer.on_death(name)
+
+    def disconnect(self, name: str) -> None:
+        """End a holder's connection, while the holder goes on."""
+        self._live_issuer().on_disconnected(name)
 
     def hand_over(self, name: str) -> None:
-        """A next life takes over; the one before goes on with what it took."""
-        self.lives[name].append(LeaseHolder(self.lives[name][-1].hand_over()))
-
-    def speak(self, name: str) -> None:
-        """A holder says what it has; it arrives later."""
-        self.up.append((name, self.lives[name][-1].allocation))
-
-    def tell(self, name: str) -> None:
-        """A holder says what it has, and is heard."""
-        self.speak(name)
-        self.heard(len(self.up) - 1)
-
-    def told(self, place: int, keep: bool) -> None:
-        """A part arrives; `keep`: and will once more."""
-        name, part = self.down[place] if keep else self.down.pop(place)
-        if self.lives[name] and name not in self.asleep:
-            self.lives[name][-1].on_grant(part)
-
-    def heard(self, place: int) -> None:
-        """What a holder said arrives."""
-        name, part = self.up.pop(place)
-        if self.granter is not None:
-            self.granter.on_report(name, part, (OTHERWISE if self.swapped else DEMAND)[name], self.now)
-
-    def steps(self) -> Iterable[tuple[str, Callable[[Model], None]]]:
-        """All that may happen next."""
-        if self.granter is None:
-            yield "take over", Model.take_over
+        """Start a next process, which takes the allocation over from the one in charge."""
+        self.processes[name].append(LeaseHolder(self.processes[name][-1].hand_over()))
+
+    def toggle_pause(self, name: str) -> None:
+        """Pause or resume a holder."""
+        self.paused ^= {name}
+
+    def send_report(self, name: str) -> None:
+        """Have a holder report its allocation; the report arrives later."""
+        self.reports.append((name, self.processes[name][-1].allocation))
+
+    def report(self, name: str) -> None:
+        """Have a holder report its allocation, which arrives at once."""
+        self.send_report(name)
+        self.deliver_report(len(self.reports) - 1)
+
+    # Steps of messages and time.
+
+    def deliver_grant(self, index: int, *, is_repeated: bool = False) -> None:
+        """Deliver a grant; `is_repeated`: it will arrive once more."""
+        name, allocation = self.grants[index] if is_repeated else self.grants.pop(index)
+        if self.processes[name] and name not in self.paused:
+            self.processes[name][-1].on_grant(allocation)
+
+    def lose_grant(self, index: int) -> None:
+        """Lose a grant on its way."""
+        self.grants.pop(index)
+
+    def deliver_report(self, index: int) -> None:
+        """Deliver a report."""
+        name, allocation = self.reports.pop(index)
+        if self.issuer is not None:
+            demand = SWAPPED_DEMAND if self.is_demand_swapped else DEMAND
+            self.issuer.on_report(name, allocation, demand[name], self.now)
+
+    def advance_time(self) -> None:
+        """Advance the time by half a lease."""
+        self.now += TIME_STEP_SECONDS
+
+    def swap_demand(self) -> None:
+        """Exchange the demands of two holders."""
+        self.is_demand_swapped = not self.is_demand_swapped
+
+    def steps(self) -> Iterator[Step]:
+        """Return all steps that may come next."""
+        if self.issuer is None:
+            yield "take over", LeaseModel.take_over
         else:
-            yield "beat", Model.beat
-            yield "beat, dies unwritten", lambda w: w.beat("before")
-            yield "beat, dies written", lambda w: w.beat("after")
-        yield "time", lambda w: setattr(w, "now", w.now + LEASE_SECONDS / 2)
-        yield "swap", lambda w: setattr(w, "swapped", not w.swapped)
-        for name in NAMES:
-            if not self.lives[name]:
-                if self.granter is not None:
-                    yield f"start {name}", lambda w, name=name: w.start(name)  # type: ignore[misc]
-                continue
-            yield f"die {name}", lambda w, name=name: w.die(name)  # type: ignore[misc]
-            if self.granter is not None:
-                yield f"tell {name}", lambda w, name=name: w.tell(name)  # type: ignore[misc]
-                yield f"line {name} ends", lambda w, name=name: w.granter.on_disconnected(name)  # type: ignore[misc]
-            if len(self.up) < MOST_MAIL and not any(n == name for n, _ in self.up):
-                yield f"speak {name}", lambda w, name=name: w.speak(name)  # type: ignore[misc]
-            if len(self.lives[name]) == 1 and name == "a":
-                yield f"hand over {name}", lambda w, name=name: w.hand_over(name)  # type: ignore[misc]
-            if name == "b":
-                yield f"sleep or wake {name}", lambda w, name=name: w.asleep.__ixor__({name})  # type: ignore[misc]
-        for place in range(len(self.down)):
-            yield f"part {place}", lambda w, place=place: w.told(place, False)  # type: ignore[misc]
-            yield f"part {place}, again later", lambda w, place=place: w.told(place, True)  # type: ignore[misc]
-            yield f"part {place} lost", lambda w, place=place: w.down.pop(place)  # type: ignore[misc]
-        for place in range(len(self.up)):
-            yield f"word {place}", lambda w, place=place: w.heard(place)  # type: ignore[misc]
-
-    # --- what must never be --------------------------------------------------------------------------------
-
-    def wrong(self) -> str:
-        """Whether more is in force than there is, now or at any later moment though nothing more arrives."""
-        for kind in Resource:
-            for later in (0.0, LEASE_SECONDS / 2, LEASE_SECONDS):
-                held = {
-                    name: sum(life.usable_amount(kind, self.now + later) for life in lives)
-                    for name, lives in self.lives.items()
+            yield "tick", LeaseModel.tick
+            yield "tick, dies unwritten", partial(LeaseModel.tick, death=IssuerDeath.BEFORE_WRITE)
+            yield "tick, dies written", partial(LeaseModel.tick, death=IssuerDeath.AFTER_WRITE)
+        yield "advance time", LeaseModel.advance_time
+        yield "swap demand", LeaseModel.swap_demand
+        for name in HOLDERS:
+            if self.processes[name]:
+                yield from self._holder_steps(name)
+            elif self.issuer is not None:
+                yield f"start {name}", partial(LeaseModel.start, name=name)
+        for index in range(len(self.grants)):
+            yield f"grant {index}", partial(LeaseModel.deliver_grant, index=index)
+            yield f"grant {index}, again later", partial(LeaseModel.deliver_grant, index=index, is_repeated=True)
+            yield f"grant {index} lost", partial(LeaseModel.lose_grant, index=index)
+        for index in range(len(self.reports)):
+            yield f"delayed report {index}", partial(LeaseModel.deliver_report, index=index)
+
+    def _holder_steps(self, name: str) -> Iterator[Step]:
+        yield f"die {name}", partial(LeaseModel.die, name=name)
+        if self.issuer is not None:
+            yield f"report {name}", partial(LeaseModel.report, name=name)
+            yield f"disconnect {name}", partial(LeaseModel.disconnect, name=name)
+        has_report_on_its_way = any(holder == name for holder, _ in self.reports)
+        if len(self.reports) < MAX_MESSAGES and not has_report_on_its_way:
+            yield f"send report {name}", partial(LeaseModel.send_report, name=name)
+        if len(self.processes[name]) == 1 and name == PREDECESSOR_HOLDER:
+            yield f"hand over {name}", partial(LeaseModel.hand_over, name=name)
+        if name == PAUSABLE_HOLDER:
+            yield f"pause or resume {name}", partial(LeaseModel.toggle_pause, name=name)
+
+    # The invariant, and what makes two states equal.
+
+    def violation(self) -> str:
+        """Describe where more is in force than there is, now or at any later time though nothing more arrives."""
+        for resource in Resource:
+            for delay_seconds in CHECKED_DELAYS_SECONDS:
+                usable = {
+                    name: sum(process.usable_amount(resource, self.now + delay_seconds) for process in processes)
+                    for name, processes in self.processes.items()
                 }
-                if sum(held.values()) > TOTAL_POINTS:
-                    return f"{kind.value}: {held} at {self.now + later:g} s"
+                if sum(usable.values()) > TOTAL_POINTS:
+                    return f"{resource.value}: {usable} at {self.now + delay_seconds:g} s"
         return ""
 
-    def look(self) -> Hashable:
-        """All that makes a difference; times as distances from now."""
-
-        def part(one: Allocation) -> tuple[object, ...]:
-            return (one.epoch, one.number, one.base[0], one.lease[0], max(0.0, one.ends_at - self.now))
-
-        made = self.granter
-        rows: object = (
-            None
-            if made is None
-            else (
-                made.epoch,
-                max(0.0, made.durable_until - self.now),
-                tuple(
-                    sorted(
-                        (
-                            h,
-                            r.state.value,
-                            r.number,
-                            r.base[0],
-                            r.lease[0],
-                            max(0.0, r.lease_ends_at - self.now),
-                            r.reported,
-                            r.demand[0],
-                            max(0.0, r.last_report_at + REPORT_TTL_SECONDS - self.now),
-                            max(0.0, r.last_acknowledged_at + LEASE_SECONDS - self.now),
-                        )
-                        for h, r in made.records.items()
-                    )
-                ),
-                tuple(
-                    sorted(
-                        (h, c.number, c.amount, c.ends_at if c.ends_at == inf else c.ends_at - self.now)
-                        for ledger in (made.base[0], made.leased[0])
-                        for h, cs in ledger.grants.items()
-                        for c in cs
-                        if c.ends_at > self.now
-                    )
-                ),
-            )
-        )
+    def fingerprint(self) -> Hashable:
+        """Return all that makes a difference; times as distances from now."""
         return (
-            rows,
-            self.disk.era,
-            max(0.0, self.disk.until - self.now),
-            tuple(sorted(self.disk.rows.items())),
-            tuple(tuple((part(life.allocation), life.is_handed_over) for life in self.lives[name]) for name in NAMES),
-            frozenset(self.asleep),
-            self.swapped,
-            tuple((n, part(p)) for n, p in self.down),
-            tuple((n, part(p)) for n, p in self.up),
+            None if self.issuer is None else self._issuer_fingerprint(self.issuer),
+            self.grant_file.epoch,
+            max(0.0, self.grant_file.covered_until - self.now),
+            tuple(sorted(self.grant_file.rows.items())),
+            tuple(
+                tuple((self._allocation_fingerprint(p.allocation), p.is_handed_over) for p in self.processes[name])
+                for name in HOLDERS
+            ),
+            frozenset(self.paused),
+            self.is_demand_swapped,
+            tuple((name, self._allocation_fingerprint(allocation)) for name, allocation in self.grants),
+            tuple((name, self._allocation_fingerprint(allocation)) for name, allocation in self.reports),
         )
 
-
-def _any_word(granter: LeaseIssuer, holder: str, part: Allocation, demand: tuple[float, ...], now: float) -> None:
-    row = granter._move(holder, HolderEvent.REPORT)
-    row.demand, row.reported, row.last_report_at = demand, (granter.epoch, row.number), now
-    granter._move(holder, HolderEvent.ACK)
-    for ledger in (*granter.base, *granter.leased):
-        ledger.acknowledge(holder, row.number)
-
-
-def _taken(holder: LeaseHolder, part: Allocation) -> bool:
-    holder.allocation = part
-    return True
-
-
-@dataclass(frozen=True, slots=True)
-class Rule:
-    """A rule that can be left out: where it stands, what stands there without it, and which steps show the harm."""
-
-    where: type
-    name: str
-    without: object
-    words: frozenset[str]
-
-
-RULES = {
-    "a grant that replaces another counts beside it until it is known to have come": Rule(
-        Ledger,
-        "outstanding",
-        lambda self, holder, now: self.newest_amount(holder),
-        frozenset({"swap", "tell", "beat", "part"}),
-    ),
-    "a lease is not used past its end": Rule(
-        LeaseHolder,
-        "usable_amount",
-        lambda self, kind, now: 0 if self.is_handed_over else self.allocation.base[0] + self.allocation.lease[0],
-        frozenset({"line a", "time", "tell b", "tell c", "beat", "part"}),
-    ),
-    "only what is newer is taken": Rule(
-        LeaseHolder, "on_grant", _taken, frozenset({"die", "start", "beat", "part", "tell", "swap", "time"})
-    ),
-    "a part that is handed on is used no more": Rule(
-        LeaseHolder, "hand_over", lambda self: self.allocation, frozenset({"hand", "beat", "part", "tell"})
-    ),
-    "what is sent was written before": Rule(
-        LeaseIssuer,
-        "_covered",
-        lambda self, send: True,
-        frozenset({"swap", "tell", "die", "beat", "take", "start", "part"}),
-    ),
-    "only a word of the newest grant frees what is older": Rule(
-        LeaseIssuer, "on_report", _any_word, frozenset({"swap", "tell", "beat", "part"})
-    ),
-    "what the table of before allows for may be out": Rule(
-        LeaseIssuer, "restore_grant", lambda self, *row: None, frozenset({"beat", "take", "tell", "part", "swap"})
-    ),
-    "silence is no death": Rule(
-        LeaseIssuer,
-        "on_disconnected",
-        lambda self, holder: self.on_death(holder),
-        frozenset({"line", "beat", "part", "tell"}),
-    ),
-}
-
-
-def caught(rule: Rule, depth: int = 9, most: int = 200_000) -> str:
-    """What goes wrong with the rule left out; nothing where that was not found."""
-    was = getattr(rule.where, rule.name)
-    setattr(rule.where, rule.name, rule.without)
-    try:
-        return explored(Model.running(), depth, most, rule.words).fault
-    finally:
-        setattr(rule.where, rule.name, was)
+    def _allocation_fingerprint(self, allocation: Allocation) -> Hashable:
+        remaining_seconds = max(0.0, allocation.ends_at - self.now)
+        return (allocation.epoch, allocation.number, allocation.base[0], allocation.lease[0], remaining_seconds)
+
+    def _issuer_fingerprint(self, issuer: LeaseIssuer) -> Hashable:
+        records = sorted(
+            (
+                name,
+                record.state.value,
+                record.number,
+                record.base[0],
+                record.lease[0],
+                max(0.0, record.lease_ends_at - self.now),
+                record.reported,
+                record.demand[0],
+                max(0.0, record.last_report_at + REPORT_TTL_SECONDS - self.now),
+                max(0.0, record.last_acknowledged_at + LEASE_SECONDS - self.now),
+            )
+            for name, record in issuer.records.items()
+        )
+        outstanding = sorted(
+            (name, grant.number, grant.amount, grant.ends_at if grant.ends_at == inf else grant.ends_at - self.now)
+            for ledger in (issuer.base[0], issuer.leased[0])
+            for name, grants in ledger.grants.items()
+            for grant in grants
+            if grant.ends_at > self.now
+        )
+        return (issuer.epoch, max(0.0, issuer.durable_until - self.now), tuple(records), tuple(outstanding))
--- a/thymeflow/testkit/model_checker.py
+++ b/thymeflow/testkit/model_checker.py
@@ -1,67 +1,74 @@
-"""Every state that some minds can reach within so many steps, each held against what must never be.
+"""A model checker: explores every state that a model can reach within a number of steps, and checks each.
 
-A world is copied for each step that may come next; two worlds that look the same are gone on from once.
+The model is copied for each step that may come next; a state that was reached before is not explored again.
 """
 
 from __future__ import annotations
 
 from collections.abc import Callable, Hashable, Iterable
 from dataclasses import dataclass
-from typing import Generic, Protocol, Self, TypeVar
+from typing import Protocol, Self, TypeVar
 
 
-class World(Protocol):
+class Model(Protocol):
     """What is explored."""
 
-    def steps(self) -> Iterable[tuple[str, Callable[..., None]]]:
-        """All that may happen next: a name, and the function that does it to a copy of this world."""
+    def steps(self) -> Iterable[tuple[str, Callable[[Self], object]]]:
+        """Return all steps that may come next: a name, and the function that does the step to a copy of this model."""
 
-    def copied(self) -> Self:
-        """Another world that is as this one is."""
+    def copy(self) -> Self:
+        """Return an independent model in the same state."""
 
-    def look(self) -> Hashable:
-        """All that makes a difference to what may come."""
+    def fingerprint(self) -> Hashable:
+        """Return all that makes a difference to what may come; equal for states that need to be explored once."""
 
-    def wrong(self) -> str:
-        """What must never be, where it is so; else nothing."""
+    def violation(self) -> str:
+        """Describe what must never be, empty where the state is legal."""
 
 
-W = TypeVar("W", bound=World)
+ModelType = TypeVar("ModelType", bound=Model)
 
 
 @dataclass(frozen=True, slots=True)
-class Found(Generic[W]):
-    """What came of it."""
+class Exploration:
+    """The result of an exploration."""
 
-    states: int
-    depth: int  # to which all was explored
-    fault: str  # the first fault, or nothing
-    path: tuple[str, ...] = ()  # the steps that lead to it
+    state_count: int
+    depth: int  # to which all states were explored
+    violation: str  # the first that was found, empty where there is none
+    path: tuple[str, ...] = ()  # names of the steps that lead to it
 
 
-def explored(first: W, depth: int, most: int = 10**9, words: frozenset[str] = frozenset()) -> Found[W]:
-    """Breadth first, so that a fault comes with a shortest path to it; ends at the first, or at so many states.
+def explore(
+    initial: ModelType,
+    max_depth: int,
+    max_states: int = 10**9,
+    step_prefixes: frozenset[str] = frozenset(),
+) -> Exploration:
+    """Explore breadth first, so that a violation has a shortest path; end at the first one, or at so many states.
 
-    `words`: only steps whose name begins with one of them, to go deeper where a fault is looked for.
+    :param step_prefixes: only steps whose name begins with one of these are taken, to go deeper; none for all steps.
     """
-    seen: set[Hashable] = {first.look()}
-    level: list[tuple[W, tuple[str, ...]]] = [(first, ())]
-    for reached in range(depth):
-        after: list[tuple[W, tuple[str, ...]]] = []
-        for world, path in level:
-            for name, step in world.steps():
-                if words and not any(name.startswith(word) for word in words):
+    prefixes = tuple(step_prefixes)
+    seen: set[Hashable] = {initial.fingerprint()}
+    level: list[tuple[ModelType, tuple[str, ...]]] = [(initial, ())]
+    for depth in range(max_depth):
+        next_level: list[tuple[ModelType, tuple[str, ...]]] = []
+        for model, path in level:
+            for name, step in model.steps():
+                if prefixes and not name.startswith(prefixes):
                     continue
-                made = world.copied()
-                step(made)
-                look = made.look()
-                if look in seen:
+                successor = model.copy()
+                step(successor)
+                fingerprint = successor.fingerprint()
+                if fingerprint in seen:
                     continue
-                seen.add(look)
-                if fault := made.wrong():
-                    return Found(len(seen), reached, fault, (*path, name))
-                after.append((made, (*path, name)))
-                if len(seen) >= most:
-                    return Found(len(seen), reached, "")
-        level = after
-    return Found(len(seen), depth, "")
+                seen.add(fingerprint)
+                violation = successor.violation()
+                if violation:
+                    return Exploration(len(seen), depth, violation, (*path, name))
+                next_level.append((successor, (*path, name)))
+                if len(seen) >= max_states:
+                    return Exploration(len(seen), depth, "")
+        level = next_level
+    return Exploration(len(seen), max_depth, "")
--- a/thymeflow/testkit/ports.py
+++ b/thymeflow/testkit/ports.py
@@ -1,4 +1,4 @@
-"""Ports for what listens, goes away and comes back at the same address."""
+"""Ports for listeners that go away and come back at the same address."""
 
 from __future__ import annotations
 
@@ -6,32 +6,38 @@
 import random
 import socket
 
-PORTS = (15000, 32000)  # under those that a system gives to who connects: an address that is left for a while, as
-#                           by a process that was killed or a link that is cut, must not be taken by a connection
-TRIES = 500
+# Below the range that systems use for outgoing connections: the port of a process that was killed, or of a link that
+# is cut, must not be used by a connection in the meantime.
+FIRST_PORT = 15000
+END_PORT = 32000
+MAX_PORT_DRAWS = 500
 
-_claims: list[socket.socket] = []  # ours until this process ends, whether anybody listens or not
+_reservations: list[socket.socket] = []  # open until this process ends, whether anybody listens at the port or not
 
 
-def _claimed(port: int) -> bool:
-    # Other laboratories may run beside this one, and look for ports while nobody listens at ours. The kernel holds a
-    # name in its abstract space for one process, and lets go of it with that.
-    claim = socket.socket(socket.AF_UNIX)
+def _try_reserve(port: int) -> bool:
+    # Other test clusters may run on this machine and look for ports while nobody listens at ours. The kernel keeps a
+    # name in its abstract socket namespace for one process, and frees it when that process ends.
+    reservation = socket.socket(socket.AF_UNIX)
     try:
-        claim.bind(f"\0thymeflow-port-{port}")
+        reservation.bind(f"\0thymeflow-port-{port}")
     except OSError:
-        claim.close()
+        reservation.close()
         return False
-    _claims.append(claim)
+    _reservations.append(reservation)
     return True
 
 
-def free_port() -> int:
-    """A port at which nobody listens, and which no other laboratory of this machine is given while we run."""
-    draw = random.SystemRandom()  # others may look for ports as we do, so not by the schedule's seed
-    for _ in range(TRIES):
-        port = draw.randrange(*PORTS)
-        if _claimed(port):
+def reserve_port() -> int:
+    """Return a port at which nobody listens, and which no other test cluster of this machine uses until we end.
+
+    :raises OSError: where no free port is found.
+    """
+    system_random = random.SystemRandom()  # not the generator of a run: another run may draw the same ports
+    for _ in range(MAX_PORT_DRAWS):
+        port = system_random.randrange(FIRST_PORT, END_PORT)
+        if _try_reserve(port):
             with contextlib.suppress(OSError), socket.create_server(("127.0.0.1", port)):
                 return port
-    raise OSError(f"no free port from {PORTS[0]} to {PORTS[1]}")
+    text = f"no free port from {FIRST_PORT} to {END_PORT}"
+    raise OSError(text)
