--- a/tests/test_net_parts.py
+++ b/tests/test_net_parts.py
@@ -32,7 +32,7 @@
 from thymeflow.discovery.watch import EndpointWatcher
 from thymeflow.platform.endpoints import Address, EndpointUpdate, endpoint_update
 from thymeflow.platform.settings import settings_from
-from thymeflow.quota.token_bucket import MIN_CALL_INTERVAL
+from thymeflow.quota.token_bucket import MIN_CALL_INTERVAL_SECONDS
 from thymeflow.runtime import clock
 from thymeflow.runtime.slot_table import SlotTable
 from thymeflow.transport.commands import Call, CallReader
@@ -344,4 +344,4 @@
     core = RequestDispatcher(settings, Gateway(settings, 1), world.deadlines, 10**6)
     core.counter = counter
     core._carry_out(AddToCounter(5, 1.0, 20.0))
-    assert settings.information.counter_timeout < counter.until - clock.now() < MIN_CALL_INTERVAL
+    assert settings.information.counter_timeout < counter.until - clock.now() < MIN_CALL_INTERVAL_SECONDS
--- a/thymeflow/decision/actions.py
+++ b/thymeflow/decision/actions.py
@@ -1,4 +1,4 @@
-"""Actions that a gateway returns; whoever drives it carries them out in order."""
+"""Actions that a gateway returns, to be carried out in order. Times are in s."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 class StartAttempt(NamedTuple):
-    """Start an attempt, if it can start within so many seconds; a timeout of 0 lasts until the client gives up."""
+    """Start an attempt unless `start_within` has passed; a `timeout` of 0 is the client's own."""
 
     id: str
     backend: int
@@ -39,7 +39,7 @@
 
 
 class SetTimer(NamedTuple):
-    """Ask for a TimerFired after a delay."""
+    """Request a TimerFired after a delay."""
 
     token: int
     delay: float
@@ -73,17 +73,17 @@
 
 
 class SubscribeEndpoints(NamedTuple):
-    """Ask discovery for changes from now on."""
+    """Subscribe to changes of the endpoint list, or unsubscribe."""
 
     on: bool = True
 
 
 class FetchEndpoints(NamedTuple):
-    """Ask discovery for the whole list once."""
+    """Fetch the complete endpoint list once."""
 
 
 class WriteLog(NamedTuple):
-    """A line for the report."""
+    """Write a line to the log."""
 
     text: str
 
--- a/thymeflow/decision/admission.py
+++ b/thymeflow/decision/admission.py
@@ -66,7 +66,7 @@
 
     @staticmethod
     def _useful_seconds(request_class: RequestClass) -> float:
-        # A response past its objective may be worth nothing: its capacity is better given to another.
+        # A response past its objective may have no value: its capacity is better given to another request.
         has_late_value = request_class.late_weight > 0.0 or bool(request_class.latency_objective_stretch)
         if has_late_value or request_class.is_streamed:
             return inf
@@ -87,12 +87,12 @@
         self._reports.pending[bucket.customer_id] = None
         bucket.requested_units += event.units if event.is_retry else 0.0
         bucket.charge(event.units)
-        bucket.ceiling_level -= event.units  # the hard ceiling goes by declared units and is not settled
+        bucket.ceiling_level -= event.units  # the hard ceiling counts declared units, and is not settled
         self._retries.earn()
         self._requests.open(pending, backend)
 
     def _retry_after_seconds(self, bucket: TokenBucket, units: float) -> float:
-        """Return the seconds until the bucket holds the units, 0 where no advice may be given."""
+        """Return the seconds until the bucket covers the units, 0 where no advice may be given."""
         limits = self._context.limits
         if not limits.retry_after:
             return 0.0
--- a/thymeflow/decision/balancing.py
+++ b/thymeflow/decision/balancing.py
@@ -32,7 +32,7 @@
         candidates = self._in_idempotency_scope(candidates, pending)
         endpoints = [backend.endpoint for backend in candidates]
         warming_up = slow_start.target_loads(endpoints, self._context.now, settings.rules)
-        # Slow start, sampled anew each time: budgets that hundreds of gateways save up are spent in step.
+        # Slow start, sampled for each request: budgets that hundreds of gateways save up are spent in step.
         load = 0.0 if pending.attempts else sum(warming_up.values())
         if load and rng.random() * (max(1.0, len(ready) - len(warming_up)) + load) < load:
             return self._registry.backends[rng.choices(list(warming_up), list(warming_up.values()))[0]]
@@ -49,7 +49,7 @@
     def _ready_backends(self) -> list[BackendStats]:
         backends = self._registry.backends.values()
         ready = [backend for backend in backends if backend.endpoint.state is BackendState.READY]
-        # A backend holds one connection for each attempt in flight.
+        # Each attempt in flight occupies one connection.
         max_connections = self._context.limit_of(FleetResource.CONNECTIONS)
         if max_connections == inf:
             return ready
--- a/thymeflow/decision/context.py
+++ b/thymeflow/decision/context.py
@@ -1,4 +1,4 @@
-"""What the parts of a gateway share: time of the event, settings, random numbers, bounds, emitted actions."""
+"""The event that is being decided on: its time, the settings and bounds in force, and the actions decided."""
 
 from __future__ import annotations
 
@@ -29,7 +29,7 @@
 
 
 class DecisionContext:
-    """The event that is being decided on, and the settings in force."""
+    """What all components of a gateway share."""
 
     def __init__(self, settings: GatewaySettings, seed: int) -> None:
         self.rng = random.Random(seed)
@@ -50,7 +50,7 @@
         self.even_fraction = 1.0 / settings.limiter_count  # of a resource of the fleet, for each limiter
 
     def set_fleet_bounds(self, fleet_bounds: FleetBounds) -> None:
-        """Go by the bounds of a fleet from now on."""
+        """Apply the bounds of a fleet from now on."""
         self.fleet_bounds = fleet_bounds
 
     def fraction_of(self, resource: str) -> float:
--- a/thymeflow/decision/counter_first_admission.py
+++ b/thymeflow/decision/counter_first_admission.py
@@ -22,11 +22,11 @@
 from thymeflow.decision.types import RejectionReason, Status
 from thymeflow.quota.buckets import TokenBuckets
 from thymeflow.quota.counter_reporter import CALL_RATE_GROWTH, CounterReporter
-from thymeflow.quota.token_bucket import MIN_CALL_INTERVAL, MIN_UNREPORTED_FRACTION, TokenBucket
+from thymeflow.quota.token_bucket import MIN_CALL_INTERVAL_SECONDS, MIN_UNREPORTED_FRACTION, TokenBucket
 
 CURRENT_SECONDS = 1.0  # in which the counter's reply on a customer counts as current
 MIN_REMAINING_SECONDS = 0.5  # that a request must have left, for the counter to be waited for
-RESERVED_CALL_FRACTION = 0.9  # of a second's calls: kept for requests by calls that only report
+RESERVED_CALL_FRACTION = 0.9  # of a second's calls: reserved for requests, so that other reports wait
 # Growth of the rate of calls for each reply until the first late one: the counter's capacity is not known,
 # and at 5% a reply a set that starts would reach it after most of a minute.
 INITIAL_CALL_RATE_GROWTH = 1.3
@@ -89,8 +89,8 @@
 
     def _is_call_needed(self, bucket: TokenBucket, units: float, sample: float) -> bool:
         now = self._context.now
-        if now - bucket.counter_called_at < MIN_CALL_INTERVAL:
-            # That call may be in flight, and the total of two under one name tells nothing.
+        if now - bucket.counter_called_at < MIN_CALL_INTERVAL_SECONDS:
+            # That call may be in flight, and a total after two of them cannot be attributed.
             return False
         if now - bucket.last_update_at < CURRENT_SECONDS or self._reporter.call_credit < 1.0:
             return False
--- a/thymeflow/decision/events.py
+++ b/thymeflow/decision/events.py
@@ -1,4 +1,4 @@
-"""Events that a gateway is given. A gateway handles every event in the order in which it happened."""
+"""Events that a gateway handles, each in the order in which it happened. Times are in s."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 class EndpointsChanged(NamedTuple):
-    """News of the backend list."""
+    """The endpoint list changed, or could not be fetched."""
 
     kind: EndpointListKind
     backends: tuple[Backend, ...] = ()
@@ -17,7 +17,7 @@
 
 
 class RequestReceived(NamedTuple):
-    """A client's try; it is owed exactly one final answer within `remaining`."""
+    """A client's request, which gets exactly one final response within `remaining` seconds."""
 
     id: str
     class_name: str
@@ -32,7 +32,7 @@
 
 
 class ResponseStarted(NamedTuple):
-    """The answer of a streamed class has begun; the attempt belongs to the client now."""
+    """The response of a streamed class has begun: from now on it goes to the client as it comes."""
 
     id: str
     attempt: int
@@ -41,13 +41,13 @@
 
 
 class RequestBodyStarted(NamedTuple):
-    """A body too long to be kept goes into the present attempt: no other one can be made."""
+    """A body too long to be buffered is sent with this attempt, so that there can be no retry."""
 
     id: str
 
 
 class AttemptEnded(NamedTuple):
-    """The outcome of one attempt. `used` is the metered use over the quota (1.0 is all of it)."""
+    """The result of one attempt. `quota_usage` is the metered use over the quota (1.0 is all of it)."""
 
     id: str
     attempt: int
@@ -61,7 +61,7 @@
 
 
 class ClientDisconnected(NamedTuple):
-    """The client is no longer there; no answer is owed."""
+    """The client has disconnected; no response is owed."""
 
     id: str
 
@@ -73,7 +73,7 @@
 
 
 class HealthCheckEnded(NamedTuple):
-    """The result of a probe."""
+    """The result of a health check."""
 
     backend: int
     status: Status
@@ -82,14 +82,14 @@
 
 
 class GossipReceived(NamedTuple):
-    """Bytes from another gateway: untrusted, perhaps late, perhaps from before its restart."""
+    """Bytes from a peer gateway: untrusted, possibly late, possibly from before its restart."""
 
     sender: int
     data: bytes
 
 
 class CounterReplied(NamedTuple):
-    """The answer to one counter call."""
+    """The result of one counter call."""
 
     name: int
     status: Status
@@ -98,7 +98,7 @@
 
 
 class SettingsChanged(NamedTuple):
-    """Other settings hold from now on; requests that are open keep those they were taken under."""
+    """Other settings are in force from now on; open requests keep those under which they were admitted."""
 
     settings: GatewaySettings
 
--- a/thymeflow/decision/factory.py
+++ b/thymeflow/decision/factory.py
@@ -13,7 +13,7 @@
 ) -> Gateway:
     """Create the gateway for a set of this size; `initial_fill` is the fraction of the burst in new buckets."""
     if settings.limiter_count > SMALL_SET_SIZE and settings.information.counter:
-        # Loaded only where it is used: small sets go by their slices.
+        # Loaded only where it is used: small sets use their slices.
         from thymeflow.decision.counter_first_admission import CounterFirstAdmission
 
         return Gateway(settings, seed, initial_fill, CounterFirstAdmission)
--- a/thymeflow/decision/fleet_bounds.py
+++ b/thymeflow/decision/fleet_bounds.py
@@ -1,4 +1,4 @@
-"""How a fleet bounds the decisions of one limiter, and the default for a limiter that goes by its own view alone."""
+"""How a fleet bounds the decisions of one limiter, and the default for a limiter without a fleet."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
 
 class FleetBounds(Protocol):
-    """What the fleet permits here. Each method is given what the limiter would go by alone."""
+    """What the fleet permits here. Each method is given what the limiter would use without a fleet."""
 
     def fraction_of(self, resource: str, even_fraction: float) -> float:
         """Return the fraction of a resource of the fleet that may be used here."""
@@ -41,7 +41,7 @@
 
 
 class LocalBounds:
-    """Bounds of a limiter without a fleet: its even fraction, and what it has seen itself."""
+    """Bounds of a limiter without a fleet: its even fraction, and its own statistics."""
 
     def fraction_of(self, resource: str, even_fraction: float) -> float:
         """Return the even fraction."""
--- a/thymeflow/decision/gateway.py
+++ b/thymeflow/decision/gateway.py
@@ -116,7 +116,7 @@
         return self.token_buckets.by_customer
 
     def set_fleet_bounds(self, fleet_bounds: FleetBounds) -> None:
-        """Go by the bounds of a fleet from now on."""
+        """Apply the bounds of a fleet from now on."""
         self.context.set_fleet_bounds(fleet_bounds)
 
     def handle(self, now: float, event: Event) -> list[Action]:
--- a/thymeflow/decision/outcomes.py
+++ b/thymeflow/decision/outcomes.py
@@ -10,7 +10,7 @@
 from thymeflow.health.backend_stats import ALL_CLASSES, BackendStats
 from thymeflow.health.pressure import PRESSURE_THRESHOLD
 from thymeflow.quota.buckets import ReportQueue, TokenBuckets
-from thymeflow.quota.token_bucket import MIN_USAGE_RATIO, REPORT_TTL, TokenBucket
+from thymeflow.quota.token_bucket import MIN_USAGE_RATIO, REPORT_TTL_SECONDS, TokenBucket
 
 MIN_CHARGE_FRACTION = 0.8  # of the declared units: least charge beyond the quota under pressure (HIP-185)
 
@@ -71,11 +71,10 @@
     def _record_usage(self, bucket: TokenBucket, quota_usage: float) -> None:
         # What was used over the quota was requested.
         now = self._context.now
-        self._buckets.last_gossip_at = now
-        bucket.last_update_at = now
+        self._buckets.record_remote_report(bucket)
         bucket.usage_ratio = max(MIN_USAGE_RATIO, quota_usage)
         ledger = bucket.counter_ledger
-        has_recent_total = ledger.counter_name >= 0 and now - ledger.read_at <= REPORT_TTL
+        has_recent_total = ledger.counter_name >= 0 and now - ledger.read_at <= REPORT_TTL_SECONDS
         if not has_recent_total:  # else the counter's total is newer
             bucket.remote_rate = max(bucket.remote_rate, quota_usage * bucket.plan.rate - bucket.local_rate)
 
--- a/thymeflow/decision/quota_admission.py
+++ b/thymeflow/decision/quota_admission.py
@@ -1,4 +1,4 @@
-"""When a request is held to its quota: at once here; after a counter reply in the other two strategies."""
+"""When a request is checked against its quota: here at once, or in other strategies after a counter reply."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 class QuotaAdmission(Protocol):
-    """Holds requests until it is known whether their quota covers them."""
+    """Keeps requests waiting until it is known whether their quota covers them."""
 
     def on_request(self, event: RequestReceived) -> None:
         """Admit or reject a request, or let it wait for the counter."""
--- a/thymeflow/decision/settings.py
+++ b/thymeflow/decision/settings.py
@@ -1,7 +1,7 @@
-"""Settings of a gateway, validated when they are made.
+"""Settings of a gateway, validated when they are created.
 
-Times are seconds and quotas are units. Each class checks its own values, so a gateway that starts at all starts with
-values that make sense.
+Times are seconds and quotas are units. Each class checks its own values, so that a gateway never starts with
+values that are invalid.
 """
 
 from __future__ import annotations
@@ -10,9 +10,11 @@
 from enum import Enum
 from math import isfinite
 
+from thymeflow.errors import ThymeflowError
+
 
 class Idempotency(Enum):
-    """What a second run of a request would do."""
+    """What a second execution of a request would do."""
 
     IDEMPOTENT = "safe"
     WITH_KEY = "keyed"
@@ -20,7 +22,7 @@
 
 
 class IdempotencyScope(Enum):
-    """Which backends drop a repeat of a keyed request."""
+    """Which backends recognize a repeated idempotency key."""
 
     ALL = "all"
     ZONE = "zone"
@@ -28,7 +30,7 @@
 
 
 class DiscoveryMode(Enum):
-    """Whether changes of the backend list arrive unasked."""
+    """Whether changes of the endpoint list are pushed or polled."""
 
     PUSH = "push"
     POLL = "ask"
@@ -42,12 +44,12 @@
     NONE = "none"
 
 
-# Names under which messages tell of settings, where they differ from ours: operators search for these texts.
+# Names of settings in error messages, where they differ from ours: operators search for these texts.
 _REPORTED_NAMES = {"GatewaySettings": "Settings", "limiter_count": "gateways", "timer_resolution": "tick"}
 
 
-class InvalidSettingError(ValueError):
-    """A setting makes no sense; `name` is the field's."""
+class InvalidSettingError(ThymeflowError, ValueError):
+    """A setting is invalid; `name` is the name of its field."""
 
     def __init__(self, owner: str, name: str, value: object) -> None:
         reported = f"{_REPORTED_NAMES.get(owner, owner)}.{_REPORTED_NAMES.get(name, name)}"
@@ -61,21 +63,21 @@
         raise InvalidSettingError(owner, name, value)
 
 
-def _figure(value: object) -> bool:
-    # True is a number to Python, and no figure.
+def _is_number(value: object) -> bool:
+    # bool is a subclass of int.
     return isinstance(value, (int, float)) and not isinstance(value, bool) and isfinite(value)
 
 
 def _not_negative(owner: object, *names: str) -> None:
     for name in names:
         value = getattr(owner, name)
-        _check(_figure(value) and value >= 0, type(owner).__name__, name, value)
+        _check(_is_number(value) and value >= 0, type(owner).__name__, name, value)
 
 
 def _positive(owner: object, *names: str) -> None:
     for name in names:
         value = getattr(owner, name)
-        _check(_figure(value) and value > 0, type(owner).__name__, name, value)
+        _check(_is_number(value) and value > 0, type(owner).__name__, name, value)
 
 
 @dataclass(frozen=True, slots=True)
@@ -107,7 +109,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Plan:
-    """Quotas of each customer of a plan, over all gateways together; a rate of 0 is no quota."""
+    """Quotas of each customer of a plan, over all limiters together; a rate of 0 is no quota."""
 
     name: str
     rate: float = 0.0
@@ -137,7 +139,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Rules:
-    """Figures of the rules that hold in every run."""
+    """The platform's rules."""
 
     drain_grace: float = 0.0
     overload_multiple: float = 1.0
@@ -162,7 +164,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Limits:
-    """What the site permits."""
+    """What the deployment permits."""
 
     cancel: bool = False
     health_checks: bool = False
@@ -191,7 +193,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Prices:
-    """Points taken off the result, each times its share or rate."""
+    """Points deducted from the result, each times its fraction or rate."""
 
     cross_zone: float = 0.0
     waste: float = 0.0
@@ -206,7 +208,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Information:
-    """What gateways can learn of each other's use."""
+    """How limiters learn of each other's usage."""
 
     counter: bool = False
     counter_timeout: float = 0.05
@@ -221,7 +223,7 @@
 
 @dataclass(frozen=True, slots=True)
 class GatewaySettings:
-    """All that a gateway is told at its start."""
+    """All settings of a gateway."""
 
     index: int
     limiter_count: int
--- a/thymeflow/decision/types.py
+++ b/thymeflow/decision/types.py
@@ -11,7 +11,7 @@
 
 
 class BackendState(IntEnum):
-    """Life of a backend as discovery tells it."""
+    """State of a backend as discovery reports it."""
 
     GONE = 0
     READY = 1
@@ -19,7 +19,7 @@
 
 
 class EndpointListKind(IntEnum):
-    """How a membership event relates to the list held."""
+    """How a watch event relates to the present endpoint list."""
 
     DELTA = 0
     FULL = 1
@@ -28,7 +28,7 @@
 
 
 class Status(IntEnum):
-    """How an attempt, a probe or a counter call ended."""
+    """How an attempt, a health check or a counter call ended."""
 
     OK = 1
     ERROR = 2
@@ -68,7 +68,7 @@
 
 
 class LoadReport(NamedTuple):
-    """A backend's own report of its load; values it does not give are None."""
+    """A backend's own report of its load; values that it does not report are None."""
 
     inflight: float | None = None
     queued: float | None = None
--- a/thymeflow/gossip/aggregator.py
+++ b/thymeflow/gossip/aggregator.py
@@ -1,4 +1,4 @@
-"""Gossip that a gateway receives: what peers report is aggregated, what aggregators reply is taken over."""
+"""Gossip that a gateway receives: reports of peers are aggregated, aggregates of others are applied."""
 
 from __future__ import annotations
 
@@ -16,8 +16,8 @@
 )
 
 SEQUENCE_HALF = 0x8000  # sequence numbers wrap: a difference under this is newer
-MAX_NEW_REPORT = 2.0  # times the largest request: units of a first report that are believed
-MAX_REPORT = 10.0  # times the burst, or the largest request: units of a later report that are believed
+MAX_FIRST_REPORT = 2.0  # times the largest request: units of a first report that are accepted
+MAX_REPORT = 10.0  # times the burst, or the largest request: units of a later report that are accepted
 
 
 class GossipAggregator:
@@ -40,7 +40,7 @@
         if message is None or not self._is_new(sender, message):
             return
         self.peer_sequences[sender] = (message.incarnation, message.sequence)
-        self._buckets.last_gossip_at = context.now
+        self._buckets.record_remote_report()
         self._registry.observe_peer_pressure(message.pressure)
         for entry in message.entries:
             if entry.plan < len(context.settings.plans):
@@ -73,8 +73,8 @@
         charged = codec.change(entry.second, 0.0 if previous is None or is_first else previous.charged)
         bucket.peer_reports[sender] = PeerReport(incarnation, entry.first, entry.second, self._context.now)
         self._publisher.request_reply(bucket.customer_id, (sender,))
-        max_believed = MAX_NEW_REPORT * max_units if is_first else MAX_REPORT * max(bucket.plan.burst, max_units)
-        if units <= max_believed:
+        max_accepted = MAX_FIRST_REPORT * max_units if is_first else MAX_REPORT * max(bucket.plan.burst, max_units)
+        if units <= max_accepted:
             bucket.is_aggregator = True
             bucket.remote_rate_memory = DEMAND_MEMORY_SECONDS
             bucket.usage_ratio = 1.0
--- a/thymeflow/gossip/codec.py
+++ b/thymeflow/gossip/codec.py
@@ -57,7 +57,7 @@
 
 
 def chunks(entries: Sequence[Entry]) -> list[tuple[Entry, ...]]:
-    """Split entries into parts that fit a message; one empty part where there are none."""
+    """Split entries into chunks that fit a message; one empty chunk where there are none."""
     return [tuple(entries[start : start + MAX_ENTRIES]) for start in range(0, max(1, len(entries)), MAX_ENTRIES)]
 
 
--- a/thymeflow/health/backend_registry.py
+++ b/thymeflow/health/backend_registry.py
@@ -1,4 +1,4 @@
-"""The backends of the endpoint list with their statistics, and what all of them together tell: load and pressure."""
+"""The backends of the endpoint list with their statistics, and the load and pressure of all of them."""
 
 from __future__ import annotations
 
@@ -35,8 +35,8 @@
     def apply_endpoints(self, event: EndpointsChanged, now: float, rules: Rules) -> None:
         """Apply a change of the endpoint list; backends that drain or are gone get nothing from now on."""
         if event.kind in (EndpointListKind.FULL, EndpointListKind.CACHED):
-            listed_ids = [endpoint.id for endpoint in event.backends]
-            self.backends = {listed: self.backends[listed] for listed in listed_ids if listed in self.backends}
+            ids = [endpoint.id for endpoint in event.backends]
+            self.backends = {number: self.backends[number] for number in ids if number in self.backends}
         for endpoint in event.backends:
             backend = self.backends.pop(endpoint.id, None)
             if backend is None or endpoint.started > backend.endpoint.started:
@@ -59,7 +59,7 @@
         self.in_flight += 1
 
     def release(self, backend: BackendStats) -> None:
-        """Count an attempt less, as it has ended or its response has begun."""
+        """Count one attempt less, as it has ended or its response has begun."""
         backend.in_flight -= 1
         self.in_flight -= 1
 
--- a/thymeflow/health/backend_stats.py
+++ b/thymeflow/health/backend_stats.py
@@ -9,10 +9,10 @@
 from thymeflow.decision.types import Backend
 from thymeflow.health import pressure
 
-CROSS_ZONE_PENALTY = 0.5  # requests: how much shorter a queue must be to be worth leaving the zone
+CROSS_ZONE_PENALTY = 0.5  # requests: how much shorter a queue in another zone must be to be preferred
 RARELY_USED_SECONDS = 2.0  # a backend used less often than this is ejected by one failure
 EJECTION_FAILURES = 2  # failures in a row that eject a backend
-ALL_CLASSES = ""  # in place of a class name: what concerns the backend as a whole
+ALL_CLASSES = ""  # in place of a class name: what concerns all requests at the backend
 
 
 class FailureStreak(NamedTuple):
@@ -48,8 +48,8 @@
         self.failures[class_name] = FailureStreak(count, until)
 
     def record_no_response(self, class_name: str, sent_at: float, now: float) -> None:
-        """Count a failure where nothing was answered since `sent_at`."""
-        # A backend that answers other requests is not down, and one that answers this class is not unfit for it.
+        """Count a failure where there was no response since `sent_at`."""
+        # A backend that responds to other requests is not down, and one that responds to this class can serve it.
         for name in (ALL_CLASSES, class_name):
             if self.last_response_at.get(name, -inf) < sent_at:
                 self.record_failure(name, now)
--- a/thymeflow/health/pressure.py
+++ b/thymeflow/health/pressure.py
@@ -14,7 +14,7 @@
 UNPRESSED_EXTRA = 1.0  # times the limit: how much more may be in flight while latency is far under the threshold
 MIN_EJECTION_SECONDS = 1.0  # the first ejection; each further failure doubles it
 MAX_EJECTION_SECONDS = 8.0
-FULL_BUCKET_RESERVE = 0.4  # of the limit: kept for customers with full buckets, so shedding follows quotas
+FULL_BUCKET_RESERVE = 0.4  # of the limit: reserved for customers with full buckets, so shedding follows quotas
 
 
 def ejection_seconds(extra_failures: int, send_interval: float) -> float:
@@ -27,7 +27,7 @@
 
 def concurrency_limit(backends: float, deficit: float, pressure: float) -> float:
     """Return the attempts that may be in flight to so many warmed-up backends; fewer with an emptier bucket."""
-    # A few slow requests among quick ones hold much concurrency: while no latency is lost they crowd nobody out.
+    # A few slow requests among quick ones take much concurrency, which harms nobody while latency is low.
     extra = 1.0 + UNPRESSED_EXTRA * max(0.0, 1.0 - pressure / PRESSURE_THRESHOLD)
     limit = ATTEMPTS_PER_BACKEND * backends * (1.0 - FULL_BUCKET_RESERVE * deficit) * extra
     # A small limit is met in bursts: two standard deviations and one more are admitted.
--- a/thymeflow/health/slow_start.py
+++ b/thymeflow/health/slow_start.py
@@ -7,8 +7,8 @@
 from thymeflow.decision.settings import Rules
 from thymeflow.decision.types import Backend, BackendState
 
-# Fraction of the overload multiple aimed at a backend that is warming up, from none of its capacity to all: a small
-# budget holds few requests, of which chance may send half as many again.
+# Fraction of the overload multiple that is sent to a backend that is warming up, from none of its capacity to all: a
+# small budget is a few requests, and random selection may send half as many more.
 INITIAL_LOAD = 0.25
 FINAL_LOAD = 0.6
 
@@ -30,7 +30,7 @@
 
 def target_loads(endpoints: Iterable[Backend], now: float, rules: Rules) -> dict[int, float]:
     """Return the load for each backend that is warming up, by its id."""
-    # Few have a start time: the rest costs nothing.
+    # Few backends have a start time.
     loads = [
         (endpoint.id, target_load(now - endpoint.started, rules)) for endpoint in endpoints if endpoint.started > 0.0
     ]
--- a/thymeflow/quota/buckets.py
+++ b/thymeflow/quota/buckets.py
@@ -75,6 +75,13 @@
             limiter_count = context.settings.limiter_count
             bucket.join_set(request.first_limiter, request.set_size, limiter_count, context.started_at)
 
+    def record_remote_report(self, bucket: TokenBucket | None = None) -> None:
+        """Record that a peer or the counter reported something now, of this customer if there is one."""
+        now = self._context.now
+        self.last_gossip_at = now
+        if bucket is not None:
+            bucket.last_update_at = now
+
     def apply_plans(self, set_changed: bool) -> None:
         """Fill buckets by the plans in force from now on; their levels stay."""
         context = self._context
--- a/thymeflow/quota/counter_encoding.py
+++ b/thymeflow/quota/counter_encoding.py
@@ -1,11 +1,11 @@
 """Customer ids, rendezvous nodes, and names and amounts at the counter: stateless arithmetic, no decisions.
 
-A customer's total lives for a window, and then under another name, so that the first reading already tells a rate.
+A customer's total has a new name in each window, so that the first reading already gives a rate.
 Windows of different customers begin at different times: all would move to new names at once.
 
-A total holds two amounts in one number: steps of requested units, and above them, from STEPS_REQUESTED on, steps of
-charged units. The sum of such numbers is the number of the sums. A step goes by the quota, as a power of two that is
-part of the name: limiters that know another quota of a plan never read one another's steps.
+A total encodes two amounts in one number: steps of requested units, and above them, from STEPS_REQUESTED on, steps of
+charged units. The sum of such numbers is the number of the sums. A step is scaled by the quota, to a power of two that
+the name includes: limiters with another quota of the plan in force never read one another's steps.
 """
 
 from __future__ import annotations
@@ -50,7 +50,7 @@
 
 
 def encode(name: int, requested: float, charged: float) -> int:
-    """Return one amount to add for requested and charged units; `decode` tells which part of them it holds."""
+    """Return one amount to add for requested and charged units; `decode` returns how much of them it includes."""
     scale = _scale(name)
     # More steps would be read as a charge: the rest is reported with the next call.
     steps = min(STEPS_REQUESTED - 1, int(max(0.0, requested) / scale / REQUESTED_STEP))
--- a/thymeflow/quota/counter_ledger.py
+++ b/thymeflow/quota/counter_ledger.py
@@ -60,7 +60,7 @@
     def read_total(self, name: int, total: float, own_amount: float, now: float, customer: int) -> RemoteUsage:
         """Return what others requested and charged since the last reading, by a total with `own_amount` in it.
 
-        Under another name, or where the counter lost its totals, the total holds what came since the window began. A
+        Under another name, or where the counter lost its totals, the total is what was added since the window began. A
         call that got no reply may not have been added after all.
         """
         uncertain = self.uncertain.amount if self.uncertain.name == name else 0.0
--- a/thymeflow/quota/counter_reporter.py
+++ b/thymeflow/quota/counter_reporter.py
@@ -1,4 +1,4 @@
-"""Counter calls of a gateway: which customers are reported, at which rate, and what the replies tell."""
+"""Counter calls of a gateway: which customers are reported, at which rate, and what the replies change."""
 
 from __future__ import annotations
 
@@ -65,7 +65,7 @@
 
     def send_pending(self, elapsed_seconds: float) -> None:
         """Report pending customers, those with the most unreported demand over their rate first."""
-        # One call may always be saved up: a credit that never holds a complete call would end them for good.
+        # One call may always be saved up: with a credit under one call, there would never be another.
         rate = min(self.call_rate, self._context.limit_of(FleetResource.COUNTER_CALLS))
         self.call_credit = min(max(1.0, rate), self.call_credit + rate * elapsed_seconds)
         now = self._context.now
@@ -109,8 +109,7 @@
             self.reports.deferred[call.customer_id] = None
         elif is_ok and isfinite(event.total):
             bucket.refresh(now)
-            self._buckets.last_gossip_at = now
-            bucket.last_update_at = now
+            self._buckets.record_remote_report(bucket)
             bucket.on_counter_total(event.name, call.amount, event.total, now)
         else:
             bucket.on_counter_uncertain(event.name, call.amount)
--- a/thymeflow/quota/probabilistic_admission.py
+++ b/thymeflow/quota/probabilistic_admission.py
@@ -1,4 +1,4 @@
-"""Which of many requests is admitted where no slice of a quota holds one: stateless arithmetic, no decisions."""
+"""Which of many requests is admitted where every slice of a quota is under one request: stateless arithmetic."""
 
 from __future__ import annotations
 
--- a/thymeflow/quota/reservations.py
+++ b/thymeflow/quota/reservations.py
@@ -1,4 +1,4 @@
-"""A quota split in two, with reservations at the counter for the part that all limiters share. No I/O, no clock.
+"""A quota split into a base and a pool, with reservations at the counter for units of the pool. No I/O, no clock.
 
 Of a quota (rate r, burst b) each limiter of the customer's set has an even slice of a base, a bucket of its own that
 needs no message from others. The rest is a pool of rate p whose units lie along time: p of them in a second. A unit
@@ -9,8 +9,8 @@
 
     base + pool  <=  (b - p w) + (r - p) T  +  p w + p T  =  b + r T.
 
-A counter that loses its totals hands out anew what is active then, so it adds p w at most, each time. One that is down
-hands out nothing, and the base is left. The derivations: docs/design/budgets.md.
+A counter that loses its totals hands out again what is active then, which adds p w at most, each time. One that is
+down hands out nothing, and the base is left. The derivations: docs/design/budgets.md.
 """
 
 from __future__ import annotations
@@ -27,14 +27,14 @@
 BASE_BURST_FRACTION = 0.3
 PREFETCH_SECONDS = 0.25  # of local demand: reserved beyond what is missing now
 ROUND_TRIP_SECONDS = 0.1  # of a call; what it reserves must not expire by then
-MAX_WINDOW_SECONDS = 25.0  # a counter name lives for 60 s at most, and two windows are reserved from
-STEPS_PER_UNIT = 64.0  # amounts are whole numbers of steps: totals are exact to seven digits
+MAX_WINDOW_SECONDS = 25.0  # a counter name expires after 60 s at most, and two windows are reserved from
+STEPS_PER_UNIT = 64.0  # amounts are integral numbers of steps: totals are exact to seven digits
 RESERVATION_NAMES = 64  # top byte from which names of reservations begin; names of counter updates lie below
 
 
 @dataclass(frozen=True, slots=True)
 class QuotaSplit:
-    """A quota in its two parts, over the complete set."""
+    """Base and pool of a quota, over the complete set."""
 
     base_rate: float  # units a second
     base_burst: float
@@ -132,7 +132,7 @@
     def plan_reservation(self, missing: float, demand: float, moment: float) -> Reservation | None:
         """Return the reservation that may bring what is missing, and some of a demand in units a second.
 
-        Others have reserved at least what was last read, so where that leaves too little no call is worth its price.
+        Others have reserved at least what was last read, so where that leaves too little no call is made.
         In the previous window, units that have expired are skipped by reserving them too: at worst some are skipped
         that have not expired, and nobody gets these.
         """
--- a/thymeflow/quota/strict.py
+++ b/thymeflow/quota/strict.py
@@ -11,7 +11,7 @@
 from thymeflow.quota.token_bucket import DEMAND_MEMORY_SECONDS, TokenBucket
 
 RESERVED_WINDOWS = 2.0  # windows for which a counter name is reserved from
-LATE_CALL_SECONDS = 1.0  # that a counter name lives longer, for calls that are late
+LATE_CALL_SECONDS = 1.0  # added to the lifetime of a counter name, for calls that are late
 
 
 class StrictTokenBucket(TokenBucket):
@@ -39,7 +39,7 @@
 
     def _split(self) -> reservations.QuotaSplit:
         plan, member_count = self._split_of
-        if plan is not self.plan or member_count != self.member_count:  # what was reserved before is void
+        if plan is not self.plan or member_count != self.member_count:  # earlier reservations are of another quota
             self._split_of = (self.plan, self.member_count)
             self._current_split = reservations.split_quota(self.plan.rate, self.plan.burst, self.member_count)
             self._pool = reservations.ReservationPool(self._current_split, self.customer_id)
@@ -59,7 +59,8 @@
     def join_set(self, first_limiter: int, set_size: int, limiter_count: int, started_at: float) -> None:
         """Take the base slice of a set: filled as since the start; in another set it never grows.
 
-        The bucket of a limiter that is alone begins part full, as what an earlier incarnation spent is not known.
+        The bucket of a limiter that is alone begins at a fraction of its burst, as what an earlier incarnation spent
+        is not known.
         """
         was_member_of_set = bool(self.members)
         was_inside = self._index in self.members
@@ -72,7 +73,7 @@
         split = self._split()
         elapsed = max(0.0, self.updated_at - started_at)
         if not was_member_of_set:
-            # A customer that was dropped had asked nothing for the time-to-live, and no longer is known of it.
+            # A customer that was dropped requested nothing during the time-to-live; more is not known of it.
             filled = self._initial_fill * split.base_burst if self.member_count == 1 else 0.0
             filled += split.base_rate * min(IDLE_BUCKET_TTL_SECONDS, elapsed)
             self.level = self._base_fraction() * min(split.base_burst, filled)
@@ -84,7 +85,7 @@
         self.ceiling_level = min(self.ceiling_level, ceiling) if was_member_of_set else ceiling
 
     def quota_fraction(self, local_rate: float) -> float:  # noqa: ARG002 (overrides)
-        """Return the fraction of the burst that the base slice holds when it is full."""
+        """Return the fraction of the burst that a full base slice has."""
         return self._split().base_burst * self._base_fraction() / max(1e-9, self.plan.burst)
 
     def refresh(self, now: float) -> None:
@@ -115,7 +116,7 @@
         return self.missing_units(units) <= 0.0
 
     def charge(self, units: float) -> None:
-        """Charge the base first, as it fills by itself; what is settled below its charge comes back to it."""
+        """Charge the base first, as it refills without a call; units settled below their charge go back to it."""
         self.charged_units += units
         uncovered = units - max(0.0, min(units, self.level))
         used = self._pool.use(uncovered, self._moment()) if uncovered > 0.0 and self._split().pool_rate else 0.0
@@ -150,7 +151,7 @@
                 self._pool.on_reserved(window, amount, total, moment)
 
     def on_counter_uncertain(self, name: int, amount: float) -> None:
-        """Do nothing: what the call reserved is nobody's, and expires soon."""
+        """Do nothing: what the call may have reserved is used by no limiter, and expires soon."""
 
     def on_counter_rejected(self, name: int, amount: float) -> None:
         """Do nothing: nothing was reserved."""
--- a/thymeflow/quota/token_bucket.py
+++ b/thymeflow/quota/token_bucket.py
@@ -9,17 +9,17 @@
 from thymeflow.quota import counter_encoding, probabilistic_admission
 from thymeflow.quota.counter_ledger import CounterLedger
 
-DEMAND_MEMORY_SECONDS = 1.5  # some requests of a busy customer, and shorter than most busy periods
-SMALL_SET_SIZE = 4.0  # limiters: in a larger set each sees less, and remembers its own demand for longer
+DEMAND_MEMORY_SECONDS = 1.5
+SMALL_SET_SIZE = 4.0  # limiters; in a larger set each sees fewer requests, and remembers demand for longer
 PRIOR_DEMAND_FRACTION = 0.1  # of the rate: least demand assumed of the set, so new customers split evenly
-REPORT_TTL = 2.0  # s: reports older than this are not used, and slices go back to even
-RESERVE_FRACTION = 0.4  # of the burst beyond a usual request: level at which the set is kept when all ask
-MIN_USAGE_RATIO = 2.0  # times the quota assumed used, at least, where only demand is reported and no level
-MIN_REMOTE_MEMORY_SECONDS = 5.0  # of reported demand, which a large set remembers for longer:
-MAX_REMOTE_MEMORY_SECONDS = 40.0  # one second for each limiter, as each sees the customer less often
-MIN_UNREPORTED_FRACTION = 0.05  # of the burst not reported yet, from which a counter call is worth it
-MIN_REPORTED_DEMAND = 0.3  # of the rate in demand, from which a counter call is worth it
-MIN_CALL_INTERVAL = 0.5  # s: between counter calls for one customer
+REPORT_TTL_SECONDS = 2.0  # older reports are not used, and slices go back to even
+RESERVE_FRACTION = 0.4  # of the burst beyond a mean request: level of the complete set under excess demand
+MIN_USAGE_RATIO = 2.0  # of the quota: least usage assumed where only demand is reported and no level
+MIN_REMOTE_MEMORY_SECONDS = 5.0  # of reported demand; one second for each limiter of a large set
+MAX_REMOTE_MEMORY_SECONDS = 40.0
+MIN_UNREPORTED_FRACTION = 0.05  # of the burst: least unreported demand that justifies a counter call
+MIN_REPORTED_DEMAND_FRACTION = 0.3  # of the rate: least demand that justifies a counter call
+MIN_CALL_INTERVAL_SECONDS = 0.5  # between counter calls for one customer
 
 
 class PeerReport(NamedTuple):
@@ -32,7 +32,7 @@
 
 
 class TokenBucket:
-    """A customer's slice of its quota, filled by demand, and the estimated level of the whole set."""
+    """A customer's slice of its quota, filled by demand, and the estimated level of the complete set."""
 
     def __init__(self, plan: Plan, customer_id: int, now: float, started_at: float, initial_fill: float) -> None:
         """`started_at` is when the gateway started; `initial_fill` the fraction of the burst assumed there then."""
@@ -44,7 +44,7 @@
         self.remote_rate = 0.0  # demand at the other limiters
         self.requested_units = 0.0  # since this bucket was created
         self.charged_units = 0.0
-        self.mean_cost = 0.0  # units of a usual request
+        self.mean_cost = 0.0  # units of a mean request
         self.reserve = 0.0
         self.usage_ratio = MIN_USAGE_RATIO  # metered use over the quota
         self.remote_rate_memory = DEMAND_MEMORY_SECONDS
@@ -56,7 +56,7 @@
         self.last_update_at = -inf  # when something was reported of this customer in particular
         self.attempts_in_flight = 0
         self.peer_reports: dict[int, PeerReport] = {}
-        # A restart forgets what was spent: start part full and fill as if since the start of this incarnation.
+        # A restart forgets what was spent: the level is a fraction of the burst, refilled since the start.
         fill = min(1.0, initial_fill + (now - started_at) * plan.rate / max(plan.burst, 1e-9))
         self.global_level = plan.burst * fill
         self.members: list[int] = []
@@ -80,7 +80,7 @@
             self.level = min(self.level, self.level * shrinkage)
         else:
             self.level = self.global_level / self.member_count
-        # A limiter of a large set seldom sees the customer: the next request has only the last report to go by.
+        # A limiter of a large set seldom sees the customer: its next request depends on the last report.
         if not self.is_aggregator:
             self.remote_rate_memory = min(MAX_REMOTE_MEMORY_SECONDS, max(MIN_REMOTE_MEMORY_SECONDS, self.member_count))
         # The hard ceiling is safe alone: an even slice of rate and burst, empty at each start.
@@ -94,8 +94,8 @@
         return DEMAND_MEMORY_SECONDS * max(1.0, self.member_count / SMALL_SET_SIZE)
 
     def has_recent_gossip(self) -> bool:
-        """Return whether peers or the counter were heard of recently enough to be believed."""
-        return self.updated_at - self.last_gossip_at <= REPORT_TTL
+        """Return whether the last report of any peer or the counter is recent enough to be used."""
+        return self.updated_at - self.last_gossip_at <= REPORT_TTL_SECONDS
 
     def quota_fraction(self, local_rate: float) -> float:
         """Return this limiter's fraction of the quota by demand, the even one while no reports come."""
@@ -105,7 +105,7 @@
         by_demand = even
         if self.has_recent_gossip():
             by_demand = (local_rate + prior / self.member_count) / (local_rate + self.remote_rate + prior)
-        if self.updated_at - self.last_update_at <= REPORT_TTL:
+        if self.updated_at - self.last_update_at <= REPORT_TTL_SECONDS:
             return by_demand
         return 0.5 * (by_demand + even)
 
@@ -117,7 +117,7 @@
         decay = exp(-elapsed / self.local_rate_memory)
         self.local_rate = rate_before * decay
         self.remote_rate = self.remote_rate * exp(-elapsed / self.remote_rate_memory)
-        # What others admit is not known yet where they exceed the quota: they share what is left as we do.
+        # What others admit beyond the quota is not known yet: they are assumed to share the rest equally.
         self.reserve = RESERVE_FRACTION * max(self.mean_cost, self.plan.burst - self.mean_cost) + 1e-9
         self._refill_global_level(elapsed, rate_before)
         self._refill_slice(elapsed, rate_before, decay)
@@ -129,7 +129,7 @@
     def _refill_global_level(self, elapsed: float, rate_before: float) -> None:
         rate = self.plan.rate
         if self.is_aggregator:
-            # Charges of others are reported late: until then they get what they ask, while it lasts.
+            # Charges of others are reported late: until then all that they request counts as charged.
             predicted = min(self.remote_rate * elapsed, max(0.0, self.global_level))
             self.predicted_remote_usage += predicted
             self.global_level = self.global_level + rate * elapsed - predicted
@@ -155,7 +155,7 @@
         self.level = min(self.level, self.plan.burst * self.quota_fraction(self.local_rate))
 
     def has_small_slices(self) -> bool:
-        """Return whether an even slice is under a usual request, so that slices decide nothing."""
+        """Return whether an even slice is under a mean request, so that slices decide nothing."""
         return self.member_count > SMALL_SET_SIZE and self.plan.burst < self.mean_cost * self.member_count
 
     def _admits_by_sampling(self, units: float, sample: float) -> bool:
@@ -165,7 +165,7 @@
         has_gossip = self.has_recent_gossip()
         is_current = self.updated_at <= self.last_update_at
         reserve = max(0.0, self.global_level - units) if has_gossip else 0.0
-        # Where use beyond the quota costs nothing, nothing is kept back.
+        # Where use beyond the quota has no cost, units are lent that the set does not have.
         is_covered = units <= self.global_level or (has_gossip and not self.plan.over_quota_cost)
         bias = 1.0 if is_current else probabilistic_admission.demand_bias(self.plan.over_quota_cost)
         return is_covered and probabilistic_admission.is_sampled(sample, demand, self.plan.rate, reserve, bias)
@@ -184,19 +184,20 @@
         if not self.has_recent_gossip():
             # An even slice that is full admits one request; what it lacks becomes debt.
             return min(units, plan.burst * fraction * 0.999) <= self.level
-        # What the set holds is lent by sampling, so that not all limiters lend the same units at once.
+        # Units of the set are lent by sampling, so that not all limiters lend the same ones at once.
         lent = sample * self.usage_ratio * self.remote_rate / plan.rate * self.reserve
-        is_in_debt = self.usage_ratio > 1.0 and self.level <= 0.0  # no level is known: debt is all there is to go by
+        is_in_debt = self.usage_ratio > 1.0 and self.level <= 0.0  # no level is known but the debt here
         return lent <= self.global_level - units and not is_in_debt
 
     def needs_counter_update(self, now: float) -> bool:
-        """Return whether a counter call would report enough to be worth its price."""
+        """Return whether a counter call would report enough to justify its cost."""
         unreported = self.requested_units - self.counter_ledger.reported_units
         demand = self.local_rate + self.remote_rate
-        is_worth_it = (
-            unreported >= MIN_UNREPORTED_FRACTION * self.plan.burst or demand >= MIN_REPORTED_DEMAND * self.plan.rate
+        is_worthwhile = (
+            unreported >= MIN_UNREPORTED_FRACTION * self.plan.burst
+            or demand >= MIN_REPORTED_DEMAND_FRACTION * self.plan.rate
         )
-        return now - self.counter_called_at >= MIN_CALL_INTERVAL and is_worth_it
+        return now - self.counter_called_at >= MIN_CALL_INTERVAL_SECONDS and is_worthwhile
 
     def on_counter_total(self, name: int, amount: float, total: float, now: float) -> None:
         """Take in the total of a counter call that added our `amount`."""
