--- /dev/null
+++ b/tests/decision/test_admission.py
@@ -0,0 +1,42 @@
+"""Admission by concurrency and pressure, and the time for which a request is of use."""
+
+from __future__ import annotations
+
+from tests.helpers import SAFE, request, sends, started
+from thymeflow.decision.actions import (
+    CancelAttempt,
+    RejectRequest,
+    SetTimer,
+)
+from thymeflow.decision.context import TimerKind
+from thymeflow.decision.events import (
+    TimerFired,
+)
+
+
+def test_gateway_admits_again_when_it_rejected_everything_under_pressure() -> None:
+    """Pressure is learned from answers: a gateway that refuses everything hears none and must not stay so."""
+    gateway = started()
+    gateway.registry.pressure = 1.0
+    for n in range(300):
+        tokens = [t for t, (kind, _) in gateway.timers.items() if kind is TimerKind.TICK]
+        gateway.handle(100.0 + n * 0.1, TimerFired(tokens[0]))
+    assert any(sends(gateway.handle(131.0, request(f"r{n}", customer=f"c{n}"))) for n in range(3))
+
+
+def test_request_ends_at_its_latency_objective_when_late_responses_have_no_value() -> None:
+    gateway = started()
+    actions = gateway.handle(100.0, request("r1", remaining=4.0))
+    timer = next(a for a in actions if isinstance(a, SetTimer))
+    assert timer.delay <= SAFE.latency_objective
+    kinds = [type(a) for a in gateway.handle(100.0 + timer.delay, TimerFired(timer.token))]
+    assert kinds == [RejectRequest, CancelAttempt]  # answered at once, and the place is free
+
+
+def test_more_requests_may_be_in_flight_when_responses_are_quick() -> None:
+    def out(pressure: float) -> int:
+        gateway = started()
+        gateway.registry.pressure = pressure
+        return sum(bool(sends(gateway.handle(100.0, request(f"r{n}", customer=f"c{n}")))) for n in range(60))
+
+    assert out(0.0) > 1.5 * out(0.4)
--- /dev/null
+++ b/tests/decision/test_balancing.py
@@ -0,0 +1,133 @@
+"""Which backend an attempt goes to: slow start, health, half-open probes."""
+
+from __future__ import annotations
+
+import random
+
+import pytest
+
+from tests.helpers import RULES, SAFE, ended, request, sends, settings, started
+from thymeflow.decision.events import (
+    EndpointsChanged,
+)
+from thymeflow.decision.gateway import Gateway
+from thymeflow.decision.types import Backend, EndpointListKind, Status
+from thymeflow.health.backend_stats import FailureStreak
+
+
+@pytest.mark.parametrize("count", [1, 3, 100])
+def test_new_backend_gets_less_than_its_load_limit_when_it_warms_up(count: int) -> None:
+    """At most `fall_multiple` x present capacity within any fall time, sent by all gateways together."""
+    gateways = [started(settings(index=n, limiter_count=count), seed=n) for n in range(count)]
+    for gateway in gateways:
+        gateway.handle(100.0, EndpointsChanged(EndpointListKind.DELTA, (Backend(9, "a", started=100.0),)))
+    received = []
+    total = 0
+    draw = random.Random(count)
+    for n in range(3000):
+        now = 100.0 + n * 0.004
+        gateway = draw.choice(gateways)
+        for send in sends(gateway.handle(now, request(f"r{n}", customer=f"c{n}"))):
+            total += 1
+            received += [now] if send.backend == 9 else []
+            gateway.handle(now, ended(f"r{n}", send, Status.OK, actual_units=1.0))
+    assert total > 2500
+    share_of_a_warm_one = total / 12.0 / 5.0
+    for start in received:
+        window = [t for t in received if start <= t < start + RULES.overload_seconds]
+        now_share = RULES.slow_start_fraction + (1 - RULES.slow_start_fraction) * min(
+            1.0, (start - 100.0) / RULES.slow_start_seconds
+        )
+        if start + RULES.overload_seconds < 100.0 + RULES.slow_start_seconds:
+            assert len(window) <= RULES.overload_multiple * now_share * share_of_a_warm_one * RULES.overload_seconds + 1
+    assert received
+
+
+def test_new_backend_gets_no_burst_when_hundreds_of_gateways_were_idle() -> None:
+    """Budgets that hundreds of gateways fill in step are spent in step: 4 times what it could do, once."""
+    gateways = [started(settings(index=n, limiter_count=200), seed=n) for n in range(200)]
+    for gateway in gateways:  # a backend comes back and nothing is asked for some time
+        gateway.handle(100.0, EndpointsChanged(EndpointListKind.DELTA, (Backend(9, "a", started=100.0),)))
+    got = [s.backend for n, g in enumerate(gateways) for s in sends(g.handle(104.0, request(f"r{n}")))]
+    assert got.count(9) < len(got) / 5.0
+
+
+def test_load_is_spread_when_gateways_have_few_requests_in_flight() -> None:
+    """With nothing out all lines look alike; the same heaviest backend must not be everybody's choice."""
+    listed = tuple(Backend(n, "a", weight=1.0 + n / 100.0) for n in range(1, 21))
+    got: list[int] = []
+    for n in range(300):
+        gateway = Gateway(settings(index=n, limiter_count=300), n)
+        gateway.handle(0.0, EndpointsChanged(EndpointListKind.CACHED, listed))
+        got += [s.backend for s in sends(gateway.handle(50.0, request(f"r{n}")))]
+    assert len(got) == 300
+    assert max(got.count(n) for n in range(1, 21)) < 3 * 300 / 20
+
+
+def test_one_failure_ejects_a_backend_when_it_is_rarely_used() -> None:
+    gateway = started()
+    send = sends(gateway.handle(100.0, request("r1")))[0]
+    gateway.handle(100.5, ended("r1", send, Status.CONNECT_FAILED))
+    assert not gateway.backends[send.backend].is_healthy("read", 101.0)
+
+
+def test_backend_warms_up_without_failures_when_the_list_shows_a_restart() -> None:
+    gateway = started()
+    gateway.backends[1].failures[""] = FailureStreak(5, 200.0)
+    gateway.handle(100.0, EndpointsChanged(EndpointListKind.FULL, (Backend(1, "a", started=99.0),)))
+    assert set(gateway.backends) == {1}
+    assert gateway.backends[1].is_healthy("read", 100.0)
+    sent = [bool(sends(gateway.handle(100.0, request(f"r{n}", customer=f"c{n}")))) for n in range(100)]
+    assert sum(sent) < 40  # cold: a share of the requests only
+
+
+def passed_by(gateway: Gateway, backend: int, class_name: str, now: float) -> bool:
+    """Whether no request of the class goes to that backend, asked often and left no time to learn."""
+    got = [
+        s.backend
+        for n in range(60)
+        for s in sends(
+            gateway.handle(now, request(f"q{class_name}{n}", class_name=class_name, customer=f"{class_name}{n}"))
+        )
+    ]
+    return bool(got) and backend not in got
+
+
+def play(gateway: Gateway, backend: int, status: Status, class_name: str, start: float) -> None:
+    """Answer many requests at once; all of that class at that backend end with the status instead."""
+    for n in range(120):
+        now = start + n * 0.05
+        name = f"p{n}"
+        cls = ("read", "book")[n % 2]
+        more = sends(gateway.handle(now, request(name, class_name=cls, customer=f"p{n}")))
+        for attempt in range(3):
+            if more:
+                ill = more[0].backend == backend and cls == class_name
+                more = sends(gateway.handle(now + 0.02, ended(name, more[0], status if ill else Status.OK, attempt)))
+
+
+@pytest.mark.parametrize("status", [Status.ERROR, Status.TIMEOUT])
+def test_class_is_sent_to_other_backends_when_it_fails_at_one(status: Status) -> None:
+    gateway = started(settings(limiter_count=1))
+    play(gateway, 1, status, "book", 100.0)
+    assert passed_by(gateway, 1, "book", 106.05)
+    assert not passed_by(gateway, 1, "read", 106.05)  # what it serves well goes there as before
+
+
+def test_backend_is_not_ejected_when_it_responds_to_other_requests() -> None:
+    gateway = started()
+    for n in range(5):
+        gateway.registry.pressure = 0.0
+        send = sends(gateway.handle(100.0 + n, request(f"r{n}", customer=f"c{n}")))[0]
+        gateway.backends[send.backend].last_response_at.update({"": 100.5 + n, "read": 100.5 + n})
+        gateway.handle(100.9 + n, ended(f"r{n}", send, Status.TIMEOUT))
+    assert all(not s.consecutive_failures("read") for s in gateway.backends.values())
+
+
+def test_one_short_probe_is_sent_when_an_ejection_has_ended() -> None:
+    gateway = started()
+    gateway.registry.backends = {1: gateway.backends[1], **gateway.backends}
+    gateway.backends[1].failures[""] = FailureStreak(2, 99.0)  # its ejection is over
+    got = [s for n in range(40) for s in sends(gateway.handle(100.0, request(f"r{n}", customer=f"c{n}")))]
+    assert [s.timeout < SAFE.latency_objective for s in got if s.backend == 1 and s.timeout] == [True]
+    assert sum(s.backend == 1 for s in got) == 1
--- a/tests/test_asking.py
+++ b/tests/decision/test_counter_first_admission.py
@@ -61,13 +61,13 @@
     return CounterReplied(call.name, Status.OK, total, latency)
 
 
-def test_only_a_large_set_with_a_counter_asks() -> None:
+def test_counter_is_called_first_only_when_the_set_is_large_and_has_a_counter() -> None:
     assert type(member().quota_admission) is CounterFirstAdmission
     assert type(member(limiter_count=3).quota_admission) is ImmediateAdmission
     assert type(create_gateway(settings(limiter_count=MANY), 1).quota_admission) is ImmediateAdmission
 
 
-def test_a_first_meeting_waits_for_the_counter_and_is_decided_by_its_word() -> None:
+def test_request_is_decided_by_the_counter_total_when_its_customer_is_unknown() -> None:
     for others, let_in in ((0.0, True), (40.0, False)):
         gateway = member()
         actions = gateway.handle(10.0, asked("a"))
@@ -79,7 +79,7 @@
         assert not calls(gateway.handle(10.1, asked("b"))), "what was told a moment ago is asked again"
 
 
-def test_without_an_answer_in_the_counters_time_belief_decides_and_nobody_waits_for_a_while() -> None:
+def test_estimate_decides_and_no_request_waits_for_a_while_when_the_counter_does_not_reply() -> None:
     gateway = member()
     actions = gateway.handle(10.0, asked("a"))
     (call,) = calls(actions)
@@ -91,7 +91,7 @@
     assert calls(gateway.handle(10.4 + PAUSE_AFTER_LOST_CALL_SECONDS + 0.1, asked("c", customer="third")))
 
 
-def test_who_comes_while_the_call_is_out_waits_for_the_same_one_and_who_leaves_is_not_sent() -> None:
+def test_requests_share_one_call_and_are_forgotten_when_their_client_disconnects() -> None:
     gateway = member()
     (call,) = calls(gateway.handle(10.0, asked("a")))
     assert gateway.handle(10.001, asked("b")) == []
@@ -101,12 +101,12 @@
     assert not gateway.pending.keys() & {"a"}
 
 
-def test_a_request_with_no_time_to_wait_is_decided_at_once() -> None:
+def test_request_is_decided_at_once_when_it_has_no_time_to_wait() -> None:
     actions = member().handle(10.0, asked("a", remaining=0.3))
     assert sends(actions) and not calls(actions)
 
 
-def test_the_units_of_one_that_is_let_in_are_told_once() -> None:
+def test_units_are_reported_once_when_a_request_is_admitted_after_the_reply() -> None:
     gateway = member()
     (call,) = calls(gateway.handle(10.0, asked("a")))
     assert counter_encoding.decode(call.name, call.amount) == pytest.approx((2.0, 2.0), abs=0.2)
@@ -119,11 +119,15 @@
 
 def served(make: Any, demand: float, seconds: float = 30.0) -> tuple[float, float]:
     """Units sent on and calls a request, of one customer that asks so many a second through 40 limiters at random."""
-    rng, order = random.Random(5), count()
+    rng = random.Random(5)
+    order = count()
     gateways: list[Gateway] = [make(n) for n in range(MANY)]
-    totals, due = dict[int, float](), list[tuple[float, int, int, Event]]()
-    sent = asks = 0.0
-    number, at = 0, 20.0
+    totals = dict[int, float]()
+    due = list[tuple[float, int, int, Event]]()
+    sent = 0.0
+    asks = 0.0
+    number = 0
+    at = 20.0
     while at < 20.0 + seconds:
         at += rng.expovariate(demand / 2.0)
         number += 1
@@ -154,7 +158,7 @@
     return sent, asks / number
 
 
-def test_a_set_that_asks_first_keeps_the_quota_better_and_refuses_less_of_it() -> None:
+def test_quota_is_followed_more_closely_when_the_counter_is_called_first() -> None:
     allowed = PLAN.burst + PLAN.rate * 30.0
 
     def plain(index: int) -> Gateway:
@@ -170,11 +174,12 @@
     assert calls_each <= 1.5
 
 
-def test_a_real_limiter_of_a_large_set_asks_before_it_sends_and_goes_on_without_an_answer(tmp_path: Path) -> None:
+def test_limiter_process_calls_the_counter_before_it_forwards_when_its_set_is_large(tmp_path: Path) -> None:
     plan = {"name": "basic", "refill": 2.0, "most-at-once": 16.0}
     changes: dict[str, Any] = {"balancers": MANY, "tiers-of-service": [plan]}
     with Limiter(tmp_path, **changes) as limiter:
-        agent, counters = limiter.connect(), [limiter.counter.accept() for _ in range(3)]
+        agent = limiter.connect()
+        counters = [limiter.counter.accept() for _ in range(3)]
 
         def ask(number: int, customer: bytes) -> tuple[Peer, bytes]:
             terms = b"c=look,t=basic,d=4000,units=2,spread=%d,first=0" % MANY
--- /dev/null
+++ b/tests/decision/test_delivery_rules.py
@@ -0,0 +1,206 @@
+"""The rules of delivery as properties: generated events go to a gateway, and a checker reads its actions."""
+
+from __future__ import annotations
+
+import heapq
+import random
+from typing import Any
+
+from hypothesis import given
+from hypothesis import settings as hypothesis_settings
+from hypothesis import strategies as st
+
+from tests.helpers import KEYED, RULES, fleet, request, sends, settings, started
+from thymeflow.decision.actions import (
+    Action,
+    CancelAttempt,
+    FailRequest,
+    RejectRequest,
+    SetTimer,
+    StartAttempt,
+    SubscribeEndpoints,
+)
+from thymeflow.decision.events import (
+    AttemptEnded,
+    ClientDisconnected,
+    EndpointsChanged,
+    Event,
+    RequestReceived,
+    ResponseStarted,
+    TimerFired,
+)
+from thymeflow.decision.gateway import Gateway
+from thymeflow.decision.settings import DiscoveryMode, Idempotency
+from thymeflow.decision.types import Backend, BackendState, EndpointListKind, Status
+
+NEVER = {Status.FULL, Status.CONNECT_FAILED, Status.MOOT}
+KINDS = {
+    "read": Idempotency.IDEMPOTENT,
+    "book": Idempotency.WITH_KEY,
+    "sign": Idempotency.NOT_IDEMPOTENT,
+    "odd": Idempotency.NOT_IDEMPOTENT,
+}
+
+
+class Checker:
+    """A small world that ends attempts as told and checks the first four rules."""
+
+    def __init__(self, seed: int) -> None:
+        self.rng = random.Random(seed)
+        self.now = 100.0
+        self.config = settings()
+        self.gateway = Gateway(self.config, seed)
+        self.queue: list[tuple[float, int, Event]] = []
+        self.count = 0
+        self.tries: dict[str, dict[str, Any]] = {}
+        self.state: dict[int, Backend] = {b.id: b for b in fleet()}
+        self.cold_sends: dict[int, list[float]] = {}
+        self.feed(EndpointsChanged(EndpointListKind.CACHED, fleet()))
+
+    def later(self, delay: float, event: Event) -> None:
+        self.count += 1
+        heapq.heappush(self.queue, (self.now + delay, self.count, event))
+
+    def run(self, until: float) -> None:
+        while self.queue and self.queue[0][0] <= until:
+            self.now, _, event = heapq.heappop(self.queue)
+            if isinstance(event, AttemptEnded):
+                entry = self.tries[event.id]
+                if entry["ended"].get(event.attempt) is not None:
+                    continue
+                event = AttemptEnded(
+                    event.id,
+                    event.attempt,
+                    event.backend,
+                    event.status,
+                    event.latency,
+                    request_answered=entry["final"] or event.status is Status.OK,
+                    actual_units=1.0,
+                )
+                entry["ended"][event.attempt] = event.status
+                entry["final"] = entry["final"] or event.status is Status.OK
+            self.feed(event)
+        self.now = until
+
+    def feed(self, event: Event) -> None:
+        if isinstance(event, RequestReceived):
+            self.tries[event.id] = {
+                "final": False,
+                "end": self.now + event.remaining,
+                "sent": [],
+                "ended": {},
+                "effect": KINDS[event.class_name],
+            }
+        for action in self.gateway.handle(self.now, event):
+            self.check(action)
+
+    def check(self, action: Action) -> None:
+        match action:
+            case SetTimer(token, delay):
+                self.later(delay, TimerFired(token))
+            case StartAttempt(name, backend):
+                self.check_send(self.tries[name], name, backend)
+            case RejectRequest(name) | FailRequest(name):
+                entry = self.tries[name]
+                assert not entry["final"], "two answers"
+                assert self.now <= entry["end"] + RULES.response_grace, "late answer"
+                entry["final"] = True
+                ran = [n for n in range(len(entry["sent"])) if entry["ended"].get(n) not in NEVER]
+                if isinstance(action, RejectRequest) and ran:
+                    assert entry["effect"] is Idempotency.IDEMPOTENT, "refused although it may have run"
+            case CancelAttempt(name, attempt):
+                self.later(0.0, AttemptEnded(name, attempt, 0, Status.CANCELLED))
+
+    def check_send(self, entry: dict[str, Any], name: str, backend: int) -> None:
+        assert not entry["final"], "sent after the answer"
+        listed = self.state[backend]
+        assert listed.state is BackendState.READY, "sent to a backend that drains or is gone"
+        assert len(entry["sent"]) < self.config.limits.max_attempts
+        out = [n for n in range(len(entry["sent"])) if n not in entry["ended"]]
+        assert not out, "two attempts out"
+        ran = [n for n in range(len(entry["sent"])) if entry["ended"].get(n) not in NEVER]
+        if ran:
+            assert entry["effect"] is not Idempotency.NOT_IDEMPOTENT, "an unsafe request sent twice"
+            if entry["effect"] is Idempotency.WITH_KEY:
+                first, when = entry["sent"][ran[0]]
+                assert self.state[first].zone == listed.zone, "a key sent to another group"
+                assert self.now <= when + KEYED.idempotency_window, "a key sent after its window"
+        if listed.started > 0 and self.now < listed.started + RULES.slow_start_seconds:
+            self.cold_sends.setdefault(backend, []).append(self.now)
+        entry["sent"].append((backend, self.now))
+        status = self.rng.choice([Status.OK] * 4 + list(Status))
+        self.later(
+            min(self.rng.expovariate(2.0), entry["end"] - self.now + 0.001),
+            AttemptEnded(name, len(entry["sent"]) - 1, backend, status, 0.1),
+        )
+
+    def relist(self) -> None:
+        number = self.rng.choice(sorted(self.state))
+        state = self.rng.choice(list(BackendState))
+        began = self.now if state is BackendState.READY else self.state[number].started
+        self.state[number] = Backend(number, self.state[number].zone, state, number % 2, started=began)
+        self.feed(EndpointsChanged(EndpointListKind.DELTA, (self.state[number],)))
+
+
+@hypothesis_settings(derandomize=True, max_examples=60, deadline=None)
+@given(st.integers(0, 10**6))
+def test_delivery_rules_hold_when_events_are_random(seed: int) -> None:
+    world = Checker(seed)
+    for n in range(120):
+        world.run(world.now + world.rng.expovariate(20.0))
+        if world.rng.random() < 0.1:
+            world.relist()
+        world.feed(
+            request(
+                f"r{n}",
+                world.rng.choice([0.5, 1.0, 4.0]),
+                customer=f"c{n % 9}",
+                class_name=world.rng.choice(list(KINDS)),
+                is_retry=world.rng.random() < 0.3,
+                remaining=world.rng.choice([0.001, 0.3, 2.0, 4.0]),
+            )
+        )
+        for strange in (
+            ClientDisconnected("nobody"),
+            TimerFired(10**9),
+            ResponseStarted("nobody", 0, 1),
+            AttemptEnded("nobody", 0, 1, Status.OK),
+        ):
+            assert world.gateway.handle(world.now, strange) == []
+    world.run(world.now + 20.0)
+    assert all(entry["final"] for entry in world.tries.values()), "a request without an answer"
+    assert not world.gateway.pending
+    assert world.gateway.registry.in_flight == 0
+
+
+def test_final_response_is_in_time_when_no_attempt_ends() -> None:
+    gateway = started()
+    actions = gateway.handle(100.0, request("r1", class_name="sign", remaining=2.0))
+    timer = next(a for a in actions if isinstance(a, SetTimer))
+    assert timer.delay < 2.0
+    assert FailRequest("r1") in gateway.handle(100.0 + timer.delay, TimerFired(timer.token))
+
+
+def test_endpoint_list_is_kept_and_requested_again_when_discovery_fails() -> None:
+    gateway = Gateway(settings(discovery=DiscoveryMode.POLL), 1)
+    assert SubscribeEndpoints(True) in gateway.handle(0.0, EndpointsChanged(EndpointListKind.CACHED, fleet()))
+    timer = next(a for a in gateway.handle(1.0, EndpointsChanged(EndpointListKind.FAILED)) if isinstance(a, SetTimer))
+    assert len(gateway.backends) == 4
+    assert SubscribeEndpoints(True) in gateway.handle(3.0, TimerFired(timer.token))
+
+
+def test_request_is_rejected_at_once_when_it_cannot_be_served() -> None:
+    empty = Gateway(settings(), 1)
+    assert any(isinstance(a, RejectRequest) for a in empty.handle(0.0, request("r1")))
+    gateway = started()
+    for bad in (request("r2", float("nan")), request("r3", -1.0), request("r4", plan="none")):
+        assert [type(a) for a in gateway.handle(100.0, bad)] == [RejectRequest]
+
+
+def test_stream_has_no_deadline_when_its_response_has_begun() -> None:
+    gateway = started()
+    actions = gateway.handle(100.0, request("r1", remaining=1.0))
+    timer = next(a for a in actions if isinstance(a, SetTimer))
+    send = sends(actions)[0]
+    gateway.handle(100.5, ResponseStarted("r1", 0, send.backend))
+    assert gateway.handle(101.0, TimerFired(timer.token)) == []
--- a/tests/test_large_fleet.py
+++ b/tests/decision/test_large_fleet.py
@@ -21,8 +21,11 @@
     store = TokenBucket(plan, 1, 100.0, 0.0, 0.5)
     store.mean_cost = 2.0
     store.join_set(0, 40, 40, 0.0)
-    store.last_gossip_at = store.last_update_at = 99.0
-    store.local_rate, store.remote_rate, store.global_level = own, others, 2.0
+    store.last_gossip_at = 99.0
+    store.last_update_at = 99.0
+    store.local_rate = own
+    store.remote_rate = others
+    store.global_level = 2.0
     return store
 
 
@@ -31,60 +34,59 @@
     return sum(store.can_admit(units, n / 200.0) for n in range(200)) / 200.0
 
 
-def test_who_is_met_for_the_first_time_is_let_in_before_anything_is_heard() -> None:
+def test_new_customer_is_admitted_when_nothing_has_been_reported() -> None:
     config = settings(limiter_count=40, plans=(SMALL,))
     gateways = [started(config, seed=n) for n in range(40)]
     first = [sends(g.handle(0.05, request("a", 2.0, set_size=40))) for g in gateways[:4]]
     assert all(first), "a customer that has asked for half of its burst was refused"
 
 
-def test_unheard_each_limiter_of_many_gives_its_part_of_the_rate() -> None:
-    config, units = settings(limiter_count=40, plans=(SMALL,)), 0.0
+def test_each_limiter_admits_its_slice_of_the_rate_when_nothing_is_reported() -> None:
+    config = settings(limiter_count=40, plans=(SMALL,))
+    units = 0.0
     for number in range(40):  # every limiter is asked for the whole rate for 20 s and hears nothing
         gateway = started(config, seed=number)
         units += sum(2.0 * len(sends(gateway.handle(20.0 + n, request(f"r{n}", 2.0, set_size=40)))) for n in range(20))
     assert units <= 16.0 + 40 * 2.0 + 2.0 * 20 * 1.5, "more than the burst, one lent by each, and the rate"
 
 
-def test_one_that_joins_a_running_set_lends_nothing_of_what_is_given_out() -> None:
+def test_gateway_lends_no_units_when_it_joins_a_running_set() -> None:
     gateway = started(settings(limiter_count=40, plans=(SMALL,)))
     gateway.token_buckets.initial_fill = 0.0
     assert not sends(gateway.handle(0.0, request("a", 2.0, set_size=40)))
     assert sends(gateway.handle(8.1, request("b", 2.0, set_size=40)))
 
 
-def test_beyond_the_quota_the_share_let_in_falls_with_the_demand_of_the_whole_set() -> None:
+def test_admitted_fraction_falls_with_demand_when_the_set_is_over_quota() -> None:
     shares = [share(member(0.05, demand)) for demand in (0.6, 4.0, 8.0, 16.0)]
     assert shares[0] == 1.0
     assert shares[1] > 1.6 * shares[2] > 2.5 * shares[3]
     assert 16.0 * shares[3] <= 2.0, "the set sends on more than the rate"
 
 
-def test_what_was_asked_here_tells_of_the_whole_set_before_the_counter_does() -> None:
+def test_local_demand_is_taken_for_that_of_the_set_when_the_counter_has_not_reported() -> None:
     asked_before = 6.0 / member(0.0, 0.0).local_rate_memory
     assert share(member(asked_before + 2.0 / member(0.0, 0.0).local_rate_memory, 0.0)) < 0.2
     assert share(member(2.0 / member(0.0, 0.0).local_rate_memory, 0.0)) == 1.0
 
 
-def test_the_dearer_it_is_to_be_beyond_the_quota_the_more_is_held_back() -> None:
+def test_fewer_requests_are_admitted_when_use_over_quota_has_a_higher_cost() -> None:
     shares = [share(member(0.05, 8.0, replace(SMALL, over_quota_cost=cost))) for cost in (0.0, 0.5, 1.2)]
     assert shares[0] > shares[1] > shares[2] > 0.0
 
 
-def test_what_the_set_does_not_hold_is_lent_only_where_that_costs_nothing() -> None:
+def test_missing_units_are_lent_only_when_use_over_quota_has_no_cost() -> None:
     for cost, lent in ((0.6, 0.0), (0.0, 0.5)):
         store = member(0.05, 1.0, replace(SMALL, over_quota_cost=cost))
         store.global_level = 1.0  # of the two units that are asked for
         assert (share(store) > lent) == (lent > 0.0)
 
 
-def test_forty_limiters_keep_the_cold_budget_while_six_in_ten_servers_are_replaced() -> None:
-    rng, rules, cores, work = (
-        random.Random(5),
-        Rules(overload_multiple=2.5, overload_seconds=3.0, slow_start_fraction=0.17, slow_start_seconds=18.0),
-        3.0,
-        0.22,
-    )
+def test_slow_start_is_kept_by_forty_limiters_when_most_backends_are_replaced() -> None:
+    rng = random.Random(5)
+    rules = Rules(overload_multiple=2.5, overload_seconds=3.0, slow_start_fraction=0.17, slow_start_seconds=18.0)
+    cores = 3.0
+    work = 0.22
     config = settings(limiter_count=40, rules=rules, plans=(replace(SMALL, rate=0.0),))
     gateways = [Gateway(config, n) for n in range(40)]
     sent: dict[int, list[float]] = {}
@@ -115,8 +117,9 @@
     assert late >= 11.0, "servers that are half warm are left idle"  # of 15 if all were warm
 
 
-def test_where_nearly_all_are_cold_the_few_that_are_warm_get_no_more_than_their_part() -> None:
-    gateway, sent = started(settings(limiter_count=1, plans=(replace(SMALL, rate=0.0),)), 100.0), Counter[int]()
+def test_warmed_up_backend_is_not_overloaded_when_nearly_all_others_warm_up() -> None:
+    gateway = started(settings(limiter_count=1, plans=(replace(SMALL, rate=0.0),)), 100.0)
+    sent = Counter[int]()
     young = [Backend(n, "a", started=94.0) for n in range(2, 25)]  # 23 beside the one that is warm
     gateway.handle(100.0, EndpointsChanged(EndpointListKind.FULL, (*fleet(1), *young)))
     for n in range(600):
@@ -126,7 +129,7 @@
     assert len(sent) == 24 and sent[1] <= 0.12 * sum(sent.values())
 
 
-def test_what_may_be_out_goes_by_the_capacity_that_is_present_and_grows_back_as_it_warms() -> None:
+def test_concurrency_follows_the_present_capacity_when_backends_drain_or_warm_up() -> None:
     def out(now: float, gateway: Gateway) -> int:
         count = 0
         while sends(gateway.handle(now, request(f"{now}-{count}", 0.01, customer=str(count), set_size=1))):
--- a/tests/test_units.py
+++ b/tests/decision/test_reserved_admission.py
@@ -32,7 +32,8 @@
 from thymeflow.quota.reservations import ReservationPool, split_quota
 from thymeflow.quota.strict import StrictTokenBucket
 
-RATE, BURST = 5.0, 20.0
+RATE = 5.0
+BURST = 20.0
 PLAN = Plan("plain", rate=RATE, burst=BURST)
 COUNTER = Information(max_units=4.0, counter=True, settles_units=True)
 
@@ -41,11 +42,16 @@
     """A bucket that holds what it is asked to hold, and remembers how far below empty it was brought."""
 
     def __init__(self, rate: float, depth: float, now: float) -> None:
-        self.rate, self.depth, self.level, self.at, self.worst = rate, depth, depth, now, 0.0
+        self.rate = rate
+        self.depth = depth
+        self.level = depth
+        self.at = now
+        self.worst = 0.0
 
     def take(self, units: float, now: float) -> None:
         self.level = min(self.depth, self.level + self.rate * (now - self.at)) - units
-        self.at, self.worst = now, min(self.worst, self.level)
+        self.at = now
+        self.worst = min(self.worst, self.level)
 
 
 @given(
@@ -57,12 +63,15 @@
     ),
     st.integers(0, 999),
 )
-def test_whoever_draws_what_is_used_is_never_more_than_the_pool_has(
+def test_pool_is_never_exceeded_when_limiters_reserve_in_any_order(
     steps: list[tuple[str, int, float]], number: int
 ) -> None:
     of = split_quota(RATE, BURST)
-    pools, counts, now = [ReservationPool(of, number) for _ in range(3)], dict[int, float](), 1000.0
-    true, mail = TrueStore(of.pool_rate, of.window_units, now), list[tuple[int, reservations.Reservation, float]]()
+    pools = [ReservationPool(of, number) for _ in range(3)]
+    counts = dict[int, float]()
+    now = 1000.0
+    true = TrueStore(of.pool_rate, of.window_units, now)
+    mail = list[tuple[int, reservations.Reservation, float]]()
     for what, who, amount in steps:
         pool = pools[who]
         if what == "use":
@@ -70,7 +79,8 @@
         elif what in ("time", "sleep"):  # who sleeps hears nothing meanwhile, and finds its tickets as they were
             now += amount if what == "sleep" else amount / 20.0
         elif draw := pool.plan_reservation(amount, amount, now):
-            total = counts[draw.window] = counts.get(draw.window, 0.0) + draw.units
+            counts[draw.window] = counts.get(draw.window, 0.0) + draw.units
+            total = counts[draw.window]
             if what == "draw":
                 pool.on_reserved(draw.window, draw.units, total, now)
             elif what == "late":
@@ -82,7 +92,7 @@
 
 
 @pytest.mark.parametrize(("rate", "burst"), [(0.0, 0.0), (5.0, 0.0), (1e-9, 4.0), (1e-3, 1e6), (400.0, 4.0)])
-def test_a_cut_comes_to_the_whole_whatever_the_quota(rate: float, burst: float) -> None:
+def test_base_and_pool_add_up_to_the_quota_when_it_is_split(rate: float, burst: float) -> None:
     for limiters in (1, 2, 200):
         found = split_quota(rate, burst, limiters)
         assert found.base_rate + found.pool_rate == pytest.approx(
@@ -96,12 +106,19 @@
     """Strict gateways, a counter and servers under a virtual clock, with a true store to hold them to."""
 
     def __init__(self, count: int, seed: int, lost: float = 0.0, slow: float = 0.02) -> None:
-        self.rng, self.lost, self.slow, self.count = random.Random(seed), lost, slow, count
+        self.rng = random.Random(seed)
+        self.lost = lost
+        self.slow = slow
+        self.count = count
         self.queue: list[tuple[float, int, Callable[[], None]]] = []
-        self.order, self.now, self.up = itertools.count(), 100.0, True
+        self.order = itertools.count()
+        self.now = 100.0
+        self.up = True
         self.names: dict[int, tuple[float, float]] = {}
         self.gateways = [self.born(n) for n in range(count)]
-        self.true, self.answers, self.calls = TrueStore(RATE, BURST, self.now), dict[str, Action](), 0
+        self.true = TrueStore(RATE, BURST, self.now)
+        self.answers = dict[str, Action]()
+        self.calls = 0
 
     def born(self, index: int) -> Gateway:
         """A gateway that has served for long."""
@@ -153,7 +170,9 @@
 
     def load(self, demand: float, seconds: float) -> float:
         """One customer asks so many times its quota, mostly through one gateway that changes; units sent on."""
-        begun, number, ids = self.now, 0, list[str]()
+        begun = self.now
+        number = 0
+        ids = list[str]()
         before = self.sent()
         while self.now < begun + seconds:
             self.run(self.now + self.rng.expovariate(demand * RATE / 2.0))
@@ -169,22 +188,23 @@
 
 
 @pytest.mark.parametrize(("demand", "least"), [(0.4, 0.97), (3.0, 0.9)])
-def test_gateways_together_give_out_a_quota_and_no_more(demand: float, least: float) -> None:
+def test_gateways_together_forward_the_quota_and_no_more_when_demand_varies(demand: float, least: float) -> None:
     world = World(3, 5)
     sent = world.load(demand, 60.0)
     assert world.true.worst > -1e-6
     assert sent > least * min(1.0, demand) * RATE * 60.0
 
 
-def test_answers_that_are_lost_or_late_and_calls_that_were_added_all_the_same_mint_nothing() -> None:
+def test_no_units_are_created_when_replies_are_lost_or_late() -> None:
     world = World(4, 9, lost=0.2, slow=0.15)
     assert world.load(3.0, 60.0) > 0.5 * RATE * 60.0 and world.true.worst > -1e-6
 
 
-def test_without_a_counter_the_base_is_left_and_few_wait_for_nothing() -> None:
+def test_base_is_left_and_few_requests_wait_when_the_counter_is_down() -> None:
     world = World(3, 7)
     world.load(3.0, 10.0)
-    world.up, calls = False, world.calls
+    world.up = False
+    calls = world.calls
     sent = world.load(3.0, 40.0)
     base = reservations.BASE_RATE_FRACTION * RATE * 40.0
     assert 0.8 * base < sent < base + BURST and world.calls - calls <= 3 * 40.0 / PAUSE_AFTER_LOST_CALL_SECONDS + 3
@@ -192,7 +212,7 @@
     assert world.load(3.0, 20.0) > 0.85 * RATE * 20.0 and world.true.worst > -1e-6
 
 
-def test_a_counter_that_forgets_gives_out_one_window_more_at_most() -> None:
+def test_no_more_than_one_window_is_handed_out_again_when_the_counter_loses_its_totals() -> None:
     world = World(3, 11)
     world.load(3.0, 20.0)
     world.names.clear()
@@ -200,18 +220,19 @@
     assert world.true.worst > -split_quota(RATE, BURST).window_units - 1e-6
 
 
-def test_gateways_that_are_killed_and_start_again_mint_nothing() -> None:
+def test_no_units_are_created_when_gateways_restart() -> None:
     world = World(3, 13)
     for number in range(3):
         world.load(3.0, 6.0)
-        world.gateways[number] = made = world.born(number)
+        made = world.born(number)
+        world.gateways[number] = made
         made.token_buckets.initial_fill = 0.0
         made.context.started_at = world.now
     world.load(3.0, 6.0)
     assert world.true.worst > -1e-6
 
 
-def test_who_waits_for_the_counter_may_leave_and_whoever_is_no_member_has_no_base() -> None:
+def test_waiting_request_is_forgotten_when_its_client_disconnects_and_no_base_exists_outside_the_set() -> None:
     world = World(3, 1)
     first = world.gateways[0]
     world.now = 200.0
@@ -230,7 +251,7 @@
     assert isinstance(world.answers["b 1.0"], RejectRequest)
 
 
-def test_other_quotas_hold_at_once_and_mint_nothing() -> None:
+def test_no_units_are_created_when_the_quota_changes() -> None:
     gateway = create_reserving_gateway(settings(plans=(PLAN,), information=COUNTER), 1)
     gateway.handle(0.0, EndpointsChanged(EndpointListKind.FULL, fleet(9)))
     gateway.handle(100.0, request("r1", 1.0))
--- a/tests/test_retune.py
+++ b/tests/decision/test_settings_change.py
@@ -23,7 +23,7 @@
 ABORTED = Status.CONNECT_FAILED
 
 
-def test_an_open_request_keeps_its_attempts_and_its_class_and_a_new_one_does_not() -> None:
+def test_open_request_keeps_its_attempts_and_its_class_when_settings_change() -> None:
     gateway = started()
     (first,) = sends(gateway.handle(0.1, request("old", class_name="book")))
     fewer = settings(limits=replace(settings().limits, max_attempts=1), classes=(SAFE, replace(UNSAFE, name="book")))
@@ -38,7 +38,7 @@
     )
 
 
-def test_a_store_keeps_its_level_and_fills_at_the_new_rate_from_then_on() -> None:
+def test_bucket_keeps_its_level_and_refills_at_the_new_rate_when_settings_change() -> None:
     gateway = started(settings(limiter_count=1))
     gateway.handle(0.1, request("a", 4.0, set_size=1))
     store = only_store(gateway)
@@ -90,7 +90,11 @@
     ("effect", without("settings", "classes", 1, "effect")),
     ("seed", without("seed")),
 ]
+
+
 SENSELESS: list[object] = [0, -1, float("nan"), float("inf"), "3", True, None, []]
+
+
 BAD += [
     (key, setting(part, key, value))
     for part, key in (("classes", "deadline"), ("caps", "max-attempts"))
@@ -98,9 +102,10 @@
 ]
 
 
-def test_a_broken_file_changes_nothing_and_one_line_says_what_is_wrong(tmp_path: Path) -> None:
+def test_settings_stay_and_one_line_names_the_fault_when_the_file_is_invalid(tmp_path: Path) -> None:
     with Limiter(tmp_path) as limiter:
-        agent, server = limiter.connect(), None
+        agent = limiter.connect()
+        server = None
         for number, (named, change) in enumerate(BAD, 1):
             line = changed(limiter, change)
             assert "the old settings stay" in line and named in line and "config.json" in line
@@ -111,14 +116,15 @@
         limiter.served(agent, 100, server)
 
 
-def test_classes_come_and_go_and_open_requests_end_as_they_began(tmp_path: Path) -> None:
+def test_open_requests_end_by_their_own_rules_when_classes_change(tmp_path: Path) -> None:
     with Limiter(tmp_path, servers=2) as limiter:
 
         def passed_on() -> Peer:
             ready = select.select([listener.sock for listener in limiter.servers], [], [], PATIENCE)[0]
             return Peer(ready[0].accept()[0])
 
-        agent, other = limiter.connect(), limiter.connect()
+        agent = limiter.connect()
+        other = limiter.connect()
         agent.send(asked(1))
         server = passed_on()
         server.words()
--- a/tests/test_trace_gateway.py
+++ b/tests/decision/trace_surroundings.py
@@ -1,9 +1,4 @@
-"""The quota decisions of several gateways, held to digests of seeded runs over the simulator adapter's text wire.
-
-A run hosts a few gateways in one adapter and plays their surroundings in virtual time: clients that retry and leave,
-backends that warm up, drain, fail and go, endpoint lists that come whole and as deltas, gossip between the gateways
-that is late or lost, and a shared counter that answers, times out or is full. The adapter's replies are the trace.
-"""
+"""The surroundings of gateways in a recorded run, in virtual time: clients, backends, peers and a counter."""
 
 from __future__ import annotations
 
@@ -13,99 +8,26 @@
 import json
 import random
 from collections.abc import Callable, Iterator
-from typing import Any, TextIO, cast
-
-import pytest
+from typing import Any, TextIO
 
-from tests.fleet_bounds import fixed_bounds
 from tests.trace_digest import TraceDigest
-from thymeflow import simulator
-from thymeflow.decision.actions import Action, StartAttempt
-from thymeflow.decision.events import Event, RequestBodyStarted, SettingsChanged
-from thymeflow.decision.gateway import Gateway
-from thymeflow.decision.reserved_admission import create_reserving_gateway
-from thymeflow.decision.settings import GatewaySettings
-from thymeflow.platform.settings import settings_from
 
 OK, ERROR, FULL, TIMEOUT, CONNECT_FAILED, RESET, CANCELLED, MOOT = range(1, 9)
-GONE, READY, DRAINING = range(3)
-DELTA, WHOLE_LIST, CACHED, FAILED = range(4)
-START_SECONDS = 100.0
-BATCH_SECONDS = 0.004
-RUN_SECONDS = 30.0
-COUNTER_TIMEOUT = 0.03
-Fields = dict[str, str]
-
-
-# Builders: the only places that know the names of the code under test.
-
-
-def run_adapter(lines: Iterator[str], out: TextIO) -> None:
-    """Feed lines to the adapter as its standard input."""
-    assert simulator.main(cast(TextIO, lines), out) == 0
-
-
-def plain_gateway(settings: GatewaySettings, seed: int) -> Gateway:
-    """A gateway whose retries, places, calls, probes and connections are bounded over the set."""
-    gateway = Gateway(settings, seed, 0.25)
-    gateway.set_fleet_bounds(fixed_bounds(0.4, {"calls": 30.0, "trials": 4.0, "connections": 12.0}))
-    return gateway
-
-
-def strict_gateway(settings: GatewaySettings, seed: int) -> Gateway:
-    """A gateway of the strict form, as the run line makes it for units divided by tickets."""
-    return create_reserving_gateway(settings, seed, clock_offset=1000.25)
-
-
-def changed_settings(settings: GatewaySettings) -> Event:
-    """The event that puts other settings in force."""
-    return SettingsChanged(settings)
-
-
-def body_begun(rid: str) -> Event:
-    """The event of a request body that is forwarded without being kept."""
-    return RequestBodyStarted(rid)
-
-
-def exact_line(action: Action) -> str:
-    """The wire's line, with what it leaves out of an attempt: within how many seconds it may begin."""
-    line = simulator.line_for(action)
-    return f"{line} within={action.start_within:.6f}" if isinstance(action, StartAttempt) else line
-
 
-class ExactAdapter(simulator.SimulatorAdapter):
-    """An adapter that writes down attempts with all of their terms."""
 
-    def handle_event(self, event: Event) -> None:
-        """Hand an event to its instance."""
-        gateway = self.gateways.get(self.instance)
-        if gateway is not None:
-            self.write([exact_line(action) for action in gateway.handle(self.now, event)])
+GONE, READY, DRAINING = range(3)
 
 
-def run_directly(make: Callable[[GatewaySettings, int], Gateway]) -> Callable[[Iterator[str], TextIO], None]:
-    """Feed lines to an adapter whose gateways are made here; two events that its wire lacks are handed in as well."""
+DELTA, WHOLE_LIST, CACHED, FAILED = range(4)
 
-    def run(lines: Iterator[str], out: TextIO) -> None:
-        adapter = ExactAdapter(out)
-        for line in lines:
-            kind, _, rest = line.rstrip("\n").partition(" ")
-            if kind == "born":
-                fields = simulator.fields_of(kind, rest)
-                settings = settings_from(json.loads(fields["settings"]))
-                adapter.gateways[adapter.instance] = make(settings, int(fields["salt"]))
-            elif kind == "body":
-                adapter.handle_event(body_begun(simulator.fields_of(kind, rest)["rid"]))
-            elif kind == "settings_changed":
-                info = json.loads(simulator.fields_of(kind, rest)["settings"])
-                adapter.handle_event(changed_settings(settings_from(info)))
-            else:
-                adapter.handle_line(line.rstrip("\n"))
 
-    return run
+START_SECONDS = 100.0
+BATCH_SECONDS = 0.004
+RUN_SECONDS = 30.0
+COUNTER_TIMEOUT = 0.03
 
 
-# The surroundings, which know the wire alone.
+Fields = dict[str, str]
 
 
 def site(index: int, gateways: int, **changes: Any) -> dict[str, Any]:
@@ -151,7 +73,8 @@
     """A request of a client, as its surroundings see it."""
 
     def __init__(self, instance: int, fields: Fields) -> None:
-        self.instance, self.fields = instance, fields
+        self.instance = instance
+        self.fields = fields
         self.answered = False
         self.attempts: dict[int, int] = {}
         self.over: set[int] = set()
@@ -162,11 +85,17 @@
 
     def __init__(self, seed: int, instances: list[dict[str, Any]], rate: float, direct: bool = False) -> None:
         self.rng = random.Random(seed)
-        self.instances, self.rate, self.direct = instances, rate, direct
-        self.trace, self.out = TraceDigest(), io.StringIO()
-        self.now, self.end = START_SECONDS, START_SECONDS + RUN_SECONDS
+        self.instances = instances
+        self.rate = rate
+        self.direct = direct
+        self.trace = TraceDigest()
+        self.out = io.StringIO()
+        self.now = START_SECONDS
+        self.end = START_SECONDS + RUN_SECONDS
         self.queue: list[tuple[float, int, int, str]] = []
-        self.order, self.requests, self.pages = itertools.count(), itertools.count(1), itertools.count()
+        self.order = itertools.count()
+        self.requests = itertools.count(1)
+        self.pages = itertools.count()
         self.calls: dict[str, Call] = {}
         self.totals: dict[int, float] = {}
         self.alive = set(range(len(instances)))
@@ -301,13 +230,16 @@
     # Backends.
 
     def on_issue(self, instance: int, fields: Fields) -> None:
-        rid, backend, limit = fields["rid"], int(fields["backend"]), float(fields.get("try-for", "0"))
+        rid = fields["rid"]
+        backend = int(fields["backend"])
+        limit = float(fields.get("try-for", "0"))
         call = self.calls[rid]
         number = len(call.attempts)
         call.attempts[number] = backend
         status, latency = self.outcome(backend)
         if limit and latency > limit:
-            status, latency = TIMEOUT, limit
+            status = TIMEOUT
+            latency = limit
         if call.fields["cls"] == "feed" and status == OK:
             text = f"head_received rid={rid} round-no={number} backend={backend} spent={0.5 * latency:.6f}"
             self.at(0.5 * latency, instance, text)
@@ -318,7 +250,8 @@
         self.at(latency, instance, text)
 
     def outcome(self, backend: int) -> tuple[int, float]:
-        elapsed, chance = self.now - START_SECONDS, self.rng.random()
+        elapsed = self.now - START_SECONDS
+        chance = self.rng.random()
         if backend in (1, 2, 3) and 10.0 < elapsed < 15.0:
             return (TIMEOUT, 0.6) if chance < 0.5 else (OK, self.rng.uniform(0.4, 1.0))
         if backend in (4, 5) and 5.0 < elapsed < 9.0:
@@ -331,7 +264,8 @@
 
     def ended(self, text: str) -> list[str]:
         fields = dict(pair.split("=", 1) for pair in text.split()[1:])
-        call, number = self.calls[fields["rid"]], int(fields["round-no"])
+        call = self.calls[fields["rid"]]
+        number = int(fields["round-no"])
         if number in call.over:
             return []
         call.over.add(number)
@@ -346,7 +280,8 @@
         return [text + f" metrics=active:{self.rng.randrange(9)},avg_ms:{self.rng.randrange(200)}"]
 
     def on_call_off(self, instance: int, fields: Fields) -> None:
-        rid, number = fields["rid"], int(fields["round-no"])
+        rid = fields["rid"]
+        number = int(fields["round-no"])
         backend = self.calls[rid].attempts[number]
         text = f"attempt_end rid={rid} round-no={number} backend={backend} reason={CANCELLED} spent=0.01"
         self.at(0.01, instance, text)
@@ -440,16 +375,21 @@
                 self.at(self.rng.uniform(0.3, 0.9), target, text)
 
     def on_add(self, instance: int, fields: Fields) -> None:
-        name, chance = int(fields["book"]), self.rng.random()
+        name = int(fields["book"])
+        chance = self.rng.random()
         deaf = 9.0 < self.now - START_SECONDS < 10.5
         if chance < 0.03:
-            status, latency = FULL, 0.004
+            status = FULL
+            latency = 0.004
         elif chance < 0.06:
-            status, latency = CONNECT_FAILED, 0.004
+            status = CONNECT_FAILED
+            latency = 0.004
         elif chance < 0.12 or deaf:
-            status, latency = TIMEOUT, COUNTER_TIMEOUT
+            status = TIMEOUT
+            latency = COUNTER_TIMEOUT
         else:
-            status, latency = OK, self.rng.choice((0.002, 0.005, 0.01, 0.06))
+            status = OK
+            latency = self.rng.choice((0.002, 0.005, 0.01, 0.06))
         if status == OK or (status == TIMEOUT and self.rng.random() < 0.5):
             self.totals[name] = self.totals.get(name, 0.0) + float(fields["qty"])
         total = "nan" if self.rng.random() < 0.01 else f"{self.totals.get(name, 0.0):.9g}"
@@ -462,41 +402,3 @@
     base = site(index, gateways)
     information = {**base["family-info"], "may-count": True, "counter-timeout": COUNTER_TIMEOUT}
     return {**base, "caps": {**base["caps"], "may-tell": False}, "family-info": information, **changes}
-
-
-@pytest.fixture
-def gossiping() -> TraceDigest:
-    """Four gateways that hear of each other by gossip."""
-    return Surroundings(11, [site(n, 4) for n in range(4)], 30.0).run(run_adapter)
-
-
-def test_actions_match_the_recorded_trace_when_gateways_gossip(gossiping: TraceDigest) -> None:
-    gossiping.check("gateway-gossip")
-
-
-def test_actions_match_the_recorded_trace_when_a_small_set_has_a_counter() -> None:
-    trace = Surroundings(12, [counted(n, 3) for n in range(3)], 30.0).run(run_adapter)
-    trace.check("gateway-counter")
-
-
-def test_actions_match_the_recorded_trace_when_a_large_set_asks_the_counter() -> None:
-    surroundings = Surroundings(13, [counted(n, 6) for n in range(6)], 60.0)
-    surroundings.add_scarce_customers(8)
-    trace = surroundings.run(run_adapter)
-    trace.check("gateway-asking")
-
-
-def test_actions_match_the_recorded_trace_when_fleet_limits_bound_gateways_and_settings_change() -> None:
-    trace = Surroundings(14, [site(n, 4) for n in range(3)], 30.0, direct=True).run(run_directly(plain_gateway))
-    trace.check("gateway-bounded")
-
-
-def test_actions_match_the_recorded_trace_when_units_are_reserved_at_the_counter() -> None:
-    instances = [counted(n, 4) for n in range(3)]
-    trace = Surroundings(15, instances, 30.0, direct=True).run(run_directly(strict_gateway))
-    trace.check("gateway-strict")
-
-
-def test_every_kind_of_event_and_of_action_occurs_when_gateways_gossip(gossiping: TraceDigest) -> None:
-    assert {"head_received", "attempt_end", "left", "reminder", "probe_done", "message"} <= gossiping.events.keys()
-    assert {"issue", "bounce", "error", "call_off", "arm", "share", "subscribe"} <= gossiping.actions.keys()
