--- a/tests/decision/test_admission.py
+++ b/tests/decision/test_admission.py
@@ -15,7 +15,7 @@
 
 
 def test_gateway_admits_again_when_it_rejected_everything_under_pressure() -> None:
-    """Pressure is learned from answers: a gateway that refuses everything hears none and must not stay so."""
+    """Pressure follows latency: a gateway that rejects everything gets no response, and must still recover."""
     gateway = started()
     gateway.registry.pressure = 1.0
     for n in range(300):
--- a/tests/decision/test_balancing.py
+++ b/tests/decision/test_balancing.py
@@ -23,30 +23,33 @@
         gateway.handle(100.0, EndpointsChanged(EndpointListKind.DELTA, (Backend(9, "a", started=100.0),)))
     received = []
     total = 0
-    draw = random.Random(count)
+    rng = random.Random(count)
     for n in range(3000):
         now = 100.0 + n * 0.004
-        gateway = draw.choice(gateways)
+        gateway = rng.choice(gateways)
         for send in sends(gateway.handle(now, request(f"r{n}", customer=f"c{n}"))):
             total += 1
             received += [now] if send.backend == 9 else []
             gateway.handle(now, ended(f"r{n}", send, Status.OK, actual_units=1.0))
     assert total > 2500
-    share_of_a_warm_one = total / 12.0 / 5.0
+    requests_per_backend_second = total / 12.0 / 5.0
     for start in received:
         window = [t for t in received if start <= t < start + RULES.overload_seconds]
         now_share = RULES.slow_start_fraction + (1 - RULES.slow_start_fraction) * min(
             1.0, (start - 100.0) / RULES.slow_start_seconds
         )
         if start + RULES.overload_seconds < 100.0 + RULES.slow_start_seconds:
-            assert len(window) <= RULES.overload_multiple * now_share * share_of_a_warm_one * RULES.overload_seconds + 1
+            assert (
+                len(window)
+                <= RULES.overload_multiple * now_share * requests_per_backend_second * RULES.overload_seconds + 1
+            )
     assert received
 
 
 def test_new_backend_gets_no_burst_when_hundreds_of_gateways_were_idle() -> None:
     """Budgets that hundreds of gateways fill in step are spent in step: 4 times what it could do, once."""
     gateways = [started(settings(index=n, limiter_count=200), seed=n) for n in range(200)]
-    for gateway in gateways:  # a backend comes back and nothing is asked for some time
+    for gateway in gateways:  # a backend restarts, and there is no request for some time
         gateway.handle(100.0, EndpointsChanged(EndpointListKind.DELTA, (Backend(9, "a", started=100.0),)))
     got = [s.backend for n, g in enumerate(gateways) for s in sends(g.handle(104.0, request(f"r{n}")))]
     assert got.count(9) < len(got) / 5.0
@@ -54,11 +57,11 @@
 
 def test_load_is_spread_when_gateways_have_few_requests_in_flight() -> None:
     """With nothing out all lines look alike; the same heaviest backend must not be everybody's choice."""
-    listed = tuple(Backend(n, "a", weight=1.0 + n / 100.0) for n in range(1, 21))
+    endpoints = tuple(Backend(n, "a", weight=1.0 + n / 100.0) for n in range(1, 21))
     got: list[int] = []
     for n in range(300):
         gateway = Gateway(settings(index=n, limiter_count=300), n)
-        gateway.handle(0.0, EndpointsChanged(EndpointListKind.CACHED, listed))
+        gateway.handle(0.0, EndpointsChanged(EndpointListKind.CACHED, endpoints))
         got += [s.backend for s in sends(gateway.handle(50.0, request(f"r{n}")))]
     assert len(got) == 300
     assert max(got.count(n) for n in range(1, 21)) < 3 * 300 / 20
@@ -78,11 +81,11 @@
     assert set(gateway.backends) == {1}
     assert gateway.backends[1].is_healthy("read", 100.0)
     sent = [bool(sends(gateway.handle(100.0, request(f"r{n}", customer=f"c{n}")))) for n in range(100)]
-    assert sum(sent) < 40  # cold: a share of the requests only
+    assert sum(sent) < 40  # in slow start: a fraction of the requests only
 
 
-def passed_by(gateway: Gateway, backend: int, class_name: str, now: float) -> bool:
-    """Whether no request of the class goes to that backend, asked often and left no time to learn."""
+def is_avoided(gateway: Gateway, backend: int, class_name: str, now: float) -> bool:
+    """Return whether none of many requests of a class at one moment goes to a backend."""
     got = [
         s.backend
         for n in range(60)
@@ -93,8 +96,8 @@
     return bool(got) and backend not in got
 
 
-def play(gateway: Gateway, backend: int, status: Status, class_name: str, start: float) -> None:
-    """Answer many requests at once; all of that class at that backend end with the status instead."""
+def run_requests(gateway: Gateway, backend: int, status: Status, class_name: str, start: float) -> None:
+    """Run many requests that succeed; those of the class at the backend end with the status instead."""
     for n in range(120):
         now = start + n * 0.05
         name = f"p{n}"
@@ -109,9 +112,9 @@
 @pytest.mark.parametrize("status", [Status.ERROR, Status.TIMEOUT])
 def test_class_is_sent_to_other_backends_when_it_fails_at_one(status: Status) -> None:
     gateway = started(settings(limiter_count=1))
-    play(gateway, 1, status, "book", 100.0)
-    assert passed_by(gateway, 1, "book", 106.05)
-    assert not passed_by(gateway, 1, "read", 106.05)  # what it serves well goes there as before
+    run_requests(gateway, 1, status, "book", 100.0)
+    assert is_avoided(gateway, 1, "book", 106.05)
+    assert not is_avoided(gateway, 1, "read", 106.05)  # what it serves well goes there as before
 
 
 def test_backend_is_not_ejected_when_it_responds_to_other_requests() -> None:
--- a/tests/decision/test_counter_first_admission.py
+++ b/tests/decision/test_counter_first_admission.py
@@ -1,4 +1,4 @@
-"""Large sets ask the counter before they let in on old knowledge: gateways in virtual time, one real process."""
+"""Large sets call the counter before they admit on old reports: gateways in virtual time, one real process."""
 
 from __future__ import annotations
 
@@ -40,12 +40,12 @@
 
 def member(index: int = 0, limiter_count: int = MANY, **changes: Any) -> Gateway:
     config = settings(index=index, limiter_count=limiter_count, plans=(PLAN,), information=COUNTER, **changes)
-    made = create_gateway(config, index)
-    made.handle(0.0, EndpointsChanged(EndpointListKind.CACHED, fleet(12)))
-    return made
+    gateway = create_gateway(config, index)
+    gateway.handle(0.0, EndpointsChanged(EndpointListKind.CACHED, fleet(12)))
+    return gateway
 
 
-def asked(name: str, **changes: Any) -> RequestReceived:
+def customer_request(name: str, **changes: Any) -> RequestReceived:
     return request(name, 2.0, set_size=MANY, **changes)
 
 
@@ -53,11 +53,11 @@
     return [a for a in actions if isinstance(a, AddToCounter)]
 
 
-def refused(actions: list[Action]) -> list[RejectRequest]:
+def rejections(actions: list[Action]) -> list[RejectRequest]:
     return [a for a in actions if isinstance(a, RejectRequest)]
 
 
-def told(call: AddToCounter, total: float, latency: float = 0.002) -> CounterReplied:
+def reply_to(call: AddToCounter, total: float, latency: float = 0.002) -> CounterReplied:
     return CounterReplied(call.name, Status.OK, total, latency)
 
 
@@ -70,47 +70,47 @@
 def test_request_is_decided_by_the_counter_total_when_its_customer_is_unknown() -> None:
     for others, let_in in ((0.0, True), (40.0, False)):
         gateway = member()
-        actions = gateway.handle(10.0, asked("a"))
+        actions = gateway.handle(10.0, customer_request("a"))
         (call,) = calls(actions)
-        assert not sends(actions) and not refused(actions)
+        assert not sends(actions) and not rejections(actions)
         total = call.amount + counter_encoding.encode(call.name, 4.0 * others, others)
-        actions = gateway.handle(10.002, told(call, total))
-        assert bool(sends(actions)) is let_in and bool(refused(actions)) is not let_in
-        assert not calls(gateway.handle(10.1, asked("b"))), "what was told a moment ago is asked again"
+        actions = gateway.handle(10.002, reply_to(call, total))
+        assert bool(sends(actions)) is let_in and bool(rejections(actions)) is not let_in
+        assert not calls(gateway.handle(10.1, customer_request("b"))), "a total that is current is read again"
 
 
 def test_estimate_decides_and_no_request_waits_for_a_while_when_the_counter_does_not_reply() -> None:
     gateway = member()
-    actions = gateway.handle(10.0, asked("a"))
+    actions = gateway.handle(10.0, customer_request("a"))
     (call,) = calls(actions)
     (timer,) = [a for a in actions if isinstance(a, SetTimer) and a.delay <= COUNTER.counter_timeout]
     assert sends(gateway.handle(10.03, TimerFired(timer.token)))
-    assert not calls(gateway.handle(10.1, asked("again"))), "a second call of a name whose answer is out"
+    assert not calls(gateway.handle(10.1, customer_request("again"))), "a second call of a name without a reply yet"
     gateway.handle(10.4, CounterReplied(call.name, Status.TIMEOUT, inf, 0.4))
-    assert sends(gateway.handle(10.5, asked("b", customer="other")))
-    assert calls(gateway.handle(10.4 + PAUSE_AFTER_LOST_CALL_SECONDS + 0.1, asked("c", customer="third")))
+    assert sends(gateway.handle(10.5, customer_request("b", customer="other")))
+    assert calls(gateway.handle(10.4 + PAUSE_AFTER_LOST_CALL_SECONDS + 0.1, customer_request("c", customer="third")))
 
 
 def test_requests_share_one_call_and_are_forgotten_when_their_client_disconnects() -> None:
     gateway = member()
-    (call,) = calls(gateway.handle(10.0, asked("a")))
-    assert gateway.handle(10.001, asked("b")) == []
+    (call,) = calls(gateway.handle(10.0, customer_request("a")))
+    assert gateway.handle(10.001, customer_request("b")) == []
     gateway.handle(10.002, ClientDisconnected("a"))
-    actions = gateway.handle(10.003, told(call, call.amount))
+    actions = gateway.handle(10.003, reply_to(call, call.amount))
     assert [s.id for s in sends(actions)] == ["b"]
     assert not gateway.pending.keys() & {"a"}
 
 
 def test_request_is_decided_at_once_when_it_has_no_time_to_wait() -> None:
-    actions = member().handle(10.0, asked("a", remaining=0.3))
+    actions = member().handle(10.0, customer_request("a", remaining=0.3))
     assert sends(actions) and not calls(actions)
 
 
 def test_units_are_reported_once_when_a_request_is_admitted_after_the_reply() -> None:
     gateway = member()
-    (call,) = calls(gateway.handle(10.0, asked("a")))
+    (call,) = calls(gateway.handle(10.0, customer_request("a")))
     assert counter_encoding.decode(call.name, call.amount) == pytest.approx((2.0, 2.0), abs=0.2)
-    gateway.handle(10.002, told(call, call.amount))
+    gateway.handle(10.002, reply_to(call, call.amount))
     (store,) = gateway.buckets.values()
     assert store.charged_units == pytest.approx(2.0) and store.counter_ledger.reported_charges == pytest.approx(
         2.0, abs=0.2
@@ -118,34 +118,34 @@
 
 
 def served(make: Any, demand: float, seconds: float = 30.0) -> tuple[float, float]:
-    """Units sent on and calls a request, of one customer that asks so many a second through 40 limiters at random."""
+    """Return the units forwarded and the calls for each request; `demand` is in units a second, at all limiters."""
     rng = random.Random(5)
     order = count()
     gateways: list[Gateway] = [make(n) for n in range(MANY)]
     totals = dict[int, float]()
-    due = list[tuple[float, int, int, Event]]()
+    queue = list[tuple[float, int, int, Event]]()
     sent = 0.0
-    asks = 0.0
+    call_count = 0.0
     number = 0
     at = 20.0
     while at < 20.0 + seconds:
         at += rng.expovariate(demand / 2.0)
         number += 1
-        heapq.heappush(due, (at, next(order), rng.randrange(MANY), asked(f"r{number}")))
-    while due:
-        now, _, index, event = heapq.heappop(due)
+        heapq.heappush(queue, (at, next(order), rng.randrange(MANY), customer_request(f"r{number}")))
+    while queue:
+        now, _, index, event = heapq.heappop(queue)
         for action in gateways[index].handle(now, event):
             if isinstance(action, StartAttempt):
                 sent += 2.0
                 done = AttemptEnded(
                     action.id, 0, action.backend, Status.OK, 0.1, request_answered=True, actual_units=2.0
                 )
-                heapq.heappush(due, (now + 0.1, next(order), index, done))
+                heapq.heappush(queue, (now + 0.1, next(order), index, done))
             elif isinstance(action, AddToCounter):
-                asks += 1
+                call_count += 1
                 totals[action.name] = totals.get(action.name, 0.0) + action.amount
                 heapq.heappush(
-                    due,
+                    queue,
                     (
                         now + 0.002,
                         next(order),
@@ -154,17 +154,17 @@
                     ),
                 )
             elif isinstance(action, SetTimer) and now < 20.0 + seconds:
-                heapq.heappush(due, (now + action.delay, next(order), index, TimerFired(action.token)))
-    return sent, asks / number
+                heapq.heappush(queue, (now + action.delay, next(order), index, TimerFired(action.token)))
+    return sent, call_count / number
 
 
 def test_quota_is_followed_more_closely_when_the_counter_is_called_first() -> None:
     allowed = PLAN.burst + PLAN.rate * 30.0
 
     def plain(index: int) -> Gateway:
-        made = Gateway(settings(index=index, limiter_count=MANY, plans=(PLAN,), information=COUNTER), index)
-        made.handle(0.0, EndpointsChanged(EndpointListKind.CACHED, fleet(12)))
-        return made
+        gateway = Gateway(settings(index=index, limiter_count=MANY, plans=(PLAN,), information=COUNTER), index)
+        gateway.handle(0.0, EndpointsChanged(EndpointListKind.CACHED, fleet(12)))
+        return gateway
 
     over, calls_each = served(member, 3.0 * PLAN.rate)
     assert 0.7 * allowed <= over <= 1.15 * allowed
@@ -178,23 +178,23 @@
     plan = {"name": "basic", "refill": 2.0, "most-at-once": 16.0}
     changes: dict[str, Any] = {"balancers": MANY, "tiers-of-service": [plan]}
     with Limiter(tmp_path, **changes) as limiter:
-        agent = limiter.connect()
+        client = limiter.connect()
         counters = [limiter.counter.accept() for _ in range(3)]
 
-        def ask(number: int, customer: bytes) -> tuple[Peer, bytes]:
+        def send_request(number: int, customer: bytes) -> tuple[Peer, bytes]:
             terms = b"c=look,t=basic,d=4000,units=2,spread=%d,first=0" % MANY
-            agent.send(command(b"SVC.QUERY", customer, b"%016x" % number, terms))
+            client.send(command(b"SVC.QUERY", customer, b"%016x" % number, terms))
             (ready,) = select.select([c.sock for c in counters], [], [], PATIENCE)[0]
             (counter,) = [c for c in counters if c.sock is ready]
             return counter, counter.words()[2]
 
-        counter, amount = ask(1, b"00000000b4d65521")
+        counter, amount = send_request(1, b"00000000b4d65521")
         assert float(amount) > 0 and limiter.servers[0].quiet(0.0)
         counter.send(b"$%d\r\n%b\r\n" % (len(amount), amount))
         server = limiter.servers[0].accept()
         for number in (1, 2):
             assert server.words()[2] == b"%016x" % number
             server.send(b"*3\r\n$5\r\nvalue\r\n$-1\r\n$-1\r\n")
-            assert agent.bulk() == b"value"
-            if number == 1:  # of another customer, and the counter says nothing
-                ask(2, b"00000000b4d65522")
+            assert client.bulk() == b"value"
+            if number == 1:  # of another customer, and the counter does not reply
+                send_request(2, b"00000000b4d65522")
--- a/tests/decision/test_delivery_rules.py
+++ b/tests/decision/test_delivery_rules.py
@@ -43,7 +43,7 @@
 
 
 class Checker:
-    """A small world that ends attempts as told and checks the first four rules."""
+    """Ends the attempts of a gateway at random, and checks the first four rules of delivery."""
 
     def __init__(self, seed: int) -> None:
         self.rng = random.Random(seed)
@@ -54,10 +54,10 @@
         self.count = 0
         self.tries: dict[str, dict[str, Any]] = {}
         self.state: dict[int, Backend] = {b.id: b for b in fleet()}
-        self.cold_sends: dict[int, list[float]] = {}
+        self.slow_start_attempts: dict[int, list[float]] = {}
         self.feed(EndpointsChanged(EndpointListKind.CACHED, fleet()))
 
-    def later(self, delay: float, event: Event) -> None:
+    def schedule(self, delay: float, event: Event) -> None:
         self.count += 1
         heapq.heappush(self.queue, (self.now + delay, self.count, event))
 
@@ -97,7 +97,7 @@
     def check(self, action: Action) -> None:
         match action:
             case SetTimer(token, delay):
-                self.later(delay, TimerFired(token))
+                self.schedule(delay, TimerFired(token))
             case StartAttempt(name, backend):
                 self.check_send(self.tries[name], name, backend)
             case RejectRequest(name) | FailRequest(name):
@@ -105,31 +105,31 @@
                 assert not entry["final"], "two answers"
                 assert self.now <= entry["end"] + RULES.response_grace, "late answer"
                 entry["final"] = True
-                ran = [n for n in range(len(entry["sent"])) if entry["ended"].get(n) not in NEVER]
-                if isinstance(action, RejectRequest) and ran:
-                    assert entry["effect"] is Idempotency.IDEMPOTENT, "refused although it may have run"
+                executed = [n for n in range(len(entry["sent"])) if entry["ended"].get(n) not in NEVER]
+                if isinstance(action, RejectRequest) and executed:
+                    assert entry["effect"] is Idempotency.IDEMPOTENT, "rejected although it may have been executed"
             case CancelAttempt(name, attempt):
-                self.later(0.0, AttemptEnded(name, attempt, 0, Status.CANCELLED))
+                self.schedule(0.0, AttemptEnded(name, attempt, 0, Status.CANCELLED))
 
     def check_send(self, entry: dict[str, Any], name: str, backend: int) -> None:
         assert not entry["final"], "sent after the answer"
-        listed = self.state[backend]
-        assert listed.state is BackendState.READY, "sent to a backend that drains or is gone"
+        endpoint = self.state[backend]
+        assert endpoint.state is BackendState.READY, "sent to a backend that drains or is gone"
         assert len(entry["sent"]) < self.config.limits.max_attempts
         out = [n for n in range(len(entry["sent"])) if n not in entry["ended"]]
         assert not out, "two attempts out"
-        ran = [n for n in range(len(entry["sent"])) if entry["ended"].get(n) not in NEVER]
-        if ran:
+        executed = [n for n in range(len(entry["sent"])) if entry["ended"].get(n) not in NEVER]
+        if executed:
             assert entry["effect"] is not Idempotency.NOT_IDEMPOTENT, "an unsafe request sent twice"
             if entry["effect"] is Idempotency.WITH_KEY:
-                first, when = entry["sent"][ran[0]]
-                assert self.state[first].zone == listed.zone, "a key sent to another group"
+                first, when = entry["sent"][executed[0]]
+                assert self.state[first].zone == endpoint.zone, "a key sent to another group"
                 assert self.now <= when + KEYED.idempotency_window, "a key sent after its window"
-        if listed.started > 0 and self.now < listed.started + RULES.slow_start_seconds:
-            self.cold_sends.setdefault(backend, []).append(self.now)
+        if endpoint.started > 0 and self.now < endpoint.started + RULES.slow_start_seconds:
+            self.slow_start_attempts.setdefault(backend, []).append(self.now)
         entry["sent"].append((backend, self.now))
         status = self.rng.choice([Status.OK] * 4 + list(Status))
-        self.later(
+        self.schedule(
             min(self.rng.expovariate(2.0), entry["end"] - self.now + 0.001),
             AttemptEnded(name, len(entry["sent"]) - 1, backend, status, 0.1),
         )
@@ -145,19 +145,19 @@
 @hypothesis_settings(derandomize=True, max_examples=60, deadline=None)
 @given(st.integers(0, 10**6))
 def test_delivery_rules_hold_when_events_are_random(seed: int) -> None:
-    world = Checker(seed)
+    checker = Checker(seed)
     for n in range(120):
-        world.run(world.now + world.rng.expovariate(20.0))
-        if world.rng.random() < 0.1:
-            world.relist()
-        world.feed(
+        checker.run(checker.now + checker.rng.expovariate(20.0))
+        if checker.rng.random() < 0.1:
+            checker.relist()
+        checker.feed(
             request(
                 f"r{n}",
-                world.rng.choice([0.5, 1.0, 4.0]),
+                checker.rng.choice([0.5, 1.0, 4.0]),
                 customer=f"c{n % 9}",
-                class_name=world.rng.choice(list(KINDS)),
-                is_retry=world.rng.random() < 0.3,
-                remaining=world.rng.choice([0.001, 0.3, 2.0, 4.0]),
+                class_name=checker.rng.choice(list(KINDS)),
+                is_retry=checker.rng.random() < 0.3,
+                remaining=checker.rng.choice([0.001, 0.3, 2.0, 4.0]),
             )
         )
         for strange in (
@@ -166,11 +166,11 @@
             ResponseStarted("nobody", 0, 1),
             AttemptEnded("nobody", 0, 1, Status.OK),
         ):
-            assert world.gateway.handle(world.now, strange) == []
-    world.run(world.now + 20.0)
-    assert all(entry["final"] for entry in world.tries.values()), "a request without an answer"
-    assert not world.gateway.pending
-    assert world.gateway.registry.in_flight == 0
+            assert checker.gateway.handle(checker.now, strange) == []
+    checker.run(checker.now + 20.0)
+    assert all(entry["final"] for entry in checker.tries.values()), "a request without an answer"
+    assert not checker.gateway.pending
+    assert checker.gateway.registry.in_flight == 0
 
 
 def test_final_response_is_in_time_when_no_attempt_ends() -> None:
--- a/tests/decision/test_gateway_trace.py
+++ b/tests/decision/test_gateway_trace.py
@@ -1,7 +1,7 @@
-"""The quota decisions of several gateways, held to digests of seeded runs over the simulator adapter's text wire.
+"""The quota decisions of several gateways, compared with digests of seeded runs over the simulator adapter's text wire.
 
 A run hosts a few gateways in one adapter and plays their surroundings in virtual time: clients that retry and leave,
-backends that warm up, drain, fail and go, endpoint lists that come whole and as deltas, gossip between the gateways
+backends that warm up, drain, fail and go, endpoint lists that come complete and as deltas, gossip between the gateways
 that is late or lost, and a shared counter that answers, times out or is full. The adapter's replies are the trace."""
 
 from __future__ import annotations
@@ -12,7 +12,7 @@
 
 import pytest
 
-from tests.decision.trace_surroundings import Surroundings, counted, site
+from tests.decision.trace_surroundings import Surroundings, site, site_with_counter
 from tests.fleet_bounds import fixed_bounds
 from tests.trace_digest import TraceDigest
 from thymeflow import simulator
@@ -30,14 +30,14 @@
 
 
 def plain_gateway(settings: GatewaySettings, seed: int) -> Gateway:
-    """A gateway whose retries, places, calls, probes and connections are bounded over the set."""
+    """A gateway whose retries, concurrency, calls, probes and connections are bounded over the set."""
     gateway = Gateway(settings, seed, 0.25)
     gateway.set_fleet_bounds(fixed_bounds(0.4, {"calls": 30.0, "trials": 4.0, "connections": 12.0}))
     return gateway
 
 
 def strict_gateway(settings: GatewaySettings, seed: int) -> Gateway:
-    """A gateway of the strict form, as the run line makes it for units divided by tickets."""
+    """A gateway of the strict form, as the run line creates it for units by reservation."""
     return create_reserving_gateway(settings, seed, clock_offset=1000.25)
 
 
@@ -47,7 +47,7 @@
 
 
 def body_begun(rid: str) -> Event:
-    """The event of a request body that is forwarded without being kept."""
+    """The event of a request body that is forwarded without being buffered."""
     return RequestBodyStarted(rid)
 
 
@@ -91,7 +91,7 @@
 
 @pytest.fixture
 def gossiping() -> TraceDigest:
-    """Four gateways that hear of each other by gossip."""
+    """Four gateways that report to each other by gossip."""
     return Surroundings(11, [site(n, 4) for n in range(4)], 30.0).run(run_adapter)
 
 
@@ -100,12 +100,12 @@
 
 
 def test_actions_match_the_recorded_trace_when_a_small_set_has_a_counter() -> None:
-    trace = Surroundings(12, [counted(n, 3) for n in range(3)], 30.0).run(run_adapter)
+    trace = Surroundings(12, [site_with_counter(n, 3) for n in range(3)], 30.0).run(run_adapter)
     trace.check("gateway-counter")
 
 
 def test_actions_match_the_recorded_trace_when_a_large_set_calls_the_counter_first() -> None:
-    surroundings = Surroundings(13, [counted(n, 6) for n in range(6)], 60.0)
+    surroundings = Surroundings(13, [site_with_counter(n, 6) for n in range(6)], 60.0)
     surroundings.add_scarce_customers(8)
     trace = surroundings.run(run_adapter)
     trace.check("gateway-asking")
@@ -117,7 +117,7 @@
 
 
 def test_actions_match_the_recorded_trace_when_units_are_reserved_at_the_counter() -> None:
-    instances = [counted(n, 4) for n in range(3)]
+    instances = [site_with_counter(n, 4) for n in range(3)]
     trace = Surroundings(15, instances, 30.0, direct=True).run(run_directly(strict_gateway))
     trace.check("gateway-strict")
 
--- a/tests/decision/test_large_fleet.py
+++ b/tests/decision/test_large_fleet.py
@@ -1,4 +1,4 @@
-"""Many limiters and servers, each limiter seeing little: gateways under a virtual clock, no sockets."""
+"""Many limiters and backends, with few requests at each limiter: gateways under a virtual clock, no sockets."""
 
 from __future__ import annotations
 
@@ -16,35 +16,35 @@
 SMALL = Plan("plain", rate=2.0, burst=16.0, over_quota_cost=0.6)
 
 
-def member(own: float, others: float, plan: Plan = SMALL) -> TokenBucket:
-    """A store in a set of 40 whose limiter has heard of the others, with demand in units a second."""
-    store = TokenBucket(plan, 1, 100.0, 0.0, 0.5)
-    store.mean_cost = 2.0
-    store.join_set(0, 40, 40, 0.0)
-    store.last_gossip_at = 99.0
-    store.last_update_at = 99.0
-    store.local_rate = own
-    store.remote_rate = others
-    store.global_level = 2.0
-    return store
+def member(local_rate: float, remote_rate: float, plan: Plan = SMALL) -> TokenBucket:
+    """Return a bucket in a set of 40 that knows of remote demand; rates are in units a second."""
+    bucket = TokenBucket(plan, 1, 100.0, 0.0, 0.5)
+    bucket.mean_cost = 2.0
+    bucket.join_set(0, 40, 40, 0.0)
+    bucket.last_gossip_at = 99.0
+    bucket.last_update_at = 99.0
+    bucket.local_rate = local_rate
+    bucket.remote_rate = remote_rate
+    bucket.global_level = 2.0
+    return bucket
 
 
-def share(store: TokenBucket, units: float = 2.0) -> float:
-    """How much of what is asked finds room."""
-    return sum(store.can_admit(units, n / 200.0) for n in range(200)) / 200.0
+def admitted_fraction(bucket: TokenBucket, units: float = 2.0) -> float:
+    """Return the fraction of requests that the bucket admits."""
+    return sum(bucket.can_admit(units, n / 200.0) for n in range(200)) / 200.0
 
 
 def test_new_customer_is_admitted_when_nothing_has_been_reported() -> None:
     config = settings(limiter_count=40, plans=(SMALL,))
     gateways = [started(config, seed=n) for n in range(40)]
     first = [sends(g.handle(0.05, request("a", 2.0, set_size=40))) for g in gateways[:4]]
-    assert all(first), "a customer that has asked for half of its burst was refused"
+    assert all(first), "a customer that requested half of its burst was rejected"
 
 
 def test_each_limiter_admits_its_slice_of_the_rate_when_nothing_is_reported() -> None:
     config = settings(limiter_count=40, plans=(SMALL,))
     units = 0.0
-    for number in range(40):  # every limiter is asked for the whole rate for 20 s and hears nothing
+    for number in range(40):  # each gets demand of the complete rate for 20 s, and no report
         gateway = started(config, seed=number)
         units += sum(2.0 * len(sends(gateway.handle(20.0 + n, request(f"r{n}", 2.0, set_size=40)))) for n in range(20))
     assert units <= 16.0 + 40 * 2.0 + 2.0 * 20 * 1.5, "more than the burst, one lent by each, and the rate"
@@ -58,28 +58,28 @@
 
 
 def test_admitted_fraction_falls_with_demand_when_the_set_is_over_quota() -> None:
-    shares = [share(member(0.05, demand)) for demand in (0.6, 4.0, 8.0, 16.0)]
+    shares = [admitted_fraction(member(0.05, demand)) for demand in (0.6, 4.0, 8.0, 16.0)]
     assert shares[0] == 1.0
     assert shares[1] > 1.6 * shares[2] > 2.5 * shares[3]
     assert 16.0 * shares[3] <= 2.0, "the set sends on more than the rate"
 
 
 def test_local_demand_is_taken_for_that_of_the_set_when_the_counter_has_not_reported() -> None:
-    asked_before = 6.0 / member(0.0, 0.0).local_rate_memory
-    assert share(member(asked_before + 2.0 / member(0.0, 0.0).local_rate_memory, 0.0)) < 0.2
-    assert share(member(2.0 / member(0.0, 0.0).local_rate_memory, 0.0)) == 1.0
+    earlier_rate = 6.0 / member(0.0, 0.0).local_rate_memory
+    assert admitted_fraction(member(earlier_rate + 2.0 / member(0.0, 0.0).local_rate_memory, 0.0)) < 0.2
+    assert admitted_fraction(member(2.0 / member(0.0, 0.0).local_rate_memory, 0.0)) == 1.0
 
 
 def test_fewer_requests_are_admitted_when_use_over_quota_has_a_higher_cost() -> None:
-    shares = [share(member(0.05, 8.0, replace(SMALL, over_quota_cost=cost))) for cost in (0.0, 0.5, 1.2)]
+    shares = [admitted_fraction(member(0.05, 8.0, replace(SMALL, over_quota_cost=cost))) for cost in (0.0, 0.5, 1.2)]
     assert shares[0] > shares[1] > shares[2] > 0.0
 
 
 def test_missing_units_are_lent_only_when_use_over_quota_has_no_cost() -> None:
     for cost, lent in ((0.6, 0.0), (0.0, 0.5)):
-        store = member(0.05, 1.0, replace(SMALL, over_quota_cost=cost))
-        store.global_level = 1.0  # of the two units that are asked for
-        assert (share(store) > lent) == (lent > 0.0)
+        bucket = member(0.05, 1.0, replace(SMALL, over_quota_cost=cost))
+        bucket.global_level = 1.0  # of the two units that a request needs
+        assert (admitted_fraction(bucket) > lent) == (lent > 0.0)
 
 
 def test_slow_start_is_kept_by_forty_limiters_when_most_backends_are_replaced() -> None:
@@ -92,13 +92,15 @@
     sent: dict[int, list[float]] = {}
     for gateway in gateways:
         gateway.handle(1000.0, EndpointsChanged(EndpointListKind.CACHED, fleet(60)))
-    due = [(7.0 * n / 36, n) for n in range(36)]
+    replacements = [(7.0 * n / 36, n) for n in range(36)]
     for step in range(450 * 12):  # 450 requests a second, each answered at once
         now = 1000.0 + step / 450.0
-        while due and 1000.0 + due[0][0] <= now:
-            old = due.pop(0)[1]
-            gone = Backend(old + 1, "ab"[old % 2], BackendState.GONE)
-            change = EndpointsChanged(EndpointListKind.DELTA, (gone, Backend(100 + old, "ab"[old % 2], started=now)))
+        while replacements and 1000.0 + replacements[0][0] <= now:
+            replaced = replacements.pop(0)[1]
+            gone = Backend(replaced + 1, "ab"[replaced % 2], BackendState.GONE)
+            change = EndpointsChanged(
+                EndpointListKind.DELTA, (gone, Backend(100 + replaced, "ab"[replaced % 2], started=now))
+            )
             for gateway in gateways:
                 gateway.handle(now, change)
         gateway = rng.choice(gateways)
@@ -106,21 +108,21 @@
             gateway.handle(now, ended(f"r{step}", send, Status.OK))
             if send.backend >= 100:
                 sent.setdefault(send.backend, []).append(now)
-    assert len(sent) == 36, "a new server was never tried"
+    assert len(sent) == 36, "a new backend got no attempt"
     for number, times in sent.items():
-        began = 1000.0 + 7.0 * (number - 100) / 36
-        for when in times:  # the window that begins with this one, at the least that the rules promise
-            share = 0.17 + 0.83 * (when - began) / 18.0
+        started_at = 1000.0 + 7.0 * (number - 100) / 36
+        for when in times:  # the window that begins with this attempt, at the least capacity by the rules
+            capacity_fraction = 0.17 + 0.83 * (when - started_at) / 18.0
             load = work * sum(when <= t < when + 3.0 for t in times)
-            assert load <= 2.5 * share * cores * 3.0, f"{number} may fall over"
+            assert load <= 2.5 * capacity_fraction * cores * 3.0, f"{number} may fall over"
     late = sum(len([t for t in times if t > 1010.0]) for times in sent.values()) / 36
-    assert late >= 11.0, "servers that are half warm are left idle"  # of 15 if all were warm
+    assert late >= 11.0, "backends that are half warmed up are left idle"  # of 15 if all were warmed up
 
 
 def test_warmed_up_backend_is_not_overloaded_when_nearly_all_others_warm_up() -> None:
     gateway = started(settings(limiter_count=1, plans=(replace(SMALL, rate=0.0),)), 100.0)
     sent = Counter[int]()
-    young = [Backend(n, "a", started=94.0) for n in range(2, 25)]  # 23 beside the one that is warm
+    young = [Backend(n, "a", started=94.0) for n in range(2, 25)]  # 23 beside the one that is warmed up
     gateway.handle(100.0, EndpointsChanged(EndpointListKind.FULL, (*fleet(1), *young)))
     for n in range(600):
         for send in sends(gateway.handle(100.0 + n / 600.0, request(f"r{n}", 0.01, customer=str(n)))):
@@ -142,10 +144,10 @@
         gateway.handle(100.0, EndpointsChanged(EndpointListKind.DELTA, tuple(news)))
         return gateway
 
-    all_warm = out(100.0, started(settings(limiter_count=1), 100.0))
-    cold, warmer = (out(100.0, restarted(BackendState.READY, age)) for age in (0.1, 8.0))
-    assert out(100.0, restarted(BackendState.DRAINING, 50.0)) < 0.6 * all_warm, "what drains carries nothing new"
-    assert cold < 0.7 * all_warm and cold < warmer < all_warm
+    all_warmed_up = out(100.0, started(settings(limiter_count=1), 100.0))
+    just_started, warmer = (out(100.0, restarted(BackendState.READY, age)) for age in (0.1, 8.0))
+    assert out(100.0, restarted(BackendState.DRAINING, 50.0)) < 0.6 * all_warmed_up, "what drains carries nothing new"
+    assert just_started < 0.7 * all_warmed_up and just_started < warmer < all_warmed_up
     late = restarted(BackendState.READY, 0.1)
-    late.handle(120.0, TimerFired(1))  # the next look
-    assert out(120.0, late) >= all_warm
+    late.handle(120.0, TimerFired(1))  # the next tick
+    assert out(120.0, late) >= all_warmed_up
--- a/tests/decision/test_reserved_admission.py
+++ b/tests/decision/test_reserved_admission.py
@@ -1,4 +1,4 @@
-"""Customers' units by base and tickets: over all limiters together never more than the one true store holds."""
+"""Units by base and reservations: all limiters together never admit more than one reference bucket."""
 
 from __future__ import annotations
 
@@ -38,8 +38,8 @@
 COUNTER = Information(max_units=4.0, counter=True, settles_units=True)
 
 
-class TrueStore:
-    """A bucket that holds what it is asked to hold, and remembers how far below empty it was brought."""
+class ReferenceBucket:
+    """A token bucket that records how far below empty it was brought."""
 
     def __init__(self, rate: float, depth: float, now: float) -> None:
         self.rate = rate
@@ -70,13 +70,13 @@
     pools = [ReservationPool(of, number) for _ in range(3)]
     counts = dict[int, float]()
     now = 1000.0
-    true = TrueStore(of.pool_rate, of.window_units, now)
-    mail = list[tuple[int, reservations.Reservation, float]]()
+    reference = ReferenceBucket(of.pool_rate, of.window_units, now)
+    late_replies = list[tuple[int, reservations.Reservation, float]]()
     for what, who, amount in steps:
         pool = pools[who]
         if what == "use":
-            true.take(pool.use(amount, now), now)
-        elif what in ("time", "sleep"):  # who sleeps hears nothing meanwhile, and finds its tickets as they were
+            reference.take(pool.use(amount, now), now)
+        elif what in ("time", "sleep"):  # meanwhile no reply arrives, and reservations stay as they are
             now += amount if what == "sleep" else amount / 20.0
         elif draw := pool.plan_reservation(amount, amount, now):
             counts[draw.window] = counts.get(draw.window, 0.0) + draw.units
@@ -84,11 +84,11 @@
             if what == "draw":
                 pool.on_reserved(draw.window, draw.units, total, now)
             elif what == "late":
-                mail.append((who, draw, total))
-        if mail and what == "sleep":
-            who, draw, total = mail.pop(0)
+                late_replies.append((who, draw, total))
+        if late_replies and what == "sleep":
+            who, draw, total = late_replies.pop(0)
             pools[who].on_reserved(draw.window, draw.units, total, now)
-        assert true.worst > -1e-6, (what, true.worst)
+        assert reference.worst > -1e-6, (what, reference.worst)
 
 
 @pytest.mark.parametrize(("rate", "burst"), [(0.0, 0.0), (5.0, 0.0), (1e-9, 4.0), (1e-3, 1e6), (400.0, 4.0)])
@@ -102,8 +102,8 @@
     assert split_quota(rate, burst, 1).pool_rate == 0.0
 
 
-class World:
-    """Strict gateways, a counter and servers under a virtual clock, with a true store to hold them to."""
+class ReservingSet:
+    """Gateways with reservations, a counter and backends under a virtual clock, beside a reference bucket."""
 
     def __init__(self, count: int, seed: int, lost: float = 0.0, slow: float = 0.02) -> None:
         self.rng = random.Random(seed)
@@ -115,49 +115,49 @@
         self.now = 100.0
         self.up = True
         self.names: dict[int, tuple[float, float]] = {}
-        self.gateways = [self.born(n) for n in range(count)]
-        self.true = TrueStore(RATE, BURST, self.now)
+        self.gateways = [self.start_gateway(n) for n in range(count)]
+        self.reference = ReferenceBucket(RATE, BURST, self.now)
         self.answers = dict[str, Action]()
         self.calls = 0
 
-    def born(self, index: int) -> Gateway:
-        """A gateway that has served for long."""
+    def start_gateway(self, index: int) -> Gateway:
+        """Return a gateway that started long ago."""
         site = settings(index=index, limiter_count=self.count, plans=(PLAN,), information=COUNTER)
-        made = create_reserving_gateway(site, index)
-        self.heard(made, EndpointsChanged(EndpointListKind.FULL, fleet(50)), 0.0)
-        return made
+        gateway = create_reserving_gateway(site, index)
+        self.handle(gateway, EndpointsChanged(EndpointListKind.FULL, fleet(50)), 0.0)
+        return gateway
 
     def at(self, when: float, what: Callable[[], None]) -> None:
         heapq.heappush(self.queue, (when, next(self.order), what))
 
-    def heard(self, gateway: Gateway, event: Event, now: float | None = None) -> None:
-        """Hand an event in, and carry out what is decided."""
+    def handle(self, gateway: Gateway, event: Event, now: float | None = None) -> None:
+        """Hand over an event, and carry out the actions."""
         for action in gateway.handle(self.now if now is None else now, event):
             match action:
                 case SetTimer(token, delay):
-                    self.at(self.now + delay, lambda t=token: self.heard(gateway, TimerFired(t)))  # type: ignore[misc]
+                    self.at(self.now + delay, lambda t=token: self.handle(gateway, TimerFired(t)))  # type: ignore[misc]
                 case AddToCounter():
-                    self.count_up(gateway, action)
+                    self.on_counter_call(gateway, action)
                 case StartAttempt():
-                    self.true.take(float(action.id.split()[1]), self.now)
+                    self.reference.take(float(action.id.split()[1]), self.now)
                     self.answers[action.id] = action
                     end = AttemptEnded(
                         action.id, 0, action.backend, Status.OK, 0.03, True, None, float(action.id.split()[1])
                     )
-                    self.at(self.now + 0.03, lambda e=end: self.heard(gateway, e))  # type: ignore[misc]
+                    self.at(self.now + 0.03, lambda e=end: self.handle(gateway, e))  # type: ignore[misc]
                 case RejectRequest():
                     assert action.id not in self.answers
                     self.answers[action.id] = action
 
-    def count_up(self, gateway: Gateway, call: AddToCounter) -> None:
+    def on_counter_call(self, gateway: Gateway, call: AddToCounter) -> None:
         self.calls += 1
         total, end = self.names.get(call.name, (0.0, self.now + call.ttl))
         gone = not self.up or self.rng.random() < self.lost
-        if self.up and (not gone or self.rng.random() < 0.5):  # some that get no answer are added all the same
+        if self.up and (not gone or self.rng.random() < 0.5):  # some calls without a reply are added all the same
             total = total if end > self.now else 0.0
             self.names[call.name] = (total + call.amount, end if end > self.now else self.now + call.ttl)
         reply = CounterReplied(call.name, Status.TIMEOUT if gone else Status.OK, total + call.amount, self.slow)
-        self.at(self.now + (0.4 if gone else self.rng.uniform(0.0, 2 * self.slow)), lambda: self.heard(gateway, reply))
+        self.at(self.now + (0.4 if gone else self.rng.uniform(0.0, 2 * self.slow)), lambda: self.handle(gateway, reply))
 
     def run(self, until: float) -> None:
         while self.queue and self.queue[0][0] <= until:
@@ -169,7 +169,7 @@
         return sum(float(name.split()[1]) for name, a in self.answers.items() if isinstance(a, StartAttempt))
 
     def load(self, demand: float, seconds: float) -> float:
-        """One customer asks so many times its quota, mostly through one gateway that changes; units sent on."""
+        """Run demand of so many times the quota, mostly at one gateway that changes; return the units forwarded."""
         begun = self.now
         number = 0
         ids = list[str]()
@@ -181,74 +181,76 @@
             where = favourite if self.rng.random() < 0.6 else self.rng.randrange(self.count)
             ids.append(f"{self.now:.6f} {units} {number}")
             number += 1
-            self.heard(self.gateways[where], request(ids[-1], units, set_size=self.count))
+            self.handle(self.gateways[where], request(ids[-1], units, set_size=self.count))
         self.run(self.now + 1.0)
         assert all(n in self.answers for n in ids)  # each is decided on, once
         return self.sent() - before
 
 
-@pytest.mark.parametrize(("demand", "least"), [(0.4, 0.97), (3.0, 0.9)])
-def test_gateways_together_forward_the_quota_and_no_more_when_demand_varies(demand: float, least: float) -> None:
-    world = World(3, 5)
-    sent = world.load(demand, 60.0)
-    assert world.true.worst > -1e-6
-    assert sent > least * min(1.0, demand) * RATE * 60.0
+@pytest.mark.parametrize(("demand", "min_fraction"), [(0.4, 0.97), (3.0, 0.9)])
+def test_gateways_together_forward_the_quota_and_no_more_when_demand_varies(demand: float, min_fraction: float) -> None:
+    reserving_set = ReservingSet(3, 5)
+    sent = reserving_set.load(demand, 60.0)
+    assert reserving_set.reference.worst > -1e-6
+    assert sent > min_fraction * min(1.0, demand) * RATE * 60.0
 
 
 def test_no_units_are_created_when_replies_are_lost_or_late() -> None:
-    world = World(4, 9, lost=0.2, slow=0.15)
-    assert world.load(3.0, 60.0) > 0.5 * RATE * 60.0 and world.true.worst > -1e-6
+    reserving_set = ReservingSet(4, 9, lost=0.2, slow=0.15)
+    assert reserving_set.load(3.0, 60.0) > 0.5 * RATE * 60.0 and reserving_set.reference.worst > -1e-6
 
 
 def test_base_is_left_and_few_requests_wait_when_the_counter_is_down() -> None:
-    world = World(3, 7)
-    world.load(3.0, 10.0)
-    world.up = False
-    calls = world.calls
-    sent = world.load(3.0, 40.0)
+    reserving_set = ReservingSet(3, 7)
+    reserving_set.load(3.0, 10.0)
+    reserving_set.up = False
+    calls = reserving_set.calls
+    sent = reserving_set.load(3.0, 40.0)
     base = reservations.BASE_RATE_FRACTION * RATE * 40.0
-    assert 0.8 * base < sent < base + BURST and world.calls - calls <= 3 * 40.0 / PAUSE_AFTER_LOST_CALL_SECONDS + 3
-    world.up = True
-    assert world.load(3.0, 20.0) > 0.85 * RATE * 20.0 and world.true.worst > -1e-6
+    assert (
+        0.8 * base < sent < base + BURST and reserving_set.calls - calls <= 3 * 40.0 / PAUSE_AFTER_LOST_CALL_SECONDS + 3
+    )
+    reserving_set.up = True
+    assert reserving_set.load(3.0, 20.0) > 0.85 * RATE * 20.0 and reserving_set.reference.worst > -1e-6
 
 
 def test_no_more_than_one_window_is_handed_out_again_when_the_counter_loses_its_totals() -> None:
-    world = World(3, 11)
-    world.load(3.0, 20.0)
-    world.names.clear()
-    world.load(3.0, 20.0)
-    assert world.true.worst > -split_quota(RATE, BURST).window_units - 1e-6
+    reserving_set = ReservingSet(3, 11)
+    reserving_set.load(3.0, 20.0)
+    reserving_set.names.clear()
+    reserving_set.load(3.0, 20.0)
+    assert reserving_set.reference.worst > -split_quota(RATE, BURST).window_units - 1e-6
 
 
 def test_no_units_are_created_when_gateways_restart() -> None:
-    world = World(3, 13)
+    reserving_set = ReservingSet(3, 13)
     for number in range(3):
-        world.load(3.0, 6.0)
-        made = world.born(number)
-        world.gateways[number] = made
-        made.token_buckets.initial_fill = 0.0
-        made.context.started_at = world.now
-    world.load(3.0, 6.0)
-    assert world.true.worst > -1e-6
+        reserving_set.load(3.0, 6.0)
+        gateway = reserving_set.start_gateway(number)
+        reserving_set.gateways[number] = gateway
+        gateway.token_buckets.initial_fill = 0.0
+        gateway.context.started_at = reserving_set.now
+    reserving_set.load(3.0, 6.0)
+    assert reserving_set.reference.worst > -1e-6
 
 
 def test_waiting_request_is_forgotten_when_its_client_disconnects_and_no_base_exists_outside_the_set() -> None:
-    world = World(3, 1)
-    first = world.gateways[0]
-    world.now = 200.0
+    reserving_set = ReservingSet(3, 1)
+    first = reserving_set.gateways[0]
+    reserving_set.now = 200.0
     for number in range(8):
-        world.heard(first, request(f"a 4.0 {number}", 4.0))
+        reserving_set.handle(first, request(f"a 4.0 {number}", 4.0))
     assert isinstance(first.quota_admission, ReservedAdmission)
     (waiting,) = first.quota_admission.waiting.values()
     left = [row[2].id for row in waiting]
     for name in left:
-        world.heard(first, ClientDisconnected(name))
-    world.run(201.0)
-    assert not any(name in world.answers for name in left) and not first.quota_admission.waiting
-    world.up = False
-    world.heard(world.gateways[2], request("b 1.0", 1.0, set_size=2))  # its set is 0 and 1
-    world.run(202.0)
-    assert isinstance(world.answers["b 1.0"], RejectRequest)
+        reserving_set.handle(first, ClientDisconnected(name))
+    reserving_set.run(201.0)
+    assert not any(name in reserving_set.answers for name in left) and not first.quota_admission.waiting
+    reserving_set.up = False
+    reserving_set.handle(reserving_set.gateways[2], request("b 1.0", 1.0, set_size=2))  # its set is 0 and 1
+    reserving_set.run(202.0)
+    assert isinstance(reserving_set.answers["b 1.0"], RejectRequest)
 
 
 def test_no_units_are_created_when_the_quota_changes() -> None:
--- a/tests/decision/test_settings_change.py
+++ b/tests/decision/test_settings_change.py
@@ -1,4 +1,4 @@
-"""Settings that change while the program runs: what is open keeps its rules, what comes follows the new ones."""
+"""Settings that change while the program runs: open requests keep their rules, new ones follow the new rules."""
 
 from __future__ import annotations
 
@@ -28,7 +28,9 @@
     (first,) = sends(gateway.handle(0.1, request("old", class_name="book")))
     fewer = settings(limits=replace(settings().limits, max_attempts=1), classes=(SAFE, replace(UNSAFE, name="book")))
     gateway.handle(0.2, SettingsChanged(fewer))
-    assert sends(gateway.handle(0.3, ended("old", first, ABORTED))), "three attempts were allowed when it was taken"
+    assert sends(gateway.handle(0.3, ended("old", first, ABORTED))), (
+        "three attempts were permitted when it was admitted"
+    )
     (only,) = sends(gateway.handle(0.4, request("new", class_name="book")))
     assert not sends(gateway.handle(0.5, ended("new", only, ABORTED)))
     assert gateway.pending == {} or "new" not in gateway.pending
@@ -41,21 +43,21 @@
 def test_bucket_keeps_its_level_and_refills_at_the_new_rate_when_settings_change() -> None:
     gateway = started(settings(limiter_count=1))
     gateway.handle(0.1, request("a", 4.0, set_size=1))
-    store = only_store(gateway)
-    level = store.level
+    bucket = only_store(gateway)
+    level = bucket.level
     faster = replace(PLAN, rate=2.0 * PLAN.rate, burst=10.0 * PLAN.burst)
-    for _ in range(20):  # as often as it is told
+    for _ in range(20):  # however often they are applied
         gateway.handle(0.1, SettingsChanged(settings(limiter_count=1, plans=(faster,))))
-    assert store.level == level and store.plan is faster
+    assert bucket.level == level and bucket.plan is faster
     gateway.handle(0.2, request("b", 1.0, set_size=1))
-    assert store.level == pytest.approx(level + 0.1 * faster.rate - 1.0, abs=0.2)
+    assert bucket.level == pytest.approx(level + 0.1 * faster.rate - 1.0, abs=0.2)
     gateway.handle(0.3, SettingsChanged(settings(limiter_count=1, plans=(replace(PLAN, burst=1.0),))))
     gateway.handle(0.3, request("c", 1.0, set_size=1))
-    assert store.level <= 1.0, "a smaller burst holds at once"
+    assert bucket.level <= 1.0, "a smaller burst applies at once"
 
 
 def changed(limiter: Limiter, change: Any) -> str:
-    """The configuration with a change, written; then SIGHUP, and the line that answers it."""
+    """Write the configuration with a change, send SIGHUP, and return the log line that follows."""
     config = copy.deepcopy(limiter.config)
     text = change(config)
     limiter.path.write_text(text if isinstance(text, str) else json.dumps(config))
@@ -63,10 +65,10 @@
     return limiter.log("reload:")
 
 
-def setting(part: str, key: str, value: object) -> Any:
+def setting(section: str, key: str, value: object) -> Any:
     def change(config: Any) -> None:
-        place = config["settings"][part]
-        (place[0] if isinstance(place, list) else place)[key] = value
+        target = config["settings"][section]
+        (target[0] if isinstance(target, list) else target)[key] = value
 
     return change
 
@@ -92,28 +94,28 @@
 ]
 
 
-SENSELESS: list[object] = [0, -1, float("nan"), float("inf"), "3", True, None, []]
+INVALID_VALUES: list[object] = [0, -1, float("nan"), float("inf"), "3", True, None, []]
 
 
 BAD += [
-    (key, setting(part, key, value))
-    for part, key in (("classes", "deadline"), ("caps", "max-attempts"))
-    for value in SENSELESS
+    (key, setting(section, key, value))
+    for section, key in (("classes", "deadline"), ("caps", "max-attempts"))
+    for value in INVALID_VALUES
 ]
 
 
 def test_settings_stay_and_one_line_names_the_fault_when_the_file_is_invalid(tmp_path: Path) -> None:
     with Limiter(tmp_path) as limiter:
-        agent = limiter.connect()
+        client = limiter.connect()
         server = None
         for number, (named, change) in enumerate(BAD, 1):
             line = changed(limiter, change)
             assert "the old settings stay" in line and named in line and "config.json" in line
-            server = limiter.served(agent, number, server)
+            server = limiter.served(client, number, server)
         limiter.path.write_text("")
         for _ in range(30):
             limiter.process.send_signal(signal.SIGHUP)
-        limiter.served(agent, 100, server)
+        limiter.served(client, 100, server)
 
 
 def test_open_requests_end_by_their_own_rules_when_classes_change(tmp_path: Path) -> None:
@@ -123,9 +125,9 @@
             ready = select.select([listener.sock for listener in limiter.servers], [], [], PATIENCE)[0]
             return Peer(ready[0].accept()[0])
 
-        agent = limiter.connect()
+        client = limiter.connect()
         other = limiter.connect()
-        agent.send(asked(1))
+        client.send(asked(1))
         server = passed_on()
         server.words()
 
@@ -143,13 +145,13 @@
         second = passed_on()
         second.words()
         second.send(b"-ERR failed\r\n")
-        assert other.line() == b"-ERR failed"  # it may have run, and may not be repeated
+        assert other.line() == b"-ERR failed"  # it may have been executed, and may not be repeated
         second.close()
-        server.close()  # the old request goes on as it was taken: it is tried again
+        server.close()  # the old request keeps its rules: it is retried
         again = passed_on()
         again.words()
         again.send(SERVED_REPLY)
-        assert agent.bulk() == b"value"
+        assert client.bulk() == b"value"
         limiter.terminate()
-        limiter.process.send_signal(signal.SIGHUP)  # in the middle of a drain
+        limiter.process.send_signal(signal.SIGHUP)  # while draining
         assert limiter.process.wait(PATIENCE) == 0
--- a/tests/decision/trace_surroundings.py
+++ b/tests/decision/trace_surroundings.py
@@ -18,7 +18,7 @@
 GONE, READY, DRAINING = range(3)
 
 
-DELTA, WHOLE_LIST, CACHED, FAILED = range(4)
+DELTA, FULL_LIST, CACHED, FAILED = range(4)
 
 
 START_SECONDS = 100.0
@@ -206,9 +206,9 @@
             "first": str(first),
             "is-write": str(self.rng.randrange(2)),
         }
-        self.ask(instance, fields, 0.0)
+        self.send_request(instance, fields, 0.0)
 
-    def ask(self, instance: int, fields: Fields, delay: float) -> None:
+    def send_request(self, instance: int, fields: Fields, delay: float) -> None:
         rid = f"{next(self.requests):016x}"
         self.calls[rid] = Call(instance, fields)
         self.at(delay, instance, f"incoming rid={rid} " + " ".join(f"{k}={v}" for k, v in fields.items()))
@@ -222,7 +222,7 @@
         call.answered = True
         if "is-retry" not in call.fields and self.rng.random() < 0.4:
             wait = float(fields.get("not-before-for", "0.2")) + self.rng.uniform(0.0, 0.1)
-            self.ask(call.instance, {**call.fields, "is-retry": "1"}, wait)
+            self.send_request(call.instance, {**call.fields, "is-retry": "1"}, wait)
 
     def on_error(self, instance: int, fields: Fields) -> None:
         self.calls[fields["rid"]].answered = True
@@ -245,7 +245,7 @@
             self.at(0.5 * latency, instance, text)
             latency *= 2.0
         if status == TIMEOUT and not limit and self.rng.random() < 0.7:
-            return  # silent to the end
+            return  # no response at all
         text = f"attempt_end rid={rid} round-no={number} backend={backend} reason={status} spent={latency:.6f}"
         self.at(latency, instance, text)
 
@@ -317,7 +317,7 @@
             self.announce(DELTA, [number])
         if moment in (7, 23):
             self.endpoints[3][4] = self.now  # a later incarnation
-            self.announce(WHOLE_LIST if moment == 7 else DELTA, [3] if moment == 23 else None)
+            self.announce(FULL_LIST if moment == 7 else DELTA, [3] if moment == 23 else None)
         if moment in (9, 18):
             self.announce(FAILED, None)
         if moment == 14:
@@ -343,7 +343,7 @@
                 self.at(0.001 * instance, instance, line)
 
     def on_subscribe(self, instance: int, fields: Fields) -> None:
-        self.at(0.02, instance, f"list {WHOLE_LIST}")
+        self.at(0.02, instance, f"list {FULL_LIST}")
 
     def on_fetch(self, instance: int, fields: Fields) -> None:
         self.at(0.02, instance, f"list {CACHED}")
@@ -377,14 +377,14 @@
     def on_add(self, instance: int, fields: Fields) -> None:
         name = int(fields["book"])
         chance = self.rng.random()
-        deaf = 9.0 < self.now - START_SECONDS < 10.5
+        is_unresponsive = 9.0 < self.now - START_SECONDS < 10.5
         if chance < 0.03:
             status = FULL
             latency = 0.004
         elif chance < 0.06:
             status = CONNECT_FAILED
             latency = 0.004
-        elif chance < 0.12 or deaf:
+        elif chance < 0.12 or is_unresponsive:
             status = TIMEOUT
             latency = COUNTER_TIMEOUT
         else:
@@ -397,8 +397,8 @@
         self.at(latency, instance, text)
 
 
-def counted(index: int, gateways: int, **changes: Any) -> dict[str, Any]:
-    """Settings of a gateway that has a counter and tells its peers nothing."""
+def site_with_counter(index: int, gateways: int, **changes: Any) -> dict[str, Any]:
+    """Settings of a gateway that has a counter and no gossip."""
     base = site(index, gateways)
     information = {**base["family-info"], "may-count": True, "counter-timeout": COUNTER_TIMEOUT}
     return {**base, "caps": {**base["caps"], "may-tell": False}, "family-info": information, **changes}
--- a/tests/gossip/test_gossip.py
+++ b/tests/gossip/test_gossip.py
@@ -1,4 +1,4 @@
-"""Gossip between gateways: what is aggregated, what is ignored, and what silence means."""
+"""Gossip between gateways: what is aggregated, what is ignored, and what is assumed without reports."""
 
 from __future__ import annotations
 
@@ -18,39 +18,39 @@
 
 
 def fleet_of(count: int, seed: int = 0) -> list[Gateway]:
-    """Gateways with one customer among them that may come through all."""
+    """Return gateways that share one customer."""
     return [started(settings(index=n, limiter_count=count, limits=PEERS), seed=seed + n) for n in range(count)]
 
 
-def courier(gateways: list[Gateway], start: float, seconds: float, lost: frozenset[int] = frozenset()) -> int:
-    """Fire every tick and deliver every note, but for gateways that are down; returns how many went out."""
-    told = 0
+def deliver_gossip(gateways: list[Gateway], start: float, seconds: float, lost: frozenset[int] = frozenset()) -> int:
+    """Fire every tick and deliver all messages but those of gateways that are down; return how many were sent."""
+    sent_count = 0
     for step in range(int(seconds * 10)):
         now = start + step * 0.1
         for sender, gateway in enumerate(gateways):
             tokens = [t for t, (kind, _) in gateway.timers.items() if kind is TimerKind.TICK]
             for action in gateway.handle(now, TimerFired(tokens[0])) if sender not in lost else ():
                 if isinstance(action, SendGossip) and action.peer not in lost:
-                    told += 1
+                    sent_count += 1
                     gateways[action.peer].handle(now + 0.05, GossipReceived(sender, action.data))
-    return told
+    return sent_count
 
 
 @pytest.mark.parametrize("count", [3, 120])
 def test_demand_is_reported_through_rendezvous_nodes_and_decays_when_reports_stop(count: int) -> None:
     gateways = fleet_of(count)
-    for step in range(20):  # everywhere a little, together far beyond the quota
+    for step in range(20):  # little at each gateway, together far over the quota
         for n in range(0, count, max(1, count // 20)):
             gateways[n].handle(10.0 + step * 0.1, request(f"r{n}.{step}", 2.0, set_size=count))
-        courier(gateways, 10.05 + step * 0.1, 0.1)
-    store = only_store(gateways[0])
-    assert store.remote_rate > 2.0 * PLAN.rate
+        deliver_gossip(gateways, 10.05 + step * 0.1, 0.1)
+    bucket = only_store(gateways[0])
+    assert bucket.remote_rate > 2.0 * PLAN.rate
     gateways[0].handle(60.0, request("s1", set_size=count))
-    assert store.quota_fraction(store.local_rate) == pytest.approx(1 / count)
+    assert bucket.quota_fraction(bucket.local_rate) == pytest.approx(1 / count)
 
 
 def test_demand_is_still_reported_when_one_rendezvous_node_is_down() -> None:
-    heard = []
+    remote_rate = []
     for lost in (False, True):
         gateways = fleet_of(30)
         gateways[0].handle(9.0, request("r", 1.0, set_size=30))
@@ -58,41 +58,41 @@
         for step in range(30):
             for n in range(30):
                 gateways[n].handle(10.0 + step * 0.1, request(f"r{n}.{step}", 2.0, set_size=30))
-            courier(gateways, 10.05 + step * 0.1, 0.1, down)
+            deliver_gossip(gateways, 10.05 + step * 0.1, 0.1, down)
         far = next(n for n in range(30) if n not in only_store(gateways[n]).members[:2] and n not in down)
-        heard.append(only_store(gateways[far]).remote_rate)
-    assert heard[1] > 0.5 * heard[0] > PLAN.rate
+        remote_rate.append(only_store(gateways[far]).remote_rate)
+    assert remote_rate[1] > 0.5 * remote_rate[0] > PLAN.rate
 
 
 def test_messages_stay_within_the_allowance_when_there_are_many_gateways() -> None:
     gateways = fleet_of(120)
     for step in range(20):
         for n in range(0, 120, 3):
-            asked = request(f"r{n}.{step}", 2.0, set_size=120, customer=f"c{n % 5}")
-            gateways[n].handle(10.0 + step * 0.1, asked)
-        told = courier(gateways, 10.05 + step * 0.1, 0.1)
-    assert told / 120 <= 100.0 * 0.1
+            event = request(f"r{n}.{step}", 2.0, set_size=120, customer=f"c{n % 5}")
+            gateways[n].handle(10.0 + step * 0.1, event)
+        sent_count = deliver_gossip(gateways, 10.05 + step * 0.1, 0.1)
+    assert sent_count / 120 <= 100.0 * 0.1
 
 
 def test_aggregate_creates_no_units_and_is_ignored_when_the_sender_is_no_rendezvous_node() -> None:
     gateway = fleet_of(30)[0]
     gateway.handle(100.0, request("r", 1.0, set_size=30))
-    store = only_store(gateway)
-    guard = store.ceiling_level
-    fleet = store.global_level
-    absurd = notes_of(codec.Entry(store.customer_id, 0, True, 16000.0, 0.0))
-    stranger = next(n for n in range(1, 30) if n not in store.members[:2])
-    gateway.handle(100.0, GossipReceived(stranger, absurd))
-    assert store.global_level == pytest.approx(fleet)
-    meeting = next(n for n in store.members[:2] if n)
-    gateway.handle(100.0, GossipReceived(meeting, absurd))
-    assert store.global_level <= PLAN.burst
-    assert store.level <= PLAN.burst
-    assert store.ceiling_level == guard
-
-
-def notes_of(*entries: codec.Entry) -> bytes:
-    """A note of another gateway."""
+    bucket = only_store(gateway)
+    ceiling_level = bucket.ceiling_level
+    global_level = bucket.global_level
+    message = message_of(codec.Entry(bucket.customer_id, 0, True, 16000.0, 0.0))
+    other_node = next(n for n in range(1, 30) if n not in bucket.members[:2])
+    gateway.handle(100.0, GossipReceived(other_node, message))
+    assert bucket.global_level == pytest.approx(global_level)
+    rendezvous_node = next(n for n in bucket.members[:2] if n)
+    gateway.handle(100.0, GossipReceived(rendezvous_node, message))
+    assert bucket.global_level <= PLAN.burst
+    assert bucket.level <= PLAN.burst
+    assert bucket.ceiling_level == ceiling_level
+
+
+def message_of(*entries: codec.Entry) -> bytes:
+    """Return the bytes of a peer's message."""
     return codec.encode(codec.Message(7, 1, 0.0, entries))
 
 
@@ -100,20 +100,20 @@
     two = started(settings(index=1, limits=PEERS))
     two.handle(10.0, request("s0"))
     number = only_store(two).customer_id
-    told = []
+    messages = []
     for n in range(1, 4):
         entry = codec.Entry(number, 0, False, 3.0 * n, 3.0 * n)
-        told.append(codec.encode(codec.Message(7, n, 0.0, (entry,))))
-    for data in told:
+        messages.append(codec.encode(codec.Message(7, n, 0.0, (entry,))))
+    for data in messages:
         two.handle(10.2, GossipReceived(0, data))
-    heard = only_store(two).remote_rate
-    assert heard == pytest.approx(9.0 / 1.5)
-    for data in reversed(told):
+    remote_rate = only_store(two).remote_rate
+    assert remote_rate == pytest.approx(9.0 / 1.5)
+    for data in reversed(messages):
         two.handle(10.2, GossipReceived(0, data))
-    assert only_store(two).remote_rate == pytest.approx(heard)
-    late = codec.Entry(number, 0, False, 900.0, 900.0)  # another life, long counted: not new demand
+    assert only_store(two).remote_rate == pytest.approx(remote_rate)
+    late = codec.Entry(number, 0, False, 900.0, 900.0)  # of another incarnation: not new demand
     two.handle(10.2, GossipReceived(0, codec.encode(codec.Message(8, 1, 0.0, (late,)))))
-    assert only_store(two).remote_rate == pytest.approx(heard)
+    assert only_store(two).remote_rate == pytest.approx(remote_rate)
 
 
 @pytest.mark.parametrize(
@@ -133,20 +133,20 @@
 def test_message_changes_nothing_when_it_is_malformed(data: bytes, sender: int) -> None:
     gateway = started(settings(limits=PEERS))
     gateway.handle(10.0, request("r0"))
-    store = only_store(gateway)
+    bucket = only_store(gateway)
     before = (
-        store.local_rate,
-        store.remote_rate,
-        store.level,
-        store.last_gossip_at,
+        bucket.local_rate,
+        bucket.remote_rate,
+        bucket.level,
+        bucket.last_gossip_at,
         dict(gateway.aggregator.peer_sequences),
     )
     assert gateway.handle(10.0, GossipReceived(sender, data)) == []
     assert before == (
-        store.local_rate,
-        store.remote_rate,
-        store.level,
-        store.last_gossip_at,
+        bucket.local_rate,
+        bucket.remote_rate,
+        bucket.level,
+        bucket.last_gossip_at,
         dict(gateway.aggregator.peer_sequences),
     )
 
--- a/tests/quota/test_counter_reports.py
+++ b/tests/quota/test_counter_reports.py
@@ -20,7 +20,7 @@
 
 
 def call(gateway: Gateway, now: float) -> AddToCounter:
-    """The one counter call made in half a second."""
+    """Return the one counter call of half a second."""
     calls = [a for a in ticks(gateway, now, 0.5) if isinstance(a, AddToCounter)]
     assert len(calls) == 1
     return calls[0]
@@ -31,19 +31,21 @@
     gateway.handle(10.0, request("r0", 4.0))
     first = call(gateway, 10.0)
     assert counter_encoding.decode(first.name, first.amount) == pytest.approx((4.0, 4.0), abs=0.5)
-    others = counter_encoding.encode(first.name, 200.0, 10.0)
-    gateway.handle(10.5, CounterReplied(first.name, Status.OK, first.amount + others))
-    store = only_store(gateway)
-    assert 199.0 / 12.0 <= store.remote_rate <= 200.0 / 1.5  # a name lives ten seconds: the first total is a rate
+    remote_amount = counter_encoding.encode(first.name, 200.0, 10.0)
+    gateway.handle(10.5, CounterReplied(first.name, Status.OK, first.amount + remote_amount))
+    bucket = only_store(gateway)
+    assert (
+        199.0 / 12.0 <= bucket.remote_rate <= 200.0 / 1.5
+    )  # a name is in use for ten seconds: the first total gives a rate
     gateway.handle(10.6, request("r1", 4.0))
     second = call(gateway, 10.6)
-    before = store.remote_rate
+    before = bucket.remote_rate
     gateway.handle(11.1, CounterReplied(second.name, Status.TIMEOUT))
-    assert store.remote_rate <= before
+    assert bucket.remote_rate <= before
     gateway.handle(11.2, request("r2", 4.0))
     third = call(gateway, 11.2)
-    gateway.handle(11.7, CounterReplied(third.name, Status.OK, third.amount))  # back empty
-    assert 0.0 <= store.remote_rate <= before
+    gateway.handle(11.7, CounterReplied(third.name, Status.OK, third.amount))  # it is back without its totals
+    assert 0.0 <= bucket.remote_rate <= before
 
 
 def test_counter_is_not_overloaded_when_hundreds_of_limiters_start() -> None:
@@ -53,7 +55,7 @@
         for n in range(20):
             gateway.handle(10.0, request(f"r{n}", 4.0, customer=f"c{n}", set_size=300))
         calls += sum(isinstance(a, AddToCounter) for a in ticks(gateway, 10.0, 1.0))
-    assert calls <= 1500  # asked were 6,000
+    assert calls <= 1500  # of 6,000 requests
 
 
 def test_call_is_made_only_when_demand_matters_and_state_does_not_grow() -> None:
@@ -81,10 +83,10 @@
 def test_total_is_used_and_calls_slow_down_when_the_reply_is_late() -> None:
     gateway = started(settings(information=COUNTER))
     gateway.handle(10.0, request("r0", 4.0))
-    made = call(gateway, 10.0)
+    counter_call = call(gateway, 10.0)
     rate = gateway.reporter.call_rate
-    total = made.amount + counter_encoding.encode(made.name, 60.0, 30.0)
-    gateway.handle(10.5, CounterReplied(made.name, Status.OK, total, 0.3))
+    total = counter_call.amount + counter_encoding.encode(counter_call.name, 60.0, 30.0)
+    gateway.handle(10.5, CounterReplied(counter_call.name, Status.OK, total, 0.3))
     assert gateway.reporter.call_rate < rate and only_store(gateway).remote_rate > 4.0
 
 
@@ -101,38 +103,40 @@
     total = 0.0
     for n, status in enumerate([Status.TIMEOUT, Status.OK]):
         gateway.handle(11.0 + n, request(f"r{n}", 4.0))
-        made = call(gateway, 11.0 + n)
-        total += made.amount
-        gateway.handle(11.01 + n, CounterReplied(made.name, status, total))
+        counter_call = call(gateway, 11.0 + n)
+        total += counter_call.amount
+        gateway.handle(11.01 + n, CounterReplied(counter_call.name, status, total))
     assert only_store(gateway).remote_rate == 0.0
 
 
 def test_totals_do_not_count_as_lost_when_an_uncertain_call_was_not_added() -> None:
     gateway = started(settings(information=COUNTER))
     gateway.handle(10.5, request("r0", 4.0))
-    made = call(gateway, 10.5)
-    total = made.amount + counter_encoding.encode(made.name, 30.0, 20.0)  # others charged 20 of the burst of 30
-    gateway.handle(11.0, CounterReplied(made.name, Status.OK, total))
-    store = only_store(gateway)
+    counter_call = call(gateway, 10.5)
+    total = counter_call.amount + counter_encoding.encode(
+        counter_call.name, 30.0, 20.0
+    )  # remote charges of 20, of a burst of 30
+    gateway.handle(11.0, CounterReplied(counter_call.name, Status.OK, total))
+    bucket = only_store(gateway)
     for n, (status, added) in enumerate([(Status.TIMEOUT, False), (Status.OK, True)]):
         gateway.handle(11.1 + n, request(f"s{n}", 4.0))
-        made = call(gateway, 11.1 + n)
-        before = store.global_level
-        total += made.amount if added else 0.0
-        gateway.handle(11.6 + n, CounterReplied(made.name, status, total))
-    assert store.global_level >= before and store.remote_rate < 20.0  # nobody charged those 20 a second time
+        counter_call = call(gateway, 11.1 + n)
+        before = bucket.global_level
+        total += counter_call.amount if added else 0.0
+        gateway.handle(11.6 + n, CounterReplied(counter_call.name, status, total))
+    assert bucket.global_level >= before and bucket.remote_rate < 20.0  # those 20 were charged once
 
 
-def counted(gateways: list[Gateway], totals: dict[int, float], now: float) -> None:
-    """Half a second in which the counter answers each call at once."""
+def answer_calls(gateways: list[Gateway], totals: dict[int, float], now: float) -> None:
+    """Run half a second in which the counter replies to each call at once."""
     for gateway in gateways:
-        for made in [a for a in ticks(gateway, now, 0.5) if isinstance(a, AddToCounter)]:
-            totals[made.name] = totals.get(made.name, 0.0) + made.amount
-            gateway.handle(now + 0.5, CounterReplied(made.name, Status.OK, totals[made.name]))
+        for counter_call in [a for a in ticks(gateway, now, 0.5) if isinstance(a, AddToCounter)]:
+            totals[counter_call.name] = totals.get(counter_call.name, 0.0) + counter_call.amount
+            gateway.handle(now + 0.5, CounterReplied(counter_call.name, Status.OK, totals[counter_call.name]))
 
 
 def test_set_forwards_the_quota_when_demand_is_twice_as_much() -> None:
-    # Three are asked twice the quota together, for half a minute: neither much more than it is sent on, nor much less.
+    # Demand at three gateways is twice the quota for half a minute: about the quota is forwarded.
     gateways = [started(settings(index=n, information=COUNTER), seed=n) for n in range(3)]
     totals = dict[int, float]()
     sent = 0.0
@@ -144,44 +148,44 @@
             for send in sends(gateway.handle(now, request(f"r{step}.{n}", units))):
                 gateway.handle(now, ended(send.id, send, Status.OK, actual_units=units))
                 sent += units if step >= 30 else 0.0
-        counted(gateways, totals, 10.0 + step * 0.5)
+        answer_calls(gateways, totals, 10.0 + step * 0.5)
     assert 0.85 * 15.0 * PLAN.rate <= sent <= 1.25 * 15.0 * PLAN.rate
 
 
-SHARES = st.tuples(st.floats(0.0, 2.0), st.floats(-0.1, 0.2))  # of a window's quota: asked, charged
+SHARES = st.tuples(st.floats(0.0, 2.0), st.floats(-0.1, 0.2))  # of a window's quota: requested, charged
 
 
 @given(st.lists(SHARES, min_size=1, max_size=7), st.floats(0.1, 50.0), st.floats(1.0, 100.0))
 def test_total_encodes_two_amounts_when_reports_are_added_up(
-    told: list[tuple[float, float]], rate: float, burst: float
+    reports: list[tuple[float, float]], rate: float, burst: float
 ) -> None:
     quota = rate * counter_encoding.WINDOW_SECONDS + burst
-    asked = 0.0
+    requested = 0.0
     charged = 0.0
     total = 0.0
     name = counter_encoding.counter_name(7, 100.0, rate, burst)
-    account = CounterLedger(0.0)
-    for more, change in told:
-        asked = asked + more * quota
+    ledger = CounterLedger(0.0)
+    for more, change in reports:
+        requested = requested + more * quota
         charged = charged + change * quota
-        total += account.report(name, asked, charged)
+        total += ledger.report(name, requested, charged)
     assert abs(total) < 1e7  # a total is exact to seven digits
     assert counter_encoding.decode(name, total) == pytest.approx(
-        (account.reported_units, account.reported_charges), abs=1e-6
+        (ledger.reported_units, ledger.reported_charges), abs=1e-6
     )
     assert (
-        -1e-6 <= asked - account.reported_units <= 2.0 * quota / 256
-        and abs(charged - account.reported_charges) <= quota / 1024
+        -1e-6 <= requested - ledger.reported_units <= 2.0 * quota / 256
+        and abs(charged - ledger.reported_charges) <= quota / 1024
     )
     before = (
-        account.reported_units,
-        account.reported_charges,
-    )  # far more than anybody is expected to ask is not read as charges
-    counted, spent = counter_encoding.decode(name, account.report(name, asked + 100.0 * quota, charged))
+        ledger.reported_units,
+        ledger.reported_charges,
+    )  # an unexpectedly large demand is not read as charges
+    answer_calls, charged_more = counter_encoding.decode(name, ledger.report(name, requested + 100.0 * quota, charged))
     assert (
-        counted <= 32.0 * quota
-        and abs(spent) <= quota / 512
-        and before != (account.reported_units, account.reported_charges)
+        answer_calls <= 32.0 * quota
+        and abs(charged_more) <= quota / 512
+        and before != (ledger.reported_units, ledger.reported_charges)
     )
 
 
@@ -189,7 +193,7 @@
     gateway = started(settings(information=COUNTER))
     sent = sends(gateway.handle(11.0, request("r0", 4.0)))[0]
     gateway.handle(11.5, CounterReplied(call(gateway, 11.0).name, Status.OK, 4.0))
-    gateway.handle(11.6, ended("r0", sent, Status.OK, actual_units=4.0, quota_usage=2.0))  # a spell that is over
+    gateway.handle(11.6, ended("r0", sent, Status.OK, actual_units=4.0, quota_usage=2.0))  # metered before that total
     assert only_store(gateway).remote_rate < 1.0
 
 
@@ -206,6 +210,6 @@
     gateway = started()
     send = sends(gateway.handle(10.0, request("r0")))[0]
     gateway.handle(10.1, ended("r0", send, Status.OK, actual_units=1.0, quota_usage=1.5))
-    store = only_store(gateway)
-    assert store.remote_rate == pytest.approx(15.0, abs=1.0)
-    assert store.usage_ratio >= 1.5
+    bucket = only_store(gateway)
+    assert bucket.remote_rate == pytest.approx(15.0, abs=1.0)
+    assert bucket.usage_ratio >= 1.5
--- a/tests/quota/test_token_bucket.py
+++ b/tests/quota/test_token_bucket.py
@@ -1,4 +1,4 @@
-"""The store's arithmetic: charge, settle, debt, floor, moving slices, the ceiling's guard, restarts."""
+"""The token bucket: charges, settlement, debt, least charge, moving slices, the hard ceiling, restarts."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 from thymeflow.quota.buckets import INITIAL_FILL_FRACTION
 from thymeflow.quota.token_bucket import TokenBucket
 
-LATE = 100.0  # s after the start: stores made then are full
+LATE = 100.0  # s after the start: buckets created then are full
 
 
 def test_declared_units_are_charged_and_settled_when_the_attempt_ends() -> None:
@@ -33,8 +33,8 @@
 def test_request_is_rejected_and_a_smaller_one_admitted_when_the_level_is_between() -> None:
     gateway = started()
     gateway.handle(LATE, request("r1", 8.0))
-    refused = gateway.handle(LATE, request("r2", 4.0))
-    assert [type(a) for a in refused] == [RejectRequest]
+    rejection = gateway.handle(LATE, request("r2", 4.0))
+    assert [type(a) for a in rejection] == [RejectRequest]
     assert sends(gateway.handle(LATE, request("r3", 2.0)))
 
 
@@ -51,141 +51,141 @@
 ) -> None:
     gateway = started()
     send = sends(gateway.handle(LATE, request("r1", 10.0)))[0]
-    store = only_store(gateway)
-    before = store.level + 10.0
+    bucket = only_store(gateway)
+    before = bucket.level + 10.0
     gateway.registry.pressure = pressure
-    store.local_rate = demand
+    bucket.local_rate = demand
     gateway.handle(LATE, ended("r1", send, Status.OK, actual_units=2.0))
-    assert store.level == pytest.approx(before - charged)
+    assert bucket.level == pytest.approx(before - charged)
 
 
 def member(plan: Plan = PLAN, now: float = LATE, spread: int = 3, number: int = 1) -> TokenBucket:
-    """A store of a customer whose requests come through some gateways; nothing heard yet."""
-    store = TokenBucket(plan, number, now, 0.0, INITIAL_FILL_FRACTION)
-    store.join_set(0, spread, max(3, spread), 0.0)
-    store.mean_cost = 1.0
-    store.refresh(now)
-    return store
+    """Return the bucket of a customer whose requests come through some gateways, before any report."""
+    bucket = TokenBucket(plan, number, now, 0.0, INITIAL_FILL_FRACTION)
+    bucket.join_set(0, spread, max(3, spread), 0.0)
+    bucket.mean_cost = 1.0
+    bucket.refresh(now)
+    return bucket
 
 
-def word(store: TokenBucket, now: float, others: float, fleet: float) -> None:
-    """What a meeting gateway's note does to a store."""
-    store.refresh(now)
-    store.last_gossip_at = now
-    store.remote_rate = others
-    store.global_level = fleet
-    store.remote_rate_memory = 5.0
-    store.usage_ratio = 1.0
-    store.last_update_at = now
+def apply_report(bucket: TokenBucket, now: float, remote_rate: float, global_level: float) -> None:
+    """Change a bucket as the aggregate of a rendezvous node does."""
+    bucket.refresh(now)
+    bucket.last_gossip_at = now
+    bucket.remote_rate = remote_rate
+    bucket.global_level = global_level
+    bucket.remote_rate_memory = 5.0
+    bucket.usage_ratio = 1.0
+    bucket.last_update_at = now
 
 
 def test_slice_follows_demand_and_returns_to_even_when_reports_stop() -> None:
-    store = member()
-    store.last_gossip_at = LATE
-    assert store.quota_fraction(store.local_rate) == pytest.approx(1 / 3)
-    store.local_rate = 8.0
-    store.remote_rate = 2.0
-    assert 1 / 3 < store.quota_fraction(store.local_rate) < 0.7  # others are heard, but not yet of this customer
-    store.last_update_at = LATE
-    assert store.quota_fraction(store.local_rate) == pytest.approx(0.8, abs=0.05)
-    store.refresh(LATE + 5.0)
-    assert store.quota_fraction(store.local_rate) == pytest.approx(1 / 3)
+    bucket = member()
+    bucket.last_gossip_at = LATE
+    assert bucket.quota_fraction(bucket.local_rate) == pytest.approx(1 / 3)
+    bucket.local_rate = 8.0
+    bucket.remote_rate = 2.0
+    assert 1 / 3 < bucket.quota_fraction(bucket.local_rate) < 0.7  # peers report, but not yet about this customer
+    bucket.last_update_at = LATE
+    assert bucket.quota_fraction(bucket.local_rate) == pytest.approx(0.8, abs=0.05)
+    bucket.refresh(LATE + 5.0)
+    assert bucket.quota_fraction(bucket.local_rate) == pytest.approx(1 / 3)
 
 
 @hypothesis_settings(derandomize=True, max_examples=200, deadline=None)
 @given(st.lists(st.tuples(st.integers(0, 2), st.floats(0.1, 4.0), st.floats(0.0, 0.5)), min_size=1, max_size=60))
-def test_no_units_are_created_when_slices_move(asks: list[tuple[int, float, float]]) -> None:
-    """Whatever moves between slices that hear of each other, it spends one whole store and a lump each."""
-    stores = [member() for _ in range(3)]
+def test_no_units_are_created_when_slices_move(requests: list[tuple[int, float, float]]) -> None:
+    """Slices that know of each other spend one complete bucket, and one request each."""
+    buckets = [member() for _ in range(3)]
     now = LATE
     spent = 0.0
-    for where, units, wait in asks:
+    for where, units, wait in requests:
         now += wait
-        for number, store in enumerate(stores):
-            store.refresh(now)
-            store.last_gossip_at = now
-            store.is_aggregator = True
-            store.remote_rate_memory = 1.5
+        for number, bucket in enumerate(buckets):
+            bucket.refresh(now)
+            bucket.last_gossip_at = now
+            bucket.is_aggregator = True
+            bucket.remote_rate_memory = 1.5
             if number == where:
-                store.local_rate += units
+                bucket.local_rate += units
             else:
-                store.remote_rate += units / 1.5
-        if stores[where].can_admit(units, 0.5):
-            stores[where].charge(units)
+                bucket.remote_rate += units / 1.5
+        if buckets[where].can_admit(units, 0.5):
+            buckets[where].charge(units)
             spent += units
-            for number, store in enumerate(stores):
-                store.global_level -= 0.0 if number == where else units
-        for store in stores:
-            store.refresh(now)
-            assert store.level <= PLAN.burst * store.quota_fraction(store.local_rate) + 1e-9
+            for number, bucket in enumerate(buckets):
+                bucket.global_level -= 0.0 if number == where else units
+        for bucket in buckets:
+            bucket.refresh(now)
+            assert bucket.level <= PLAN.burst * bucket.quota_fraction(bucket.local_rate) + 1e-9
     assert spent <= PLAN.burst + PLAN.rate * (now - LATE) + 3 * 4.0
 
 
 def test_gateway_gets_no_more_than_the_even_slice_when_nothing_is_reported() -> None:
-    store = member()
+    bucket = member()
     spent = 0.0
     for step in range(1000):
-        store.refresh(LATE + step * 0.01)
-        if store.can_admit(1.0, 0.0):
-            store.charge(1.0)
+        bucket.refresh(LATE + step * 0.01)
+        if bucket.can_admit(1.0, 0.0):
+            bucket.charge(1.0)
             spent += 1.0
     assert spent <= (PLAN.burst + PLAN.rate * 10.0) / 3.0 + 1.0
 
 
 def test_units_are_lent_only_when_the_set_reports_that_it_has_them() -> None:
-    store = member()
-    store.charge(8.0)
-    assert not store.can_admit(4.0, 0.0)
-    word(store, LATE, 0.0, 22.0)
-    assert store.can_admit(4.0, 0.99)  # nobody else asks: no lot is drawn
-    word(store, LATE, 50.0, 3.0)
-    store.level = 0.0
-    assert not store.can_admit(4.0, 0.0)  # the fleet does not hold it
+    bucket = member()
+    bucket.charge(8.0)
+    assert not bucket.can_admit(4.0, 0.0)
+    apply_report(bucket, LATE, 0.0, 22.0)
+    assert bucket.can_admit(4.0, 0.99)  # there is no remote demand: nothing is sampled
+    apply_report(bucket, LATE, 50.0, 3.0)
+    bucket.level = 0.0
+    assert not bucket.can_admit(4.0, 0.0)  # the set does not have as much
 
 
 def test_global_level_rises_slower_when_remote_demand_exceeds_the_quota() -> None:
-    store = member()
-    word(store, LATE, 40.0, 0.0)
-    store.local_rate = 4.0
-    store.refresh(LATE + 0.2)
-    assert 0.0 < store.global_level < 0.2 * 10.0 * 0.6  # under the whole rate, of which most is not ours
+    bucket = member()
+    apply_report(bucket, LATE, 40.0, 0.0)
+    bucket.local_rate = 4.0
+    bucket.refresh(LATE + 0.2)
+    assert 0.0 < bucket.global_level < 0.2 * 10.0 * 0.6  # less than the complete rate, most of which is remote
 
 
 @pytest.mark.parametrize("gateways", [3, 30, 300])
 def test_set_does_not_over_admit_when_hundreds_of_limiters_lend_at_once(gateways: int) -> None:
-    """Slices of hundreds hold less than one request; all that ask at once draw lots."""
-    draw = random.Random(gateways)
+    """Slices of hundreds of limiters are under one request: simultaneous requests are sampled."""
+    rng = random.Random(gateways)
     admitted = 0.0
     rounds = 40
     for _ in range(rounds):
-        for number in range(gateways):  # each is asked once while the same word is all that they have
-            store = member(spread=gateways, number=number)
-            word(store, LATE, 2.0 * gateways / 1.5, 20.0)
-            store.level = 0.0
-            store.local_rate = 2.0 / 1.5
-            admitted += 2.0 * store.can_admit(2.0, draw.random())
-    # Asked in 1.5 s: they may admit what the fleet holds and what flows in meanwhile, and one lump.
+        for number in range(gateways):  # each gets one request, and all have the same report
+            bucket = member(spread=gateways, number=number)
+            apply_report(bucket, LATE, 2.0 * gateways / 1.5, 20.0)
+            bucket.level = 0.0
+            bucket.local_rate = 2.0 / 1.5
+            admitted += 2.0 * bucket.can_admit(2.0, rng.random())
+    # In 1.5 s: they may admit what the set has, what is refilled meanwhile, and one request.
     assert admitted / rounds <= 20.0 + PLAN.rate * 1.5 + 2.0
 
 
 def test_fewer_requests_are_sampled_when_metered_usage_exceeds_the_quota() -> None:
     admitted = []
-    for excess in (1.0, 3.0):
-        store = member()
-        word(store, LATE, 60.0, 20.0)
-        store.level = 1.0
-        store.usage_ratio = excess
-        admitted.append(sum(store.can_admit(2.0, n / 100.0) for n in range(100)))
+    for usage_ratio in (1.0, 3.0):
+        bucket = member()
+        apply_report(bucket, LATE, 60.0, 20.0)
+        bucket.level = 1.0
+        bucket.usage_ratio = usage_ratio
+        admitted.append(sum(bucket.can_admit(2.0, n / 100.0) for n in range(100)))
     assert 0 < admitted[1] < admitted[0] / 2
-    store.level = -1.0
-    assert not store.can_admit(2.0, 0.0)  # no word of the level: a slice in debt lends nothing
+    bucket.level = -1.0
+    assert not bucket.can_admit(2.0, 0.0)  # the level is not reported: a slice in debt lends nothing
 
 
 def test_slice_is_not_full_and_ceiling_empty_when_a_gateway_restarts() -> None:
-    fresh = member(CAPPED, 0.0)
-    assert fresh.level < CAPPED.burst / 3
-    assert fresh.ceiling_level == 0.0
-    assert not fresh.can_admit(1.0, 0.0)
+    restarted = member(CAPPED, 0.0)
+    assert restarted.level < CAPPED.burst / 3
+    assert restarted.ceiling_level == 0.0
+    assert not restarted.can_admit(1.0, 0.0)
 
 
 @hypothesis_settings(derandomize=True, max_examples=100, deadline=None)
@@ -199,7 +199,7 @@
 def test_ceiling_is_not_exceeded_when_gateways_know_only_their_own_use(
     steps: list[tuple[int, float, float, int]],
 ) -> None:
-    """Three gateways that hear all kinds of demand, restarting at will, against one true ceiling store."""
+    """Three gateways that restart at any time, whatever is reported to them, against one reference ceiling."""
     gateways = [started(settings(index=n)) for n in range(3)]
     now = 50.0
     level = CAPPED.ceiling_burst
@@ -212,9 +212,9 @@
         last = now
         for actions in [gateways[where].handle(now, request(f"r{number}", units, plan="capped"))]:
             level -= units * len(sends(actions))
-        for store in gateways[where].buckets.values():
-            store.last_gossip_at = now
-            store.global_level = CAPPED.burst
+        for bucket in gateways[where].buckets.values():
+            bucket.last_gossip_at = now
+            bucket.global_level = CAPPED.burst
             gateways[where].token_buckets.last_gossip_at = now
         assert level >= -CAPPED.ceiling_slack - 1e-6
 
