--- a/tests/leases/test_lease_fleet.py
+++ b/tests/leases/test_lease_fleet.py
@@ -62,7 +62,7 @@
         (fleet.state / "fleet.grants").write_bytes(b"half")
         fleet.process = fleet.up()
         fleet.ready(3)
-        assert "nothing is granted from the table of before" in (tmp_path / "log").read_text()
+        assert "the previous grant file is not used" in (tmp_path / "log").read_text()
         wait_until(fleet, lambda parts: 0.3 < sum(parts.values()) <= LEASED_POINTS / TOTAL_POINTS, kept=False)
         wait_until(
             fleet, lambda parts: 0.3 < sum(parts.values()) <= LEASED_POINTS / TOTAL_POINTS
@@ -141,12 +141,12 @@
 
 grant_file.write = at(("before the write", "before"), at(("after the write", "after"), grant_file.write))
 LeaseDistributor.on_report = at(("after a word", "after"), LeaseDistributor.on_report)
-beat = LeaseDistributor._beat
+tick = LeaseDistributor._tick
 def sending(self, _):
     self._send = at(("before a send", "before"), at(("after a send", "after"), self._send))
-    LeaseDistributor._beat = beat
-    beat(self, _)
-LeaseDistributor._beat = sending
+    LeaseDistributor._tick = tick
+    tick(self, _)
+LeaseDistributor._tick = sending
 LeaseDistributor.on_starting = at(("after a birth is written", "after"), LeaseDistributor.on_starting)
 from thymeflow.cli import run
 sys.exit(run())
--- a/tests/leases/test_lease_issuer.py
+++ b/tests/leases/test_lease_issuer.py
@@ -158,7 +158,7 @@
     issuer = issuer_with_holders("ab")
     issuer.durable_amounts["a"] = (BASE_POINTS,) * len(Resource) + (LEASED_POINTS,) * len(Resource)
     grant_file.write(tmp_path / "t", issuer, "f")
-    assert "come to" in grant_file.read(tmp_path / "t", "f", 0.0, members_running=True)[1]
+    assert "add up to" in grant_file.read(tmp_path / "t", "f", 0.0, members_running=True)[1]
 
 
 def test_nothing_is_sent_when_the_grant_file_cannot_be_written() -> None:
--- a/tests/outliers/test_outlier_fleet.py
+++ b/tests/outliers/test_outlier_fleet.py
@@ -36,7 +36,7 @@
         before = backends.passes[0]
         wait_until("")
         assert backends.passes[0] > before
-        assert "is left alone by all" in (tmp_path / "log").read_text()
+        assert "is ejected by all members" in (tmp_path / "log").read_text()
 
 
 def test_fleet_ejects_a_backend_for_one_class_only_when_it_fails_that_class(tmp_path: Path) -> None:
@@ -82,7 +82,7 @@
             before = sum(backends.passes[:4])
             wait_until(set())
             assert sum(backends.passes[:4]) > before
-            assert "zone west is left alone by all" in (tmp_path / "log").read_text()
+            assert "zone west is ejected by all members" in (tmp_path / "log").read_text()
 
 
 def test_fleet_ejects_nothing_when_one_member_is_cut_off_from_two_of_six_backends(tmp_path: Path) -> None:
--- a/tests/shedding/test_threshold.py
+++ b/tests/shedding/test_threshold.py
@@ -164,8 +164,8 @@
     coming = iter(levels)
     monkeypatch.setattr(court._threshold, "tick", beat)
     for _ in levels:
-        court._update_level(0.0)
-    assert lines == ["shedding by order begins", "shedding by order is over"]
+        court._update_threshold(0.0)
+    assert lines == ["load shedding begins", "load shedding ends"]
 
 
 def test_fleet_sheds_and_recovers_when_its_backends_are_slow_for_a_while(tmp_path: Path) -> None:
@@ -190,4 +190,4 @@
         assert shed > 0
         backends.delay = 0.0
         wait_until(lambda status: status["level"] == 0.0)
-        assert "shedding by order begins" in (tmp_path / "log").read_text()
+        assert "load shedding begins" in (tmp_path / "log").read_text()
--- a/thymeflow/fleet/actions.py
+++ b/thymeflow/fleet/actions.py
@@ -1,4 +1,4 @@
-"""The actions that the fleet controller asks its supervisor to carry out, and the list that collects them."""
+"""The actions that the fleet controller decides on and its supervisor carries out, and the list that collects them."""
 
 from __future__ import annotations
 
@@ -19,14 +19,14 @@
 
 @dataclass(frozen=True, slots=True)
 class StopProcess:
-    """Ask a run to shut down gracefully."""
+    """Request the graceful shutdown of a run."""
 
     run_id: int
 
 
 @dataclass(frozen=True, slots=True)
 class KillProcess:
-    """End a run at once: it hangs, or did not end when asked to."""
+    """End a run at once: it hangs, or did not shut down in time."""
 
     run_id: int
 
--- a/thymeflow/fleet/control_requests.py
+++ b/thymeflow/fleet/control_requests.py
@@ -9,6 +9,7 @@
 from thymeflow.fleet.controller import FleetController
 from thymeflow.fleet.events import EventHandler, Operation, OperationKind
 from thymeflow.fleet.member_processes import ProcessEnvironment
+from thymeflow.fleet.status_messages import JsonObject
 from thymeflow.handover.control_socket import ControlCaller, Message
 from thymeflow.runtime import log
 from thymeflow.runtime.log_kinds import LogKind
@@ -21,11 +22,11 @@
 
 @dataclass(frozen=True, slots=True)
 class RequestHandlers:
-    """What answers the requests that order no operation; `reload` returns an error text, empty for success."""
+    """The handlers of requests that order no operation; `reload` returns an error text, empty for success."""
 
-    status: Callable[[], dict[str, object]]
-    lease_status: Callable[[], dict[str, object]]
-    outlier_status: Callable[[], dict[str, object]]
+    status: Callable[[], JsonObject]
+    lease_status: Callable[[], JsonObject]
+    outlier_status: Callable[[], JsonObject]
     reload: Callable[[], str]
     leave: Callable[[], None]
 
@@ -123,7 +124,7 @@
         caller.send({"ok": not error, "why": error})
 
     def _leave(self, caller: ControlCaller) -> None:
-        log.emit(LogKind.LEAVE, "the supervisor ends, its members go on")
+        log.emit(LogKind.LEAVE, "the supervisor ends; its members keep serving")
         caller.send({"ok": True, "why": f"{len(self._controller.members)} members go on by themselves"})
         self._handlers.leave()
 
--- a/thymeflow/fleet/lease_distributor.py
+++ b/thymeflow/fleet/lease_distributor.py
@@ -1,4 +1,4 @@
-"""The supervisor's adapter of the lease issuer: its table on the disk, members' reports, and grants to them."""
+"""The supervisor's adapter of the lease issuer: the grant file, members' reports, and the grants sent to them."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 from thymeflow.runtime import clock, log
 from thymeflow.runtime.log_kinds import LogKind
 
-TICK_SECONDS = 0.25  # between divisions of the fleet's limits
+TICK_SECONDS = 0.25  # between distributions of the fleet's limits
 
 
 class LeaseDistributor:
@@ -28,7 +28,7 @@
         send: Callable[[str, Message], None],
         fleet_size: Callable[[], int],
     ) -> None:
-        self.write_error = ""  # of the last write of the table
+        self.write_error = ""  # of the last write of the grant file
         self._deadlines = deadlines
         self._path = path
         self._fleet_name = fleet_name
@@ -37,27 +37,27 @@
         self._issuer = LeaseIssuer(1, clock.monotonic())
 
     def start(self, may_have_members: bool) -> None:
-        """Continue from the previous supervisor's table, members of which may run."""
+        """Continue from the previous supervisor's grant file; `may_have_members`: members in it may run."""
         self._issuer, error = grant_file.read(self._path, self._fleet_name, clock.monotonic(), may_have_members)
         if error:
-            log.emit(LogKind.BUDGETS, f"nothing is granted from the table of before: {error}")
+            log.emit(LogKind.BUDGETS, f"the previous grant file is not used: {error}")
         log.emit(
             LogKind.BUDGETS,
-            f"era {self._issuer.epoch}, {len(self._issuer.records)} members may hold parts",
-            era=self._issuer.epoch,
+            f"epoch {self._issuer.epoch}, {len(self._issuer.records)} members may have allocations",
+            era=self._issuer.epoch,  # the field's name is part of the log's format
         )
-        self._beat(0)
+        self._tick(0)
 
     def holders(self) -> list[str]:
         """Return the members that may hold an allocation."""
-        return [name for name, row in self._issuer.records.items() if row.state is not HolderState.ABSENT]
+        return [name for name, record in self._issuer.records.items() if record.state is not HolderState.ABSENT]
 
     def on_starting(self, name: str) -> Message:
         """Return the allocation that a new process of a member starts with."""
         if self._issuer.record_of(name).state not in (HolderState.ABSENT, HolderState.NOT_REPORTING):
             self._issuer.on_disconnected(name)
         allocation, _ = self._issuer.on_starting(name, clock.monotonic())
-        if not self._write_table():
+        if not self._write_grant_file():
             allocation = Allocation(allocation.epoch, allocation.number)  # starts with nothing, is granted later
         return message_of(allocation)
 
@@ -66,7 +66,7 @@
         try:
             report = report_from_message(message)
         except MalformedAllocationError as error:
-            log.emit_rate_limited(LogKind.BUDGETS, f"{name} says of its part what cannot be read: {error}")
+            log.emit_rate_limited(LogKind.BUDGETS, f"ignored a malformed allocation report of {name}: {error}")
             return
         self._issuer.on_report(name, report.allocation, report.demand, clock.monotonic())
 
@@ -82,28 +82,28 @@
         """Return the limits, allocations and their ends in the form of the control socket."""
         return lease_status(self._issuer, self.write_error, clock.monotonic())
 
-    def _write_table(self) -> bool:
+    def _write_grant_file(self) -> bool:
         try:
             grant_file.write(self._path, self._issuer, self._fleet_name)
         except OSError as error:
             if not self.write_error:
-                log.emit(LogKind.BUDGETS, f"the table is not written, so nothing new is granted: {error}")
+                log.emit(LogKind.BUDGETS, f"the grant file was not written, so nothing new is granted: {error}")
             self.write_error = str(error)
             return False
         self.write_error = ""
         return True
 
-    def _beat(self, _: int) -> None:
+    def _tick(self, _: int) -> None:
         self._issuer.resize(self._fleet_size())
         for action in self._issuer.tick(clock.monotonic()):
             if isinstance(action, Write):
                 self._write_and_grant(action)
             else:
                 self._send_allocation(action.holder, action.allocation)
-        self._deadlines.schedule(clock.now() + TICK_SECONDS, self._beat)
+        self._deadlines.schedule(clock.now() + TICK_SECONDS, self._tick)
 
     def _write_and_grant(self, action: Write) -> None:
-        if not self._write_table():
+        if not self._write_grant_file():
             self._issuer.on_write_failed(action.version)
             return
         for grant in self._issuer.on_written(action.version):
--- a/thymeflow/fleet/member_lifecycle.py
+++ b/thymeflow/fleet/member_lifecycle.py
@@ -64,7 +64,7 @@
         adopted_count = len(self.members)
         missing = [number for number in range(count) if number not in self.members]
         for position, number in enumerate(missing):
-            # Spread, so that counter, discovery and servers are not loaded in one instant. Where members were
+            # Spread, so that counter, discovery and backends are not loaded in one instant. Where members were
             # adopted, the missing ones died while no supervisor ran: they are started at once.
             delay = 0.0 if adopted_count else self._policy.spread_delay_seconds(position, len(missing))
             self.members[number] = Member(number, deadline=self._decisions.now + delay)
@@ -127,13 +127,13 @@
         member.is_killed = False
         action = StartProcess(member.run_id, member.number, is_joining=member.is_joining, is_replacement=False)
         self._decisions.add(action)
-        # Only the first start joins the set; after a crash the member's slice is its own already.
+        # Only the first start joins the set; after a crash it is a member of the set already.
         member.is_joining = False
 
     # --- stops ---------------------------------------------------------------------------------------------
 
     def stop(self, member: Member, *, restart: bool = False) -> None:
-        """Ask a member to end, and to start again afterwards where `restart` is set."""
+        """Stop a member gracefully, and start it again afterwards where `restart` is set."""
         member.is_restarting = restart
         if member.successor_run_id != NO_RUN:
             self._abandon_replacement(member)
@@ -147,7 +147,7 @@
             self._decisions.add(StopProcess(member.run_id))
 
     def _abandon_replacement(self, member: Member) -> None:
-        # The progress of the handover is not known here. Either process ends gracefully when asked to, while
+        # The progress of the handover is not known here. Either process ends gracefully on SIGTERM, while
         # killing one could lose requests.
         if member.run_id == NO_RUN:
             member.run_id = member.successor_run_id
--- a/thymeflow/fleet/member_state.py
+++ b/thymeflow/fleet/member_state.py
@@ -69,7 +69,7 @@
 
     number: int
     state: MemberState = MemberState.WAITING
-    deadline: float = 0.0  # when to start it, or when to give up waiting for it
+    deadline: float = 0.0  # when to start it, or until when to wait for it
     run_id: int = NO_RUN  # the process that serves, or is to serve
     successor_run_id: int = NO_RUN
     incarnation: str = ""
--- a/thymeflow/fleet/outlier_service.py
+++ b/thymeflow/fleet/outlier_service.py
@@ -1,6 +1,6 @@
 """The supervisor's adapter of the outlier coordinator and the admission threshold.
 
-It takes members' reports about servers, and sends them ejections and the fleet's load shedding level.
+It handles members' reports about backends, and sends members ejections and the fleet's admission threshold.
 """
 
 from __future__ import annotations
@@ -18,13 +18,19 @@
 from thymeflow.runtime.log_kinds import LogKind
 from thymeflow.shedding.threshold import AdmissionThreshold
 
-TICK_SECONDS = 0.25
-RENEWAL_SECONDS = 1.0  # ejections and levels that have not changed are sent again, a third of an ejection's length
+TICK_SECONDS = 0.25  # between evaluations of the reports
+THRESHOLD_DECIMALS = 3  # of a threshold in messages
+STATE_TEXTS = {
+    EjectionState.EJECTED: "ejected again",
+    EjectionState.RECOVERING: "recovering",
+    EjectionState.RECOVERED: "recovered",
+}
+RENEWAL_SECONDS = 1.0  # unchanged ejections and thresholds are sent again, a third of their lease
 
 
 @dataclass(frozen=True, slots=True)
-class _SentLevel:
-    level: float
+class _SentThreshold:
+    threshold: float
     sent_at: float
 
 
@@ -35,7 +41,7 @@
 
 
 class OutlierService:
-    """What the fleet knows of servers that fail, by the members' names."""
+    """The fleet's ejections and its admission threshold, by the members' reports."""
 
     def __init__(
         self,
@@ -47,7 +53,7 @@
         self._send = send
         self._coordinator = OutlierCoordinator(probes_per_second)
         self._threshold = AdmissionThreshold()
-        self._sent_levels: dict[str, _SentLevel] = {}  # by member
+        self._sent_thresholds: dict[str, _SentThreshold] = {}  # by member
         self._sent_ejections: dict[str, _SentEjections] = {}  # by member
 
     def start(self) -> None:
@@ -60,7 +66,7 @@
             report = report_from_message(message)
         except MalformedOutlierMessageError as error:
             self._coordinator.invalid_reports += 1
-            log.emit_rate_limited(LogKind.OVERLOAD, f"{name} says of servers what cannot be: {error}")
+            log.emit_rate_limited(LogKind.OVERLOAD, f"ignored a malformed outlier report of {name}: {error}")
             return
         now = clock.monotonic()
         if report.pressure is not None:
@@ -73,7 +79,7 @@
         self._coordinator.on_member_gone(name)
         self._threshold.on_member_gone(name)
         self._sent_ejections.pop(name, None)
-        self._sent_levels.pop(name, None)
+        self._sent_thresholds.pop(name, None)
 
     def status(self) -> JsonObject:
         """Return the threshold, and the ejections with the members that reported them, in the control socket's form."""
@@ -81,26 +87,26 @@
 
     def _tick(self, _: int) -> None:
         now = clock.monotonic()
-        previous_states = {key: ejected.state for key, ejected in self._coordinator.ejections.items()}
+        previous_states = {key: record.state for key, record in self._coordinator.ejections.items()}
         for key in self._coordinator.tick(now):
             reporters = ", ".join(sorted(self._coordinator.ejections[key].reported_by))
-            text = f"{_describe_key(key)} is left alone by all, on the word of {reporters}"
+            text = f"{_describe_key(key)} is ejected by all members, as reported by {reporters}"
             log.emit(LogKind.OVERLOAD, text, server=key.backend)
         self._log_state_changes(previous_states)
         for name in self._coordinator.reports:
             self._send_ejections(name, now)
-        self._update_level(now)
+        self._update_threshold(now)
         self._deadlines.schedule(clock.now() + TICK_SECONDS, self._tick)
 
     def _log_state_changes(self, previous_states: dict[EjectionKey, EjectionState]) -> None:
         for key, state in previous_states.items():
-            ejected = self._coordinator.ejections.get(key)
-            if ejected is None and self._coordinator.is_covered_by_zone(key):
+            record = self._coordinator.ejections.get(key)
+            if record is None and self._coordinator.is_covered_by_zone(key):
                 continue  # the ejection of its zone has replaced it, and is logged
-            if ejected is None:
-                log.emit(LogKind.OVERLOAD, f"{_describe_key(key)} is back with all", server=key.backend)
-            elif ejected.state is not state:
-                log.emit(LogKind.OVERLOAD, f"{_describe_key(key)} is {ejected.state.value}", server=key.backend)
+            if record is None:
+                log.emit(LogKind.OVERLOAD, f"{_describe_key(key)} is used again by all members", server=key.backend)
+            elif record.state is not state:
+                log.emit(LogKind.OVERLOAD, f"{_describe_key(key)} is {STATE_TEXTS[record.state]}", server=key.backend)
 
     def _send_ejections(self, name: str, now: float) -> None:
         # Compared without their ends, which move with every tick.
@@ -111,28 +117,30 @@
             rows = [message_of(ejection) for ejection in self._coordinator.ejections_for(name, now)]
             self._send(name, {"do": "verdicts", "verdicts": rows})
 
-    def _update_level(self, now: float) -> None:
-        previous_level = round(self._threshold.value, 3)  # as it was sent: one that rounds to 0 began no shedding
-        level = round(self._threshold.tick(now), 3)
-        if (level > 0.0) != (previous_level > 0.0):
+    def _update_threshold(self, now: float) -> None:
+        previous = round(
+            self._threshold.value, THRESHOLD_DECIMALS
+        )  # as it was sent: one that rounds to 0 sheds nothing
+        threshold = round(self._threshold.tick(now), THRESHOLD_DECIMALS)
+        if (threshold > 0.0) != (previous > 0.0):
             log.emit(
                 LogKind.OVERLOAD,
-                f"shedding by order {'begins' if level else 'is over'}: the back end's pressure is "
-                f"{self._threshold.pressure:.2f} at the middle one of {len(self._threshold.reports)} members",
-                level=level,
+                f"load shedding {'begins' if threshold else 'ends'}: the median pressure that "
+                f"{len(self._threshold.reports)} members report is {self._threshold.pressure:.2f}",
+                level=threshold,
             )
-        elif level:
+        elif threshold:
             log.emit_rate_limited(
-                LogKind.OVERLOAD, f"shedding what stands under {level:.2f} of the order, everywhere", level=level
+                LogKind.OVERLOAD, f"all members shed requests of a rank below {threshold:.2f}", level=threshold
             )
         for name in self._threshold.reports:
-            self._send_level(name, level, now)
+            self._send_threshold(name, threshold, now)
 
-    def _send_level(self, name: str, level: float, now: float) -> None:
-        sent = self._sent_levels.get(name, _SentLevel(0.0, now - RENEWAL_SECONDS))
-        if level != sent.level or now - sent.sent_at >= RENEWAL_SECONDS:
-            self._sent_levels[name] = _SentLevel(level, now)
-            self._send(name, {"do": "shed", "level": level})
+    def _send_threshold(self, name: str, threshold: float, now: float) -> None:
+        sent = self._sent_thresholds.get(name, _SentThreshold(0.0, now - RENEWAL_SECONDS))
+        if threshold != sent.threshold or now - sent.sent_at >= RENEWAL_SECONDS:
+            self._sent_thresholds[name] = _SentThreshold(threshold, now)
+            self._send(name, {"do": "shed", "level": threshold})
 
 
 def _describe_key(key: EjectionKey) -> str:
--- a/thymeflow/fleet/registry.py
+++ b/thymeflow/fleet/registry.py
@@ -70,7 +70,7 @@
     """
     try:
         if path.stat().st_size > MAX_TEMPLATE_BYTES:
-            text = f"{path}: holds over {MAX_TEMPLATE_BYTES} bytes"
+            text = f"{path}: larger than {MAX_TEMPLATE_BYTES} bytes"
             raise ConfigurationError(text)
         source = json.loads(path.read_text())
     except (OSError, ValueError) as error:
@@ -91,7 +91,7 @@
     fleet_size: int,
     allocation: Message | None = None,
 ) -> ConfigurationTemplate:
-    """Return one member's configuration; `allocation` is its initial share of the fleet's limits."""
+    """Return one member's configuration; `allocation` is its initial allocation of the fleet's limits."""
     configuration = copy.deepcopy(source)
     configuration.update(name=name, listen=listen, seed=secrets.token_hex(8))
     if allocation is not None:
--- a/thymeflow/fleet/restart_policy.py
+++ b/thymeflow/fleet/restart_policy.py
@@ -12,7 +12,7 @@
 
 
 class RestartPolicy:
-    """Delays before starts, drawn from the given random source."""
+    """Delays before starts, randomized by the given source."""
 
     def __init__(self, settings: Fleet, rng: random.Random) -> None:
         self._settings = settings
@@ -23,7 +23,7 @@
         return self._settings.spread * (position + self._rng.random()) / total
 
     def record_crash(self, member: Member, reason: str, now: float) -> int:
-        """Note a crash and return how many crashes lie within the crash window."""
+        """Record a crash and return how many crashes lie within the crash window."""
         member.last_crash_reason = reason
         member.crashed_at.append(now)
         while member.crashed_at and now - member.crashed_at[0] > self._settings.crash_window:
--- a/thymeflow/fleet/supervisor.py
+++ b/thymeflow/fleet/supervisor.py
@@ -164,7 +164,7 @@
         for name in self._leases.holders():
             if is_name_free(self._names.folder / f"{name}.lock"):
                 self._leases.on_death(name)  # the kernel has released the lock: its process has ended
-        # The count that was ordered last holds where members still run; a new start goes by the settings.
+        # Where members still run, the count that was ordered last applies; otherwise that of the settings.
         count = previous.count if previous is not None and has_adopted else self._fleet.instances
         self.decide(FleetStarted(count))
         self._notifier.notify(ready=1, mainpid=os.getpid(), status=f"{count} members")
@@ -238,7 +238,7 @@
         return self._controller.fleet_size
 
     def _reload(self) -> str:
-        """Read the settings and the platform's file again; return why they are invalid, and then change nothing."""
+        """Read the settings and the platform's file again; where they are invalid, return why and change nothing."""
         try:
             settings = self._options.read_settings()
             self._environment.read_template()
@@ -248,7 +248,7 @@
             return reason
         self._log.set_level(settings.log.level)
         self._processes.resize(self._controller.members, self._controller.fleet_size)
-        log.emit(LogKind.RELOAD, "passed on to every member")
+        log.emit(LogKind.RELOAD, "every member reads its configuration again")
         return ""
 
     def status(self) -> JsonObject:
--- a/thymeflow/leases/__init__.py
+++ b/thymeflow/leases/__init__.py
@@ -1,1 +1,1 @@
-"""Fleet-wide limits divided among limiters: base amounts and leases, issued anew as members come and go."""
+"""Fleet-wide limits divided among limiters: base amounts and leases, redistributed as members come and go."""
--- a/thymeflow/leases/grant_file.py
+++ b/thymeflow/leases/grant_file.py
@@ -49,7 +49,7 @@
     """The issuer that continues from a grant file, and why the file could not be used; empty where it could."""
 
     issuer: LeaseIssuer
-    fault: str
+    error: str
 
 
 def boot_id() -> str:
@@ -63,9 +63,9 @@
 def pack(issuer: LeaseIssuer, fleet: str) -> bytes:
     """Return the content of the file: a line with a digest, then the grants as JSON."""
     rows = {
-        holder: _Row(row.number, list(issuer.durable_amounts[holder]))
-        for holder, row in issuer.records.items()
-        if row.state is not HolderState.ABSENT and holder in issuer.durable_amounts
+        holder: _Row(record.number, list(issuer.durable_amounts[holder]))
+        for holder, record in issuer.records.items()
+        if record.state is not HolderState.ABSENT and holder in issuer.durable_amounts
     }
     body = msgspec.json.encode(_Table(VERSION, fleet, boot_id(), issuer.epoch, issuer.durable_until, rows))
     return _digest(body) + b"\n" + body
@@ -128,7 +128,7 @@
 def _read_bytes(path: Path) -> bytes:
     data = path.read_bytes()
     if len(data) > MAX_FILE_BYTES:
-        text = f"it holds over {MAX_FILE_BYTES} bytes"
+        text = f"it is larger than {MAX_FILE_BYTES} bytes"
         raise GrantFileError(text)
     return data
 
@@ -157,11 +157,11 @@
     amount_count = 2 * len(Resource)
     are_rows_valid = all(len(row.noted) == amount_count and min(row.noted) >= 0 for row in table.rows.values())
     if not isfinite(table.until) or table.era < 0 or not are_rows_valid:
-        text = "a row is not of its form"
+        text = "an entry has negative or missing amounts, or its time or epoch is invalid"
         raise GrantFileError(text)
     for index in range(amount_count):
         total = BASE_POINTS if index < len(Resource) else LEASED_POINTS
         granted = sum(row.noted[index] for row in table.rows.values())
         if granted > total:
-            text = f"its parts come to {granted} of {total}"
+            text = f"its amounts add up to {granted}, over the total of {total}"
             raise GrantFileError(text)
--- a/thymeflow/leases/holder_state.py
+++ b/thymeflow/leases/holder_state.py
@@ -20,7 +20,7 @@
 
 
 class HolderEvent(Enum):
-    """An event in the life cycle of a holder."""
+    """What may happen to a holder."""
 
     STARTING = "starting"  # a process is being started under its name
     REPORT = "speaks"  # a report arrived
--- a/thymeflow/leases/issuer.py
+++ b/thymeflow/leases/issuer.py
@@ -22,8 +22,8 @@
 LEASE_SECONDS = 4.0  # s: length of a lease; the longest that an unreachable holder uses its leased amounts
 RENEWAL_FRACTION = 0.5  # of a lease: it is renewed when so much is left
 COVERED_PERIOD_SECONDS = 8.0  # s: how far ahead the grant file covers leases, so that renewals need no write
-REPORT_TTL_SECONDS = 2.0  # s: how long a report is valid, four report intervals; without one nothing is leased anew
-MIN_CHANGE_FRACTION = 0.02  # of the leased points, divided by the holders: smaller changes are not worth a grant
+REPORT_TTL_SECONDS = 2.0  # s: how long a report is valid, four report intervals; without one nothing new is leased
+MIN_CHANGE_FRACTION = 0.02  # of the leased points, divided by the holders: smaller changes cause no grant
 
 HolderName = str
 
@@ -66,9 +66,9 @@
         return self.records.setdefault(holder, HolderRecord())
 
     def _move(self, holder: HolderName, event: HolderEvent) -> HolderRecord:
-        row = self.record_of(holder)
-        row.state = HOLDER_TRANSITIONS[row.state, event]
-        return row
+        record = self.record_of(holder)
+        record.state = HOLDER_TRANSITIONS[record.state, event]
+        return record
 
     # Events.
 
@@ -85,8 +85,8 @@
         self, holder: HolderName, number: int, amounts: tuple[int, ...], until: float, now: float
     ) -> None:
         """Count what an earlier issuer's grant file allows for as outstanding, whether or not it was sent."""
-        row = self._move(holder, HolderEvent.STARTING)
-        row.number = number
+        record = self._move(holder, HolderEvent.STARTING)
+        record.number = number
         self.durable_amounts[holder] = amounts
         for ledger, amount in zip(self.base, amounts[: len(Resource)], strict=True):
             ledger.grant(holder, number, amount, inf, now)
@@ -99,15 +99,15 @@
         The base amounts are an even share at most, as far as they are free. A lease is granted once the process
         reports.
         """
-        row = self._move(holder, HolderEvent.STARTING)
-        row.number += 1
+        record = self._move(holder, HolderEvent.STARTING)
+        record.number += 1
         even_amount = base_amount(max(self._fleet_size, self._present_count()))
         for index, ledger in enumerate(self.base):
             amount = min(even_amount, ledger.outstanding(holder, now) + ledger.free(now))
-            ledger.grant(holder, row.number, amount, inf, now)
-            row.base[index] = amount
-        row.clear_lease()
-        return self._allocation(row), self._write(now, [])
+            ledger.grant(holder, record.number, amount, inf, now)
+            record.base[index] = amount
+        record.clear_lease()
+        return self._allocation(record), self._write(now, [])
 
     def on_report(self, holder: HolderName, allocation: Allocation, demand: tuple[float, ...], now: float) -> None:
         """Handle a holder's report of the allocation that it has and of its demand by resource."""
@@ -115,18 +115,18 @@
         if allocation.epoch > self.epoch:
             self.epoch = allocation.epoch + 1  # a grant file was lost: new grants must be newer than those in use
         was_reporting = self.record_of(holder).is_reporting()
-        row = self._move(holder, HolderEvent.REPORT)
+        record = self._move(holder, HolderEvent.REPORT)
         if not was_reporting:
-            row.last_acknowledged_at = now
+            record.last_acknowledged_at = now
         if len(demand) == len(Resource):
-            row.demand = demand
-        row.reported = (allocation.epoch, allocation.number)
-        row.last_report_at = now
+            record.demand = demand
+        record.reported = (allocation.epoch, allocation.number)
+        record.last_report_at = now
         if not is_known:
             self._adopt_unknown(holder, allocation, now)
-        if allocation.epoch == self.epoch and allocation.number >= row.number > 0:
+        if allocation.epoch == self.epoch and allocation.number >= record.number > 0:
             self._move(holder, HolderEvent.ACK)
-            row.last_acknowledged_at = now
+            record.last_acknowledged_at = now
             for ledger in self._ledgers():
                 ledger.acknowledge(holder, allocation.number)
 
@@ -138,15 +138,15 @@
     def on_death(self, holder: HolderName) -> None:
         """Free all that a holder had, as its process is known to have ended."""
         if holder in self.records:
-            row = self._move(holder, HolderEvent.DEATH)
+            record = self._move(holder, HolderEvent.DEATH)
             for ledger in self._ledgers():
                 ledger.release(holder)
-            row.clear_amounts()
+            record.clear_amounts()
 
     def on_written(self, version: int) -> list[Send]:
         """Return the sends that waited for this version of the grant file, or an earlier one, to be durable."""
         versions = sorted(waiting for waiting in self._sends_by_version if waiting <= version)
-        return [send for written in versions for send in self._sends_by_version.pop(written)]
+        return [send for durable in versions for send in self._sends_by_version.pop(durable)]
 
     def on_write_failed(self, version: int) -> None:
         """Drop the sends that waited for this version, and send nothing more before another version is written."""
@@ -171,14 +171,14 @@
         return [self._write(now, sends)]
 
     def _mark_unresponsive(self, now: float) -> None:
-        for holder, row in self.records.items():
-            if row.is_reporting() and now - row.last_report_at > REPORT_TTL_SECONDS:
+        for holder, record in self.records.items():
+            if record.is_reporting() and now - record.last_report_at > REPORT_TTL_SECONDS:
                 self._move(holder, HolderEvent.UNRESPONSIVE)
 
     def _issue_grants(self, now: float) -> list[Send]:
-        reporting = {holder: row for holder, row in self.records.items() if row.is_reporting()}
+        reporting = {holder: record for holder, record in self.records.items() if record.is_reporting()}
         wanted = self._divide_leases(reporting, now)
-        changed = [holder for holder, row in reporting.items() if self._needs_grant(holder, row, wanted, now)]
+        changed = [holder for holder, record in reporting.items() if self._needs_grant(holder, record, wanted, now)]
 
         def increase(holder: HolderName) -> int:
             """Return by how much all leased amounts of a holder are to grow."""
@@ -196,51 +196,51 @@
         # amounts until it acknowledges a grant again.
         not_receiving = {
             holder: 0
-            for holder, row in reporting.items()
-            if row.state is HolderState.GRANT_PENDING and now - row.last_acknowledged_at > LEASE_SECONDS
+            for holder, record in reporting.items()
+            if record.state is HolderState.GRANT_PENDING and now - record.last_acknowledged_at > LEASE_SECONDS
         }
-        receiving = {holder: row for holder, row in reporting.items() if holder not in not_receiving}
+        receiving = {holder: record for holder, record in reporting.items() if holder not in not_receiving}
         return [
             not_receiving
-            | divide_by_demand(LEASED_POINTS, {holder: row.demand[index] for holder, row in receiving.items()})
+            | divide_by_demand(LEASED_POINTS, {holder: record.demand[index] for holder, record in receiving.items()})
             for index in range(len(Resource))
         ]
 
     def _needs_grant(
-        self, holder: HolderName, row: HolderRecord, wanted: list[dict[HolderName, int]], now: float
+        self, holder: HolderName, record: HolderRecord, wanted: list[dict[HolderName, int]], now: float
     ) -> bool:
-        expires_soon = row.lease_ends_at - now <= RENEWAL_FRACTION * LEASE_SECONDS
-        if row.state is HolderState.GRANT_PENDING and not expires_soon:
+        expires_soon = record.lease_ends_at - now <= RENEWAL_FRACTION * LEASE_SECONDS
+        if record.state is HolderState.GRANT_PENDING and not expires_soon:
             return False  # wait for its acknowledgement first
-        if expires_soon or row.reported != (self.epoch, row.number):
+        if expires_soon or record.reported != (self.epoch, record.number):
             return True
-        return any(self._is_change_worthwhile(index, row, wanted[index][holder], now) for index in _indexes())
+        return any(self._is_change_worthwhile(index, record, wanted[index][holder], now) for index in _indexes())
 
-    def _is_change_worthwhile(self, index: int, row: HolderRecord, wanted: int, now: float) -> bool:
+    def _is_change_worthwhile(self, index: int, record: HolderRecord, wanted: int, now: float) -> bool:
         """Return whether the amounts of one resource are to change by enough for a grant."""
-        change = wanted - row.lease[index]
+        change = wanted - record.lease[index]
         possible = self.leased[index].free(now) if change > 0 else -change
         if min(abs(change), possible) > MIN_CHANGE_FRACTION * LEASED_POINTS / max(1, len(self.records)):
             return True
         even_amount = base_amount(self._present_count())
-        if row.base[index] > even_amount:
+        if record.base[index] > even_amount:
             return True
-        return row.base[index] < even_amount and self.base[index].free(now) > 0
+        return record.base[index] < even_amount and self.base[index].free(now) > 0
 
-    def _grant(self, holder: HolderName, row: HolderRecord, wanted: list[int], now: float) -> Send:
+    def _grant(self, holder: HolderName, record: HolderRecord, wanted: list[int], now: float) -> Send:
         """Record a grant of the wanted leased amounts and even base amounts, as far as they are free."""
-        row.number += 1
-        row.lease_ends_at = now + LEASE_SECONDS
+        record.number += 1
+        record.lease_ends_at = now + LEASE_SECONDS
         even_amount = base_amount(self._present_count())
         for index in _indexes():
             base = self.base[index]
-            row.base[index] = min(even_amount, base.outstanding(holder, now) + base.free(now))
-            base.grant(holder, row.number, row.base[index], inf, now)
-            lent = self.leased[index]
-            row.lease[index] = min(wanted[index], lent.outstanding(holder, now) + lent.free(now))
-            lent.grant(holder, row.number, row.lease[index], row.lease_ends_at, now)
+            record.base[index] = min(even_amount, base.outstanding(holder, now) + base.free(now))
+            base.grant(holder, record.number, record.base[index], inf, now)
+            leased = self.leased[index]
+            record.lease[index] = min(wanted[index], leased.outstanding(holder, now) + leased.free(now))
+            leased.grant(holder, record.number, record.lease[index], record.lease_ends_at, now)
         self._move(holder, HolderEvent.GRANT)
-        return Send(holder, self._allocation(row))
+        return Send(holder, self._allocation(record))
 
     def _adopt_unknown(self, holder: HolderName, allocation: Allocation, now: float) -> None:
         """Count what an unknown holder reports as outstanding, as far as it is free.
@@ -278,14 +278,14 @@
     # Small helpers.
 
     def _present_count(self) -> int:
-        return sum(row.state is not HolderState.ABSENT for row in self.records.values())
+        return sum(record.state is not HolderState.ABSENT for record in self.records.values())
 
     def _ledgers(self) -> Iterator[Ledger]:
         yield from self.base
         yield from self.leased
 
-    def _allocation(self, row: HolderRecord) -> Allocation:
-        return Allocation(self.epoch, row.number, tuple(row.base), tuple(row.lease), row.lease_ends_at)
+    def _allocation(self, record: HolderRecord) -> Allocation:
+        return Allocation(self.epoch, record.number, tuple(record.base), tuple(record.lease), record.lease_ends_at)
 
 
 def _indexes() -> range:
--- a/thymeflow/leases/resources.py
+++ b/thymeflow/leases/resources.py
@@ -1,7 +1,7 @@
 """Resources that the fleet shares, and how the total of each is divided. Stateless arithmetic.
 
-All amounts are points of one total, which the callers convert to concurrent attempts, retries or calls. One division
-therefore serves whatever limits the settings give, and a change of settings needs no new division.
+All amounts are points of one total, which the callers convert to concurrent attempts, retries or calls. One
+distribution therefore serves all limits that the settings may give, and a change of settings needs no new one.
 """
 
 from __future__ import annotations
@@ -10,16 +10,14 @@
 from math import isnan
 
 TOTAL_POINTS = 1_000_000  # points: the total of each resource
-BASE_POINTS = (
-    600_000  # points for base amounts, which do not expire: all that unreachable holders keep; docs/design/budgets.md
-)
+BASE_POINTS = 600_000  # points for base amounts, which do not expire; docs/design/budgets.md
 LEASED_POINTS = TOTAL_POINTS - BASE_POINTS  # points for leases, which are divided by demand
 IDLE_DEMAND_FRACTION = 0.25  # of the mean demand: weight of a holder without demand, as it may need some at any moment
 MAX_DEMAND = 1e12  # larger figures count as this one, so that sums stay finite
 
 
 class Resource(Enum):
-    """A resource that is limited over the whole fleet; the values are used in messages and settings."""
+    """A resource that is limited for the fleet; the values are used in messages and settings."""
 
     CONCURRENCY = "places"  # attempts in flight: the capacity that is present, by the settings
     RETRIES = "attempts"  # retries that may execute a request twice, up to what may be saved up
--- a/thymeflow/outliers/coordinator.py
+++ b/thymeflow/outliers/coordinator.py
@@ -4,12 +4,12 @@
 responses. One member alone ejects nothing for the fleet, as it may be the one that is cut off; and no more than a
 fraction of all backends is ejected, as then the cause lies elsewhere. Of an ejected backend, only the member with the
 permit for the next half-open probe uses it, for a client's own request. After a probe that succeeded more and more
-members send requests again; a failure meanwhile ejects it anew.
+members send requests again; a failure meanwhile ejects it again.
 
 Where half of a zone's backends fail, the zone is ejected as one: no member need meet the other half, one probe anywhere
 in it counts for all of it, and all its backends share one recovery ramp.
 
-An ejection is a lease: a member that receives no more of them goes by its own evidence once it has expired. All times
+An ejection is a lease: once it has expired, a member that receives no more of them uses its own evidence. All times
 are in s on the machine's monotonic clock.
 """
 
@@ -41,11 +41,11 @@
     """The ejections of one fleet."""
 
     def __init__(self, probes_per_second: float) -> None:
-        """Limit the half-open probes of each ejection to so many per second over the whole fleet."""
+        """Limit the half-open probes of each ejection to so many per second over the fleet."""
         self.probe_interval = 1.0 / probes_per_second  # s
         self.reports: dict[str, MemberReport] = {}
         self.ejections: dict[EjectionKey, EjectionRecord] = {}
-        self.invalid_reports = 0  # parts of reports that contradict each other, and reports that cannot be parsed
+        self.invalid_reports = 0  # contradictory entries of reports, and malformed reports
         self.backend_count = 0  # by the endpoint list that most members have
         self.zones: dict[str, frozenset[int]] = {}  # backends by zone, by the same list
         self._lists: dict[str, tuple[int, ZoneRows]] = {}  # number of backends and zones by member
@@ -163,11 +163,11 @@
     def tick(self, now: float) -> list[EjectionKey]:
         """Decide by the reports that are valid now; return the keys that were ejected by it."""
         self._ignored_until = {key: until for key, until in self._ignored_until.items() if until > now}
-        opened = self._eject_outliers(now)
+        ejected_keys = self._eject_outliers(now)
         for key, record in list(self.ejections.items()):
             if now >= record.next_step_at:
                 self._advance(key, record, now)
-        return opened
+        return ejected_keys
 
     def is_covered_by_zone(self, key: EjectionKey) -> bool:
         """Return whether a zone's ejection includes a backend; its failures are looked at once the zone is back."""
@@ -187,7 +187,7 @@
         return Ejection(key, record.number, permit, is_recovered or is_admitted, is_recovered, ends_at)
 
     def _eject_outliers(self, now: float) -> list[EjectionKey]:
-        opened: list[EjectionKey] = []
+        ejected_keys: list[EjectionKey] = []
         votes = count_votes(self.reports, now)
         zone_votes = count_zone_votes(votes, self.zones)
         # Zones come first, as they include backends.
@@ -195,8 +195,8 @@
         for key, key_votes in candidates:
             if self._may_be_ejected(key) and key_votes.is_quorum() and self._is_within_limit(key):
                 self._eject(key, key_votes, now)
-                opened.append(key)
-        return opened
+                ejected_keys.append(key)
+        return ejected_keys
 
     def _may_be_ejected(self, key: EjectionKey) -> bool:
         return (
--- a/thymeflow/outliers/ejection.py
+++ b/thymeflow/outliers/ejection.py
@@ -32,7 +32,7 @@
 
 
 class EjectionEvent(Enum):
-    """An event in the life cycle of an ejection."""
+    """What may happen to an ejection."""
 
     SUCCESS = "success"  # a probe succeeded
     FAILURE = "failure"  # a probe failed, or a member ejected it again while it recovers
@@ -56,7 +56,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Ejection:
-    """What one member is to do about an ejected backend, class or zone until `end`."""
+    """What one member is to do about an ejected backend, class or zone until `ends_at`."""
 
     key: EjectionKey
     number: int  # of the ejection; grows
--- a/thymeflow/outliers/member.py
+++ b/thymeflow/outliers/member.py
@@ -90,7 +90,7 @@
 
     def report(self, now: float) -> dict[str, object]:
         """Return the report of this member in its message form."""
-        # The keys are part of the protocol between members and the coordinator's process.
+        # The keys belong to the protocol between members and the coordinator's process.
         return {
             "against": self._ejecting_rows(now)[:MAX_ROWS],
             "good": self._responding_rows(now)[:MAX_ROWS],
@@ -121,8 +121,8 @@
             EjectionKey(backend.endpoint.id, ""),
             EjectionKey(backend.endpoint.id, class_name),
         )
-        found = [self._active[key] for key in keys if key in self._active]
-        return [active for active in found if now < active.expires_at]
+        candidates = [self._active[key] for key in keys if key in self._active]
+        return [active for active in candidates if now < active.expires_at]
 
     def _is_probe_available(self, active: ActiveEjection) -> bool:
         """Return whether there is a permit that is not used; any request sent there since it arrived uses it."""
@@ -133,9 +133,9 @@
     def _backend_to_probe(self, ready: list[BackendStats], class_name: str, now: float) -> BackendStats | None:
         """Return a backend which the next request of a class is to probe.
 
-        The whole fleet waits for this probe, and with 24 members each meets a class at a backend seldom, so the next
-        request that may be retried anywhere makes it. One with an idempotency key may have to stay in its group for a
-        retry, which a probe would prevent; and a backend in slow start is selected by other rules.
+        All members wait for this probe, and in a large fleet each sends a class to a backend seldom, so the next
+        request that may be retried at any backend is the probe. One with an idempotency key may have to stay in its
+        group for a retry, which a probe would prevent; and a backend in slow start is selected by other rules.
         """
         request_class = self._gateway.classes.get(class_name)
         if request_class is None or request_class.idempotency is not Idempotency.IDEMPOTENT:
@@ -148,10 +148,10 @@
         return None
 
     def _is_eligible(self, backend: BackendStats, class_name: str, is_healthy: bool, now: float) -> bool:
-        found = self._ejections_of(backend, class_name, now)
-        if not found:
+        ejections = self._ejections_of(backend, class_name, now)
+        if not ejections:
             return is_healthy
-        return all(active.ejection.is_admitted or self._is_probe_available(active) for active in found)
+        return all(active.ejection.is_admitted or self._is_probe_available(active) for active in ejections)
 
     # Reports.
 
--- a/thymeflow/outliers/quorum.py
+++ b/thymeflow/outliers/quorum.py
@@ -61,18 +61,18 @@
 def count_zone_votes(votes: VotesByKey, zones: dict[str, frozenset[int]]) -> VotesByKey:
     """Return the votes on each zone that has failed, in the order of their names.
 
-    A single zone never fails as a whole, as there is no other one to send requests to.
+    A single zone is never ejected, as there is no other one to send requests to.
     """
-    found: VotesByKey = {}
+    zone_votes: VotesByKey = {}
     if len(zones) <= 1:
-        return found
+        return zone_votes
     for zone, backends in sorted(zones.items()):
         keys = [EjectionKey(backend, "") for backend in backends]
         failed = [votes[key] for key in keys if key in votes and votes[key].is_majority()]
         if is_zone_failed(len(failed), len(backends)):
             members = {member for backend_votes in failed for member in backend_votes.ejecting}
-            found[EjectionKey(ZONE, zone)] = Votes(sorted(members))
-    return found
+            zone_votes[EjectionKey(ZONE, zone)] = Votes(sorted(members))
+    return zone_votes
 
 
 def is_zone_failed(failed_count: int, backend_count: int) -> bool:
--- a/thymeflow/shedding/load_shedder.py
+++ b/thymeflow/shedding/load_shedder.py
@@ -1,4 +1,4 @@
-"""A member's side of load shedding: by the fleet's threshold while it is valid, else by the member's own pressure."""
+"""A member's side of load shedding: by the fleet's threshold while that is valid, else by the member's own pressure."""
 
 from __future__ import annotations
 
@@ -44,7 +44,7 @@
     def limit_retries(self) -> None:
         """Let the gateway save up fewer retries the more is shed, as little is admitted then, and retries add to it.
 
-        The one retry that every gateway may save up is part of its share here, or the sum would grow with the fleet.
+        The one retry that every gateway may save up counts towards its fraction, or the sum would grow with the fleet.
         """
         unlimited_fraction_of = self._gateway.fraction_of
 
--- a/thymeflow/shedding/priority.py
+++ b/thymeflow/shedding/priority.py
@@ -9,8 +9,8 @@
 
 from thymeflow.decision.settings import GatewaySettings, Plan, RequestClass
 
-ROTATION_SECONDS = 10.0  # after which other customers of the same priority weight come first
-ROTATION_PHASES = 1000  # customers change their places at so many different moments of a rotation
+ROTATION_SECONDS = 10.0  # after which the order of customers of the same priority weight changes
+ROTATION_PHASES = 1000  # customers change their ranks at so many different moments of a rotation
 HASH_BYTES = 4
 HASH_RANGE = 1 << 8 * HASH_BYTES
 
@@ -29,7 +29,7 @@
         band_count = max(1, len(self._weights))
         weight_index = bisect_left(self._weights, request_class.priority_weight * plan.price)
         band = min(band_count - 1, weight_index)
-        phase = customer % ROTATION_PHASES / float(ROTATION_PHASES)  # not all customers change places at once
+        phase = customer % ROTATION_PHASES / float(ROTATION_PHASES)  # not all customers change their ranks at once
         rotation = floor(moment / ROTATION_SECONDS + phase)
         digest = hashlib.blake2b(struct.pack("<QQ", customer, rotation), digest_size=HASH_BYTES).digest()
         rank_in_band = int.from_bytes(digest, "little") / HASH_RANGE
--- a/thymeflow/shedding/threshold.py
+++ b/thymeflow/shedding/threshold.py
@@ -1,8 +1,8 @@
-"""The admission threshold of the whole fleet: how much it sheds, as one figure. Events in, a threshold out; no I/O.
+"""The admission threshold of the fleet: how much it sheds, as one figure. Events in, a threshold out; no I/O.
 
-Each member reports how much pressure the back end shows it: the mean latency over the latency objective, 0 to 1. The
-fleet goes by the median of the valid reports, so that neither a member that is cut off, and sees only timeouts, nor one
-that reports wrong figures moves it. The threshold rises while the median is over `pressure.PRESSURE_THRESHOLD` and
+Each member reports how much pressure it observes at the backends: the mean latency over the latency objective, 0 to 1.
+The fleet uses the median of the valid reports, so that neither a member that is cut off, and sees only timeouts, nor
+one that reports wrong figures moves it. The threshold rises while the median is over `pressure.PRESSURE_THRESHOLD` and
 falls while it is under it, in small steps.
 
 All members rank requests in the same way (`PriorityOrder`) and shed those that rank under the threshold. Customers over
@@ -21,9 +21,9 @@
 from thymeflow.shedding.priority import PriorityOrder as PriorityOrder
 
 REPORT_TTL_SECONDS = 2.0  # how long a report is valid: four report intervals
-TICK_INTERVAL_SECONDS = 0.25  # between steps: GAIN, MAX_RISE and MAX_FALL are chosen for it
-# Of the threshold, per step, for each latency objective over the goal. Responses tell of requests that were admitted
-# one objective ago, so a step shows its effect after 1 to 2 s, 4 to 8 steps: with more than 1 / 8 per step it swings.
+TICK_INTERVAL_SECONDS = 0.25  # between steps; GAIN, MAX_RISE and MAX_FALL depend on it
+# Of the threshold, per step, for each latency objective over the goal. Responses are those of requests that were
+# admitted one objective ago, so a step shows its effect after 1 to 2 s, 4 to 8 steps: more than 1 / 8 would oscillate.
 GAIN = 0.1
 MAX_RISE = 0.06  # of the threshold, per step: all but the first in rank are shed within 4 s of an overload
 MAX_FALL = 0.02  # per step: the way back takes up to 12 s, and stays behind what backends in slow start can bear
