--- /dev/null
+++ b/tests/fleet/controller_model.py
@@ -0,0 +1,106 @@
+"""A fleet controller with a model of the processes that it starts, in virtual time."""
+
+from __future__ import annotations
+
+import random
+
+from thymeflow.fleet import actions, events
+from thymeflow.fleet.controller import FleetController
+from thymeflow.fleet.events import OperationKind
+from thymeflow.fleet.member_state import MemberState
+from thymeflow.settings.sections import Fleet
+
+SETTINGS = Fleet(
+    instances=3, spread=1.0, ready=5.0, settle=0.5, stop=4.0, wait=0.5, longest_wait=8.0, crashes=3, crash_window=30.0
+)
+
+
+class FleetModel:
+    """A controller, and the processes that it has started."""
+
+    def __init__(self, count: int = 3, start: bool = True) -> None:
+        self.controller = FleetController(SETTINGS, random.Random(1))
+        self.now = 100.0
+        self.alive: dict[int, actions.StartProcess] = {}
+        self.stopping: set[int] = set()
+        self.actions: list[actions.Action] = []
+        self.size = 0
+        self.operations = 0
+        if start:
+            self.handle(events.FleetStarted(count))
+            self.run_until_settled()
+
+    def handle(self, event: events.Event) -> list[actions.Action]:
+        """Handle an event, and keep track of the processes that the actions start and stop."""
+        decided = self.controller.handle(self.now, event)
+        for action in decided:
+            if isinstance(action, actions.StartProcess):
+                self.alive[action.run_id] = action
+            elif isinstance(action, actions.StopProcess | actions.KillProcess) and action.run_id in self.alive:
+                self.stopping.add(action.run_id)
+            elif isinstance(action, actions.ResizeFleet):
+                self.size = action.size
+        self.actions += decided
+        return decided
+
+    def report_status(self, run_id: int, healthy: bool = True) -> None:
+        """Report a run as serving."""
+        self.handle(events.StatusReported(run_id, f"incarnation{run_id}", True, healthy))
+
+    def end(self, run_id: int, reason: str = "ended with code 0") -> None:
+        """End a run."""
+        self.alive.pop(run_id)
+        self.stopping.discard(run_id)
+        self.handle(events.RunEnded(run_id, reason))
+
+    def advance(self, seconds: float) -> None:
+        """Let time pass, with a tick at each deadline of the controller."""
+        end = self.now + seconds
+        ticks = 0
+        while (due := self.controller.next_deadline()) <= end:
+            self.now = max(self.now, due)
+            self.handle(events.Tick())
+            ticks += 1
+            assert ticks < 200 or self.controller.next_deadline() > self.now, f"it spins: {self.controller.members}"
+        self.now = end
+        self.handle(events.Tick())
+
+    def run_until_settled(self, rounds: int = 60) -> None:
+        """Let every stop and every start succeed."""
+        for _ in range(rounds):
+            for run in list(self.stopping):
+                if run in self.alive:
+                    self.end(run)
+            for run, start in list(self.alive.items()):
+                member = self.controller.members.get(start.number)
+                if member and run in (member.run_id, member.successor_run_id):
+                    if start.is_replacement and member.successor_run_id == run and member.run_id in self.alive:
+                        old = member.run_id
+                        self.report_status(run)
+                        self.stopping.add(old)
+                    else:
+                        self.report_status(run)
+            self.advance(0.3)
+
+    def states(self) -> dict[int, MemberState]:
+        """Return the members' states by number."""
+        return {n: m.state for n, m in self.controller.members.items()}
+
+    def begin(self, kind: OperationKind, count: int = 0) -> int:
+        """Begin an operation and return its id."""
+        self.operations += 1
+        self.handle(events.Operation(self.operations, kind, count))
+        return self.operations
+
+    def last_report(self, operation_id: int) -> actions.ReportProgress:
+        """Return the one final report of an operation."""
+        (report,) = [
+            a
+            for a in self.actions
+            if isinstance(a, actions.ReportProgress) and a.operation_id == operation_id and a.is_done
+        ]
+        return report
+
+    def serving(self) -> int:
+        """Return how many members serve."""
+        return sum(m.state in (MemberState.READY, MemberState.REPLACING) for m in self.controller.members.values())
--- a/tests/fleet/support.py
+++ b/tests/fleet/support.py
@@ -15,12 +15,14 @@
 from tests.limiter import PATIENCE, ROOT, Limiter, command
 
 INI = "[fleet]\ninstances = 3\nspread = 100ms\nsettle = 100ms\nwait = 100ms\nready = 10s\n[log]\nfile = {0}/log\n"
+Message = dict[str, Any]  # a JSON object of the control socket
+
 POLL_SECONDS = 0.05  # between looks at a status that is to change
 LOG_TAIL_CHARACTERS = 3000
 
 
-class FleetOf:
-    """A supervisor with three members, over the fake servers of a limiter that the test keeps beside it."""
+class RunningFleet:
+    """A supervisor with three members, which use the platform configuration of a limiter that the test has started."""
 
     def __init__(self, folder: Path, limiter: Limiter) -> None:
         self.state = limiter.state
@@ -40,7 +42,7 @@
             stderr=subprocess.PIPE,
         )
 
-    def ask(self, **message: object) -> dict[str, Any]:
+    def request(self, **message: object) -> Message:
         """Send a request to the control socket and return its last answer.
 
         :raises ConnectionError: the connection ended without one; the text is the end of the log.
@@ -50,19 +52,19 @@
             connection.connect(str(self.state / "fleet.sock"))
             connection.sendall(json.dumps(message).encode() + b"\n")
             for text in connection.makefile():
-                answer: dict[str, Any] = json.loads(text)
+                answer: Message = json.loads(text)
                 if "ok" in answer:
                     return answer
         raise ConnectionError((self.ini.parent / "log").read_text()[-LOG_TAIL_CHARACTERS:])
 
-    def status(self) -> dict[str, Any]:
+    def status(self) -> Message:
         """Return the fleet's status, empty while no supervisor answers."""
         try:
-            return self.ask(do="status")
+            return self.request(do="status")
         except (OSError, ValueError):
             return {}
 
-    def ready(self, count: int) -> dict[str, Any]:
+    def ready(self, count: int) -> Message:
         """Wait until so many members are wanted and ready and no operation is in progress; return the status."""
         deadline = time.monotonic() + PATIENCE
         while (status := self.status()).get("ready") != count or status["wanted"] != count or status["working"]:
@@ -75,7 +77,7 @@
         """Return the pids of the members."""
         return [member["pid"] for member in self.status()["members"]]
 
-    def __enter__(self) -> FleetOf:
+    def __enter__(self) -> RunningFleet:
         return self
 
     def __exit__(self, *_: object) -> None:
@@ -91,7 +93,7 @@
         return [psutil.Process(pid) for pid in pids if psutil.pid_exists(pid)]
 
 
-def is_serving(member: dict[str, Any]) -> bool:
+def is_serving(member: Message) -> bool:
     """Return whether a member answers a PING at its address."""
     host, _, port = member["listen"].rpartition(":")
     with socket.create_connection((host, int(port)), PATIENCE) as client:
--- a/tests/fleet/test_supervisor.py
+++ b/tests/fleet/test_supervisor.py
@@ -10,13 +10,13 @@
 
 import psutil
 
-from tests.fleet.support import FleetOf, cli, is_serving
+from tests.fleet.support import RunningFleet, cli, is_serving
 from tests.limiter import PATIENCE, ROOT, Limiter
 
 
 def test_new_supervisor_adopts_members_when_the_last_was_killed_during_a_roll(tmp_path: Path) -> None:
     """Members serve without a supervisor, and keep their addresses under the next one."""
-    with Limiter(tmp_path) as limiter, FleetOf(tmp_path, limiter) as fleet:
+    with Limiter(tmp_path) as limiter, RunningFleet(tmp_path, limiter) as fleet:
         first = fleet.ready(3)
         rolling = subprocess.Popen(
             [sys.executable, "-m", "thymeflow", "fleet", "upgrade", "--state", str(fleet.state)],
@@ -37,53 +37,53 @@
         assert "upgrade, 1 of 3 done, when the last supervisor ended" in (tmp_path / "log").read_text()
         # A handover that the last supervisor began may still be in progress, and its member rejects another.
         deadline = time.monotonic() + PATIENCE
-        while not fleet.ask(do="upgrade")["ok"]:
+        while not fleet.request(do="upgrade")["ok"]:
             assert time.monotonic() < deadline
         assert all(is_serving(m) for m in fleet.ready(3)["members"])
 
 
 def test_killed_member_restarts_at_its_address_and_scaling_works(tmp_path: Path) -> None:
     """No connection is rejected while a member restarts; members learn of a new size."""
-    with Limiter(tmp_path) as limiter, FleetOf(tmp_path, limiter) as fleet:
+    with Limiter(tmp_path) as limiter, RunningFleet(tmp_path, limiter) as fleet:
         before = fleet.ready(3)
         victim = psutil.Process(before["members"][1]["pid"])
         victim.kill()
         assert not psutil.wait_procs([victim], PATIENCE)[1]
         assert is_serving(before["members"][1])  # the connection waited in the queue of the supervisor's socket
         fleet.ready(3)
-        assert fleet.ask(do="scale", count=4)["ok"]
+        assert fleet.request(do="scale", count=4)["ok"]
         deadline = time.monotonic() + PATIENCE  # members reload by signal and report it a moment later
         while {m["told"].get("gateways") for m in fleet.ready(4)["members"]} != {4}:
             assert time.monotonic() < deadline
-        assert fleet.ask(do="scale", count=2)["ok"]
+        assert fleet.request(do="scale", count=2)["ok"]
         assert len(fleet.ready(2)["members"]) == 2
-        answer = fleet.ask(do="scale", count="many")
+        answer = fleet.request(do="scale", count="many")
         assert not answer["ok"]
         assert "no whole number" in answer["why"]
-        assert fleet.ask(do="down")["ok"]
+        assert fleet.request(do="down")["ok"]
         assert fleet.process.wait(PATIENCE) == 0
 
 
 def test_upgrade_stops_and_every_member_serves_on_when_the_program_fails(tmp_path: Path) -> None:
     """An upgrade to a program that fails changes no process."""
-    with Limiter(tmp_path) as limiter, FleetOf(tmp_path, limiter) as fleet:
+    with Limiter(tmp_path) as limiter, RunningFleet(tmp_path, limiter) as fleet:
         fleet.ready(3)
         pids = fleet.pids()
         for program, why in (("/bin/false", "ended with code 1"), ("/no/such/program", "could not be started")):
-            answer = fleet.ask(do="upgrade", program=program)
+            answer = fleet.request(do="upgrade", program=program)
             assert not answer["ok"]
             assert why in answer["why"]
             assert "not touched: 1, 2" in answer["why"]
         status = fleet.ready(3)
         assert fleet.pids() == pids
         assert all(is_serving(m) for m in status["members"])
-        assert fleet.ask(do="upgrade")["ok"]  # uses the program that worked before
+        assert fleet.request(do="upgrade")["ok"]  # uses the program that worked before
         assert fleet.pids() != pids
 
 
 def test_second_supervisor_and_invalid_configuration_are_rejected(tmp_path: Path) -> None:
     """A fleet has one supervisor, and a bad reload changes nothing."""
-    with Limiter(tmp_path) as limiter, FleetOf(tmp_path, limiter) as fleet:
+    with Limiter(tmp_path) as limiter, RunningFleet(tmp_path, limiter) as fleet:
         fleet.ready(3)
         second = fleet.up()
         _, text = second.communicate(timeout=PATIENCE)
@@ -91,11 +91,11 @@
         assert "another supervisor runs" in text
         good = limiter.path.read_text()
         limiter.path.write_text("{")
-        answer = fleet.ask(do="reload")
+        answer = fleet.request(do="reload")
         assert not answer["ok"]
         assert "the old settings stay" in answer["why"]
         limiter.path.write_text(good)
-        assert fleet.ask(do="reload")["ok"]
+        assert fleet.request(do="reload")["ok"]
         table = cli("fleet", "status", "--state", str(fleet.state)).stdout
         assert "3 of 3 members are ready" in table
         assert "n2" in table
--- a/tests/leases/test_lease_fleet.py
+++ b/tests/leases/test_lease_fleet.py
@@ -14,140 +14,147 @@
 import psutil
 import pytest
 
-from tests.fleet.support import FleetOf, cli
+from tests.fleet.support import RunningFleet, cli
 from tests.leases.support import ControlSocketProxy, reported_allocation, wait_until
 from tests.limiter import PATIENCE, ROOT, Limiter
 from thymeflow.leases.resources import BASE_POINTS, LEASED_POINTS, TOTAL_POINTS
 
 
 def test_survivors_share_all_and_a_returning_member_is_granted_again_when_members_stop_or_die(tmp_path: Path) -> None:
-    with Limiter(tmp_path) as limiter, FleetOf(tmp_path, limiter) as fleet:
-        wait_until(fleet, lambda parts: len(parts) == 3 and sum(parts.values()) > 0.95)
+    with Limiter(tmp_path) as limiter, RunningFleet(tmp_path, limiter) as fleet:
+        wait_until(fleet, lambda amounts: len(amounts) == 3 and sum(amounts.values()) > 0.95)
         stopped = psutil.Process(fleet.ready(3)["members"][0]["pid"])
-        stopped.send_signal(signal.SIGSTOP)  # its lease ends, its base stays its own
-        wait_until(fleet, lambda parts: parts["n1"] + parts["n2"] > 0.75)
+        stopped.send_signal(signal.SIGSTOP)  # its lease expires, its base amount remains
+        wait_until(fleet, lambda amounts: amounts["n1"] + amounts["n2"] > 0.75)
         stopped.send_signal(signal.SIGCONT)
-        wait_until(fleet, lambda parts: min(parts.values()) > 0.2)
+        wait_until(fleet, lambda amounts: min(amounts.values()) > 0.2)
         for member in fleet.ready(3)["members"][1:]:
             psutil.Process(member["pid"]).kill()
-        wait_until(fleet, lambda parts: parts["n0"] > 0.9 or min(parts.values()) > 0.2)
-        wait_until(fleet, lambda parts: len(parts) == 3 and min(parts.values()) > 0.2)
-        told = cli("budgets", "--state", str(fleet.state))
-        assert told.returncode == 0 and "places: base" in told.stdout and "n2" in told.stdout
+        wait_until(fleet, lambda amounts: amounts["n0"] > 0.9 or min(amounts.values()) > 0.2)
+        wait_until(fleet, lambda amounts: len(amounts) == 3 and min(amounts.values()) > 0.2)
+        budgets = cli("budgets", "--state", str(fleet.state))
+        assert budgets.returncode == 0 and "places: base" in budgets.stdout and "n2" in budgets.stdout
 
 
 def test_bases_stay_and_the_next_supervisor_divides_when_a_supervisor_is_killed(tmp_path: Path) -> None:
-    with Limiter(tmp_path) as limiter, FleetOf(tmp_path, limiter) as fleet:
-        wait_until(fleet, lambda parts: len(parts) == 3 and sum(parts.values()) > 0.95)
-        era = fleet.ask(do="budgets")["era"]
+    with Limiter(tmp_path) as limiter, RunningFleet(tmp_path, limiter) as fleet:
+        wait_until(fleet, lambda amounts: len(amounts) == 3 and sum(amounts.values()) > 0.95)
+        epoch = fleet.request(do="budgets")["era"]
         fleet.process.kill()
         fleet.process.communicate()
         fleet.process = fleet.up()
         fleet.ready(3)
-        assert fleet.ask(do="budgets")["era"] == era + 1
-        wait_until(fleet, lambda parts: len(parts) == 3 and sum(parts.values()) > 0.95)
-        assert fleet.ask(do="upgrade")["ok"]  # each part is handed on, and never doubled
-        wait_until(fleet, lambda parts: len(parts) == 3 and sum(parts.values()) > 0.95)
-        assert fleet.ask(do="scale", count=5)["ok"]
-        wait_until(fleet, lambda parts: len(parts) == 5 and sum(parts.values()) > 0.95 and min(parts.values()) > 0.1)
-        assert fleet.ask(do="scale", count=2)["ok"]
-        wait_until(fleet, lambda parts: len(parts) == 2 and sum(parts.values()) > 0.95)
+        assert fleet.request(do="budgets")["era"] == epoch + 1
+        wait_until(fleet, lambda amounts: len(amounts) == 3 and sum(amounts.values()) > 0.95)
+        assert fleet.request(do="upgrade")["ok"]  # each allocation is handed over, and never used twice
+        wait_until(fleet, lambda amounts: len(amounts) == 3 and sum(amounts.values()) > 0.95)
+        assert fleet.request(do="scale", count=5)["ok"]
+        wait_until(
+            fleet, lambda amounts: len(amounts) == 5 and sum(amounts.values()) > 0.95 and min(amounts.values()) > 0.1
+        )
+        assert fleet.request(do="scale", count=2)["ok"]
+        wait_until(fleet, lambda amounts: len(amounts) == 2 and sum(amounts.values()) > 0.95)
 
 
 def test_nothing_is_granted_before_all_leases_expired_when_the_grant_file_is_lost(tmp_path: Path) -> None:
-    with Limiter(tmp_path) as limiter, FleetOf(tmp_path, limiter) as fleet:
-        wait_until(fleet, lambda parts: len(parts) == 3 and sum(parts.values()) > 0.95)
+    with Limiter(tmp_path) as limiter, RunningFleet(tmp_path, limiter) as fleet:
+        wait_until(fleet, lambda amounts: len(amounts) == 3 and sum(amounts.values()) > 0.95)
         fleet.process.kill()
         fleet.process.communicate()
         (fleet.state / "fleet.grants").write_bytes(b"half")
         fleet.process = fleet.up()
         fleet.ready(3)
         assert "the previous grant file is not used" in (tmp_path / "log").read_text()
-        wait_until(fleet, lambda parts: 0.3 < sum(parts.values()) <= LEASED_POINTS / TOTAL_POINTS, kept=False)
         wait_until(
-            fleet, lambda parts: 0.3 < sum(parts.values()) <= LEASED_POINTS / TOTAL_POINTS
-        )  # and there is a table again
+            fleet, lambda amounts: 0.3 < sum(amounts.values()) <= LEASED_POINTS / TOTAL_POINTS, has_grant_file=False
+        )
+        wait_until(
+            fleet, lambda amounts: 0.3 < sum(amounts.values()) <= LEASED_POINTS / TOTAL_POINTS
+        )  # and there is a grant file again
 
 
-def test_only_the_lease_is_lost_when_messages_of_one_direction_are_held_back(tmp_path: Path) -> None:
-    with Limiter(tmp_path) as limiter, FleetOf(tmp_path, limiter) as fleet:
-        wait_until(fleet, lambda parts: len(parts) == 3 and sum(parts.values()) > 0.95)
+def test_only_the_lease_is_lost_when_messages_of_one_direction_are_delayed(tmp_path: Path) -> None:
+    with Limiter(tmp_path) as limiter, RunningFleet(tmp_path, limiter) as fleet:
+        wait_until(fleet, lambda amounts: len(amounts) == 3 and sum(amounts.values()) > 0.95)
         with ControlSocketProxy(fleet.state, "n0") as proxy:
             fleet.process.kill()
             fleet.process.communicate()
-            fleet.process = fleet.up()  # it speaks to n0 through the relay
+            fleet.process = fleet.up()  # it connects to n0 through the proxy
             fleet.ready(3)
-            wait_until(fleet, lambda parts: len(parts) == 3 and min(parts.values()) > 0.2)
-            for way in ("up", "down"):  # not heard; then it hears nothing
-                proxy.silent.add(way)
-                wait_until(fleet, lambda parts: parts["n1"] + parts["n2"] > 0.75)
-                word = reported_allocation(fleet, 0, proxy.real)
-                assert 0 < word["in_force"]["places"] <= word["base"][0], word
-                proxy.silent.clear()  # what was kept back comes now, late
-                wait_until(fleet, lambda parts: len(parts) == 3 and min(parts.values()) > 0.2)
+            wait_until(fleet, lambda amounts: len(amounts) == 3 and min(amounts.values()) > 0.2)
+            for direction in ("up", "down"):
+                proxy.delayed.add(direction)
+                wait_until(fleet, lambda amounts: amounts["n1"] + amounts["n2"] > 0.75)
+                report = reported_allocation(fleet, 0, proxy.real)
+                assert 0 < report["in_force"]["places"] <= report["base"][0], report
+                proxy.delayed.clear()  # the delayed messages arrive now
+                wait_until(fleet, lambda amounts: len(amounts) == 3 and min(amounts.values()) > 0.2)
 
 
 def test_members_keep_their_bases_when_the_supervisor_is_stopped_and_continues(
     tmp_path: Path,
 ) -> None:
-    with Limiter(tmp_path) as limiter, FleetOf(tmp_path, limiter) as fleet:
-        wait_until(fleet, lambda parts: len(parts) == 3 and sum(parts.values()) > 0.95)
+    with Limiter(tmp_path) as limiter, RunningFleet(tmp_path, limiter) as fleet:
+        wait_until(fleet, lambda amounts: len(amounts) == 3 and sum(amounts.values()) > 0.95)
         fleet.process.send_signal(signal.SIGSTOP)
         end = time.monotonic() + PATIENCE
-        while any((word := reported_allocation(fleet, n))["in_force"]["places"] > word["base"][0] for n in range(3)):
+        while any(
+            (report := reported_allocation(fleet, number))["in_force"]["places"] > report["base"][0]
+            for number in range(3)
+        ):
             assert time.monotonic() < end
             time.sleep(0.05)
         assert all(0 < reported_allocation(fleet, n)["in_force"]["places"] <= BASE_POINTS for n in range(3))
         fleet.process.send_signal(signal.SIGCONT)
-        wait_until(fleet, lambda parts: len(parts) == 3 and sum(parts.values()) > 0.95)
+        wait_until(fleet, lambda amounts: len(amounts) == 3 and sum(amounts.values()) > 0.95)
 
 
 def test_allocation_stays_when_a_grant_is_old_or_malformed(tmp_path: Path) -> None:
-    with Limiter(tmp_path) as limiter, FleetOf(tmp_path, limiter) as fleet:
-        wait_until(fleet, lambda parts: len(parts) == 3 and sum(parts.values()) > 0.95)
-        for part in (
+    with Limiter(tmp_path) as limiter, RunningFleet(tmp_path, limiter) as fleet:
+        wait_until(fleet, lambda amounts: len(amounts) == 3 and sum(amounts.values()) > 0.95)
+        for allocation in (
             {"era": 0, "number": 1, "base": [TOTAL_POINTS] * 2, "lease": [0, 0], "end": 0.0},
             {"era": 9, "number": 1, "base": [TOTAL_POINTS * 2] * 2, "lease": [0, 0], "end": 0.0},
             "all",
         ):
-            with socket.socket(socket.AF_UNIX) as line:
-                line.connect(str(fleet.state / "n0.sock"))
-                line.sendall(json.dumps({"do": "part", "part": part}).encode() + b"\n")
-                line.sendall(b'{"do":"status"}\n')
-                line.settimeout(PATIENCE)
-                word = json.loads(line.makefile().readline())["part"]
-                assert word["in_force"]["places"] < 0.9 * TOTAL_POINTS and word["era"] == 1, word
+            with socket.socket(socket.AF_UNIX) as connection:
+                connection.connect(str(fleet.state / "n0.sock"))
+                connection.sendall(json.dumps({"do": "part", "part": allocation}).encode() + b"\n")
+                connection.sendall(b'{"do":"status"}\n')
+                connection.settimeout(PATIENCE)
+                report = json.loads(connection.makefile().readline())["part"]
+                assert report["in_force"]["places"] < 0.9 * TOTAL_POINTS and report["era"] == 1, report
 
 
-# A supervisor that kills itself at a step: the count is of that step, over its life.
+# A supervisor that kills itself when it has come to a step for the given time.
 DYING_SUPERVISOR = """
 import os, signal, sys
 from thymeflow.fleet.lease_distributor import LeaseDistributor
 from thymeflow.leases import grant_file
 step, count = {step!r}, [0]
 
-def at(name, real):
-    def done(*words):
+def killing(name, function):
+    def wrapper(*arguments):
         if step != name[0]:
-            return real(*words)
+            return function(*arguments)
         count[0] += 1
         if name[1] == "before" and count[0] == {count}:
             os.kill(os.getpid(), signal.SIGKILL)
-        found = real(*words)
+        result = function(*arguments)
         if name[1] == "after" and count[0] == {count}:
             os.kill(os.getpid(), signal.SIGKILL)
-        return found
-    return done
+        return result
+    return wrapper
 
-grant_file.write = at(("before the write", "before"), at(("after the write", "after"), grant_file.write))
-LeaseDistributor.on_report = at(("after a word", "after"), LeaseDistributor.on_report)
+grant_file.write = killing(("before the write", "before"), killing(("after the write", "after"), grant_file.write))
+LeaseDistributor.on_report = killing(("after a report", "after"), LeaseDistributor.on_report)
 tick = LeaseDistributor._tick
 def sending(self, _):
-    self._send = at(("before a send", "before"), at(("after a send", "after"), self._send))
+    self._send = killing(("before a send", "before"), killing(("after a send", "after"), self._send))
     LeaseDistributor._tick = tick
     tick(self, _)
 LeaseDistributor._tick = sending
-LeaseDistributor.on_starting = at(("after a birth is written", "after"), LeaseDistributor.on_starting)
+LeaseDistributor.on_starting = killing(("after a start is written", "after"), LeaseDistributor.on_starting)
 from thymeflow.cli import run
 sys.exit(run())
 """
@@ -164,14 +171,14 @@
         ("before a send", 3),
         ("after a send", 1),
         ("after a send", 3),
-        ("after a word", 2),
-        ("after a birth is written", 2),
+        ("after a report", 2),
+        ("after a start is written", 2),
     ],
 )
 def test_next_supervisor_keeps_the_sum_when_one_is_killed_at_a_step_of_a_grant(
     tmp_path: Path, step: str, count: int
 ) -> None:
-    class DyingFleet(FleetOf):
+    class DyingFleet(RunningFleet):
         def up(self) -> Any:
             return subprocess.Popen(
                 [
@@ -198,6 +205,6 @@
     with Limiter(tmp_path) as limiter, DyingFleet(tmp_path, limiter) as fleet:
         assert fleet.process.wait(PATIENCE) == -signal.SIGKILL
         fleet.process.communicate()
-        fleet.process = FleetOf.up(fleet)
-        FleetOf.ready(fleet, 3)
-        wait_until(fleet, lambda parts: len(parts) == 3 and sum(parts.values()) > 0.95)
+        fleet.process = RunningFleet.up(fleet)
+        RunningFleet.ready(fleet, 3)
+        wait_until(fleet, lambda amounts: len(amounts) == 3 and sum(amounts.values()) > 0.95)
--- a/tests/leases/test_lease_issuer.py
+++ b/tests/leases/test_lease_issuer.py
@@ -16,7 +16,8 @@
 from thymeflow.decision.gateway_state import TimerKind
 from thymeflow.decision.settings import Information
 from thymeflow.leases import grant_file
-from thymeflow.leases.errors import OverAllocationError
+from thymeflow.leases.allocation import report_from_message
+from thymeflow.leases.errors import MalformedAllocationError, OverAllocationError
 from thymeflow.leases.holder import LEASE_MARGIN_SECONDS, Allocation, LeaseHolder, allocation_from_message, message_of
 from thymeflow.leases.issuer import HOLDER_TRANSITIONS, HolderEvent, HolderState, LeaseIssuer, Write
 from thymeflow.leases.ledger import Ledger
@@ -37,55 +38,58 @@
     steps: list[tuple[str, str, int]],
 ) -> None:
     # The model: every grant that was sent may have arrived, or not, unless it is known.
-    ledger, now, sent = Ledger(10), 0.0, dict[str, list[tuple[int, int, float]]]()
-    for number, (what, holder, amount) in enumerate(steps):
-        if what == "grant":
+    ledger = Ledger(10)
+    now = 0.0
+    sent = dict[str, list[tuple[int, int, float]]]()
+    for number, (label, holder, amount) in enumerate(steps):
+        if label == "grant":
             try:
                 ledger.grant(holder, number, amount, now + 5.0, now)
                 sent.setdefault(holder, []).append((number, amount, now + 5.0))
             except OverAllocationError:
                 continue
-        elif what == "ack" and sent.get(holder):
+        elif label == "ack" and sent.get(holder):
             last = sent[holder][-1]
             ledger.acknowledge(holder, last[0])
             sent[holder] = [last]
-        elif what == "dead":
+        elif label == "dead":
             ledger.release(holder)
             sent.pop(holder, None)
         else:
             now += amount / 3.0
-        most = sum(max((a for _, a, end in grants if end > now), default=0) for grants in sent.values())
-        assert most <= 10 and ledger.free(now) == 10 - most
+        max_in_force = sum(max((a for _, a, end in grants if end > now), default=0) for grants in sent.values())
+        assert max_in_force <= 10 and ledger.free(now) == 10 - max_in_force
 
 
 @given(
     st.dictionaries(st.text(max_size=3), st.floats(allow_nan=True, allow_infinity=True), max_size=30),
     st.integers(0, TOTAL_POINTS),
 )
-def test_division_has_every_holder_and_never_exceeds_the_total_when_demand_is_odd(
-    demand: dict[str, float], whole: int
+def test_distribution_has_every_holder_and_never_exceeds_the_total_when_demand_is_odd(
+    demand: dict[str, float], total: int
 ) -> None:
-    parts = divide_by_demand(whole, demand)
-    assert parts.keys() == demand.keys() and sum(parts.values()) <= whole and all(p >= 0 for p in parts.values())
+    amounts = divide_by_demand(total, demand)
+    assert amounts.keys() == demand.keys() and sum(amounts.values()) <= total
+    assert all(amount >= 0 for amount in amounts.values())
 
 
-def test_every_move_that_is_not_in_the_table_raises() -> None:
+def test_every_event_that_is_not_in_the_table_raises() -> None:
     for state in HolderState:
-        for move in HolderEvent:
+        for event in HolderEvent:
             issuer = LeaseIssuer(1, 0.0)
             issuer.record_of("a").state = state
-            if (state, move) in HOLDER_TRANSITIONS:
-                assert issuer._move("a", move).state is HOLDER_TRANSITIONS[state, move]
+            if (state, event) in HOLDER_TRANSITIONS:
+                assert issuer._move("a", event).state is HOLDER_TRANSITIONS[state, event]
             else:
                 with pytest.raises(KeyError):
-                    issuer._move("a", move)
+                    issuer._move("a", event)
 
 
 def test_sum_in_force_never_exceeds_the_total_in_all_states_of_the_lease_model() -> None:
-    found = explored(Model.running(), 4)
-    assert not found.fault and found.states > 1000, found
-    found = explored(Model(), 5)
-    assert not found.fault and found.states > 100, found
+    running = explored(Model.running(), 4)
+    assert not running.fault and running.states > 1000, running
+    starting = explored(Model(), 5)
+    assert not starting.fault and starting.states > 100, starting
 
 
 @pytest.mark.parametrize("rule", RULES)
@@ -123,33 +127,48 @@
         allocation_from_message(message)
 
 
+@pytest.mark.parametrize("demand", [None, 7, ["many"], [None], [10**400]])
+def test_report_is_rejected_when_its_demand_is_no_list_of_numbers(demand: object) -> None:
+    message = {**message_of(Allocation(1, 1)), "demand": demand}
+    with pytest.raises(MalformedAllocationError, match="demand is"):
+        report_from_message(message)
+
+
+def test_report_has_its_allocation_and_demand_when_it_was_json() -> None:
+    message = {**message_of(Allocation(1, 2)), "demand": [1, 2.5]}
+    report = report_from_message(json.loads(json.dumps(message)))
+    assert report.allocation == Allocation(1, 2)
+    assert report.demand == (1.0, 2.5)
+
+
 def issuer_with_holders(names: str) -> LeaseIssuer:
-    """A granter whose holders have all that there is."""
+    """Return an issuer whose holders have all that there is."""
     issuer = LeaseIssuer(3, 0.0)
     issuer.resize(len(names))
-    parts = {name: issuer.on_starting(name, 0.0)[0] for name in names}
+    allocations = {name: issuer.on_starting(name, 0.0)[0] for name in names}
     for _ in range(4):
         for name in names:
-            issuer.on_report(name, parts[name], ONES, 0.0)
+            issuer.on_report(name, allocations[name], ONES, 0.0)
         for action in issuer.tick(0.0):
             for send in issuer.on_written(action.version) if isinstance(action, Write) else [action]:
-                parts[send.holder] = send.allocation
-    assert sum(parts[n].base[0] + parts[n].lease[0] for n in names) > 0.99 * TOTAL_POINTS
+                allocations[send.holder] = send.allocation
+    assert sum(allocations[n].base[0] + allocations[n].lease[0] for n in names) > 0.99 * TOTAL_POINTS
     return issuer
 
 
 def test_grant_file_is_not_used_when_it_is_cut_or_changed_at_any_byte(tmp_path: Path) -> None:
-    issuer, path = issuer_with_holders("ab"), tmp_path / "fleet.grants"
+    issuer = issuer_with_holders("ab")
+    path = tmp_path / "fleet.grants"
     grant_file.write(path, issuer, "f")
-    whole = path.read_bytes()
-    found, fault = grant_file.read(path, "f", 1.0, members_running=True)
-    assert not fault and found.epoch == 4 and found.base[0].free(1.0) <= BASE_POINTS // 50
-    for length in range(len(whole)):
-        for data in (whole[:length], whole[:length] + bytes([whole[length] ^ 1]) + whole[length + 1 :]):
+    content = path.read_bytes()
+    restored, error = grant_file.read(path, "f", 1.0, members_running=True)
+    assert not error and restored.epoch == 4 and restored.base[0].free(1.0) <= BASE_POINTS // 50
+    for length in range(len(content)):
+        for data in (content[:length], content[:length] + bytes([content[length] ^ 1]) + content[length + 1 :]):
             path.write_bytes(data)
-            found, fault = grant_file.read(path, "f", 1.0, members_running=True)
-            assert fault and found.epoch > 4 and not found.tick(1.0) and not found.base[0].total
-    for other in (msg for msg in (whole.replace(b'"version":1', b'"version":2'), whole)):
+            restored, error = grant_file.read(path, "f", 1.0, members_running=True)
+            assert error and restored.epoch > 4 and not restored.tick(1.0) and not restored.base[0].total
+    for other in (content.replace(b'"version":1', b'"version":2'), content):
         path.write_bytes(other)
         assert grant_file.read(path, "g", 1.0, members_running=True)[1]
 
@@ -172,12 +191,11 @@
 
 
 def test_allocation_is_the_same_when_it_was_json() -> None:
-    part = Allocation(2, 5, tuple(range(len(Resource))), tuple(range(1, len(Resource) + 1)), 5.5)
-    assert allocation_from_message(json.loads(json.dumps(message_of(part)))) == part
-    before = allocation_from_message(
-        {"era": 2, "number": 5, "base": [7, 8], "lease": [9, 1], "end": 5.5}
-    )  # by an earlier program
-    assert before.base[:3] == (7, 8, 0) and before.lease[:3] == (9, 1, 0)
+    allocation = Allocation(2, 5, tuple(range(len(Resource))), tuple(range(1, len(Resource) + 1)), 5.5)
+    assert allocation_from_message(json.loads(json.dumps(message_of(allocation)))) == allocation
+    of_earlier_version = {"era": 2, "number": 5, "base": [7, 8], "lease": [9, 1], "end": 5.5}
+    earlier = allocation_from_message(of_earlier_version)
+    assert earlier.base[:3] == (7, 8, 0) and earlier.lease[:3] == (9, 1, 0)
 
 
 def test_missing_resources_are_0_when_an_earlier_version_wrote_the_grant_file() -> None:
@@ -185,40 +203,37 @@
     body = json.dumps(
         {"version": 1, "fleet": "f", "boot": grant_file.boot_id(), "era": 4, "until": 9.0, "rows": rows}
     ).encode()
-    found = grant_file.unpack(hashlib.blake2b(body, digest_size=16).hexdigest().encode() + b"\n" + body, "f")
-    kinds = len(Resource)
-    assert found.rows["n0"].noted[:3] == [BASE_POINTS, 5, 0] and found.rows["n0"].noted[kinds : kinds + 3] == [
-        LEASED_POINTS,
-        6,
-        0,
-    ]
+    table = grant_file.unpack(hashlib.blake2b(body, digest_size=16).hexdigest().encode() + b"\n" + body, "f")
+    amounts = table.rows["n0"].noted
+    assert amounts[:3] == [BASE_POINTS, 5, 0]
+    assert amounts[len(Resource) :][:3] == [LEASED_POINTS, 6, 0]
 
 
 def test_calls_probes_and_connections_stay_in_the_allocation_when_they_are_limited() -> None:
     gateway = started(settings(information=Information(counter=True)), now=100.0)
-    part = [0.1]
-    gateway.fraction_of = lambda kind: part[0] if kind in gateway.fleet_limits else 1.0
+    fraction = [0.1]
+    gateway.fraction_of = lambda kind: fraction[0] if kind in gateway.fleet_limits else 1.0
     gateway.fleet_limits = {"calls": 20.0, "trials": 1.0, "connections": 30.0}
     for _ in range(50):
         gateway.handle(100.0, TimerFired(next(t for t, (kind, _) in gateway.timers.items() if kind is TimerKind.TICK)))
-    assert gateway.call_credit == 2.0  # of 20 a second a tenth, saved up for a second
-    out = [sends(gateway.handle(100.0, request(f"r{n}", 0.1)))[0].backend for n in range(12)]
-    assert max(out.count(n) for n in out) == 3  # of 30 connections a tenth, to each server
+    assert gateway.call_credit == 2.0  # a tenth of 20 a second, saved up for a second
+    backends = [sends(gateway.handle(100.0, request(f"r{n}", 0.1)))[0].backend for n in range(12)]
+    assert max(backends.count(n) for n in backends) == 3  # a tenth of 30 connections to each backend
     assert not sends(gateway.handle(100.0, request("more", 0.1)))
-    server = gateway.backends[out[0]]
+    backend = gateway.backends[backends[0]]
     for _ in range(2):
-        server.record_failure("", 100.0)
-    assert server.failures[""][1] == 110.0  # one trial a second, of which a tenth is ours
-    part[0] = 0.0  # a lease is over, and nothing was granted since
+        backend.record_failure("", 100.0)
+    assert backend.failures[""][1] == 110.0  # a tenth of one half-open probe a second
+    fraction[0] = 0.0  # the lease has expired, and nothing was granted since
     assert not sends(gateway.handle(101.0, request("none", 0.1)))
 
 
-def test_nothing_is_granted_for_it_when_a_holder_reports_more_than_it_was_granted() -> None:
+def test_total_is_not_exceeded_when_a_holder_reports_more_than_it_was_granted() -> None:
     issuer = issuer_with_holders("ab")
     everything = (TOTAL_POINTS,) * len(Resource)
-    claims = Allocation(9, 9, everything, everything, 50.0)
-    issuer.on_report("stranger", claims, (float("inf"), float("nan")), 0.0)
-    assert issuer.epoch > 9  # or it would take nothing that is granted from now on
+    reported = Allocation(9, 9, everything, everything, 50.0)
+    issuer.on_report("stranger", reported, (float("inf"), float("nan")), 0.0)
+    assert issuer.epoch > 9  # or the holder would ignore all later grants
     for ledger in (*issuer.base, *issuer.leased):
         assert sum(ledger.outstanding(name, 0.0) for name in ("a", "b", "stranger")) <= ledger.total
     known = issuer.records["a"].number
--- a/tests/outliers/support.py
+++ b/tests/outliers/support.py
@@ -11,24 +11,27 @@
 from psutil import Process
 
 from tests.limiter import Limiter, Peer
-from tests.limiter import request as asked
+from tests.limiter import request as request_line
 
 
 class RespondingBackends(threading.Thread):
-    """Responds for the backends of a limiter; those in `bad` respond with errors."""
+    """Responds for the backends of a limiter; those in `failing` respond with errors."""
 
     def __init__(self, limiter: Limiter) -> None:
         super().__init__(daemon=True)
-        self.bad, self.passes, self._limiter, self._over = set[int](), [0] * len(limiter.servers), limiter, False
-        self.delay = 0.0  # s of work for each attempt, one after the other
-        self.bad_class = b""  # requests that fail at `bad`; empty: all
-        self.others = 0  # attempts of other classes at those
-        self.lost = False  # `bad` close the connection without a response
-        self.cut = dict[int, set[int]]()  # backends that close the connections of a process, by its id
+        self.failing = set[int]()  # backends that respond with errors
+        self.attempt_counts = [0] * len(limiter.servers)  # by backend
+        self._limiter = limiter
+        self._is_closed = False
+        self.response_seconds = 0.0  # of work for each attempt, one after the other
+        self.failing_class = b""  # of the requests that fail; empty: all
+        self.other_class_attempts = 0  # of other classes, at failing backends
+        self.closes_connections = False  # failing backends close the connection without a response
+        self.closed_to = dict[int, set[int]]()  # backends that close the connections of a process, by its id
 
     def run(self) -> None:
         peers = dict[int, tuple[Peer, int]]()
-        while not self._over:
+        while not self._is_closed:
             listeners = {s.sock.fileno(): n for n, s in enumerate(self._limiter.servers)}
             for ready in select.select([*listeners, *peers], [], [], 0.05)[0]:
                 if ready in listeners:
@@ -36,7 +39,7 @@
                     port = peer.sock.getpeername()[1]
                     if any(
                         listeners[ready] in numbers and port in {c.laddr[1] for c in Process(pid).net_connections()}
-                        for pid, numbers in self.cut.items()
+                        for pid, numbers in self.closed_to.items()
                     ):
                         peer.close()
                     else:
@@ -48,23 +51,23 @@
                 except (OSError, ValueError, IndexError):
                     peers.pop(ready)[0].close()
                     continue
-                concerned = self.bad_class in terms
-                self.others += number in self.bad and not concerned
-                self.passes[number] += 1
-                time.sleep(self.delay)
-                if self.lost and number in self.bad:
+                is_failing_class = self.failing_class in terms
+                self.other_class_attempts += number in self.failing and not is_failing_class
+                self.attempt_counts[number] += 1
+                time.sleep(self.response_seconds)
+                if self.closes_connections and number in self.failing:
                     peers.pop(ready)[0].close()
                     continue
                 with contextlib.suppress(OSError):
-                    good = b"*3\r\n$5\r\nvalue\r\n$-1\r\n$-1\r\n"
-                    peer.send(b"-ERR failed\r\n" if number in self.bad and concerned else good)
+                    value = b"*3\r\n$5\r\nvalue\r\n$-1\r\n$-1\r\n"
+                    peer.send(b"-ERR failed\r\n" if number in self.failing and is_failing_class else value)
 
     def __enter__(self) -> RespondingBackends:
         self.start()
         return self
 
     def __exit__(self, *_: object) -> None:
-        self._over = True
+        self._is_closed = True
         self.join()
 
 
@@ -72,17 +75,18 @@
     """A client of each member of a fleet."""
 
     def __init__(self, limiter: Limiter, members: list[dict[str, Any]]) -> None:
-        self.clients, self.number = list[Peer](), 0
+        self.clients = list[Peer]()
+        self.number = 0  # of the last request
         for member in members:
             limiter.port = int(member["listen"].rpartition(":")[2])
             self.clients.append(limiter.connect())
 
-    def ask(self, cls: str = "look", customers: int = 1) -> list[bytes]:
-        """Send a request to each member, one after the other; return the first line of each response."""
+    def request_of_each(self, cls: str = "look", customers: int = 1) -> list[bytes]:
+        """Send a request to each member, one by one; return the first line of each response."""
         lines = list[bytes]()
         for first, client in enumerate(self.clients):
             self.number += 1
-            line = asked(self.number, cls).replace(b"first=0", b"first=%d" % first)
+            line = request_line(self.number, cls).replace(b"first=0", b"first=%d" % first)
             if customers > 1:
                 line = line.replace(b"00000000b4d65521", b"%016x" % (1 + self.number % customers))
             client.send(line)
--- a/tests/outliers/test_outlier_coordinator.py
+++ b/tests/outliers/test_outlier_coordinator.py
@@ -29,91 +29,102 @@
 BAD = EjectionKey(7, "")
 
 
-def coordinator_with_votes(against: int, good: int = 0, servers: int = 6) -> OutlierCoordinator:
-    """One that so many members told of a server, for and against."""
+def coordinator_with_votes(ejecting: int, responding: int = 0, backends: int = 6) -> OutlierCoordinator:
+    """Return a coordinator to which so many members reported a backend as ejected, and as responding."""
     coordinator = OutlierCoordinator(1.0)
-    coordinator.backend_count = servers
-    for n in range(against + good):
-        coordinator.on_report(f"n{n}", {BAD} if n < against else set(), set() if n < against else {BAD}, {}, 0.0)
+    coordinator.backend_count = backends
+    for n in range(ejecting + responding):
+        is_ejecting = n < ejecting
+        coordinator.on_report(f"n{n}", {BAD} if is_ejecting else set(), set() if is_ejecting else {BAD}, {}, 0.0)
     return coordinator
 
 
-def test_every_move_that_is_not_in_the_table_raises() -> None:
+def test_every_event_that_is_not_in_the_table_raises() -> None:
     for state in EjectionState:
-        for move in EjectionEvent:
+        for event in EjectionEvent:
             coordinator = OutlierCoordinator(1.0)
-            coordinator.ejections[BAD] = case = EjectionRecord(1, 0.0, state)
-            if (state, move) not in TRANSITIONS:
+            record = EjectionRecord(1, 0.0, state)
+            coordinator.ejections[BAD] = record
+            if (state, event) not in TRANSITIONS:
                 with pytest.raises(KeyError):
-                    coordinator._move(BAD, case, move, 0.0)
+                    coordinator._move(BAD, record, event, 0.0)
             else:
-                coordinator._move(BAD, case, move, 0.0)
-                assert TRANSITIONS[state, move] is (case.state if BAD in coordinator.ejections else None)
+                coordinator._move(BAD, record, event, 0.0)
+                assert TRANSITIONS[state, event] is (record.state if BAD in coordinator.ejections else None)
 
 
 @pytest.mark.parametrize(
-    ("against", "good", "condemned"),
+    ("ejecting", "responding", "is_ejected"),
     [(1, 0, False), (1, 11, False), (2, 10, False), (2, 0, True), (2, 1, True), (6, 6, False), (7, 5, True)],
 )
 def test_backend_is_ejected_only_when_a_majority_of_at_least_two_members_ejects_it(
-    against: int, good: int, condemned: bool
+    ejecting: int, responding: int, is_ejected: bool
 ) -> None:
-    assert bool(coordinator_with_votes(against, good).tick(0.1)) is condemned
+    assert bool(coordinator_with_votes(ejecting, responding).tick(0.1)) is is_ejected
 
 
 def test_reports_expire_and_at_most_half_of_the_backends_are_ejected_when_all_fail() -> None:
-    assert not coordinator_with_votes(3).tick(REPORT_TTL_SECONDS + 0.1)  # whoever was stopped since says nothing
+    assert not coordinator_with_votes(3).tick(REPORT_TTL_SECONDS + 0.1)  # the reports have expired
     coordinator = OutlierCoordinator(1.0)
     coordinator.backend_count = 6
     for name in ("n0", "n1"):
-        coordinator.on_report(name, {EjectionKey(n, part) for n in range(6) for part in ("", "a")}, set(), {}, 0.0)
+        coordinator.on_report(name, {EjectionKey(n, name) for n in range(6) for name in ("", "a")}, set(), {}, 0.0)
     coordinator.tick(0.1)
     assert len({number for number, _ in coordinator.ejections}) == 3
 
 
 def test_one_member_probes_at_a_time_and_members_return_in_steps_when_a_probe_succeeds() -> None:
     coordinator = coordinator_with_votes(3, 2)
-    now, holders = 0.1, list[str]()
+    now = 0.1
+    probing_members = list[str]()
     for _ in range(5):
         for n in range(5):
             coordinator.on_report(f"n{n}", {BAD}, set(), {}, now)
         coordinator.tick(now)
-        claims = [(n, v) for n in range(5) for v in coordinator.ejections_for(f"n{n}", now) if v.probe_permit]
-        assert len(claims) == 1 and not claims[0][1].is_admitted
-        holders.append(f"n{claims[0][0]}")
+        permits = [(n, v) for n in range(5) for v in coordinator.ejections_for(f"n{n}", now) if v.probe_permit]
+        assert len(permits) == 1 and not permits[0][1].is_admitted
+        probing_members.append(f"n{permits[0][0]}")
         now += 1.0
-    assert sorted(holders) == [f"n{n}" for n in range(5)]
-    case = coordinator.ejections[BAD]
-    coordinator.on_report(case.probing_member, set(), {BAD}, {case.permit: True}, now)
-    let_in = list[int]()
+    assert sorted(probing_members) == [f"n{n}" for n in range(5)]
+    record = coordinator.ejections[BAD]
+    coordinator.on_report(record.probing_member, set(), {BAD}, {record.permit: True}, now)
+    admitted_counts = list[int]()
     while coordinator.ejections and now < 60.0:
         for n in range(5):
             coordinator.on_report(f"n{n}", set(), set(), {}, now)
-        let_in.append(sum(v.is_admitted for n in range(5) for v in coordinator.ejections_for(f"n{n}", now)))
+        admitted_counts.append(sum(v.is_admitted for n in range(5) for v in coordinator.ejections_for(f"n{n}", now)))
         coordinator.tick(now)
         now += RECOVERY_STEP_SECONDS
-    assert let_in[0] == 1 and let_in[1:3] == [1, 2] and max(let_in) == 5 and not coordinator.ejections
-    assert let_in == sorted(let_in) and now < 5.0 + 4 * RECOVERY_STEP_SECONDS + AFTER_RECOVERY_SECONDS + 2.0
+    assert (
+        admitted_counts[0] == 1
+        and admitted_counts[1:3] == [1, 2]
+        and max(admitted_counts) == 5
+        and not coordinator.ejections
+    )
+    assert (
+        admitted_counts == sorted(admitted_counts)
+        and now < 5.0 + 4 * RECOVERY_STEP_SECONDS + AFTER_RECOVERY_SECONDS + 2.0
+    )
 
 
-def test_backend_is_ejected_anew_when_it_fails_in_recovery_and_permit_moves_when_its_holder_ends() -> None:
+def test_backend_is_ejected_again_when_it_fails_in_recovery_and_permit_moves_when_its_holder_ends() -> None:
     coordinator = coordinator_with_votes(3)
     coordinator.tick(0.1)
-    case = coordinator.ejections[BAD]
-    first = case.probing_member
+    record = coordinator.ejections[BAD]
+    first = record.probing_member
     coordinator.on_member_gone(first)
     coordinator.tick(0.2)
-    assert case.probing_member not in ("", first)
-    coordinator.on_report(case.probing_member, set(), {BAD}, {case.permit: True}, 0.3)
+    assert record.probing_member not in ("", first)
+    coordinator.on_report(record.probing_member, set(), {BAD}, {record.permit: True}, 0.3)
     assert coordinator.ejections[BAD].state is EjectionState.RECOVERING
-    coordinator.on_report(case.probing_member, {BAD}, set(), {}, 0.4)  # an ejection of before
+    coordinator.on_report(record.probing_member, {BAD}, set(), {}, 0.4)  # an ejection of before the recovery
     assert coordinator.ejections[BAD].state is EjectionState.RECOVERING
-    coordinator.on_report(case.probing_member, {BAD}, set(), {}, 0.4 + SETTLING_SECONDS)
+    coordinator.on_report(record.probing_member, {BAD}, set(), {}, 0.4 + SETTLING_SECONDS)
     assert coordinator.ejections[BAD].state is EjectionState.EJECTED
     assert not any(v.probe_permit for n in range(3) for v in coordinator.ejections_for(f"n{n}", 0.4 + SETTLING_SECONDS))
     coordinator.on_report(
-        "n9", set(), set(), {case.permit: True, 0: True, 99: True}, 0.5
-    )  # trials that nobody gave out
+        "n9", set(), set(), {record.permit: True, 0: True, 99: True}, 0.5
+    )  # permits that were never issued
     assert coordinator.ejections[BAD].state is EjectionState.EJECTED
 
 
@@ -130,48 +141,55 @@
     )
 )
 def test_one_permit_at_a_time_and_half_of_the_backends_stay_whatever_is_reported(
-    words: list[tuple[int, set[EjectionKey], set[EjectionKey], bool, float]],
+    reports: list[tuple[int, set[EjectionKey], set[EjectionKey], bool, float]],
 ) -> None:
-    coordinator, now, seen = OutlierCoordinator(1.0), 0.0, dict[EjectionKey, list[float]]()
+    coordinator = OutlierCoordinator(1.0)
+    now = 0.0
+    permits_by_key = dict[EjectionKey, list[float]]()
     coordinator.backend_count = 6
-    for member, against, good, outcome, later in words:
-        trials = {
-            c.permit: outcome for c in coordinator.ejections.values() if c.probing_member == f"n{member}" and c.permit
+    for member, ejecting, responding, has_succeeded, delay in reports:
+        probe_results = {
+            record.permit: has_succeeded
+            for record in coordinator.ejections.values()
+            if record.probing_member == f"n{member}" and record.permit
         }
-        coordinator.on_report(f"n{member}", against, good, trials, now)
+        coordinator.on_report(f"n{member}", ejecting, responding, probe_results, now)
         coordinator.tick(now)
         assert len({number for number, _ in coordinator.ejections}) <= 3
         for key in coordinator.ejections:
-            claims = {
+            permits = {
                 v.probe_permit
                 for n in range(4)
                 for v in coordinator.ejections_for(f"n{n}", now)
                 if v.key == key and v.probe_permit
             }
-            assert len(claims) <= 1
-            if claims - set(seen.get(key, [])):
-                seen.setdefault(key, []).extend(claims)
-        now += later
-    assert all(len(claims) <= now + 2.0 + sum(o for *_, o, _ in words) for claims in seen.values())
+            assert len(permits) <= 1
+            if permits - set(permits_by_key.get(key, [])):
+                permits_by_key.setdefault(key, []).extend(permits)
+        now += delay
+    success_count = sum(has_succeeded for *_, has_succeeded, _ in reports)
+    assert all(len(permits) <= now + 2.0 + success_count for permits in permits_by_key.values())
 
 
 ZONES = {"a": frozenset({1, 2, 3, 4}), "b": frozenset({5, 6, 7, 8})}
 
 
-def coordinator_with_zones(members: int, against: set[int], good: set[int]) -> OutlierCoordinator:
-    """One to which each of some members told of other servers against which it speaks, two of them of each."""
+def coordinator_with_zones(members: int, ejected: set[int], responding: set[int]) -> OutlierCoordinator:
+    """Return a coordinator to which each ejected backend is reported by two of the members."""
     coordinator = OutlierCoordinator(1.0)
     for n in range(members):
         coordinator.on_endpoint_list(f"n{n}", 8, ZONES)
-        own = {number for place, number in enumerate(sorted(against)) if n in (place % members, (place + 1) % members)}
-        coordinator.on_report(
-            f"n{n}", {EjectionKey(number, "") for number in own}, {EjectionKey(number, "") for number in good}, {}, 0.0
-        )
+        ejecting = {
+            EjectionKey(backend, "")
+            for index, backend in enumerate(sorted(ejected))
+            if n in (index % members, (index + 1) % members)
+        }
+        coordinator.on_report(f"n{n}", ejecting, {EjectionKey(backend, "") for backend in responding}, {}, 0.0)
     return coordinator
 
 
 @pytest.mark.parametrize(
-    ("against", "good", "opened"),
+    ("ejected", "responding", "expected_keys"),
     [
         ({1, 2}, {5, 6}, [(ZONE, "a")]),
         ({1, 2, 3, 4}, set(), [(ZONE, "a")]),
@@ -181,35 +199,36 @@
     ],
 )
 def test_zone_is_ejected_as_one_but_never_all_zones_when_half_of_its_backends_fail(
-    against: set[int], good: set[int], opened: list[tuple[int, str]]
+    ejected: set[int], responding: set[int], expected_keys: list[tuple[int, str]]
 ) -> None:
-    coordinator = coordinator_with_zones(4, against, good)
-    assert coordinator.tick(0.1) == opened and list(coordinator.ejections) == opened
+    coordinator = coordinator_with_zones(4, ejected, responding)
+    assert coordinator.tick(0.1) == expected_keys and list(coordinator.ejections) == expected_keys
 
 
 def test_zone_recovers_as_one_when_a_probe_succeeds_though_one_backend_still_fails() -> None:
     coordinator = coordinator_with_zones(4, {1, 2}, set())
     coordinator.tick(0.1)
-    case = coordinator.ejections[EjectionKey(ZONE, "a")]
-    holder, claim = case.probing_member, case.permit
-    assert claim and sum(bool(v.probe_permit) for n in range(4) for v in coordinator.ejections_for(f"n{n}", 0.1)) == 1
+    record = coordinator.ejections[EjectionKey(ZONE, "a")]
+    member = record.probing_member
+    permit = record.permit
+    assert permit and sum(bool(v.probe_permit) for n in range(4) for v in coordinator.ejections_for(f"n{n}", 0.1)) == 1
     now = 0.5
-    coordinator.on_report(holder, set(), {EjectionKey(3, "")}, {claim: True}, now)
-    assert case.state is EjectionState.RECOVERING
+    coordinator.on_report(member, set(), {EjectionKey(3, "")}, {permit: True}, now)
+    assert record.state is EjectionState.RECOVERING
     while coordinator.ejections:
         now += RECOVERY_STEP_SECONDS
         for n in range(4):
             coordinator.on_report(f"n{n}", {EjectionKey(1, "")} if n == 0 else set(), {EjectionKey(3, "")}, {}, now)
         coordinator.tick(now)
         assert now < 10.0
-    for n in range(4):  # half of it again, on the way back, is another matter
+    for n in range(4):  # half of it fails again, after the recovery
         coordinator.on_report(
             f"n{n}", {EjectionKey(1, ""), EjectionKey(2, "")}, set(), {}, now + AFTER_RECOVERY_SECONDS
         )
     assert coordinator.tick(now + AFTER_RECOVERY_SECONDS + 0.1) == [(ZONE, "a")]
 
 
-def test_zones_are_those_of_most_members_when_endpoint_lists_differ() -> None:
+def test_zones_are_those_of_the_majority_when_endpoint_lists_differ() -> None:
     coordinator = coordinator_with_zones(4, {1, 2}, set())
     coordinator.on_endpoint_list("n9", 2, {"a": frozenset({1, 2, 5, 6, 7, 8})})
     assert coordinator.backend_count == 8 and coordinator.zones == ZONES
--- a/tests/outliers/test_outlier_member.py
+++ b/tests/outliers/test_outlier_member.py
@@ -34,12 +34,12 @@
     gateway.backends[failed_zone[0]].failures[""] = FailureStreak(2, 1e9)
 
     def selected(now: float) -> list[int]:
-        found = list[int]()
+        backends = list[int]()
         for n in range(60):
             for send in sends(gateway.handle(now, request(f"{now}-{n}", 0.01, customer=f"{n}"))):
-                found.append(send.backend)
+                backends.append(send.backend)
                 gateway.handle(now, ended(send.id, send, Status.OK, actual_units=0.01))
-        return found
+        return backends
 
     ejected = Ejection(EjectionKey(ZONE, "a"), 1, 0, False, False, 100.0 + EJECTION_LEASE_SECONDS)
     member.on_ejections([ejected], 0.0, 100.0)
@@ -54,14 +54,15 @@
 def test_member_sends_one_probe_until_the_ejection_expires_when_a_backend_is_ejected() -> None:
     gateway = started(settings(), now=100.0)
     gateway.fraction_of = lambda kind: 1e6  # concurrency is not limited here
-    member, backend = MemberEjections(gateway), gateway.backends[2]
+    member = MemberEjections(gateway)
+    backend = gateway.backends[2]
 
     def selected(now: float, count: int = 40) -> int:
-        found = 0
+        selected_count = 0
         for n in range(count):
             (send,) = sends(gateway.handle(now, request(f"{now}.{n}", 0.01)))
-            found += send.backend == 2
-        return found
+            selected_count += send.backend == 2
+        return selected_count
 
     ejected = Ejection(EjectionKey(2, ""), 1, 0, False, False, inf)
     admitted = replace(ejected, is_admitted=True)
--- a/tests/test_trace_outliers.py
+++ b/tests/outliers/test_outlier_trace.py
@@ -1,9 +1,9 @@
-"""The outlier coordinator, its members and the admission threshold, held to the digest of a seeded run in virtual time.
+"""The outlier coordinator, its members and the admission threshold, compared with digests of recorded seeded runs.
 
-Members come, fall silent and go; backends fail for all requests, for one class, or as a zone, or are slow, and recover.
-Each member is a gateway with the adapters of this fleet; what they report goes to the coordinator and the threshold as
-JSON, and what these decide goes back in wire form. Traced are the reports, the ejections as rows, each state change,
-the threshold, and which requests are sent where.
+Members start, become unresponsive and end; backends fail for all requests, for one class, or as a zone, or are slow,
+and recover. Each member is a gateway with the adapters of this fleet; what they report goes to the coordinator and the
+threshold as JSON, and what these decide is sent back as JSON. Traced are the reports, the ejections as rows, each state
+change, the threshold, and which requests are sent to which backend.
 """
 
 from __future__ import annotations
@@ -25,7 +25,7 @@
 from thymeflow.decision.settings import Plan
 from thymeflow.decision.types import EndpointListKind, Status
 from thymeflow.outliers.coordinator import ZONE, OutlierCoordinator
-from thymeflow.outliers.ejection import EjectionKey
+from thymeflow.outliers.ejection import EjectionKey, EjectionState
 from thymeflow.outliers.member import (
     MemberEjections,
     ejections_from_message,
@@ -71,16 +71,16 @@
         self.shedder.limit_retries()
         self.attempts: list[Attempt] = []
         self.numbers: Counter[str] = Counter()
-        self.is_silent = False
+        self.is_unresponsive = False
 
     def report(self, now: float) -> dict[str, Any]:
-        """What the member reports, as it is after the wire."""
-        found: dict[str, Any] = json.loads(json.dumps(self.ejections.report(now)))
-        return found
+        """Return what the member reports, as it arrives."""
+        report: dict[str, Any] = json.loads(json.dumps(self.ejections.report(now)))
+        return report
 
 
-class Run:
-    """One seeded run of a fleet; what happens is drawn at each step."""
+class OutlierRun:
+    """One seeded run of a fleet; what happens is sampled at each step."""
 
     def __init__(self, seed: int, names: tuple[str, ...]) -> None:
         self.names = names
@@ -96,8 +96,8 @@
         self.request_count = 0
         self.lines: list[str] = []
 
-    def play(self) -> TraceDigest:
-        """Play all steps; the trace."""
+    def run(self) -> TraceDigest:
+        """Run all steps; return the trace."""
         for step in range(STEPS):
             self.now = round(self.now + self.rng.choice(STEP_SECONDS), 6)
             self.lines = [f"{self.now:.6f}"]
@@ -112,8 +112,8 @@
             self.trace.add_step("\n".join(self.lines))
         return self.trace
 
-    def note(self, event: str, *values: Any) -> None:
-        """Write down one event."""
+    def trace_event(self, event: str, *values: Any) -> None:
+        """Add an event to the trace."""
         self.trace.events[event] += 1
         self.lines.append(json.dumps([event, *values]))
 
@@ -122,40 +122,42 @@
         chance = self.rng.random()
         if chance < 0.01:
             self.faults[backend] = self.rng.choice(FAULTS)
-            self.note("fault", backend, self.faults[backend])
+            self.trace_event("fault", backend, self.faults[backend])
         elif chance < 0.013:
             self.faults.update(dict.fromkeys(range(1, BACKEND_COUNT, 2), "error"))
-            self.note("zone fault")
+            self.trace_event("zone fault")
         elif chance < 0.016:
             self.faults.update(dict.fromkeys(range(1, BACKEND_COUNT + 1), "slow"))
-            self.note("all slow")
+            self.trace_event("all slow")
         elif chance < 0.03:
             self.faults.clear()
             self.cut_off.clear()
-            self.note("recovery")
+            self.trace_event("recovery")
         elif chance < 0.034:
             self.cut_off.add((self.rng.choice(self.names), backend))
-            self.note("cut off", sorted(self.cut_off))
-        returning = [key for key, entry in self.coordinator.ejections.items() if entry.state.value == "returning"]
-        if returning and self.rng.random() < 0.06:
-            number, zone = self.rng.choice(sorted(returning))
+            self.trace_event("cut off", sorted(self.cut_off))
+        recovering = [
+            key for key, record in self.coordinator.ejections.items() if record.state is EjectionState.RECOVERING
+        ]
+        if recovering and self.rng.random() < 0.06:
+            number, zone = self.rng.choice(sorted(recovering))
             failing = range(1, BACKEND_COUNT, 2) if zone == "a" else range(2, BACKEND_COUNT + 1, 2)
             self.faults.update(dict.fromkeys(failing if number == ZONE else (number,), "error"))
-            self.note("relapse", number, zone)
+            self.trace_event("relapse", number, zone)
 
     def change_members(self) -> None:
         name = self.rng.choice(self.names)
         chance = self.rng.random()
         if chance < 0.012:
-            self.note("member gone" if self.members.pop(name, None) else "unknown member gone", name)
+            self.trace_event("member gone" if self.members.pop(name, None) else "unknown member gone", name)
             self.coordinator.on_member_gone(name)
             self.threshold.on_member_gone(name)
         elif chance < 0.05 and name not in self.members:
             self.members[name] = Member(name, self.now)
-            self.note("member starts", name)
+            self.trace_event("member starts", name)
         elif chance < 0.07 and name in self.members:
-            self.members[name].is_silent = not self.members[name].is_silent
-            self.note("silence", name, self.members[name].is_silent)
+            self.members[name].is_unresponsive = not self.members[name].is_unresponsive
+            self.trace_event("silence", name, self.members[name].is_unresponsive)
 
     # Requests.
 
@@ -163,14 +165,15 @@
         timers = [number for number, (kind, _) in member.gateway.timers.items() if kind is TimerKind.TICK]
         for number in timers:
             self.start(member, member.gateway.handle(self.now, TimerFired(number)), "")
-        done = [attempt for attempt in member.attempts if attempt.ends_at <= self.now]
+        ended_attempts = [attempt for attempt in member.attempts if attempt.ends_at <= self.now]
         member.attempts = [attempt for attempt in member.attempts if attempt.ends_at > self.now]
-        for attempt in done:
+        for attempt in ended_attempts:
             self.end(member, attempt)
         for _ in range(self.rng.randrange(4)):
             self.request_count += 1
             name = f"r{self.request_count}"
-            class_name, plan = self.rng.choice(CLASSES), self.rng.choice(PLANS).name
+            class_name = self.rng.choice(CLASSES)
+            plan = self.rng.choice(PLANS).name
             customer = f"{self.rng.randrange(200):016x}"
             event = request(name, 0.1, class_name=class_name, plan=plan, customer=customer)
             self.start(member, member.gateway.handle(self.now, event), class_name)
@@ -178,8 +181,8 @@
     def start(self, member: Member, actions: list[Action], class_name: str) -> None:
         for send in sends(actions):
             member.numbers[send.id] += 1
-            slow = self.faults.get(send.backend) == "slow"
-            latency = self.rng.uniform(2.0, 3.0) if slow else self.rng.uniform(0.02, 0.3)
+            is_slow = self.faults.get(send.backend) == "slow"
+            latency = self.rng.uniform(2.0, 3.0) if is_slow else self.rng.uniform(0.02, 0.3)
             number = member.numbers[send.id] - 1
             member.attempts.append(Attempt(self.now + latency, send.backend, send.id, number, class_name, latency))
             self.trace.actions["send"] += 1
@@ -207,48 +210,53 @@
 
     def report(self) -> None:
         for name, member in self.members.items():
-            if member.is_silent:
+            if member.is_unresponsive:
                 continue
-            found = member.report(self.now)
-            self.note("report", name, found)
-            self.trace.events["failed probe"] += list(found["trials"].values()).count(False)
-            if (returning := self.returning_backends()) and self.rng.random() < 0.3:
-                found["against"] += returning
-                self.note("relapse report", name, returning)
+            report = member.report(self.now)
+            self.trace_event("report", name, report)
+            self.trace.events["failed probe"] += list(report["trials"].values()).count(False)
+            if (recovering := self.recovering_backends()) and self.rng.random() < 0.3:
+                report["against"] += recovering
+                self.trace_event("relapse report", name, recovering)
             if self.rng.random() < 0.05:
                 odd = [[self.rng.randrange(1, 12), self.rng.choice(("", *CLASSES))] for _ in range(5)]
-                found["against"] += odd
-                found["good"] += odd[:2]
-                self.note("odd report", name, odd)
+                report["against"] += odd
+                report["good"] += odd[:2]
+                self.trace_event("odd report", name, odd)
             moment = self.now + WALL_OFFSET_SECONDS
-            self.coordinator.on_endpoint_list(name, found["servers"], zones_from_message(found["zones"]))
-            probes = probes_from_message(found["trials"])
-            against, good = keys_from_message(found["against"]), keys_from_message(found["good"])
-            self.coordinator.on_report(name, against, good, probes, moment)
-            self.threshold.on_report(name, found["pressure"], moment)
+            self.coordinator.on_endpoint_list(name, report["servers"], zones_from_message(report["zones"]))
+            probe_results = probes_from_message(report["trials"])
+            ejecting = keys_from_message(report["against"])
+            responding = keys_from_message(report["good"])
+            self.coordinator.on_report(name, ejecting, responding, probe_results, moment)
+            self.threshold.on_report(name, report["pressure"], moment)
 
-    def returning_backends(self) -> list[list[Any]]:
-        entries = self.coordinator.ejections.items()
-        return [list(key) for key, entry in entries if entry.state.value == "returning" and key[0] != ZONE]
+    def recovering_backends(self) -> list[list[Any]]:
+        return [
+            list(key)
+            for key, record in self.coordinator.ejections.items()
+            if record.state is EjectionState.RECOVERING and not key.is_zone()
+        ]
 
     def decide(self) -> None:
         moment = self.now + WALL_OFFSET_SECONDS
-        before = self.states
+        previous = self.states
         for key in self.coordinator.tick(moment):
             self.trace.actions["opened"] += 1
             self.trace.actions["opened zone"] += key[0] == ZONE
             self.lines.append(json.dumps(["opened", key]))
-        after = self.states = {key: entry.state.value for key, entry in self.coordinator.ejections.items()}
-        for key in sorted(before.keys() | after.keys()):
-            if before.get(key) != after.get(key):
-                self.trace.actions[f"{before.get(key)} to {after.get(key)}"] += 1
+        self.states = {key: record.state.value for key, record in self.coordinator.ejections.items()}
+        for key in sorted(previous.keys() | self.states.keys()):
+            if previous.get(key) != self.states.get(key):
+                self.trace.actions[f"{previous.get(key)} to {self.states.get(key)}"] += 1
         self.lines.append(json.dumps(["invalid", self.coordinator.invalid_reports]))
         self.threshold.tick(moment)
-        level, pressure = round(self.threshold.value, 9), round(self.threshold.pressure, 9)
-        self.trace.actions["threshold above 0"] += level > 0.0
-        self.lines.append(json.dumps(["threshold", level, pressure]))
+        threshold = round(self.threshold.value, 9)
+        self.trace.actions["threshold above 0"] += threshold > 0.0
+        self.lines.append(json.dumps(["threshold", threshold, round(self.threshold.pressure, 9)]))
         for name in (*self.names, "stranger"):
-            rows = json.loads(json.dumps([message_of(one) for one in self.coordinator.ejections_for(name, moment)]))
+            ejections = self.coordinator.ejections_for(name, moment)
+            rows = json.loads(json.dumps([message_of(ejection) for ejection in ejections]))
             self.trace.actions["row"] += len(rows)
             self.trace.actions["probe permit"] += sum(row[3] > 0 for row in rows)
             self.lines.append(json.dumps([name, rows]))
@@ -263,4 +271,4 @@
 def test_ejections_and_threshold_match_the_recorded_trace_when_backends_and_members_fail_and_recover(
     seed: int, names: tuple[str, ...], recorded: str
 ) -> None:
-    Run(seed, names).play().check(recorded)
+    OutlierRun(seed, names).run().check(recorded)
--- a/tests/shedding/test_threshold.py
+++ b/tests/shedding/test_threshold.py
@@ -4,6 +4,7 @@
 
 import json
 import time
+from collections.abc import Callable
 from dataclasses import replace
 from math import inf, nan
 from pathlib import Path
@@ -12,7 +13,7 @@
 import pytest
 from twisted.internet.testing import MemoryReactorClock
 
-from tests.fleet.support import FleetOf
+from tests.fleet.support import Message, RunningFleet
 from tests.helpers import PLAN, SAFE, fleet, request, sends, settings
 from tests.limiter import PATIENCE, Limiter
 from tests.outliers.support import MemberClients, RespondingBackends
@@ -44,63 +45,69 @@
 
 
 def test_threshold_follows_the_median_when_some_members_report_wrong_figures() -> None:
-    for odd, others in ((1.0, 0.1), (0.0, 0.9)):
-        level = AdmissionThreshold()
-        for beat in range(40):
+    for wrong, correct in ((1.0, 0.1), (0.0, 0.9)):
+        threshold = AdmissionThreshold()
+        for tick in range(40):
             for n in range(5):
-                level.on_report(f"n{n}", odd if n < 2 else others, beat * TICK_INTERVAL_SECONDS)
-            level.tick(beat * TICK_INTERVAL_SECONDS)
-        assert (level.value > 0.0) is (others > PRESSURE_THRESHOLD)
+                threshold.on_report(f"n{n}", wrong if n < 2 else correct, tick * TICK_INTERVAL_SECONDS)
+            threshold.tick(tick * TICK_INTERVAL_SECONDS)
+        assert (threshold.value > 0.0) is (correct > PRESSURE_THRESHOLD)
 
 
 def test_threshold_moves_in_small_steps_and_falls_when_no_report_is_valid() -> None:
-    level, now, before = AdmissionThreshold(), 0.0, 0.0
+    threshold = AdmissionThreshold()
+    now = 0.0
+    previous = 0.0
     for _ in range(100):
-        level.on_report("n0", 1.0, now)
-        assert 0.0 <= level.tick(now) - before <= MAX_RISE + 1e-9
-        now, before = now + TICK_INTERVAL_SECONDS, level.value
-    assert level.value == MAX_THRESHOLD
-    level.on_member_gone("n0")
+        threshold.on_report("n0", 1.0, now)
+        assert 0.0 <= threshold.tick(now) - previous <= MAX_RISE + 1e-9
+        now += TICK_INTERVAL_SECONDS
+        previous = threshold.value
+    assert threshold.value == MAX_THRESHOLD
+    threshold.on_member_gone("n0")
     for _ in range(round(MAX_THRESHOLD / MAX_FALL) + 1):
-        assert 0.0 <= before - level.tick(now) <= MAX_FALL + 1e-9
-        now, before = now + TICK_INTERVAL_SECONDS, level.value
-    assert level.value == 0.0
-    level.on_report("n1", 1.0, now)  # one that was stopped since says nothing
-    assert level.tick(now + REPORT_TTL_SECONDS + 0.1) == 0.0
-
-
-@pytest.mark.parametrize("word", [None, True, "0.5", nan, inf, -0.1, 1.1, [0.5]])
-def test_figures_are_rejected_and_change_nothing_when_they_are_no_fractions(word: Any) -> None:
-    level, gateway = AdmissionThreshold(), Gateway(SITE, 1)
+        assert 0.0 <= previous - threshold.tick(now) <= MAX_FALL + 1e-9
+        now += TICK_INTERVAL_SECONDS
+        previous = threshold.value
+    assert threshold.value == 0.0
+    threshold.on_report("n1", 1.0, now)  # has expired at the next tick
+    assert threshold.tick(now + REPORT_TTL_SECONDS + 0.1) == 0.0
+
+
+@pytest.mark.parametrize("value", [None, True, "0.5", nan, inf, -0.1, 1.1, [0.5]])
+def test_figures_are_rejected_and_change_nothing_when_they_are_no_fractions(value: Any) -> None:
+    threshold = AdmissionThreshold()
+    gateway = Gateway(SITE, 1)
     with pytest.raises(ValueError, match="no figure from 0 to 1"):
-        level.on_report("n0", word, 0.0)
+        threshold.on_report("n0", value, 0.0)
     shedding = LoadShedder(gateway)
     with pytest.raises(ValueError, match="no figure from 0 to 1"):
-        shedding.on_threshold(word, 0.0, 0.0)
-    assert not level.reports and gateway.adjust_shedding is not None
+        shedding.on_threshold(value, 0.0, 0.0)
+    assert not threshold.reports and gateway.adjust_shedding is not None
 
 
 def test_order_goes_by_priority_weight_and_is_the_same_at_members_when_their_settings_are() -> None:
-    one, other = PriorityOrder(SITE), PriorityOrder(replace(SITE, index=2, zone="b"))
-    ranks = [(SAFE, PLAN), (DEAR, PLAN), (SAFE, RICH), (DEAR, RICH)]  # worth 1, 3, 4, 12
+    one = PriorityOrder(SITE)
+    other = PriorityOrder(replace(SITE, index=2, zone="b"))
+    kinds = [(SAFE, PLAN), (DEAR, PLAN), (SAFE, RICH), (DEAR, RICH)]  # of priority weight 1, 3, 4, 12
     for customer in range(300):
-        places = [one.rank(cls, plan, customer, 50.0) for cls, plan in ranks]
-        assert places == sorted(places) and places[0] >= 0.0 and places[-1] < 1.0
-        assert places == [other.rank(cls, plan, customer, 50.0) for cls, plan in ranks]
+        ranks = [one.rank(cls, plan, customer, 50.0) for cls, plan in kinds]
+        assert ranks == sorted(ranks) and ranks[0] >= 0.0 and ranks[-1] < 1.0
+        assert ranks == [other.rank(cls, plan, customer, 50.0) for cls, plan in kinds]
     moved = sum(one.rank(SAFE, PLAN, n, 50.0) != one.rank(SAFE, PLAN, n, 50.0 + ROTATION_SECONDS) for n in range(300))
     assert moved == 300, "the same customers are shed for ever"
     at_once = sum(one.rank(SAFE, PLAN, n, 50.0) != one.rank(SAFE, PLAN, n, 50.1) for n in range(300))
-    assert at_once < 15, "all change places at once"
+    assert at_once < 15, "all change their ranks at once"
 
 
-def test_members_shed_alike_until_the_threshold_expires_when_they_have_the_same_one() -> None:
+def test_members_reject_the_same_requests_until_the_threshold_expires_when_they_have_the_same_one() -> None:
     free = tuple(replace(p, rate=0.0) for p in SITE.plans)
     members = [Gateway(replace(SITE, plans=free, index=n), n) for n in range(3)]
     for member in members:
         member.handle(0.0, EndpointsChanged(EndpointListKind.CACHED, fleet()))
         LoadShedder(member).on_threshold(0.15, 0.0, 100.0)
 
-    def let_in(member: Gateway, now: float, plan: str, customer: int) -> bool:
+    def is_admitted(member: Gateway, now: float, plan: str, customer: int) -> bool:
         event = request(f"{now}-{plan}-{customer}", 1.0, plan=plan, customer=str(customer))
         actions = member.handle(now, event)
         for sent in sends(actions):
@@ -110,13 +117,15 @@
         return bool(sends(actions))
 
     for customer in range(100):
-        assert len({let_in(member, 1.0, "plain", customer) for member in members}) == 1
-        assert all(let_in(member, 1.0, "rich", customer + 1000) for member in members), "worth more, and shed first"
-    assert 0 < sum(let_in(members[0], 1.0, "plain", n) for n in range(100)) < 60
-    assert all(let_in(member, THRESHOLD_LEASE_SECONDS + 0.1, "plain", n) for n in range(100) for member in members)
+        assert len({is_admitted(member, 1.0, "plain", customer) for member in members}) == 1
+        assert all(is_admitted(member, 1.0, "rich", customer + 1000) for member in members), (
+            "rejected before requests of a lower priority weight"
+        )
+    assert 0 < sum(is_admitted(members[0], 1.0, "plain", n) for n in range(100)) < 60
+    assert all(is_admitted(member, THRESHOLD_LEASE_SECONDS + 0.1, "plain", n) for n in range(100) for member in members)
 
 
-def test_retry_budget_is_smaller_when_more_is_shed() -> None:
+def test_retry_budget_is_smaller_when_the_threshold_is_higher() -> None:
     member = Gateway(SITE, 1)
     member.fraction_of = lambda kind: 0.25
     shedding = LoadShedder(member)
@@ -131,40 +140,46 @@
     assert member.max_retry_budget() == pytest.approx(0.25 * MAX_FLEET_RETRY_BUDGET)
 
 
-def test_back_end_stays_at_its_capacity_and_recovers_when_it_is_overloaded_twofold() -> None:
-    level, queue, served, offered, back = AdmissionThreshold(), 0.0, 0.0, 0.0, inf
-    for beat in range(400):  # a queue in front of 100 a second, and aims of 1 s
-        now, load = beat * TICK_INTERVAL_SECONDS, 200.0 if beat < 200 else 60.0
-        come = load * (1.0 - level.value) * TICK_INTERVAL_SECONDS
-        done = min(queue + come, 100.0 * TICK_INTERVAL_SECONDS)
-        queue = min(150.0, queue + come - done)
-        for n in range(12):  # one lies, one is cut off
-            level.on_report(f"n{n}", (0.0, 1.0)[n] if n < 2 else min(1.0, queue / 100.0 + 0.05), now)
-        level.tick(now)
-        if 40 <= beat < 200:
-            served, offered = served + done, offered + 100.0 * TICK_INTERVAL_SECONDS
-        if beat >= 200 and level.value == 0.0:
-            back = min(back, now - 200 * TICK_INTERVAL_SECONDS)
-    assert served >= 0.85 * offered
-    assert back <= 12.0
-
-
-@pytest.mark.parametrize("levels", [(0.2, 0.0), (0.0004, 0.2, 0.0004, 0.0), (0.0, 0.001, 0.0)])
-def test_start_and_end_of_shedding_are_logged_when_little_is_shed(
-    levels: tuple[float, ...], monkeypatch: pytest.MonkeyPatch
+def test_backend_stays_at_its_capacity_and_recovers_when_it_is_overloaded_twofold() -> None:
+    threshold = AdmissionThreshold()
+    queue = 0.0
+    served = 0.0
+    capacity = 0.0
+    recovery_seconds = inf
+    for tick in range(400):  # a queue in front of 100 requests a second, and a latency objective of 1 s
+        now = tick * TICK_INTERVAL_SECONDS
+        load = 200.0 if tick < 200 else 60.0
+        arrived = load * (1.0 - threshold.value) * TICK_INTERVAL_SECONDS
+        done = min(queue + arrived, 100.0 * TICK_INTERVAL_SECONDS)
+        queue = min(150.0, queue + arrived - done)
+        for n in range(12):  # one reports a wrong figure, one is cut off
+            threshold.on_report(f"n{n}", (0.0, 1.0)[n] if n < 2 else min(1.0, queue / 100.0 + 0.05), now)
+        threshold.tick(now)
+        if 40 <= tick < 200:
+            served += done
+            capacity += 100.0 * TICK_INTERVAL_SECONDS
+        if tick >= 200 and threshold.value == 0.0:
+            recovery_seconds = min(recovery_seconds, now - 200 * TICK_INTERVAL_SECONDS)
+    assert served >= 0.85 * capacity
+    assert recovery_seconds <= 12.0
+
+
+@pytest.mark.parametrize("thresholds", [(0.2, 0.0), (0.0004, 0.2, 0.0004, 0.0), (0.0, 0.001, 0.0)])
+def test_start_and_end_of_load_shedding_are_logged_when_the_threshold_is_low(
+    thresholds: tuple[float, ...], monkeypatch: pytest.MonkeyPatch
 ) -> None:
     lines = list[str]()
     monkeypatch.setattr(log, "emit", lambda kind, text, **fields: lines.append(text.split(":")[0]))
-    court = OutlierService(clock.Deadlines(MemoryReactorClock()), 1.0, lambda name, message: None)  # type: ignore[no-untyped-call]
+    service = OutlierService(clock.Deadlines(MemoryReactorClock()), 1.0, lambda name, message: None)  # type: ignore[no-untyped-call]
 
-    def beat(now: float) -> float:
-        court._threshold.value = next(coming)
-        return court._threshold.value
+    def tick(now: float) -> float:
+        service._threshold.value = next(remaining)
+        return service._threshold.value
 
-    coming = iter(levels)
-    monkeypatch.setattr(court._threshold, "tick", beat)
-    for _ in levels:
-        court._update_threshold(0.0)
+    remaining = iter(thresholds)
+    monkeypatch.setattr(service._threshold, "tick", tick)
+    for _ in thresholds:
+        service._update_threshold(0.0)
     assert lines == ["load shedding begins", "load shedding ends"]
 
 
@@ -172,22 +187,25 @@
     classes = [{"name": "look", "on-time": 0.5, "deadline": 3000.0, "effect": "retryable"}]
     with (
         Limiter(tmp_path, servers=4, classes=classes) as limiter,
-        FleetOf(tmp_path, limiter) as members,
+        RunningFleet(tmp_path, limiter) as members,
         RespondingBackends(limiter) as backends,
     ):
-        clients, shed = MemberClients(limiter, members.ready(3)["members"]), 0
-
-        def wait_until(good: Any) -> None:
-            nonlocal shed
-            end = time.monotonic() + 3.0 * PATIENCE  # up in 4 s and back in 16 s, on a machine that keeps up
-            while not good(status := members.ask(do="overload")):
+        clients = MemberClients(limiter, members.ready(3)["members"])
+        rejected_count = 0
+
+        def wait_until(is_reached: Callable[[Message], bool]) -> None:
+            nonlocal rejected_count
+            end = (
+                time.monotonic() + 3.0 * PATIENCE
+            )  # it rises within 4 s and falls within 16 s, unless the machine is overloaded
+            while not is_reached(status := members.request(do="overload")):
                 assert time.monotonic() < end, json.dumps(status)
-                shed += sum(line.startswith(b"-BUSY") for line in clients.ask(customers=50))
+                rejected_count += sum(line.startswith(b"-BUSY") for line in clients.request_of_each(customers=50))
 
         wait_until(lambda status: len(status["members"]) == 3 and status["level"] == 0.0)
-        backends.delay = 0.4
+        backends.response_seconds = 0.4
         wait_until(lambda status: status["level"] > 0.3)
-        assert shed > 0
-        backends.delay = 0.0
+        assert rejected_count > 0
+        backends.response_seconds = 0.0
         wait_until(lambda status: status["level"] == 0.0)
         assert "load shedding begins" in (tmp_path / "log").read_text()
