--- a/thymeflow/shedding/load_shedder.py
+++ b/thymeflow/shedding/load_shedder.py
@@ -1,4 +1,4 @@
-"""A member's side of load shedding: by the fleet's threshold while it is valid, else by the member's own pressure."""
+"""A member's side of load shedding: by the fleet's threshold while that is valid, else by the member's own pressure."""
 
 from __future__ import annotations
 
@@ -43,7 +43,7 @@
     def limited_fraction(self, resource: str, fraction: float) -> float:
         """Return the fraction of a resource to use; of retries less, the more is shed, as retries add to the load.
 
-        The one retry that every gateway may save up is part of its fraction, or the sum would grow with the fleet.
+        The one retry that every gateway may save up counts towards its fraction, or the sum would grow with the fleet.
         """
         if resource != RETRY_RESOURCE:
             return fraction
