--- a/tests/cli/test_tables.py
+++ b/tests/cli/test_tables.py
@@ -4,13 +4,13 @@
 
 import json
 from pathlib import Path
-from typing import Any
 
+from tests.recorded_messages import Json
 from thymeflow.cli import budgets, instance, overload, snapshot
 from thymeflow.snapshot import schema
 
 RECORDED = Path(__file__).resolve().parents[1] / "data" / "before-rename"
-MESSAGES: dict[str, Any] = json.loads((RECORDED / "messages.json").read_text())
+MESSAGES: dict[str, Json] = json.loads((RECORDED / "messages.json").read_text())
 
 
 def test_ejections_are_shown_in_the_terms_of_outlier_detection() -> None:
--- a/tests/control_session.py
+++ b/tests/control_session.py
@@ -8,9 +8,9 @@
 from collections.abc import Iterator
 from contextlib import contextmanager
 from pathlib import Path
-from typing import Any
 
 from tests.limiter import PATIENCE
+from tests.recorded_messages import Json
 
 RECEIVE_BYTES = 65536
 MAX_DESCRIPTORS = 4
@@ -30,7 +30,7 @@
         data = json.dumps(message).encode() + b"\n"
         socket.send_fds(self.connection, [data], list(descriptors))
 
-    def receive(self) -> dict[str, Any]:
+    def receive(self) -> dict[str, Json]:
         """Return the next message."""
         while b"\n" not in self._unread:
             data, descriptors, _, _ = socket.recv_fds(self.connection, RECEIVE_BYTES, MAX_DESCRIPTORS)
@@ -38,10 +38,10 @@
             self._unread += data
             self.descriptors += descriptors
         line, _, self._unread = self._unread.partition(b"\n")
-        message: dict[str, Any] = json.loads(line)
+        message: dict[str, Json] = json.loads(line)
         return message
 
-    def receive_with(self, key: str) -> dict[str, Any]:
+    def receive_with(self, key: str) -> dict[str, Json]:
         """Return the next message that has the key; others are ignored."""
         while key not in (message := self.receive()):
             pass
--- a/tests/daemon/test_control_socket.py
+++ b/tests/daemon/test_control_socket.py
@@ -10,16 +10,12 @@
 from tests.daemon.support import RESPONSE, poll_until
 from tests.limiter import PATIENCE, Limiter, command, request
 
+FEW_CALLERS = {"THYMEFLOW_DAEMON_CONTROL_CALLERS": "2", "THYMEFLOW_DAEMON_CONTROL_PATIENCE": "300ms"}
 
-def test_control_socket_stays_usable_when_callers_are_malformed_or_hang(tmp_path: Path) -> None:
-    with Limiter(
-        tmp_path,
-        serve=(),
-        environment={"THYMEFLOW_DAEMON_CONTROL_CALLERS": "2", "THYMEFLOW_DAEMON_CONTROL_PATIENCE": "300ms"},
-    ) as limiter:
-        path = limiter.state / "n0.sock"
-        assert path.stat().st_mode & 0o777 == 0o600
-        for bad, why in (
+
+def test_request_is_rejected_with_its_cause_when_it_is_invalid(tmp_path: Path) -> None:
+    with Limiter(tmp_path, serve=()) as limiter:
+        for invalid, cause in (
             ({"do": "fly"}, "'do' is 'fly'"),
             ({"do": "drain", "linger": -1}, "linger is '-1'"),
             ({"do": "drain", "linger": True}, "linger"),
@@ -27,9 +23,15 @@
             ({"do": ["status"]}, "'do' is"),
             ({"do": "ready"}, "'do' is"),
         ):
-            response = limiter.ask(**bad)
+            response = limiter.ask(**invalid)
             assert response["ok"] is False
-            assert why in response["why"]
+            assert cause in response["why"]
+
+
+def test_control_socket_stays_usable_when_callers_are_malformed_or_hang(tmp_path: Path) -> None:
+    with Limiter(tmp_path, serve=(), environment=FEW_CALLERS) as limiter:
+        path = limiter.state / "n0.sock"
+        assert path.stat().st_mode & 0o777 == 0o600
         for malformed in (b"no json\n", b"[]\n", b"[" * 60000 + b"\n", b"x" * 70000):
             with socket.socket(socket.AF_UNIX) as caller:
                 caller.connect(str(path))
--- a/tests/fleet/test_message_formats.py
+++ b/tests/fleet/test_message_formats.py
@@ -27,7 +27,7 @@
 OUTLIER_STEPS = 80
 FIRST_FAILING_STEP = 4
 FIRST_RECOVERED_STEP = 24
-STEPS_BETWEEN_STATUSES = 8
+STEPS_PER_STATUS = 8
 LEASE_STEPS = 24
 INI = "[fleet]\ninstances = {1}\nspread = 0s\nsettle = 10ms\nwait = 100ms\nready = 10s\n[log]\nfile = {0}/log\n"
 POLL_SECONDS = 0.02
@@ -86,7 +86,7 @@
             service.on_report(name, member_report(failed, is_failing, results))
         service.on_report("n3", {"against": 7})
         deadlines.call_pending()
-        if step % STEPS_BETWEEN_STATUSES == STEPS_BETWEEN_STATUSES - 1:
+        if step % STEPS_PER_STATUS == STEPS_PER_STATUS - 1:
             statuses.append(service.status())
     service.on_member_gone("n2")
     statuses.append(service.status())
--- a/tests/handover/support.py
+++ b/tests/handover/support.py
@@ -12,7 +12,7 @@
 
 SMALL_PLAN: dict[str, Any] = {"tiers-of-service": [{"name": "basic", "refill": 2.0, "most-at-once": 16.0}]}
 GOOD_RESPONSE = b"*3\r\n$5\r\nvalue\r\n$14\r\nused=37,cost=2\r\n$11\r\navg_ms=14.5\r\n"
-READY_POLL_SECONDS = 0.02  # callers without a pause would take all places, and the next one be reset
+READY_POLL_SECONDS = 0.02  # more frequent callers would use all connections, and the next one would be reset
 
 
 def wait_until_ready(limiter: Limiter) -> None:
--- a/tests/handover/test_handover_trace.py
+++ b/tests/handover/test_handover_trace.py
@@ -1,7 +1,7 @@
-"""Both sides of a handover and the phases of a limiter, held to what the program of 2026-12-02 did.
+"""Both sides of a handover and the phases of a limiter, compared with the recorded transitions of an earlier version.
 
-Each pair of state and event is walked, and seeded runs of events are compared by digest. The recorded file holds the
-values of that program's enums.
+Each pair of state and event is walked, and seeded runs of events are compared by digest. The recorded file has the
+values of that version's enums.
 """
 
 from __future__ import annotations
--- a/tests/handover/test_message_formats.py
+++ b/tests/handover/test_message_formats.py
@@ -75,10 +75,11 @@
             session.send(do="took")  # out of turn
             messages += [rejection, session.receive()]
             session.send(do="ready")
-            offer = session.receive()
-            state = os.pread(session.descriptors[-1], offer["state"] + 1, 0)
-            is_complete = len(state) == offer["state"]
-            messages += [list(offer), offer["held"], offer["part"], is_complete, state[:STATE_HEAD_BYTES].decode()]
+            transfer = session.receive()
+            state = os.pread(session.descriptors[-1], transfer["state"] + 1, 0)
+            is_complete = len(state) == transfer["state"]
+            messages += [list(transfer), transfer["held"], transfer["part"], is_complete]
+            messages.append(state[:STATE_HEAD_BYTES].decode())
             limiter.served(client, 2, backend)
             session.send(do="took")
             messages.append(session.receive())
--- a/tests/logs/test_logs.py
+++ b/tests/logs/test_logs.py
@@ -54,7 +54,7 @@
     data.decode()
 
 
-def test_line_is_counted_as_dropped_when_the_disk_is_full() -> None:
+def test_dropped_lines_increase_when_the_disk_is_full() -> None:
     shared_file = SharedFile(Path("/dev/full"), 256, clock.now)
     shared_file.write("lost")
     assert shared_file.dropped_lines == 1
@@ -79,7 +79,7 @@
     assert line["at"].endswith("Z")
 
 
-def test_text_line_has_the_documented_form_and_paced_kinds_stay_paced(tmp_path: Path) -> None:
+def test_text_line_has_the_documented_form_and_rate_limited_kinds_are_limited(tmp_path: Path) -> None:
     path = tmp_path / "log"
     structured_log = StructuredLog(Log(file=str(path)), "n3", "cafe")
     try:
--- a/tests/settings/test_settings.py
+++ b/tests/settings/test_settings.py
@@ -67,7 +67,7 @@
 
 
 @pytest.mark.parametrize(
-    ("text", "line", "part"),
+    ("text", "line", "cause"),
     [
         ("[log]\nform = text\nform = json\n", 3, "set twice"),
         ("[log]\n[log]\n", 2, "stands twice"),
@@ -75,24 +75,24 @@
         ("[log]\nform text\n", 2, "no key = value"),
     ],
 )
-def test_syntax_fault_is_reported_at_its_line(text: str, line: int, part: str) -> None:
+def test_syntax_fault_is_reported_at_its_line(text: str, line: int, cause: str) -> None:
     (fault_text,) = fault_texts(text)
     assert fault_text.startswith(f"f.ini:{line}:")
-    assert part in fault_text
+    assert cause in fault_text
 
 
 def test_environment_is_used_when_the_file_sets_the_same_key(tmp_path: Path) -> None:
     path = tmp_path / "a.ini"
     path.write_text("[fleet]\ninstances = 5\nspread = 1s\n")
-    found = read_settings(path, {"THYMEFLOW_FLEET_INSTANCES": "7", "OTHER": "x"})
-    assert (found.fleet.instances, found.fleet.spread) == (7, 1.0)
+    settings = read_settings(path, {"THYMEFLOW_FLEET_INSTANCES": "7", "OTHER": "x"})
+    assert (settings.fleet.instances, settings.fleet.spread) == (7, 1.0)
 
 
 def test_file_is_rejected_when_it_cannot_be_read_as_settings(tmp_path: Path) -> None:
     (tmp_path / "latin").write_bytes(b"[log]\nfile = \xe9\n")
     (tmp_path / "large").write_bytes(b"#" * (MAX_BYTES + 1))
-    for name, part in (("latin", ":2: is no UTF-8"), ("large", "holds"), ("none", "No such file"), (".", "directory")):
-        with pytest.raises(SettingsError, match=part):
+    for name, text in (("latin", ":2: is no UTF-8"), ("large", "holds"), ("none", "No such file"), (".", "directory")):
+        with pytest.raises(SettingsError, match=text):
             read_settings(tmp_path / name, {})
 
 
--- a/tests/snapshot/test_late_charges.py
+++ b/tests/snapshot/test_late_charges.py
@@ -9,7 +9,7 @@
 from thymeflow.snapshot.late_charges import LateCharges, charge_late
 
 
-def test_late_charges_count_once_and_never_refill_beyond_the_share() -> None:
+def test_late_charges_apply_once_and_never_refill_above_the_quota_fraction() -> None:
     gateway = make_gateway()
     spend(gateway, 10.0, 0.5, 4.0)
     snapshot = take_snapshot(gateway, 10.5)
--- a/tests/snapshot/test_schema.py
+++ b/tests/snapshot/test_schema.py
@@ -76,7 +76,7 @@
     return header.encode() + text
 
 
-def test_buckets_are_restored_when_an_earlier_version_hands_over() -> None:
+def test_buckets_are_restored_when_the_predecessor_has_an_earlier_version() -> None:
     gateway = make_gateway()
     spend(gateway, 10.0, 0.5, 10.0)
     snapshot = take_snapshot(gateway, 11.0)
--- a/thymeflow/settings/ini_file.py
+++ b/thymeflow/settings/ini_file.py
@@ -83,7 +83,7 @@
 
 
 def _find_line_numbers(text: str) -> dict[tuple[str, str], int]:
-    # configparser does not keep line numbers, and a message without one costs its reader minutes.
+    # configparser does not report line numbers, which every error message has.
     line_numbers: dict[tuple[str, str], int] = {}
     section = ""
     for number, line in enumerate(text.splitlines(), 1):
--- a/thymeflow/snapshot/late_charges.py
+++ b/thymeflow/snapshot/late_charges.py
@@ -1,4 +1,4 @@
-"""Charges that a limiter made after its snapshot was handed over, which its successor has to learn of."""
+"""Charges that a limiter made after its snapshot was handed over, which it reports to its successor."""
 
 from __future__ import annotations
 
--- a/thymeflow/snapshot/restore.py
+++ b/thymeflow/snapshot/restore.py
@@ -6,7 +6,7 @@
 - after a *final* snapshot, taken when nothing more could be forwarded, each bucket continues at its old level and
   refills for the time that has passed;
 - after one of a running limiter, the customer may have continued to spend until the process died. Its bucket is charged
-  its own demand over the whole gap, but never below empty. The margin is what a customer that was idle at the
+  its own demand over the entire gap, but never below empty. The margin is what a customer that was idle at the
   snapshot spent between it and the death: at most its share of the burst, once.
 
 A bucket's share is bounded by the burst of the current settings. In a set of another size it shrinks and never grows.
