--- a/thymeflow/daemon/control_requests.py
+++ b/thymeflow/daemon/control_requests.py
@@ -9,7 +9,7 @@
 from thymeflow.daemon import control_messages
 from thymeflow.daemon.control_messages import ControlCommand
 from thymeflow.daemon.instance import Instance
-from thymeflow.daemon.status import build_status
+from thymeflow.daemon.status import message_of, status_of
 from thymeflow.handover.control_socket import ControlCaller, Message
 from thymeflow.handover.sender import HandoverSender
 from thymeflow.limiter import phases
@@ -77,7 +77,7 @@
     def update_watchers(self) -> None:
         """Send the status to callers that watch."""
         if self._watchers:
-            update = {"status": self._build_status()}
+            update = {"status": self._status_message()}
             for caller in list(self._watchers):
                 caller.send(update)
 
@@ -86,16 +86,16 @@
         self.update_watchers()
         self._service.instance.limiter.deadlines.schedule(clock.now() + WATCH_INTERVAL_SECONDS, self.tick)
 
-    def _build_status(self) -> Message:
-        return build_status(self._service.instance, self._service.sender.state)
+    def _status_message(self) -> Message:
+        return message_of(status_of(self._service.instance, self._service.sender.state))
 
     def _send_status(self, caller: ControlCaller, _: Message) -> None:
-        caller.send({"ok": True, **self._build_status()})
+        caller.send({"ok": True, **self._status_message()})
 
     def _watch_status(self, caller: ControlCaller, _: Message) -> None:
         self._watchers.append(caller)
         caller.keep_open(partial(self._watchers.remove, caller))
-        caller.send({"status": self._build_status()})
+        caller.send({"status": self._status_message()})
 
     def _drain(self, caller: ControlCaller, message: Message) -> None:
         linger_seconds = control_messages.linger_seconds_from_message(message)
--- a/thymeflow/daemon/status.py
+++ b/thymeflow/daemon/status.py
@@ -1,13 +1,17 @@
-"""The status of an instance, in the form of `thymeflow status --json` and of reports to the supervisor.
+"""The status of an instance, and its form in `thymeflow status --json` and in reports to the supervisor.
 
-The keys are a format that programs and earlier versions read.
+The keys of the message are a format that programs and earlier versions read; no other module writes them.
 """
 
 from __future__ import annotations
 
 import os
+from collections.abc import Mapping
+from dataclasses import dataclass
 
+from thymeflow.core.types import ResponseKind
 from thymeflow.daemon.instance import Instance
+from thymeflow.decision.gateway import Gateway
 from thymeflow.decision.types import BackendState
 from thymeflow.handover.control_socket import Message
 from thymeflow.handover.state_machine import SenderState
@@ -15,40 +19,113 @@
 from thymeflow.runtime import clock
 
 
-def build_status(instance: Instance, sender_state: SenderState) -> Message:
+@dataclass(frozen=True, slots=True)
+class BackendCounts:
+    """How many backends of the endpoint list are in which state."""
+
+    ready: int
+    other: int
+    ejected: int  # of those that are ready
+
+
+@dataclass(frozen=True, slots=True)
+class InstanceStatus:
+    """The state of an instance at one time."""
+
+    name: str
+    incarnation: str
+    pid: int
+    phase: Phase
+    listen_address: str
+    uptime_seconds: float
+    index: int
+    limiter_count: int
+    endpoint_list_version: int
+    backends: BackendCounts
+    open_requests: int
+    clients: int
+    response_counts: Mapping[ResponseKind, int]
+    customers: int
+    pressure: float
+    seconds_since_gossip: float | None  # None: neither a peer nor the counter has reported
+    snapshot: Message
+    handover_state: SenderState
+    dropped_log_lines: int
+    outlier_report: Message | None
+    allocation_report: Message | None
+
+    @property
+    def is_healthy(self) -> bool:
+        """Whether the instance serves and has a backend to forward to."""
+        return self.phase is Phase.SERVING and self.backends.ready > 0
+
+
+def status_of(instance: Instance, handover_state: SenderState) -> InstanceStatus:
     """Return the present state of an instance."""
     limiter = instance.limiter
-    now = clock.now()
     gateway = limiter.gateway
-    phase = limiter.lifecycle.phase
-    backends = list(gateway.backends.values())
+    now = clock.now()
     last_gossip_at = gateway.token_buckets.last_gossip_at
+    return InstanceStatus(
+        name=instance.name,
+        incarnation=instance.incarnation,
+        pid=os.getpid(),
+        phase=limiter.lifecycle.phase,
+        listen_address=limiter.lifecycle.listen_address,
+        uptime_seconds=now - instance.started_at,
+        index=gateway.settings.index,
+        limiter_count=gateway.settings.limiter_count,
+        endpoint_list_version=instance.snapshots.version,
+        backends=_count_backends(gateway, now),
+        open_requests=limiter.dispatcher.open_count(),
+        clients=len(limiter.frontend.clients),
+        response_counts=limiter.dispatcher.response_counts,
+        customers=len(gateway.buckets),
+        pressure=gateway.registry.pressure,
+        seconds_since_gossip=now - last_gossip_at if last_gossip_at > 0 else None,
+        snapshot=instance.snapshot_file.status(),
+        handover_state=handover_state,
+        dropped_log_lines=instance.log_handler.file.dropped_lines,
+        outlier_report=None if instance.ejections is None else instance.ejections.report(now),
+        allocation_report=instance.allocation.report(limiter.dispatcher),
+    )
+
+
+def _count_backends(gateway: Gateway, now: float) -> BackendCounts:
+    backends = list(gateway.backends.values())
     ready = [backend for backend in backends if backend.endpoint.state is BackendState.READY]
+    ejected = sum(not backend.is_healthy("", now) for backend in ready)
+    return BackendCounts(len(ready), len(backends) - len(ready), ejected)
+
+
+def message_of(status: InstanceStatus) -> Message:
+    """Return a status as it is printed and sent."""
+    since_gossip = status.seconds_since_gossip
     return {
-        "name": instance.name,
-        "life": instance.incarnation,
-        "pid": os.getpid(),
-        "phase": phase.value,
-        "listen": limiter.lifecycle.listen_address,
-        "uptime_s": round(now - instance.started_at, 3),
-        "healthy": phase is Phase.SERVING and bool(ready),
-        "index": gateway.settings.index,
-        "gateways": gateway.settings.limiter_count,
-        "list_version": instance.snapshots.version,
+        "name": status.name,
+        "life": status.incarnation,
+        "pid": status.pid,
+        "phase": status.phase.value,
+        "listen": status.listen_address,
+        "uptime_s": round(status.uptime_seconds, 3),
+        "healthy": status.is_healthy,
+        "index": status.index,
+        "gateways": status.limiter_count,
+        "list_version": status.endpoint_list_version,
         "servers": {
-            "ready": len(ready),
-            "other": len(backends) - len(ready),
-            "ejected": sum(not backend.is_healthy("", now) for backend in ready),
+            "ready": status.backends.ready,
+            "other": status.backends.other,
+            "ejected": status.backends.ejected,
         },
-        "open": limiter.dispatcher.open_count(),
-        "user_agents": len(limiter.frontend.clients),
-        "answers": {kind.value: count for kind, count in limiter.dispatcher.response_counts.items()},
-        "customers": len(gateway.buckets),
-        "pressure": round(gateway.registry.pressure, 3),
-        "counter_heard_s": round(now - last_gossip_at, 3) if last_gossip_at > 0 else None,
-        "snapshot": instance.snapshot_file.status(),
-        "hand_over": sender_state.value,
-        "log_lost": instance.log_handler.file.dropped_lines,
-        "evidence": None if instance.ejections is None else instance.ejections.report(now),
-        "part": instance.allocation.report(limiter.dispatcher),
+        "open": status.open_requests,
+        "user_agents": status.clients,
+        "answers": {kind.value: count for kind, count in status.response_counts.items()},
+        "customers": status.customers,
+        "pressure": round(status.pressure, 3),
+        "counter_heard_s": None if since_gossip is None else round(since_gossip, 3),
+        "snapshot": status.snapshot,
+        "hand_over": status.handover_state.value,
+        "log_lost": status.dropped_log_lines,
+        "evidence": status.outlier_report,
+        "part": status.allocation_report,
     }
