--- a/thymeflow/simulator.py
+++ b/thymeflow/simulator.py
@@ -1,4 +1,4 @@
-"""Adapter between the bench's text wire and the decisions: translation and nothing else.
+"""Adapter between the simulator's text wire and the decisions: translation and nothing else.
 
 Reads batches of events from standard input and writes one reply, with one flush, for each. Every instance is a gateway
 of its own and nothing is shared between them. Unknown kinds of line and unknown keys are ignored; a malformed line ends
@@ -42,46 +42,47 @@
 from thymeflow.decision.factory import create_gateway
 from thymeflow.decision.gateway import Gateway
 from thymeflow.decision.types import Backend, BackendState, EndpointListKind, LoadReport, Status
+from thymeflow.errors import ThymeflowError
 from thymeflow.platform.settings import JsonObject, settings_from
 
 Fields = dict[str, str]
 
-MAX_SHOWN_LINE = 200  # characters of a malformed line in its message
+MAX_SHOWN_CHARACTERS = 200  # of a malformed line, in the message about it
 
 
-class MalformedLineError(ValueError):
-    """A line is not of the wire's form."""
+class MalformedLineError(ThymeflowError, ValueError):
+    """A line does not have the wire's form."""
 
 
 def load_report(text: str | None) -> LoadReport | None:
-    """Translate name:value pairs; names that are not known are left out."""
+    """Translate name:value pairs; unknown names are ignored."""
     if not text or text == "-":
         return None
-    found: dict[str, float] = {}
+    values: dict[str, float] = {}
     for pair in text.split(","):
         name, _, value = pair.partition(":")
-        found[name] = float(value)
-    millis = found.get("avg_ms")
+        values[name] = float(value)
+    milliseconds = values.get("avg_ms")
     return LoadReport(
-        found.get("active"),
-        found.get("waiting"),
-        found.get("cpu"),
-        None if millis is None else millis / 1000.0,
-        found.get("rps"),
-        found.get("err_rps"),
+        values.get("active"),
+        values.get("waiting"),
+        values.get("cpu"),
+        None if milliseconds is None else milliseconds / 1000.0,
+        values.get("rps"),
+        values.get("err_rps"),
     )
 
 
-def backend_from(f: Fields) -> Backend:
+def backend_from(fields: Fields) -> Backend:
     """Translate one entry of a table."""
     return Backend(
-        int(f["backend"]),
-        f.get("az", ""),
-        BackendState(int(f.get("lifecycle", "1"))),
-        int(f.get("group", "0")),
-        f.get("hw", ""),
-        float(f.get("rating", "1")),
-        float(f.get("started-at", "0")),
+        int(fields["backend"]),
+        fields.get("az", ""),
+        BackendState(int(fields.get("lifecycle", "1"))),
+        int(fields.get("group", "0")),
+        fields.get("hw", ""),
+        float(fields.get("rating", "1")),
+        float(fields.get("started-at", "0")),
     )
 
 
@@ -89,19 +90,19 @@
     return b"" if text == "-" else bytes.fromhex(text)
 
 
-def _attempt_ended(f: Fields) -> AttemptEnded:
-    used = int(f.get("fleet-use", "0"))
-    units = float(f.get("billed", "0"))
+def _attempt_ended(fields: Fields) -> AttemptEnded:
+    usage = int(fields.get("fleet-use", "0"))
+    units = float(fields.get("billed", "0"))
     return AttemptEnded(
-        f["rid"],
-        int(f["round-no"]),
-        int(f["backend"]),
-        Status(int(f["reason"])),
-        float(f.get("spent", "0")),
-        f.get("over", "0") == "1",
-        (used - 1) / 100.0 if used > 0 else None,
+        fields["rid"],
+        int(fields["round-no"]),
+        int(fields["backend"]),
+        Status(int(fields["reason"])),
+        float(fields.get("spent", "0")),
+        fields.get("over", "0") == "1",
+        (usage - 1) / 100.0 if usage > 0 else None,
         units if units > 0 else None,
-        load_report(f.get("metrics")),
+        load_report(fields.get("metrics")),
     )
 
 
@@ -175,17 +176,17 @@
 
 def fields_of(kind: str, rest: str) -> Fields:
     """Split name=value pairs; a text field runs to the end of the line."""
-    found: Fields = {}
+    fields: Fields = {}
     while rest:
         name, separator, after = rest.partition("=")
         if not separator or " " in name or not name:
             message = "not name=value"
             raise MalformedLineError(message)
         if name == "settings" or (name == "text" and kind in ("emit", "exception")):
-            found[name] = after
+            fields[name] = after
             break
-        found[name], _, rest = after.partition(" ")
-    return found
+        fields[name], _, rest = after.partition(" ")
+    return fields
 
 
 class SimulatorAdapter:
@@ -311,7 +312,7 @@
         try:
             adapter.handle_line(line)
         except (ValueError, KeyError, TypeError, AttributeError) as fault:
-            shown = line[:MAX_SHOWN_LINE]
+            shown = line[:MAX_SHOWN_CHARACTERS]
             print(f"thymeflow.simulator: line {number} is malformed ({fault}): {shown}", file=sys.stderr)
             return 1
     return 0
