--- a/tests/decision/test_delivery_rules.py
+++ b/tests/decision/test_delivery_rules.py
@@ -4,7 +4,7 @@
 
 import heapq
 import random
-from typing import Any
+from dataclasses import dataclass, field
 
 from hypothesis import given
 from hypothesis import settings as hypothesis_settings
@@ -33,7 +33,7 @@
 from thymeflow.decision.settings import DiscoveryMode, Idempotency
 from thymeflow.decision.types import Backend, BackendState, EndpointListKind, Status
 
-NEVER = {Status.FULL, Status.CONNECT_FAILED, Status.MOOT}
+NOT_EXECUTED = {Status.FULL, Status.CONNECT_FAILED, Status.MOOT}
 KINDS = {
     "read": Idempotency.IDEMPOTENT,
     "book": Idempotency.WITH_KEY,
@@ -42,6 +42,21 @@
 }
 
 
+@dataclass
+class CheckedRequest:
+    """What is known of one request."""
+
+    deadline: float
+    idempotency: Idempotency
+    is_answered: bool = False
+    sent: list[tuple[int, float]] = field(default_factory=list)  # backend and time of each attempt
+    ended: dict[int, Status] = field(default_factory=dict)  # by number of the attempt
+
+    def possibly_executed(self) -> list[int]:
+        """Return the numbers of the attempts that may have been executed."""
+        return [n for n in range(len(self.sent)) if self.ended.get(n) not in NOT_EXECUTED]
+
+
 class Checker:
     """Ends the attempts of a gateway at random, and checks the first four rules of delivery."""
 
@@ -52,7 +67,7 @@
         self.gateway = Gateway(self.config, seed)
         self.queue: list[tuple[float, int, Event]] = []
         self.count = 0
-        self.tries: dict[str, dict[str, Any]] = {}
+        self.requests: dict[str, CheckedRequest] = {}
         self.state: dict[int, Backend] = {b.id: b for b in fleet()}
         self.slow_start_attempts: dict[int, list[float]] = {}
         self.feed(EndpointsChanged(EndpointListKind.CACHED, fleet()))
@@ -65,8 +80,8 @@
         while self.queue and self.queue[0][0] <= until:
             self.now, _, event = heapq.heappop(self.queue)
             if isinstance(event, AttemptEnded):
-                entry = self.tries[event.id]
-                if entry["ended"].get(event.attempt) is not None:
+                checked = self.requests[event.id]
+                if checked.ended.get(event.attempt) is not None:
                     continue
                 event = AttemptEnded(
                     event.id,
@@ -74,23 +89,17 @@
                     event.backend,
                     event.status,
                     event.latency,
-                    request_answered=entry["final"] or event.status is Status.OK,
+                    request_answered=checked.is_answered or event.status is Status.OK,
                     actual_units=1.0,
                 )
-                entry["ended"][event.attempt] = event.status
-                entry["final"] = entry["final"] or event.status is Status.OK
+                checked.ended[event.attempt] = event.status
+                checked.is_answered = checked.is_answered or event.status is Status.OK
             self.feed(event)
         self.now = until
 
     def feed(self, event: Event) -> None:
         if isinstance(event, RequestReceived):
-            self.tries[event.id] = {
-                "final": False,
-                "end": self.now + event.remaining,
-                "sent": [],
-                "ended": {},
-                "effect": KINDS[event.class_name],
-            }
+            self.requests[event.id] = CheckedRequest(self.now + event.remaining, KINDS[event.class_name])
         for action in self.gateway.handle(self.now, event):
             self.check(action)
 
@@ -99,39 +108,39 @@
             case SetTimer(token, delay):
                 self.schedule(delay, TimerFired(token))
             case StartAttempt(name, backend):
-                self.check_send(self.tries[name], name, backend)
+                self.check_send(self.requests[name], name, backend)
             case RejectRequest(name) | FailRequest(name):
-                entry = self.tries[name]
-                assert not entry["final"], "two answers"
-                assert self.now <= entry["end"] + RULES.response_grace, "late answer"
-                entry["final"] = True
-                executed = [n for n in range(len(entry["sent"])) if entry["ended"].get(n) not in NEVER]
+                checked = self.requests[name]
+                assert not checked.is_answered, "two answers"
+                assert self.now <= checked.deadline + RULES.response_grace, "late answer"
+                checked.is_answered = True
+                executed = checked.possibly_executed()
                 if isinstance(action, RejectRequest) and executed:
-                    assert entry["effect"] is Idempotency.IDEMPOTENT, "rejected although it may have been executed"
+                    assert checked.idempotency is Idempotency.IDEMPOTENT, "rejected although it may have been executed"
             case CancelAttempt(name, attempt):
                 self.schedule(0.0, AttemptEnded(name, attempt, 0, Status.CANCELLED))
 
-    def check_send(self, entry: dict[str, Any], name: str, backend: int) -> None:
-        assert not entry["final"], "sent after the answer"
+    def check_send(self, checked: CheckedRequest, name: str, backend: int) -> None:
+        assert not checked.is_answered, "sent after the answer"
         endpoint = self.state[backend]
         assert endpoint.state is BackendState.READY, "sent to a backend that drains or is gone"
-        assert len(entry["sent"]) < self.config.limits.max_attempts
-        out = [n for n in range(len(entry["sent"])) if n not in entry["ended"]]
-        assert not out, "two attempts out"
-        executed = [n for n in range(len(entry["sent"])) if entry["ended"].get(n) not in NEVER]
+        assert len(checked.sent) < self.config.limits.max_attempts
+        out = [n for n in range(len(checked.sent)) if n not in checked.ended]
+        assert not out, "two attempts in flight"
+        executed = checked.possibly_executed()
         if executed:
-            assert entry["effect"] is not Idempotency.NOT_IDEMPOTENT, "an unsafe request sent twice"
-            if entry["effect"] is Idempotency.WITH_KEY:
-                first, when = entry["sent"][executed[0]]
-                assert self.state[first].zone == endpoint.zone, "a key sent to another group"
+            assert checked.idempotency is not Idempotency.NOT_IDEMPOTENT, "an unsafe request sent twice"
+            if checked.idempotency is Idempotency.WITH_KEY:
+                first, when = checked.sent[executed[0]]
+                assert self.state[first].zone == endpoint.zone, "a key sent to another zone"
                 assert self.now <= when + KEYED.idempotency_window, "a key sent after its window"
         if endpoint.started > 0 and self.now < endpoint.started + RULES.slow_start_seconds:
             self.slow_start_attempts.setdefault(backend, []).append(self.now)
-        entry["sent"].append((backend, self.now))
+        checked.sent.append((backend, self.now))
         status = self.rng.choice([Status.OK] * 4 + list(Status))
         self.schedule(
-            min(self.rng.expovariate(2.0), entry["end"] - self.now + 0.001),
-            AttemptEnded(name, len(entry["sent"]) - 1, backend, status, 0.1),
+            min(self.rng.expovariate(2.0), checked.deadline - self.now + 0.001),
+            AttemptEnded(name, len(checked.sent) - 1, backend, status, 0.1),
         )
 
     def relist(self) -> None:
@@ -168,7 +177,7 @@
         ):
             assert checker.gateway.handle(checker.now, strange) == []
     checker.run(checker.now + 20.0)
-    assert all(entry["final"] for entry in checker.tries.values()), "a request without an answer"
+    assert all(checked.is_answered for checked in checker.requests.values()), "a request without an answer"
     assert not checker.gateway.pending
     assert checker.gateway.registry.in_flight == 0
 
--- a/tests/decision/test_gateway_trace.py
+++ b/tests/decision/test_gateway_trace.py
@@ -12,7 +12,8 @@
 
 import pytest
 
-from tests.decision.trace_surroundings import Surroundings, site, site_with_counter
+from tests.decision.trace_sites import site, site_with_counter
+from tests.decision.trace_surroundings import Surroundings
 from tests.fleet_bounds import fixed_bounds
 from tests.trace_digest import TraceDigest
 from thymeflow import simulator
--- a/tests/decision/trace_surroundings.py
+++ b/tests/decision/trace_surroundings.py
@@ -10,65 +10,18 @@
 from collections.abc import Callable, Iterator
 from typing import Any, TextIO
 
+from tests.decision.trace_sites import COUNTER_TIMEOUT
 from tests.trace_digest import TraceDigest
 
 OK, ERROR, FULL, TIMEOUT, CONNECT_FAILED, RESET, CANCELLED, MOOT = range(1, 9)
-
-
 GONE, READY, DRAINING = range(3)
-
-
 DELTA, FULL_LIST, CACHED, FAILED = range(4)
-
-
 START_SECONDS = 100.0
 BATCH_SECONDS = 0.004
 RUN_SECONDS = 30.0
-COUNTER_TIMEOUT = 0.03
-
-
 Fields = dict[str, str]
 
 
-def site(index: int, gateways: int, **changes: Any) -> dict[str, Any]:
-    """Settings of one gateway in the wire's JSON."""
-    base: dict[str, Any] = {
-        "index": index,
-        "balancers": gateways,
-        "zone": "ab"[index % 2],
-        "azs": ["a", "b"],
-        "step": 0.002,
-        "discovery": "on_request" if index % 2 else "pushed",
-        "report": {"how": "inline", "fields": ["active", "avg_ms"]},
-        "rules": {"drain-grace": 0.5, "fall-multiple": 2.0, "fall": 1.5, "cold-share": 0.2, "cold": 8.0},
-        "caps": {
-            "cancel": True,
-            "max-attempts": 3,
-            "may-tell": True,
-            "retry-after": True,
-            "max-retry-after": 1.5,
-        },
-        "family-info": {"trued-up": True, "most-units": 4, "peer-intake": 60.0},
-        "classes": [
-            {"name": "read", "on-time": 0.4, "deadline": 1.2, "effect": "retryable", "late-share": 0.3},
-            {"name": "quick", "on-time": 0.3, "deadline": 0.9, "effect": "retryable"},
-            {"name": "zoned", "on-time": 0.5, "deadline": 1.5, "effect": "dedup", "key-scope": "zone", "window": 0.5},
-            {"name": "celled", "on-time": 0.5, "deadline": 1.5, "effect": "dedup", "key-scope": "cell", "window": 0.6},
-            {"name": "keyed", "on-time": 0.5, "deadline": 1.5, "effect": "dedup", "key-scope": "all", "window": 0.4},
-            {"name": "sign", "on-time": 0.5, "deadline": 2.0, "effect": "fragile", "credit": 3.0},
-            {"name": "feed", "on-time": 0.3, "deadline": 2.0, "effect": "retryable", "stream": True},
-        ],
-        "tiers-of-service": [
-            {"name": "basic", "refill": 8.0, "most-at-once": 16.0},
-            {"name": "capped", "refill": 20.0, "most-at-once": 30.0, "never-over-rate": 6.0, "never-over-depth": 9.0},
-            {"name": "narrow", "refill": 10.0, "most-at-once": 20.0, "parallel": 4},
-            {"name": "scarce", "refill": 1.5, "most-at-once": 7.0, "over-cost": 0.6, "over-worth": 0.2},
-            {"name": "free", "refill": 0.0, "most-at-once": 0.0},
-        ],
-    }
-    return {**base, **changes}
-
-
 class Call:
     """A request of a client, as its surroundings see it."""
 
@@ -395,10 +348,3 @@
         total = "nan" if self.rng.random() < 0.01 else f"{self.totals.get(name, 0.0):.9g}"
         text = f"ledger_reply book={name} reason={status} reading={total} spent={latency:.6f}"
         self.at(latency, instance, text)
-
-
-def site_with_counter(index: int, gateways: int, **changes: Any) -> dict[str, Any]:
-    """Settings of a gateway that has a counter and no gossip."""
-    base = site(index, gateways)
-    information = {**base["family-info"], "may-count": True, "counter-timeout": COUNTER_TIMEOUT}
-    return {**base, "caps": {**base["caps"], "may-tell": False}, "family-info": information, **changes}
--- a/tests/test_simulator.py
+++ b/tests/test_simulator.py
@@ -1,4 +1,4 @@
-"""The adapter's translation on small samples of our own, and the module's outer bounds."""
+"""The adapter's translation on small samples, and the size of the files that decide."""
 
 from __future__ import annotations
 
@@ -40,13 +40,13 @@
 REQUEST = "incoming rid=00000000000000ab cls=get tier=basic user-key=u:1 remaining=2 weight=3 spread=2 first=0"
 
 
-def play(text: str) -> tuple[int, str]:
+def run_adapter(text: str) -> tuple[int, str]:
     out = io.StringIO()
     return simulator.main(io.StringIO(text), out), out.getvalue()
 
 
-def test_a_day_in_small_byte_for_byte() -> None:
-    code, out = play(
+def test_replies_match_byte_for_byte_when_a_short_run_is_played() -> None:
+    code, out = run_adapter(
         BIRTH + f"clock wall=6\nat i=4\nodd thing=1\n{REQUEST} later=9\nend\n"
         "clock wall=6.25\nat i=4\nattempt_end rid=00000000000000ab round-no=0 backend=51 "
         "reason=1 spent=0.25 over=1 fleet-use=51 billed=2 metrics=active:3,other:1\nend\n"
@@ -60,9 +60,9 @@
     )
 
 
-def test_refusal_carries_advice_and_a_halted_instance_is_gone() -> None:
+def test_rejection_has_retry_advice_and_instance_is_gone_when_it_was_halted() -> None:
     big = REQUEST.replace("weight=3", "weight=8").replace("ab cls", "ac cls")
-    _, out = play(BIRTH + f"clock wall=6\nat i=4\n{REQUEST}\n{big}\nhalt\n{REQUEST}\nend\n")
+    _, out = run_adapter(BIRTH + f"clock wall=6\nat i=4\n{REQUEST}\n{big}\nhalt\n{REQUEST}\nend\n")
     assert "bounce rid=00000000000000ac not-before-for=" in out
     assert out.count("issue") == 1
 
@@ -79,8 +79,8 @@
         "reminder cookie",
     ],
 )
-def test_malformed_lines_end_with_one_message(line: str, capsys: pytest.CaptureFixture[str]) -> None:
-    code, out = play(BIRTH + f"clock wall=6\nat i=4\n{line}\nend\n")
+def test_program_ends_with_one_message_when_a_line_is_malformed(line: str, capsys: pytest.CaptureFixture[str]) -> None:
+    code, out = run_adapter(BIRTH + f"clock wall=6\nat i=4\n{line}\nend\n")
     assert code == 1
     assert out.count("ready") == 1
     message = capsys.readouterr().err
@@ -88,13 +88,13 @@
     assert line in message
 
 
-def test_senseless_settings_are_the_wires_fault_action() -> None:
+def test_fault_action_is_written_when_settings_are_invalid() -> None:
     bad = SETTINGS.replace('"refill": 10.0', '"refill": -1.0')
-    _, out = play(f"clock wall=5\nat i=4\nborn salt=7 settings={bad}\nend\n")
+    _, out = run_adapter(f"clock wall=5\nat i=4\nborn salt=7 settings={bad}\nend\n")
     assert out.startswith("for i=4\nexception text=ValueError: settings.tiers-of-service[0].refill: -1.0")
 
 
-def test_same_events_same_actions_under_any_hash_seed() -> None:
+def test_actions_are_the_same_when_the_hash_seed_differs() -> None:
     text = BIRTH
     for n in range(40):
         line = REQUEST.replace("u:1", f"u:{n % 5}").replace("ab cls", f"{n:02x} cls")
@@ -114,7 +114,7 @@
     assert len(replies) == 1
 
 
-def test_files_that_decide_are_short_when_they_are_read_as_the_deploy_file_lists_them() -> None:
+def test_policy_files_are_short_when_the_deploy_file_lists_them() -> None:
     deploy = tomllib.loads((ROOT / "deploy" / "balancer.toml").read_text())
     texts = [(ROOT / path).read_text() for path in deploy["policy"]]
     assert max(len(text.splitlines()) for text in texts) <= 250
