--- a/tests/outliers/test_outlier_fleet.py
+++ b/tests/outliers/test_outlier_fleet.py
@@ -54,7 +54,7 @@
         other_class_attempts = 0  # since the class was ejected
         backends.failing = {0}
         backends.failing_class = b"c=look,"
-        # As in the tests beside this one, each wait has a bound of its own: for the ejection, and for attempts after it.
+        # As in the tests beside this one, each wait has its own bound: for the ejection, and for attempts after it.
         end = time.monotonic() + PATIENCE
         is_ejected = False
         while other_class_attempts < 20:
