--- a/tests/test_between.py
+++ b/tests/test_between.py
@@ -13,6 +13,8 @@
 from hypothesis import strategies as st
 
 from tests.limiter import ROOT
+from thymeflow.cli import faults as cli_faults
+from thymeflow.testkit.faults import fault_modes
 from thymeflow.testkit.faults.schedule import (
     RESERVED_QUOTAS,
     FaultAction,
@@ -133,6 +135,10 @@
     assert run.figures["served"] > 0, run.output
 
 
+def test_command_line_offers_every_fault_mode() -> None:
+    assert set(cli_faults.FAULT_MODES) == fault_modes.FAULT_MODES.keys()
+
+
 DEFAULT_CLUSTER = Schedule(limiter_count=2, load_seconds=3.0, seed=2, demand_fraction=0.8, mean_work_seconds=0.1)
 # Three of four backends drain, so that what is still forwarded to them a second later is seen.
 DRAINING_CLUSTER = replace(DEFAULT_CLUSTER, steps=(FaultStep(0.2, FaultAction.DRAIN_BACKEND, (1, 2, 3)),))
