--- a/tests/frontend/test_endings.py
+++ b/tests/frontend/test_endings.py
@@ -98,7 +98,7 @@
             sock.setblocking(False)
             sock.connect_ex(listener.getsockname())
         client.send(request(1))
-        # The first PING may be answered in the turn that reads the request; the reactor begins to connect in the next one.
+        # The first PING may be answered in the turn that reads the request; the reactor connects in the next one.
         for _ in range(2):
             limiter.until(b"+PONG", command(b"PING"))
         server: list[Peer] = []
