--- /dev/null
+++ b/tests/fleet/test_member_messages.py
@@ -0,0 +1,46 @@
+"""The messages between a supervisor and its members."""
+
+from __future__ import annotations
+
+from thymeflow.fleet.member_messages import (
+    UNKNOWN_PID,
+    ejections_message,
+    grant_message,
+    status_from_message,
+    threshold_message,
+)
+from thymeflow.leases.allocation import Allocation, allocation_from_message
+from thymeflow.outliers.ejection import Ejection, EjectionKey
+from thymeflow.outliers.messages import ejections_from_message
+
+
+def test_status_has_the_values_of_its_message() -> None:
+    message = {"pid": 7, "life": "0b1c", "phase": "serving", "healthy": True, "part": {"era": 1}, "evidence": {}}
+    status = status_from_message(message)
+    assert (status.pid, status.incarnation, status.is_healthy) == (7, "0b1c", True)
+    assert status.is_serving
+    assert status.allocation_report == {"era": 1}
+    assert status.outlier_report == {}
+    assert status.message is message
+
+
+def test_status_is_not_serving_and_reports_nothing_when_its_message_is_empty() -> None:
+    status = status_from_message({})
+    assert status.pid == UNKNOWN_PID
+    assert not status.is_serving
+    assert not status.is_healthy
+    assert status.allocation_report is None
+    assert status.outlier_report is None
+
+
+def test_grant_and_ejections_are_the_same_when_the_member_parses_them() -> None:
+    allocation = Allocation(2, 3)
+    assert allocation_from_message(grant_message(allocation)["part"]) == allocation
+    ejection = Ejection(EjectionKey(7, "read"), 1, 0, False, False, 5.5)
+    assert ejections_from_message(ejections_message([ejection])["verdicts"]) == [ejection]
+
+
+def test_commands_are_those_that_members_know() -> None:
+    messages = (grant_message(Allocation()), ejections_message([]), threshold_message(0.5))
+    assert [message["do"] for message in messages] == ["part", "verdicts", "shed"]
+    assert threshold_message(0.5)["level"] == 0.5
--- a/thymeflow/fleet/adoption.py
+++ b/thymeflow/fleet/adoption.py
@@ -11,9 +11,9 @@
 from thymeflow.fleet.actions import Action
 from thymeflow.fleet.controller import FleetController
 from thymeflow.fleet.events import MemberAdopted
+from thymeflow.fleet.member_messages import SOCKET_REQUEST, UNKNOWN_PID, MemberStatus
 from thymeflow.fleet.member_processes import MemberProcesses
 from thymeflow.fleet.member_sockets import MemberSockets
-from thymeflow.fleet.member_status import UNKNOWN_PID, MemberStatus
 from thymeflow.fleet.processes import AdoptedProcess, RunProcess
 from thymeflow.fleet.reactor import FleetReactor
 from thymeflow.fleet.registry import FleetNames
@@ -82,7 +82,7 @@
 
     def _on_connected(self, session: control_client.ControlSession) -> None:
         self._session = session
-        session.send({"do": "socket"})
+        session.send(SOCKET_REQUEST)
 
     def _on_connect_failure(self, _: Failure) -> None:
         self._on_ended()
--- a/thymeflow/fleet/control_requests.py
+++ b/thymeflow/fleet/control_requests.py
@@ -31,6 +31,15 @@
     leave: Callable[[], None]
 
 
+@dataclass(frozen=True, slots=True)
+class OperationRequest:
+    """An operation that is ordered."""
+
+    kind: OperationKind
+    count: int = 0  # wanted members, of a SCALE
+    program: str | None = None  # command line of the members from now on; None: unchanged
+
+
 class ControlRequests:
     """Answers callers, and reports the progress of operations to those who ordered them."""
 
@@ -66,33 +75,23 @@
         if isinstance(command, str) and command in self._commands:
             self._commands[command](caller)
         elif command in OPERATION_COMMANDS:
-            kind = OperationKind(command)
-            self.begin_operation(caller, kind, message.get("count", 0), message.get("program"))
+            self.begin_operation(caller, operation_from_message(OperationKind(command), message))
         else:
             commands = ", ".join([*self._commands, *OPERATION_COMMANDS])
             caller.send({"ok": False, "why": f"'do' is {str(command)[:40]!r}; it may be {commands}"})
 
-    def begin_operation(
-        self, caller: ControlCaller | None, kind: OperationKind, count: object = 0, program: object = None
-    ) -> None:
-        """Order an operation, for a caller or for the supervisor itself.
-
-        :raises ValueError: the count or the program is invalid.
-        """
-        # Plain ValueErrors: the control socket shows callers the name of the type.
-        wanted_count = _parse_count(count) if kind is OperationKind.SCALE else 0
-        if program is not None and (not isinstance(program, str) or len(program) > MAX_PROGRAM_CHARACTERS):
-            text = "program is no command line"
-            raise ValueError(text)
+    def begin_operation(self, caller: ControlCaller | None, request: OperationRequest) -> None:
+        """Order an operation, for a caller or for the supervisor itself."""
         self._last_operation_id += 1
         operation_id = self._last_operation_id
         if caller is not None:
             caller.is_persistent = True
             self._callers[operation_id] = caller
-        if program is not None and not self._controller.describe_operation():
-            self._previous_programs[operation_id] = self._environment.use_program(program)
-        log.emit(LogKind.ORDER, f"{kind.value}{f' to {wanted_count}' if kind is OperationKind.SCALE else ''}")
-        self._handler.decide(Operation(operation_id, kind, wanted_count))
+        if request.program is not None and not self._controller.describe_operation():
+            self._previous_programs[operation_id] = self._environment.use_program(request.program)
+        suffix = f" to {request.count}" if request.kind is OperationKind.SCALE else ""
+        log.emit(LogKind.ORDER, f"{request.kind.value}{suffix}")
+        self._handler.decide(Operation(operation_id, request.kind, request.count))
 
     def report(self, report: ReportProgress) -> None:
         """Log a report of an operation, and send it to the caller who ordered it."""
@@ -129,6 +128,20 @@
         self._handlers.leave()
 
 
+def operation_from_message(kind: OperationKind, message: Message) -> OperationRequest:
+    """Return the operation that a request orders.
+
+    :raises ValueError: the count or the program is invalid.
+    """
+    # Plain ValueErrors: the control socket shows callers the name of the type.
+    count = _parse_count(message.get("count", 0)) if kind is OperationKind.SCALE else 0
+    program = message.get("program")
+    if program is not None and (not isinstance(program, str) or len(program) > MAX_PROGRAM_CHARACTERS):
+        text = "program is no command line"
+        raise ValueError(text)
+    return OperationRequest(kind, count, program)
+
+
 def _parse_count(count: object) -> int:
     try:
         return Count(1, MAX_MEMBERS).read(str(count))
--- a/thymeflow/fleet/controller.py
+++ b/thymeflow/fleet/controller.py
@@ -1,7 +1,7 @@
 """What a supervisor decides: events in, actions out; no I/O, no clock, no random source of its own.
 
-Each member is in one named state, and `member_state.TRANSITIONS` holds every legal change; anything else is a fault
-of the controller and raises. Operations run one at a time; see `rollout`.
+Each member is in one named state, and `member_state.TRANSITIONS` has every legal change; anything else is a programming
+error of the controller and raises IllegalTransitionError. Operations run one at a time; see `rollout`.
 """
 
 from __future__ import annotations
--- a/thymeflow/fleet/events.py
+++ b/thymeflow/fleet/events.py
@@ -65,7 +65,7 @@
 
 
 class EventHandler(Protocol):
-    """The supervisor, as its parts see it."""
+    """What the supervisor offers to the objects that it is composed of."""
 
     def decide(self, event: Event) -> None:
         """Decide on an event, and carry out the actions."""
--- a/thymeflow/fleet/lease_distributor.py
+++ b/thymeflow/fleet/lease_distributor.py
@@ -5,6 +5,7 @@
 from collections.abc import Callable
 from pathlib import Path
 
+from thymeflow.fleet.member_messages import grant_message
 from thymeflow.fleet.status_messages import JsonObject, lease_status
 from thymeflow.handover.control_socket import Message
 from thymeflow.leases import grant_file
@@ -44,12 +45,12 @@
         log.emit(
             LogKind.BUDGETS,
             f"epoch {self._issuer.epoch}, {len(self._issuer.records)} members may have allocations",
-            era=self._issuer.epoch,  # the field's name is part of the log's format
+            era=self._issuer.epoch,  # the log field keeps its name, by which logs are searched
         )
         self._tick(0)
 
     def holders(self) -> list[str]:
-        """Return the members that may hold an allocation."""
+        """Return the members that may have an allocation."""
         return [name for name, record in self._issuer.records.items() if record.state is not HolderState.ABSENT]
 
     def on_starting(self, name: str) -> Message:
@@ -58,7 +59,9 @@
             self._issuer.on_disconnected(name)
         allocation, _ = self._issuer.on_starting(name, clock.monotonic())
         if not self._write_grant_file():
-            allocation = Allocation(allocation.epoch, allocation.number)  # starts with nothing, is granted later
+            allocation = Allocation(
+                allocation.epoch, allocation.number
+            )  # the process starts without any, and is granted some later
         return message_of(allocation)
 
     def on_report(self, name: str, message: object) -> None:
@@ -110,5 +113,4 @@
             self._send_allocation(grant.holder, grant.allocation)
 
     def _send_allocation(self, name: str, allocation: Allocation) -> None:
-        # The message's keys and its command are those of the control socket.
-        self._send(name, {"do": "part", "part": message_of(allocation)})
+        self._send(name, grant_message(allocation))
--- a/thymeflow/fleet/member_processes.py
+++ b/thymeflow/fleet/member_processes.py
@@ -14,10 +14,10 @@
 from thymeflow.fleet.actions import StartProcess
 from thymeflow.fleet.events import EventHandler, RunEnded, StatusReported
 from thymeflow.fleet.lease_distributor import LeaseDistributor
+from thymeflow.fleet.member_messages import STATUS_REQUEST, MemberStatus, status_from_message
 from thymeflow.fleet.member_runs import MemberRuns
 from thymeflow.fleet.member_sockets import MemberSockets, format_address
 from thymeflow.fleet.member_state import NO_RUN, Member
-from thymeflow.fleet.member_status import MemberStatus, status_from_message
 from thymeflow.fleet.options import SupervisorOptions
 from thymeflow.fleet.outlier_service import OutlierService
 from thymeflow.fleet.processes import (
@@ -128,7 +128,7 @@
             self._reactor,
             self._deadlines,
             self._names.path(number, "sock"),
-            {"do": "status"},
+            STATUS_REQUEST,
             clock.now() + STATUS_TIMEOUT_SECONDS,
         )
         return requested.addCallback(status_from_message)
--- a/thymeflow/fleet/outlier_service.py
+++ b/thymeflow/fleet/outlier_service.py
@@ -8,24 +8,25 @@
 from collections.abc import Callable
 from dataclasses import dataclass, field, replace
 
+from thymeflow.fleet.member_messages import ejections_message, threshold_message
 from thymeflow.fleet.status_messages import JsonObject, outlier_status
 from thymeflow.handover.control_socket import Message
 from thymeflow.outliers.coordinator import OutlierCoordinator
 from thymeflow.outliers.ejection import Ejection, EjectionKey, EjectionState
 from thymeflow.outliers.errors import MalformedOutlierMessageError
-from thymeflow.outliers.messages import message_of, report_from_message
+from thymeflow.outliers.messages import report_from_message
 from thymeflow.runtime import clock, log
 from thymeflow.runtime.log_kinds import LogKind
 from thymeflow.shedding.threshold import AdmissionThreshold
 
 TICK_SECONDS = 0.25  # between evaluations of the reports
+RENEWAL_SECONDS = 1.0  # unchanged ejections and thresholds are sent again, a third of their lease
 THRESHOLD_DECIMALS = 3  # of a threshold in messages
-STATE_TEXTS = {
+STATE_TEXTS = {  # in log lines, where an ejection changes its state
     EjectionState.EJECTED: "ejected again",
     EjectionState.RECOVERING: "recovering",
     EjectionState.RECOVERED: "recovered",
 }
-RENEWAL_SECONDS = 1.0  # unchanged ejections and thresholds are sent again, a third of their lease
 
 
 @dataclass(frozen=True, slots=True)
@@ -114,13 +115,11 @@
         sent = self._sent_ejections.get(name, _SentEjections(now))
         if ejections != sent.ejections or (ejections and now - sent.sent_at >= RENEWAL_SECONDS):
             self._sent_ejections[name] = _SentEjections(now, ejections)
-            rows = [message_of(ejection) for ejection in self._coordinator.ejections_for(name, now)]
-            self._send(name, {"do": "verdicts", "verdicts": rows})
+            self._send(name, ejections_message(self._coordinator.ejections_for(name, now)))
 
     def _update_threshold(self, now: float) -> None:
-        previous = round(
-            self._threshold.value, THRESHOLD_DECIMALS
-        )  # as it was sent: one that rounds to 0 sheds nothing
+        # Rounded as it was sent: one that rounds to 0 sheds nothing.
+        previous = round(self._threshold.value, THRESHOLD_DECIMALS)
         threshold = round(self._threshold.tick(now), THRESHOLD_DECIMALS)
         if (threshold > 0.0) != (previous > 0.0):
             log.emit(
@@ -140,7 +139,7 @@
         sent = self._sent_thresholds.get(name, _SentThreshold(0.0, now - RENEWAL_SECONDS))
         if threshold != sent.threshold or now - sent.sent_at >= RENEWAL_SECONDS:
             self._sent_thresholds[name] = _SentThreshold(threshold, now)
-            self._send(name, {"do": "shed", "level": threshold})
+            self._send(name, threshold_message(threshold))
 
 
 def _describe_key(key: EjectionKey) -> str:
--- a/thymeflow/fleet/processes.py
+++ b/thymeflow/fleet/processes.py
@@ -16,7 +16,7 @@
 from twisted.internet.protocol import ProcessProtocol
 from twisted.python.failure import Failure
 
-from thymeflow.fleet.member_status import MemberStatus, status_from_message
+from thymeflow.fleet.member_messages import WATCH_REQUEST, MemberStatus, status_from_message
 from thymeflow.fleet.reactor import FleetReactor
 from thymeflow.handover import control_client
 from thymeflow.handover.control_socket import Message
@@ -28,7 +28,7 @@
 
 
 class RunObserver(Protocol):
-    """What is notified of a run's life cycle."""
+    """What is notified of the status and the end of a run."""
 
     def on_status(self, run: MemberRun, status: MemberStatus) -> None:
         """Handle a status report."""
@@ -101,7 +101,7 @@
         if self.is_ended:
             session.close()
         else:
-            session.send({"do": "watch"})
+            session.send(WATCH_REQUEST)
 
     def _handle_connect_failure(self, _: Failure) -> None:
         self._schedule_connect()
--- a/thymeflow/fleet/status_messages.py
+++ b/thymeflow/fleet/status_messages.py
@@ -1,6 +1,6 @@
 """The status of a fleet as JSON: what `status`, `budgets` and `overload` answer on the control socket.
 
-This module alone knows the keys and the words of these messages, which `thymeflow ... --json` prints: a format that
+This module alone knows the keys and the values of these messages, which `thymeflow ... --json` prints: a format that
 programs of other versions read.
 """
 
--- a/thymeflow/fleet/supervisor.py
+++ b/thymeflow/fleet/supervisor.py
@@ -31,7 +31,7 @@
     WriteLog,
 )
 from thymeflow.fleet.adoption import MemberAdopter
-from thymeflow.fleet.control_requests import ControlRequests, RequestHandlers
+from thymeflow.fleet.control_requests import ControlRequests, OperationRequest, RequestHandlers
 from thymeflow.fleet.controller import FleetController
 from thymeflow.fleet.errors import SupervisorError
 from thymeflow.fleet.events import Event, FleetStarted, OperationKind, Tick
@@ -178,7 +178,7 @@
         self._reactor.callFromThread(handler)
 
     def _shut_down(self) -> None:
-        self._requests.begin_operation(None, OperationKind.SHUTDOWN)
+        self._requests.begin_operation(None, OperationRequest(OperationKind.SHUTDOWN))
 
     def _end(self) -> None:
         # Counted from the reactor's next turn: this one may still wait for the disk, and the last answer would
