--- a/tests/decision/test_admission.py
+++ b/tests/decision/test_admission.py
@@ -2,6 +2,10 @@
 
 from __future__ import annotations
 
+from math import inf, nan
+
+import pytest
+
 from tests.helpers import SAFE, request, sends, started
 from thymeflow.decision.actions import (
     CancelAttempt,
@@ -12,6 +16,7 @@
 from thymeflow.decision.events import (
     TimerFired,
 )
+from thymeflow.decision.settings import InvalidSettingError
 
 
 def test_gateway_admits_again_when_it_rejected_everything_under_pressure() -> None:
@@ -40,3 +45,11 @@
         return sum(bool(sends(gateway.handle(100.0, request(f"r{n}", customer=f"c{n}")))) for n in range(60))
 
     assert out(0.0) > 1.5 * out(0.4)
+
+
+@pytest.mark.parametrize("remaining", [nan, inf])
+@pytest.mark.parametrize("class_name", ["read", "unknown"])
+def test_request_is_an_error_when_its_remaining_time_is_not_finite(class_name: str, remaining: float) -> None:
+    gateway = started()
+    with pytest.raises(InvalidSettingError, match="RequestClass.deadline"):
+        gateway.handle(100.0, request("r1", class_name=class_name, remaining=remaining))
--- a/thymeflow/decision/admission.py
+++ b/thymeflow/decision/admission.py
@@ -47,7 +47,10 @@
         return self._context.plans.get(event.plan) if has_valid_units else None
 
     def receive(self, event: RequestReceived) -> RequestState | None:
-        """Count the demand of a request; None where it is invalid and therefore rejected."""
+        """Count the demand of a request; None where it is invalid and therefore rejected.
+
+        :raises InvalidSettingError: if its remaining time is not finite.
+        """
         context = self._context
         plan = self.plan_of(event)
         if plan is None or event.remaining <= RETRY_MARGIN_SECONDS:
@@ -55,7 +58,9 @@
             return None
         bucket = self._buckets.get_for(event, plan)
         request_class = context.classes.get(event.class_name)
-        if request_class is None:  # treated as one that is not idempotent
+        if request_class is None or not isfinite(
+            event.remaining
+        ):  # an unknown class counts as not idempotent
             request_class = RequestClass(event.class_name, event.remaining, event.remaining)
         deadline = context.now + min(event.remaining, self._useful_seconds(request_class))
         pending = RequestState(event, request_class, bucket, deadline, context.limits.max_attempts)
