--- a/tests/decision/test_admission.py
+++ b/tests/decision/test_admission.py
@@ -51,5 +51,5 @@
 @pytest.mark.parametrize("class_name", ["read", "unknown"])
 def test_request_is_an_error_when_its_remaining_time_is_not_finite(class_name: str, remaining: float) -> None:
     gateway = started()
-    with pytest.raises(InvalidSettingError, match="RequestClass.deadline"):
+    with pytest.raises(InvalidSettingError, match=r"RequestClass\.deadline"):
         gateway.handle(100.0, request("r1", class_name=class_name, remaining=remaining))
