--- /dev/null
+++ b/tests/testkit/__init__.py
@@ -0,0 +1,1 @@
+"""Tests of the testkit."""
