--- a/thymeflow/core/attempt_starter.py
+++ b/thymeflow/core/attempt_starter.py
@@ -13,7 +13,7 @@
 from thymeflow.decision.types import Status
 from thymeflow.runtime import clock, log
 from thymeflow.runtime.log_kinds import LogKind
-from thymeflow.transport.flow import Flow
+from thymeflow.transport.value_stream import ValueStream
 
 
 class RequestOwner(Protocol):
@@ -71,14 +71,14 @@
         attempt.addErrback(self._on_fault)
 
     def cancel(self, action: actions.CancelAttempt) -> None:
-        """Give up an attempt, if it has not ended."""
+        """Abandon an attempt, if it has not ended."""
         pending = self._requests.find(action.id)
         attempt = pending.open_attempts.get(action.attempt) if pending else None
         if attempt is not None:
             attempt.cancel()
 
     def _on_response_started(
-        self, pending: PendingRequest, number: int, backend: int, sent_at: float, stream: Flow | None
+        self, pending: PendingRequest, number: int, backend: int, sent_at: float, stream: ValueStream | None
     ) -> bool:
         if stream is None:
             self._owner.handle(events.RequestBodyStarted(pending.id))
@@ -108,7 +108,7 @@
             actual_units = result.actual_units
         if is_ok and not pending.is_answered:
             self._owner.respond(pending, Response(ResponseKind.SERVED, result.value))
-        # How long a client takes to send or to read says nothing of the backend.
+        # How long a client takes to send or to read tells nothing about the backend.
         latency = pending.response_latency
         if latency < 0.0:
             latency = clock.now() - max(sent_at, pending.body_received_at)
--- a/thymeflow/core/types.py
+++ b/thymeflow/core/types.py
@@ -12,11 +12,11 @@
 from thymeflow.decision.events import RequestReceived
 from thymeflow.decision.types import LoadReport, Status
 from thymeflow.runtime import clock
-from thymeflow.transport.flow import Flow
+from thymeflow.transport.value_stream import ValueStream
 
 
 class ResponseKind(Enum):
-    """What a final response says."""
+    """The kind of a final response."""
 
     SERVED = "served"
     REJECTED = "unavailable"  # trying again is harmless
@@ -32,14 +32,14 @@
     kind: ResponseKind
     value: bytes = b""
     retry_after: float = 0.0
-    stream: Flow | None = None
+    stream: ValueStream | None = None
 
 
 def _always_connected() -> bool:
     return True
 
 
-def _accept_nothing(_: Flow | None) -> bool:
+def _accept_nothing(_: ValueStream | None) -> bool:
     return False
 
 
@@ -61,15 +61,15 @@
 class AttemptSpec(NamedTuple):
     """An attempt for the backends to make.
 
-    `on_response_started` is given a long response, and returns whether anybody wants it; with None it is told that a
-    long body goes into this attempt, so that there can be no other. An attempt that has to wait is not written after
+    `on_response_started` is given a long response, and returns whether anybody wants it; None notifies it that a long
+    body goes into this attempt, so that there can be no other. An attempt that has to wait is not written after
     `start_before`, nor for a client that has left.
     """
 
     backend: int
     payload: object
     deadline: float
-    on_response_started: Callable[[Flow | None], bool] = _accept_nothing
+    on_response_started: Callable[[ValueStream | None], bool] = _accept_nothing
     start_before: float = inf
     is_connected: Callable[[], bool] = _always_connected
 
--- a/thymeflow/testkit/fakes/client_connection.py
+++ b/thymeflow/testkit/fakes/client_connection.py
@@ -76,14 +76,14 @@
         events, _ = self._parser.feed(data)
         self.has_response_bytes = True
         for event in events:
-            if isinstance(event, resp.Begin):
+            if isinstance(event, resp.LongValueBegin):
                 self._long_value_prefix = b""
-            elif isinstance(event, resp.Chunk):
+            elif isinstance(event, resp.LongValueChunk):
                 self._long_value_prefix = (self._long_value_prefix + event.data)[:LONG_VALUE_PREFIX_BYTES]
                 self._owner.on_long_value_bytes(self, len(event.data))
-            elif isinstance(event, resp.Closed):
+            elif isinstance(event, resp.LongValueEnd):
                 self._on_response(self._long_value_prefix)
-            elif not isinstance(event, resp.End):
+            elif not isinstance(event, resp.LongValueArrayEnd):
                 self._on_response(event)
 
     def _on_response(self, value: resp.Event) -> None:
--- a/thymeflow/transport/flow.py
+++ b/thymeflow/transport/value_stream.py
@@ -10,7 +10,7 @@
 from collections.abc import Callable
 from typing import Protocol
 
-CHUNK = 32 * 1024  # bytes read at a time from a connection that brings a long value: bounds what is buffered here
+CHUNK_BYTES = 32 * 1024  # bytes read at a time from a connection that brings a long value: bounds what is buffered here
 
 
 class Sink(Protocol):
@@ -25,7 +25,7 @@
         """Close the value: all of it has been written, and it is complete."""
 
     def on_broken(self) -> None:
-        """Give up: the rest will not come."""
+        """Abandon the value: the rest will not come."""
 
 
 class NullSink:
@@ -46,7 +46,7 @@
 NULL_SINK = NullSink()
 
 
-class Flow:
+class ValueStream:
     """A value of a known length, from its head to its end.
 
     `on_paced` is called with whether the source must pause, at each change; `on_abandoned` is called once if the
@@ -56,7 +56,7 @@
     def __init__(self, length: int, on_paced: Callable[[bool], None], on_abandoned: Callable[[], None]) -> None:
         self.length = length
         self.deadline = 0.0  # of a complete body: until when its sender waits
-        self.is_done = False  # complete or broken, and the sink was notified
+        self.is_done = False  # complete or broken off, and the sink was notified
         self.is_paused = False  # the source is paused
         self._on_paced = on_paced
         self._on_abandoned = on_abandoned
