--- a/tests/fleet/support.py
+++ b/tests/fleet/support.py
@@ -17,6 +17,7 @@
 INI = "[fleet]\ninstances = 3\nspread = 100ms\nsettle = 100ms\nwait = 100ms\nready = 10s\n[log]\nfile = {0}/log\n"
 Message = dict[str, Any]  # a JSON object of the control socket
 
+THYMEFLOW = ("-m", "thymeflow")  # arguments of Python
 POLL_SECONDS = 0.05  # between looks at a status that is to change
 LOG_TAIL_CHARACTERS = 3000
 
@@ -24,19 +25,23 @@
 class RunningFleet:
     """A supervisor with three members, which use the platform configuration of a limiter that the test has started."""
 
-    def __init__(self, folder: Path, limiter: Limiter) -> None:
+    def __init__(
+        self, folder: Path, limiter: Limiter, program: tuple[str, ...] = THYMEFLOW, is_awaited: bool = True
+    ) -> None:
+        """Start the supervisor with this program, and wait until its members are ready if it is awaited."""
         self.state = limiter.state
         self.ini = folder / "f.ini"
         self.ini.write_text(INI.format(folder))
         self.path = limiter.path
-        self.process = self.up()
-        self.ready(3)
+        self.process = self.up(program)
+        if is_awaited:
+            self.ready(3)
 
-    def up(self) -> subprocess.Popen[str]:
+    def up(self, program: tuple[str, ...] = THYMEFLOW) -> subprocess.Popen[str]:
         """Start a supervisor and return its process."""
         options = ["--settings", str(self.ini), "--platform", str(self.path), "--state", str(self.state)]
         return subprocess.Popen(
-            [sys.executable, "-m", "thymeflow", "fleet", "up", *options],
+            [sys.executable, *program, "fleet", "up", *options],
             cwd=ROOT,
             text=True,
             stderr=subprocess.PIPE,
--- a/tests/leases/test_lease_fleet.py
+++ b/tests/leases/test_lease_fleet.py
@@ -5,18 +5,15 @@
 import json
 import signal
 import socket
-import subprocess
-import sys
 import time
 from pathlib import Path
-from typing import Any
 
 import psutil
 import pytest
 
 from tests.fleet.support import RunningFleet, cli
 from tests.leases.support import ControlSocketProxy, reported_allocation, wait_until
-from tests.limiter import PATIENCE, ROOT, Limiter
+from tests.limiter import PATIENCE, Limiter
 from thymeflow.leases.resources import BASE_POINTS, LEASED_POINTS, TOTAL_POINTS
 
 
@@ -178,33 +175,10 @@
 def test_next_supervisor_keeps_the_sum_when_one_is_killed_at_a_step_of_a_grant(
     tmp_path: Path, step: str, count: int
 ) -> None:
-    class DyingFleet(RunningFleet):
-        def up(self) -> Any:
-            return subprocess.Popen(
-                [
-                    sys.executable,
-                    "-c",
-                    DYING_SUPERVISOR.format(step=step, count=count),
-                    "fleet",
-                    "up",
-                    "--settings",
-                    str(self.ini),
-                    "--platform",
-                    str(self.path),
-                    "--state",
-                    str(self.state),
-                ],
-                cwd=ROOT,
-                text=True,
-                stderr=subprocess.PIPE,
-            )
-
-        def ready(self, count: int) -> dict[str, Any]:
-            return {} if self.process.args[1] == "-c" else super().ready(count)  # type: ignore[index]
-
-    with Limiter(tmp_path) as limiter, DyingFleet(tmp_path, limiter) as fleet:
+    program = ("-c", DYING_SUPERVISOR.format(step=step, count=count))
+    with Limiter(tmp_path) as limiter, RunningFleet(tmp_path, limiter, program, is_awaited=False) as fleet:
         assert fleet.process.wait(PATIENCE) == -signal.SIGKILL
         fleet.process.communicate()
-        fleet.process = RunningFleet.up(fleet)
-        RunningFleet.ready(fleet, 3)
+        fleet.process = fleet.up()
+        fleet.ready(3)
         wait_until(fleet, lambda amounts: len(amounts) == 3 and sum(amounts.values()) > 0.95)
--- a/tests/outliers/test_outlier_fleet.py
+++ b/tests/outliers/test_outlier_fleet.py
@@ -38,7 +38,7 @@
         before = backends.attempt_counts[0]
         wait_until("")
         assert backends.attempt_counts[0] > before
-        assert "is ejected by all members" in (tmp_path / "log").read_text()
+        assert "backend 00000001 for look is ejected by all members" in (tmp_path / "log").read_text()
 
 
 def test_fleet_ejects_a_backend_for_one_class_only_when_it_fails_that_class(tmp_path: Path) -> None:
--- a/thymeflow/fleet/outlier_service.py
+++ b/thymeflow/fleet/outlier_service.py
@@ -145,4 +145,4 @@
 def _describe_key(key: EjectionKey) -> str:
     if key.is_zone():
         return f"zone {key.name}"
-    return f"server {key.backend:08x}" + (f" for {key.name}" if key.name else "")
+    return f"backend {key.backend:08x}" + (f" for {key.name}" if key.name else "")
