--- a/tests/leases/test_lease_issuer.py
+++ b/tests/leases/test_lease_issuer.py
@@ -16,10 +16,11 @@
 from thymeflow.decision.gateway_state import TimerKind
 from thymeflow.decision.settings import Information
 from thymeflow.leases import grant_file
-from thymeflow.leases.allocation import report_from_message
+from thymeflow.leases.allocation import Allocation, allocation_from_message, message_of, report_from_message
 from thymeflow.leases.errors import MalformedAllocationError, OverAllocationError
-from thymeflow.leases.holder import LEASE_MARGIN_SECONDS, Allocation, LeaseHolder, allocation_from_message, message_of
-from thymeflow.leases.issuer import HOLDER_TRANSITIONS, HolderEvent, HolderState, LeaseIssuer, Write
+from thymeflow.leases.holder import LEASE_MARGIN_SECONDS, LeaseHolder
+from thymeflow.leases.holder_state import HOLDER_TRANSITIONS, HolderEvent, HolderState
+from thymeflow.leases.issuer import LeaseIssuer, Write
 from thymeflow.leases.ledger import Ledger
 from thymeflow.leases.resources import BASE_POINTS, LEASED_POINTS, TOTAL_POINTS, Resource, divide_by_demand
 from thymeflow.testkit.lease_model import RULES, Model, caught
--- a/tests/leases/traced_fleet.py
+++ b/tests/leases/traced_fleet.py
@@ -7,9 +7,11 @@
 from typing import Any
 
 from thymeflow.leases import grant_file
+from thymeflow.leases.allocation import Allocation, allocation_from_message, message_of
 from thymeflow.leases.errors import OverAllocationError
-from thymeflow.leases.holder import Allocation, LeaseHolder, allocation_from_message, message_of
-from thymeflow.leases.issuer import HolderState, Write
+from thymeflow.leases.holder import LeaseHolder
+from thymeflow.leases.holder_state import HolderState
+from thymeflow.leases.issuer import Write
 from thymeflow.leases.ledger import Ledger
 from thymeflow.leases.resources import Resource
 
--- a/tests/outliers/test_outlier_coordinator.py
+++ b/tests/outliers/test_outlier_coordinator.py
@@ -20,10 +20,7 @@
     EjectionRecord,
     EjectionState,
 )
-from thymeflow.outliers.member import (
-    keys_from_message,
-    zones_from_message,
-)
+from thymeflow.outliers.messages import keys_from_message, zones_from_message
 from thymeflow.outliers.quorum import REPORT_TTL_SECONDS
 
 BAD = EjectionKey(7, "")
--- a/tests/outliers/test_outlier_member.py
+++ b/tests/outliers/test_outlier_member.py
@@ -18,8 +18,8 @@
     Ejection,
     EjectionKey,
 )
-from thymeflow.outliers.member import (
-    MemberEjections,
+from thymeflow.outliers.member import MemberEjections
+from thymeflow.outliers.messages import (
     ejections_from_message,
     keys_from_message,
     message_of,
--- a/tests/outliers/test_outlier_trace.py
+++ b/tests/outliers/test_outlier_trace.py
@@ -24,10 +24,10 @@
 from thymeflow.decision.gateway_state import TimerKind
 from thymeflow.decision.settings import Plan
 from thymeflow.decision.types import EndpointListKind, Status
-from thymeflow.outliers.coordinator import ZONE, OutlierCoordinator
-from thymeflow.outliers.ejection import EjectionKey, EjectionState
-from thymeflow.outliers.member import (
-    MemberEjections,
+from thymeflow.outliers.coordinator import OutlierCoordinator
+from thymeflow.outliers.ejection import ZONE, EjectionKey, EjectionState
+from thymeflow.outliers.member import MemberEjections
+from thymeflow.outliers.messages import (
     ejections_from_message,
     keys_from_message,
     message_of,
--- a/thymeflow/fleet/lease_distributor.py
+++ b/thymeflow/fleet/lease_distributor.py
@@ -11,7 +11,8 @@
 from thymeflow.leases import grant_file
 from thymeflow.leases.allocation import Allocation, message_of, report_from_message
 from thymeflow.leases.errors import MalformedAllocationError
-from thymeflow.leases.issuer import HolderState, LeaseIssuer, Write
+from thymeflow.leases.holder_state import HolderState
+from thymeflow.leases.issuer import LeaseIssuer, Write
 from thymeflow.runtime import clock, log
 from thymeflow.runtime.log_kinds import LogKind
 
--- a/thymeflow/fleet/member_processes.py
+++ b/thymeflow/fleet/member_processes.py
@@ -32,7 +32,7 @@
 from thymeflow.fleet.registry import ConfigurationTemplate, FleetNames, read_template, write_member
 from thymeflow.handover import control_client
 from thymeflow.handover.control_socket import Message
-from thymeflow.leases.holder import EMPTY_ALLOCATION, message_of
+from thymeflow.leases.allocation import EMPTY_ALLOCATION, message_of
 from thymeflow.runtime import clock, log
 from thymeflow.runtime.log_kinds import LogKind
 from thymeflow.settings.sections import Fleet
--- a/thymeflow/leases/grant_file.py
+++ b/thymeflow/leases/grant_file.py
@@ -14,7 +14,8 @@
 import msgspec
 
 from thymeflow.leases.errors import GrantFileError as GrantFileError
-from thymeflow.leases.issuer import COVERED_PERIOD_SECONDS, HolderState, LeaseIssuer
+from thymeflow.leases.holder_state import HolderState
+from thymeflow.leases.issuer import COVERED_PERIOD_SECONDS, LeaseIssuer
 from thymeflow.leases.resources import BASE_POINTS, LEASED_POINTS, Resource
 from thymeflow.snapshot import atomic_file
 
--- a/thymeflow/leases/holder.py
+++ b/thymeflow/leases/holder.py
@@ -7,7 +7,7 @@
 
 from __future__ import annotations
 
-from thymeflow.leases.allocation import EMPTY_ALLOCATION as EMPTY_ALLOCATION
+from thymeflow.leases.allocation import EMPTY_ALLOCATION
 from thymeflow.leases.allocation import Allocation as Allocation
 from thymeflow.leases.allocation import allocation_from_message as allocation_from_message
 from thymeflow.leases.allocation import message_of as message_of
--- a/thymeflow/leases/issuer.py
+++ b/thymeflow/leases/issuer.py
@@ -12,9 +12,8 @@
 from math import inf
 
 from thymeflow.leases.allocation import Allocation
-from thymeflow.leases.holder_state import HOLDER_TRANSITIONS as HOLDER_TRANSITIONS
+from thymeflow.leases.holder_state import HOLDER_TRANSITIONS, HolderRecord
 from thymeflow.leases.holder_state import HolderEvent as HolderEvent
-from thymeflow.leases.holder_state import HolderRecord as HolderRecord
 from thymeflow.leases.holder_state import HolderState as HolderState
 from thymeflow.leases.ledger import Ledger
 from thymeflow.leases.resources import BASE_POINTS, LEASED_POINTS, Resource, base_amount, divide_by_demand
--- a/thymeflow/outliers/coordinator.py
+++ b/thymeflow/outliers/coordinator.py
@@ -19,10 +19,14 @@
 from collections.abc import Iterable
 from math import inf
 
-from thymeflow.outliers.ejection import TRANSITIONS, EjectionEvent, EjectionKey, EjectionRecord
-from thymeflow.outliers.ejection import ZONE as ZONE
-from thymeflow.outliers.ejection import Ejection as Ejection
-from thymeflow.outliers.ejection import EjectionState as EjectionState
+from thymeflow.outliers.ejection import (
+    TRANSITIONS,
+    Ejection,
+    EjectionEvent,
+    EjectionKey,
+    EjectionRecord,
+    EjectionState,
+)
 from thymeflow.outliers.quorum import MemberReport, Votes, count_votes, count_zone_votes, is_zone_failed
 
 MAX_EJECTED_FRACTION = 0.5  # of the listed backends: beyond it the cause lies elsewhere, and nothing more is ejected
--- a/thymeflow/shedding/threshold.py
+++ b/thymeflow/shedding/threshold.py
@@ -18,7 +18,6 @@
 from thymeflow.runtime.value_checks import is_fraction
 from thymeflow.shedding.errors import InvalidFractionError
 from thymeflow.shedding.load_shedder import LoadShedder as LoadShedder
-from thymeflow.shedding.priority import PriorityOrder as PriorityOrder
 
 REPORT_TTL_SECONDS = 2.0  # how long a report is valid: four report intervals
 TICK_INTERVAL_SECONDS = 0.25  # between steps; GAIN, MAX_RISE and MAX_FALL depend on it
