--- a/tests/network_support.py
+++ b/tests/network_support.py
@@ -5,6 +5,7 @@
 from typing import Any
 
 import pytest
+from twisted.internet.address import IPv4Address
 from twisted.internet.testing import MemoryReactorClock, StringTransport
 
 from tests.limiter import SETTINGS, request
@@ -12,7 +13,7 @@
 from thymeflow.core.types import AttemptResult, AttemptSpec
 from thymeflow.decision.settings import Limits
 from thymeflow.limiter.assembly import Limiter
-from thymeflow.platform.configuration import from_source
+from thymeflow.platform.configuration import Configuration, from_source
 from thymeflow.platform.endpoints import EndpointUpdate, endpoint_update
 from thymeflow.platform.settings import settings_from
 from thymeflow.runtime import clock
@@ -88,16 +89,48 @@
     return InMemoryNetwork(monkeypatch)
 
 
-def make_limiter(world: InMemoryNetwork, sockets: int) -> Limiter:
-    """Return a limiter in memory with that many descriptors."""
+class FakePort:
+    """A listening port in memory, which counts how often it was resumed and stopped."""
+
+    def __init__(self) -> None:
+        self.resumed_count = 0
+        self.stopped_count = 0
+
+    def getHost(self) -> IPv4Address:
+        """Return an address."""
+        return IPv4Address("TCP", "127.0.0.1", 1)
+
+    def doRead(self) -> None:
+        """Accept nothing: no connection waits."""
+
+    def startReading(self) -> None:
+        """Count it."""
+        self.resumed_count += 1
+
+    def stopListening(self) -> None:
+        """Count it."""
+        self.stopped_count += 1
+
+
+DISCOVERY_PORT = 8  # of a limiter in memory
+COUNTER_PORT = 9  # likewise
+
+
+def make_configuration(**changes: Any) -> Configuration:
+    """Return a configuration; `changes` replace keys of its JSON object."""
     source = {
         "listen": "127.0.0.1:0",
-        "discovery": "127.0.0.1:9",
-        "counter": "127.0.0.1:9",
+        "discovery": f"127.0.0.1:{DISCOVERY_PORT}",
+        "counter": f"127.0.0.1:{COUNTER_PORT}",
         "settings": SETTINGS,
-        "limits": {"sockets": sockets, "memory_mb": 64},
+        **changes,
     }
-    return Limiter(from_source(source, "c.json", {}), world.reactor)
+    return from_source(source, "c.json", {})
+
+
+def make_limiter(world: InMemoryNetwork, sockets: int) -> Limiter:
+    """Return a limiter in memory with that many descriptors."""
+    return Limiter(make_configuration(limits={"sockets": sockets, "memory_mb": 64}), world.reactor)
 
 
 def parse_command(text: bytes) -> list[bytes]:
