--- a/tests/discovery/support.py
+++ b/tests/discovery/support.py
@@ -6,7 +6,7 @@
 from collections.abc import Callable
 from typing import Any
 
-from tests.network_support import InMemoryNetwork
+from tests.network_support import InMemoryNetwork, RecordingObserver
 from tests.network_support import world as world
 from thymeflow.discovery.timeouts import FIRST_LIST_TIMEOUT
 from thymeflow.discovery.watch import EndpointWatcher
@@ -41,9 +41,8 @@
     world: InMemoryNetwork, on_change: Callable[[EndpointUpdate], None], pushed: bool = True, limiters: int = 200
 ) -> EndpointWatcher:
     """Start a watch at `ADDRESS` from `INITIAL_VERSION`."""
-    discovery = EndpointWatcher(
-        world.reactor, world.deadlines, ADDRESS, INITIAL_VERSION, on_change, limiters, 1, pushed
-    )
+    observer = RecordingObserver(on_change)
+    discovery = EndpointWatcher(world.reactor, world.deadlines, ADDRESS, INITIAL_VERSION, observer, limiters, 1, pushed)
     discovery.start(clock.now() + FIRST_LIST_TIMEOUT)
     return discovery
 
--- a/tests/discovery/test_watch.py
+++ b/tests/discovery/test_watch.py
@@ -150,12 +150,12 @@
     discovery = start_discovery(world, updates.append, pushed=False)
     old_stream = connect(world, 0)
     for _ in range(5):
-        discovery.backoff.next_wait()
+        discovery._backoff.next_wait()
     discovery.set_address(Address("127.0.0.1", 9))
     assert old_stream.ends
     assert world.reactor.tcpClients[1][1] == 9  # at once
-    assert discovery.backoff.next_wait() <= MAX_BACKOFF
-    assert discovery.backoff._bound > discovery.backoff._initial_bound - 1e-9
+    assert discovery._backoff.next_wait() <= MAX_BACKOFF
+    assert discovery._backoff._bound > discovery._backoff._initial_bound - 1e-9
     old_stream.dataReceived(build_chunk(build_message(50, build_entry(1))))
     assert not updates
     connect(world, 1).dataReceived(build_chunk(build_message(51, build_entry(1))))
@@ -165,6 +165,6 @@
 def test_backoff_starts_again_when_the_address_changes(world: InMemoryNetwork) -> None:
     discovery = start_discovery(world, lambda update: None, pushed=False, limiters=3)
     for _ in range(5):
-        discovery.backoff.next_wait()
+        discovery._backoff.next_wait()
     discovery.set_address(Address("127.0.0.1", 9))
-    assert discovery.backoff.next_wait() <= INITIAL_BACKOFF
+    assert discovery._backoff.next_wait() <= INITIAL_BACKOFF
--- a/tests/frontend/test_endings.py
+++ b/tests/frontend/test_endings.py
@@ -36,7 +36,7 @@
 from thymeflow.frontend.client_connection import CROWDED_IDLE_TIMEOUT, LINGER_TIMEOUT
 from thymeflow.frontend.frontend import IDLE_TIMEOUT
 from thymeflow.limiter.assembly import Limiter as AssembledLimiter
-from thymeflow.limiter.lifecycle import MAX_AWAITED_DEADLINE, TERMINATION_LINGER, Lifecycle
+from thymeflow.limiter.lifecycle import MAX_AWAITED_DEADLINE, TERMINATION_LINGER
 from thymeflow.limiter.management import ManagementServer
 from thymeflow.limiter.phases import Phase
 from thymeflow.runtime import clock
@@ -268,7 +268,7 @@
         def stopListening(self) -> None:
             assert not waiting and len(taken) == 7
 
-    lifecycle = Lifecycle(world.deadlines, limiter.dispatcher, limiter.frontend, 1.0, lambda: None)
+    lifecycle = limiter.lifecycle
     lifecycle.phase, lifecycle.port = Phase.SERVING, Port()
     lifecycle.terminate(0.0)
     world.reactor.advance(0.01)
@@ -316,7 +316,7 @@
 
 def test_what_comes_while_it_is_told_to_end_is_answered_before_it_may_be_killed(world: InMemoryNetwork) -> None:
     limiter, client = connect_client(world)
-    lifecycle = Lifecycle(world.deadlines, limiter.dispatcher, limiter.frontend, 60.0, lambda: None)
+    lifecycle = limiter.lifecycle
     lifecycle.phase = Phase.SERVING
     lifecycle.terminate()
     told = clock.now()
--- a/tests/frontend/test_limits.py
+++ b/tests/frontend/test_limits.py
@@ -34,9 +34,9 @@
         return (
             front._max_clients,
             limiter.backends._max_connections,
-            front.max_pending_response_bytes,
+            front.response_memory.max_bytes,
             front._max_unfinished_input_bytes,
-            core._requests.memory_limit,
+            core._requests._memory_limit,
         )
 
     alone = budgets()
--- a/tests/network_support.py
+++ b/tests/network_support.py
@@ -2,6 +2,7 @@
 
 from __future__ import annotations
 
+from collections.abc import Callable
 from typing import Any
 
 import pytest
@@ -112,6 +113,18 @@
         self.stopped_count += 1
 
 
+class RecordingObserver:
+    """Receives what a watch learns, and passes each update on."""
+
+    def __init__(self, on_change: Callable[[EndpointUpdate], None]) -> None:
+        self.on_endpoints_changed = on_change
+        self.ready_count = 0
+
+    def on_endpoints_ready(self) -> None:
+        """Count it."""
+        self.ready_count += 1
+
+
 DISCOVERY_PORT = 8  # of a limiter in memory
 COUNTER_PORT = 9  # likewise
 
@@ -153,7 +166,7 @@
 
 def make_backend_connections(world: InMemoryNetwork) -> tuple[BackendConnections, list[AttemptResult]]:
     """Return the connections to one active backend, and a list for the results of attempts."""
-    connections = BackendConnections(world.reactor, world.deadlines, Limits(), 10)
+    connections = BackendConnections(world.reactor, world.deadlines, Limits(), 10, lambda: None)
     connections.apply_update(one_backend_update("active", reset=True))
     return connections, []
 
--- a/tests/test_net_parts.py
+++ b/tests/test_net_parts.py
@@ -11,6 +11,7 @@
 from tests.limiter import SETTINGS, request
 from tests.network_support import (
     InMemoryNetwork,
+    RecordingObserver,
     make_attempt_spec,
     make_backend_connections,
     one_backend_update,
@@ -248,7 +249,8 @@
 
 def test_a_silent_watch_is_dialled_anew_and_a_whole_list_can_be_asked_for(world: InMemoryNetwork) -> None:
     told: list[EndpointUpdate] = []
-    watch = EndpointWatcher(world.reactor, world.deadlines, Address("127.0.0.1", 9), 41, told.append, 3, 1)
+    observer = RecordingObserver(told.append)
+    watch = EndpointWatcher(world.reactor, world.deadlines, Address("127.0.0.1", 9), 41, observer, 3, 1)
     watch.start(clock.now() + 1.0)
     reading = world.up(0)
     reading.transport.abortConnection = lambda: None
@@ -319,8 +321,9 @@
 
 @pytest.mark.parametrize("raises", [True, False])
 def test_a_request_gets_one_answer_also_from_a_module_out_of_order(world: InMemoryNetwork, raises: bool) -> None:
-    core = RequestDispatcher(settings_from(SETTINGS), Gateway(settings_from(SETTINGS), 1), world.deadlines, 10**6)
-    core._gateway = Odd(raises)  # type: ignore[assignment]
+    backends, _ = make_backend_connections(world)
+    gateway: Any = Odd(raises)
+    core = RequestDispatcher(settings_from(SETTINGS), gateway, world.deadlines, 10**6, backends, None, None)
     answers: list[Response] = []
     call, told = CallReader(settings_from(SETTINGS)).read(parse_command(request(1, wait=500)))
     core.submit(IncomingRequest(told, clock.now() + 0.5, call, 100)).addCallback(answers.append)
@@ -341,7 +344,7 @@
 
 def test_a_count_may_be_answered_late_but_ends_before_the_next_of_its_name(world: InMemoryNetwork) -> None:
     settings, counter = settings_from(SETTINGS), Slow()
-    core = RequestDispatcher(settings, Gateway(settings, 1), world.deadlines, 10**6)
-    core.counter = counter
+    backends, _ = make_backend_connections(world)
+    core = RequestDispatcher(settings, Gateway(settings, 1), world.deadlines, 10**6, backends, counter, None)
     core._carry_out(AddToCounter(5, 1.0, 20.0))
     assert settings.information.counter_timeout < counter.until - clock.now() < MIN_CALL_INTERVAL
--- a/tests/test_start.py
+++ b/tests/test_start.py
@@ -17,7 +17,7 @@
 import pytest
 
 from tests.limiter import PATIENCE, SETTINGS, Limiter, Peer, command, refused, request
-from tests.network_support import InMemoryNetwork, world
+from tests.network_support import InMemoryNetwork, RecordingObserver, world
 from thymeflow.discovery.watch import FIRST_LIST_TIMEOUT, POLLED_IDLE_TIMEOUT, PUSHED_IDLE_TIMEOUT, EndpointWatcher
 from thymeflow.frontend.listener import bind_listener, start_listening
 from thymeflow.limiter.assembly import Limiter as Assembled
@@ -227,18 +227,18 @@
 
 def test_a_stall_is_remembered_until_what_waited_has_been_read(world: InMemoryNetwork) -> None:
     told, amid = list[float](), list[float]()
-    world.deadlines.on_stall = told.append
+    deadlines = clock.Deadlines(world.reactor, told.append)
     for after in (0.1, 0.2):  # the first finds the stall, the second runs in its wake
-        world.deadlines.schedule(
-            clock.now() + after, lambda _: amid.append(clock.now() - world.deadlines.earliest_arrival(clock.now()))
+        deadlines.schedule(
+            clock.now() + after, lambda _: amid.append(clock.now() - deadlines.earliest_arrival(clock.now()))
         )
     begun = clock.now()
-    assert world.deadlines.earliest_arrival(begun) == begun and not world.deadlines.is_stalled(begun)
+    assert deadlines.earliest_arrival(begun) == begun and not deadlines.is_stalled(begun)
     world.reactor.rightNow += 2.0  # no turn: stopped, or one turn took so long
-    assert world.deadlines.earliest_arrival(clock.now()) == begun + 0.1 and world.deadlines.is_stalled(clock.now())
+    assert deadlines.earliest_arrival(clock.now()) == begun + 0.1 and deadlines.is_stalled(clock.now())
     world.reactor.advance(0.0)  # all turns that are due at once
     assert told == [pytest.approx(1.9)] and amid == [pytest.approx(1.9)] * 2
-    assert not world.deadlines.is_stalled(clock.now())
+    assert not deadlines.is_stalled(clock.now())
 
 
 def test_a_dial_whose_deadline_comes_due_in_a_late_turn_gets_its_turns_first(world: InMemoryNetwork) -> None:
@@ -263,7 +263,14 @@
 ) -> None:
     # Told 6 s after the silence began, by whatever word, and a second's grace: in a set of any size.
     discovery = EndpointWatcher(
-        world.reactor, world.deadlines, Address("127.0.0.1", 8), 1, lambda news: None, 250, seed, pushed
+        world.reactor,
+        world.deadlines,
+        Address("127.0.0.1", 8),
+        1,
+        RecordingObserver(lambda _: None),
+        250,
+        seed,
+        pushed,
     )
     discovery.start(clock.now() + FIRST_LIST_TIMEOUT)
     reading = world.up(0)
--- a/thymeflow/backends/attempts.py
+++ b/thymeflow/backends/attempts.py
@@ -2,16 +2,12 @@
 
 from __future__ import annotations
 
-from typing import TYPE_CHECKING
-
 from twisted.internet.defer import Deferred
 
+from thymeflow.backends.connections import Connection
 from thymeflow.core.types import AttemptResult, AttemptSpec
 from thymeflow.runtime import clock
 
-if TYPE_CHECKING:
-    from thymeflow.backends.connections import Connection
-
 
 class Attempt:
     """One attempt, from its spec to its result."""
--- a/thymeflow/backends/backends.py
+++ b/thymeflow/backends/backends.py
@@ -13,8 +13,8 @@
 from twisted.python.failure import Failure
 
 from thymeflow.backends.attempts import Attempt
-from thymeflow.backends.connections import NO_ATTEMPT, Connection
-from thymeflow.backends.pools import ConnectionPools, Pool
+from thymeflow.backends.connections import NO_ATTEMPT, Connection, Pool
+from thymeflow.backends.pools import ConnectionPools
 from thymeflow.backends.replies import parse_attempt_result as parse_attempt_result
 from thymeflow.core.types import AttemptResult, AttemptSpec
 from thymeflow.decision.settings import Limits
@@ -35,21 +35,24 @@
 READY = BackendState.READY
 
 
-def _do_nothing() -> None:
-    """Stand in for a callback that is not set."""
-
-
 class BackendConnections(ConnectionPools):
     """Sends attempts to backends over pooled connections.
 
-    `look` is called after a stall of this process, to read endpoint updates that wait at the sockets.
+    `read_endpoint_updates` is called after a stall of this process, to read updates that wait at the sockets.
     """
 
-    def __init__(self, reactor: object, deadlines: clock.Deadlines, limits: Limits, max_connections: int) -> None:
+    def __init__(
+        self,
+        reactor: object,
+        deadlines: clock.Deadlines,
+        limits: Limits,
+        max_connections: int,
+        read_endpoint_updates: Callable[[], None],
+    ) -> None:
         super().__init__(deadlines, limits, max_connections)
         self._reactor = reactor
         self._attempts: SlotTable[Attempt] = SlotTable(MAX_ATTEMPTS)
-        self.read_endpoint_updates: Callable[[], None] = _do_nothing
+        self._read_endpoint_updates = read_endpoint_updates
         self._sweep(0)
 
     def apply_update(self, update: EndpointUpdate) -> None:
@@ -107,7 +110,7 @@
     def _dial(self, pool: Pool) -> None:
         pool.dialing += 1
         self.open_connections += 1
-        deadline = clock.now() + self.limits.connect_timeout
+        deadline = clock.now() + self._limits.connect_timeout
         connected = dial(self._reactor, self._deadlines, pool.address, deadline, lambda: Connection(self, pool))
         connected.addCallbacks(self._on_connected, self._on_connect_failed, errbackArgs=(pool,))
 
@@ -177,7 +180,7 @@
             self._send_long_body(connection, handle, attempt, call, call.flow)
 
     def _recheck(self, connection: Connection, handle: int, attempt: Attempt) -> bool:
-        self.read_endpoint_updates()
+        self._read_endpoint_updates()
         is_attempt_open = self._attempts.get(handle) is attempt
         if connection.pool.state is READY and is_attempt_open:
             return True
--- a/thymeflow/backends/connections.py
+++ b/thymeflow/backends/connections.py
@@ -1,21 +1,20 @@
-"""One connection to a backend, which carries one attempt at a time."""
+"""One connection to a backend, which carries one attempt at a time, and the pool that it belongs to."""
 
 from __future__ import annotations
 
-from typing import TYPE_CHECKING, Protocol
+from collections import deque
+from typing import Protocol
 
 from thymeflow.backends.replies import parse_attempt_result
 from thymeflow.core.types import AttemptResult
-from thymeflow.decision.types import Status
+from thymeflow.decision.types import BackendState, Status
+from thymeflow.platform.endpoints import Address
 from thymeflow.runtime import clock, log
 from thymeflow.runtime.log_kinds import LogKind
 from thymeflow.transport import resp
 from thymeflow.transport.connections import Link
 from thymeflow.transport.flow import Flow
 
-if TYPE_CHECKING:
-    from thymeflow.backends.pools import Pool
-
 COMPLETE_REPLY_TYPES = (list, resp.ErrorReply)  # types of a reply that arrived in one piece
 NO_ATTEMPT = -1  # in place of an attempt's handle
 
@@ -42,6 +41,20 @@
         """Take note that the other end closed or reset the connection."""
 
 
+class Pool:
+    """The connections to one backend, and the attempts that wait for one."""
+
+    __slots__ = ("address", "dialing", "id", "idle", "state", "waiting")
+
+    def __init__(self, backend_id: int, address: Address, state: BackendState) -> None:
+        self.id = backend_id
+        self.address = address
+        self.state = state
+        self.idle: list[Connection] = []  # the most recently used last
+        self.waiting: deque[int] = deque()  # handles of the attempts for which a connection is being opened
+        self.dialing = 0  # connections being opened
+
+
 class Connection(Link):
     """A connection to a backend; also the sink of a streamed request body, see `transport.flow.Sink`."""
 
--- a/thymeflow/backends/pools.py
+++ b/thymeflow/backends/pools.py
@@ -2,12 +2,8 @@
 
 from __future__ import annotations
 
-from collections import deque
-
-from thymeflow.backends.connections import Connection
+from thymeflow.backends.connections import Connection, Pool
 from thymeflow.decision.settings import Limits
-from thymeflow.decision.types import BackendState
-from thymeflow.platform.endpoints import Address
 from thymeflow.runtime import clock
 from thymeflow.transport.connections import has_unread_bytes
 
@@ -15,20 +11,6 @@
 SWEEP_INTERVAL = 1.0  # s: between searches for connections that have been idle for long
 
 
-class Pool:
-    """The connections to one backend, and the attempts that wait for one."""
-
-    __slots__ = ("address", "dialing", "id", "idle", "state", "waiting")
-
-    def __init__(self, backend_id: int, address: Address, state: BackendState) -> None:
-        self.id = backend_id
-        self.address = address
-        self.state = state
-        self.idle: list[Connection] = []  # the most recently used last
-        self.waiting: deque[int] = deque()  # handles of the attempts for which a connection is being opened
-        self.dialing = 0  # connections being opened
-
-
 class ConnectionPools:
     """The pools of all backends, with one bound on their connections.
 
@@ -37,12 +19,16 @@
 
     def __init__(self, deadlines: clock.Deadlines, limits: Limits, max_connections: int) -> None:
         self._deadlines = deadlines
-        self.limits = limits
+        self._limits = limits
         self._max_connections = max_connections
         self._pools_by_id: dict[int, Pool] = {}  # by the backend's id
         self.open_connections = 0  # connections open or being opened
         self.resting = False  # no new attempts are expected: a connection that becomes idle is closed
 
+    def set_limits(self, limits: Limits) -> None:
+        """Apply other timeouts to what is connected or becomes idle from now on."""
+        self._limits = limits
+
     def set_max_connections(self, max_connections: int) -> None:
         """Set another bound on connections, for those that are opened from now on."""
         self._max_connections = max_connections
@@ -94,6 +80,6 @@
     def _sweep(self, _: int) -> None:
         now = clock.now()
         for pool in self._pools_by_id.values():
-            while pool.idle and now - pool.idle[0].last_activity_at > IDLE_FRACTION * self.limits.connection_idle:
+            while pool.idle and now - pool.idle[0].last_activity_at > IDLE_FRACTION * self._limits.connection_idle:
                 self._close(pool.idle.pop(0))
         self._deadlines.schedule(now + SWEEP_INTERVAL, self._sweep)
--- a/thymeflow/core/dispatcher.py
+++ b/thymeflow/core/dispatcher.py
@@ -50,7 +50,16 @@
 class RequestDispatcher:
     """All pending requests, between frontends, the gateway and the backends."""
 
-    def __init__(self, settings: GatewaySettings, gateway: Gateway, deadlines: clock.Deadlines, memory: int) -> None:
+    def __init__(
+        self,
+        settings: GatewaySettings,
+        gateway: Gateway,
+        deadlines: clock.Deadlines,
+        memory: int,
+        backends: AttemptRunner,
+        counter: CounterClient | None,
+        discovery: EndpointSource | None,
+    ) -> None:
         """`memory` bounds the bytes of requests held."""
         self._settings = settings
         self._deadlines = deadlines
@@ -60,9 +69,9 @@
         self._is_running = False
         self._counters = RequestCounters(deadlines)
         self.response_counts = dict.fromkeys(ResponseKind, 0)  # final responses so far
-        self.backends: AttemptRunner
-        self.counter: CounterClient | None = None
-        self.discovery: EndpointSource | None = None
+        self._backends = backends
+        self.counter = counter
+        self._discovery = discovery
         self._action_handlers: dict[type, Callable[[Any], None]] = {
             actions.StartAttempt: self._start_attempt,
             actions.SetTimer: self._set_timer,
@@ -86,7 +95,7 @@
 
     def set_memory_limit(self, memory: int) -> None:
         """Bound the bytes held for requests that are submitted from now on."""
-        self._requests.memory_limit = memory
+        self._requests.set_memory_limit(memory)
 
     def open_count(self) -> int:
         """Return how many requests have not ended."""
@@ -198,13 +207,13 @@
             attempt.cancel()
 
     def _close_idle_connections(self, action: actions.CloseIdleConnections) -> None:
-        self.backends.close_idle(action.backend)
+        self._backends.close_idle(action.backend)
 
     def _fetch_endpoints(self, action: actions.FetchEndpoints) -> None:
-        if self.discovery is None:
+        if self._discovery is None:
             self._log_unsupported(action)
         else:
-            self.discovery.fetch_complete_list()
+            self._discovery.fetch_complete_list()
 
     @staticmethod
     def _write_log(action: actions.WriteLog) -> None:
@@ -253,7 +262,7 @@
             now + action.start_within,
             pending.incoming.is_connected,
         )
-        attempt = self.backends.start_attempt(spec)
+        attempt = self._backends.start_attempt(spec)
         pending.open_attempts[number] = attempt
         attempt.addCallback(self._on_attempt_ended, pending, number, action.backend, now)
         attempt.addErrback(self._on_attempt_fault)
--- a/thymeflow/core/pending_requests.py
+++ b/thymeflow/core/pending_requests.py
@@ -10,10 +10,10 @@
     """Requests by handle and by id. A handle of a request that was removed finds nothing."""
 
     def __init__(self, max_requests: int, memory_limit: int) -> None:
-        """`memory_limit` is in bytes; changing it holds for requests that are added from then on."""
+        """`memory_limit` is in bytes."""
         self._table: SlotTable[PendingRequest] = SlotTable(max_requests)
         self._handles: dict[str, int] = {}  # by request id
-        self.memory_limit = memory_limit
+        self._memory_limit = memory_limit
         self.memory_used = 0
 
     def __len__(self) -> int:
@@ -26,9 +26,13 @@
         """Bound the number of requests from now on; those over it stay until they end."""
         self._table.set_limit(max_requests)
 
+    def set_memory_limit(self, memory_limit: int) -> None:
+        """Bound the bytes of requests that are added from now on."""
+        self._memory_limit = memory_limit
+
     def can_add(self, size: int) -> bool:
         """Return whether there is a slot, and memory for so many bytes."""
-        return not self._table.is_full() and self.memory_used + size <= self.memory_limit
+        return not self._table.is_full() and self.memory_used + size <= self._memory_limit
 
     def add(self, pending: PendingRequest) -> int:
         """Add a request and return its handle."""
--- a/thymeflow/discovery/watch.py
+++ b/thymeflow/discovery/watch.py
@@ -13,6 +13,7 @@
 
 import json
 from collections.abc import Callable
+from typing import Protocol
 
 from twisted.internet.protocol import connectionDone
 from twisted.python.failure import Failure
@@ -38,8 +39,14 @@
 UNREADABLE = (ValueError, KeyError, TypeError, AttributeError, OverflowError, RecursionError)  # raised for a message
 
 
-def _do_nothing() -> None:
-    """Stand in for a callback that is not set."""
+class EndpointObserver(Protocol):
+    """Receives what the watch learns."""
+
+    def on_endpoints_changed(self, update: EndpointUpdate) -> None:
+        """Apply a change of the endpoint list."""
+
+    def on_endpoints_ready(self) -> None:
+        """Take note, once, that the list is as complete as it gets."""
 
 
 class EndpointStream(Stream):
@@ -93,7 +100,7 @@
 
 
 class EndpointWatcher:
-    """The endpoint list as discovery reports it: each change is passed to `on_change`."""
+    """The endpoint list as discovery reports it: each change is passed to the observer."""
 
     def __init__(
         self,
@@ -101,7 +108,7 @@
         deadlines: clock.Deadlines,
         address: Address,
         version: int,
-        on_change: Callable[[EndpointUpdate], None],
+        observer: EndpointObserver,
         limiters: int,
         seed: int,
         pushed: bool = True,
@@ -109,14 +116,13 @@
         self._reactor = reactor
         self._deadlines = deadlines
         self._address = address
-        self.backoff = Backoff(limiters, seed, pushed)
+        self._backoff = Backoff(limiters, seed, pushed)
         self._is_pushed = pushed
         self._idle_timeout = PUSHED_IDLE_TIMEOUT if pushed else POLLED_IDLE_TIMEOUT
         self._first_message_timeout = PUSHED_FIRST_MESSAGE_TIMEOUT if pushed else POLLED_FIRST_MESSAGE_TIMEOUT
         self._version = version
-        self._on_change = on_change
+        self._observer = observer
         self.is_ready = False  # a first message was received, or none is to be had: the list is as good as it gets
-        self.on_ready: Callable[[], None] = _do_nothing
         self._current: EndpointStream | None = None  # the one that received a message last, and is not idle
         self._open: list[EndpointStream] = []  # all that are open, the oldest first
         self._dialing = 0
@@ -144,7 +150,7 @@
     def _set_ready(self) -> None:
         if not self.is_ready:
             self.is_ready = True
-            self.on_ready()
+            self._observer.on_endpoints_ready()
 
     def read_pending(self) -> None:
         """Read what waits at the sockets, as after a stall: it counts as notified, and applies to what is sent next."""
@@ -153,6 +159,10 @@
                 if not has_unread_bytes(stream.transport) or stream.transport.doRead() is not None:
                     break  # all is read; or the connection has ended, which the reactor finds too
 
+    def set_limiter_count(self, limiters: int) -> None:
+        """Adapt the backoff to another number of limiters in the set."""
+        self._backoff.resize(limiters)
+
     def set_address(self, address: Address) -> None:
         """Watch at another address from now on; the list and its version stay."""
         old_streams = self._open
@@ -161,7 +171,7 @@
         self._address = address
         self._epoch += 1
         self._dialing = 0
-        self.backoff.reset()
+        self._backoff.reset()
         for stream in old_streams:
             stream.end("moved")
         self._open_stream(self._epoch)
@@ -222,7 +232,7 @@
             LogKind.DISCOVERY, f"watch at {self._address} broke: {reason}", address=self._address, version=self._version
         )
         if self._current is None:
-            self._schedule_retry(self.backoff.next_wait())
+            self._schedule_retry(self._backoff.next_wait())
 
     def _schedule_retry(self, wait: float) -> None:
         if not self._is_retry_scheduled:
@@ -249,17 +259,17 @@
                 version=self._version,
             )
             self._current = None
-            self._schedule_retry(self.backoff.next_wait_after_idle())
+            self._schedule_retry(self._backoff.next_wait_after_idle())
         self._set_idle_deadline(now + self._first_message_timeout)
         if current is None:
-            self._schedule_retry(0.0 if self._is_pushed else self.backoff.next_wait())
+            self._schedule_retry(0.0 if self._is_pushed else self._backoff.next_wait())
 
     def _is_first_message_arriving(self, now: float) -> bool:
         # A long list arrives in pieces.
         return any(stream.last_received_at + self._first_message_timeout > now for stream in self._open)
 
     def _on_message(self, stream: EndpointStream, message: bytes) -> None:
-        self.backoff.reset()
+        self._backoff.reset()
         if self._current is not stream:
             self._keep_only(stream)
         update = self._parse(message)
@@ -301,7 +311,7 @@
             )
             return
         self._version = version
-        self._on_change(change)
+        self._observer.on_endpoints_changed(change)
 
     def fetch_complete_list(self) -> None:
         """Request the complete list once, beside the watch; a failure leaves list and watch as they are."""
--- a/thymeflow/frontend/client_connection.py
+++ b/thymeflow/frontend/client_connection.py
@@ -7,23 +7,21 @@
 from __future__ import annotations
 
 from math import inf
-from typing import TYPE_CHECKING
+from typing import Protocol
 
 from twisted.internet.protocol import connectionDone
 from twisted.python.failure import Failure
 
+from thymeflow.core.dispatcher import RequestDispatcher
 from thymeflow.core.types import IncomingRequest, Response
-from thymeflow.frontend.pipeline import PipelineSlot, ResponsePipeline, encode_response
+from thymeflow.frontend.pipeline import PipelineSlot, ResponseMemory, ResponsePipeline, encode_response
 from thymeflow.runtime import clock, log
 from thymeflow.runtime.log_kinds import LogKind
 from thymeflow.transport import resp
-from thymeflow.transport.commands import QUERY, SUBMIT, CallError
+from thymeflow.transport.commands import QUERY, SUBMIT, CallError, CallReader
 from thymeflow.transport.connections import has_unread_bytes
 from thymeflow.transport.flow import Flow
 
-if TYPE_CHECKING:
-    from thymeflow.frontend.frontend import Frontend
-
 BODY_INDEX = 4  # of the item of a command that may come slowly, in pieces; the others are its head
 MAX_PIPELINED_COMMANDS = 64  # commands of one client that are not answered; then it is not read from
 REQUEST_OVERHEAD = 2048  # bytes that a request takes beside its own
@@ -43,11 +41,38 @@
 NO_REQUEST_SCORE = 1e6
 
 
+class ClientConnectionOwner(Protocol):
+    """What a client connection needs of the frontend that accepted it."""
+
+    deadlines: clock.Deadlines
+    dispatcher: RequestDispatcher
+    reader: CallReader
+    is_draining: bool
+    is_closing: bool
+    exit_deadline: float
+
+    def is_ready(self) -> bool:
+        """Return whether PING is answered with PONG."""
+
+    def describe_state(self) -> str:
+        """Return why it is not."""
+
+    def on_client_connected(self, connection: ClientConnection) -> int:
+        """Register a connection and return its handle."""
+
+    def on_input_buffered(self, change: int) -> None:
+        """Count bytes of incomplete commands."""
+
+    def on_client_lost(self, connection: ClientConnection) -> None:
+        """Take note that a connection has ended and that nothing is open on it any more."""
+
+
 class ClientConnection(ResponsePipeline):
     """One client's connection: reads its commands and holds it to the timeouts."""
 
-    def __init__(self, front: Frontend) -> None:
-        super().__init__(front)
+    def __init__(self, owner: ClientConnectionOwner, memory: ResponseMemory) -> None:
+        super().__init__(memory)
+        self._owner = owner
         self._parser = resp.Parser(resp.MAX_LONG_VALUE)
         self._command_started_at = 0.0  # when the incomplete command began
         self._arrived_at = 0.0  # the earliest at which what is read now can have come
@@ -55,17 +80,17 @@
         self._is_body_blocked = False  # the reader of that body has no capacity
         self.handle = -1
         self._is_reading = True  # what the transport was last asked for
-        self._is_evicted = False  # its slot was given to another
+        self.is_evicted = False  # its slot was given to another
         self._has_sent_command = False
         self._has_sent_request = False  # a PING alone doesn't count, and doesn't keep a connection open
         self._discarded_bytes = 0
 
     def connectionMade(self) -> None:
         """Register with the frontend."""
-        self.handle = self._front.clients.add(self)
+        self.handle = self._owner.on_client_connected(self)
         self._idle_since = clock.now()
         self._last_activity_at = self._idle_since
-        self._arrived_at = self._front.deadlines.earliest_arrival(self._idle_since)
+        self._arrived_at = self._owner.deadlines.earliest_arrival(self._idle_since)
         super().connectionMade()
 
     def _update_reading(self) -> None:
@@ -88,7 +113,7 @@
             self._discarded_bytes += len(data)
             self._update_reading()
             return
-        front = self._front
+        owner = self._owner
         buffered_before = self._parser.buffered_bytes()
         was_incomplete = self._parser.is_incomplete()
         found, fault = self._parser.feed(data)
@@ -96,7 +121,7 @@
         # What comes first on a connection may have come as early as that did, where that was a moment ago: a stall
         # since then is known. What comes slowly or after a rest has its time from its last byte on.
         is_first = not self._has_sent_command and not was_incomplete and now - self._idle_since < clock.STALL
-        self._arrived_at = min(front.deadlines.earliest_arrival(now), self._arrived_at if is_first else inf)
+        self._arrived_at = min(owner.deadlines.earliest_arrival(now), self._arrived_at if is_first else inf)
         if found or not was_incomplete:
             self._command_started_at = now
         for value in found:
@@ -114,11 +139,11 @@
             else:
                 fault = "a command is an array of bulk strings"
                 break
-        front.on_input_buffered(self._parser.buffered_bytes() - buffered_before)
+        owner.on_input_buffered(self._parser.buffered_bytes() - buffered_before)
         if fault and (not self._is_closing or self._body_slot is not None):
             self._on_malformed_input(fault)
         self._flush()
-        if front.is_draining and (self._has_sent_request or front.is_closing) and not self._parser.is_incomplete():
+        if owner.is_draining and (self._has_sent_request or owner.is_closing) and not self._parser.is_incomplete():
             self.finish()
 
     def _on_long_command(self, begin: resp.Begin) -> None:
@@ -131,9 +156,10 @@
             self._submit_request([*words, b""], body)  # type: ignore[list-item]
         else:
             self._reply(resp.error_reply("ERR a value is too long for this command"))
-        self._body_slot = self._slots[-1]
-        self._body_slot.body = body
-        if self._body_slot.response is not None:
+        slot = self._slots[-1]
+        slot.body = body
+        self._body_slot = slot
+        if slot.response is not None:
             body.discard()
 
     def _on_long_value_event(self, event: resp.Chunk | resp.Closed | resp.End) -> None:
@@ -149,7 +175,7 @@
             self._is_body_blocked = False
             if slot.request is not None:
                 body.deadline = self._arrived_at + slot.request.remaining
-                self._front.dispatcher.body_received(slot.request.id, body.deadline)
+                self._owner.dispatcher.body_received(slot.request.id, body.deadline)
             self._idle_since = self._last_activity_at
             body.finish()
 
@@ -175,7 +201,7 @@
         # Where the next command begins is not known any more: one error line, then the end.
         log.emit_rate_limited(LogKind.CLIENT_COMMAND_MALFORMED, fault)
         self._fail_body()
-        self._front.on_input_buffered(-self._parser.buffered_bytes())
+        self._owner.on_input_buffered(-self._parser.buffered_bytes())
         self._parser = resp.Parser()
         self._reply(resp.error_reply(f"ERR Protocol error: {fault}"))
         self.finish()
@@ -208,7 +234,7 @@
     def enforce_timeouts(self, now: float, idle_timeout: float) -> None:
         """Disconnect a client that sends nothing, never completes a command, or takes no response."""
         idle = self.idle_seconds(now)
-        if self._front.is_draining and idle > DRAIN_GRACE:
+        if self._owner.is_draining and idle > DRAIN_GRACE:
             idle_timeout = 0.0  # who sends no request at once is disconnected, and who often sends PING stays
         if not self._is_reading and self.has_peer_closed():
             self.transport.abortConnection()
@@ -231,10 +257,8 @@
             self.finish()
 
     def evict(self) -> None:
-        """Leave the slot to another client, now."""
-        self._is_evicted = True
-        self._front.clients.remove(self.handle)
-        self._front.evicting_count += 1
+        """Close the connection now, as its slot is given to another client."""
+        self.is_evicted = True
         self.transport.abortConnection()
 
     def _on_command(self, words: list[bytes]) -> None:
@@ -242,8 +266,8 @@
         if name in (QUERY, SUBMIT):
             self._submit_request(words)
         elif name == b"PING" and len(words) <= 2:
-            if not self._front.is_ready():
-                self._reply(resp.error_reply(f"LOADING {self._front.describe_state()}"))
+            if not self._owner.is_ready():
+                self._reply(resp.error_reply(f"LOADING {self._owner.describe_state()}"))
             else:
                 self._reply(resp.bulk(words[1]) if len(words) == 2 else b"+PONG\r\n")
         elif name in ACKNOWLEDGED_COMMANDS:
@@ -255,9 +279,9 @@
             self._reply(resp.error_reply(f"ERR unknown command '{name[:32].decode('ascii', 'replace')}'"))
 
     def _submit_request(self, words: list[bytes], body: Flow | None = None) -> None:
-        dispatcher = self._front.dispatcher
+        dispatcher = self._owner.dispatcher
         try:
-            call, request = self._front.reader.read(words)
+            call, request = self._owner.reader.read(words)
             if dispatcher.is_open(request.id):
                 raise CallError("that id is in hand")  # noqa: EM101, TRY301  # one handler for all refused commands
         except CallError as fault:
@@ -270,7 +294,7 @@
         if body is not None:
             call = call._replace(flow=body)
         size = REQUEST_OVERHEAD + len(call.before) + len(call.after) + len(call.body or b"")
-        exit_deadline = self._front.exit_deadline
+        exit_deadline = self._owner.exit_deadline
         deadline = min(self._arrived_at + request.remaining, exit_deadline) if body is None else inf
         is_late = self._last_activity_at - self._arrived_at > LATE_ARRIVAL
         if body is None and (is_late or deadline == exit_deadline):
@@ -288,13 +312,13 @@
         self._add_pending(len(slot.response))
         if self._slots and self._slots[0] is slot:
             self._flush()
-        if self._front.pending_response_bytes > self._front.max_pending_response_bytes:
+        if self._memory.used_bytes > self._memory.max_bytes:
             # Guards the memory limit, past which the whole limiter would be killed: one client that
             # pipelines behind its own slow request, or takes no responses, is disconnected instead.
             log.emit_rate_limited(
                 LogKind.BACKLOG,
-                f"{self._front.pending_response_bytes} bytes of answers are held; a connection was closed",
-                held=self._front.pending_response_bytes,
+                f"{self._memory.used_bytes} bytes of answers are held; a connection was closed",
+                held=self._memory.used_bytes,
             )
             self.transport.abortConnection()
 
@@ -306,9 +330,7 @@
         """Cancel everything that is open: no response can reach the client any more."""
         self._is_closing = True
         self._fail_body()
-        self._front.on_input_buffered(-self._parser.buffered_bytes())
+        self._owner.on_input_buffered(-self._parser.buffered_bytes())
         self._parser = resp.Parser()
-        self._front.clients.remove(self.handle)
-        self._front.evicting_count -= self._is_evicted
         self._cancel_slots()
-        self._front.on_client_lost()
+        self._owner.on_client_lost(self)
--- a/thymeflow/frontend/frontend.py
+++ b/thymeflow/frontend/frontend.py
@@ -2,9 +2,9 @@
 
 from __future__ import annotations
 
-from collections.abc import Callable
 from heapq import nlargest
 from math import inf
+from typing import Protocol
 
 from twisted.internet.interfaces import IAddress
 from twisted.internet.protocol import Factory
@@ -14,6 +14,7 @@
 from thymeflow.frontend.client_connection import CROWDED_IDLE_TIMEOUT, DRAIN_GRACE
 from thymeflow.frontend.client_connection import ClientConnection as ClientConnection
 from thymeflow.frontend.pipeline import PipelineSlot as PipelineSlot
+from thymeflow.frontend.pipeline import ResponseMemory
 from thymeflow.runtime import clock, log
 from thymeflow.runtime.log_kinds import LogKind
 from thymeflow.runtime.slot_table import SlotTable
@@ -27,6 +28,19 @@
 MAX_EVICTING = 24  # evicted connections whose descriptors are not free yet
 
 
+class FrontendOwner(Protocol):
+    """What the frontend needs of the limiter that it belongs to."""
+
+    def takes_clients(self) -> bool:
+        """Return whether clients are accepted now, so that PING is answered with PONG."""
+
+    def describe_state(self) -> str:
+        """Return why they are not."""
+
+    def on_client_lost(self) -> None:
+        """Take note that a client has left."""
+
+
 class Frontend(Factory):
     """The listening side."""
 
@@ -37,6 +51,7 @@
         dispatcher: RequestDispatcher,
         settings: GatewaySettings,
         deadlines: clock.Deadlines,
+        owner: FrontendOwner,
         max_clients: int,
         max_pending_response_bytes: int,
         max_unfinished_input_bytes: int,
@@ -44,20 +59,17 @@
         self.dispatcher = dispatcher
         self.reader = CallReader(settings)
         self.deadlines = deadlines
-        self.pending_response_bytes = 0  # of responses not taken yet
-        self.max_pending_response_bytes = max_pending_response_bytes  # beyond it connections are closed
+        self._owner = owner
+        self.response_memory = ResponseMemory(max_pending_response_bytes)
         self._unfinished_input_bytes = 0  # of incomplete commands
         self._max_unfinished_input_bytes = max_unfinished_input_bytes  # likewise
         self._max_clients = max_clients
         self.clients: SlotTable[ClientConnection] = SlotTable(max_clients)
-        self.evicting_count = 0
+        self._evicting_count = 0  # connections
         self.accepted_count = 0  # connections accepted so far, those closed at once included
         self.is_draining = False  # a connection ends with its last response, or as it falls idle
         self.is_closing = False  # and no new one is taken
         self.exit_deadline = inf  # when this process ends, however long a request may wait
-        self.is_ready: Callable[[], bool] = lambda: False  # set by the lifecycle: whether PING is answered with PONG
-        self.describe_state: Callable[[], str] = lambda: "starting"  # likewise: why it is not
-        self.on_client_lost: Callable[[], None] = lambda: None  # likewise: a client has left
         self._sweep(0)
 
     def buildProtocol(self, addr: IAddress | None) -> ClientConnection | None:  # noqa: ARG002  # Twisted passes it
@@ -67,15 +79,47 @@
             return None
         if self.clients.is_full():
             candidate = self._eviction_candidate(clock.now())
-            if candidate is None or self.evicting_count >= MAX_EVICTING:
+            if candidate is None or self._evicting_count >= MAX_EVICTING:
                 log.emit_rate_limited(
                     LogKind.CLIENTS,
                     f"all {len(self.clients)} connections are in use; a new one was closed",
                     connections=len(self.clients),
                 )
                 return None
-            candidate.evict()
-        return ClientConnection(self)
+            self._evict(candidate)
+        return ClientConnection(self, self.response_memory)
+
+    def apply_settings(self, settings: GatewaySettings) -> None:
+        """Read commands by other classes and plans from now on."""
+        self.reader = CallReader(settings)
+
+    def set_exit_deadline(self, deadline: float) -> None:
+        """Bound what clients wait by the time at which this process ends."""
+        self.exit_deadline = deadline
+
+    def is_ready(self) -> bool:
+        """Return whether PING is answered with PONG."""
+        return self._owner.takes_clients()
+
+    def describe_state(self) -> str:
+        """Return why it is not."""
+        return self._owner.describe_state()
+
+    def on_client_connected(self, connection: ClientConnection) -> int:
+        """Register a connection and return its handle."""
+        return self.clients.add(connection)
+
+    def on_client_lost(self, connection: ClientConnection) -> None:
+        """Free the slot of a connection that has ended."""
+        self.clients.remove(connection.handle)
+        self._evicting_count -= connection.is_evicted
+        self._owner.on_client_lost()
+
+    def _evict(self, connection: ClientConnection) -> None:
+        # Its slot is free at once, its descriptor only as the reactor has closed it.
+        self.clients.remove(connection.handle)
+        self._evicting_count += 1
+        connection.evict()
 
     def _eviction_candidate(self, now: float) -> ClientConnection | None:
         # Many clients send one request and stay, and others send nothing: who has least use of its connection goes.
@@ -95,7 +139,7 @@
     def set_limits(self, max_clients: int, max_pending_response_bytes: int, max_unfinished_input_bytes: int) -> None:
         """Apply other bounds to what comes from now on."""
         self._max_clients = max_clients
-        self.max_pending_response_bytes = max_pending_response_bytes
+        self.response_memory.set_max_bytes(max_pending_response_bytes)
         self._max_unfinished_input_bytes = max_unfinished_input_bytes
         self.clients.set_limit(max_clients)
 
@@ -107,7 +151,7 @@
                 LogKind.INPUT,
                 f"{self._unfinished_input_bytes} bytes of unfinished commands are held; the longest was let go",
             )
-            max(self.clients.items(), key=ClientConnection.input_backlog).evict()
+            self._evict(max(self.clients.items(), key=ClientConnection.input_backlog))
 
     def _sweep(self, _: int) -> None:
         now = clock.now()
--- a/thymeflow/frontend/pipeline.py
+++ b/thymeflow/frontend/pipeline.py
@@ -5,7 +5,6 @@
 import contextlib
 import socket
 from collections import deque
-from typing import TYPE_CHECKING
 
 from twisted.internet.defer import Deferred
 
@@ -17,8 +16,19 @@
 from thymeflow.transport.connections import Stream
 from thymeflow.transport.flow import Flow
 
-if TYPE_CHECKING:
-    from thymeflow.frontend.frontend import Frontend
+
+class ResponseMemory:
+    """The bytes of responses that clients have not taken yet, over all connections, and their bound."""
+
+    __slots__ = ("max_bytes", "used_bytes")
+
+    def __init__(self, max_bytes: int) -> None:
+        self.used_bytes = 0
+        self.max_bytes = max_bytes  # beyond it connections are closed
+
+    def set_max_bytes(self, max_bytes: int) -> None:
+        """Set another bound, for what is added from now on."""
+        self.max_bytes = max_bytes
 
 
 class PipelineSlot:
@@ -52,8 +62,8 @@
     It is the `flow.Sink` of the streamed response that is being written.
     """
 
-    def __init__(self, front: Frontend) -> None:
-        self._front = front
+    def __init__(self, memory: ResponseMemory) -> None:
+        self._memory = memory
         self._slots: deque[PipelineSlot] = deque()
         self._last_activity_at = 0.0  # when bytes came or left last
         self._idle_since = 0.0  # when it last did something of use, or was last answered
@@ -76,7 +86,7 @@
 
     def _add_pending(self, change: int) -> None:
         self._pending_bytes += change
-        self._front.pending_response_bytes += change
+        self._memory.used_bytes += change
 
     def _recount_pending(self) -> None:
         # All that was written has left, so only responses that wait for earlier ones count.
--- a/thymeflow/limiter/assembly.py
+++ b/thymeflow/limiter/assembly.py
@@ -23,7 +23,6 @@
 from thymeflow.platform import configuration, endpoints
 from thymeflow.runtime import clock, log
 from thymeflow.runtime.log_kinds import LogKind
-from thymeflow.transport.commands import CallReader
 
 CLIENT_FRACTION = 0.7  # of the descriptors: for clients; the rest is for backends
 REQUEST_MEMORY_FRACTION = 0.25  # of the memory limit: for requests in flight
@@ -83,73 +82,104 @@
         settings = given.settings
         self.configuration = given
         self.reactor = reactor
-        self.deadlines = clock.Deadlines(reactor)
-        self.deadlines.on_stall = _log_stall
+        self.deadlines = clock.Deadlines(reactor, _log_stall)
         self._is_connected = False
-        self.exit_code = 0  # exit code
+        self.exit_code = 0
         self._listener: socket.socket | None = None  # bound, and to be opened once the endpoint list is known
         self._has_queue = False  # connections may wait at it already
         budgets = self._budgets(None)
         self.gateway = gateway or make_gateway(given)
-        self.dispatcher = RequestDispatcher(settings, self.gateway, self.deadlines, budgets.request_bytes)
-        self.backends = self.dispatcher.backends = BackendConnections(
-            reactor, self.deadlines, settings.limits, budgets.backend_connections
+        self.discovery = self._build_discovery()
+        self.counter = None if given.counter is None else CounterClient(reactor, self.deadlines, given.counter)
+        self.backends = BackendConnections(
+            reactor, self.deadlines, settings.limits, budgets.backend_connections, self.discovery.read_pending
         )
-        self.frontend = self._make_frontend(budgets)
-        longest_deadline = longest_deadline_of(settings)
+        self.dispatcher = self._build_dispatcher(budgets)
+        self.frontend = self._build_frontend(budgets)
+        self.reload = Reload(given, self.discovery, self.counter, self.apply_settings, load)
         self.lifecycle = Lifecycle(
-            self.deadlines, self.dispatcher, self.frontend, longest_deadline, reactor.stop, linger
+            self.deadlines,
+            self.dispatcher,
+            self.frontend,
+            longest_deadline_of(settings),
+            reactor.stop,
+            self.reload.now,
+            linger,
         )
         self.on_endpoints: Callable[[endpoints.EndpointUpdate], None] = lambda _: None  # for a copy of the list
-        self.on_endpoints_changed(given.endpoints)
-        self.discovery = self._make_discovery()
-        self.dispatcher.discovery = self.discovery
-        self.backends.read_endpoint_updates = self.discovery.read_pending
-        self.discovery.on_ready = self.on_endpoints_ready
         self.on_endpoints_available: Callable[[], None] = lambda: None  # for other parts that wait for the list
-        self.counter: CounterClient | None = None
-        if given.counter is not None:
-            self.dispatcher.counter = self.counter = CounterClient(reactor, self.deadlines, given.counter)
-        self.reload = Reload(given, self.discovery, self.counter, self.apply_settings, load)
-        self.lifecycle.on_reload = self.reload.now
+        self.on_endpoints_changed(given.endpoints)
 
-    def _make_frontend(self, budgets: Budgets) -> Frontend:
+    def _build_dispatcher(self, budgets: Budgets) -> RequestDispatcher:
+        return RequestDispatcher(
+            self.configuration.settings,
+            self.gateway,
+            self.deadlines,
+            budgets.request_bytes,
+            self.backends,
+            self.counter,
+            self.discovery,
+        )
+
+    def _build_frontend(self, budgets: Budgets) -> Frontend:
         return Frontend(
             self.dispatcher,
             self.configuration.settings,
             self.deadlines,
+            self,
             budgets.client_connections,
             budgets.response_bytes,
             budgets.unfinished_input_bytes,
         )
 
-    def _make_discovery(self) -> EndpointWatcher:
+    def _build_discovery(self) -> EndpointWatcher:
         given = self.configuration
         return EndpointWatcher(
             self.reactor,
             self.deadlines,
             given.discovery,
             given.endpoints.change.version,
-            self.on_endpoints_changed,
+            self,
             given.settings.limiter_count,
             given.seed,
             given.settings.discovery is DiscoveryMode.PUSH,
         )
 
-    def on_endpoints_changed(self, news: endpoints.EndpointUpdate) -> None:
+    # The methods of `frontend.FrontendOwner`.
+
+    def takes_clients(self) -> bool:
+        """Return whether clients are accepted now."""
+        return self.lifecycle.takes_clients()
+
+    def describe_state(self) -> str:
+        """Return why clients are not accepted."""
+        return self.lifecycle.describe_state()
+
+    def on_client_lost(self) -> None:
+        """Go on with a shutdown that waited for a client to leave."""
+        self.lifecycle.on_client_lost()
+
+    # The methods of `watch.EndpointObserver`.
+
+    def on_endpoints_changed(self, update: endpoints.EndpointUpdate) -> None:
         """Apply a change of the endpoint list."""
-        self.dispatcher.apply_endpoints(news.change, lambda: self.backends.apply_update(news))
-        self.on_endpoints(news)
-        if news.addresses:
+        self.dispatcher.apply_endpoints(update.change, lambda: self.backends.apply_update(update))
+        self.on_endpoints(update)
+        if update.addresses:
             self.lifecycle.on_endpoints_known()
 
+    def on_endpoints_ready(self) -> None:
+        """Accept clients from now on: the endpoint list is as complete as it gets."""
+        self._open_listener()
+        self.on_endpoints_available()
+
     def apply_settings(self, settings: GatewaySettings) -> None:
         """Apply other settings from now on; what is open keeps the rules that it was accepted under."""
-        self.frontend.reader = CallReader(settings)
+        self.frontend.apply_settings(settings)
         self.dispatcher.apply_settings(settings)
-        self.backends.limits = settings.limits
-        self.discovery.backoff.resize(settings.limiter_count)
-        self.lifecycle.longest_deadline = max(self.lifecycle.longest_deadline, longest_deadline_of(settings))
+        self.backends.set_limits(settings.limits)
+        self.discovery.set_limiter_count(settings.limiter_count)
+        self.lifecycle.raise_longest_deadline(longest_deadline_of(settings))
 
     def start(self) -> None:
         """Listen for operators, connect to counter and discovery, and listen for clients once endpoints are known.
@@ -215,11 +245,6 @@
         else:
             self.lifecycle.resume()
 
-    def on_endpoints_ready(self) -> None:
-        """Accept clients from now on: the endpoint list is as complete as it gets."""
-        self._open_listener()
-        self.on_endpoints_available()
-
     def listen(self, listener: socket.socket, waited: bool = False) -> None:
         """Listen at a socket that was made elsewhere, and is ours from now on, once the endpoint list is known.
 
--- a/thymeflow/limiter/lifecycle.py
+++ b/thymeflow/limiter/lifecycle.py
@@ -32,32 +32,38 @@
         front: Frontend,
         longest_deadline: float,
         stop: Callable[[], None],
+        reload: Callable[[], object],
         linger: float = TERMINATION_LINGER,
     ) -> None:
         self.phase = Phase.STARTING
         self._deadlines = deadlines
         self._dispatcher = dispatcher
         self._front = front
-        self.longest_deadline = longest_deadline
+        self._longest_deadline = longest_deadline
         self._stop = stop
+        self._reload = reload
         self._linger = linger
         self.port: Any = None  # where it listens (Twisted's port), and that as text
         self.listen_address = ""
         self._has_endpoints = False
         self._is_closed = False
-        self.on_reload: Callable[[], object] = lambda: None  # set once there is something to reload
         self.on_stopping: Callable[[], float] = lambda: 0.0  # sends final messages; returns the seconds they need
         self.on_phase: Callable[[Phase], None] = lambda _: None
         self._is_lingering = False  # got a termination signal, and the balancer may not have noticed yet
         self._evacuation_count = 0  # a delayed step of an earlier evacuation is ignored
-        front.is_ready = self.takes_clients
-        front.describe_state = lambda: phases.REASONS[self.phase]
-        front.on_client_lost = self._stop_if_idle
 
     def takes_clients(self) -> bool:
         """Return whether clients are accepted now: what `PING` and `readyz` both answer."""
         return self.phase in (Phase.SERVING, Phase.HANDED_OVER) or (self.phase is Phase.DRAINING and self._is_lingering)
 
+    def describe_state(self) -> str:
+        """Return the phase as a sentence: why clients are not accepted, where they are not."""
+        return phases.REASONS[self.phase]
+
+    def raise_longest_deadline(self, seconds: float) -> None:
+        """Take note of requests that may last for so many seconds; those accepted earlier keep their deadlines."""
+        self._longest_deadline = max(self._longest_deadline, seconds)
+
     def on_command(self, command: OperatorCommand) -> tuple[bool, str]:
         """Carry out an operator's command; return whether it was accepted, and the reason as text."""
         phase, is_accepted, reason = phases.apply_command(self.phase, command, self.takes_clients())
@@ -117,16 +123,18 @@
             self._is_lingering = self.phase is Phase.SERVING
             self._enter(Phase.DRAINING)
             now = clock.now()
-            awaited = min(self.longest_deadline, MAX_AWAITED_DEADLINE)
-            self._front.exit_deadline = now + TERMINATION_LINGER + awaited - TERMINATION_MARGIN
+            awaited = min(self._longest_deadline, MAX_AWAITED_DEADLINE)
+            self._front.set_exit_deadline(now + TERMINATION_LINGER + awaited - TERMINATION_MARGIN)
             close_at = now + (self._linger if linger is None else linger)
             self._deadlines.schedule(close_at, self._on_linger_over)
-            self._deadlines.schedule(close_at + self.longest_deadline + UNTAKEN_RESPONSE_GRACE, self._complete_shutdown)
+            self._deadlines.schedule(
+                close_at + self._longest_deadline + UNTAKEN_RESPONSE_GRACE, self._complete_shutdown
+            )
 
     def reload_settings(self) -> None:
         """Reload (SIGHUP): harmless in every phase; while draining, requests in flight still need their counter."""
         if self.phase is not Phase.STOPPED:
-            self.on_reload()
+            self._reload()
 
     def _on_linger_over(self, _: int) -> None:
         if self.port is not None:
@@ -145,6 +153,10 @@
             accepted_before = self._front.accepted_count
             self.port.doRead()  # accepts some of them at a time
 
+    def on_client_lost(self) -> None:
+        """Stop if that was the last client of a limiter that accepts no others."""
+        self._stop_if_idle()
+
     def _stop_if_idle(self) -> None:
         if self._is_closed and not len(self._front.clients) and not self._dispatcher.open_count():
             self._complete_shutdown(0)
--- a/thymeflow/runtime/clock.py
+++ b/thymeflow/runtime/clock.py
@@ -73,7 +73,7 @@
     `on_stall` is called with the seconds for which the reactor had no turn, where that was over `STALL`.
     """
 
-    def __init__(self, reactor: TimerReactor) -> None:
+    def __init__(self, reactor: TimerReactor, on_stall: Callable[[float], None] = _ignore_stall) -> None:
         self._reactor = reactor
         self._heap: list[_HeapEntry] = []
         self._order = 0
@@ -83,7 +83,7 @@
         self._is_running = False
         self._waiting_since: float | None = None  # since when what is read in this turn may have waited
         self._settling_turns = 0
-        self.on_stall: Callable[[float], None] = _ignore_stall
+        self._on_stall = on_stall
 
     def schedule(self, when: float, callback: Callable[[int], None], argument: int = 0) -> ScheduledCall:
         """Call back with the argument at the time `when` (Unix seconds), and return what `cancel` takes."""
@@ -163,7 +163,7 @@
             fired_at = now()
             head = self._head()
             if head is not None and fired_at - head[0] > STALL:
-                self.on_stall(fired_at - head[0])
+                self._on_stall(fired_at - head[0])
                 self.mark_waiting(head[0])
             while self._heap and self._heap[0][0] <= fired_at:
                 _, _, call = heapq.heappop(self._heap)
