--- a/tests/discovery/test_watch.py
+++ b/tests/discovery/test_watch.py
@@ -71,7 +71,10 @@
         stream.dataReceived(chunk)
     assert versions(updates) == [43, 44]
     assert not stream.ends
-    assert [text.split(",")[0] for text in logged] == ["generation 42 is behind 43", "generation 41 is behind 43"]
+    assert logged == [
+        "ignored endpoint list version 42: version 43 is in use",
+        "ignored endpoint list version 41: version 43 is in use",
+    ]
 
 
 def test_list_and_watch_are_left_when_a_fetched_list_is_late_or_malformed(world: InMemoryNetwork) -> None:
--- a/thymeflow/discovery/watch.py
+++ b/thymeflow/discovery/watch.py
@@ -11,15 +11,13 @@
 
 from __future__ import annotations
 
-import json
-from collections.abc import Callable
 from typing import Protocol
 
-from twisted.internet.protocol import connectionDone
 from twisted.python.failure import Failure
 
 from thymeflow.discovery.backoff import Backoff
-from thymeflow.discovery.http import HttpError, ResponseParser
+from thymeflow.discovery.complete_list import fetch_complete_list
+from thymeflow.discovery.endpoint_stream import EndpointStream, parse_message
 from thymeflow.discovery.timeouts import (
     CONNECT_TIMEOUT,
     POLLED_FIRST_MESSAGE_TIMEOUT,
@@ -28,15 +26,14 @@
 from thymeflow.discovery.timeouts import FIRST_LIST_TIMEOUT as FIRST_LIST_TIMEOUT
 from thymeflow.discovery.timeouts import POLLED_IDLE_TIMEOUT as POLLED_IDLE_TIMEOUT
 from thymeflow.discovery.timeouts import PUSHED_IDLE_TIMEOUT as PUSHED_IDLE_TIMEOUT
-from thymeflow.platform.endpoints import Address, EndpointUpdate, endpoint_update
+from thymeflow.platform.endpoints import Address, EndpointUpdate
 from thymeflow.runtime import clock, log
 from thymeflow.runtime.clock import STALL
 from thymeflow.runtime.log_kinds import LogKind
-from thymeflow.transport.connections import Stream, dial, has_unread_bytes
+from thymeflow.transport.connections import dial, has_unread_bytes
 
 MAX_STREAMS = 3  # open or being opened, of which the first to receive a message is kept
 MAX_READS = 64  # of a socket at a time, so that a sender of very much does not block the reactor
-UNREADABLE = (ValueError, KeyError, TypeError, AttributeError, OverflowError, RecursionError)  # raised for a message
 
 
 class EndpointObserver(Protocol):
@@ -49,56 +46,6 @@
         """Take note, once, that the list is as complete as it gets."""
 
 
-class EndpointStream(Stream):
-    """One GET request and the messages in its response."""
-
-    def __init__(
-        self,
-        path: str,
-        host: Address,
-        on_message: Callable[[EndpointStream, bytes], None],
-        on_ended: Callable[[EndpointStream, str], None],
-    ) -> None:
-        self._path = path
-        self._host = host
-        self._on_message = on_message
-        self._on_ended = on_ended
-        self._body = ResponseParser()
-        self._is_ended = False
-        self.last_received_at = 0.0  # when some of the body arrived last
-
-    def connectionMade(self) -> None:
-        """Send the request."""
-        super().connectionMade()
-        self.write(f"GET {self._path} HTTP/1.1\r\nHost: {self._host}\r\nAccept: application/json\r\n\r\n".encode())
-
-    def dataReceived(self, data: bytes) -> None:
-        """Report the messages that are complete."""
-        try:
-            messages = self._body.feed(data)
-        except HttpError as fault:
-            self.end(str(fault))
-            return
-        if self._body.begun:
-            self.last_received_at = clock.now()
-        for message in messages:
-            if not self._is_ended:
-                self._on_message(self, message)
-        if self._body.done:
-            self.end("the answer has ended")
-
-    def connectionLost(self, reason: Failure = connectionDone) -> None:  # noqa: ARG002 - the signature is Twisted's
-        """Report that the other end closed or reset the connection."""
-        self.end("the connection has ended")
-
-    def end(self, reason: str) -> None:
-        """Close the connection and report that, once."""
-        if not self._is_ended:
-            self._is_ended = True
-            self.transport.abortConnection()
-            self._on_ended(self, reason)
-
-
 class EndpointWatcher:
     """The endpoint list as discovery reports it: each change is passed to the observer."""
 
@@ -272,7 +219,7 @@
         self._backoff.reset()
         if self._current is not stream:
             self._keep_only(stream)
-        update = self._parse(message)
+        update = parse_message(message)
         if message and update is None:
             # The list stays. What this message held is requested again, from the version before it.
             stream.end("unreadable message")
@@ -290,23 +237,13 @@
                 other.end("there is another")
         self._set_idle_deadline(stream.last_received_at + self._idle_timeout)
 
-    @staticmethod
-    def _parse(message: bytes) -> EndpointUpdate | None:
-        if not message:
-            return None
-        try:
-            return endpoint_update(json.loads(message))
-        except UNREADABLE as fault:
-            log.emit_rate_limited(LogKind.DISCOVERY, f"unreadable message: {fault!r}")
-            return None
-
     def _apply(self, change: EndpointUpdate) -> None:
         version = change.change.version
         if version < self._version:
             # It is late, or from a replica that lags: newer changes were received already, and apply.
             log.emit_rate_limited(
                 LogKind.DISCOVERY,
-                f"generation {version} is behind {self._version}, which was told: not taken",
+                f"ignored endpoint list version {version}: version {self._version} is in use",
                 version=self._version,
             )
             return
@@ -315,34 +252,4 @@
 
     def fetch_complete_list(self) -> None:
         """Request the complete list once, beside the watch; a failure leaves list and watch as they are."""
-        timeout_calls: list[clock.ScheduledCall] = []
-
-        def on_message(_: EndpointStream, message: bytes) -> None:
-            """Apply the list."""
-            update = self._parse(message)
-            if update is not None:
-                self._apply(update)
-
-        def on_ended(_stream: EndpointStream, _reason: str) -> None:
-            """Cancel the timeout."""
-            for timeout_call in timeout_calls:
-                self._deadlines.cancel(timeout_call)
-
-        def on_connected(stream: EndpointStream) -> None:
-            """Start the timeout."""
-            timeout_calls.append(
-                self._deadlines.schedule(clock.now() + POLLED_IDLE_TIMEOUT, lambda _: stream.end("late"))
-            )
-
-        def on_connect_failed(_: Failure) -> None:
-            """Log the failure."""
-            log.emit_rate_limited(LogKind.DISCOVERY, f"no list from {self._address}")
-
-        connected = dial(
-            self._reactor,
-            self._deadlines,
-            self._address,
-            clock.now() + CONNECT_TIMEOUT,
-            lambda: EndpointStream("/api/targets", self._address, on_message, on_ended),
-        )
-        connected.addCallbacks(on_connected, on_connect_failed)
+        fetch_complete_list(self._reactor, self._deadlines, self._address, self._apply)
