--- a/tests/test_net_parts.py
+++ b/tests/test_net_parts.py
@@ -19,9 +19,9 @@
     served_reply,
     world,
 )
-from thymeflow.backends.backends import LONG_VALUE_TIMEOUT
 from thymeflow.backends.backends import STALL as ANSWER_STALL
 from thymeflow.backends.replies import parse_attempt_result
+from thymeflow.backends.streaming import LONG_VALUE_TIMEOUT
 from thymeflow.core.dispatcher import RequestDispatcher
 from thymeflow.core.types import AttemptSpec, IncomingRequest, Response, ResponseKind
 from thymeflow.counter.client import DEAD_PEER_TIMEOUT, STALL, CallPipeline, CounterResult
--- a/thymeflow/backends/backends.py
+++ b/thymeflow/backends/backends.py
@@ -15,7 +15,7 @@
 from thymeflow.backends.attempts import Attempt
 from thymeflow.backends.connections import NO_ATTEMPT, Connection, Pool
 from thymeflow.backends.pools import ConnectionPools
-from thymeflow.backends.replies import parse_attempt_result as parse_attempt_result
+from thymeflow.backends.streaming import LONG_VALUE_TIMEOUT, ValueStreaming, detach_streams
 from thymeflow.core.types import AttemptResult, AttemptSpec
 from thymeflow.decision.settings import Limits
 from thymeflow.decision.types import BackendState, EndpointListKind, Status
@@ -25,12 +25,8 @@
 from thymeflow.runtime.slot_table import SlotTable
 from thymeflow.transport.commands import Call
 from thymeflow.transport.connections import dial
-from thymeflow.transport.flow import Flow
 
 STALL = 1.0  # s: without a byte of a reply that has begun; backends write in pieces, and some slowly
-# s: the same for a long reply that is being streamed, as ending one that still moves would lose it; and for a long
-# body, without a byte taken of it.
-LONG_VALUE_TIMEOUT = 5.0
 MAX_ATTEMPTS = 1 << 16  # in progress at a time
 READY = BackendState.READY
 
@@ -52,6 +48,7 @@
         super().__init__(deadlines, limits, max_connections)
         self._reactor = reactor
         self._attempts: SlotTable[Attempt] = SlotTable(MAX_ATTEMPTS)
+        self._streaming = ValueStreaming(deadlines, self._attempts, self)
         self._read_endpoint_updates = read_endpoint_updates
         self._sweep(0)
 
@@ -82,7 +79,7 @@
 
     def start_attempt(self, spec: AttemptSpec) -> Deferred[AttemptResult]:
         """Begin an attempt; the Deferred never fails, and cancelling it gives the attempt up."""
-        result_deferred: Deferred[AttemptResult] = Deferred(lambda _: self._give_up(handle, Status.CANCELLED))
+        result_deferred: Deferred[AttemptResult] = Deferred(lambda _: self.give_up(handle, Status.CANCELLED))
         attempt = Attempt(spec, result_deferred)
         handle = self._attempts.add(attempt)
         pool = self._pools_by_id.get(spec.backend)
@@ -92,7 +89,7 @@
             self._end(handle, AttemptResult(Status.CONNECT_FAILED))
         else:
             if spec.deadline < inf:
-                attempt.timeout_call = self._deadlines.schedule(spec.deadline, self._on_deadline, handle)
+                attempt.timeout_call = self._deadlines.schedule(spec.deadline, self.on_deadline, handle)
             if connection := self._take_idle(pool):
                 self._send(connection, handle)
             elif self.open_connections < self._max_connections or self._close_longest_idle():
@@ -177,7 +174,7 @@
         if call.flow is None:
             connection.write(call.encode(max(1, int((attempt.spec.deadline - clock.now()) * 1000.0))))
         else:
-            self._send_long_body(connection, handle, attempt, call, call.flow)
+            self._streaming.send_body(connection, handle, attempt, call, call.flow)
 
     def _recheck(self, connection: Connection, handle: int, attempt: Attempt) -> bool:
         self._read_endpoint_updates()
@@ -189,75 +186,19 @@
             self._end(handle, AttemptResult(Status.CONNECT_FAILED))
         return False
 
-    def _send_long_body(self, connection: Connection, handle: int, attempt: Attempt, call: Call, body: Flow) -> None:
-        # The deadline of a request whose body is streamed begins with the body's last byte.
-        connection.body = body
-        connection.shrink_buffers()
-        connection.last_activity_at = clock.now()
-        self._deadlines.schedule(connection.last_activity_at + LONG_VALUE_TIMEOUT, self._check_body, handle)
-        body.when_complete(lambda: self._on_body_received(handle, body.deadline))
-        attempt.spec.on_response_started(None)
-        connection.write(call.encode(call.wait))
-        body.attach(connection)
-
-    def _on_body_received(self, handle: int, deadline: float) -> None:
-        # The body has arrived completely from the client, whose deadline counts from now on.
-        attempt = self._attempts.get(handle)
-        if attempt is not None:
-            attempt.timeout_call = self._deadlines.schedule(deadline, self._on_deadline, handle)
-
-    def _check_body(self, handle: int) -> None:
-        # Guards both ends of a streamed body against a backend that stopped without closing its connection.
-        attempt = self._attempts.get(handle)
-        connection = None if attempt is None else attempt.connection
-        if connection is None or connection.body is None:
-            return
-        now = clock.now()
-        hung_at = (
-            connection.last_activity_at + LONG_VALUE_TIMEOUT if not connection.flushed else now + LONG_VALUE_TIMEOUT
-        )
-        if hung_at > now:
-            self._deadlines.schedule(hung_at, self._check_body, handle)
-        else:
-            address = connection.pool.address
-            log.emit_rate_limited(
-                LogKind.BODY_STUCK,
-                f"{address} takes nothing of a long body: never whole, it never ran",
-                address=address,
-            )
-            self._give_up(handle, Status.CONNECT_FAILED)
-
     def on_body_failed(self, connection: Connection) -> None:
         """Give up the attempt; closing the connection shows the backend that the body is incomplete."""
-        self._give_up(connection.attempt_handle, Status.CANCELLED)
+        self.give_up(connection.attempt_handle, Status.CANCELLED)
 
     def on_long_value(self, connection: Connection, length: int) -> None:
         """Stream a long reply to the client; its deadline is met by its first bytes."""
-        handle = connection.attempt_handle
-        transport = connection.transport
-        attempt = self._attempts.get(handle)
-        assert attempt is not None
-        self._deadlines.cancel(attempt.timeout_call)
-
-        def set_paused(is_paused: bool) -> None:
-            """Pause or resume reading from the backend."""
-            if is_paused:
-                transport.pauseProducing()
-            else:
-                connection.last_activity_at = clock.now()  # no byte could move before
-                transport.resumeProducing()
-
-        connection.shrink_buffers()
-        flow = Flow(length, set_paused, lambda: self._give_up(handle, Status.CANCELLED))
-        connection.flow = flow
-        if not attempt.spec.on_response_started(flow):
-            self._give_up(handle, Status.CANCELLED)
+        self._streaming.begin_reply(connection, length)
 
     def on_reply(self, connection: Connection, result: AttemptResult, is_reusable: bool) -> None:
         """End the attempt in flight; its connection is released first, or closed if it can't be used again."""
         handle = connection.attempt_handle
         connection.attempt_handle = NO_ATTEMPT
-        self._detach_flows(connection)
+        detach_streams(connection)
         if is_reusable:
             self._release(connection)
         else:
@@ -283,18 +224,6 @@
         else:
             self._deadlines.schedule(stalled_at, self._check_reply, handle)
 
-    @staticmethod
-    def _detach_flows(connection: Connection) -> None:
-        # The attempt has ended: the rest of a body is not wanted here, and that of a reply will not come.
-        body = connection.body
-        flow = connection.flow
-        connection.body = None
-        connection.flow = None
-        if body is not None:
-            body.discard()
-        if flow is not None:
-            flow.fail()
-
     def on_malformed(self, connection: Connection) -> None:
         """End the attempt on a connection that was closed because of what arrived on it."""
         status = Status.ERROR if connection.is_request_sent() else Status.CONNECT_FAILED
@@ -319,18 +248,20 @@
         handle = connection.attempt_handle
         connection.attempt_handle = NO_ATTEMPT
         self.open_connections -= 1
-        self._detach_flows(connection)
+        detach_streams(connection)
         if handle < 0 and connection in connection.pool.idle:
             connection.pool.idle.remove(connection)
         return handle
 
-    def _on_deadline(self, handle: int) -> None:
+    def on_deadline(self, handle: int) -> None:
+        """End an attempt whose time is over."""
         attempt = self._attempts.get(handle)
         if attempt is not None:
             is_sent = attempt.connection is not None and attempt.connection.is_request_sent()
-            self._give_up(handle, Status.TIMEOUT if is_sent else Status.CONNECT_FAILED)
+            self.give_up(handle, Status.TIMEOUT if is_sent else Status.CONNECT_FAILED)
 
-    def _give_up(self, handle: int, status: Status) -> None:
+    def give_up(self, handle: int, status: Status) -> None:
+        """End an attempt before its reply, with that status; its connection is closed."""
         attempt = self._attempts.get(handle)
         if attempt is None:
             return
@@ -338,7 +269,7 @@
         if connection is not None:  # closing it shows the backend that the reply is not awaited
             connection.attempt_handle = NO_ATTEMPT
             self._close(connection)
-            self._detach_flows(connection)
+            detach_streams(connection)
         elif pool := self._pools_by_id.get(attempt.spec.backend):
             pool.waiting.remove(handle)
         self._end(handle, AttemptResult(status))
--- /dev/null
+++ b/thymeflow/backends/streaming.py
@@ -0,0 +1,112 @@
+"""Long request bodies and long replies, which pass in chunks between a client and a backend."""
+
+from __future__ import annotations
+
+from typing import Protocol
+
+from thymeflow.backends.attempts import Attempt
+from thymeflow.backends.connections import Connection
+from thymeflow.decision.types import Status
+from thymeflow.runtime import clock, log
+from thymeflow.runtime.log_kinds import LogKind
+from thymeflow.runtime.slot_table import SlotTable
+from thymeflow.transport.commands import Call
+from thymeflow.transport.flow import Flow
+
+# s: without a byte of a reply that is being streamed, as ending one that still moves would lose it; and without a byte
+# taken of a streamed body.
+LONG_VALUE_TIMEOUT = 5.0
+
+
+class AttemptOwner(Protocol):
+    """Ends attempts."""
+
+    def on_deadline(self, handle: int) -> None:
+        """End an attempt whose time is over."""
+
+    def give_up(self, handle: int, status: Status) -> None:
+        """End an attempt before its reply, with that status; its connection is closed."""
+
+
+class ValueStreaming:
+    """Attaches long values to the connections that they pass over, and watches that they move."""
+
+    def __init__(self, deadlines: clock.Deadlines, attempts: SlotTable[Attempt], owner: AttemptOwner) -> None:
+        self._deadlines = deadlines
+        self._attempts = attempts
+        self._owner = owner
+
+    def send_body(self, connection: Connection, handle: int, attempt: Attempt, call: Call, body: Flow) -> None:
+        """Write the head of a request, and its body as it arrives from the client.
+
+        The deadline of a request whose body is streamed begins with the body's last byte.
+        """
+        connection.body = body
+        connection.shrink_buffers()
+        connection.last_activity_at = clock.now()
+        self._deadlines.schedule(connection.last_activity_at + LONG_VALUE_TIMEOUT, self._check_body, handle)
+        body.when_complete(lambda: self._on_body_received(handle, body.deadline))
+        attempt.spec.on_response_started(None)
+        connection.write(call.encode(call.wait))
+        body.attach(connection)
+
+    def _on_body_received(self, handle: int, deadline: float) -> None:
+        # The body has arrived completely from the client, whose deadline counts from now on.
+        attempt = self._attempts.get(handle)
+        if attempt is not None:
+            attempt.timeout_call = self._deadlines.schedule(deadline, self._owner.on_deadline, handle)
+
+    def _check_body(self, handle: int) -> None:
+        # Guards both ends of a streamed body against a backend that stopped without closing its connection.
+        attempt = self._attempts.get(handle)
+        connection = None if attempt is None else attempt.connection
+        if connection is None or connection.body is None:
+            return
+        now = clock.now()
+        waiting_since = now if connection.flushed else connection.last_activity_at
+        timeout_at = waiting_since + LONG_VALUE_TIMEOUT
+        if timeout_at > now:
+            self._deadlines.schedule(timeout_at, self._check_body, handle)
+        else:
+            address = connection.pool.address
+            log.emit_rate_limited(
+                LogKind.BODY_STUCK,
+                f"backend {address} read no byte of the request body for {LONG_VALUE_TIMEOUT:g} s; "
+                "the attempt was abandoned",
+                address=address,
+            )
+            self._owner.give_up(handle, Status.CONNECT_FAILED)
+
+    def begin_reply(self, connection: Connection, length: int) -> None:
+        """Stream a long reply to the client; its deadline is met by its first bytes."""
+        handle = connection.attempt_handle
+        transport = connection.transport
+        attempt = self._attempts.get(handle)
+        assert attempt is not None
+        self._deadlines.cancel(attempt.timeout_call)
+
+        def set_paused(is_paused: bool) -> None:
+            """Pause or resume reading from the backend."""
+            if is_paused:
+                transport.pauseProducing()
+            else:
+                connection.last_activity_at = clock.now()  # no byte could move before
+                transport.resumeProducing()
+
+        connection.shrink_buffers()
+        reply = Flow(length, set_paused, lambda: self._owner.give_up(handle, Status.CANCELLED))
+        connection.flow = reply
+        if not attempt.spec.on_response_started(reply):
+            self._owner.give_up(handle, Status.CANCELLED)
+
+
+def detach_streams(connection: Connection) -> None:
+    """Detach what was streamed by an attempt that has ended: a body's rest is unwanted, a reply's will not come."""
+    body = connection.body
+    reply = connection.flow
+    connection.body = None
+    connection.flow = None
+    if body is not None:
+        body.discard()
+    if reply is not None:
+        reply.fail()
