--- a/thymeflow/core/dispatcher.py
+++ b/thymeflow/core/dispatcher.py
@@ -15,12 +15,11 @@
 
 from twisted.internet.defer import Deferred
 
+from thymeflow.core.attempt_starter import AttemptStarter
 from thymeflow.core.pending_requests import PendingRequests
 from thymeflow.core.request_counters import RequestCounters
 from thymeflow.core.types import (
-    AttemptResult,
     AttemptRunner,
-    AttemptSpec,
     CounterClient,
     EndpointSource,
     IncomingRequest,
@@ -34,7 +33,6 @@
 from thymeflow.decision.types import Status
 from thymeflow.runtime import clock, log
 from thymeflow.runtime.log_kinds import LogKind
-from thymeflow.transport.flow import Flow
 
 MAX_REQUESTS = 1 << 16
 # For the counter's reply, which counts however late it comes (PROTOCOL); under the gateway's pause between two calls of
@@ -70,14 +68,15 @@
         self._counters = RequestCounters(deadlines)
         self.response_counts = dict.fromkeys(ResponseKind, 0)  # final responses so far
         self._backends = backends
+        self._attempts = AttemptStarter(backends, self._requests, self._counters, self)
         self.counter = counter
         self._discovery = discovery
         self._action_handlers: dict[type, Callable[[Any], None]] = {
-            actions.StartAttempt: self._start_attempt,
+            actions.StartAttempt: self._attempts.start,
             actions.SetTimer: self._set_timer,
             actions.RejectRequest: self._reject,
             actions.FailRequest: self._fail,
-            actions.CancelAttempt: self._cancel_attempt,
+            actions.CancelAttempt: self._attempts.cancel,
             actions.AddToCounter: self._add_to_counter,
             actions.CloseIdleConnections: self._close_idle_connections,
             actions.FetchEndpoints: self._fetch_endpoints,
@@ -107,7 +106,7 @@
 
     def submit(self, incoming: IncomingRequest) -> Deferred[Response]:
         """Submit a request; cancelling the Deferred says that the client has left."""
-        response: Deferred[Response] = Deferred(lambda _: self._on_client_left(handle))
+        response: Deferred[Response] = Deferred(lambda _: self.on_client_left(handle))
         if not self._requests.can_add(incoming.size):
             handle = -1
             self._reject_for_capacity(response)
@@ -178,14 +177,14 @@
         logging.getLogger("thymeflow").error("gateway fault on %s", type(event).__name__, exc_info=fault)
         pending = self._requests.find(getattr(event, "id", ""))
         if pending is not None:
-            self._respond(pending, Response(ResponseKind.FAILED))
+            self.respond(pending, Response(ResponseKind.FAILED))
 
     def _carry_out(self, action: actions.Action) -> None:
         handler = self._action_handlers.get(type(action), self._log_unsupported)
         handler(action)
 
     def _log_unsupported(self, action: actions.Action) -> None:
-        log.emit_rate_limited(LogKind.GATEWAY, f"{type(action).__name__} is not to be had at this site")
+        log.emit_rate_limited(LogKind.GATEWAY, f"action {type(action).__name__} is not supported by this deployment")
 
     def _set_timer(self, action: actions.SetTimer) -> None:
         self._deadlines.schedule(clock.now() + action.delay, self._on_timer, action.token)
@@ -200,12 +199,6 @@
     def _fail(self, action: actions.FailRequest) -> None:
         self._finish(action.id, Response(ResponseKind.FAILED))
 
-    def _cancel_attempt(self, action: actions.CancelAttempt) -> None:
-        pending = self._requests.find(action.id)
-        attempt = pending.open_attempts.get(action.attempt) if pending else None
-        if attempt is not None:
-            attempt.cancel()
-
     def _close_idle_connections(self, action: actions.CloseIdleConnections) -> None:
         self._backends.close_idle(action.backend)
 
@@ -236,101 +229,23 @@
         deadline = called_at + COUNTER_CALL_SECONDS
         self.counter.add(action.name, action.amount, action.ttl, deadline).addCallback(on_reply)
 
-    # --- attempts ------------------------------------------------------------------------------------------
-
-    def _start_attempt(self, action: actions.StartAttempt) -> None:
-        pending = self._requests.find(action.id)
-        now = clock.now()
-        if pending is None:
-            log.emit_rate_limited(LogKind.GATEWAY, f"attempt for {action.id}, which is over")
-            return
-        number = pending.attempt_count
-        pending.attempt_count += 1
-        if not pending.is_answered and not pending.incoming.is_connected():
-            self._on_client_left(self._requests.handle_of(pending.id))
-        if pending.is_answered or number >= pending.max_attempts or now >= pending.deadline:
-            self._on_attempt_ended(AttemptResult(Status.MOOT), pending, number, action.backend, now)
-            return
-        deadline = pending.deadline
-        if action.timeout and deadline < inf:
-            deadline = min(deadline, now + max(0.0, action.timeout))
-        spec = AttemptSpec(
-            action.backend,
-            pending.incoming.payload,
-            deadline,
-            lambda stream: self._on_response_started(pending, number, action.backend, now, stream),
-            now + action.start_within,
-            pending.incoming.is_connected,
-        )
-        attempt = self._backends.start_attempt(spec)
-        pending.open_attempts[number] = attempt
-        attempt.addCallback(self._on_attempt_ended, pending, number, action.backend, now)
-        attempt.addErrback(self._on_attempt_fault)
-
-    def _on_response_started(
-        self, pending: PendingRequest, number: int, backend: int, sent_at: float, stream: Flow | None
-    ) -> bool:
-        if stream is None:
-            self.handle(events.RequestBodyStarted(pending.id))
-            return True
-        # From its first bytes on a long response is the client's: no other attempt, and no deadline.
-        if pending.is_answered:
-            return False
-        pending.response_latency = clock.now() - max(sent_at, pending.body_received_at)
-        self._respond(pending, Response(ResponseKind.SERVED, stream=stream))
-        self.handle(events.ResponseStarted(pending.id, number, backend, pending.response_latency))
-        return True
-
-    @staticmethod
-    def _on_attempt_fault(failure: object) -> None:
-        logging.getLogger("thymeflow").error("attempt fault: %s", failure)
-
-    def _on_attempt_ended(
-        self, result: AttemptResult, pending: PendingRequest, number: int, backend: int, sent_at: float
-    ) -> None:
-        pending.open_attempts.pop(number, None)
-        self._counters.add(self._counters.attempts, result.status.name.lower())
-        is_ok = result.status is Status.OK
-        actual_units = None
-        if is_ok and not pending.is_settled:
-            # The actual units go with the first good response only, as the simulator has it.
-            pending.is_settled = True
-            actual_units = result.actual_units
-        if is_ok and not pending.is_answered:
-            self._respond(pending, Response(ResponseKind.SERVED, result.value))
-        # How long a client takes to send or to read says nothing of the backend.
-        latency = pending.response_latency
-        if latency < 0.0:
-            latency = clock.now() - max(sent_at, pending.body_received_at)
-        event = events.AttemptEnded(
-            pending.id,
-            number,
-            backend,
-            result.status,
-            latency,
-            pending.is_answered,
-            result.quota_usage,
-            actual_units,
-            result.load_report,
-        )
-        self.handle(event)
-        self._requests.remove_if_ended(pending)
-
     # --- the end of requests -------------------------------------------------------------------------------
 
     def _finish(self, request_id: str, response: Response) -> None:
         pending = self._requests.find(request_id)
         if pending is not None and not pending.is_answered:
-            self._respond(pending, response)
+            self.respond(pending, response)
 
-    def _respond(self, pending: PendingRequest, response: Response) -> None:
+    def respond(self, pending: PendingRequest, response: Response) -> None:
+        """Give a request its final response."""
         self._requests.mark_answered(pending)
         self.response_counts[response.kind] += 1
         if not pending.response_deferred.called:
             pending.response_deferred.callback(response)
         self._requests.remove_if_ended(pending)
 
-    def _on_client_left(self, handle: int) -> None:
+    def on_client_left(self, handle: int) -> None:
+        """End a request whose client has left: no response is owed."""
         pending = self._requests.get(handle)
         if pending is not None and not pending.is_answered:
             self._requests.mark_answered(pending)
@@ -352,5 +267,5 @@
             log.emit_rate_limited(
                 LogKind.OVERDUE, f"{pending.id} had no response from the gateway by its deadline", request=pending.id
             )
-            self._respond(pending, Response(ResponseKind.FAILED))
+            self.respond(pending, Response(ResponseKind.FAILED))
             self.handle(events.ClientDisconnected(pending.id))
