--- a/tests/frontend/test_endings.py
+++ b/tests/frontend/test_endings.py
@@ -33,8 +33,7 @@
     world,
 )
 from thymeflow.decision.types import Status
-from thymeflow.frontend.client_connection import CROWDED_IDLE_TIMEOUT, LINGER_TIMEOUT
-from thymeflow.frontend.frontend import IDLE_TIMEOUT
+from thymeflow.frontend.timeouts import CROWDED_IDLE_TIMEOUT, IDLE_TIMEOUT, LINGER_TIMEOUT
 from thymeflow.limiter.assembly import Limiter as AssembledLimiter
 from thymeflow.limiter.lifecycle import MAX_AWAITED_DEADLINE, TERMINATION_LINGER
 from thymeflow.limiter.management import ManagementServer
--- a/tests/test_limiter.py
+++ b/tests/test_limiter.py
@@ -14,7 +14,7 @@
 
 from tests.limiter import PATIENCE, ROOT, Limiter, Listener, command, request
 from tests.network_support import SERVED_REPLY, SMALL_PLAN
-from thymeflow.frontend.frontend import IDLE_TIMEOUT
+from thymeflow.frontend.timeouts import IDLE_TIMEOUT
 from thymeflow.quota import counter_encoding
 
 
--- a/thymeflow/frontend/client_connection.py
+++ b/thymeflow/frontend/client_connection.py
@@ -1,7 +1,7 @@
 """One client connection: its commands, its timeouts and its departure.
 
-Clients speak RESP2. A request is handed to the dispatcher, which answers it through a Deferred; nothing else
-here depends on what a request means.
+The protocol is RESP2. A request goes to the dispatcher, which answers it through a Deferred; nothing else here
+depends on what a request means.
 """
 
 from __future__ import annotations
@@ -14,7 +14,17 @@
 
 from thymeflow.core.dispatcher import RequestDispatcher
 from thymeflow.core.types import IncomingRequest, Response
+from thymeflow.frontend.body_receiver import BodyReceiver
+from thymeflow.frontend.connection_commands import QUIT, ReadinessSource, answer_connection_command
 from thymeflow.frontend.pipeline import PipelineSlot, ResponseMemory, ResponsePipeline, encode_response
+from thymeflow.frontend.timeouts import (
+    COMMAND_TIMEOUT,
+    CROWDED_IDLE_TIMEOUT,
+    DRAIN_GRACE,
+    LINGER_TIMEOUT,
+    NEW_CONNECTION_GRACE,
+    WRITE_STALL_TIMEOUT,
+)
 from thymeflow.runtime import clock, log
 from thymeflow.runtime.log_kinds import LogKind
 from thymeflow.transport import resp
@@ -25,13 +35,6 @@
 BODY_INDEX = 4  # of the item of a command that may come slowly, in pieces; the others are its head
 MAX_PIPELINED_COMMANDS = 64  # commands of one client that are not answered; then it is not read from
 REQUEST_OVERHEAD = 2048  # bytes that a request takes beside its own
-ACKNOWLEDGED_COMMANDS = (b"CLIENT", b"SELECT")
-WRITE_STALL_TIMEOUT = 10.0  # s: without a byte taken of what was written, for a client that reads slowly
-COMMAND_TIMEOUT = 2.3  # s: to the first complete command, for the head of one, and without a byte of a body
-CROWDED_IDLE_TIMEOUT = 2.0  # s: with nothing open, where connections are scarce; before, a request may be near
-NEW_CONNECTION_GRACE = 0.05  # s: the same for a client that has sent nothing, as most send as they connect
-DRAIN_GRACE = 0.25  # s: while draining, for a client that has just connected and is about to send a request
-LINGER_TIMEOUT = 1.0  # s: from an error line that ends a connection to its close
 MAX_DISCARDED = 256 * 1024  # bytes that are read meanwhile and thrown away
 LATE_ARRIVAL = 0.005  # s: less than that a request has waited unread in any turn
 LONG_VALUE_EVENTS = (resp.Chunk, resp.Closed, resp.End)
@@ -41,7 +44,7 @@
 NO_REQUEST_SCORE = 1e6
 
 
-class ClientConnectionOwner(Protocol):
+class ClientConnectionOwner(ReadinessSource, Protocol):
     """What a client connection needs of the frontend that accepted it."""
 
     deadlines: clock.Deadlines
@@ -51,12 +54,6 @@
     is_closing: bool
     exit_deadline: float
 
-    def is_ready(self) -> bool:
-        """Return whether PING is answered with PONG."""
-
-    def describe_state(self) -> str:
-        """Return why it is not."""
-
     def on_client_connected(self, connection: ClientConnection) -> int:
         """Register a connection and return its handle."""
 
@@ -68,7 +65,7 @@
 
 
 class ClientConnection(ResponsePipeline):
-    """One client's connection: reads its commands and holds it to the timeouts."""
+    """One client's connection: reads its commands and enforces the timeouts."""
 
     def __init__(self, owner: ClientConnectionOwner, memory: ResponseMemory) -> None:
         super().__init__(memory)
@@ -76,10 +73,9 @@
         self._parser = resp.Parser(resp.MAX_LONG_VALUE)
         self._command_started_at = 0.0  # when the incomplete command began
         self._arrived_at = 0.0  # the earliest at which what is read now can have come
-        self._body_slot: PipelineSlot | None = None  # whose streamed body is being received
-        self._is_body_blocked = False  # the reader of that body has no capacity
+        self._body = BodyReceiver()
         self.handle = -1
-        self._is_reading = True  # what the transport was last asked for
+        self._is_reading = True  # as the transport was last set
         self.is_evicted = False  # its slot was given to another
         self._has_sent_command = False
         self._has_sent_request = False  # a PING alone doesn't count, and doesn't keep a connection open
@@ -95,8 +91,8 @@
 
     def _update_reading(self) -> None:
         # From a client that does not take its responses, nothing more is taken.
-        if self._body_slot is not None:  # also where no further command is accepted
-            wanted = not self._is_body_blocked
+        if self._body.slot is not None:  # also where no further command is accepted
+            wanted = not self._body.is_blocked
         else:
             wanted = self.flushed and not self._is_closing and len(self._slots) < MAX_PIPELINED_COMMANDS
         wanted = wanted or (self._is_write_closed and self._discarded_bytes < MAX_DISCARDED)
@@ -109,22 +105,22 @@
 
     def dataReceived(self, data: bytes) -> None:
         """Begin each command once it is complete; the responses keep the order of the commands."""
-        if self._is_closing and self._body_slot is None:
+        if self._is_closing and self._body.slot is None:
             self._discarded_bytes += len(data)
             self._update_reading()
             return
         owner = self._owner
         buffered_before = self._parser.buffered_bytes()
         was_incomplete = self._parser.is_incomplete()
-        found, fault = self._parser.feed(data)
+        parsed, fault = self._parser.feed(data)
         now = self._last_activity_at = clock.now()
         # What comes first on a connection may have come as early as that did, where that was a moment ago: a stall
         # since then is known. What comes slowly or after a rest has its time from its last byte on.
         is_first = not self._has_sent_command and not was_incomplete and now - self._idle_since < clock.STALL
         self._arrived_at = min(owner.deadlines.earliest_arrival(now), self._arrived_at if is_first else inf)
-        if found or not was_incomplete:
+        if parsed or not was_incomplete:
             self._command_started_at = now
-        for value in found:
+        for value in parsed:
             if isinstance(value, LONG_VALUE_EVENTS):
                 self._on_long_value_event(value)
             elif self._is_closing:
@@ -140,7 +136,7 @@
                 fault = "a command is an array of bulk strings"
                 break
         owner.on_input_buffered(self._parser.buffered_bytes() - buffered_before)
-        if fault and (not self._is_closing or self._body_slot is not None):
+        if fault and (not self._is_closing or self._body.slot is not None):
             self._on_malformed_input(fault)
         self._flush()
         if owner.is_draining and (self._has_sent_request or owner.is_closing) and not self._parser.is_incomplete():
@@ -151,56 +147,33 @@
         self._has_sent_command = True
         self.shrink_buffers()
         words = begin.before
-        body = Flow(begin.length, self._on_body_blocked, lambda: None)
+        body = self._body.build_flow(begin.length, self._on_body_paced)
         if all(type(word) is bytes for word in words) and len(words) == BODY_INDEX and not begin.after:
             self._submit_request([*words, b""], body)  # type: ignore[list-item]
         else:
             self._reply(resp.error_reply("ERR a value is too long for this command"))
-        slot = self._slots[-1]
-        slot.body = body
-        self._body_slot = slot
-        if slot.response is not None:
-            body.discard()
+        self._body.begin(self._slots[-1], body)
 
     def _on_long_value_event(self, event: resp.Chunk | resp.Closed | resp.End) -> None:
-        slot = self._body_slot
-        if slot is None or slot.body is None:
-            return
         if isinstance(event, resp.Chunk):
-            slot.body.push(event.data)
-        elif isinstance(event, resp.Closed):
-            body = slot.body
-            self._body_slot = None
-            slot.body = None
-            self._is_body_blocked = False
-            if slot.request is not None:
-                body.deadline = self._arrived_at + slot.request.remaining
-                self._owner.dispatcher.body_received(slot.request.id, body.deadline)
+            self._body.push(event.data)
+        elif isinstance(event, resp.Closed) and self._body.slot is not None:
+            request = self._body.slot.request
+            body = self._body.detach()
+            if request is not None:
+                body.deadline = self._arrived_at + request.remaining
+                self._owner.dispatcher.body_received(request.id, body.deadline)
             self._idle_since = self._last_activity_at
             body.finish()
 
-    def _on_body_blocked(self, is_blocked: bool) -> None:
-        self._is_body_blocked = is_blocked and self._body_slot is not None
+    def _on_body_paced(self) -> None:
         self._last_activity_at = clock.now()
         self._update_reading()
 
-    def _fail_body(self) -> None:
-        # It stops in the middle: the backend connection must not wait for the rest.
-        slot = self._body_slot
-        self._body_slot = None
-        self._is_body_blocked = False
-        if slot is not None and slot.body is not None:
-            body = slot.body
-            slot.body = None
-            if slot.response_deferred is not None and slot.response is None:
-                slot.response_deferred.cancel()
-                slot.response = b""
-            body.fail()
-
     def _on_malformed_input(self, fault: str) -> None:
         # Where the next command begins is not known any more: one error line, then the end.
         log.emit_rate_limited(LogKind.CLIENT_COMMAND_MALFORMED, fault)
-        self._fail_body()
+        self._body.fail()
         self._owner.on_input_buffered(-self._parser.buffered_bytes())
         self._parser = resp.Parser()
         self._reply(resp.error_reply(f"ERR Protocol error: {fault}"))
@@ -215,7 +188,7 @@
         return not self._has_sent_command and now - self._idle_since < DRAIN_GRACE
 
     def has_incomplete_command(self) -> bool:
-        """Return whether only a part of a command has come."""
+        """Return whether a command has begun and is incomplete."""
         return self._parser.is_incomplete()
 
     def input_backlog(self) -> tuple[bool, int]:
@@ -242,8 +215,8 @@
             stalled = now - self._last_activity_at > WRITE_STALL_TIMEOUT
             if idle > LINGER_TIMEOUT if self._is_write_closed else stalled:
                 self.transport.abortConnection()
-        elif self._body_slot is not None:
-            if not self._is_body_blocked and now - self._last_activity_at > COMMAND_TIMEOUT:
+        elif self._body.slot is not None:
+            if not self._body.is_blocked and now - self._last_activity_at > COMMAND_TIMEOUT:
                 self._on_malformed_input("a value was begun and not ended")
         elif self._is_closing:
             return
@@ -265,28 +238,24 @@
         name = words[0].upper()
         if name in (QUERY, SUBMIT):
             self._submit_request(words)
-        elif name == b"PING" and len(words) <= 2:
-            if not self._owner.is_ready():
-                self._reply(resp.error_reply(f"LOADING {self._owner.describe_state()}"))
-            else:
-                self._reply(resp.bulk(words[1]) if len(words) == 2 else b"+PONG\r\n")
-        elif name in ACKNOWLEDGED_COMMANDS:
-            self._reply(b"+OK\r\n")
-        elif name == b"QUIT":
-            self._reply(b"+OK\r\n")
-            self.finish()
         else:
-            self._reply(resp.error_reply(f"ERR unknown command '{name[:32].decode('ascii', 'replace')}'"))
+            self._reply(answer_connection_command(name, words, self._owner))
+            if name == QUIT:
+                self.finish()
+
+    def _reject_command(self, reason: str) -> None:
+        log.emit_rate_limited(LogKind.CLIENT_COMMAND_INVALID, reason)
+        self._reply(resp.error_reply(f"ERR {reason}"))
 
     def _submit_request(self, words: list[bytes], body: Flow | None = None) -> None:
         dispatcher = self._owner.dispatcher
         try:
             call, request = self._owner.reader.read(words)
-            if dispatcher.is_open(request.id):
-                raise CallError("that id is in hand")  # noqa: EM101, TRY301  # one handler for all refused commands
-        except CallError as fault:
-            log.emit_rate_limited(LogKind.CLIENT_COMMAND_INVALID, str(fault))
-            self._reply(resp.error_reply(f"ERR {fault}"))
+        except CallError as error:
+            self._reject_command(str(error))
+            return
+        if dispatcher.is_open(request.id):
+            self._reject_command("that id is in hand")
             return
         slot = PipelineSlot(None, request, body)
         self._has_sent_request = True
@@ -317,7 +286,7 @@
             # pipelines behind its own slow request, or takes no responses, is disconnected instead.
             log.emit_rate_limited(
                 LogKind.BACKLOG,
-                f"{self._memory.used_bytes} bytes of answers are held; a connection was closed",
+                f"{self._memory.used_bytes} bytes of responses are pending; a connection was closed",
                 held=self._memory.used_bytes,
             )
             self.transport.abortConnection()
@@ -329,7 +298,7 @@
     def connectionLost(self, reason: Failure = connectionDone) -> None:  # noqa: ARG002  # Twisted passes it
         """Cancel everything that is open: no response can reach the client any more."""
         self._is_closing = True
-        self._fail_body()
+        self._body.fail()
         self._owner.on_input_buffered(-self._parser.buffered_bytes())
         self._parser = resp.Parser()
         self._cancel_slots()
--- /dev/null
+++ b/thymeflow/frontend/connection_commands.py
@@ -0,0 +1,32 @@
+"""The commands that concern a connection and carry no request."""
+
+from __future__ import annotations
+
+from typing import Protocol
+
+from thymeflow.transport import resp
+
+QUIT = b"QUIT"
+ACKNOWLEDGED_COMMANDS = (b"CLIENT", b"SELECT", QUIT)
+MAX_ECHOED_NAME_BYTES = 32  # of an unknown command
+
+
+class ReadinessSource(Protocol):
+    """Tells whether clients are accepted."""
+
+    def is_ready(self) -> bool:
+        """Return whether PING is answered with PONG."""
+
+    def describe_state(self) -> str:
+        """Return why it is not."""
+
+
+def answer_connection_command(name: bytes, words: list[bytes], readiness: ReadinessSource) -> bytes:
+    """Return the encoded reply to a command; `name` is its first word in capitals."""
+    if name == b"PING" and len(words) <= 2:
+        if not readiness.is_ready():
+            return resp.error_reply(f"LOADING {readiness.describe_state()}")
+        return resp.bulk(words[1]) if len(words) == 2 else b"+PONG\r\n"
+    if name in ACKNOWLEDGED_COMMANDS:
+        return b"+OK\r\n"
+    return resp.error_reply(f"ERR unknown command '{name[:MAX_ECHOED_NAME_BYTES].decode('ascii', 'replace')}'")
--- a/thymeflow/frontend/frontend.py
+++ b/thymeflow/frontend/frontend.py
@@ -11,10 +11,10 @@
 
 from thymeflow.core.dispatcher import RequestDispatcher
 from thymeflow.decision.settings import GatewaySettings
-from thymeflow.frontend.client_connection import CROWDED_IDLE_TIMEOUT, DRAIN_GRACE
 from thymeflow.frontend.client_connection import ClientConnection as ClientConnection
 from thymeflow.frontend.pipeline import PipelineSlot as PipelineSlot
 from thymeflow.frontend.pipeline import ResponseMemory
+from thymeflow.frontend.timeouts import CROWDED_IDLE_TIMEOUT, DRAIN_GRACE, IDLE_TIMEOUT
 from thymeflow.runtime import clock, log
 from thymeflow.runtime.log_kinds import LogKind
 from thymeflow.runtime.slot_table import SlotTable
@@ -22,7 +22,6 @@
 from thymeflow.transport.connections import has_unread_bytes
 
 SWEEP_INTERVAL = 0.1  # s: between checks of the timeouts
-IDLE_TIMEOUT = 4.0  # s: with nothing open, for a client that has sent a request; it would connect again
 CROWDED_FRACTION = 0.35  # of the connections: from here on they are scarce; clients have a limit of their own
 MAX_EVICTION_CANDIDATES = 8  # connections checked for one that may be evicted
 MAX_EVICTING = 24  # evicted connections whose descriptors are not free yet
