--- a/tests/test_net_parts.py
+++ b/tests/test_net_parts.py
@@ -37,7 +37,7 @@
 from thymeflow.runtime import clock
 from thymeflow.runtime.slot_table import SlotTable
 from thymeflow.transport.commands import Call, CallReader
-from thymeflow.transport.flow import Flow
+from thymeflow.transport.value_stream import ValueStream
 
 __all__ = ["world"]
 
@@ -152,7 +152,7 @@
 @pytest.mark.parametrize("moves", [True, False])
 def test_a_long_body_is_given_up_where_nothing_of_it_is_taken(world: InMemoryNetwork, moves: bool) -> None:
     made, ends = make_backend_connections(world)
-    body = Flow(300_000, lambda waits: None, lambda: None)
+    body = ValueStream(300_000, lambda waits: None, lambda: None)
     call = make_attempt_spec().payload
     assert isinstance(call, Call)
     made.start_attempt(AttemptSpec(1, call._replace(flow=body), inf)).addCallback(ends.append)
--- a/tests/test_start.py
+++ b/tests/test_start.py
@@ -25,7 +25,7 @@
 from thymeflow.platform.configuration import from_source
 from thymeflow.platform.endpoints import Address
 from thymeflow.runtime import clock
-from thymeflow.transport.connections import Stream, dial
+from thymeflow.transport.connections import WriteTrackingConnection, dial
 
 GOOD = b"*3\r\n$5\r\nvalue\r\n$-1\r\n$-1\r\n"
 HEAD = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
@@ -247,7 +247,7 @@
         "Dial", (), {"stopConnecting": lambda self: given_up.append(clock.now())}
     )()
     begun = clock.now()
-    dial(world.reactor, world.deadlines, Address("127.0.0.1", 1), begun + 1.0, Stream)
+    dial(world.reactor, world.deadlines, Address("127.0.0.1", 1), begun + 1.0, WriteTrackingConnection)
     world.reactor.rightNow += 3.0  # no turn for so long: it was not even begun
     world.reactor.advance(0.0)
     assert not given_up
--- a/tests/transport/test_resp.py
+++ b/tests/transport/test_resp.py
@@ -49,12 +49,12 @@
         events, fault = parser.feed(text[place : place + step])
         assert not fault and parser.buffered_bytes() < 200
         found, place = found + events, place + step
-    parts = [event.data for event in found if isinstance(event, resp.Chunk)]
+    parts = [event.data for event in found if isinstance(event, resp.LongValueChunk)]
     assert b"".join(parts) == value
-    assert [event for event in found if not isinstance(event, resp.Chunk)] == [
-        resp.Begin(list(before), len(value), len(after)),
-        resp.Closed(),
-        resp.End(list(after)),
+    assert [event for event in found if not isinstance(event, resp.LongValueChunk)] == [
+        resp.LongValueBegin(list(before), len(value), len(after)),
+        resp.LongValueEnd(),
+        resp.LongValueArrayEnd(list(after)),
         [b"PING"],
     ]
     assert not parser.is_incomplete()
--- a/thymeflow/backends/connections.py
+++ b/thymeflow/backends/connections.py
@@ -12,8 +12,8 @@
 from thymeflow.runtime import clock, log
 from thymeflow.runtime.log_kinds import LogKind
 from thymeflow.transport import resp
-from thymeflow.transport.connections import Link
-from thymeflow.transport.flow import Flow
+from thymeflow.transport.connections import RespConnection
+from thymeflow.transport.value_stream import ValueStream
 
 COMPLETE_REPLY_TYPES = (list, resp.ErrorReply)  # types of a reply that arrived in one piece
 NO_ATTEMPT = -1  # in place of an attempt's handle
@@ -55,8 +55,8 @@
         self.dialing = 0  # connections being opened
 
 
-class Connection(Link):
-    """A connection to a backend; also the sink of a streamed request body, see `transport.flow.Sink`."""
+class Connection(RespConnection):
+    """A connection to a backend; also the sink of a streamed request body, see `transport.value_stream.Sink`."""
 
     def __init__(self, owner: ConnectionOwner, pool: Pool) -> None:
         super().__init__(resp.MAX_LONG_VALUE)
@@ -65,8 +65,8 @@
         self.attempt_handle = NO_ATTEMPT  # of the attempt in flight
         self.last_activity_at = 0.0  # when it became idle, or when bytes of a long body or of a reply last moved
         self.is_reply_started = False  # the first bytes of a reply have arrived
-        self.flow: Flow | None = None  # the value of a reply, while it is streamed
-        self.body: Flow | None = None  # a streamed request body that is not completely written
+        self.flow: ValueStream | None = None  # the value of a reply, while it is streamed
+        self.body: ValueStream | None = None  # a streamed request body that is not completely written
 
     def is_request_sent(self) -> bool:
         """Return whether the last byte of the request has gone to the kernel, so that it may be executed."""
@@ -95,11 +95,11 @@
     def _handle_events(self, events: list[resp.Event], fault: str) -> None:
         while events:
             event = events.pop(0)
-            if isinstance(event, resp.Begin):
+            if isinstance(event, resp.LongValueBegin):
                 self._begin_long_value(event)
-            elif isinstance(event, resp.Chunk) and self.flow is not None:
+            elif isinstance(event, resp.LongValueChunk) and self.flow is not None:
                 self.flow.push(event.data)
-            elif isinstance(event, resp.Closed) and self.flow is not None:
+            elif isinstance(event, resp.LongValueEnd) and self.flow is not None:
                 self.flow.finish()
             else:
                 self._handle_reply(event, events, fault)
@@ -112,15 +112,15 @@
             self.is_reply_started = True
             self.owner.on_reply_started(self)
 
-    def _begin_long_value(self, event: resp.Begin) -> None:
+    def _begin_long_value(self, event: resp.LongValueBegin) -> None:
         if event.before or event.after != 2 or self.body is not None:
             self.on_malformed("a long value where none belongs")
         else:
             self.owner.on_long_value(self, event.length)
 
     def _handle_reply(self, event: resp.Event, trailing: list[resp.Event], fault: str) -> None:
-        is_long = isinstance(event, resp.End)
-        result = parse_attempt_result([b"", *event.after] if isinstance(event, resp.End) else event)
+        is_long = isinstance(event, resp.LongValueArrayEnd)
+        result = parse_attempt_result([b"", *event.after] if isinstance(event, resp.LongValueArrayEnd) else event)
         if result is None or (self.body is not None and result.status is Status.OK):
             self.on_malformed(f"no answer: {str(event)[:60]}")
             return
--- a/thymeflow/backends/streaming.py
+++ b/thymeflow/backends/streaming.py
@@ -11,7 +11,7 @@
 from thymeflow.runtime.log_kinds import LogKind
 from thymeflow.runtime.slot_table import SlotTable
 from thymeflow.transport.commands import Call
-from thymeflow.transport.flow import Flow
+from thymeflow.transport.value_stream import ValueStream
 
 # s: without a byte of a reply that is being streamed, as ending one that still moves would lose it; and without a byte
 # taken of a streamed body.
@@ -36,7 +36,7 @@
         self._attempts = attempts
         self._owner = owner
 
-    def send_body(self, connection: Connection, handle: int, attempt: Attempt, call: Call, body: Flow) -> None:
+    def send_body(self, connection: Connection, handle: int, attempt: Attempt, call: Call, body: ValueStream) -> None:
         """Write the head of a request, and its body as it arrives from the client.
 
         The deadline of a request whose body is streamed begins with the body's last byte.
@@ -94,7 +94,7 @@
                 transport.resumeProducing()
 
         connection.shrink_buffers()
-        reply = Flow(length, set_paused, lambda: self._owner.give_up(handle, Status.CANCELLED))
+        reply = ValueStream(length, set_paused, lambda: self._owner.give_up(handle, Status.CANCELLED))
         connection.flow = reply
         if not attempt.spec.on_response_started(reply):
             self._owner.give_up(handle, Status.CANCELLED)
--- a/thymeflow/core/attempt_starter.py
+++ b/thymeflow/core/attempt_starter.py
@@ -13,7 +13,7 @@
 from thymeflow.decision.types import Status
 from thymeflow.runtime import clock, log
 from thymeflow.runtime.log_kinds import LogKind
-from thymeflow.transport.flow import Flow
+from thymeflow.transport.value_stream import ValueStream
 
 
 class RequestOwner(Protocol):
@@ -78,7 +78,7 @@
             attempt.cancel()
 
     def _on_response_started(
-        self, pending: PendingRequest, number: int, backend: int, sent_at: float, stream: Flow | None
+        self, pending: PendingRequest, number: int, backend: int, sent_at: float, stream: ValueStream | None
     ) -> bool:
         if stream is None:
             self._owner.handle(events.RequestBodyStarted(pending.id))
--- a/thymeflow/core/types.py
+++ b/thymeflow/core/types.py
@@ -12,7 +12,7 @@
 from thymeflow.decision.events import RequestReceived
 from thymeflow.decision.types import LoadReport, Status
 from thymeflow.runtime import clock
-from thymeflow.transport.flow import Flow
+from thymeflow.transport.value_stream import ValueStream
 
 
 class ResponseKind(Enum):
@@ -32,14 +32,14 @@
     kind: ResponseKind
     value: bytes = b""
     retry_after: float = 0.0
-    stream: Flow | None = None
+    stream: ValueStream | None = None
 
 
 def _always_connected() -> bool:
     return True
 
 
-def _accept_nothing(_: Flow | None) -> bool:
+def _accept_nothing(_: ValueStream | None) -> bool:
     return False
 
 
@@ -69,7 +69,7 @@
     backend: int
     payload: object
     deadline: float
-    on_response_started: Callable[[Flow | None], bool] = _accept_nothing
+    on_response_started: Callable[[ValueStream | None], bool] = _accept_nothing
     start_before: float = inf
     is_connected: Callable[[], bool] = _always_connected
 
--- a/thymeflow/counter/client.py
+++ b/thymeflow/counter/client.py
@@ -17,7 +17,7 @@
 from thymeflow.runtime import clock, log
 from thymeflow.runtime.log_kinds import LogKind
 from thymeflow.transport import resp
-from thymeflow.transport.connections import Link, dial
+from thymeflow.transport.connections import RespConnection, dial
 
 CONNECTIONS = 3  # the counter may be split over as many partitions
 STALL = 0.3  # s: without a byte of a reply that has begun; some are written in pieces
@@ -47,7 +47,7 @@
         self.timeout_call = clock.NOT_SCHEDULED
 
 
-class CounterConnection(Link):
+class CounterConnection(RespConnection):
     """One connection to the counter."""
 
     def __init__(self, line: CallPipeline) -> None:
@@ -219,7 +219,7 @@
             if value.startswith(b"ERR"):
                 log.emit_rate_limited(LogKind.COUNTER_ERROR, repr(bytes(value)[:80]))
             return (Status.FULL, 0.0) if value.split()[:1] in ([b"BUSY"], [b"ERR"]) else None
-        if not isinstance(value, bytes) or isinstance(value, resp.Simple) or not _TOTAL.fullmatch(value):
+        if not isinstance(value, bytes) or isinstance(value, resp.SimpleString) or not _TOTAL.fullmatch(value):
             return None
         total = float(value)
         return (Status.OK, total) if abs(total) <= MAX_TOTAL else None
--- a/thymeflow/discovery/endpoint_stream.py
+++ b/thymeflow/discovery/endpoint_stream.py
@@ -12,7 +12,7 @@
 from thymeflow.platform.endpoints import Address, EndpointUpdate, endpoint_update
 from thymeflow.runtime import clock, log
 from thymeflow.runtime.log_kinds import LogKind
-from thymeflow.transport.connections import Stream
+from thymeflow.transport.connections import WriteTrackingConnection
 
 MESSAGE_ERRORS = (
     ValueError,
@@ -24,7 +24,7 @@
 )  # raised for a message
 
 
-class EndpointStream(Stream):
+class EndpointStream(WriteTrackingConnection):
     """One GET request and the messages in its response."""
 
     def __init__(
--- a/thymeflow/frontend/body_receiver.py
+++ b/thymeflow/frontend/body_receiver.py
@@ -5,7 +5,7 @@
 from collections.abc import Callable
 
 from thymeflow.frontend.pipeline import PipelineSlot
-from thymeflow.transport.flow import Flow
+from thymeflow.transport.value_stream import ValueStream
 
 
 class BodyReceiver:
@@ -17,7 +17,7 @@
         self.slot: PipelineSlot | None = None  # of the request whose body is being received
         self.is_blocked = False  # the reader of the body has no capacity
 
-    def build_flow(self, length: int, on_paced: Callable[[], None]) -> Flow:
+    def build_flow(self, length: int, on_paced: Callable[[], None]) -> ValueStream:
         """Return the flow of a body that is about to arrive.
 
         `on_paced` is called when the reader of the body gets or loses the capacity for more. It is not kept here: a
@@ -29,9 +29,9 @@
             self.is_blocked = is_blocked and self.slot is not None
             on_paced()
 
-        return Flow(length, set_blocked, lambda: None)
+        return ValueStream(length, set_blocked, lambda: None)
 
-    def begin(self, slot: PipelineSlot, body: Flow) -> None:
+    def begin(self, slot: PipelineSlot, body: ValueStream) -> None:
         """Receive a body from now on; it is discarded where its request is answered already."""
         slot.body = body
         self.slot = slot
@@ -43,7 +43,7 @@
         if self.slot is not None and self.slot.body is not None:
             self.slot.body.push(data)
 
-    def detach(self) -> Flow:
+    def detach(self) -> ValueStream:
         """Return the body, whose last byte has come; its request waits for it no longer."""
         slot = self.slot
         assert slot is not None
--- a/thymeflow/frontend/client_connection.py
+++ b/thymeflow/frontend/client_connection.py
@@ -14,30 +14,23 @@
 
 from thymeflow.core.dispatcher import RequestDispatcher
 from thymeflow.core.types import IncomingRequest, Response
+from thymeflow.frontend import timeouts
 from thymeflow.frontend.body_receiver import BodyReceiver
 from thymeflow.frontend.connection_commands import QUIT, ReadinessSource, answer_connection_command
 from thymeflow.frontend.pipeline import PipelineSlot, ResponseMemory, ResponsePipeline, encode_response
-from thymeflow.frontend.timeouts import (
-    COMMAND_TIMEOUT,
-    CROWDED_IDLE_TIMEOUT,
-    DRAIN_GRACE,
-    LINGER_TIMEOUT,
-    NEW_CONNECTION_GRACE,
-    WRITE_STALL_TIMEOUT,
-)
 from thymeflow.runtime import clock, log
 from thymeflow.runtime.log_kinds import LogKind
 from thymeflow.transport import resp
 from thymeflow.transport.commands import QUERY, SUBMIT, CallError, CallReader
 from thymeflow.transport.connections import has_unread_bytes
-from thymeflow.transport.flow import Flow
+from thymeflow.transport.value_stream import ValueStream
 
 BODY_INDEX = 4  # of the item of a command that may come slowly, in pieces; the others are its head
 MAX_PIPELINED_COMMANDS = 64  # commands of one client that are not answered; then it is not read from
 REQUEST_OVERHEAD = 2048  # bytes that a request takes beside its own
 MAX_DISCARDED = 256 * 1024  # bytes that are read meanwhile and thrown away
 LATE_ARRIVAL = 0.005  # s: less than that a request has waited unread in any turn
-LONG_VALUE_EVENTS = (resp.Chunk, resp.Closed, resp.End)
+LONG_VALUE_EVENTS = (resp.LongValueChunk, resp.LongValueEnd, resp.LongValueArrayEnd)
 # Eviction scores: clients without a use for their connection go first, then those that sent no request, then by
 # idle time, which is far below these.
 NO_USE_SCORE = 2e6
@@ -130,7 +123,7 @@
                 self._idle_since = self._last_activity_at
                 if value:
                     self._on_command(value)  # type: ignore[arg-type]
-            elif isinstance(value, resp.Begin):
+            elif isinstance(value, resp.LongValueBegin):
                 self._on_long_command(value)
             else:
                 fault = "a command is an array of bulk strings"
@@ -142,7 +135,7 @@
         if owner.is_draining and (self._has_sent_request or owner.is_closing) and not self._parser.is_incomplete():
             self.finish()
 
-    def _on_long_command(self, begin: resp.Begin) -> None:
+    def _on_long_command(self, begin: resp.LongValueBegin) -> None:
         # A command with a long body: it is submitted with its head, and answered once the body has come.
         self._has_sent_command = True
         self.shrink_buffers()
@@ -154,10 +147,10 @@
             self._reply(resp.error_reply("ERR a value is too long for this command"))
         self._body.begin(self._slots[-1], body)
 
-    def _on_long_value_event(self, event: resp.Chunk | resp.Closed | resp.End) -> None:
-        if isinstance(event, resp.Chunk):
+    def _on_long_value_event(self, event: resp.LongValueChunk | resp.LongValueEnd | resp.LongValueArrayEnd) -> None:
+        if isinstance(event, resp.LongValueChunk):
             self._body.push(event.data)
-        elif isinstance(event, resp.Closed) and self._body.slot is not None:
+        elif isinstance(event, resp.LongValueEnd) and self._body.slot is not None:
             request = self._body.slot.request
             body = self._body.detach()
             if request is not None:
@@ -185,7 +178,7 @@
 
     def is_awaiting_first_command(self, now: float) -> bool:
         """Return whether it has connected a moment ago and sent no command yet."""
-        return not self._has_sent_command and now - self._idle_since < DRAIN_GRACE
+        return not self._has_sent_command and now - self._idle_since < timeouts.DRAIN_GRACE
 
     def has_incomplete_command(self) -> bool:
         """Return whether a command has begun and is incomplete."""
@@ -201,31 +194,31 @@
         if self._is_write_closed or (self._has_sent_command and not self._has_sent_request and not self._slots):
             return NO_USE_SCORE + idle
         if not self._has_sent_request:
-            return NO_REQUEST_SCORE + idle if idle > NEW_CONNECTION_GRACE else 0.0
-        return idle if idle > CROWDED_IDLE_TIMEOUT else 0.0
+            return NO_REQUEST_SCORE + idle if idle > timeouts.NEW_CONNECTION_GRACE else 0.0
+        return idle if idle > timeouts.CROWDED_IDLE_TIMEOUT else 0.0
 
     def enforce_timeouts(self, now: float, idle_timeout: float) -> None:
         """Disconnect a client that sends nothing, never completes a command, or takes no response."""
         idle = self.idle_seconds(now)
-        if self._owner.is_draining and idle > DRAIN_GRACE:
+        if self._owner.is_draining and idle > timeouts.DRAIN_GRACE:
             idle_timeout = 0.0  # who sends no request at once is disconnected, and who often sends PING stays
         if not self._is_reading and self.has_peer_closed():
             self.transport.abortConnection()
         elif self._is_write_closed or not self.flushed:
-            stalled = now - self._last_activity_at > WRITE_STALL_TIMEOUT
-            if idle > LINGER_TIMEOUT if self._is_write_closed else stalled:
+            stalled = now - self._last_activity_at > timeouts.WRITE_STALL_TIMEOUT
+            if idle > timeouts.LINGER_TIMEOUT if self._is_write_closed else stalled:
                 self.transport.abortConnection()
         elif self._body.slot is not None:
-            if not self._body.is_blocked and now - self._last_activity_at > COMMAND_TIMEOUT:
+            if not self._body.is_blocked and now - self._last_activity_at > timeouts.COMMAND_TIMEOUT:
                 self._on_malformed_input("a value was begun and not ended")
         elif self._is_closing:
             return
         elif self._parser.is_incomplete():
             is_head = self._parser.awaited_item != BODY_INDEX  # a body may come slowly, but not stand still
-            if now - (self._command_started_at if is_head else self._last_activity_at) > COMMAND_TIMEOUT:
+            if now - (self._command_started_at if is_head else self._last_activity_at) > timeouts.COMMAND_TIMEOUT:
                 self._on_malformed_input("a command was begun and not ended")
         elif idle > (
-            idle_timeout if self._has_sent_request else min(idle_timeout, COMMAND_TIMEOUT)
+            idle_timeout if self._has_sent_request else min(idle_timeout, timeouts.COMMAND_TIMEOUT)
         ) and not has_unread_bytes(self.transport):
             self.finish()
 
@@ -247,7 +240,7 @@
         log.emit_rate_limited(LogKind.CLIENT_COMMAND_INVALID, reason)
         self._reply(resp.error_reply(f"ERR {reason}"))
 
-    def _submit_request(self, words: list[bytes], body: Flow | None = None) -> None:
+    def _submit_request(self, words: list[bytes], body: ValueStream | None = None) -> None:
         dispatcher = self._owner.dispatcher
         try:
             call, request = self._owner.reader.read(words)
--- a/thymeflow/frontend/pipeline.py
+++ b/thymeflow/frontend/pipeline.py
@@ -13,8 +13,8 @@
 from thymeflow.runtime import clock, log
 from thymeflow.runtime.log_kinds import LogKind
 from thymeflow.transport import resp
-from thymeflow.transport.connections import Stream
-from thymeflow.transport.flow import Flow
+from thymeflow.transport.connections import WriteTrackingConnection
+from thymeflow.transport.value_stream import ValueStream
 
 
 class ResponseMemory:
@@ -37,13 +37,13 @@
     __slots__ = ("body", "is_started", "request", "response", "response_deferred", "response_stream")
 
     def __init__(
-        self, response: bytes | None = None, request: RequestReceived | None = None, body: Flow | None = None
+        self, response: bytes | None = None, request: RequestReceived | None = None, body: ValueStream | None = None
     ) -> None:
         self.response = response  # encoded; None until it is known
         self.request = request
         self.response_deferred: Deferred[Response] | None = None
         self.body = body  # a streamed request body that is incomplete: the response waits for its end
-        self.response_stream: Flow | None = None  # a streamed response, whose head `response` is
+        self.response_stream: ValueStream | None = None  # a streamed response, whose head `response` is
         self.is_started = False  # that head has been written
 
 
@@ -56,10 +56,10 @@
     return b"-BUSY %d\r\n" % -int(-response.retry_after * 1000.0 // 1) if response.retry_after > 0.0 else b"-BUSY\r\n"
 
 
-class ResponsePipeline(Stream):
+class ResponsePipeline(WriteTrackingConnection):
     """A client connection's responses; a subclass reads the commands.
 
-    It is the `flow.Sink` of the streamed response that is being written.
+    It is the `value_stream.Sink` of the streamed response that is being written.
     """
 
     def __init__(self, memory: ResponseMemory) -> None:
@@ -97,7 +97,7 @@
 
     def _flush(self) -> None:
         ready: list[bytes] = []
-        stream: Flow | None = None
+        stream: ValueStream | None = None
         while self._slots and (slot := self._slots[0]).response is not None and slot.body is None:
             if slot.is_started:
                 break
@@ -122,7 +122,7 @@
         else:
             self._update_reading()
 
-    # The streamed response that is being written: see `flow.Sink`.
+    # The streamed response that is being written: see `value_stream.Sink`.
 
     def write_chunk(self, data: bytes) -> None:
         """Write the next bytes."""
--- a/thymeflow/testkit/fakes/load_generator.py
+++ b/thymeflow/testkit/fakes/load_generator.py
@@ -86,14 +86,14 @@
         found, _ = self._parser.feed(data)
         self.begun = True
         for value in found:
-            if isinstance(value, resp.Begin):
+            if isinstance(value, resp.LongValueBegin):
                 self._long = b""
-            elif isinstance(value, resp.Chunk):
+            elif isinstance(value, resp.LongValueChunk):
                 self._long = (self._long + value.data)[:64]
                 self._agents.slowly(self, len(value.data))
-            elif isinstance(value, resp.Closed):
+            elif isinstance(value, resp.LongValueEnd):
                 self._answer(self._long)
-            elif not isinstance(value, resp.End):
+            elif not isinstance(value, resp.LongValueArrayEnd):
                 self._answer(value)
 
     def _answer(self, value: resp.Event) -> None:
--- a/thymeflow/transport/commands.py
+++ b/thymeflow/transport/commands.py
@@ -13,7 +13,7 @@
 from thymeflow.decision.events import RequestReceived
 from thymeflow.decision.settings import GatewaySettings, Idempotency, RequestClass
 from thymeflow.transport import TransportError, resp
-from thymeflow.transport.flow import Flow
+from thymeflow.transport.value_stream import ValueStream
 
 QUERY = b"SVC.QUERY"
 SUBMIT = b"SVC.SUBMIT"
@@ -37,7 +37,7 @@
     after: bytes
     body: bytes | None
     wait: int = 0  # ms that its sender waits from the last byte on
-    flow: Flow | None = None  # a streamed body, in place of one that is buffered
+    flow: ValueStream | None = None  # a streamed body, in place of one that is buffered
 
     def encode(self, wait: int) -> bytes:
         """Return the command for a backend; `wait` is how long we wait for the answer, in milliseconds."""
--- a/thymeflow/transport/connections.py
+++ b/thymeflow/transport/connections.py
@@ -25,7 +25,7 @@
 from thymeflow.runtime import clock
 from thymeflow.runtime.clock import Deadlines
 from thymeflow.transport import resp
-from thymeflow.transport.flow import CHUNK
+from thymeflow.transport.value_stream import CHUNK_BYTES
 
 
 def has_unread_bytes(transport: Any) -> bool:  # noqa: ANN401  # Twisted's transports share no static type with getHandle()
@@ -45,7 +45,7 @@
 
 
 @implementer(IPullProducer)
-class Stream(Protocol):
+class WriteTrackingConnection(Protocol):
     """A connection in either direction, which writes at once and knows when its buffer is empty."""
 
     transport: Any
@@ -82,9 +82,9 @@
 
         Where the kernel takes megabytes at once, a slow reader looks like one that is stalled.
         """
-        self.transport.bufferSize = CHUNK
+        self.transport.bufferSize = CHUNK_BYTES
         with contextlib.suppress(OSError):
-            self.transport.getHandle().setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 2 * CHUNK)
+            self.transport.getHandle().setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 2 * CHUNK_BYTES)
 
     def write(self, data: bytes) -> None:
         """Write behind what was written; `flushed` shows whether all of it has gone to the kernel."""
@@ -99,10 +99,10 @@
         self.transport.write(data)
 
 
-StreamT = TypeVar("StreamT", bound=Stream)
+ConnectionT = TypeVar("ConnectionT", bound=WriteTrackingConnection)
 
 
-class Link(Stream):
+class RespConnection(WriteTrackingConnection):
     """A connection on which we send commands in RESP2; subclasses handle the replies and the end."""
 
     closed = False  # ended, or given up by us
@@ -154,11 +154,11 @@
 
     noisy = False
 
-    def __init__(self, build: Callable[[], Stream], settled: Deferred[Any]) -> None:
+    def __init__(self, build: Callable[[], WriteTrackingConnection], settled: Deferred[Any]) -> None:
         self._build = build
         self._settled = settled
 
-    def buildProtocol(self, addr: IAddress | None) -> Stream:  # noqa: ARG002  # Twisted passes it
+    def buildProtocol(self, addr: IAddress | None) -> WriteTrackingConnection:  # noqa: ARG002  # Twisted passes it
         """Build the protocol, which reports success once it has its transport."""
         stream = self._build()
         stream.on_connected = self._settled.callback
@@ -174,14 +174,14 @@
     deadlines: Deadlines,
     address: Address,
     deadline: float,
-    build: Callable[[], StreamT],
-) -> Deferred[StreamT]:
+    build: Callable[[], ConnectionT],
+) -> Deferred[ConnectionT]:
     """Connect; the Deferred fails if that is refused, or not done by `deadline` (a time of `clock.now`).
 
     A deadline that comes due in a turn that came late shows nothing of the peer: the reactor begins to connect in
     its next turn, and finds that it is connected in one after that. So each gets its turn before we give up.
     """
-    settled: Deferred[StreamT] = Deferred()
+    settled: Deferred[ConnectionT] = Deferred()
     connector = reactor.connectTCP(address.host, address.port, _SingleConnectionFactory(build, settled), timeout=None)
     timeout_call = clock.NOT_SCHEDULED
 
@@ -196,7 +196,7 @@
 
     timeout_call = deadlines.schedule(deadline, give_up)
 
-    def cancel_deadline(result: StreamT | Failure) -> StreamT | Failure:
+    def cancel_deadline(result: ConnectionT | Failure) -> ConnectionT | Failure:
         """Cancel the deadline, and pass the result on."""
         deadlines.cancel(timeout_call)
         return result
--- a/thymeflow/transport/resp.py
+++ b/thymeflow/transport/resp.py
@@ -1,9 +1,9 @@
 """RESP2 without I/O: an incremental parser with firm bounds, and encoders of the few forms that are sent.
 
-The peer may be broken or hostile, so a message that would exceed the bounds is rejected as soon as its head shows
+The peer may be faulty or hostile, so a message that would exceed the bounds is rejected as soon as its head shows
 it, and no more than one incomplete message is ever buffered. A value too long to be buffered, in an array or alone,
-comes as events instead: `Begin`, `Part` as often as bytes come, `Closed` behind the value, and `End` with what
-follows it in the array.
+comes as events instead: `LongValueBegin`, a `LongValueChunk` as often as bytes come, `LongValueEnd` behind the value,
+and `LongValueArrayEnd` with what follows it in the array.
 """
 # ruff: noqa: EM101  # the texts are sent to the peer or logged, and stand next to the check that each belongs to
 
@@ -26,7 +26,7 @@
     """The bytes are not RESP2, or exceed the bounds; where the next message begins is not known."""
 
 
-class Simple(bytes):
+class SimpleString(bytes):
     """A simple string, such as the `OK` of `+OK`."""
 
 
@@ -45,7 +45,7 @@
         return type(self) is type(other) and all(getattr(self, name) == getattr(other, name) for name in self.__slots__)
 
 
-class Begin(_Event):
+class LongValueBegin(_Event):
     """A long value begins, behind these items of its array; `after` is how many items will follow it."""
 
     __slots__ = ("after", "before", "length")
@@ -56,7 +56,7 @@
         self.after = after
 
 
-class Chunk(_Event):
+class LongValueChunk(_Event):
     """The next bytes of the long value."""
 
     __slots__ = ("data",)
@@ -65,13 +65,13 @@
         self.data = data
 
 
-class Closed(_Event):
+class LongValueEnd(_Event):
     """The long value is complete, and was terminated as it should be."""
 
     __slots__ = ()
 
 
-class End(_Event):
+class LongValueArrayEnd(_Event):
     """The array is complete; `after` holds the items behind the long value."""
 
     __slots__ = ("after",)
@@ -80,7 +80,7 @@
         self.after = after
 
 
-Event = Union[Value, Begin, Chunk, Closed, End]
+Event = Union[Value, LongValueBegin, LongValueChunk, LongValueEnd, LongValueArrayEnd]
 
 
 class _IncompleteError(TransportError):
@@ -94,7 +94,7 @@
 
     def __init__(self, length: int, position: int) -> None:
         super().__init__()
-        self.begin = Begin([], length, 0)
+        self.begin = LongValueBegin([], length, 0)
         self.position = position
 
 
@@ -169,7 +169,7 @@
         if self._remaining_bytes > 0:
             data = bytes(source[position : position + self._remaining_bytes])
             self._remaining_bytes -= len(data)
-            found.append(Chunk(data))
+            found.append(LongValueChunk(data))
             return position + len(data)
         if self._remaining_bytes == 0:
             if len(source) < position + 2:
@@ -178,7 +178,7 @@
                 raise ProtocolError("value not closed")
             position += 2
             self._remaining_bytes = -1
-            found.append(Closed())
+            found.append(LongValueEnd())
         else:
             try:
                 value, position = self._parse_value(source, position, 1)
@@ -187,7 +187,7 @@
             self._trailing_items.append(value)
             self._missing_items -= 1
         if not self._missing_items:
-            found.append(End(self._trailing_items))
+            found.append(LongValueArrayEnd(self._trailing_items))
             self._trailing_items = []
             self._missing_items = -1
         return position
@@ -227,12 +227,12 @@
                     missing.item = number if missing.item >= 0 else -1
                     raise
                 except _LongValueError as long:
-                    long.begin = Begin(items, long.begin.length, count - number - 1)
+                    long.begin = LongValueBegin(items, long.begin.length, count - number - 1)
                     raise
                 items.append(item)
             return items, position
         if kind == b"+":
-            return Simple(line), position
+            return SimpleString(line), position
         return (ErrorReply(line) if kind == b"-" else _parse_number(line)), position
 
     @staticmethod
--- a/thymeflow/transport/flow.py
+++ b/thymeflow/transport/value_stream.py
@@ -10,7 +10,7 @@
 from collections.abc import Callable
 from typing import Protocol
 
-CHUNK = 32 * 1024  # bytes read at a time from a connection that brings a long value: bounds what is buffered here
+CHUNK_BYTES = 32 * 1024  # bytes read at a time from a connection that brings a long value: bounds what is buffered here
 
 
 class Sink(Protocol):
@@ -46,7 +46,7 @@
 NULL_SINK = NullSink()
 
 
-class Flow:
+class ValueStream:
     """A value of a known length, from its head to its end.
 
     `on_paced` is called with whether the source must pause, at each change; `on_abandoned` is called once if the
