--- a/tests/test_endpoint_wiring.py
+++ b/tests/test_endpoint_wiring.py
@@ -167,4 +167,4 @@
 ) -> None:
     build_limiter(world)
     world.reactor.advance(0.5)
-    assert any(line.startswith("stall: no turn for 0.4") for line in log_lines)
+    assert any(line.startswith("stall: the event loop was blocked for 0.4") for line in log_lines)
--- a/thymeflow/backends/backends.py
+++ b/thymeflow/backends/backends.py
@@ -187,7 +187,7 @@
         return False
 
     def on_body_failed(self, connection: Connection) -> None:
-        """Give up the attempt; closing the connection shows the backend that the body is incomplete."""
+        """Abandon the attempt; closing the connection shows the backend that the body is incomplete."""
         self.give_up(connection.attempt_handle, Status.CANCELLED)
 
     def on_long_value(self, connection: Connection, length: int) -> None:
@@ -220,7 +220,7 @@
         if flow is not None and flow.is_paused:
             stalled_at = now + LONG_VALUE_TIMEOUT  # its reader takes its time
         if stalled_at <= now:
-            connection.on_malformed("an answer was begun and not ended")
+            connection.on_malformed("a reply has begun and is incomplete")
         else:
             self._deadlines.schedule(stalled_at, self._check_reply, handle)
 
--- a/thymeflow/backends/connections.py
+++ b/thymeflow/backends/connections.py
@@ -32,7 +32,7 @@
         """Take note that a reply with a streamed value of `length` bytes has begun."""
 
     def on_body_failed(self, connection: Connection) -> None:
-        """Give up the attempt in flight, whose request body will not be completed."""
+        """Abandon the attempt in flight, whose request body will not be completed."""
 
     def on_malformed(self, connection: Connection) -> None:
         """Take note that the connection was closed because of what arrived on it."""
@@ -84,7 +84,7 @@
         if self.closed:
             return
         if self.attempt_handle < 0:
-            self.on_malformed("bytes though nothing was asked")
+            self.on_malformed("bytes without a request")
             return
         self.last_activity_at = clock.now()
         if len(events) == 1 and type(events[0]) in COMPLETE_REPLY_TYPES:  # the common case
@@ -114,7 +114,7 @@
 
     def _begin_long_value(self, event: resp.LongValueBegin) -> None:
         if event.before or event.after != 2 or self.body is not None:
-            self.on_malformed("a long value where none belongs")
+            self.on_malformed("a long value at a wrong position")
         else:
             self.owner.on_long_value(self, event.length)
 
@@ -122,12 +122,12 @@
         is_long = isinstance(event, resp.LongValueArrayEnd)
         result = parse_attempt_result([b"", *event.after] if isinstance(event, resp.LongValueArrayEnd) else event)
         if result is None or (self.body is not None and result.status is Status.OK):
-            self.on_malformed(f"no answer: {str(event)[:60]}")
+            self.on_malformed(f"no valid reply: {str(event)[:60]}")
             return
         # What follows is a duplicate or noise: the next attempt on this connection would be given it as its reply.
         is_clean = not trailing and not fault and not self._parser.buffered_bytes()
         if not is_clean:
-            log.emit_rate_limited(LogKind.BACKEND_REPLY_MALFORMED, f"{self.pool.address}: more than the answer")
+            log.emit_rate_limited(LogKind.BACKEND_REPLY_MALFORMED, f"{self.pool.address}: bytes after the reply")
         if is_long:
             self.flow = None
         self.owner.on_reply(self, result, is_clean and self.body is None)
@@ -143,7 +143,7 @@
         self.body = None
 
     def on_broken(self) -> None:
-        """Give up the attempt, as the rest of the body will not come and so it is never executed."""
+        """Abandon the attempt, as the rest of the body will not come and so it is never executed."""
         self.owner.on_body_failed(self)
 
     def on_malformed(self, fault: str) -> None:
--- a/thymeflow/backends/pools.py
+++ b/thymeflow/backends/pools.py
@@ -1,4 +1,4 @@
-"""The connections kept open to each backend, and the bound on all of them together."""
+"""The open connections to each backend, and the bound on all of them together."""
 
 from __future__ import annotations
 
--- a/thymeflow/core/attempt_starter.py
+++ b/thymeflow/core/attempt_starter.py
@@ -71,7 +71,7 @@
         attempt.addErrback(self._on_fault)
 
     def cancel(self, action: actions.CancelAttempt) -> None:
-        """Give up an attempt, if it has not ended."""
+        """Abandon an attempt, if it has not ended."""
         pending = self._requests.find(action.id)
         attempt = pending.open_attempts.get(action.attempt) if pending else None
         if attempt is not None:
@@ -108,7 +108,7 @@
             actual_units = result.actual_units
         if is_ok and not pending.is_answered:
             self._owner.respond(pending, Response(ResponseKind.SERVED, result.value))
-        # How long a client takes to send or to read says nothing of the backend.
+        # How long a client takes to send or to read tells nothing about the backend.
         latency = pending.response_latency
         if latency < 0.0:
             latency = clock.now() - max(sent_at, pending.body_received_at)
--- a/thymeflow/core/dispatcher.py
+++ b/thymeflow/core/dispatcher.py
@@ -38,7 +38,7 @@
 # For the counter's reply, which counts however late it comes (PROTOCOL); under the gateway's pause between two calls of
 # one name, so that each has ended before the next.
 COUNTER_CALL_SECONDS = 0.4
-FULL_RETRY_AFTER = 0.1  # s: advice where no more requests can be held
+FULL_RETRY_AFTER = 0.1  # s: advice where no more requests can be admitted
 
 
 def _max_requests(settings: GatewaySettings) -> int:
@@ -58,7 +58,7 @@
         counter: CounterClient | None,
         discovery: EndpointSource | None,
     ) -> None:
-        """`memory` bounds the bytes of requests held."""
+        """`memory` bounds the bytes of requests in flight."""
         self._settings = settings
         self._deadlines = deadlines
         self._gateway = gateway
@@ -93,7 +93,7 @@
         self.handle(events.SettingsChanged(settings))
 
     def set_memory_limit(self, memory: int) -> None:
-        """Bound the bytes held for requests that are submitted from now on."""
+        """Bound the bytes of requests that are submitted from now on."""
         self._requests.set_memory_limit(memory)
 
     def open_count(self) -> int:
@@ -105,7 +105,7 @@
         return request_id in self._requests
 
     def submit(self, incoming: IncomingRequest) -> Deferred[Response]:
-        """Submit a request; cancelling the Deferred says that the client has left."""
+        """Submit a request; cancelling the Deferred means that the client has left."""
         response: Deferred[Response] = Deferred(lambda _: self.on_client_left(handle))
         if not self._requests.can_add(incoming.size):
             handle = -1
@@ -164,17 +164,17 @@
                 event = self._events.popleft()
                 try:
                     decided = self._gateway.handle(clock.now(), event)
-                except Exception as fault:
-                    # A fault of the gateway ends the one request that it met, not the program.
-                    self._on_gateway_fault(event, fault)
+                except Exception as error:
+                    # An error in the gateway ends the one request that it met, not the program.
+                    self._on_gateway_error(event, error)
                     continue
                 for action in decided:
                     self._carry_out(action)
         finally:
             self._is_running = False
 
-    def _on_gateway_fault(self, event: events.Event, fault: Exception) -> None:
-        logging.getLogger("thymeflow").error("gateway fault on %s", type(event).__name__, exc_info=fault)
+    def _on_gateway_error(self, event: events.Event, error: Exception) -> None:
+        logging.getLogger("thymeflow").error("gateway fault on %s", type(event).__name__, exc_info=error)
         pending = self._requests.find(getattr(event, "id", ""))
         if pending is not None:
             self.respond(pending, Response(ResponseKind.FAILED))
@@ -223,6 +223,7 @@
         called_at = clock.now()
 
         def on_reply(reply: tuple[Status, float]) -> None:
+            """Hand the counter's reply to the gateway."""
             status, total = reply
             self.handle(events.CounterReplied(action.name, status, total, clock.now() - called_at))
 
--- a/thymeflow/core/types.py
+++ b/thymeflow/core/types.py
@@ -16,7 +16,7 @@
 
 
 class ResponseKind(Enum):
-    """What a final response says."""
+    """The kind of a final response."""
 
     SERVED = "served"
     REJECTED = "unavailable"  # trying again is harmless
@@ -61,8 +61,8 @@
 class AttemptSpec(NamedTuple):
     """An attempt for the backends to make.
 
-    `on_response_started` is given a long response, and returns whether anybody wants it; with None it is told that a
-    long body goes into this attempt, so that there can be no other. An attempt that has to wait is not written after
+    `on_response_started` is given a long response, and returns whether anybody wants it; None notifies it that a long
+    body goes into this attempt, so that there can be no other. An attempt that has to wait is not written after
     `start_before`, nor for a client that has left.
     """
 
--- a/thymeflow/counter/client.py
+++ b/thymeflow/counter/client.py
@@ -1,6 +1,6 @@
 """The counter's client: a few lasting connections, on each of which calls are pipelined and replies come in order.
 
-A name always takes the same connection, so that its replies come in the order of its calls. A call that is given up
+A name always takes the same connection, so that its replies come in the order of its calls. A call that is abandoned
 keeps its position: its reply still arrives, and must not be taken for that of the next call.
 """
 
@@ -61,7 +61,7 @@
         self._line.on_flushed()
 
     def dataReceived(self, data: bytes) -> None:
-        """Read replies, or parts of one."""
+        """Read replies, or a fragment of one."""
         self._last_received_at = clock.now()
         super().dataReceived(data)
 
@@ -70,7 +70,7 @@
         self._line.on_reply(value)
 
     def is_stalled(self) -> bool:
-        """Return whether a part of a reply has arrived, and for `STALL` seconds no more of it."""
+        """Return whether a reply has arrived incompletely, and for `STALL` seconds no more of it."""
         return self._parser.buffered_bytes() > 0 and clock.now() - self._last_received_at > STALL
 
     def on_malformed(self, fault: str) -> None:
@@ -186,13 +186,13 @@
             return
         self._report(call, (Status.TIMEOUT, 0.0))
         if self._connection is not None and self._connection.is_stalled():
-            self._connection.on_malformed("an answer was begun and not ended")
+            self._connection.on_malformed("a reply has begun and is incomplete")
             return
         oldest = self.written[0] if self.written else call
         if self._connection is not None and now - max(self._last_reply_at, oldest.started_at) > DEAD_PEER_TIMEOUT:
             log.emit_rate_limited(
                 LogKind.COUNTER_UNRESPONSIVE,
-                f"{self._address}: no answer for {DEAD_PEER_TIMEOUT:g} s, connecting anew",
+                f"{self._address}: no reply for {DEAD_PEER_TIMEOUT:g} s, connecting again",
                 address=self._address,
                 waiting=len(self.written),
             )
@@ -206,7 +206,7 @@
         if result is None:
             # Replies can no longer be assigned to calls; all that were flushed may have been added.
             if self._connection is not None:
-                self._connection.on_malformed(f"no answer: {str(value)[:60]}")
+                self._connection.on_malformed(f"no valid reply: {str(value)[:60]}")
             return
         call = self.written.popleft()
         self._flushed_calls = max(0, self._flushed_calls - 1)
--- a/thymeflow/discovery/endpoint_stream.py
+++ b/thymeflow/discovery/endpoint_stream.py
@@ -60,7 +60,7 @@
             if not self._is_ended:
                 self._on_message(self, message)
         if self._body.done:
-            self.end("the answer has ended")
+            self.end("the response has ended")
 
     def connectionLost(self, reason: Failure = connectionDone) -> None:  # noqa: ARG002 - the signature is Twisted's
         """Report that the other end closed or reset the connection."""
--- a/thymeflow/discovery/watch.py
+++ b/thymeflow/discovery/watch.py
@@ -90,7 +90,9 @@
             self._deadlines.schedule(now + STALL, self._on_first_message_overdue)
             return
         log.emit(
-            LogKind.DISCOVERY, f"no word from {self._address}: the list as it was known counts", version=self._version
+            LogKind.DISCOVERY,
+            f"no message from {self._address}: the known endpoint list is used",
+            version=self._version,
         )
         self._set_ready()
 
@@ -132,7 +134,7 @@
             return
         self._is_retry_scheduled = False
         while self._open and len(self._open) + self._dialing >= MAX_STREAMS:
-            self._open.pop(0).end("it said nothing")
+            self._open.pop(0).end("it received nothing")
         self._set_idle_deadline(clock.now() + self._first_message_timeout)
         if self._dialing >= MAX_STREAMS:
             return
@@ -201,7 +203,7 @@
         if current is not None:
             log.emit_rate_limited(
                 LogKind.DISCOVERY,
-                f"watch at {self._address} is silent for {self._idle_timeout:g} s",
+                f"watch at {self._address} received nothing for {self._idle_timeout:g} s",
                 address=self._address,
                 version=self._version,
             )
--- a/thymeflow/frontend/frontend.py
+++ b/thymeflow/frontend/frontend.py
@@ -148,7 +148,7 @@
         if change > 0 and self._unfinished_input_bytes > self._max_unfinished_input_bytes:
             log.emit_rate_limited(
                 LogKind.INPUT,
-                f"{self._unfinished_input_bytes} bytes of unfinished commands are held; the longest was let go",
+                f"{self._unfinished_input_bytes} bytes of incomplete commands are buffered; the longest was dropped",
             )
             self._evict(max(self.clients.items(), key=ClientConnection.input_backlog))
 
--- a/thymeflow/frontend/pipeline.py
+++ b/thymeflow/frontend/pipeline.py
@@ -76,7 +76,7 @@
         raise NotImplementedError
 
     def resumeProducing(self) -> None:
-        """Go on writing: the client has taken what was written."""
+        """Continue to write: the client has taken what was written."""
         super().resumeProducing()
         self._last_activity_at = clock.now()
         self._recount_pending()
@@ -130,17 +130,15 @@
         self.write(data)
 
     def end(self) -> None:
-        """Close the value, which is complete, and go on with the next response."""
+        """Close the value, which is complete, and continue with the next response."""
         self.write(b"\r\n")
         self._slots.popleft()
         self._idle_since = clock.now()
         self._flush()
 
     def on_broken(self) -> None:
-        """Close the connection: that tells the client that the value is incomplete."""
-        log.emit_rate_limited(
-            LogKind.CUT_SHORT, "a long answer broke off on its way; the user agent's connection was closed"
-        )
+        """Close the connection: this shows the client that the value is incomplete."""
+        log.emit_rate_limited(LogKind.CUT_SHORT, "a long response broke off; the client's connection was closed")
         self._is_closing = True
         self._cancel_slots()
         self._close_write_side()
--- a/thymeflow/limiter/assembly.py
+++ b/thymeflow/limiter/assembly.py
@@ -1,4 +1,4 @@
-"""All parts of one limiter, wired. Nothing here decides, and nothing is connected before `start`."""
+"""Builds a limiter from its components. Nothing here decides, and nothing is connected before `start`."""
 
 from __future__ import annotations
 
@@ -63,7 +63,7 @@
 def _log_stall(seconds: float) -> None:
     log.emit_rate_limited(
         LogKind.STALL,
-        f"no turn for {seconds:.2f} s: what waited has come before it, and has less time left",
+        f"the event loop was blocked for {seconds:.2f} s; requests that waited have that much less time left",
         seconds=round(seconds, 3),
     )
 
@@ -73,14 +73,14 @@
 
     def __init__(
         self,
-        given: configuration.Configuration,
+        initial: configuration.Configuration,
         reactor: Any,  # noqa: ANN401  # Twisted's reactor interfaces are no static types
         gateway: Gateway | None = None,
         load: Callable[[], configuration.Configuration] = configuration.load,
         linger: float = TERMINATION_LINGER,
     ) -> None:
-        settings = given.settings
-        self.configuration = given
+        settings = initial.settings
+        self.configuration = initial
         self.reactor = reactor
         self.deadlines = clock.Deadlines(reactor, _log_stall)
         self._is_connected = False
@@ -88,15 +88,15 @@
         self._listener: socket.socket | None = None  # bound, and to be opened once the endpoint list is known
         self._has_queue = False  # connections may wait at it already
         budgets = self._budgets(None)
-        self.gateway = gateway or make_gateway(given)
+        self.gateway = gateway or make_gateway(initial)
         self.discovery = self._build_discovery()
-        self.counter = None if given.counter is None else CounterClient(reactor, self.deadlines, given.counter)
+        self.counter = None if initial.counter is None else CounterClient(reactor, self.deadlines, initial.counter)
         self.backends = BackendConnections(
             reactor, self.deadlines, settings.limits, budgets.backend_connections, self.discovery.read_pending
         )
         self.dispatcher = self._build_dispatcher(budgets)
         self.frontend = self._build_frontend(budgets)
-        self.reload = Reload(given, self.discovery, self.counter, self.apply_settings, load)
+        self.reload = Reload(initial, self.discovery, self.counter, self.apply_settings, load)
         self.lifecycle = Lifecycle(
             self.deadlines,
             self.dispatcher,
@@ -107,8 +107,8 @@
             linger,
         )
         self.on_endpoints: Callable[[endpoints.EndpointUpdate], None] = lambda _: None  # for a copy of the list
-        self.on_endpoints_available: Callable[[], None] = lambda: None  # for other parts that wait for the list
-        self.on_endpoints_changed(given.endpoints)
+        self.on_endpoints_available: Callable[[], None] = lambda: None  # for components that wait for the list
+        self.on_endpoints_changed(initial.endpoints)
 
     def _build_dispatcher(self, budgets: Budgets) -> RequestDispatcher:
         return RequestDispatcher(
@@ -133,16 +133,16 @@
         )
 
     def _build_discovery(self) -> EndpointWatcher:
-        given = self.configuration
+        initial = self.configuration
         return EndpointWatcher(
             self.reactor,
             self.deadlines,
-            given.discovery,
-            given.endpoints.change.version,
+            initial.discovery,
+            initial.endpoints.change.version,
             self,
-            given.settings.limiter_count,
-            given.seed,
-            given.settings.discovery is DiscoveryMode.PUSH,
+            initial.settings.limiter_count,
+            initial.seed,
+            initial.settings.discovery is DiscoveryMode.PUSH,
         )
 
     # The methods of `frontend.FrontendOwner`.
@@ -156,7 +156,7 @@
         return self.lifecycle.describe_state()
 
     def on_client_lost(self) -> None:
-        """Go on with a shutdown that waited for a client to leave."""
+        """Continue a shutdown that waited for a client to leave."""
         self.lifecycle.on_client_lost()
 
     # The methods of `watch.EndpointObserver`.
@@ -195,15 +195,15 @@
 
         :raises CannotListenError: if the address is in use.
         """
-        where = self.configuration.management
-        if where is not None:
+        address = self.configuration.management
+        if address is not None:
             port = self.reactor.listenTCP(
-                where.port,
+                address.port,
                 ManagementServer(self.deadlines, self.lifecycle.on_command),
                 backlog=MAX_CALLERS,
-                interface=where.host,
+                interface=address.host,
             )
-            log.emit(LogKind.CALLS, f"operators may call at {where.host}:{port.getHost().port}")
+            log.emit(LogKind.CALLS, f"operators may call at {address.host}:{port.getHost().port}")
 
     def connect(self, by: float) -> None:
         """Connect to counter and discovery, once; `by`: when to go on though discovery has not answered."""
@@ -265,8 +265,8 @@
             self.deadlines.mark_waiting(clock.STARTED_AT)
         try:
             start_listening(listener)
-        except OSError as fault:  # another process listened in between, which had only bound it as we did
-            log.emit(LogKind.CANNOT_LISTEN, f"{self.configuration.listen}: {fault.strerror}")
+        except OSError as error:  # another process listened in between, which had only bound it as we did
+            log.emit(LogKind.CANNOT_LISTEN, f"{self.configuration.listen}: {error.strerror}")
             self.exit_code = CANNOT_LISTEN
             self.reactor.callWhenRunning(self.reactor.stop)
             return
--- a/thymeflow/limiter/lifecycle.py
+++ b/thymeflow/limiter/lifecycle.py
@@ -19,7 +19,7 @@
 MAX_AWAITED_DEADLINE = 3.0
 TERMINATION_MARGIN = 0.2  # s: so long before that everything is answered that came after SIGTERM
 UNTAKEN_RESPONSE_GRACE = 1.0  # s past the longest deadline: a client that never takes its response is left behind
-STOP_CHECK_INTERVAL = 0.05  # s: between checks for attempts that were given up and have not ended
+STOP_CHECK_INTERVAL = 0.05  # s: between checks for attempts that were abandoned and have not ended
 
 
 class Lifecycle:
@@ -105,7 +105,7 @@
             self._enter(Phase.SERVING)
 
     def on_handed_over(self) -> None:
-        """Drain the clients, as a successor accepts; the socket is kept in case that one dies."""
+        """Drain the clients, as a successor accepts; the socket stays open in case that one dies."""
         self._enter(Phase.HANDED_OVER)
         self._front.close()
 
@@ -161,7 +161,7 @@
         if self._is_closed and not len(self._front.clients) and not self._dispatcher.open_count():
             self._complete_shutdown(0)
         elif self._is_closed and not len(self._front.clients):
-            # Attempts that were given up still end.
+            # Attempts that were abandoned still end.
             self._deadlines.schedule(clock.now() + STOP_CHECK_INTERVAL, lambda _: self._stop_if_idle())
 
     def _complete_shutdown(self, _: int) -> None:
--- a/thymeflow/limiter/management.py
+++ b/thymeflow/limiter/management.py
@@ -1,6 +1,6 @@
 """The operators' endpoint: one command line a connection, one line back that begins with 200 or 400.
 
-Callers may connect and send nothing, or never end their line. Each holds one of a few slots until its own deadline,
+Callers may connect and send nothing, or never end their line. Each uses one of a few slots until its own deadline,
 and the one that has been idle for longest is closed for a new one: no caller waits for another.
 """
 
@@ -96,7 +96,7 @@
         if self.callers.is_full():
             oldest = min(self.callers.items(), key=lambda caller: caller.active_at)
             log.emit_rate_limited(
-                LogKind.CALLS, f"all {MAX_CALLERS} places are taken; the caller that was silent for longest was closed"
+                LogKind.CALLS, f"all {MAX_CALLERS} connections are in use; the one that was idle for longest was closed"
             )
             self._close(oldest.handle)
         return Caller(self)
--- a/thymeflow/limiter/reload.py
+++ b/thymeflow/limiter/reload.py
@@ -41,17 +41,17 @@
 
 
 class Reload:
-    """The configuration that was read last, and the parts that are notified of a change."""
+    """The configuration that was read last, and the components that are notified of a change."""
 
     def __init__(
         self,
-        given: configuration.Configuration,
+        current: configuration.Configuration,
         discovery: EndpointWatcher,
         counter: CounterClient | None,
         apply_settings: Callable[[GatewaySettings], None],
         load: Callable[[], configuration.Configuration],
     ) -> None:
-        self._given = given
+        self._current = current
         self._discovery = discovery
         self._counter = counter
         self._apply_settings = apply_settings
@@ -61,24 +61,24 @@
     def now(self) -> bool:
         """Read the file again and return whether it could be used; otherwise nothing changes."""
         try:
-            given = self._load()
-            configuration.check_reload(given, self._given)
-        except configuration.ConfigurationError as fault:
-            self.last = f"the old settings stay: {fault}"
+            reloaded = self._load()
+            configuration.check_reload(reloaded, self._current)
+        except configuration.ConfigurationError as error:
+            self.last = f"the old settings stay: {error}"
             log.emit(LogKind.RELOAD, self.last)
             return False
-        before = self._given
-        self._given = given
-        self.last = f"discovery at {given.discovery}, counter at {given.counter or 'none'}"
+        previous = self._current
+        self._current = reloaded
+        self.last = f"discovery at {reloaded.discovery}, counter at {reloaded.counter or 'none'}"
         log.emit(LogKind.RELOAD, self.last)
-        if given.discovery != before.discovery:
-            self._discovery.set_address(given.discovery)
-        if self._counter is not None and given.counter is not None and given.counter != before.counter:
-            self._counter.set_address(given.counter)
-        if given.settings != before.settings:
-            log.emit(LogKind.RELOAD, f"settings taken: {describe_differences(before.settings, given.settings)}")
-            self._apply_settings(given.settings)
-        changed = [name for name in FIXED_UNTIL_RESTART if getattr(given, name) != getattr(before, name)]
+        if reloaded.discovery != previous.discovery:
+            self._discovery.set_address(reloaded.discovery)
+        if self._counter is not None and reloaded.counter is not None and reloaded.counter != previous.counter:
+            self._counter.set_address(reloaded.counter)
+        if reloaded.settings != previous.settings:
+            log.emit(LogKind.RELOAD, f"settings taken: {describe_differences(previous.settings, reloaded.settings)}")
+            self._apply_settings(reloaded.settings)
+        changed = [name for name in FIXED_UNTIL_RESTART if getattr(reloaded, name) != getattr(previous, name)]
         if changed:
             log.emit(LogKind.RELOAD, f"{', '.join(changed)} differ and hold from the next start")
         return True
--- a/thymeflow/runtime/clock.py
+++ b/thymeflow/runtime/clock.py
@@ -5,7 +5,7 @@
 
 A process does not always run on time: it is stopped, its core is taken, or one turn of the reactor serves a thousand
 connections. What it reads then has waited, and nothing in it shows for how long. The heap shows it: an overdue
-deadline shows since when the reactor has had no turn.
+deadline shows since when the reactor has been blocked.
 """
 
 from __future__ import annotations
@@ -40,14 +40,14 @@
 
 
 class DelayedCall(Protocol):
-    """The part of Twisted's IDelayedCall that is used here."""
+    """The methods of Twisted's IDelayedCall that are used here."""
 
     def reset(self, delay: float, /) -> None:
         """Call after this many seconds from now instead."""
 
 
 class TimerReactor(Protocol):
-    """The part of Twisted's IReactorTime that is used here."""
+    """The method of Twisted's IReactorTime that is used here."""
 
     def callLater(self, delay: float, callback: Callable[..., object], /, *arguments: object) -> DelayedCall:  # noqa: N802 - Twisted's name
         """Call back after this many seconds."""
@@ -70,7 +70,7 @@
 class Deadlines:
     """A heap of deadlines behind a single timer of the reactor, which is reset as the first deadline changes.
 
-    `on_stall` is called with the seconds for which the reactor had no turn, where that was over `STALL`.
+    `on_stall` is called with the seconds for which the reactor was blocked, where that was over `STALL`.
     """
 
     def __init__(self, reactor: TimerReactor, on_stall: Callable[[float], None] = _ignore_stall) -> None:
@@ -122,7 +122,7 @@
         return arrived_at if self._waiting_since is None else min(arrived_at, self._waiting_since)
 
     def is_stalled(self, moment: float) -> bool:
-        """Return whether there was no turn for so long that lists and leases must be read before anything is sent."""
+        """Return whether the reactor was blocked for so long that lists and leases must be read before a send."""
         return moment - self.earliest_arrival(moment) > STALL
 
     def mark_waiting(self, since: float) -> None:
--- a/thymeflow/runtime/log.py
+++ b/thymeflow/runtime/log.py
@@ -1,6 +1,6 @@
 """Log lines for on-call staff: each kind of line is limited in rate, and what was left out is counted.
 
-A broken peer can cause thousands of the same line in a second; the log must not cost more than the traffic. The page
+A faulty peer can cause thousands of the same line in a second; the log must not cost more than the traffic. The page
 `docs/on-call.md` lists every kind.
 
 The sink decides where lines go: to standard error as plain text, unless another sink is set.
--- a/thymeflow/transport/resp.py
+++ b/thymeflow/transport/resp.py
@@ -72,7 +72,7 @@
 
 
 class LongValueArrayEnd(_Event):
-    """The array is complete; `after` holds the items behind the long value."""
+    """The array is complete; `after` contains the items behind the long value."""
 
     __slots__ = ("after",)
 
--- a/thymeflow/transport/value_stream.py
+++ b/thymeflow/transport/value_stream.py
@@ -25,7 +25,7 @@
         """Close the value: all of it has been written, and it is complete."""
 
     def on_broken(self) -> None:
-        """Give up: the rest will not come."""
+        """Abandon the value: the rest will not come."""
 
 
 class NullSink:
@@ -56,7 +56,7 @@
     def __init__(self, length: int, on_paced: Callable[[bool], None], on_abandoned: Callable[[], None]) -> None:
         self.length = length
         self.deadline = 0.0  # of a complete body: until when its sender waits
-        self.is_done = False  # complete or broken, and the sink was notified
+        self.is_done = False  # complete or broken off, and the sink was notified
         self.is_paused = False  # the source is paused
         self._on_paced = on_paced
         self._on_abandoned = on_abandoned
