--- a/tests/frontend/test_endings.py
+++ b/tests/frontend/test_endings.py
@@ -54,7 +54,8 @@
 
 def test_a_request_whose_sender_has_left_by_the_time_it_is_read_is_not_sent_on(tmp_path: Path) -> None:
     with Limiter(tmp_path) as limiter:
-        client, other = limiter.connect(), limiter.connect()
+        client = limiter.connect()
+        other = limiter.connect()
         server = limiter.served(other, 1)  # a warm connection, to which it could be written at once
         limiter.served(client, 2, server)
 
@@ -90,7 +91,9 @@
 
 def test_a_pass_is_not_written_to_a_connection_that_came_up_as_its_sender_left(tmp_path: Path) -> None:
     with Limiter(tmp_path) as limiter:
-        client, other, listener = limiter.connect(), limiter.connect(), limiter.servers[0].sock
+        client = limiter.connect()
+        other = limiter.connect()
+        listener = limiter.servers[0].sock
         listener.listen(0)
         filling = [socket.socket() for _ in range(2)]  # its queue is full: nobody else comes up
         for sock in filling:
@@ -158,7 +161,8 @@
 
 def test_a_command_in_pieces_that_began_before_the_drain_is_served_whole(tmp_path: Path) -> None:
     with Limiter(tmp_path) as limiter:
-        client, text = limiter.connect(), request(2)
+        client = limiter.connect()
+        text = request(2)
         limiter.served(client, 1)
         client.send(request(2)[:20])
         limiter.until(b"+PONG", command(b"PING"))
@@ -251,7 +255,8 @@
 
 def test_all_that_wait_in_the_queue_are_taken_before_the_socket_is_closed(world: InMemoryNetwork) -> None:
     limiter = make_limiter(world, 256)
-    waiting, taken = list(range(7)), list[Any]()
+    waiting = list(range(7))
+    taken = list[Any]()
 
     class Port:
         """Takes one connection in a turn, as a port does that had little to do."""
@@ -268,7 +273,8 @@
             assert not waiting and len(taken) == 7
 
     lifecycle = limiter.lifecycle
-    lifecycle.phase, lifecycle.port = Phase.SERVING, Port()
+    lifecycle.phase = Phase.SERVING
+    lifecycle.port = Port()
     lifecycle.terminate(0.0)
     world.reactor.advance(0.01)
     assert len(taken) == 7 and not any(client.transport.handle.half_closed for client in taken)
@@ -372,9 +378,11 @@
         again, asked = limiter.watch()
         assert b"index=41 " in asked
         limiter.tell(again, 42, limiter.entry(0))
-        served, number = False, 0
+        served = False
+        number = 0
         while not served:  # one that comes while all places are new may be closed unread
-            client, number = limiter.connect(), number + 1
+            client = limiter.connect()
+            number = number + 1
             assert number < 1000
             with contextlib.suppress(OSError):
                 client.send(request(number))
--- a/tests/limiter.py
+++ b/tests/limiter.py
@@ -149,7 +149,8 @@
         **settings: Any,
     ) -> None:
         self.servers = [Listener() for _ in range(servers)]
-        self.discovery, self.counter = Listener(), Listener()
+        self.discovery = Listener()
+        self.counter = Listener()
         listed = [self.entry(n) for n in range(servers)] if known else []
         config: dict[str, Any] = {
             "name": "n0",
@@ -163,11 +164,13 @@
         }
         if managed:
             config["mgmt"] = "127.0.0.1:0"
-        self.config, self.path = config, folder / "config.json"
+        self.config = config
+        self.path = folder / "config.json"
         path = self.path
         path.write_text(json.dumps(config))
         # A Unix socket's path is short, and pytest's folders are not.
-        self.state, self.environment = Path(tempfile.mkdtemp(prefix="tf")), environment or {}
+        self.state = Path(tempfile.mkdtemp(prefix="tf"))
+        self.environment = environment or {}
         if managed:
             self.environment.setdefault("TMPDIR", str(self.state))
         # A port of the system's choice may be taken by somebody's connection while a killed life's successor starts;
@@ -204,7 +207,8 @@
 
     def succeed(self, process: subprocess.Popen[str]) -> subprocess.Popen[str]:
         """Another process is the limiter from now on; the one before."""
-        before, self.process = self.process, process
+        before = self.process
+        self.process = process
         return before
 
     def entry(self, number: int, lifecycle: str = "active") -> dict[str, Any]:
@@ -270,7 +274,8 @@
 
     def watch(self, at: Listener | None = None) -> tuple[Peer, bytes]:
         """The watch as discovery sees it, already answered with a head, and the line it asked with."""
-        first, self._watched = self._watched, None
+        first = self._watched
+        self._watched = None
         return self._head(at or self.discovery) if at or first is None else first
 
     @staticmethod
@@ -295,7 +300,8 @@
 
     def until(self, wanted: bytes, ask: bytes) -> None:
         """Ask on a connection of its own until the answer begins as wanted."""
-        peer, end = self.connect(), time.monotonic() + PATIENCE
+        peer = self.connect()
+        end = time.monotonic() + PATIENCE
         answer = b""
         while not answer.startswith(wanted):
             assert time.monotonic() < end, answer
--- a/tests/test_bad_configuration_texts.py
+++ b/tests/test_bad_configuration_texts.py
@@ -27,7 +27,8 @@
         {"instanceId": "s-00000001", "hostPort": "127.0.0.1:9300", "zone": "east", "lifecycle": "active"}]},
     "settings": SETTINGS,
 }  # fmt: skip
-CLASS, TIER = SETTINGS["classes"][0], SETTINGS["tiers-of-service"][0]
+CLASS = SETTINGS["classes"][0]
+TIER = SETTINGS["tiers-of-service"][0]
 
 
 def changed(**parts: Any) -> str:
@@ -166,7 +167,8 @@
 
 
 def test_check_tells_the_same_json_when_programs_ask(tmp_path: Path) -> None:
-    settings, platform = written(tmp_path, "our.ini", INI["many at once"]), written(tmp_path, "p.json", '{"seed": "x"}')
+    settings = written(tmp_path, "our.ini", INI["many at once"])
+    platform = written(tmp_path, "p.json", '{"seed": "x"}')
     found = [command(tmp_path, "check", "--json", "--settings", settings, "--platform", platform)]
     found.append(command(tmp_path, "check", "--json"))
     same("check", "json", found)
--- a/tests/test_bad_input.py
+++ b/tests/test_bad_input.py
@@ -32,7 +32,8 @@
         watch, _ = limiter.watch()
         agent = limiter.connect()
         server = limiter.served(agent, 1)
-        leaves, odd = limiter.entry(0, "leaving"), {**limiter.entry(0), "hostPort": "nowhere"}
+        leaves = limiter.entry(0, "leaving")
+        odd = {**limiter.entry(0), "hostPort": "nowhere"}
         broken = [
             chunk(message(90, leaves)[:-9]),
             chunk(b"{}\n"),
--- a/tests/test_limiter.py
+++ b/tests/test_limiter.py
@@ -186,11 +186,13 @@
 
 def test_who_says_nothing_or_half_a_command_is_let_go_and_a_usual_one_stays(tmp_path: Path) -> None:
     with Limiter(tmp_path) as limiter:
-        usual, begun = limiter.connect(), time.monotonic()
+        usual = limiter.connect()
+        begun = time.monotonic()
         usual.send(request(1))
         server = limiter.servers[0].accept()
         server.words()
-        silent, half = limiter.connect(), limiter.connect()
+        silent = limiter.connect()
+        half = limiter.connect()
         half.send(request(2)[:50])
         assert half.line().startswith(b"-ERR Protocol error")
         assert half.ended() and silent.ended()
@@ -234,7 +236,8 @@
 
 def test_a_user_agent_that_takes_no_answers_is_not_read_from(tmp_path: Path) -> None:
     with Limiter(tmp_path) as limiter:
-        client, sent = limiter.connect(), 0
+        client = limiter.connect()
+        sent = 0
         client.sock.setblocking(False)
         echo = command(b"PING", b"x" * 60000)
         while select.select([], [client.sock], [], 1.0)[1]:  # ends only if the limiter stops reading
@@ -260,7 +263,8 @@
 def test_more_than_the_open_cap_are_turned_away(tmp_path: Path) -> None:
     caps = {"cancel": True, "open-cap": 1, "dial-timeout": 20.0}
     with Limiter(tmp_path, caps=caps) as limiter:
-        client, other = limiter.connect(), limiter.connect()
+        client = limiter.connect()
+        other = limiter.connect()
         client.send(request(1))
         server = limiter.servers[0].accept()
         server.words()
@@ -274,7 +278,8 @@
     with Limiter(tmp_path) as limiter:
         (watch, asked), listener = limiter.watch(), limiter.servers[0]
         assert asked == b"GET /api/targets?stream=1&index=41 HTTP/1.1"
-        client, other = limiter.connect(), limiter.connect()
+        client = limiter.connect()
+        other = limiter.connect()
         client.send(request(1))
         server = listener.accept()
         server.words()
@@ -333,7 +338,8 @@
 
 def test_sigterm_serves_on_for_a_moment_and_finishes_what_was_taken(tmp_path: Path) -> None:
     with Limiter(tmp_path) as limiter:
-        idle, client = limiter.connect(), limiter.connect()
+        idle = limiter.connect()
+        client = limiter.connect()
         client.send(request(1))
         server = limiter.servers[0].accept()
         server.words()
@@ -360,7 +366,8 @@
         server = limiter.servers[0].accept()
         server.words()
         ready = select.select([peer.sock for peer in calls], [], [], PATIENCE)[0]
-        discovery, counter = Listener(), Listener()
+        discovery = Listener()
+        counter = Listener()
         for _ in range(2):  # the second finds nothing to do
             limiter.reload(discovery=discovery.address, counter=counter.address)
         moved, asked = limiter.watch(discovery)
--- a/tests/test_management.py
+++ b/tests/test_management.py
@@ -72,7 +72,9 @@
 
 
 def test_evacuation_sends_user_agents_away_and_activate_takes_them_back(limiter: Limiter) -> None:
-    busy, idle, begun = limiter.connect(), limiter.connect(), time.monotonic()
+    busy = limiter.connect()
+    idle = limiter.connect()
+    begun = time.monotonic()
     busy.send(request(1))
     held = limiter.servers[0].accept()
     held.words()
--- a/tests/test_net_parts.py
+++ b/tests/test_net_parts.py
@@ -192,7 +192,8 @@
 def test_a_counter_that_cannot_be_followed_is_left_before_its_answers_shift(
     world: InMemoryNetwork, noise: bytes
 ) -> None:
-    line, results = CallPipeline(world.reactor, world.deadlines, Address("127.0.0.1", 9)), list[CounterResult]()
+    line = CallPipeline(world.reactor, world.deadlines, Address("127.0.0.1", 9))
+    results = list[CounterResult]()
     line.connect()
     wire = world.up(0)
     line.call(b"first", clock.now() + 0.03).addCallback(results.append)
@@ -209,7 +210,8 @@
 def test_a_counter_that_writes_in_pieces_is_followed_and_one_that_stops_half_way_is_left(
     world: InMemoryNetwork, gap: float
 ) -> None:
-    line, results = CallPipeline(world.reactor, world.deadlines, Address("127.0.0.1", 9)), list[CounterResult]()
+    line = CallPipeline(world.reactor, world.deadlines, Address("127.0.0.1", 9))
+    results = list[CounterResult]()
     line.connect()
     wire = world.up(0)
     for part in (b"$1", b"\r\n", b"7\r", b"\n"):
@@ -223,7 +225,8 @@
 
 
 def test_a_broken_counter_line_tells_what_may_have_been_added(world: InMemoryNetwork) -> None:
-    line, results = CallPipeline(world.reactor, world.deadlines, Address("127.0.0.1", 9)), list[Status]()
+    line = CallPipeline(world.reactor, world.deadlines, Address("127.0.0.1", 9))
+    results = list[Status]()
     line.call(b"unwritten", clock.now() + 0.03).addCallback(lambda r: results.append(r[0]))
     world.reactor.advance(0.04)
     assert results == [Status.CONNECT_FAILED]
@@ -343,7 +346,8 @@
 
 
 def test_a_count_may_be_answered_late_but_ends_before_the_next_of_its_name(world: InMemoryNetwork) -> None:
-    settings, counter = settings_from(SETTINGS), Slow()
+    settings = settings_from(SETTINGS)
+    counter = Slow()
     backends, _ = make_backend_connections(world)
     core = RequestDispatcher(settings, Gateway(settings, 1), world.deadlines, 10**6, backends, counter, None)
     core._carry_out(AddToCounter(5, 1.0, 20.0))
--- a/tests/test_start.py
+++ b/tests/test_start.py
@@ -40,7 +40,9 @@
 
 def answers(limiter: Limiter, clients: dict[int, Peer], server: int) -> tuple[dict[int, bytes], set[int]]:
     """The first line of each agent's answer, while one server serves; and the requests that it was sent."""
-    seen, sent, servers = dict[int, bytes](), set[int](), list[Peer]()
+    seen = dict[int, bytes]()
+    sent = set[int]()
+    servers = list[Peer]()
     while len(seen) < len(clients):
         waiting = [peer.sock for number, peer in clients.items() if number not in seen]
         ready = select.select([limiter.servers[server].sock, *(s.sock for s in servers), *waiting], [], [], PATIENCE)[0]
@@ -77,8 +79,13 @@
 ) -> None:
     # Its core is taken nineteen parts of twenty, from its start to its last answer, while fifty try to reach it.
     with Limiter(tmp_path, servers=3, told=False) as limiter:
-        clients, asked, answer = dict[int, Peer](), dict[int, float](), dict[int, bytes]()
-        servers, told, late, end = list[Peer](), 0.0, list[float](), time.monotonic() + PATIENCE * 4
+        clients = dict[int, Peer]()
+        asked = dict[int, float]()
+        answer = dict[int, bytes]()
+        servers = list[Peer]()
+        told = 0.0
+        late = list[float]()
+        end = time.monotonic() + PATIENCE * 4
         watch: Peer | None = None
         limiter.process.send_signal(signal.SIGSTOP)
         while len(answer) < 50:
@@ -226,7 +233,8 @@
 
 
 def test_a_stall_is_remembered_until_what_waited_has_been_read(world: InMemoryNetwork) -> None:
-    told, amid = list[float](), list[float]()
+    told = list[float]()
+    amid = list[float]()
     deadlines = clock.Deadlines(world.reactor, told.append)
     for after in (0.1, 0.2):  # the first finds the stall, the second runs in its wake
         deadlines.schedule(
--- a/tests/transport/test_long.py
+++ b/tests/transport/test_long.py
@@ -90,7 +90,8 @@
 
 
 def test_who_leaves_in_the_middle_frees_the_other_side(limiter: Limiter) -> None:
-    client, sender = limiter.connect(), limiter.connect()
+    client = limiter.connect()
+    sender = limiter.connect()
     server = passed_on(limiter, client, 1)
     server.send(HEAD + VALUE[:1000])
     client.line()
@@ -115,7 +116,9 @@
 
 
 def test_a_slow_reader_holds_its_server_back_and_loses_nothing(limiter: Limiter) -> None:
-    client, other, most = limiter.connect(), limiter.connect(), resp.MAX_LONG_VALUE
+    client = limiter.connect()
+    other = limiter.connect()
+    most = resp.MAX_LONG_VALUE
     client.sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 1 << 16)
     servers = [passed_on(limiter, client, 1)]
     server = servers[0]
@@ -126,7 +129,8 @@
         sent += server.sock.send(text[sent : sent + 65536])
     limiter.served(other, 2)  # nobody else waits for it
     server.sock.settimeout(PATIENCE)
-    got, begun = 0, time.monotonic()
+    got = 0
+    begun = time.monotonic()
     client.sock.setblocking(True)
     while got < most + len(b"$%d\r\n\r\n" % most):
         if sent < len(text) and select.select([], [server.sock], [], 0.0)[1]:
@@ -155,7 +159,8 @@
 
 def test_a_refused_body_is_read_and_thrown_away_and_the_connection_stays_in_step(tmp_path: Path) -> None:
     with Limiter(tmp_path, **{**SMALL_PLAN, "caps": {"open-cap": 1, "dial-timeout": 20.0}}) as limiter:
-        busy, client = limiter.connect(), limiter.connect()
+        busy = limiter.connect()
+        client = limiter.connect()
         server = passed_on(limiter, busy, 1)
         for wrong in (b"c=book", b"c=none"):
             client.send(upload(2).replace(b"c=book", wrong) + VALUE[:1000])
@@ -208,7 +213,8 @@
 
 
 def test_a_stream_outlives_an_evacuation_and_a_drain(limiter: Limiter) -> None:
-    client, sender = limiter.connect(), limiter.connect()
+    client = limiter.connect()
+    sender = limiter.connect()
     server = passed_on(limiter, client, 1)
     server.send(HEAD + VALUE[:1000])
     sender.send(upload(2) + VALUE[:1000])
@@ -229,7 +235,8 @@
 
 
 def test_a_head_in_pieces_has_its_time_also_on_a_connection_that_is_old(limiter: Limiter) -> None:
-    client, text = limiter.connect(), request(2)
+    client = limiter.connect()
+    text = request(2)
     server = limiter.served(client, 1)
     assert client.silent(2.0)
     for place in range(0, len(text), 30):  # 1 s in all, long after the last answer
--- a/tests/transport/test_resp.py
+++ b/tests/transport/test_resp.py
@@ -15,7 +15,9 @@
 @given(st.lists(st.binary(max_size=40), min_size=1, max_size=5), st.data())
 def test_messages_are_found_however_the_bytes_are_cut(parts: list[bytes], data: st.DataObject) -> None:
     text = command(*parts) + resp.bulk(b"x") + b"-ERR e\r\n:-5\r\n$-1\r\n"
-    parser, found, place = resp.Parser(), list[resp.Event](), 0
+    parser = resp.Parser()
+    found = list[resp.Event]()
+    place = 0
     while place < len(text):
         step = data.draw(st.integers(1, 30))
         found += parser.feed(text[place : place + step])[0]
@@ -43,12 +45,15 @@
     value = b"\r\n$" * ((resp.MAX_VALUE + more) // 3 + 1)
     text = b"*%d\r\n" % (len(before) + 1 + len(after)) + b"".join(map(resp.bulk, [*before, value, *after]))
     text += command(b"PING")
-    parser, found, place = resp.Parser(resp.MAX_LONG_VALUE), list[resp.Event](), 0
+    parser = resp.Parser(resp.MAX_LONG_VALUE)
+    found = list[resp.Event]()
+    place = 0
     while place < len(text):
         step = data.draw(st.integers(1, 30) if place < 40 or place > len(text) - 99 else st.integers(2**14, 2**16))
         events, fault = parser.feed(text[place : place + step])
         assert not fault and parser.buffered_bytes() < 200
-        found, place = found + events, place + step
+        found = found + events
+        place = place + step
     parts = [event.data for event in found if isinstance(event, resp.LongValueChunk)]
     assert b"".join(parts) == value
     assert [event for event in found if not isinstance(event, resp.LongValueChunk)] == [
