--- a/thymeflow/discovery/watch.py
+++ b/thymeflow/discovery/watch.py
@@ -1,8 +1,8 @@
 """The watch on discovery: an HTTP/1.1 response that does not end, with a JSON object for each change.
 
-The known endpoint list stays in force while discovery is silent. A broken watch starts again from the last version,
-so no change is missed or requested twice. There is one idle timeout, counted from when discovery was last received:
-a new watch that receives nothing does not extend it.
+The known endpoint list stays in force while discovery sends nothing. A watch that breaks starts again from the last
+version, so no change is missed or requested twice. There is one idle timeout, counted from the last byte that
+discovery sent: a new watch that receives nothing does not extend it.
 
 Where lists are pushed, discovery is an agent on this machine, and its changes count as notified whether or not we are
 connected: we connect again at once. Where they are polled, it is one service for the whole set, and what breaks one
@@ -32,7 +32,7 @@
 from thymeflow.runtime.log_kinds import LogKind
 from thymeflow.transport.connections import dial, has_unread_bytes
 
-MAX_STREAMS = 3  # open or being opened, of which the first to receive a message is kept
+MAX_STREAMS = 3  # open or being opened, of which all but the first to receive a message are closed
 MAX_READS = 64  # of a socket at a time, so that a sender of very much does not block the reactor
 
 
@@ -223,7 +223,7 @@
             self._keep_only(stream)
         update = parse_message(message)
         if message and update is None:
-            # The list stays. What this message held is requested again, from the version before it.
+            # The list stays. What this message contained is requested again, from the version before it.
             stream.end("unreadable message")
             return
         if update is not None:
--- a/thymeflow/frontend/connection_commands.py
+++ b/thymeflow/frontend/connection_commands.py
@@ -12,7 +12,7 @@
 
 
 class ReadinessSource(Protocol):
-    """Tells whether clients are accepted."""
+    """Knows whether clients are accepted."""
 
     def is_ready(self) -> bool:
         """Return whether PING is answered with PONG."""
--- a/thymeflow/limiter/lifecycle.py
+++ b/thymeflow/limiter/lifecycle.py
@@ -29,7 +29,7 @@
         self,
         deadlines: clock.Deadlines,
         dispatcher: RequestDispatcher,
-        front: Frontend,
+        frontend: Frontend,
         longest_deadline: float,
         stop: Callable[[], None],
         reload: Callable[[], object],
@@ -38,7 +38,7 @@
         self.phase = Phase.STARTING
         self._deadlines = deadlines
         self._dispatcher = dispatcher
-        self._front = front
+        self._frontend = frontend
         self._longest_deadline = longest_deadline
         self._stop = stop
         self._reload = reload
@@ -75,12 +75,12 @@
             if phase is Phase.EVACUATED:
                 self._deadlines.schedule(clock.now() + EVACUATION_DELAY, self._drain_evacuated, self._evacuation_count)
             else:
-                self._front.resume()
+                self._frontend.resume()
         return is_accepted, reason
 
     def _drain_evacuated(self, evacuation: int) -> None:
         if self.phase is Phase.EVACUATED and evacuation == self._evacuation_count:
-            self._front.drain()
+            self._frontend.drain()
 
     def _enter(self, phase: Phase) -> None:
         self.phase = phase
@@ -107,14 +107,14 @@
     def on_handed_over(self) -> None:
         """Drain the clients, as a successor accepts; the socket stays open in case that one dies."""
         self._enter(Phase.HANDED_OVER)
-        self._front.close()
+        self._frontend.close()
 
     def resume(self) -> None:
         """Accept again, as the successor died or never accepted."""
         if self.phase in (Phase.HANDED_OVER, Phase.SERVING, Phase.EVACUATED):
             if self.phase is Phase.HANDED_OVER:
                 self._enter(Phase.SERVING)
-                self._front.resume()
+                self._frontend.resume()
             self.port.startReading()
 
     def terminate(self, linger: float | None = None) -> None:
@@ -124,7 +124,7 @@
             self._enter(Phase.DRAINING)
             now = clock.now()
             awaited = min(self._longest_deadline, MAX_AWAITED_DEADLINE)
-            self._front.set_exit_deadline(now + TERMINATION_LINGER + awaited - TERMINATION_MARGIN)
+            self._frontend.set_exit_deadline(now + TERMINATION_LINGER + awaited - TERMINATION_MARGIN)
             close_at = now + (self._linger if linger is None else linger)
             self._deadlines.schedule(close_at, self._on_linger_over)
             self._deadlines.schedule(
@@ -142,15 +142,15 @@
             self.port.stopListening()
         self._is_closed = True
         self._is_lingering = False
-        self._front.close()
+        self._frontend.close()
         self._stop_if_idle()
 
     def _accept_queued(self) -> None:
         # Connections that wait in the queue would be reset with it.
         accepted_before = -1
-        max_accepted = self._front.accepted_count + BACKLOG
-        while self.takes_clients() and accepted_before < self._front.accepted_count < max_accepted:
-            accepted_before = self._front.accepted_count
+        max_accepted = self._frontend.accepted_count + BACKLOG
+        while self.takes_clients() and accepted_before < self._frontend.accepted_count < max_accepted:
+            accepted_before = self._frontend.accepted_count
             self.port.doRead()  # accepts some of them at a time
 
     def on_client_lost(self) -> None:
@@ -158,9 +158,9 @@
         self._stop_if_idle()
 
     def _stop_if_idle(self) -> None:
-        if self._is_closed and not len(self._front.clients) and not self._dispatcher.open_count():
+        if self._is_closed and not len(self._frontend.clients) and not self._dispatcher.open_count():
             self._complete_shutdown(0)
-        elif self._is_closed and not len(self._front.clients):
+        elif self._is_closed and not len(self._frontend.clients):
             # Attempts that were abandoned still end.
             self._deadlines.schedule(clock.now() + STOP_CHECK_INTERVAL, lambda _: self._stop_if_idle())
 
