--- /dev/null
+++ b/tests/backends/test_attempts.py
@@ -0,0 +1,161 @@
+"""Attempts at backends in orders of events that no socket can force, with a reactor in memory."""
+
+from __future__ import annotations
+
+from math import inf
+
+import pytest
+
+from tests.network_support import (
+    InMemoryNetwork,
+    make_attempt_spec,
+    make_backend_connections,
+    one_backend_update,
+    parse_command,
+    served_reply,
+    world,
+)
+from thymeflow.backends.backends import STALL as ANSWER_STALL
+from thymeflow.backends.replies import parse_attempt_result
+from thymeflow.backends.streaming import LONG_VALUE_TIMEOUT
+from thymeflow.core.types import AttemptSpec
+from thymeflow.decision.settings import Limits
+from thymeflow.decision.types import Status
+from thymeflow.transport.commands import Call
+from thymeflow.transport.value_stream import ValueStream
+
+__all__ = ["world"]
+
+
+@pytest.mark.parametrize("news", ["leaving", "left"])
+def test_waiting_attempt_is_not_written_when_its_backend_drains(world: InMemoryNetwork, news: str) -> None:
+    made, ends = make_backend_connections(world)
+    made.start_attempt(make_attempt_spec()).addCallback(ends.append)
+    made.apply_update(one_backend_update(news))
+    assert [end.status for end in ends] == [Status.CONNECT_FAILED]
+    assert world.up(0).transport.value() == b""
+    made.start_attempt(make_attempt_spec()).addCallback(ends.append)
+    assert ends[1].status is Status.CONNECT_FAILED
+
+
+@pytest.mark.parametrize(
+    ("most", "status"), [(10**6, Status.RESET), (0, Status.CONNECT_FAILED), (7, Status.CONNECT_FAILED)]
+)
+def test_attempt_may_have_executed_only_when_its_last_byte_was_written(
+    world: InMemoryNetwork, most: int, status: Status
+) -> None:
+    made, ends = make_backend_connections(world)
+    made.start_attempt(make_attempt_spec()).addCallback(ends.append)
+    server = world.up(0)
+    server.dataReceived(served_reply(b"v"))  # the connection is warm and idle now
+    made.start_attempt(make_attempt_spec()).addCallback(ends.append)
+    server.dataReceived(served_reply(b"v"))
+    server.transport.handle.max_bytes = most  # what the kernel does not take stays with the transport
+    server.transport.clear()
+    made.start_attempt(make_attempt_spec()).addCallback(ends.append)
+    assert parse_command(server.transport.value())[0] == b"SVC.QUERY"  # nothing missing, nothing twice
+    server.connectionLost()
+    assert [end.status for end in ends] == [Status.OK, Status.OK, status]
+    assert len(world.reactor.tcpClients) == 1  # and nothing was sent again
+
+
+def test_waiting_attempt_is_written_when_a_connection_becomes_idle(world: InMemoryNetwork) -> None:
+    made, ends = make_backend_connections(world)
+    made.start_attempt(make_attempt_spec()).addCallback(ends.append)
+    server = world.up(0)
+    made.start_attempt(make_attempt_spec()).addCallback(ends.append)
+    server.dataReceived(served_reply(b"v"))
+    server.dataReceived(served_reply(b"w"))
+    assert [end.value for end in ends] == [b"v", b"w"]
+
+
+@pytest.mark.parametrize("behind", [served_reply(b"v"), b"!noise", b"$9\r\n", b"-BUSY\r\n"])
+def test_bytes_after_a_reply_are_given_to_no_request_when_they_arrive(world: InMemoryNetwork, behind: bytes) -> None:
+    made, ends = make_backend_connections(world)
+    made.start_attempt(make_attempt_spec()).addCallback(ends.append)
+    server = world.up(0)
+    made.start_attempt(make_attempt_spec()).addCallback(ends.append)  # waits for a connection
+    server.dataReceived(served_reply(b"v") + behind)
+    assert [end.value for end in ends] == [b"v"]
+    assert server.closed
+    world.up(1).dataReceived(served_reply(b"w"))
+    assert [end.value for end in ends] == [b"v", b"w"]
+
+
+def test_connection_is_not_reused_when_it_has_unread_bytes(world: InMemoryNetwork) -> None:
+    made, ends = make_backend_connections(world)
+    made.start_attempt(make_attempt_spec()).addCallback(ends.append)
+    server = world.up(0)
+    server.dataReceived(served_reply(b"v"))
+    server.transport.clear()
+    server.transport.handle.unread = b"*3"  # it came after the look at what was read with the answer
+    made.start_attempt(make_attempt_spec()).addCallback(ends.append)
+    assert (server.closed, server.transport.value()) == (True, b"")
+    world.up(1).dataReceived(served_reply(b"w"))
+    assert [end.value for end in ends] == [b"v", b"w"]
+
+
+@pytest.mark.parametrize(
+    "text",
+    [
+        b"*3\r\n$5\r\nva",
+        b"+odd\r\n",
+        b":1\r\n",
+        b"-WHAT\r\n",
+        b"*1\r\n$1\r\nv\r\n",
+        b"*3\r\n$-1\r\n$-1\r\n$-1\r\n",
+        b"*3\r\n$3000000000\r\n",
+        b"noise",
+    ],
+)
+def test_attempt_fails_soon_and_its_connection_closes_when_the_reply_is_malformed(
+    world: InMemoryNetwork, text: bytes
+) -> None:
+    made, ends = make_backend_connections(world)
+    made.start_attempt(make_attempt_spec()).addCallback(ends.append)
+    server = world.up(0)
+    server.dataReceived(text)
+    world.reactor.advance(ANSWER_STALL + 0.01)
+    assert [end.status for end in ends] == [Status.ERROR]
+    assert server.closed
+
+
+@pytest.mark.parametrize("text", [b"used=nan,cost=inf", b"used=-1,cost=-2", b"used=1e300,cost=nan", b"used,cost=x"])
+def test_figures_are_ignored_when_they_are_not_plausible(text: bytes) -> None:
+    found = parse_attempt_result([b"v", text, b"avg_ms=nan"])
+    assert found is not None
+    assert (found.status, found.quota_usage, found.actual_units, found.load_report) == (Status.OK, None, None, None)
+
+
+def test_idle_connections_are_closed_before_the_backend_would_close_them(world: InMemoryNetwork) -> None:
+    made, ends = make_backend_connections(world)
+    made.start_attempt(make_attempt_spec()).addCallback(ends.append)
+    server = world.up(0)
+    server.dataReceived(served_reply(b"v"))
+    world.reactor.pump([1.0] * int(Limits().connection_idle - 1))
+    assert server.closed
+
+
+@pytest.mark.parametrize("moves", [True, False])
+def test_long_body_is_abandoned_when_the_backend_reads_nothing_of_it(world: InMemoryNetwork, moves: bool) -> None:
+    made, ends = make_backend_connections(world)
+    body = ValueStream(300_000, lambda waits: None, lambda: None)
+    call = make_attempt_spec().payload
+    assert isinstance(call, Call)
+    made.start_attempt(AttemptSpec(1, call._replace(flow=body), inf)).addCallback(ends.append)
+    server = world.up(0)
+    server.transport.handle.max_bytes = 0  # the kernel's buffer is full
+    for _ in range(4):
+        body.push(b"x" * 1000)
+        world.reactor.pump([0.1] * round(0.4 * LONG_VALUE_TIMEOUT / 0.1))
+        if moves:
+            server.resumeProducing()  # a little has gone
+    if moves:
+        assert not ends
+        assert server.flushed
+        body.fail()
+        assert ends[0].status is Status.CANCELLED
+    else:
+        assert ends[0].status is Status.CONNECT_FAILED
+        assert server.closed
+        assert not body.is_paused
--- a/tests/test_bad_configuration_texts.py
+++ b/tests/cli/test_configuration_texts.py
@@ -19,7 +19,7 @@
 from thymeflow.platform import configuration
 from thymeflow.platform.settings import settings_from
 
-DATA = Path(__file__).resolve().parent / "data" / "before-rename"
+DATA = Path(__file__).resolve().parents[1] / "data" / "before-rename"
 GOOD: dict[str, Any] = {
     "name": "n0", "listen": "127.0.0.1:7000", "discovery": "127.0.0.1:9100", "counter": "127.0.0.1:9200",
     "seed": "8c1f30d27a5be964", "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 512},
@@ -147,13 +147,13 @@
 
 
 @pytest.mark.parametrize("name", PLATFORM)
-def test_check_tells_the_same_text_and_code_when_the_platforms_file_is_bad(name: str, tmp_path: Path) -> None:
+def test_check_prints_the_recorded_text_and_code_when_the_platform_file_is_invalid(name: str, tmp_path: Path) -> None:
     path = written(tmp_path, "platform.json", PLATFORM[name])
     same("check platform", name, command(tmp_path, "check", "--platform", path))
 
 
 @pytest.mark.parametrize("name", PLATFORM)
-def test_start_is_refused_with_the_same_text_when_the_platforms_file_is_bad(name: str) -> None:
+def test_start_fails_with_the_recorded_text_when_the_platform_file_is_invalid(name: str) -> None:
     try:
         found = str(configuration.from_source(json.loads(PLATFORM[name]), "platform.json", {}).listen)
     except (configuration.ConfigurationError, json.JSONDecodeError) as fault:
@@ -162,11 +162,11 @@
 
 
 @pytest.mark.parametrize("name", INI)
-def test_check_tells_the_same_text_and_code_when_our_settings_are_bad(name: str, tmp_path: Path) -> None:
+def test_check_prints_the_recorded_text_and_code_when_the_settings_file_is_invalid(name: str, tmp_path: Path) -> None:
     same("check ini", name, command(tmp_path, "check", "--settings", written(tmp_path, "our.ini", INI[name])))
 
 
-def test_check_tells_the_same_json_when_programs_ask(tmp_path: Path) -> None:
+def test_check_prints_the_recorded_json_when_json_is_requested(tmp_path: Path) -> None:
     settings = written(tmp_path, "our.ini", INI["many at once"])
     platform = written(tmp_path, "p.json", '{"seed": "x"}')
     found = [command(tmp_path, "check", "--json", "--settings", settings, "--platform", platform)]
@@ -174,11 +174,11 @@
     same("check", "json", found)
 
 
-def test_check_tells_the_same_when_the_environment_is_bad(tmp_path: Path) -> None:
+def test_check_prints_the_recorded_text_when_the_environment_is_invalid(tmp_path: Path) -> None:
     same("check", "environment", command(tmp_path, "check", **ENVIRONMENT))
 
 
-def test_check_tells_the_same_when_a_file_cannot_be_read(tmp_path: Path) -> None:
+def test_check_prints_the_recorded_text_when_a_file_cannot_be_read(tmp_path: Path) -> None:
     latin = tmp_path / "latin"
     latin.write_bytes(b"[log]\nfile = \xe9\n")
     large = written(tmp_path, "large", "#" * ((1 << 20) + 1))
@@ -189,11 +189,11 @@
     same("check", "files", found)
 
 
-def test_check_shows_the_same_settings_in_force_when_all_is_good(tmp_path: Path) -> None:
+def test_check_prints_the_recorded_settings_in_force_when_all_is_valid(tmp_path: Path) -> None:
     same("check", "show", command(tmp_path, "check", "--show", "--settings", written(tmp_path, "our.ini", INI["good"])))
 
 
-def test_commands_that_need_settings_tell_the_same_when_they_are_bad(tmp_path: Path) -> None:
+def test_commands_fail_with_the_recorded_text_when_the_settings_are_invalid(tmp_path: Path) -> None:
     bad = written(tmp_path, "our.ini", INI["many at once"])
     found = [
         command(tmp_path, *words, "--settings", bad)
@@ -205,14 +205,14 @@
 
 
 @pytest.mark.parametrize("key", ["classes", "tiers-of-service"])
-def test_a_missing_key_is_told_with_the_same_place_when_a_later_part_lacks_it(key: str) -> None:
+def test_missing_key_is_reported_with_its_place_when_a_later_entry_lacks_it(key: str) -> None:
     with pytest.raises(ValueError) as caught:
         settings_from({**SETTINGS, key: [SETTINGS[key][0], {}]})
     same("place", key, str(caught.value))
 
 
 @pytest.mark.parametrize("name", RUN_LINE)
-def test_run_line_ends_with_the_same_text_and_code_when_its_file_is_bad(name: str, tmp_path: Path) -> None:
+def test_run_line_exits_with_the_recorded_text_and_code_when_its_file_is_invalid(name: str, tmp_path: Path) -> None:
     path = written(tmp_path, "platform.json", PLATFORM[name])
     done = subprocess.run(
         [sys.executable, "-m", "thymeflow"], cwd=ROOT, text=True, capture_output=True, env={"BALANCER_CONFIG": path}
--- a/tests/cli/test_tables.py
+++ b/tests/cli/test_tables.py
@@ -54,4 +54,5 @@
     head, size, *customers = snapshot.format_snapshot(content, 1).splitlines()
     assert head.startswith(f"n0, incarnation {content.life}, site {content.site}: final, ")
     assert size.startswith(f"{len(content.servers)} backends (endpoint list version {content.version}), ")
-    assert len(customers) == 1 and "/s at other limiters; charged" in customers[0]
+    assert len(customers) == 1
+    assert "/s at other limiters; charged" in customers[0]
--- a/tests/daemon/support.py
+++ b/tests/daemon/support.py
@@ -62,27 +62,27 @@
     for number in range(first_number, first_number + MAX_REQUESTS):
         client.send(request(number))
         if backend is None:
-            select.select([client.sock, limiter.servers[0].sock], [], [], PATIENCE)
-            if not client.silent(0.0):
+            select.select([client.sock, limiter.backends[0].sock], [], [], PATIENCE)
+            if not client.receives_nothing(0.0):
                 assert client.line().startswith(b"-BUSY")
                 return 0
-            backend = limiter.servers[0].accept()
+            backend = limiter.backends[0].accept()
         select.select([client.sock, backend.sock], [], [], PATIENCE)
-        if not client.silent(0.0):
+        if not client.receives_nothing(0.0):
             assert client.line().startswith(b"-BUSY")
             backend.close()
             client.close()
             return number - first_number
-        backend.words()
+        backend.read_command()
         backend.send(RESPONSE)
-        assert client.bulk() == b"value"
+        assert client.read_bulk() == b"value"
     message = f"none of {MAX_REQUESTS} requests was rejected"
     raise AssertionError(message)
 
 
 def restart(limiter: Limiter, **configuration: object) -> None:
     """Drain the daemon, which writes its final snapshot, and start it again with a changed configuration."""
-    limiter.ask(do="drain", linger=0.1)
+    limiter.request_control(do="drain", linger=0.1)
     limiter.process.communicate(timeout=PATIENCE)
     limiter.config.update(configuration)
     limiter.path.write_text(json.dumps(limiter.config))
@@ -100,7 +100,7 @@
 @contextmanager
 def scripted_predecessor(limiter: Limiter) -> Iterator[ControlSession]:
     """Stop the daemon, start a successor, and yield the session in which the test plays its predecessor."""
-    limiter.ask(do="drain", linger=0.1)
+    limiter.request_control(do="drain", linger=0.1)
     limiter.process.communicate(timeout=PATIENCE)
     with socket.socket(socket.AF_UNIX) as listener:
         listener.bind(str(limiter.state / "n0.sock"))
--- a/tests/daemon/test_control_socket.py
+++ b/tests/daemon/test_control_socket.py
@@ -23,7 +23,7 @@
             ({"do": ["status"]}, "'do' is"),
             ({"do": "ready"}, "'do' is"),
         ):
-            response = limiter.ask(**invalid)
+            response = limiter.request_control(**invalid)
             assert response["ok"] is False
             assert cause in response["why"]
 
@@ -46,14 +46,14 @@
 
         def is_answering() -> bool:
             with contextlib.suppress(OSError, ValueError):
-                return bool(limiter.ask(do="status")["ok"])
+                return bool(limiter.request_control(do="status")["ok"])
             return False
 
         poll_until(is_answering)  # hung callers are disconnected, and their slots are free again
         for caller in hung:
             caller.close()
-        assert limiter.ask(do="level", level="error")["ok"]
-        limiter.until(b"+PONG", command(b"PING"))
+        assert limiter.request_control(do="level", level="error")["ok"]
+        limiter.wait_for_reply(b"+PONG", command(b"PING"))
 
 
 def test_number_of_limiters_changes_when_the_platform_file_is_reloaded(tmp_path: Path) -> None:
@@ -63,13 +63,13 @@
         assert client.line().startswith(b"-ERR")
         limiter.config["settings"]["balancers"] = 4
         limiter.path.write_text(json.dumps(limiter.config))
-        assert limiter.ask(do="reload")["ok"]
-        assert limiter.ask(do="status")["gateways"] == 4
+        assert limiter.request_control(do="reload")["ok"]
+        assert limiter.request_control(do="status")["gateways"] == 4
         client.send(request(2).replace(b"spread=1,first=0", b"spread=2,first=3"))
-        backend = limiter.servers[0].accept()
-        backend.words()
+        backend = limiter.backends[0].accept()
+        backend.read_command()
         backend.send(RESPONSE)
-        assert client.bulk() == b"value"
+        assert client.read_bulk() == b"value"
         limiter.path.write_text("{")
-        assert not limiter.ask(do="reload")["ok"]
-        assert limiter.ask(do="status")["gateways"] == 4
+        assert not limiter.request_control(do="reload")["ok"]
+        assert limiter.request_control(do="status")["gateways"] == 4
--- a/tests/daemon/test_handover.py
+++ b/tests/daemon/test_handover.py
@@ -27,23 +27,23 @@
         first = spend_quota(limiter, 1) - 2
         client = limiter.connect()
         client.send(request(300, "book"))
-        old = limiter.ask(do="status")
-        poll_until(lambda: limiter.ask(do="status")["open"] == 1 or not client.silent(0.0))
-        busy = client.silent(0.0)
+        old = limiter.request_control(do="status")
+        poll_until(lambda: limiter.request_control(do="status")["open"] == 1 or not client.receives_nothing(0.0))
+        busy = client.receives_nothing(0.0)
         if busy:
-            backend = limiter.servers[0].accept()
-            backend.words()
+            backend = limiter.backends[0].accept()
+            backend.read_command()
         successor = limiter.start(("--take-over",))
-        predecessor = limiter.succeed(successor)
+        predecessor = limiter.replace_process(successor)
         predecessor.send_signal(signal.SIGHUP)  # harmless in the middle of it
         wait_for_log_line(successor, "handover: done")
-        status = limiter.ask(do="status")
+        status = limiter.request_control(do="status")
         assert status["pid"] == successor.pid != old["pid"]
         assert status["listen"] == old["listen"]
         if busy:  # in flight all the while: one response, by the predecessor
             assert predecessor.poll() is None
             backend.send(RESPONSE)
-            assert client.bulk() == b"value"
+            assert client.read_bulk() == b"value"
         assert wait_for_exit(predecessor).code == 0
         assert spend_quota(limiter, 400) <= max(1, 12 - first)
         successor.send_signal(signal.SIGTERM)
@@ -71,11 +71,11 @@
             scripted.close()
         assert "this incarnation continues to serve" in limiter.log("handover: failed in state")
         assert waiting.line() == b"+PONG"
-        assert limiter.ask(do="status")["hand_over"] == "whole"
+        assert limiter.request_control(do="status")["hand_over"] == "whole"
         if way == "hangs":
             scripted.close()
         successor = limiter.start(("--take-over",))  # and the next one goes well
-        limiter.succeed(successor).wait(PATIENCE)
+        limiter.replace_process(successor).wait(PATIENCE)
         wait_for_log_line(successor, "handover: done")
 
 
@@ -86,7 +86,7 @@
         exit_code, log = wait_for_exit(limiter.start(("--take-over",)))
         assert exit_code == 5
         assert "plans or place in the set differ" in log
-        assert limiter.ask(do="status")["phase"] == "serving"
+        assert limiter.request_control(do="status")["phase"] == "serving"
         limiter.terminate()
         wait_for_exit(limiter.process)
         exit_code, log = wait_for_exit(limiter.start(("--take-over",)))
--- a/tests/daemon/test_message_formats.py
+++ b/tests/daemon/test_message_formats.py
@@ -73,7 +73,7 @@
         {"do": "shed", "level": 2},
     ]
     with Limiter(tmp_path, serve=()) as limiter:
-        exchanges: list[Json] = [[message, masked(limiter.ask(**message))] for message in requests]
+        exchanges: list[Json] = [[message, masked(limiter.request_control(**message))] for message in requests]
         with control_session(limiter.state / "n0.sock") as session:
             session.send(do="socket")
             exchanges.append(["socket", masked(session.receive()), len(session.descriptors)])
--- a/tests/daemon/test_snapshots.py
+++ b/tests/daemon/test_snapshots.py
@@ -22,8 +22,8 @@
         assert "restored 1 customers from the snapshot file" in wait_for_log_line(limiter.process, "snapshot:")
         limiter.port = int(limiter.log("listening:").rsplit(":", 1)[1])
         assert spend_quota(limiter, 200) <= 1
-        before = limiter.ask(do="status")["snapshot"]["at"]
-        poll_until(lambda: limiter.ask(do="status")["snapshot"]["at"] > before)
+        before = limiter.request_control(do="status")["snapshot"]["at"]
+        poll_until(lambda: limiter.request_control(do="status")["snapshot"]["at"] > before)
         limiter.process.kill()
         limiter.process.communicate()
         limiter.process = limiter.start(())
--- a/tests/daemon/test_start.py
+++ b/tests/daemon/test_start.py
@@ -53,7 +53,7 @@
             if signal_name == "SIGHUP":
                 limiter.log(log_text)
                 limiter.port = int(limiter.log("listening:").rsplit(":", 1)[1])
-                limiter.until(b"+PONG", command(b"PING"))
+                limiter.wait_for_reply(b"+PONG", command(b"PING"))
                 limiter.terminate()
             exit_code, log = wait_for_exit(limiter.process)
             assert exit_code == 0
@@ -70,7 +70,7 @@
         assert (limiter.state / "n0.sock").is_symlink()  # stale, as is the lock's content
         limiter.process = limiter.start(())
         wait_for_log_line(limiter.process, "phase: serving")
-        assert limiter.ask(do="status")["pid"] == limiter.process.pid
+        assert limiter.request_control(do="status")["pid"] == limiter.process.pid
         assert len(list(limiter.state.glob("*.sock"))) == 2
 
 
@@ -107,7 +107,7 @@
                     limiter.process = process
                     limiter.port = listening.getsockname()[1]
                     wait_for_log_line(process, "phase: serving")
-                    limiter.until(b"+PONG", command(b"PING"))
+                    limiter.wait_for_reply(b"+PONG", command(b"PING"))
                 else:
                     exit_code, log = wait_for_exit(process)
                     assert exit_code == 3
--- a/tests/daemon/test_stored_files.py
+++ b/tests/daemon/test_stored_files.py
@@ -29,7 +29,8 @@
     store.on_endpoint_update(known)
     before = snapshot_file.status()
     snapshot = snapshot_file.read_usable(site_digest(), 30.0)
-    assert snapshot is not None and plain(snapshot) == recorded_value("snapshot-v2-final")
+    assert snapshot is not None
+    assert plain(snapshot) == recorded_value("snapshot-v2-final")
     store.restore(snapshot, SnapshotSource.FILE)
     snapshot_file.write_last()
     assert [before, snapshot_file.status()] == recorded_value("snapshot status")
@@ -54,4 +55,5 @@
         with pytest.raises(lock.NameTakenError) as rejection:
             lock.NameLock.acquire(path, "0b1c2d3e")
     assert str(rejection.value) == recorded_value("lock held")
-    assert lock.is_name_free(path) and path.read_bytes() == stored("n0.lock")
+    assert lock.is_name_free(path)
+    assert path.read_bytes() == stored("n0.lock")
--- a/tests/decision/test_counter_first_admission.py
+++ b/tests/decision/test_counter_first_admission.py
@@ -72,10 +72,12 @@
         gateway = member()
         actions = gateway.handle(10.0, customer_request("a"))
         (call,) = calls(actions)
-        assert not sends(actions) and not rejections(actions)
+        assert not sends(actions)
+        assert not rejections(actions)
         total = call.amount + counter_encoding.encode(call.name, 4.0 * others, others)
         actions = gateway.handle(10.002, reply_to(call, total))
-        assert bool(sends(actions)) is let_in and bool(rejections(actions)) is not let_in
+        assert bool(sends(actions)) is let_in
+        assert bool(rejections(actions)) is not let_in
         assert not calls(gateway.handle(10.1, customer_request("b"))), "a total that is current is read again"
 
 
@@ -103,7 +105,8 @@
 
 def test_request_is_decided_at_once_when_it_has_no_time_to_wait() -> None:
     actions = member().handle(10.0, customer_request("a", remaining=0.3))
-    assert sends(actions) and not calls(actions)
+    assert sends(actions)
+    assert not calls(actions)
 
 
 def test_units_are_reported_once_when_a_request_is_admitted_after_the_reply() -> None:
@@ -112,9 +115,8 @@
     assert counter_encoding.decode(call.name, call.amount) == pytest.approx((2.0, 2.0), abs=0.2)
     gateway.handle(10.002, reply_to(call, call.amount))
     (store,) = gateway.buckets.values()
-    assert store.charged_units == pytest.approx(2.0) and store.counter_ledger.reported_charges == pytest.approx(
-        2.0, abs=0.2
-    )
+    assert store.charged_units == pytest.approx(2.0)
+    assert store.counter_ledger.reported_charges == pytest.approx(2.0, abs=0.2)
 
 
 def served(make: Any, demand: float, seconds: float = 30.0) -> tuple[float, float]:
@@ -186,15 +188,16 @@
             client.send(command(b"SVC.QUERY", customer, b"%016x" % number, terms))
             (ready,) = select.select([c.sock for c in counters], [], [], PATIENCE)[0]
             (counter,) = [c for c in counters if c.sock is ready]
-            return counter, counter.words()[2]
+            return counter, counter.read_command()[2]
 
         counter, amount = send_request(1, b"00000000b4d65521")
-        assert float(amount) > 0 and limiter.servers[0].quiet(0.0)
+        assert float(amount) > 0
+        assert limiter.backends[0].has_no_connection(0.0)
         counter.send(b"$%d\r\n%b\r\n" % (len(amount), amount))
-        server = limiter.servers[0].accept()
+        server = limiter.backends[0].accept()
         for number in (1, 2):
-            assert server.words()[2] == b"%016x" % number
+            assert server.read_command()[2] == b"%016x" % number
             server.send(b"*3\r\n$5\r\nvalue\r\n$-1\r\n$-1\r\n")
-            assert client.bulk() == b"value"
+            assert client.read_bulk() == b"value"
             if number == 1:  # of another customer, and the counter does not reply
                 send_request(2, b"00000000b4d65522")
--- a/tests/decision/test_large_fleet.py
+++ b/tests/decision/test_large_fleet.py
@@ -128,7 +128,8 @@
         for send in sends(gateway.handle(100.0 + n / 600.0, request(f"r{n}", 0.01, customer=str(n)))):
             sent[send.backend] += 1
             gateway.handle(100.0 + n / 600.0, ended(f"r{n}", send, Status.OK))
-    assert len(sent) == 24 and sent[1] <= 0.12 * sum(sent.values())
+    assert len(sent) == 24
+    assert sent[1] <= 0.12 * sum(sent.values())
 
 
 def test_concurrency_follows_the_present_capacity_when_backends_drain_or_warm_up() -> None:
@@ -147,7 +148,8 @@
     all_warmed_up = out(100.0, started(settings(limiter_count=1), 100.0))
     just_started, warmer = (out(100.0, restarted(BackendState.READY, age)) for age in (0.1, 8.0))
     assert out(100.0, restarted(BackendState.DRAINING, 50.0)) < 0.6 * all_warmed_up, "what drains carries nothing new"
-    assert just_started < 0.7 * all_warmed_up and just_started < warmer < all_warmed_up
+    assert just_started < 0.7 * all_warmed_up
+    assert just_started < warmer < all_warmed_up
     late = restarted(BackendState.READY, 0.1)
     late.handle(120.0, TimerFired(1))  # the next tick
     assert out(120.0, late) >= all_warmed_up
--- a/tests/decision/test_reserved_admission.py
+++ b/tests/decision/test_reserved_admission.py
@@ -95,10 +95,10 @@
 def test_base_and_pool_add_up_to_the_quota_when_it_is_split(rate: float, burst: float) -> None:
     for limiters in (1, 2, 200):
         found = split_quota(rate, burst, limiters)
-        assert found.base_rate + found.pool_rate == pytest.approx(
-            rate
-        ) and found.base_burst + found.window_units == pytest.approx(burst)
-        assert found.window_seconds > 0.0 and found.base_burst >= 0.0
+        assert found.base_rate + found.pool_rate == pytest.approx(rate)
+        assert found.base_burst + found.window_units == pytest.approx(burst)
+        assert found.window_seconds > 0.0
+        assert found.base_burst >= 0.0
     assert split_quota(rate, burst, 1).pool_rate == 0.0
 
 
@@ -197,7 +197,8 @@
 
 def test_no_units_are_created_when_replies_are_lost_or_late() -> None:
     reserving_set = ReservingSet(4, 9, lost=0.2, slow=0.15)
-    assert reserving_set.load(3.0, 60.0) > 0.5 * RATE * 60.0 and reserving_set.reference.worst > -1e-6
+    assert reserving_set.load(3.0, 60.0) > 0.5 * RATE * 60.0
+    assert reserving_set.reference.worst > -1e-6
 
 
 def test_base_is_left_and_few_requests_wait_when_the_counter_is_down() -> None:
@@ -207,11 +208,11 @@
     calls = reserving_set.calls
     sent = reserving_set.load(3.0, 40.0)
     base = reservations.BASE_RATE_FRACTION * RATE * 40.0
-    assert (
-        0.8 * base < sent < base + BURST and reserving_set.calls - calls <= 3 * 40.0 / PAUSE_AFTER_LOST_CALL_SECONDS + 3
-    )
+    assert 0.8 * base < sent < base + BURST
+    assert reserving_set.calls - calls <= 3 * 40.0 / PAUSE_AFTER_LOST_CALL_SECONDS + 3
     reserving_set.up = True
-    assert reserving_set.load(3.0, 20.0) > 0.85 * RATE * 20.0 and reserving_set.reference.worst > -1e-6
+    assert reserving_set.load(3.0, 20.0) > 0.85 * RATE * 20.0
+    assert reserving_set.reference.worst > -1e-6
 
 
 def test_no_more_than_one_window_is_handed_out_again_when_the_counter_loses_its_totals() -> None:
@@ -246,7 +247,8 @@
     for name in left:
         reserving_set.handle(first, ClientDisconnected(name))
     reserving_set.run(201.0)
-    assert not any(name in reserving_set.answers for name in left) and not first.quota_admission.waiting
+    assert not any(name in reserving_set.answers for name in left)
+    assert not first.quota_admission.waiting
     reserving_set.up = False
     reserving_set.handle(reserving_set.gateways[2], request("b 1.0", 1.0, set_size=2))  # its set is 0 and 1
     reserving_set.run(202.0)
@@ -258,7 +260,8 @@
     gateway.handle(0.0, EndpointsChanged(EndpointListKind.FULL, fleet(9)))
     gateway.handle(100.0, request("r1", 1.0))
     (store,) = gateway.buckets.values()
-    assert isinstance(store, StrictTokenBucket) and store.missing_units(inf) == inf
+    assert isinstance(store, StrictTokenBucket)
+    assert store.missing_units(inf) == inf
     before = store.level
     for rate in (50.0, 5.0, 50.0):
         gateway.handle(100.0, SettingsChanged(settings(plans=(Plan("plain", rate, BURST),), information=COUNTER)))
--- a/tests/decision/test_settings_change.py
+++ b/tests/decision/test_settings_change.py
@@ -34,10 +34,8 @@
     (only,) = sends(gateway.handle(0.4, request("new", class_name="book")))
     assert not sends(gateway.handle(0.5, ended("new", only, ABORTED)))
     assert gateway.pending == {} or "new" not in gateway.pending
-    assert (
-        gateway.context.classes["book"].idempotency is Idempotency.NOT_IDEMPOTENT
-        and gateway.pending["old"].request_class is KEYED
-    )
+    assert gateway.context.classes["book"].idempotency is Idempotency.NOT_IDEMPOTENT
+    assert gateway.pending["old"].request_class is KEYED
 
 
 def test_bucket_keeps_its_level_and_refills_at_the_new_rate_when_settings_change() -> None:
@@ -48,7 +46,8 @@
     faster = replace(PLAN, rate=2.0 * PLAN.rate, burst=10.0 * PLAN.burst)
     for _ in range(20):  # however often they are applied
         gateway.handle(0.1, SettingsChanged(settings(limiter_count=1, plans=(faster,))))
-    assert bucket.level == level and bucket.plan is faster
+    assert bucket.level == level
+    assert bucket.plan is faster
     gateway.handle(0.2, request("b", 1.0, set_size=1))
     assert bucket.level == pytest.approx(level + 0.1 * faster.rate - 1.0, abs=0.2)
     gateway.handle(0.3, SettingsChanged(settings(limiter_count=1, plans=(replace(PLAN, burst=1.0),))))
@@ -110,26 +109,28 @@
         server = None
         for number, (named, change) in enumerate(BAD, 1):
             line = changed(limiter, change)
-            assert "the old settings stay" in line and named in line and "config.json" in line
-            server = limiter.served(client, number, server)
+            assert "the old settings stay" in line
+            assert named in line
+            assert "config.json" in line
+            server = limiter.serve_request(client, number, server)
         limiter.path.write_text("")
         for _ in range(30):
             limiter.process.send_signal(signal.SIGHUP)
-        limiter.served(client, 100, server)
+        limiter.serve_request(client, 100, server)
 
 
 def test_open_requests_end_by_their_own_rules_when_classes_change(tmp_path: Path) -> None:
-    with Limiter(tmp_path, servers=2) as limiter:
+    with Limiter(tmp_path, backend_count=2) as limiter:
 
         def passed_on() -> Peer:
-            ready = select.select([listener.sock for listener in limiter.servers], [], [], PATIENCE)[0]
+            ready = select.select([listener.sock for listener in limiter.backends], [], [], PATIENCE)[0]
             return Peer(ready[0].accept()[0])
 
         client = limiter.connect()
         other = limiter.connect()
         client.send(asked(1))
         server = passed_on()
-        server.words()
+        server.read_command()
 
         def change(config: Any) -> None:
             look, book = config["settings"]["classes"]
@@ -143,15 +144,15 @@
         assert other.line() == b"-ERR unknown class"
         other.send(asked(3, "book").replace(b"c=book", b"c=sign"))
         second = passed_on()
-        second.words()
+        second.read_command()
         second.send(b"-ERR failed\r\n")
         assert other.line() == b"-ERR failed"  # it may have been executed, and may not be repeated
         second.close()
         server.close()  # the old request keeps its rules: it is retried
         again = passed_on()
-        again.words()
+        again.read_command()
         again.send(SERVED_REPLY)
-        assert client.bulk() == b"value"
+        assert client.read_bulk() == b"value"
         limiter.terminate()
         limiter.process.send_signal(signal.SIGHUP)  # while draining
         assert limiter.process.wait(PATIENCE) == 0
--- a/tests/decision/trace_surroundings.py
+++ b/tests/decision/trace_surroundings.py
@@ -111,7 +111,7 @@
                 self.trace.actions[kind] += 1
                 getattr(self, f"on_{kind}")(instance, fields)
 
-    def lines(self, instance: int, text: str) -> list[str]:
+    def lines(self, instance: int, text: str) -> list[str]:  # noqa: PLR0911  # one for each kind of text
         """What a scheduled text comes to by now."""
         kind, _, rest = text.partition(" ")
         if kind == "arrival":
--- /dev/null
+++ b/tests/discovery/test_watch_connection.py
@@ -0,0 +1,38 @@
+"""The connections of the watch on discovery."""
+
+from __future__ import annotations
+
+from tests.network_support import (
+    InMemoryNetwork,
+    RecordingObserver,
+    world,
+)
+from thymeflow.decision.types import EndpointListKind
+from thymeflow.discovery.watch import EndpointWatcher
+from thymeflow.platform.endpoints import Address, EndpointUpdate
+from thymeflow.runtime import clock
+
+__all__ = ["world"]
+
+
+def test_watch_is_dialed_again_when_it_is_silent_and_a_complete_list_can_be_requested(world: InMemoryNetwork) -> None:
+    told: list[EndpointUpdate] = []
+    observer = RecordingObserver(told.append)
+    watch = EndpointWatcher(world.reactor, world.deadlines, Address("127.0.0.1", 9), 41, observer, 3, 1)
+    watch.start(clock.now() + 1.0)
+    reading = world.up(0)
+    reading.transport.abortConnection = lambda: None
+    reading.dataReceived(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n1\r\n\n\r\n")
+    for _ in range(5):  # empty lines keep it up
+        world.reactor.pump([0.5] * 4)
+        reading.dataReceived(b"1\r\n\n\r\n")
+    assert len(world.reactor.tcpClients) == 1
+    world.reactor.pump([0.1] * 49)  # two of them have not come
+    assert len(world.reactor.tcpClients) == 2
+    watch.fetch_complete_list()
+    whole = world.up(2)
+    assert whole.transport.value().startswith(b"GET /api/targets HTTP/1.1\r\n")
+    whole.transport.abortConnection = lambda: None
+    text = b'{"generation":50,"reset":true,"instances":[]}'
+    whole.dataReceived(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%b" % (len(text), text))
+    assert [(news.change.kind, news.change.version) for news in told] == [(EndpointListKind.FULL, 50)]
--- a/tests/fleet/test_message_formats.py
+++ b/tests/fleet/test_message_formats.py
@@ -137,7 +137,8 @@
     deadline = time.monotonic() + PATIENCE
     try:
         while not path.exists() or fleet_status(path)["ready"] < members:
-            assert process.poll() is None and time.monotonic() < deadline
+            assert process.poll() is None
+            assert time.monotonic() < deadline
             time.sleep(POLL_SECONDS)
         yield path
     finally:
--- a/tests/fleet/test_stored_files.py
+++ b/tests/fleet/test_stored_files.py
@@ -24,7 +24,8 @@
 
 def test_fleet_file_has_the_same_values_and_bytes_when_an_earlier_version_wrote_it(tmp_path: Path) -> None:
     content = registry.read_registry(STORED_FOLDER / "fleet.json")
-    assert content is not None and plain(content) == recorded_value("fleet.json")
+    assert content is not None
+    assert plain(content) == recorded_value("fleet.json")
     registry.write_registry(tmp_path / "fleet.json", content)
     assert (tmp_path / "fleet.json").read_bytes() == stored("fleet.json")
 
--- /dev/null
+++ b/tests/frontend/test_drains.py
@@ -0,0 +1,140 @@
+"""What is still answered when the limiter shuts down or closes a connection."""
+
+from __future__ import annotations
+
+import select
+from pathlib import Path
+from typing import Any
+
+from tests.limiter import PATIENCE, Limiter, command, is_connection_refused, request
+from tests.network_support import (
+    InMemoryNetwork,
+    make_limiter,
+    one_backend_update,
+    served_reply,
+    world,
+)
+from thymeflow.frontend.timeouts import IDLE_TIMEOUT, LINGER_TIMEOUT
+from thymeflow.limiter.assembly import Limiter as AssembledLimiter
+from thymeflow.limiter.lifecycle import MAX_AWAITED_DEADLINE, TERMINATION_LINGER
+from thymeflow.limiter.phases import Phase
+from thymeflow.runtime import clock
+
+GOOD = served_reply(b"value")
+
+
+__all__ = ["world"]
+
+
+def test_open_response_arrives_when_another_request_crosses_the_close_of_a_drain(tmp_path: Path) -> None:
+    with Limiter(tmp_path) as limiter:
+        client = limiter.connect()
+        client.send(request(1))
+        server = limiter.backends[0].accept()
+        server.read_command()
+        limiter.terminate()
+        while not is_connection_refused(limiter):
+            pass
+        client.send(request(2))  # behind the first, and never read before the close
+        server.send(GOOD)
+        assert client.read_bulk() == b"value"
+        assert client.file.read(1) == b""  # an end, and no reset behind it
+        reset = select.poll()
+        reset.register(client.sock, 0)
+        assert not reset.poll(200)
+        client.send(request(3))  # its own end stays open for a moment
+        assert server.is_closed_by_peer()
+        assert limiter.backends[0].has_no_connection(0.0)
+        client.close()
+        assert limiter.process.wait(PATIENCE) == 0
+
+
+def test_command_is_served_when_it_began_before_the_drain_and_comes_in_pieces(tmp_path: Path) -> None:
+    with Limiter(tmp_path) as limiter:
+        client = limiter.connect()
+        text = request(2)
+        limiter.serve_request(client, 1)
+        client.send(request(2)[:20])
+        limiter.wait_for_reply(b"+PONG", command(b"PING"))
+        limiter.terminate()
+        while not is_connection_refused(limiter):
+            pass
+        for place in range(20, len(text)):
+            client.send(text[place : place + 1])
+        limiter.backends[0].serve(GOOD)
+        assert client.read_bulk() == b"value"
+        assert client.file.read(1) == b""
+        client.close()
+        assert limiter.process.wait(PATIENCE) == 0
+
+
+def connect_client(world: InMemoryNetwork) -> tuple[AssembledLimiter, Any]:
+    """A limiter in memory with one server, and a user agent of it; the agent notes whether it was aborted."""
+    limiter = make_limiter(world, 256)
+    limiter.on_endpoints_changed(one_backend_update("active", reset=True))
+    client = world.connected(limiter.frontend.buildProtocol(None))
+    client.aborted = False
+
+    def abort() -> None:
+        client.aborted = True
+
+    client.transport.abortConnection = abort
+    return limiter, client
+
+
+def test_later_requests_are_not_forwarded_when_an_idle_connection_was_half_closed(world: InMemoryNetwork) -> None:
+    limiter, client = connect_client(world)
+    client.dataReceived(request(1))
+    world.up(len(world.reactor.tcpClients) - 1).dataReceived(GOOD)
+    assert limiter.dispatcher.open_count() == 0
+    world.reactor.pump([0.1] * int(IDLE_TIMEOUT / 0.1 + 2))
+    assert client.transport.handle.half_closed
+    assert not client.aborted
+    client.dataReceived(request(2))
+    assert limiter.dispatcher.open_count() == 0
+    world.reactor.pump([0.1] * int(LINGER_TIMEOUT / 0.1 + 2))
+    assert client.aborted
+
+
+def test_all_queued_connections_are_accepted_before_the_listener_is_closed(world: InMemoryNetwork) -> None:
+    limiter = make_limiter(world, 256)
+    waiting = list(range(7))
+    taken = list[Any]()
+
+    class Port:
+        """Takes one connection in a turn, as a port does that had little to do."""
+
+        def getHost(self) -> Any:
+            return type("Host", (), {"host": "127.0.0.1", "port": 1})
+
+        def doRead(self) -> None:
+            if waiting:
+                waiting.pop()
+                taken.append(world.connected(limiter.frontend.buildProtocol(None)))
+
+        def stopListening(self) -> None:
+            assert not waiting
+            assert len(taken) == 7
+
+    lifecycle = limiter.lifecycle
+    lifecycle.phase = Phase.SERVING
+    lifecycle.port = Port()
+    lifecycle.terminate(0.0)
+    world.reactor.advance(0.01)
+    assert len(taken) == 7
+    assert not any(client.transport.handle.half_closed for client in taken)
+
+
+def test_requests_after_sigterm_are_answered_before_sigkill_may_come(world: InMemoryNetwork) -> None:
+    limiter, client = connect_client(world)
+    lifecycle = limiter.lifecycle
+    lifecycle.phase = Phase.SERVING
+    lifecycle.terminate()
+    told = clock.now()
+    client.dataReceived(request(1, wait=60000))
+    server = world.up(len(world.reactor.tcpClients) - 1)
+    assert server.transport.value()
+    while not client.transport.value().startswith(b"-BUSY"):  # the server says nothing
+        world.reactor.advance(0.05)
+    assert clock.now() - told < TERMINATION_LINGER + MAX_AWAITED_DEADLINE
+    assert server.closed
--- a/tests/frontend/test_limits.py
+++ b/tests/frontend/test_limits.py
@@ -11,7 +11,7 @@
 __all__ = ["world"]
 
 
-def test_a_table_full_of_those_who_say_nothing_still_takes_a_usual_one(world: InMemoryNetwork) -> None:
+def test_client_is_accepted_when_all_connections_are_taken_by_silent_ones(world: InMemoryNetwork) -> None:
     front = make_limiter(world, 64).frontend
     silent = [world.connected(front.buildProtocol(None)) for _ in range(16)]  # all the room there is
     world.reactor.advance(0.04)
@@ -19,12 +19,13 @@
     world.reactor.advance(0.02)
     usual = world.connected(front.buildProtocol(None))
     usual.dataReceived(command(b"PING"))
-    assert usual.transport.value() and silent[0].transport.disconnected
+    assert usual.transport.value()
+    assert silent[0].transport.disconnected
     assert not any(client.transport.disconnected for client in silent[1:])
 
 
 @pytest.mark.parametrize("held", [0, 50, 150, 1000])
-def test_beside_an_earlier_life_both_keep_one_limiters_limits_until_it_has_gone(
+def test_both_processes_stay_within_the_limits_of_one_when_a_predecessor_runs(
     world: InMemoryNetwork, held: int
 ) -> None:
     limiter = make_limiter(world, 256)
--- a/tests/handover/support.py
+++ b/tests/handover/support.py
@@ -26,7 +26,7 @@
 
 def start_next_copy(limiter: Limiter) -> Popen[str]:
     """Start the next copy, and return the process of the copy before."""
-    return limiter.succeed(limiter.next())
+    return limiter.replace_process(limiter.start_successor())
 
 
 def ping(limiter: Limiter) -> bytes:
@@ -59,15 +59,15 @@
     served = 0
     while True:
         client.send(request(first_number + served))
-        waiting = [client.sock, limiter.servers[0].sock, *([server.sock] if server else [])]
+        waiting = [client.sock, limiter.backends[0].sock, *([server.sock] if server else [])]
         readable = select.select(waiting, [], [], PATIENCE)[0]
         if client.sock in readable:
             assert client.line().startswith(b"-BUSY")
             client.close()
             return served
-        server = limiter.servers[0].accept() if limiter.servers[0].sock in readable else server
+        server = limiter.backends[0].accept() if limiter.backends[0].sock in readable else server
         assert server is not None
-        server.words()
+        server.read_command()
         server.send(GOOD_RESPONSE)
-        assert client.bulk() == b"value"
+        assert client.read_bulk() == b"value"
         served += 1
--- a/tests/handover/test_message_formats.py
+++ b/tests/handover/test_message_formats.py
@@ -65,12 +65,12 @@
     with Limiter(tmp_path, serve=()) as limiter:
         restart(limiter, part=ALLOCATION)
         client = limiter.connect()
-        backend = limiter.served(client, 1)
+        backend = limiter.serve_request(client, 1)
         with control_session(limiter.state / "n0.sock") as session:
             site = (limiter.state / "n0.state").read_text().split(" ")[2]
             session.send(do="take", life="0b1c2d3e", pid=os.getpid(), site=site)
             messages: list[Json] = [masked(session.receive()), len(session.descriptors)]
-            rejection = limiter.ask(do="take", life="x", pid=1, site=site)
+            rejection = limiter.request_control(do="take", life="x", pid=1, site=site)
             session.send(do="took")  # out of turn
             messages += [rejection, session.receive()]
             session.send(do="ready")
@@ -79,7 +79,7 @@
             is_complete = len(state) == transfer["state"]
             messages += [list(transfer), transfer["held"], transfer["part"], is_complete]
             messages.append(state[:STATE_HEAD_BYTES].decode())
-            limiter.served(client, 2, backend)
+            limiter.serve_request(client, 2, backend)
             session.send(do="took")
             messages.append(session.receive())
             session.send(do="serving")
@@ -101,5 +101,5 @@
         messages.append(limiter.log("handover: 0 of").partition("handover: ")[2])
         messages.append(session.connection.recv(10).decode())
         session.close()
-        messages.append(limiter.ask(do="status")["snapshot"]["remembered_from"])
+        messages.append(limiter.request_control(do="status")["snapshot"]["remembered_from"])
     assert_as_recorded("handover receiver", messages)
--- a/tests/handover/test_state_machine.py
+++ b/tests/handover/test_state_machine.py
@@ -46,13 +46,15 @@
     if (
         state is SenderState.DELEGATED and event is SenderEvent.DISCONNECTED
     ):  # but there is one while the receiver may die
-        assert next_state is SenderState.SERVING and SenderAction.RESUME in actions
+        assert next_state is SenderState.SERVING
+        assert SenderAction.RESUME in actions
     if event is SenderEvent.TIMED_OUT and state not in (
         SenderState.SERVING,
         SenderState.DELEGATED,
         SenderState.DRAINING,
     ):
-        assert next_state is SenderState.SERVING and SenderAction.DISCONNECT_RECEIVER in actions
+        assert next_state is SenderState.SERVING
+        assert SenderAction.DISCONNECT_RECEIVER in actions
 
 
 @pytest.mark.parametrize("state", ReceiverState)
@@ -66,7 +68,8 @@
         event is ReceiverEvent.TIMED_OUT and state in STATES_BEFORE_ACCEPTING
     ):
         expected = (ReceiverAction.RETREAT,) if is_accepting else (ReceiverAction.ABANDON,)
-        assert next_state is ReceiverState.FAILED and actions == expected
+        assert next_state is ReceiverState.FAILED
+        assert actions == expected
     assert (ReceiverAction.START_ACCEPTING in actions) == (
         state is ReceiverState.AWAITING_PERMISSION and event is ReceiverEvent.ACCEPT_PERMITTED
     )
@@ -198,6 +201,8 @@
             both_accept = handover.sender_accepts and handover.receiver_accepts
             assert not (both_accept and handover.sender is SenderState.SERVING and not handover.is_cut)
     if handover.sender not in (SenderState.DELEGATED, SenderState.DRAINING):
-        assert handover.sender_accepts and not handover.receiver_accepts
+        assert handover.sender_accepts
+        assert not handover.receiver_accepts
     elif not handover.is_receiver_dead and not (handover.is_sender_shutting_down and handover.is_cut):
-        assert handover.receiver_accepts and handover.receiver is ReceiverState.COMPLETED
+        assert handover.receiver_accepts
+        assert handover.receiver is ReceiverState.COMPLETED
--- a/tests/handover/test_upgrade.py
+++ b/tests/handover/test_upgrade.py
@@ -39,15 +39,18 @@
     idle_client.send(command(b"PING"))
     assert idle_client.line() == b"+PONG"
     busy_client.send(request(1).replace(b"b4d65521", b"b4d65522"))  # of another customer
-    server = limiter.servers[0].accept()
-    server.words()
+    server = limiter.backends[0].accept()
+    server.read_command()
     old = start_next_copy(limiter)
     wait_until_ready(limiter)
-    assert idle_client.ended()  # closed at once, while the client with a request in flight is not
-    assert ping(limiter) == b"+PONG" and old.poll() is None
-    assert admitted_before >= 4 and count_admitted(limiter, 200) <= 4, "an upgrade creates no units"
+    assert idle_client.is_closed_by_peer()  # closed at once, while the client with a request in flight is not
+    assert ping(limiter) == b"+PONG"
+    assert old.poll() is None
+    assert admitted_before >= 4
+    assert count_admitted(limiter, 200) <= 4, "an upgrade creates no units"
     server.send(GOOD_RESPONSE)
-    assert busy_client.bulk() == b"value" and busy_client.ended()
+    assert busy_client.read_bulk() == b"value"
+    assert busy_client.is_closed_by_peer()
     assert "phase: handed over" in terminate(old)
     assert ping(limiter) == b"+PONG"
     old = start_next_copy(limiter)  # and another, from the copy that took over
@@ -63,8 +66,8 @@
     waiting_client = limiter.connect()
     old = start_next_copy(limiter)
     wait_until_ready(limiter)
-    assert waiting_client.ended()
-    kill(limiter.succeed(old))
+    assert waiting_client.is_closed_by_peer()
+    kill(limiter.replace_process(old))
     late_client = limiter.connect()  # the listening socket was open all the time
     late_client.send(command(b"PING"))
     assert late_client.line() == b"+PONG"
@@ -112,12 +115,13 @@
     obstacle = create(path)
     start_next_copy(limiter)
     wait_until_ready(limiter)
-    assert ping(limiter) == b"+PONG" and obstacle is not path
+    assert ping(limiter) == b"+PONG"
+    assert obstacle is not path
 
 
 def test_old_copy_serves_when_its_successor_is_terminated_during_the_handover(limiter: Limiter) -> None:
     limiter.process.send_signal(signal.SIGSTOP)
-    successor = limiter.next()
+    successor = limiter.start_successor()
     assert successor.stderr is not None
     while "handover: requested at" not in successor.stderr.readline():
         pass
--- a/tests/leases/test_grant_file_format.py
+++ b/tests/leases/test_grant_file_format.py
@@ -31,7 +31,8 @@
     use_recorded_boot(monkeypatch, tmp_path)
     issuer, error = grant_file.read(STORED_FOLDER / name, "web", 500.0, True)
     grant_file.write(tmp_path / "fleet.grants", issuer, "web")
-    assert error == "" and (tmp_path / "fleet.grants").read_bytes() == stored(f"{name}-rewritten")
+    assert error == ""
+    assert (tmp_path / "fleet.grants").read_bytes() == stored(f"{name}-rewritten")
 
 
 def test_grants_of_an_earlier_boot_restore_only_the_epoch_when_they_are_read() -> None:
--- a/tests/leases/test_lease_fleet.py
+++ b/tests/leases/test_lease_fleet.py
@@ -30,7 +30,9 @@
         wait_until(fleet, lambda amounts: amounts["n0"] > 0.9 or min(amounts.values()) > 0.2)
         wait_until(fleet, lambda amounts: len(amounts) == 3 and min(amounts.values()) > 0.2)
         budgets = cli("budgets", "--state", str(fleet.state))
-        assert budgets.returncode == 0 and "concurrency: base" in budgets.stdout and "n2" in budgets.stdout
+        assert budgets.returncode == 0
+        assert "concurrency: base" in budgets.stdout
+        assert "n2" in budgets.stdout
 
 
 def test_bases_stay_and_the_next_supervisor_divides_when_a_supervisor_is_killed(tmp_path: Path) -> None:
@@ -120,7 +122,8 @@
                 connection.sendall(b'{"do":"status"}\n')
                 connection.settimeout(PATIENCE)
                 report = json.loads(connection.makefile().readline())["part"]
-                assert report["in_force"]["places"] < 0.9 * TOTAL_POINTS and report["era"] == 1, report
+                assert report["in_force"]["places"] < 0.9 * TOTAL_POINTS, report
+                assert report["era"] == 1, report
 
 
 # A supervisor that kills itself when it has come to a step for the given time.
--- a/tests/leases/test_lease_issuer.py
+++ b/tests/leases/test_lease_issuer.py
@@ -62,7 +62,8 @@
         else:
             now += amount / 3.0
         max_in_force = sum(max((a for _, a, end in grants if end > now), default=0) for grants in sent.values())
-        assert max_in_force <= 10 and ledger.free(now) == 10 - max_in_force
+        assert max_in_force <= 10
+        assert ledger.free(now) == 10 - max_in_force
 
 
 @given(
@@ -73,7 +74,8 @@
     demand: dict[str, float], total: int
 ) -> None:
     amounts = divide_by_demand(total, demand)
-    assert amounts.keys() == demand.keys() and sum(amounts.values()) <= total
+    assert amounts.keys() == demand.keys()
+    assert sum(amounts.values()) <= total
     assert all(amount >= 0 for amount in amounts.values())
 
 
@@ -91,9 +93,11 @@
 
 def test_sum_in_force_never_exceeds_the_total_in_all_states_of_the_lease_model() -> None:
     running = explore(LeaseModel.all_running(), 4)
-    assert not running.violation and running.state_count > 1000, running
+    assert not running.violation, running
+    assert running.state_count > 1000, running
     starting = explore(LeaseModel(), 5)
-    assert not starting.violation and starting.state_count > 100, starting
+    assert not starting.violation, starting
+    assert starting.state_count > 100, starting
 
 
 @pytest.mark.parametrize("rule", RULES)
@@ -104,12 +108,12 @@
 def test_lease_is_unusable_a_margin_before_its_end_when_the_holder_was_stopped() -> None:
     holder = LeaseHolder(Allocation(1, 1, (1, 2), (10, 20), 100.0))
     assert holder.usable_amount(Resource.CONCURRENCY, 100.0 - LEASE_MARGIN_SECONDS - 0.01) == 11
-    assert (
-        holder.usable_amount(Resource.CONCURRENCY, 100.0 - LEASE_MARGIN_SECONDS) == 1
-        and holder.usable_amount(Resource.RETRIES, 1e9) == 2
-    )
-    assert not holder.on_grant(Allocation(1, 1, (9, 9), (9, 9), 1e9)) and not holder.on_grant(Allocation(0, 5))
-    assert holder.hand_over().number == 1 and holder.usable_amount(Resource.CONCURRENCY, 0.0) == 0
+    assert holder.usable_amount(Resource.CONCURRENCY, 100.0 - LEASE_MARGIN_SECONDS) == 1
+    assert holder.usable_amount(Resource.RETRIES, 1e9) == 2
+    assert not holder.on_grant(Allocation(1, 1, (9, 9), (9, 9), 1e9))
+    assert not holder.on_grant(Allocation(0, 5))
+    assert holder.hand_over().number == 1
+    assert holder.usable_amount(Resource.CONCURRENCY, 0.0) == 0
 
 
 @pytest.mark.parametrize(
@@ -166,12 +170,17 @@
     grant_file.write(path, issuer, "f")
     content = path.read_bytes()
     restored, error = grant_file.read(path, "f", 1.0, members_running=True)
-    assert not error and restored.epoch == 4 and restored.base[0].free(1.0) <= BASE_POINTS // 50
+    assert not error
+    assert restored.epoch == 4
+    assert restored.base[0].free(1.0) <= BASE_POINTS // 50
     for length in range(len(content)):
         for data in (content[:length], content[:length] + bytes([content[length] ^ 1]) + content[length + 1 :]):
             path.write_bytes(data)
             restored, error = grant_file.read(path, "f", 1.0, members_running=True)
-            assert error and restored.epoch > 4 and not restored.tick(1.0) and not restored.base[0].total
+            assert error
+            assert restored.epoch > 4
+            assert not restored.tick(1.0)
+            assert not restored.base[0].total
     for other in (content.replace(b'"version":1', b'"version":2'), content):
         path.write_bytes(other)
         assert grant_file.read(path, "g", 1.0, members_running=True)[1]
@@ -199,7 +208,8 @@
     assert allocation_from_message(json.loads(json.dumps(message_of(allocation)))) == allocation
     of_earlier_version = {"era": 2, "number": 5, "base": [7, 8], "lease": [9, 1], "end": 5.5}
     earlier = allocation_from_message(of_earlier_version)
-    assert earlier.base[:3] == (7, 8, 0) and earlier.lease[:3] == (9, 1, 0)
+    assert earlier.base[:3] == (7, 8, 0)
+    assert earlier.lease[:3] == (9, 1, 0)
 
 
 def test_missing_resources_are_0_when_an_earlier_version_wrote_the_grant_file() -> None:
--- a/tests/limiter.py
+++ b/tests/limiter.py
@@ -77,23 +77,23 @@
     def line(self) -> bytes:
         return self.file.readline().rstrip(b"\r\n")
 
-    def words(self) -> list[bytes]:
-        """A whole command."""
+    def read_command(self) -> list[bytes]:
+        """Return the next command, complete."""
         return [self.file.read(int(self.line()[1:]) + 2)[:-2] for _ in range(int(self.line()[1:]))]
 
-    def bulk(self) -> bytes:
-        """A whole bulk string."""
+    def read_bulk(self) -> bytes:
+        """Return the next bulk string, complete."""
         return self.file.read(int(self.line()[1:]) + 2)[:-2]
 
-    def ended(self) -> bool:
-        """Waits for the other end to close; True if nothing else came first."""
+    def is_closed_by_peer(self) -> bool:
+        """Wait for the other end to close; return whether nothing else came first."""
         try:
             return self.file.read(1) == b""
         except ConnectionResetError:
             return True
 
-    def silent(self, seconds: float) -> bool:
-        """Whether nothing comes for so long."""
+    def receives_nothing(self, seconds: float) -> bool:
+        """Return whether nothing comes for so long."""
         return not select.select([self.sock], [], [], seconds)[0]
 
     def close(self) -> None:
@@ -113,18 +113,18 @@
         return Peer(self.sock.accept()[0])
 
     def serve(self, answer: bytes) -> None:
-        """Take a connection, its first command, and answer that: an answer ahead of it would be noise."""
+        """Accept a connection, read its first command, and reply to it."""
         peer = self.accept()
-        peer.words()
+        peer.read_command()
         peer.send(answer)
 
-    def quiet(self, seconds: float) -> bool:
-        """Whether nobody connects for so long."""
+    def has_no_connection(self, seconds: float) -> bool:
+        """Return whether nobody connects for so long."""
         return not select.select([self.sock], [], [], seconds)[0]
 
 
-def refused(limiter: Limiter) -> bool:
-    """Whether a user agent cannot connect."""
+def is_connection_refused(limiter: Limiter) -> bool:
+    """Return whether a client cannot connect."""
     try:
         limiter.connect().close()
     except ConnectionRefusedError:
@@ -135,23 +135,24 @@
 class Limiter:
     """The program, its configuration and its listening peers; use it as a context."""
 
-    def __init__(
+    def __init__(  # noqa: PLR0913  # each test sets one or two of them
         self,
         folder: Path,
-        servers: int = 1,
+        backend_count: int = 1,
+        *,
         known: bool = True,
         memory: int = 192,
         sockets: int = 1024,
         serve: tuple[str, ...] | None = None,
         environment: dict[str, str] | None = None,
         managed: bool = False,
-        told: bool = True,
+        is_list_sent: bool = True,
         **settings: Any,
     ) -> None:
-        self.servers = [Listener() for _ in range(servers)]
+        self.backends = [Listener() for _ in range(backend_count)]
         self.discovery = Listener()
         self.counter = Listener()
-        listed = [self.entry(n) for n in range(servers)] if known else []
+        listed = [self.entry(n) for n in range(backend_count)] if known else []
         config: dict[str, Any] = {
             "name": "n0",
             "listen": "127.0.0.1:0",
@@ -173,20 +174,20 @@
         self.environment = environment or {}
         if managed:
             self.environment.setdefault("TMPDIR", str(self.state))
-        # A port of the system's choice may be taken by somebody's connection while a killed life's successor starts;
-        # and one that is not told anything listens later than the test asks for it.
-        if managed or not told:
+        # A port of the system's choice may be taken by some connection while the successor of a killed process starts;
+        # and without an endpoint list a limiter listens later than the test looks for its address.
+        if managed or not is_list_sent:
             self.port = reserve_port()
             config["listen"] = f"127.0.0.1:{self.port}"
             path.write_text(json.dumps(config))
         self.process = self.start(serve)
-        self._watched = self._greet() if told else None
+        self._watched = self._greet() if is_list_sent else None
         self.listen_for_operators = int(self.log("calls:").rsplit(":", 1)[1]) if managed else 0
-        if told:
+        if is_list_sent:
             self.port = int(self.log("listening:").rsplit(":", 1)[1])
 
     def start(self, serve: tuple[str, ...] | None = None) -> subprocess.Popen[str]:
-        """A process: the run line, or the daemon where arguments for that are given."""
+        """Start a process: the run line, or the daemon if there are arguments for that."""
         words = [] if serve is None else ["serve", "--state", str(self.state), *serve]
         return subprocess.Popen(
             [sys.executable, "-m", "thymeflow", *words],
@@ -196,8 +197,8 @@
             env={**os.environ, "BALANCER_CONFIG": str(self.path), **self.environment},
         )
 
-    def ask(self, **message: Any) -> dict[str, Any]:
-        """One question over the control socket."""
+    def request_control(self, **message: Any) -> dict[str, Any]:
+        """Return the reply to a request over the control socket."""
         with socket.socket(socket.AF_UNIX) as line:
             line.settimeout(PATIENCE)
             line.connect(str(self.state / "n0.sock"))
@@ -205,17 +206,17 @@
             answer: dict[str, Any] = json.loads(line.makefile().readline())
             return answer
 
-    def succeed(self, process: subprocess.Popen[str]) -> subprocess.Popen[str]:
-        """Another process is the limiter from now on; the one before."""
+    def replace_process(self, process: subprocess.Popen[str]) -> subprocess.Popen[str]:
+        """Take another process for the limiter from now on, and return the one before."""
         before = self.process
         self.process = process
         return before
 
     def entry(self, number: int, lifecycle: str = "active") -> dict[str, Any]:
-        """A server as discovery lists it."""
+        """Return a backend as discovery lists it."""
         return {
             "instanceId": f"s-{number + 1:08x}",
-            "hostPort": self.servers[number].address,
+            "hostPort": self.backends[number].address,
             "zone": "east",
             "machineType": "m",
             "cell": 0,
@@ -224,25 +225,26 @@
             "startedAtMs": 0,
         }
 
-    def log(self, part: str) -> str:
-        """The next log line that holds the part."""
+    def log(self, text: str) -> str:
+        """Return the next log line that contains the text."""
         assert self.process.stderr is not None
         # One that never comes must not hold the suite: a process that is killed ends its log.
         patience = threading.Timer(3.0 * PATIENCE, self.process.kill)
         patience.start()
         try:
             for line in self.process.stderr:
-                if part in line:
+                if text in line:
                     return line.strip()
         finally:
             patience.cancel()
-        raise AssertionError(f"the log ended without {part!r}")
+        message = f"the log ended without {text!r}"
+        raise AssertionError(message)
 
     def connect(self) -> Peer:
         return Peer(socket.create_connection(("127.0.0.1", self.port), PATIENCE))
 
-    def next(self) -> subprocess.Popen[str]:
-        """Another copy of the run line at the same address, as an upgrade starts it."""
+    def start_successor(self) -> subprocess.Popen[str]:
+        """Start another copy of the run line at the same address, as an upgrade does."""
         self.path.write_text(json.dumps({**self.config, "listen": f"127.0.0.1:{self.port}"}))
         return self.start(None)
 
@@ -250,67 +252,67 @@
         return Peer(socket.create_connection(("127.0.0.1", self.listen_for_operators), PATIENCE))
 
     def call(self, text: bytes) -> bytes:
-        """One call by an operator, and the line that answers it."""
+        """Return the line that answers an operator's call."""
         operator = self.operator()
         operator.send(text)
         answer = operator.line()
         operator.close()
         return answer
 
-    def served(self, agent: Peer, number: int, server: Peer | None = None) -> Peer:
-        """Have one request of the agent served, over a warm connection if one is given; the connection."""
-        agent.send(request(number))
-        server = server or self.servers[0].accept()
-        assert server.words()[2] == b"%016x" % number
+    def serve_request(self, client: Peer, number: int, server: Peer | None = None) -> Peer:
+        """Let a backend respond to one request of the client, and return its connection; `server`: an open one."""
+        client.send(request(number))
+        server = server or self.backends[0].accept()
+        assert server.read_command()[2] == b"%016x" % number
         server.send(b"*3\r\n$5\r\nvalue\r\n$-1\r\n$-1\r\n")
-        assert agent.bulk() == b"value"
+        assert client.read_bulk() == b"value"
         return server
 
     def _greet(self) -> tuple[Peer, bytes]:
-        """The first watch, told that nothing has changed: the limiter listens once it has heard that."""
-        peer, asked = self._head(self.discovery)
+        """Accept the first watch and send it an empty line: the limiter listens once it has received that."""
+        peer, request_line = self._head(self.discovery)
         peer.send(b"1\r\n\n\r\n")
-        return peer, asked
+        return peer, request_line
 
     def watch(self, at: Listener | None = None) -> tuple[Peer, bytes]:
-        """The watch as discovery sees it, already answered with a head, and the line it asked with."""
+        """Return the watch as discovery sees it, its response begun, and the line of its request."""
         first = self._watched
         self._watched = None
         return self._head(at or self.discovery) if at or first is None else first
 
     @staticmethod
-    def asked(peer: Peer) -> bytes:
-        """The line that discovery was asked with, answered with a head; nothing where the connection has ended."""
-        asked = peer.line()
+    def read_watch_request(peer: Peer) -> bytes:
+        """Return the line of a request to discovery, and begin the response; empty if the connection has ended."""
+        request_line = peer.line()
         while peer.line():
             pass
-        if asked:
+        if request_line:
             peer.send(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
-        return asked
+        return request_line
 
     def _head(self, at: Listener) -> tuple[Peer, bytes]:
         peer = at.accept()
-        return peer, self.asked(peer)
+        return peer, self.read_watch_request(peer)
 
-    def tell(self, watch: Peer, generation: int, *entries: dict[str, Any]) -> None:
-        """A change, in two chunks to show that their ends mean nothing."""
+    def send_endpoint_change(self, watch: Peer, generation: int, *entries: dict[str, Any]) -> None:
+        """Send a change of the endpoint list, in two chunks, as the ends of chunks mean nothing."""
         text = json.dumps({"generation": generation, "reset": False, "instances": entries}).encode() + b"\n"
         for part in (text[:20], text[20:]):
             watch.send(b"%x\r\n%b\r\n" % (len(part), part))
 
-    def until(self, wanted: bytes, ask: bytes) -> None:
-        """Ask on a connection of its own until the answer begins as wanted."""
+    def wait_for_reply(self, wanted: bytes, request: bytes) -> None:
+        """Send a command on a connection of its own until the reply begins as wanted."""
         peer = self.connect()
         end = time.monotonic() + PATIENCE
         answer = b""
         while not answer.startswith(wanted):
             assert time.monotonic() < end, answer
-            peer.send(ask)
+            peer.send(request)
             answer = peer.line()
         peer.close()
 
     def reload(self, **changed: Any) -> None:
-        """The configuration changed and SIGHUP sent, once it has been read."""
+        """Change the configuration, send SIGHUP, and wait until it has been read."""
         self.path.write_text(json.dumps({**self.config, **changed}))
         self.process.send_signal(signal.SIGHUP)
         self.log("reload:")
@@ -325,5 +327,5 @@
         self.process.kill()
         self.process.communicate()
         shutil.rmtree(self.state, ignore_errors=True)
-        for listener in (*self.servers, self.discovery, self.counter):
+        for listener in (*self.backends, self.discovery, self.counter):
             listener.sock.close()
--- a/tests/logs/test_logs.py
+++ b/tests/logs/test_logs.py
@@ -101,9 +101,9 @@
         structured_log.install()
         log.emit(LogKind.PHASE, "left out")
         try:
-            raise ValueError("broken\nin two")
+            raise ValueError("broken\nin two")  # noqa: EM101, TRY301  # the record needs a traceback
         except ValueError as fault:
-            logging.getLogger("thymeflow").error("gateway fault", exc_info=fault)
+            logging.getLogger("thymeflow").error("gateway fault", exc_info=fault)  # noqa: TRY400  # as the dispatcher does
     finally:
         log.set_sink(log.write_plain)
         logging.getLogger().handlers[:] = before
--- a/tests/outliers/support.py
+++ b/tests/outliers/support.py
@@ -20,7 +20,7 @@
     def __init__(self, limiter: Limiter) -> None:
         super().__init__(daemon=True)
         self.failing = set[int]()  # backends that respond with errors
-        self.attempt_counts = [0] * len(limiter.servers)  # by backend
+        self.attempt_counts = [0] * len(limiter.backends)  # by backend
         self._limiter = limiter
         self._is_closed = False
         self.response_seconds = 0.0  # of work for each attempt, one after the other
@@ -32,10 +32,10 @@
     def run(self) -> None:
         peers = dict[int, tuple[Peer, int]]()
         while not self._is_closed:
-            listeners = {s.sock.fileno(): n for n, s in enumerate(self._limiter.servers)}
+            listeners = {s.sock.fileno(): n for n, s in enumerate(self._limiter.backends)}
             for ready in select.select([*listeners, *peers], [], [], 0.05)[0]:
                 if ready in listeners:
-                    peer = self._limiter.servers[listeners[ready]].accept()
+                    peer = self._limiter.backends[listeners[ready]].accept()
                     port = peer.sock.getpeername()[1]
                     if any(
                         listeners[ready] in numbers and port in {c.laddr[1] for c in Process(pid).net_connections()}
@@ -47,7 +47,7 @@
                     continue
                 peer, number = peers[ready]
                 try:
-                    terms = peer.words()[3]
+                    terms = peer.read_command()[3]
                 except (OSError, ValueError, IndexError):
                     peers.pop(ready)[0].close()
                     continue
--- a/tests/outliers/test_outlier_coordinator.py
+++ b/tests/outliers/test_outlier_coordinator.py
@@ -79,7 +79,8 @@
             coordinator.on_report(f"n{n}", {BAD}, set(), {}, now)
         coordinator.tick(now)
         permits = [(n, v) for n in range(5) for v in coordinator.ejections_for(f"n{n}", now) if v.probe_permit]
-        assert len(permits) == 1 and not permits[0][1].is_admitted
+        assert len(permits) == 1
+        assert not permits[0][1].is_admitted
         probing_members.append(f"n{permits[0][0]}")
         now += 1.0
     assert sorted(probing_members) == [f"n{n}" for n in range(5)]
@@ -92,16 +93,12 @@
         admitted_counts.append(sum(v.is_admitted for n in range(5) for v in coordinator.ejections_for(f"n{n}", now)))
         coordinator.tick(now)
         now += RECOVERY_STEP_SECONDS
-    assert (
-        admitted_counts[0] == 1
-        and admitted_counts[1:3] == [1, 2]
-        and max(admitted_counts) == 5
-        and not coordinator.ejections
-    )
-    assert (
-        admitted_counts == sorted(admitted_counts)
-        and now < 5.0 + 4 * RECOVERY_STEP_SECONDS + AFTER_RECOVERY_SECONDS + 2.0
-    )
+    assert admitted_counts[0] == 1
+    assert admitted_counts[1:3] == [1, 2]
+    assert max(admitted_counts) == 5
+    assert not coordinator.ejections
+    assert admitted_counts == sorted(admitted_counts)
+    assert now < 5.0 + 4 * RECOVERY_STEP_SECONDS + AFTER_RECOVERY_SECONDS + 2.0
 
 
 def test_backend_is_ejected_again_when_it_fails_in_recovery_and_permit_moves_when_its_holder_ends() -> None:
@@ -199,7 +196,8 @@
     ejected: set[int], responding: set[int], expected_keys: list[tuple[int, str]]
 ) -> None:
     coordinator = coordinator_with_zones(4, ejected, responding)
-    assert coordinator.tick(0.1) == expected_keys and list(coordinator.ejections) == expected_keys
+    assert coordinator.tick(0.1) == expected_keys
+    assert list(coordinator.ejections) == expected_keys
 
 
 def test_zone_recovers_as_one_when_a_probe_succeeds_though_one_backend_still_fails() -> None:
@@ -208,7 +206,8 @@
     record = coordinator.ejections[EjectionKey(ZONE, "a")]
     member = record.probing_member
     permit = record.permit
-    assert permit and sum(bool(v.probe_permit) for n in range(4) for v in coordinator.ejections_for(f"n{n}", 0.1)) == 1
+    assert permit
+    assert sum(bool(v.probe_permit) for n in range(4) for v in coordinator.ejections_for(f"n{n}", 0.1)) == 1
     now = 0.5
     coordinator.on_report(member, set(), {EjectionKey(3, "")}, {permit: True}, now)
     assert record.state is EjectionState.RECOVERING
@@ -228,7 +227,8 @@
 def test_zones_are_those_of_the_majority_when_endpoint_lists_differ() -> None:
     coordinator = coordinator_with_zones(4, {1, 2}, set())
     coordinator.on_endpoint_list("n9", 2, {"a": frozenset({1, 2, 5, 6, 7, 8})})
-    assert coordinator.backend_count == 8 and coordinator.zones == ZONES
+    assert coordinator.backend_count == 8
+    assert coordinator.zones == ZONES
     with pytest.raises(ValueError):
         zones_from_message({"a": [1, "2"]})
     with pytest.raises(ValueError):
--- a/tests/outliers/test_outlier_fleet.py
+++ b/tests/outliers/test_outlier_fleet.py
@@ -13,7 +13,7 @@
 
 def test_fleet_ejects_a_backend_and_returns_to_it_when_it_fails_and_recovers(tmp_path: Path) -> None:
     with (
-        Limiter(tmp_path, servers=4) as limiter,
+        Limiter(tmp_path, backend_count=4) as limiter,
         RunningFleet(tmp_path, limiter) as fleet,
         RespondingBackends(limiter) as backends,
     ):
@@ -30,11 +30,14 @@
         backends.failing = {0}
         wait_until("condemned")
         ejection = fleet.request(do="overload")["cases"][0]
-        assert ejection["server"] == 1 and len(ejection["words"]) >= 2
+        assert ejection["server"] == 1
+        assert len(ejection["words"]) >= 2
         shown = cli("overload", "--state", str(fleet.state))
         # The first reports of any two of the three members lead to the ejection.
         row = shown.stdout.splitlines()[-1]
-        assert shown.returncode == 0 and row.split()[2] == "ejected" and ejection["words"][0] in row
+        assert shown.returncode == 0
+        assert row.split()[2] == "ejected"
+        assert ejection["words"][0] in row
         backends.failing = set()
         before = backends.attempt_counts[0]
         wait_until("")
@@ -47,7 +50,7 @@
         {"name": name, "on-time": 3000.0, "deadline": 3000.0, "effect": "retryable"} for name in ("look", "peek")
     ]
     with (
-        Limiter(tmp_path, servers=4, classes=classes) as limiter,
+        Limiter(tmp_path, backend_count=4, classes=classes) as limiter,
         RunningFleet(tmp_path, limiter) as fleet,
         RespondingBackends(limiter) as backends,
     ):
@@ -75,7 +78,7 @@
 
 
 def test_fleet_ejects_a_zone_and_returns_to_it_when_it_fails_and_recovers(tmp_path: Path) -> None:
-    with Limiter(tmp_path, servers=8, azs=["east", "west"]) as limiter:
+    with Limiter(tmp_path, backend_count=8, azs=["east", "west"]) as limiter:
         for entry in limiter.config["known"]["instances"][:4]:
             entry["zone"] = "west"
         limiter.path.write_text(json.dumps(limiter.config))
@@ -102,7 +105,7 @@
 
 def test_fleet_ejects_nothing_when_one_member_is_cut_off_from_two_of_six_backends(tmp_path: Path) -> None:
     with (
-        Limiter(tmp_path, servers=6) as limiter,
+        Limiter(tmp_path, backend_count=6) as limiter,
         RunningFleet(tmp_path, limiter) as fleet,
         RespondingBackends(limiter) as backends,
     ):
@@ -117,8 +120,8 @@
             assert fleet.request(do="overload")["cases"] == [], "ejected by the report of one member"
 
         end = time.monotonic() + PATIENCE
-        while {row[0] for row in limiter.ask(do="status")["evidence"]["against"]} != {1, 2}:
-            assert time.monotonic() < end, limiter.ask(do="status")["evidence"]
+        while {row[0] for row in limiter.request_control(do="status")["evidence"]["against"]} != {1, 2}:
+            assert time.monotonic() < end, limiter.request_control(do="status")["evidence"]
             check_all_members()
         before = list(backends.attempt_counts)
         while min(now - then for now, then in zip(backends.attempt_counts, before, strict=True)) < 5:
--- a/tests/outliers/test_outlier_member.py
+++ b/tests/outliers/test_outlier_member.py
@@ -76,12 +76,14 @@
     receive(100.0, ejected)
     assert selected(100.1) == 0
     receive(100.5, replace(ejected, probe_permit=5))
-    assert selected(100.6) == 1 and member.report(100.7)["trials"] == {}  # the probe is in flight
+    assert selected(100.6) == 1
+    assert member.report(100.7)["trials"] == {}
     backend.in_flight = 0
     backend.failures[""] = FailureStreak(3, 108.0)
     report = member.report(100.7)
     assert report["trials"] == {"5": False}
-    assert isinstance(report["against"], list) and [2, ""] in report["against"]
+    assert isinstance(report["against"], list)
+    assert [2, ""] in report["against"]
     receive(101.0, replace(ejected, probe_permit=5))
     assert selected(101.1) == 0  # the same permit again
     receive(101.5, replace(ejected, probe_permit=6))
@@ -90,9 +92,11 @@
     assert selected(102.1) > 0
     backend.failures[""] = FailureStreak(3, 110.0)
     receive(102.5, ejected)
-    assert selected(102.5 + EJECTION_LEASE_SECONDS + 0.1) == 0 and backend.failures  # the member's own ejection lasts
+    assert selected(102.5 + EJECTION_LEASE_SECONDS + 0.1) == 0
+    assert backend.failures
     receive(106.0, replace(admitted, is_recovered=True))
-    assert not backend.failures and selected(106.1) > 0
+    assert not backend.failures
+    assert selected(106.1) > 0
     member.on_ejections([], 107.0, 107.0)
     assert selected(107.1) > 0
 
--- a/tests/quota/test_counter_reports.py
+++ b/tests/quota/test_counter_reports.py
@@ -87,7 +87,8 @@
     rate = gateway.reporter.call_rate
     total = counter_call.amount + counter_encoding.encode(counter_call.name, 60.0, 30.0)
     gateway.handle(10.5, CounterReplied(counter_call.name, Status.OK, total, 0.3))
-    assert gateway.reporter.call_rate < rate and only_store(gateway).remote_rate > 4.0
+    assert gateway.reporter.call_rate < rate
+    assert only_store(gateway).remote_rate > 4.0
 
 
 def test_calls_continue_when_many_have_failed() -> None:
@@ -124,7 +125,8 @@
         before = bucket.global_level
         total += counter_call.amount if added else 0.0
         gateway.handle(11.6 + n, CounterReplied(counter_call.name, status, total))
-    assert bucket.global_level >= before and bucket.remote_rate < 20.0  # those 20 were charged once
+    assert bucket.global_level >= before
+    assert bucket.remote_rate < 20.0
 
 
 def answer_calls(gateways: list[Gateway], totals: dict[int, float], now: float) -> None:
@@ -173,20 +175,16 @@
     assert counter_encoding.decode(name, total) == pytest.approx(
         (ledger.reported_units, ledger.reported_charges), abs=1e-6
     )
-    assert (
-        -1e-6 <= requested - ledger.reported_units <= 2.0 * quota / 256
-        and abs(charged - ledger.reported_charges) <= quota / 1024
-    )
+    assert -1e-6 <= requested - ledger.reported_units <= 2.0 * quota / 256
+    assert abs(charged - ledger.reported_charges) <= quota / 1024
     before = (
         ledger.reported_units,
         ledger.reported_charges,
     )  # an unexpectedly large demand is not read as charges
     answer_calls, charged_more = counter_encoding.decode(name, ledger.report(name, requested + 100.0 * quota, charged))
-    assert (
-        answer_calls <= 32.0 * quota
-        and abs(charged_more) <= quota / 512
-        and before != (ledger.reported_units, ledger.reported_charges)
-    )
+    assert answer_calls <= 32.0 * quota
+    assert abs(charged_more) <= quota / 512
+    assert before != (ledger.reported_units, ledger.reported_charges)
 
 
 def test_counter_total_is_used_when_metered_usage_is_older() -> None:
--- a/tests/test_bad_input.py
+++ b/tests/run_line/test_bad_input.py
@@ -9,7 +9,7 @@
 
 import pytest
 
-from tests.limiter import SETTINGS, Limiter, Peer, command, refused, request
+from tests.limiter import SETTINGS, Limiter, Peer, command, is_connection_refused, request
 from tests.network_support import parse_command
 from thymeflow.decision.settings import Idempotency
 from thymeflow.platform.configuration import ConfigurationError, from_source
@@ -27,11 +27,11 @@
     return json.dumps({"generation": generation, "reset": whole, "instances": entries}).encode() + b"\n"
 
 
-def test_no_list_however_bad_changes_what_is_known_and_the_next_good_one_is_taken(tmp_path: Path) -> None:
+def test_endpoint_list_stays_and_the_next_valid_one_applies_when_a_list_is_malformed(tmp_path: Path) -> None:
     with Limiter(tmp_path) as limiter:
         watch, _ = limiter.watch()
         agent = limiter.connect()
-        server = limiter.served(agent, 1)
+        server = limiter.serve_request(agent, 1)
         leaves = limiter.entry(0, "leaving")
         odd = {**limiter.entry(0), "hostPort": "nowhere"}
         broken = [
@@ -55,30 +55,30 @@
                 watch.close()  # cut in the middle
             watch, asked = limiter.watch()  # asked for again, from the version before it
             assert b"index=41 " in asked, bad
-            limiter.served(agent, 100 + number, server)
+            limiter.serve_request(agent, 100 + number, server)
         watch.send(chunk(message(12, leaves, whole=True)) + chunk(message(13, leaves)))  # gone back
-        limiter.served(agent, 200, server)
+        limiter.serve_request(agent, 200, server)
         watch.send(chunk(json.dumps(json.loads(message(42, leaves)), indent=2).encode()))
-        assert server.ended()  # that one was taken
+        assert server.is_closed_by_peer()  # that one was taken
 
 
-def test_a_whole_list_that_is_empty_names_nobody_and_is_no_end(tmp_path: Path) -> None:
+def test_no_backend_is_left_and_the_watch_goes_on_when_a_complete_list_is_empty(tmp_path: Path) -> None:
     with Limiter(tmp_path) as limiter:
         watch, _ = limiter.watch()
         agent = limiter.connect()
-        server = limiter.served(agent, 1)
+        server = limiter.serve_request(agent, 1)
         watch.send(chunk(message(42, whole=True)))
-        assert server.ended()  # what it does not name is gone, though it answers
+        assert server.is_closed_by_peer()  # what it does not name is gone, though it answers
         agent.send(request(2))
         assert agent.line().startswith(b"-BUSY ")
-        limiter.tell(watch, 43, limiter.entry(0))
-        limiter.until(b"+PONG", command(b"PING"))
+        limiter.send_endpoint_change(watch, 43, limiter.entry(0))
+        limiter.wait_for_reply(b"+PONG", command(b"PING"))
         agent.send(request(3))
-        while not agent.silent(0.2):  # until that list is read
+        while not agent.receives_nothing(0.2):  # until that list is read
             assert agent.line().startswith(b"-BUSY ")
             agent.send(request(3))
-        limiter.servers[0].serve(GOOD)
-        assert agent.bulk() == b"value"
+        limiter.backends[0].serve(GOOD)
+        assert agent.read_bulk() == b"value"
 
 
 def slowly(peer: Peer, data: bytes) -> None:
@@ -86,40 +86,42 @@
         peer.send(data[place : place + 1])
 
 
-def test_bytes_one_at_a_time_and_many_commands_at_once_are_all_answered(tmp_path: Path) -> None:
+def test_every_command_is_answered_when_bytes_come_one_at_a_time_or_all_at_once(tmp_path: Path) -> None:
     with Limiter(tmp_path) as limiter:
         agent = limiter.connect()
         slowly(agent, request(1))
-        server = limiter.servers[0].accept()
-        server.words()
+        server = limiter.backends[0].accept()
+        server.read_command()
         slowly(server, GOOD)
-        assert agent.bulk() == b"value"
+        assert agent.read_bulk() == b"value"
         agent.send(command(b"PING") * 300 + request(2) + command(b"PING") * 300)
-        assert server.words()[2] == b"%016x" % 2
+        assert server.read_command()[2] == b"%016x" % 2
         assert [agent.line() for _ in range(300)] == [b"+PONG"] * 300
         server.send(GOOD)
-        assert agent.bulk() == b"value" and [agent.line() for _ in range(300)] == [b"+PONG"] * 300
+        assert agent.read_bulk() == b"value"
+        assert [agent.line() for _ in range(300)] == [b"+PONG"] * 300
 
 
-def test_an_answer_that_comes_twice_or_after_the_close_is_nobodys(tmp_path: Path) -> None:
+def test_reply_is_given_to_no_request_when_it_comes_twice_or_after_the_close(tmp_path: Path) -> None:
     with Limiter(tmp_path) as limiter:
         agent = limiter.connect()
-        server = limiter.served(agent, 1)
+        server = limiter.serve_request(agent, 1)
         server.send(GOOD)  # once more, while nothing is asked
-        assert server.ended()
+        assert server.is_closed_by_peer()
         agent.send(request(2, wait=300))
-        second = limiter.servers[0].accept()
-        second.words()
-        assert agent.line().startswith(b"-BUSY") and second.ended()  # given up
+        second = limiter.backends[0].accept()
+        second.read_command()
+        assert agent.line().startswith(b"-BUSY")
+        assert second.is_closed_by_peer()
         with contextlib.suppress(OSError):
             second.send(GOOD)
         agent.send(request(3))
-        limiter.servers[0].serve(b"*3\r\n$5\r\nthird\r\n$-1\r\n$-1\r\n")
-        assert agent.bulk() == b"third"
+        limiter.backends[0].serve(b"*3\r\n$5\r\nthird\r\n$-1\r\n$-1\r\n")
+        assert agent.read_bulk() == b"third"
 
 
 @pytest.mark.parametrize("name", ["d", "c", "k", "units", "first", "PING", "SVC.QUERY", "busy", "OK", "-ERR", "d=5"])
-def test_classes_and_plans_may_be_named_as_words_of_the_protocol(name: str) -> None:
+def test_requests_are_served_when_classes_and_plans_are_named_like_protocol_words(name: str) -> None:
     settings = settings_from(
         {
             **SETTINGS,
@@ -133,7 +135,7 @@
     assert parse_command(call.encode(77))[3] == text.replace(b"d=480", b"d=77")
 
 
-def test_a_class_whose_effect_is_unknown_is_unsafe_and_one_that_is_not_listed_is_turned_away() -> None:
+def test_class_is_not_idempotent_when_its_effect_is_unknown_and_rejected_when_it_is_not_listed() -> None:
     settings = settings_from(
         {**SETTINGS, "classes": [{"name": "look", "on-time": 3.0, "deadline": 3.0, "effect": "wondrous"}]}
     )
@@ -146,7 +148,7 @@
     ("part", "key"),
     [("classes", "on-time"), ("classes", "deadline"), ("classes", "name"), ("tiers-of-service", "name")],
 )
-def test_a_key_that_a_class_or_plan_lacks_is_named_with_its_place(part: str, key: str) -> None:
+def test_missing_key_is_named_with_its_place_when_a_class_or_plan_lacks_it(part: str, key: str) -> None:
     lacks = {name: value for name, value in SETTINGS[part][0].items() if name != key}
     with pytest.raises(ValueError, match=rf"settings\.{part}\[0\]: {key} is missing"):
         settings_from({**SETTINGS, part: [lacks]})
@@ -154,7 +156,7 @@
 
 @pytest.mark.parametrize("part", ["rules", "caps", "family-info"])
 @pytest.mark.parametrize("value", [7, None, True])
-def test_a_part_of_the_settings_that_is_no_object_is_one_clear_fault(part: str, value: object) -> None:
+def test_one_fault_is_reported_when_a_section_of_the_settings_is_no_object(part: str, value: object) -> None:
     source = {
         "listen": "127.0.0.1:0",
         "discovery": "127.0.0.1:9",
@@ -166,11 +168,12 @@
 
 
 @pytest.mark.parametrize("text", ["", "{", "[]", "null", '{"settings": {}}', "\x00"])
-def test_a_start_under_a_bad_list_of_settings_opens_no_door(tmp_path: Path, text: str) -> None:
-    with Limiter(tmp_path, told=False) as limiter:
+def test_limiter_does_not_listen_when_it_starts_with_a_malformed_list(tmp_path: Path, text: str) -> None:
+    with Limiter(tmp_path, is_list_sent=False) as limiter:
         limiter.process.kill()
         limiter.process.communicate()
         limiter.path.write_text(text)
         limiter.process = limiter.start()
         assert "thymeflow: bad configuration: " in limiter.log("thymeflow:")
-        assert limiter.process.wait(20.0) == 2 and refused(limiter)
+        assert limiter.process.wait(20.0) == 2
+        assert is_connection_refused(limiter)
--- a/tests/test_endpoint_wiring.py
+++ b/tests/run_line/test_endpoint_wiring.py
@@ -47,7 +47,8 @@
     limiter.connect(inf)
     counter_dials = dials_to(world, COUNTER_PORT)
     limiter.connect(inf)
-    assert len(counter_dials) == 3 and dials_to(world, COUNTER_PORT) == counter_dials
+    assert len(counter_dials) == 3
+    assert dials_to(world, COUNTER_PORT) == counter_dials
     (dial,) = dials_to(world, DISCOVERY_PORT)
     assert b"GET /api/targets?stream=1&index=41 " in world.up(dial).transport.value()
 
@@ -74,7 +75,8 @@
         wait_of_next_watch(world, build_limiter(world, seed=seed, discovery=f"127.0.0.1:{port}"))
         for seed, port in (("7", 101), ("8", 102), ("7", 103))
     ]
-    assert abs(waits[0] - waits[1]) > 0.01 and waits[0] == pytest.approx(waits[2], abs=0.002)
+    assert abs(waits[0] - waits[1]) > 0.01
+    assert waits[0] == pytest.approx(waits[2], abs=0.002)
 
 
 @pytest.mark.parametrize(("mode", "is_dialed_again"), [("pushed", True), (POLLED, False)])
@@ -105,7 +107,8 @@
 
     stream.transport.doRead = read
     backend = world.up(len(world.reactor.tcpClients) - 1)
-    assert backend.transport.value() == b"" and backend.closed
+    assert backend.transport.value() == b""
+    assert backend.closed
 
 
 def test_requests_go_to_known_backends_when_discovery_has_sent_nothing(world: InMemoryNetwork) -> None:
@@ -146,10 +149,14 @@
     listener = bind_listener("127.0.0.1", 0)
     limiter.listen(listener)
     limiter.connect(inf)
-    assert not ports and not notified and limiter.lifecycle.phase is Phase.STARTING
+    assert not ports
+    assert not notified
+    assert limiter.lifecycle.phase is Phase.STARTING
     receive_first_list(world)
     phase: Phase = limiter.lifecycle.phase
-    assert len(ports) == 1 and notified == [True] and phase is Phase.SERVING
+    assert len(ports) == 1
+    assert notified == [True]
+    assert phase is Phase.SERVING
     assert listener.fileno() == -1  # the port has a copy of its own
 
 
--- a/tests/test_lifecycle_wiring.py
+++ b/tests/run_line/test_lifecycle_wiring.py
@@ -80,7 +80,8 @@
     world.reactor.pump([0.05] * int(EVACUATION_DELAY / 0.05 - 1))
     assert not client.transport.handle.half_closed
     world.reactor.pump([0.05] * 2)
-    assert client.transport.handle.half_closed and port.stopped_count == 0
+    assert client.transport.handle.half_closed
+    assert port.stopped_count == 0
     limiter.lifecycle.on_command(OperatorCommand.ACTIVATE)
     assert not limiter.frontend.is_draining
 
@@ -137,10 +138,12 @@
     client.dataReceived(request(1))
     limiter.lifecycle.terminate()
     world.reactor.pump([0.05] * int(linger / 0.05 - 1))
-    assert limiter.lifecycle.takes_clients() and port.stopped_count == 0
+    assert limiter.lifecycle.takes_clients()
+    assert port.stopped_count == 0
     assert limiter.frontend.buildProtocol(None) is not None
     world.reactor.pump([0.05] * 2)
-    assert not limiter.lifecycle.takes_clients() and port.stopped_count == 1
+    assert not limiter.lifecycle.takes_clients()
+    assert port.stopped_count == 1
     assert limiter.frontend.buildProtocol(None) is None
 
 
@@ -151,7 +154,8 @@
     world.reactor.advance(0.01)
     assert not world.reactor.hasStopped
     client.connectionLost()
-    assert world.reactor.hasStopped and limiter.lifecycle.phase is Phase.STOPPED
+    assert world.reactor.hasStopped
+    assert limiter.lifecycle.phase is Phase.STOPPED
 
 
 def test_process_stops_when_the_last_attempt_ends_after_its_client_has_left(world: InMemoryNetwork) -> None:
@@ -162,7 +166,8 @@
     limiter.lifecycle.terminate(0.0)
     world.reactor.advance(0.01)
     client.connectionLost()
-    assert limiter.dispatcher.open_count() == 1 and not world.reactor.hasStopped
+    assert limiter.dispatcher.open_count() == 1
+    assert not world.reactor.hasStopped
     backend.dataReceived(SERVED_REPLY)
     world.reactor.pump([STOP_CHECK_INTERVAL] * 2)
     assert world.reactor.hasStopped
@@ -190,6 +195,7 @@
     limiter.lifecycle.on_stopping = lambda: 0.2
     limiter.lifecycle.terminate(0.0)
     world.reactor.advance(0.01)
-    assert limiter.lifecycle.phase is Phase.STOPPED and not world.reactor.hasStopped
+    assert limiter.lifecycle.phase is Phase.STOPPED
+    assert not world.reactor.hasStopped
     world.reactor.pump([0.05] * 5)
     assert world.reactor.hasStopped
--- a/tests/test_limiter_wiring.py
+++ b/tests/run_line/test_limiter_wiring.py
@@ -51,9 +51,11 @@
     connect_client(world, limiter).dataReceived(request(1))
     backend = world.up(0)
     backend.dataReceived(SERVED_REPLY)
-    assert not backend.closed and limiter.backends.open_connections == 1
+    assert not backend.closed
+    assert limiter.backends.open_connections == 1
     limiter.on_handover_changed(True)
-    assert backend.closed and limiter.backends.open_connections == 0
+    assert backend.closed
+    assert limiter.backends.open_connections == 0
 
 
 @pytest.mark.parametrize("rolled_back", [False, True])
@@ -79,7 +81,8 @@
     backend = world.up(0)
     backend.dataReceived(SERVED_REPLY)
     assert [result.status for result in results] == [Status.OK]
-    assert backend.closed and connections.open_connections == 0
+    assert backend.closed
+    assert connections.open_connections == 0
 
 
 def test_clients_are_drained_when_the_limiter_is_handed_over_and_admitted_when_it_is_rolled_back(
@@ -90,11 +93,14 @@
     limiter.lifecycle.on_listening(port)
     limiter.on_handover_changed(True)
     assert limiter.lifecycle.phase is Phase.HANDED_OVER
-    assert limiter.frontend.is_draining and limiter.frontend.buildProtocol(None) is None
+    assert limiter.frontend.is_draining
+    assert limiter.frontend.buildProtocol(None) is None
     limiter.on_handover_changed(False)
     phase: Phase = limiter.lifecycle.phase
-    assert phase is Phase.SERVING and port.resumed_count == 1
-    assert not limiter.frontend.is_draining and limiter.frontend.buildProtocol(None) is not None
+    assert phase is Phase.SERVING
+    assert port.resumed_count == 1
+    assert not limiter.frontend.is_draining
+    assert limiter.frontend.buildProtocol(None) is not None
 
 
 # --- other settings ----------------------------------------------------------------------------------------
@@ -156,7 +162,8 @@
 def test_counter_and_discovery_are_dialed_anew_when_a_reload_moves_them(world: InMemoryNetwork) -> None:
     moved = make_configuration(discovery="127.0.0.1:18", counter="127.0.0.1:19")
     build_reloadable(world, lambda: moved).lifecycle.reload_settings()
-    assert len(dials_to(world, 18)) == 1 and len(dials_to(world, 19)) == 3
+    assert len(dials_to(world, 18)) == 1
+    assert len(dials_to(world, 19)) == 3
 
 
 def test_old_addresses_are_dialed_again_when_a_second_reload_moves_them_back(world: InMemoryNetwork) -> None:
@@ -174,7 +181,8 @@
     limiter = build_reloadable(world, make_configuration)
     known_dials = len(world.reactor.tcpClients)
     limiter.lifecycle.reload_settings()
-    assert len(world.reactor.tcpClients) == known_dials and limiter.reload.last
+    assert len(world.reactor.tcpClients) == known_dials
+    assert limiter.reload.last
 
 
 def test_settings_are_applied_when_a_reload_changes_them(world: InMemoryNetwork, log_lines: list[str]) -> None:
--- a/tests/test_management.py
+++ b/tests/run_line/test_management.py
@@ -34,9 +34,10 @@
 
 
 @pytest.mark.parametrize(("phase", "word"), list(itertools.product(Phase, OperatorCommand)))
-def test_every_call_has_an_outcome_in_every_phase(phase: Phase, word: OperatorCommand) -> None:
+def test_every_command_has_an_outcome_in_every_phase(phase: Phase, word: OperatorCommand) -> None:
     after, yes, why = apply_command(phase, word, phase is Phase.SERVING)
-    assert why and (yes or after is phase), "a no changes nothing"
+    assert why
+    assert yes or after is phase, "a no changes nothing"
     assert after is phase or {phase, after} == {Phase.SERVING, Phase.EVACUATED}
     assert yes == ((phase, word) in TRANSITIONS) or word is OperatorCommand.READY
     assert apply_command(after, word, yes)[:2] == (after, yes), "twice the same call is once"
@@ -55,52 +56,55 @@
         b"*1\r\n$4\r\nPING\r\n",
     ],
 )
-def test_what_is_no_call_is_told_so_in_words(limiter: Limiter, text: bytes) -> None:
+def test_reply_says_why_when_a_line_is_no_command(limiter: Limiter, text: bytes) -> None:
     found = limiter.call(text)
-    assert found.startswith(b"400 ") and len(found) > 10
+    assert found.startswith(b"400 ")
+    assert len(found) > 10
     assert limiter.call(b"readyz\r\n").startswith(b"200 ")
 
 
-def test_callers_that_say_nothing_stand_in_nobodys_way(limiter: Limiter) -> None:
+def test_callers_are_served_when_others_are_connected_and_idle(limiter: Limiter) -> None:
     silent = [limiter.operator() for _ in range(MAX_CALLERS + 4)]
     begun = time.monotonic()
     assert limiter.call(b"readyz\n").startswith(b"200 ")
     assert time.monotonic() - begun < 1.0
-    assert sum(peer.silent(0.0) for peer in silent) <= MAX_CALLERS  # the oldest made room
+    assert sum(peer.receives_nothing(0.0) for peer in silent) <= MAX_CALLERS  # the oldest made room
     silent[-1].send(b"readyz\n")
     assert silent[-1].line().startswith(b"200 ")  # a late one is answered all the same
 
 
-def test_evacuation_sends_user_agents_away_and_activate_takes_them_back(limiter: Limiter) -> None:
+def test_clients_are_closed_when_evacuated_and_accepted_when_activated(limiter: Limiter) -> None:
     busy = limiter.connect()
     idle = limiter.connect()
     begun = time.monotonic()
     busy.send(request(1))
-    held = limiter.servers[0].accept()
-    held.words()
-    warm = limiter.served(idle, 2)
+    held = limiter.backends[0].accept()
+    held.read_command()
+    warm = limiter.serve_request(idle, 2)
     assert answers(limiter) == (b"+", b"2")
     for _ in range(2):
         assert limiter.call(b"evacuate\n").startswith(b"200 ")
         assert answers(limiter) == (b"-", b"4")
-    limiter.served(idle, 3, warm)  # the front sends on for a moment
-    assert idle.ended()
+    limiter.serve_request(idle, 3, warm)  # the front sends on for a moment
+    assert idle.is_closed_by_peer()
     held.send(SERVED_REPLY)
-    assert busy.bulk() == b"value" and busy.ended()
+    assert busy.read_bulk() == b"value"
+    assert busy.is_closed_by_peer()
     late = limiter.connect()  # the listener stays; what comes all the same is answered
-    limiter.served(late, 4, held)  # over the warmest connection
-    assert late.ended() and time.monotonic() - begun < 3.0
+    limiter.serve_request(late, 4, held)  # over the warmest connection
+    assert late.is_closed_by_peer()
+    assert time.monotonic() - begun < 3.0
     assert limiter.call(b"activate\n").startswith(b"200 ")
     assert answers(limiter) == (b"+", b"2")
-    limiter.served(back := limiter.connect(), 5, held)
-    limiter.served(back, 6, held)  # and stays connected
+    limiter.serve_request(back := limiter.connect(), 5, held)
+    limiter.serve_request(back, 6, held)  # and stays connected
 
 
-def test_an_evacuated_limiter_that_is_told_to_end_drains_and_never_says_yes(limiter: Limiter) -> None:
+def test_limiter_drains_and_is_never_ready_when_it_is_terminated_while_evacuated(limiter: Limiter) -> None:
     busy = limiter.connect()
     busy.send(request(1))
-    held = limiter.servers[0].accept()
-    held.words()
+    held = limiter.backends[0].accept()
+    held.read_command()
     assert limiter.call(b"evacuate\n").startswith(b"200 ")
     limiter.terminate()
     limiter.log("phase: draining")
@@ -108,12 +112,14 @@
     for word in (b"evacuate\n", b"activate\n"):
         assert limiter.call(word).startswith(b"400 ")
     held.send(SERVED_REPLY)
-    assert busy.bulk() == b"value"
+    assert busy.read_bulk() == b"value"
     assert limiter.process.wait(PATIENCE) == 0
 
 
 @pytest.mark.parametrize(("mgmt", "code"), [("here", 2), ("127.0.0.1:x", 2), (7, 2), ("taken", 3)])
-def test_a_bad_place_for_calls_is_one_line_and_a_failure(limiter: Limiter, mgmt: object, code: int) -> None:
+def test_start_fails_with_one_line_when_the_management_address_is_invalid(
+    limiter: Limiter, mgmt: object, code: int
+) -> None:
     where = f"127.0.0.1:{limiter.listen_for_operators}" if mgmt == "taken" else mgmt
     limiter.path.write_text(json.dumps({**limiter.config, "mgmt": where}))
     done = subprocess.run(
--- /dev/null
+++ b/tests/run_line/test_operation.py
@@ -0,0 +1,173 @@
+"""The real program in operation: drains, watches, signals, and starts that fail."""
+
+from __future__ import annotations
+
+import os
+import select
+import signal
+import subprocess
+import sys
+import time
+from pathlib import Path
+
+import pytest
+
+from tests.limiter import PATIENCE, ROOT, Limiter, Listener, command, request
+from tests.network_support import SERVED_REPLY, SMALL_PLAN
+
+
+def test_backend_gets_no_new_request_and_completes_its_own_when_it_drains(tmp_path: Path) -> None:
+    with Limiter(tmp_path) as limiter:
+        (watch, asked), listener = limiter.watch(), limiter.backends[0]
+        assert asked == b"GET /api/targets?stream=1&index=41 HTTP/1.1"
+        client = limiter.connect()
+        other = limiter.connect()
+        client.send(request(1))
+        server = listener.accept()
+        server.read_command()
+        other.send(request(2))
+        idle = listener.accept()
+        idle.read_command()
+        idle.send(SERVED_REPLY)
+        assert other.read_bulk() == b"value"
+        limiter.send_endpoint_change(watch, 42, limiter.entry(0, "leaving"))
+        assert idle.is_closed_by_peer()  # so the change has been read
+        other.send(request(3))
+        assert other.line().startswith(b"-BUSY ")
+        assert listener.has_no_connection(0.2)
+        server.send(SERVED_REPLY)
+        assert client.read_bulk() == b"value"
+        assert server.is_closed_by_peer()
+        limiter.send_endpoint_change(watch, 43, limiter.entry(0))
+        for number in range(4, 10000):  # refused until this change is read, too
+            client.send(request(number))
+            if listener.sock in select.select([client.sock, listener.sock], [], [], PATIENCE)[0]:
+                break
+            assert client.line().startswith(b"-BUSY ")
+        listener.serve(SERVED_REPLY)
+        assert client.read_bulk() == b"value"
+
+
+def test_watch_resumes_from_its_last_version_when_it_breaks_and_ping_waits_for_a_list(tmp_path: Path) -> None:
+    with Limiter(tmp_path, known=False) as limiter:
+        client = limiter.connect()
+        client.send(command(b"PING"))
+        assert client.line().startswith(b"-LOADING")
+        watch, _ = limiter.watch()
+        limiter.send_endpoint_change(watch, 44, limiter.entry(0))
+        limiter.wait_for_reply(b"+PONG", command(b"PING"))
+        watch.send(b"4\r\n{[]\n\r\n")  # not JSON: the list stands
+        again, asked = limiter.watch()
+        assert asked == b"GET /api/targets?stream=1&index=44 HTTP/1.1"
+        again.send(b"zz\r\n")  # not even a chunk
+        third, asked = limiter.watch()
+        assert b"index=44 " in asked
+        third.close()
+        limiter.wait_for_reply(b"+PONG", command(b"PING"))
+
+
+def test_limiter_serves_for_a_moment_and_completes_open_requests_when_it_gets_sigterm(tmp_path: Path) -> None:
+    with Limiter(tmp_path) as limiter:
+        idle = limiter.connect()
+        client = limiter.connect()
+        client.send(request(1))
+        server = limiter.backends[0].accept()
+        server.read_command()
+        begun = time.monotonic()
+        limiter.terminate()
+        limiter.log("phase: draining")  # a paced log line would be missing so soon after the last
+        limiter.wait_for_reply(b"+PONG", command(b"PING"))  # new connections are still taken
+        assert idle.is_closed_by_peer()  # closed as it lies idle, but not at once
+        assert time.monotonic() - begun > 0.5
+        assert limiter.process.poll() is None
+        server.send(SERVED_REPLY)
+        assert client.read_bulk() == b"value"
+        assert client.is_closed_by_peer()
+        assert limiter.process.wait(PATIENCE) == 0
+
+
+def test_no_request_is_lost_when_sighup_moves_discovery_and_counter(tmp_path: Path) -> None:
+    with Limiter(tmp_path, **SMALL_PLAN) as limiter:
+        old, _ = limiter.watch()
+        limiter.send_endpoint_change(old, 42, limiter.entry(0))
+        calls = [limiter.counter.accept() for _ in range(3)]
+        client = limiter.connect()
+        client.send(request(1))
+        server = limiter.backends[0].accept()
+        server.read_command()
+        ready = select.select([peer.sock for peer in calls], [], [], PATIENCE)[0]
+        discovery = Listener()
+        counter = Listener()
+        for _ in range(2):  # the second finds nothing to do
+            limiter.reload(discovery=discovery.address, counter=counter.address)
+        moved, asked = limiter.watch(discovery)
+        assert b"index=42 " in asked
+        assert old.is_closed_by_peer()
+        assert all(peer.is_closed_by_peer() for peer in calls if peer.sock not in ready)  # no call is out on these
+        server.send(SERVED_REPLY)
+        assert client.read_bulk() == b"value"  # the list was kept, and so was the request
+        news = [counter.accept() for _ in range(3)]
+        client.send(request(2, extra=",new=1"))
+        server.read_command()
+        assert select.select([peer.sock for peer in news], [], [], PATIENCE)[0]
+        server.send(SERVED_REPLY)
+        assert client.read_bulk() == b"value"
+        limiter.send_endpoint_change(moved, 43, limiter.entry(0, "leaving"))
+        assert server.is_closed_by_peer()  # the new watch is heeded
+
+
+@pytest.mark.parametrize("text", ["{", "", "{}", '{"listen": "127.0.0.1:0", "discovery": 7, "settings": {}}'])
+def test_old_settings_stay_in_force_when_the_file_is_invalid_at_sighup(tmp_path: Path, text: str) -> None:
+    with Limiter(tmp_path) as limiter:
+        limiter.watch()
+        limiter.path.write_text(text)
+        limiter.process.send_signal(signal.SIGHUP)
+        assert "the old settings stay" in limiter.log("reload:")
+        limiter.wait_for_reply(b"+PONG", command(b"PING"))
+        limiter.terminate()
+        limiter.process.send_signal(signal.SIGHUP)  # while it ends, and with the signal that ends it
+        assert limiter.process.wait(PATIENCE) == 0
+
+
+def test_start_fails_with_one_line_when_the_address_is_in_use(tmp_path: Path) -> None:
+    with Limiter(tmp_path) as limiter:
+        path = tmp_path / "config.json"
+        path.write_text(path.read_text().replace("127.0.0.1:0", f"127.0.0.1:{limiter.port}"))
+        done = subprocess.run(
+            [sys.executable, "-m", "thymeflow"],
+            cwd=ROOT,
+            text=True,
+            capture_output=True,
+            timeout=PATIENCE,
+            env={**os.environ, "BALANCER_CONFIG": str(path)},
+        )
+    assert (done.returncode, done.stderr.count("\n")) == (3, 1)
+    assert done.stderr.startswith("thymeflow: cannot listen: ")
+
+
+@pytest.mark.parametrize(
+    "text",
+    [
+        "{",
+        "[]",
+        "{}",
+        None,
+        '{"listen": "here", "discovery": "127.0.0.1:1", "settings": {}}',
+        '{"listen": "127.0.0.1:0", "discovery": "127.0.0.1:1", "settings": {"azs": ["a"], "classes": [{"name": "x"}]}}',
+    ],
+)
+def test_start_fails_with_one_line_when_the_configuration_is_invalid(tmp_path: Path, text: str | None) -> None:
+    path = tmp_path / "config.json"
+    if text is not None:
+        path.write_text(text)
+    done = subprocess.run(
+        [sys.executable, "-m", "thymeflow"],
+        cwd=ROOT,
+        text=True,
+        capture_output=True,
+        timeout=PATIENCE,
+        env={**os.environ, "BALANCER_CONFIG": str(path)},
+    )
+    assert done.returncode == 2
+    assert done.stderr.startswith("thymeflow: bad configuration: ")
+    assert done.stderr.count("\n") == 1
--- a/tests/test_start.py
+++ b/tests/run_line/test_start.py
@@ -16,7 +16,7 @@
 
 import pytest
 
-from tests.limiter import PATIENCE, SETTINGS, Limiter, Peer, command, refused, request
+from tests.limiter import PATIENCE, SETTINGS, Limiter, Peer, command, is_connection_refused, request
 from tests.network_support import InMemoryNetwork, RecordingObserver, world
 from thymeflow.discovery.watch import FIRST_LIST_TIMEOUT, POLLED_IDLE_TIMEOUT, PUSHED_IDLE_TIMEOUT, EndpointWatcher
 from thymeflow.frontend.listener import bind_listener, start_listening
@@ -45,12 +45,14 @@
     servers = list[Peer]()
     while len(seen) < len(clients):
         waiting = [peer.sock for number, peer in clients.items() if number not in seen]
-        ready = select.select([limiter.servers[server].sock, *(s.sock for s in servers), *waiting], [], [], PATIENCE)[0]
+        ready = select.select([limiter.backends[server].sock, *(s.sock for s in servers), *waiting], [], [], PATIENCE)[
+            0
+        ]
         assert ready, f"{len(clients) - len(seen)} requests without an answer"
-        if limiter.servers[server].sock in ready:
-            servers.append(limiter.servers[server].accept())
+        if limiter.backends[server].sock in ready:
+            servers.append(limiter.backends[server].accept())
         for peer in [s for s in servers if s.sock in ready]:
-            words = peer.words()
+            words = peer.read_command()
             sent.add(int(words[2], 16))
             peer.send(GOOD)
         for number, peer in clients.items():
@@ -59,26 +61,27 @@
     return seen, sent
 
 
-def test_nothing_is_taken_on_before_the_list_is_told_and_then_by_that_list(tmp_path: Path) -> None:
-    with Limiter(tmp_path, servers=2, told=False) as limiter:
+def test_no_request_is_accepted_before_the_endpoint_list_is_received(tmp_path: Path) -> None:
+    with Limiter(tmp_path, backend_count=2, is_list_sent=False) as limiter:
         watch, _ = limiter.watch()
-        assert refused(limiter)  # its start is over, and it was told nothing yet
-        limiter.tell(watch, 44, limiter.entry(0, "leaving"))
+        assert is_connection_refused(limiter)  # its start is over, and it was told nothing yet
+        limiter.send_endpoint_change(watch, 44, limiter.entry(0, "leaving"))
         clients = {0: connect_when_open(limiter)}
         clients |= {number: limiter.connect() for number in range(1, 50)}
         for number, client in clients.items():
             client.send(request(number))
         seen, sent = answers(limiter, clients, 1)
         assert all(line == b"$5" or line.startswith(b"-BUSY") for line in seen.values())
-        assert sent == {number for number, line in seen.items() if line == b"$5"} and sent
-        assert limiter.servers[0].quiet(0.0)
+        assert sent == {number for number, line in seen.items() if line == b"$5"}
+        assert sent
+        assert limiter.backends[0].has_no_connection(0.0)
 
 
-def test_a_start_on_a_twentieth_of_a_core_takes_on_only_what_it_answers_in_time_by_the_list_of_now(
+def test_requests_are_answered_in_time_by_the_present_list_when_a_start_is_slow(
     tmp_path: Path,
 ) -> None:
     # Its core is taken nineteen parts of twenty, from its start to its last answer, while fifty try to reach it.
-    with Limiter(tmp_path, servers=3, told=False) as limiter:
+    with Limiter(tmp_path, backend_count=3, is_list_sent=False) as limiter:
         clients = dict[int, Peer]()
         asked = dict[int, float]()
         answer = dict[int, bytes]()
@@ -93,11 +96,11 @@
             select.select([], [], [], 0.003)
             limiter.process.send_signal(signal.SIGSTOP)
             assert time.monotonic() < end, f"{len(answer)} of 50 answered, {len(clients)} let in"
-            if watch is None and not limiter.discovery.quiet(0.0):
+            if watch is None and not limiter.discovery.has_no_connection(0.0):
                 watch = limiter.discovery.accept()  # it asks in a later turn, and is stopped till then
-            elif watch is not None and not told and not watch.silent(0.0):
-                if limiter.asked(watch):  # two servers are lost between its start and its first turn
-                    limiter.tell(watch, 44, limiter.entry(0, "leaving"), limiter.entry(1, "left"))
+            elif watch is not None and not told and not watch.receives_nothing(0.0):
+                if limiter.read_watch_request(watch):  # two servers are lost between its start and its first turn
+                    limiter.send_endpoint_change(watch, 44, limiter.entry(0, "leaving"), limiter.entry(1, "left"))
                     told = time.monotonic()
                 else:
                     watch = None  # it gave that one up, and dials anew
@@ -107,61 +110,67 @@
                     clients[number].send(request(number, wait=10000))
                     asked[number] = time.monotonic()
             waiting = [
-                limiter.servers[2].sock,
+                limiter.backends[2].sock,
                 *(s.sock for s in servers),
                 *(peer.sock for number, peer in clients.items() if number not in answer),
             ]
             ready = select.select(waiting, [], [], 0.057)[0]
-            if limiter.servers[2].sock in ready:
-                servers.append(limiter.servers[2].accept())
+            if limiter.backends[2].sock in ready:
+                servers.append(limiter.backends[2].accept())
             for peer in [s for s in servers if s.sock in ready]:
-                peer.words()
+                peer.read_command()
                 peer.send(GOOD)
             for number in [n for n, peer in clients.items() if n not in answer and peer.sock in ready]:
                 answer[number] = clients[number].line()
                 late.append(time.monotonic() - asked[number] - 10.0)
         limiter.process.send_signal(signal.SIGCONT)
-        assert told and all(line == b"$5" or line.startswith(b"-BUSY") for line in answer.values()), answer
-        assert max(late) < 0.5 and limiter.servers[0].quiet(0.0) and limiter.servers[1].quiet(0.0)
+        assert told, answer
+        assert all(line == b"$5" or line.startswith(b"-BUSY") for line in answer.values()), answer
+        assert max(late) < 0.5
+        assert limiter.backends[0].has_no_connection(0.0)
+        assert limiter.backends[1].has_no_connection(0.0)
 
 
-def test_what_waited_while_it_was_stopped_has_less_time_and_goes_by_what_was_told_meanwhile(tmp_path: Path) -> None:
-    with Limiter(tmp_path, servers=2) as limiter:
+def test_waiting_requests_have_less_time_and_use_the_present_list_when_the_process_was_stopped(tmp_path: Path) -> None:
+    with Limiter(tmp_path, backend_count=2) as limiter:
         watch, _ = limiter.watch()
-        limiter.until(b"+PONG", command(b"PING"))
+        limiter.wait_for_reply(b"+PONG", command(b"PING"))
         limiter.process.send_signal(signal.SIGSTOP)
         clients = {number: limiter.connect() for number in range(40)}
         for number, client in clients.items():
             client.send(request(number, wait=500 if number % 2 else 20000))
-        limiter.tell(watch, 44, limiter.entry(0, "leaving"))
-        assert watch.silent(1.5)  # the stop itself: past half of the deadlines, and the drain's grace
+        limiter.send_endpoint_change(watch, 44, limiter.entry(0, "leaving"))
+        assert watch.receives_nothing(1.5)  # the stop itself: past half of the deadlines, and the drain's grace
         limiter.process.send_signal(signal.SIGCONT)
         seen, sent = answers(limiter, clients, 1)
         assert all(seen[number].startswith(b"-BUSY") for number in clients if number % 2)
-        assert sent == {number for number, line in seen.items() if line == b"$5"} and sent
-        assert not any(number % 2 for number in sent) and limiter.servers[0].quiet(0.0)
+        assert sent == {number for number, line in seen.items() if line == b"$5"}
+        assert sent
+        assert not any(number % 2 for number in sent)
+        assert limiter.backends[0].has_no_connection(0.0)
 
 
-def test_one_killed_while_it_starts_or_with_its_first_pass_out_comes_back(tmp_path: Path) -> None:
-    with Limiter(tmp_path, told=False) as limiter:
+def test_limiter_serves_again_when_it_was_killed_at_its_start_or_first_attempt(tmp_path: Path) -> None:
+    with Limiter(tmp_path, is_list_sent=False) as limiter:
         limiter.watch()
         limiter.process.kill()  # before it was told anything
         limiter.process.communicate()
         for number in (1, 2):
             limiter.process = limiter.start()
             watch, _ = limiter.watch()
-            limiter.tell(watch, 44, limiter.entry(0))
+            limiter.send_endpoint_change(watch, 44, limiter.entry(0))
             client = connect_when_open(limiter)
             client.send(request(number))
-            server = limiter.servers[0].accept()
-            assert server.words()[2] == b"%016x" % number
+            server = limiter.backends[0].accept()
+            assert server.read_command()[2] == b"%016x" % number
             if number == 1:
                 limiter.process.kill()  # its first pass is out
                 limiter.process.communicate()
-                assert client.ended() and server.ended()
+                assert client.is_closed_by_peer()
+                assert server.is_closed_by_peer()
             else:
                 server.send(GOOD)
-                assert client.bulk() == b"value"
+                assert client.read_bulk() == b"value"
 
 
 class Port:
@@ -172,7 +181,7 @@
 
 
 @pytest.mark.parametrize("late", [0.0, 0.6 * FIRST_LIST_TIMEOUT, None])
-def test_it_says_yes_once_the_agent_has_spoken_or_is_silent_for_long(
+def test_ping_is_answered_when_the_agent_has_sent_its_list_or_the_timeout_is_over(
     world: InMemoryNetwork, late: float | None
 ) -> None:
     source = {
@@ -202,10 +211,11 @@
         reading.dataReceived(b"1\r\n\n\r\n")
     else:
         world.reactor.advance(0.05)
-    assert limiter.lifecycle.takes_clients() and limiter.lifecycle.phase is Phase.SERVING
+    assert limiter.lifecycle.takes_clients()
+    assert limiter.lifecycle.phase is Phase.SERVING
 
 
-def test_what_queued_at_a_socket_that_was_handed_in_has_waited_as_long_as_this_life_lasts(
+def test_queued_requests_have_waited_since_the_start_when_the_socket_was_passed_in(
     world: InMemoryNetwork, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr(clock, "STARTED_AT", clock.now() - 3.0)
@@ -220,19 +230,19 @@
     assert clock.now() - limiter.deadlines.earliest_arrival(clock.now()) == pytest.approx(3.5)
 
 
-def test_an_address_that_another_takes_while_it_starts_is_told_in_one_line(tmp_path: Path) -> None:
-    with Limiter(tmp_path, told=False) as limiter:
+def test_start_fails_with_one_line_when_another_process_takes_the_address(tmp_path: Path) -> None:
+    with Limiter(tmp_path, is_list_sent=False) as limiter:
         watch, _ = limiter.watch()
         with socket.socket() as other:
             other.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
             other.bind(("127.0.0.1", limiter.port))
             other.listen()
-            limiter.tell(watch, 44, limiter.entry(0))
+            limiter.send_endpoint_change(watch, 44, limiter.entry(0))
             assert f"127.0.0.1:{limiter.port}" in limiter.log("cannot listen:")
             assert limiter.process.wait(PATIENCE) == 3
 
 
-def test_a_stall_is_remembered_until_what_waited_has_been_read(world: InMemoryNetwork) -> None:
+def test_stall_is_remembered_until_waiting_bytes_are_read(world: InMemoryNetwork) -> None:
     told = list[float]()
     amid = list[float]()
     deadlines = clock.Deadlines(world.reactor, told.append)
@@ -241,15 +251,18 @@
             clock.now() + after, lambda _: amid.append(clock.now() - deadlines.earliest_arrival(clock.now()))
         )
     begun = clock.now()
-    assert deadlines.earliest_arrival(begun) == begun and not deadlines.is_stalled(begun)
+    assert deadlines.earliest_arrival(begun) == begun
+    assert not deadlines.is_stalled(begun)
     world.reactor.rightNow += 2.0  # no turn: stopped, or one turn took so long
-    assert deadlines.earliest_arrival(clock.now()) == begun + 0.1 and deadlines.is_stalled(clock.now())
+    assert deadlines.earliest_arrival(clock.now()) == begun + 0.1
+    assert deadlines.is_stalled(clock.now())
     world.reactor.advance(0.0)  # all turns that are due at once
-    assert told == [pytest.approx(1.9)] and amid == [pytest.approx(1.9)] * 2
+    assert told == [pytest.approx(1.9)]
+    assert amid == [pytest.approx(1.9)] * 2
     assert not deadlines.is_stalled(clock.now())
 
 
-def test_a_dial_whose_deadline_comes_due_in_a_late_turn_gets_its_turns_first(world: InMemoryNetwork) -> None:
+def test_dial_gets_its_turns_first_when_its_deadline_expires_in_a_late_turn(world: InMemoryNetwork) -> None:
     given_up = list[float]()
     world.reactor.connectTCP = lambda *_, **__: type(
         "Dial", (), {"stopConnecting": lambda self: given_up.append(clock.now())}
@@ -261,12 +274,13 @@
     assert not given_up
     for _ in range(clock.SETTLING_TURNS + 2):
         world.reactor.advance(clock.STALL / 2)
-    assert len(given_up) == 1 and given_up[0] >= begun + 3.0 + clock.STALL
+    assert len(given_up) == 1
+    assert given_up[0] >= begun + 3.0 + clock.STALL
 
 
 @pytest.mark.parametrize("pushed", [True, False])
 @pytest.mark.parametrize("seed", range(6))
-def test_a_watch_that_falls_silent_is_opened_anew_before_a_drain_that_it_missed_is_due(
+def test_silent_watch_is_opened_again_before_a_missed_drain_is_due(
     world: InMemoryNetwork, seed: int, pushed: bool
 ) -> None:
     # Told 6 s after the silence began, by whatever word, and a second's grace: in a set of any size.
--- a/tests/shedding/test_threshold.py
+++ b/tests/shedding/test_threshold.py
@@ -84,7 +84,8 @@
     shedding = LoadShedder(gateway)
     with pytest.raises(ValueError, match="no figure from 0 to 1"):
         shedding.on_threshold(value, 0.0, 0.0)
-    assert not threshold.reports and shedding.rejected_fraction(SAFE, PLAN, 1, 0.25) == 0.25
+    assert not threshold.reports
+    assert shedding.rejected_fraction(SAFE, PLAN, 1, 0.25) == 0.25
 
 
 def test_order_goes_by_priority_weight_and_is_the_same_at_members_when_their_settings_are() -> None:
@@ -93,7 +94,9 @@
     kinds = [(SAFE, PLAN), (DEAR, PLAN), (SAFE, RICH), (DEAR, RICH)]  # of priority weight 1, 3, 4, 12
     for customer in range(300):
         ranks = [one.rank(cls, plan, customer, 50.0) for cls, plan in kinds]
-        assert ranks == sorted(ranks) and ranks[0] >= 0.0 and ranks[-1] < 1.0
+        assert ranks == sorted(ranks)
+        assert ranks[0] >= 0.0
+        assert ranks[-1] < 1.0
         assert ranks == [other.rank(cls, plan, customer, 50.0) for cls, plan in kinds]
     moved = sum(one.rank(SAFE, PLAN, n, 50.0) != one.rank(SAFE, PLAN, n, 50.0 + ROTATION_SECONDS) for n in range(300))
     assert moved == 300, "the same customers are shed for ever"
@@ -132,10 +135,8 @@
     member = Gateway(SITE, 1)
     shedding = LoadShedder(member)
     member.set_fleet_bounds(member_bounds(load_shedder=shedding, fraction=0.25))
-    assert (
-        member.retries.max_budget() == pytest.approx(0.25 * MAX_FLEET_RETRY_BUDGET)
-        and member.context.fraction_of("places") == 0.25
-    )
+    assert member.retries.max_budget() == pytest.approx(0.25 * MAX_FLEET_RETRY_BUDGET)
+    assert member.context.fraction_of("places") == 0.25
     shedding.on_threshold(0.8, 0.0, 0.0)
     assert member.retries.max_budget() == pytest.approx(max(1.0, 0.05 * MAX_FLEET_RETRY_BUDGET))
     member.context.now = THRESHOLD_LEASE_SECONDS + 0.1
@@ -188,7 +189,7 @@
 def test_fleet_sheds_and_recovers_when_its_backends_are_slow_for_a_while(tmp_path: Path) -> None:
     classes = [{"name": "look", "on-time": 0.5, "deadline": 3000.0, "effect": "retryable"}]
     with (
-        Limiter(tmp_path, servers=4, classes=classes) as limiter,
+        Limiter(tmp_path, backend_count=4, classes=classes) as limiter,
         RunningFleet(tmp_path, limiter) as members,
         RespondingBackends(limiter) as backends,
     ):
--- a/tests/test_simulator.py
+++ b/tests/simulator/test_simulator.py
@@ -14,7 +14,7 @@
 
 from thymeflow import simulator
 
-ROOT = Path(__file__).resolve().parent.parent
+ROOT = Path(__file__).resolve().parents[2]
 SETTINGS = json.dumps(
     {
         "azs": ["east"],
--- a/tests/snapshot/test_atomic_file.py
+++ b/tests/snapshot/test_atomic_file.py
@@ -34,7 +34,8 @@
     atomic_file.write(path, b"first")
     with limited_file_size(), pytest.raises(OSError):
         atomic_file.write(path, b"x" * 5000)
-    assert atomic_file.read(path) == b"first" and os.listdir(tmp_path) == ["n0.state"]
+    assert atomic_file.read(path) == b"first"
+    assert os.listdir(tmp_path) == ["n0.state"]
 
 
 def test_read_returns_none_when_there_is_no_file(tmp_path: Path) -> None:
--- a/tests/snapshot/test_restore.py
+++ b/tests/snapshot/test_restore.py
@@ -73,7 +73,8 @@
     after_crash = only_bucket(restored_gateway(crash_snapshot, now + 1.5))
     local_rate = only_bucket(gateway).local_rate
     assert after_crash.level == pytest.approx(max(after_shutdown.level - local_rate * 1.5, 0.0), abs=1e-6)
-    assert after_crash.level < after_shutdown.level and after_crash.ceiling_level <= 0.0
+    assert after_crash.level < after_shutdown.level
+    assert after_crash.ceiling_level <= 0.0
 
 
 def test_debt_and_smaller_burst_apply_when_restored() -> None:
@@ -88,7 +89,8 @@
     snapshot = take_snapshot(gateway, bucket.updated_at)
     smaller_plan = (Plan("plain", rate=10.0, burst=6.0),)
     restored = only_bucket(restored_gateway(snapshot, bucket.updated_at, plans=smaller_plan))
-    assert restored.level <= 6.0 and restored.global_level <= 6.0
+    assert restored.level <= 6.0
+    assert restored.global_level <= 6.0
     other_plan = (Plan("other", 1.0, 2.0),)
     assert restored_gateway(snapshot, bucket.updated_at, plans=other_plan).buckets == {}
 
@@ -110,7 +112,8 @@
     backends = (*fleet()[:1], Backend(2, "b", started=59.0))
     fresh.handle(60.0, EndpointsChanged(EndpointListKind.CACHED, backends))
     assert restore.restore_health(fresh, snapshot, 60.0) == 1
-    assert not fresh.backends[1].is_healthy("read", 61.0) and fresh.backends[2].is_healthy("read", 61.0)
+    assert not fresh.backends[1].is_healthy("read", 61.0)
+    assert fresh.backends[2].is_healthy("read", 61.0)
 
 
 def test_newer_endpoint_list_is_used_when_versions_differ() -> None:
@@ -129,11 +132,13 @@
     bucket.level = 6.0
     gateway.handle(10.6, SettingsChanged(settings(limiter_count=6)))
     gateway.handle(10.6, request("x", set_size=6))
-    assert bucket.member_count == 6 and bucket.level <= 3.0 + PLAN.rate * 0.2
+    assert bucket.member_count == 6
+    assert bucket.level <= 3.0 + PLAN.rate * 0.2
     level_before = bucket.level
     gateway.handle(10.6, SettingsChanged(settings(limiter_count=2)))
     gateway.handle(10.6, request("y", set_size=2))
-    assert bucket.member_count == 2 and bucket.level <= level_before
+    assert bucket.member_count == 2
+    assert bucket.level <= level_before
     assert gateway.settings.limiter_count == 2
 
 
--- a/tests/stored_files.py
+++ b/tests/stored_files.py
@@ -26,7 +26,7 @@
     return json.loads((STORED_FOLDER / "stored-values.json").read_text())[name]
 
 
-def plain(value: Any) -> Any:
+def plain(value: Any) -> Any:  # noqa: PLR0911  # one for each kind of value
     """Return a value without our names: records as lists in declared order, sets sorted, enums by value."""
     if is_dataclass(value):
         return [plain(getattr(value, field.name)) for field in fields(value)]
--- a/tests/test_known_red.py
+++ b/tests/test_known_red.py
@@ -47,13 +47,16 @@
 
 def test_known_red_test_is_deselected_and_printed_when_it_fails(tmp_path: Path) -> None:
     run = run_ci(tmp_path, RED, SUITE_WITH_ONE_FAILURE)
-    assert run.exit_code == 0 and RED.strip() in run.output and "1 passed, 1 deselected" in run.output
+    assert run.exit_code == 0
+    assert RED.strip() in run.output
+    assert "1 passed, 1 deselected" in run.output
 
 
 def test_any_number_of_entries_is_deselected_and_printed_when_each_fails(tmp_path: Path) -> None:
     entries = FOUR_RED + RED + RED.replace("test_red", "test_red_too")
     run = run_ci(tmp_path, entries)
-    assert run.exit_code == 0 and "1 passed, 6 deselected" in run.output
+    assert run.exit_code == 0
+    assert "1 passed, 6 deselected" in run.output
     assert all(entry in run.output for entry in entries.splitlines())
 
 
@@ -76,4 +79,5 @@
 )
 def test_run_fails_when_an_entry_is_wrong_or_a_failing_test_has_none(tmp_path: Path, entries: str, reason: str) -> None:
     run = run_ci(tmp_path, entries)
-    assert run.exit_code == 1 and reason in run.output
+    assert run.exit_code == 1
+    assert reason in run.output
--- a/tests/trace_digest.py
+++ b/tests/trace_digest.py
@@ -47,4 +47,5 @@
             start = first * BLOCK_STEPS
             output = "\n".join(self.steps[start : start + BLOCK_STEPS])
             difference = f"steps {start} to {start + BLOCK_STEPS - 1} are the first to differ; they are now:\n{output}"
-        raise AssertionError(f"{name}: {difference}\npresent figures: {json.dumps(present)}")
+        message = f"{name}: {difference}\npresent figures: {json.dumps(present)}"
+        raise AssertionError(message)
--- a/tests/transport/test_long.py
+++ b/tests/transport/test_long.py
@@ -34,8 +34,8 @@
 
 def passed_on(limiter: Limiter, client: Peer, number: int, cls: str = "look", body: bytes = b"B") -> Peer:
     client.send(request(number, cls, body=body))
-    server = limiter.servers[0].accept()
-    assert server.words()[2] == b"%016x" % number
+    server = limiter.backends[0].accept()
+    assert server.read_command()[2] == b"%016x" % number
     return server
 
 
@@ -52,70 +52,71 @@
     return [server.file.read(int(server.line()[1:]) + 2)[:-2] for _ in range(4)] + [server.line()]
 
 
-def test_a_long_answer_is_passed_on_as_it_comes_and_its_connection_is_used_again(limiter: Limiter) -> None:
+def test_long_response_is_streamed_and_its_connection_reused(limiter: Limiter) -> None:
     client = limiter.connect()
     server = passed_on(limiter, client, 1)
     server.send(HEAD + VALUE[:1000])
-    assert client.line() == b"$%d" % SIZE and client.file.read(1000) == VALUE[:1000]
+    assert client.line() == b"$%d" % SIZE
+    assert client.file.read(1000) == VALUE[:1000]
     server.send(VALUE[1000:])
     assert client.file.read(SIZE - 1000) == VALUE[1000:]
     server.send(TAIL)
     assert client.file.read(2) == b"\r\n"
-    limiter.served(client, 2, server)
+    limiter.serve_request(client, 2, server)
 
 
-def test_the_deadline_ends_no_answer_that_has_begun(limiter: Limiter) -> None:
+def test_deadline_does_not_end_a_response_that_has_begun(limiter: Limiter) -> None:
     client = limiter.connect()
     client.send(request(1, wait=300))
-    server = limiter.servers[0].accept()
-    server.words()
+    server = limiter.backends[0].accept()
+    server.read_command()
     server.send(HEAD + VALUE[:1000])
     assert client.line() == b"$%d" % SIZE
     client.file.read(1000)
-    assert client.silent(0.6)
+    assert client.receives_nothing(0.6)
     server.send(VALUE[1000:] + TAIL)
     assert client.file.read(SIZE - 998) == VALUE[1000:] + b"\r\n"
 
 
 @pytest.mark.parametrize("rest", [b"", VALUE[:5000], VALUE + b"no end", VALUE[:-1] + b"\r\n"])
-def test_a_break_in_the_middle_closes_the_user_agents_connection(limiter: Limiter, rest: bytes) -> None:
+def test_client_connection_is_closed_when_a_long_response_breaks_off(limiter: Limiter, rest: bytes) -> None:
     client = limiter.connect()
     server = passed_on(limiter, client, 1, "book")
     server.send(HEAD + rest)
     if len(rest) < SIZE:
         server.close()
     assert len(client.file.read()) <= SIZE + len(HEAD)  # and then the end, with the value not closed
-    assert limiter.servers[0].quiet(0.1)  # it may have run: no other pass
-    limiter.served(limiter.connect(), 2)
+    assert limiter.backends[0].has_no_connection(0.1)  # it may have run: no other pass
+    limiter.serve_request(limiter.connect(), 2)
 
 
-def test_who_leaves_in_the_middle_frees_the_other_side(limiter: Limiter) -> None:
+def test_other_side_is_released_when_one_side_leaves_during_a_long_value(limiter: Limiter) -> None:
     client = limiter.connect()
     sender = limiter.connect()
     server = passed_on(limiter, client, 1)
     server.send(HEAD + VALUE[:1000])
     client.line()
     client.close()
-    assert server.ended()
+    assert server.is_closed_by_peer()
     sender.send(upload(2) + VALUE[:1000])
-    server = limiter.servers[0].accept()
+    server = limiter.backends[0].accept()
     assert uploaded(server)[2] == b"%016x" % 2
     sender.close()
     assert len(server.file.read()) == 1000
 
 
-def test_answers_behind_one_another_wait_for_their_turn(limiter: Limiter) -> None:
+def test_responses_wait_for_their_turn_when_a_long_one_is_ahead(limiter: Limiter) -> None:
     client = limiter.connect()
     client.send(request(1) + request(2) + command(b"PING"))
-    peers = [limiter.servers[0].accept(), limiter.servers[0].accept()]
-    first, second = sorted(peers, key=lambda peer: peer.words()[2])
+    peers = [limiter.backends[0].accept(), limiter.backends[0].accept()]
+    first, second = sorted(peers, key=lambda peer: peer.read_command()[2])
     second.send(HEAD + VALUE + TAIL)
-    assert client.silent(0.2)
+    assert client.receives_nothing(0.2)
     first.send(HEAD + VALUE + TAIL)
-    assert [client.bulk(), client.bulk(), client.line()] == [VALUE, VALUE, b"+PONG"]
+    assert [client.read_bulk(), client.read_bulk(), client.line()] == [VALUE, VALUE, b"+PONG"]
 
 
-def test_a_slow_reader_holds_its_server_back_and_loses_nothing(limiter: Limiter) -> None:
+def test_backend_is_paused_and_no_byte_lost_when_the_client_reads_slowly(limiter: Limiter) -> None:
     client = limiter.connect()
     other = limiter.connect()
     most = resp.MAX_LONG_VALUE
@@ -127,7 +128,7 @@
     server.sock.setblocking(False)
     while sent < len(text) and select.select([], [server.sock], [], 0.5)[1]:
         sent += server.sock.send(text[sent : sent + 65536])
-    limiter.served(other, 2)  # nobody else waits for it
+    limiter.serve_request(other, 2)  # nobody else waits for it
     server.sock.settimeout(PATIENCE)
     got = 0
     begun = time.monotonic()
@@ -140,60 +141,65 @@
         assert time.monotonic() - begun < PATIENCE
 
 
-def test_a_long_body_goes_on_as_it_comes_and_its_time_starts_with_its_end(limiter: Limiter) -> None:
+def test_long_body_is_streamed_and_its_time_starts_with_its_end(limiter: Limiter) -> None:
     client = limiter.connect()
     client.send(upload(1, 1500) + VALUE[:1000])
-    server = limiter.servers[0].accept()
+    server = limiter.backends[0].accept()
     verb, _, name, terms, head = uploaded(server)
-    assert (verb, name, head) == (b"SVC.SUBMIT", b"%016x" % 1, b"$%d" % SIZE) and b",d=1500," in terms
+    assert (verb, name, head) == (b"SVC.SUBMIT", b"%016x" % 1, b"$%d" % SIZE)
+    assert b",d=1500," in terms
     assert server.file.read(1000) == VALUE[:1000]
     for _ in range(4):  # for longer than it will wait, and never silent for long
-        assert client.silent(0.5)
+        assert client.receives_nothing(0.5)
         client.send(b"x")
     client.send(VALUE[1004:] + b"\r\n" + command(b"PING"))
     assert server.file.read(SIZE - 1000 + 2) == b"xxxx" + VALUE[1004:] + b"\r\n"
     server.send(SERVED_REPLY)
-    assert [client.bulk(), client.line()] == [b"value", b"+PONG"]
-    limiter.served(client, 2, server)
+    assert [client.read_bulk(), client.line()] == [b"value", b"+PONG"]
+    limiter.serve_request(client, 2, server)
 
 
-def test_a_refused_body_is_read_and_thrown_away_and_the_connection_stays_in_step(tmp_path: Path) -> None:
+def test_body_is_discarded_and_the_connection_stays_usable_when_the_request_is_rejected(tmp_path: Path) -> None:
     with Limiter(tmp_path, **{**SMALL_PLAN, "caps": {"open-cap": 1, "dial-timeout": 20.0}}) as limiter:
         busy = limiter.connect()
         client = limiter.connect()
         server = passed_on(limiter, busy, 1)
         for wrong in (b"c=book", b"c=none"):
             client.send(upload(2).replace(b"c=book", wrong) + VALUE[:1000])
-            assert client.silent(0.1)  # the request has not come yet
+            assert client.receives_nothing(0.1)  # the request has not come yet
             client.send(VALUE[1000:] + b"\r\n" + command(b"PING"))
-            assert client.line()[:4] in (b"-BUS", b"-ERR") and client.line() == b"+PONG"
+            assert client.line()[:4] in (b"-BUS", b"-ERR")
+            assert client.line() == b"+PONG"
         server.send(SERVED_REPLY)
-        assert busy.bulk() == b"value"
+        assert busy.read_bulk() == b"value"
 
 
 @pytest.mark.parametrize("rest", [b"", b"no end"])
-def test_a_body_that_stops_or_is_not_closed_is_one_error_line_and_a_close(limiter: Limiter, rest: bytes) -> None:
+def test_one_error_line_and_a_close_follow_when_a_body_stops_or_is_not_terminated(
+    limiter: Limiter, rest: bytes
+) -> None:
     client = limiter.connect()
     client.send(upload(1) + VALUE[:1000])
-    server = limiter.servers[0].accept()
+    server = limiter.backends[0].accept()
     uploaded(server)
     if rest:
         client.send(VALUE[1000:])
         assert server.file.read(SIZE) == VALUE  # before the end comes: a reset throws away what is not read yet
         client.send(rest)
-    assert client.line().startswith(b"-ERR Protocol error") and client.ended()
+    assert client.line().startswith(b"-ERR Protocol error")
+    assert client.is_closed_by_peer()
     with contextlib.suppress(ConnectionResetError):
         assert len(server.file.read()) < SIZE  # never whole, so it never ran
-    limiter.served(limiter.connect(), 2)
+    limiter.serve_request(limiter.connect(), 2)
 
 
-def test_until_a_body_is_on_its_way_another_server_may_have_it(tmp_path: Path) -> None:
-    with Limiter(tmp_path, servers=2) as limiter:
-        limiter.servers[0].sock.close()
+def test_another_backend_is_tried_when_no_byte_of_the_body_was_sent(tmp_path: Path) -> None:
+    with Limiter(tmp_path, backend_count=2) as limiter:
+        limiter.backends[0].sock.close()
         for number in range(1, 5):  # some of them meet the server that is down first
             client = limiter.connect()
             client.send(upload(number) + VALUE + b"\r\n")
-            server = limiter.servers[1].accept()
+            server = limiter.backends[1].accept()
             assert uploaded(server)[2] == b"%016x" % number
             assert server.file.read(SIZE + 2) == VALUE + b"\r\n"
             server.send(b"-BUSY\r\n")
@@ -201,10 +207,10 @@
             server.close()
 
 
-def test_a_server_that_refuses_early_ends_the_pass_and_the_rest_is_thrown_away(limiter: Limiter) -> None:
+def test_attempt_ends_and_the_rest_is_discarded_when_the_backend_rejects_early(limiter: Limiter) -> None:
     client = limiter.connect()
     client.send(upload(1) + VALUE[:1000])
-    server = limiter.servers[0].accept()
+    server = limiter.backends[0].accept()
     uploaded(server)
     server.send(b"-BUSY\r\n")
     assert len(server.file.read()) == 1000  # closed: the rest of the body would be taken for a command
@@ -212,47 +218,50 @@
     assert client.line().startswith(b"-BUSY")
 
 
-def test_a_stream_outlives_an_evacuation_and_a_drain(limiter: Limiter) -> None:
+def test_stream_continues_when_the_limiter_is_evacuated_or_drains(limiter: Limiter) -> None:
     client = limiter.connect()
     sender = limiter.connect()
     server = passed_on(limiter, client, 1)
     server.send(HEAD + VALUE[:1000])
     sender.send(upload(2) + VALUE[:1000])
-    body = limiter.servers[0].accept()
+    body = limiter.backends[0].accept()
     assert limiter.call(b"evacuate\n").startswith(b"200 ")
     uploaded(body)
-    assert client.silent(0.0) or client.line()
-    time_over = sender.silent(0.7)
+    assert client.receives_nothing(0.0) or client.line()
+    time_over = sender.receives_nothing(0.7)
     limiter.terminate()
-    assert time_over and sender.silent(0.3)
+    assert time_over
+    assert sender.receives_nothing(0.3)
     sender.send(VALUE[1000:] + b"\r\n")
     body.file.read(SIZE + 2)
     body.send(SERVED_REPLY)
-    assert sender.bulk() == b"value" and sender.ended()
+    assert sender.read_bulk() == b"value"
+    assert sender.is_closed_by_peer()
     server.send(VALUE[1000:] + TAIL)
     assert client.file.read().endswith(VALUE[-100:] + b"\r\n")
     assert limiter.process.wait(PATIENCE) == 0
 
 
-def test_a_head_in_pieces_has_its_time_also_on_a_connection_that_is_old(limiter: Limiter) -> None:
+def test_head_in_pieces_has_its_full_time_when_the_connection_is_old(limiter: Limiter) -> None:
     client = limiter.connect()
     text = request(2)
-    server = limiter.served(client, 1)
-    assert client.silent(2.0)
+    server = limiter.serve_request(client, 1)
+    assert client.receives_nothing(2.0)
     for place in range(0, len(text), 30):  # 1 s in all, long after the last answer
         client.send(text[place : place + 30])
         time.sleep(0.1)
-    server.words()
+    server.read_command()
     server.send(SERVED_REPLY)
-    assert client.bulk() == b"value"
+    assert client.read_bulk() == b"value"
 
 
-def test_an_answer_that_has_begun_crowds_nobody_and_ends_its_request_once() -> None:
+def test_begun_response_uses_no_capacity_and_ends_its_request_once() -> None:
     gateway = started()
     for number in range(200):  # two hundred readers that take their time
         sent = sends(gateway.handle(0.1 + number, asked(f"r{number}")))
         gateway.handle(0.2 + number, ResponseStarted(f"r{number}", 0, sent[0].backend, 0.1))
-    assert gateway.registry.in_flight == 0 and len(gateway.pending) == 200
+    assert gateway.registry.in_flight == 0
+    assert len(gateway.pending) == 200
     for number in range(200):
         gateway.handle(
             300.0, ended(f"r{number}", StartAttempt(f"r{number}", 1), Status.OK if number % 2 else Status.CANCELLED)
@@ -262,7 +271,7 @@
     assert all(job.is_answered for job in gateway.pending.values())
 
 
-def test_a_body_that_is_on_its_way_allows_no_other_attempt() -> None:
+def test_no_other_attempt_begins_when_a_body_is_being_sent() -> None:
     gateway = started()
     (first,) = sends(gateway.handle(0.1, asked("a", class_name="book")))
     (again,) = sends(gateway.handle(0.2, ended("a", first, Status.CONNECT_FAILED)))
--- a/tests/transport/test_resp.py
+++ b/tests/transport/test_resp.py
@@ -13,7 +13,7 @@
 
 
 @given(st.lists(st.binary(max_size=40), min_size=1, max_size=5), st.data())
-def test_messages_are_found_however_the_bytes_are_cut(parts: list[bytes], data: st.DataObject) -> None:
+def test_messages_are_parsed_however_the_bytes_are_cut(parts: list[bytes], data: st.DataObject) -> None:
     text = command(*parts) + resp.bulk(b"x") + b"-ERR e\r\n:-5\r\n$-1\r\n"
     parser = resp.Parser()
     found = list[resp.Event]()
@@ -26,7 +26,7 @@
 
 
 @given(st.binary(max_size=200))
-def test_any_bytes_are_messages_or_the_parsers_own_fault(text: bytes) -> None:
+def test_any_bytes_are_messages_or_a_parser_error(text: bytes) -> None:
     for start in (b"", b"*2\r\n$1\r\nx\r\n", b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"):
         assert isinstance(resp.Parser().feed(start + text)[1], str)
         with contextlib.suppress(HttpError):
@@ -39,7 +39,7 @@
     st.lists(st.binary(max_size=20), min_size=0, max_size=2),
     st.data(),
 )
-def test_however_the_bytes_are_cut_the_events_are_the_same(
+def test_events_are_the_same_however_the_bytes_are_cut(
     before: list[bytes], more: int, after: list[bytes], data: st.DataObject
 ) -> None:
     value = b"\r\n$" * ((resp.MAX_VALUE + more) // 3 + 1)
@@ -51,7 +51,8 @@
     while place < len(text):
         step = data.draw(st.integers(1, 30) if place < 40 or place > len(text) - 99 else st.integers(2**14, 2**16))
         events, fault = parser.feed(text[place : place + step])
-        assert not fault and parser.buffered_bytes() < 200
+        assert not fault
+        assert parser.buffered_bytes() < 200
         found = found + events
         place = place + step
     parts = [event.data for event in found if isinstance(event, resp.LongValueChunk)]
