--- a/thymeflow/frontend/client_connection.py
+++ b/thymeflow/frontend/client_connection.py
@@ -122,7 +122,7 @@
                 self._has_sent_command = True
                 self._idle_since = self._last_activity_at
                 if value:
-                    self._on_command(value)  # type: ignore[arg-type]
+                    self._on_command(value)  # type: ignore[arg-type]  # checked above
             elif isinstance(value, resp.LongValueBegin):
                 self._on_long_command(value)
             else:
@@ -142,7 +142,7 @@
         words = begin.before
         body = self._body.build_flow(begin.length, self._on_body_paced)
         if all(type(word) is bytes for word in words) and len(words) == BODY_INDEX and not begin.after:
-            self._submit_request([*words, b""], body)  # type: ignore[list-item]
+            self._submit_request([*words, b""], body)  # type: ignore[list-item]  # checked above
         else:
             self._reply(resp.error_reply("ERR a value is too long for this command"))
         self._body.begin(self._slots[-1], body)
--- a/thymeflow/platform/settings.py
+++ b/thymeflow/platform/settings.py
@@ -118,7 +118,7 @@
         message = f"settings.{path}.{keys.get(fault.name, fault.name)}: {fault.value!r} makes no sense"
         raise ValueError(message) from None
     except TypeError as fault:
-        required = [field.name for field in fields(section_type) if field.default is MISSING]  # type: ignore[arg-type]
+        required = [field.name for field in fields(section_type) if field.default is MISSING]  # type: ignore[arg-type]  # a dataclass
         missing = [keys[name] for name in required if keys[name] not in source]
         message = f"settings.{path}: {f'{missing[0]} is missing' if missing else fault}"
         raise ValueError(message) from None
--- a/thymeflow/runtime/log.py
+++ b/thymeflow/runtime/log.py
@@ -60,4 +60,4 @@
 
     logging.basicConfig(level=logging.INFO, format=f"%(asctime)s {name} %(message)s")
     logging.getLogger("twisted").setLevel(logging.ERROR)
-    PythonLoggingObserver().start()  # type: ignore[no-untyped-call]
+    PythonLoggingObserver().start()  # type: ignore[no-untyped-call]  # Twisted declares no type for it
