--- a/tests/backends/test_attempts.py
+++ b/tests/backends/test_attempts.py
@@ -39,10 +39,10 @@
 
 
 @pytest.mark.parametrize(
-    ("most", "status"), [(10**6, Status.RESET), (0, Status.CONNECT_FAILED), (7, Status.CONNECT_FAILED)]
+    ("max_bytes_taken", "status"), [(10**6, Status.RESET), (0, Status.CONNECT_FAILED), (7, Status.CONNECT_FAILED)]
 )
 def test_attempt_may_have_executed_only_when_its_last_byte_was_written(
-    world: InMemoryNetwork, most: int, status: Status
+    world: InMemoryNetwork, max_bytes_taken: int, status: Status
 ) -> None:
     made, ends = make_backend_connections(world)
     made.start_attempt(make_attempt_spec()).addCallback(ends.append)
@@ -50,7 +50,7 @@
     server.dataReceived(served_reply(b"v"))  # the connection is warm and idle now
     made.start_attempt(make_attempt_spec()).addCallback(ends.append)
     server.dataReceived(served_reply(b"v"))
-    server.transport.handle.max_bytes = most  # what the kernel does not take stays with the transport
+    server.transport.handle.max_bytes = max_bytes_taken  # what the kernel does not take stays with the transport
     server.transport.clear()
     made.start_attempt(make_attempt_spec()).addCallback(ends.append)
     assert parse_command(server.transport.value())[0] == b"SVC.QUERY"  # nothing missing, nothing twice
--- a/tests/core/test_dispatcher.py
+++ b/tests/core/test_dispatcher.py
@@ -47,8 +47,8 @@
     gateway: Any = Odd(raises)
     core = RequestDispatcher(settings_from(SETTINGS), gateway, world.deadlines, 10**6, backends, None, None)
     answers: list[Response] = []
-    call, told = CallReader(settings_from(SETTINGS)).read(parse_command(request(1, wait=500)))
-    core.submit(IncomingRequest(told, clock.now() + 0.5, call, 100)).addCallback(answers.append)
+    call, received = CallReader(settings_from(SETTINGS)).read(parse_command(request(1, wait=500)))
+    core.submit(IncomingRequest(received, clock.now() + 0.5, call, 100)).addCallback(answers.append)
     world.reactor.advance(0.52)
     assert [answer.kind for answer in answers] == [ResponseKind.FAILED]
     assert core.open_count() == 0
--- a/tests/decision/test_settings_change.py
+++ b/tests/decision/test_settings_change.py
@@ -133,8 +133,8 @@
         server.read_command()
 
         def change(config: Any) -> None:
-            look, book = config["settings"]["classes"]
-            config["settings"]["classes"] = [book, {**look, "name": "sign", "effect": "fragile"}]
+            look, keyed_class = config["settings"]["classes"]
+            config["settings"]["classes"] = [keyed_class, {**look, "name": "sign", "effect": "fragile"}]
             config["settings"]["caps"]["max-attempts"] = 1
 
         line = changed(limiter, change)
--- a/tests/discovery/test_watch_connection.py
+++ b/tests/discovery/test_watch_connection.py
@@ -16,8 +16,8 @@
 
 
 def test_watch_is_dialed_again_when_it_is_silent_and_a_complete_list_can_be_requested(world: InMemoryNetwork) -> None:
-    told: list[EndpointUpdate] = []
-    observer = RecordingObserver(told.append)
+    updates: list[EndpointUpdate] = []
+    observer = RecordingObserver(updates.append)
     watch = EndpointWatcher(world.reactor, world.deadlines, Address("127.0.0.1", 9), 41, observer, 3, 1)
     watch.start(clock.now() + 1.0)
     reading = world.up(0)
@@ -30,9 +30,9 @@
     world.reactor.pump([0.1] * 49)  # two of them have not come
     assert len(world.reactor.tcpClients) == 2
     watch.fetch_complete_list()
-    whole = world.up(2)
-    assert whole.transport.value().startswith(b"GET /api/targets HTTP/1.1\r\n")
-    whole.transport.abortConnection = lambda: None
+    complete_list = world.up(2)
+    assert complete_list.transport.value().startswith(b"GET /api/targets HTTP/1.1\r\n")
+    complete_list.transport.abortConnection = lambda: None
     text = b'{"generation":50,"reset":true,"instances":[]}'
-    whole.dataReceived(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%b" % (len(text), text))
-    assert [(news.change.kind, news.change.version) for news in told] == [(EndpointListKind.FULL, 50)]
+    complete_list.dataReceived(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%b" % (len(text), text))
+    assert [(update.change.kind, update.change.version) for update in updates] == [(EndpointListKind.FULL, 50)]
--- a/tests/frontend/test_connections.py
+++ b/tests/frontend/test_connections.py
@@ -92,8 +92,8 @@
     made.start_attempt(void).addCallback(ends.append)
     made.start_attempt(make_attempt_spec()).addCallback(ends.append)
     if why == "late":
-        void_pass = made._attempts.items()[0]
-        void_pass.spec = void_pass.spec._replace(deadline=clock.now() + 0.2)  # its timer has not had its turn
+        late_attempt = made._attempts.items()[0]
+        late_attempt.spec = late_attempt.spec._replace(deadline=clock.now() + 0.2)  # its timer has not had its turn
     there[0] = why != "left"
     world.reactor.rightNow += 0.4
     server = world.up(0)
@@ -129,8 +129,8 @@
         world.reactor.pump([0.1] * 6)  # it rests, or writes slowly: no stall of ours
         client.dataReceived(text[piece * 30 :] if piece == pieces - 1 else text[piece * 30 : piece * 30 + 30])
     server = world.up(len(world.reactor.tcpClients) - 1)
-    told = parse_command(server.transport.value())[3]
-    assert b",d=49" in told or b",d=500" in told
+    terms = parse_command(server.transport.value())[3]
+    assert b",d=49" in terms or b",d=500" in terms
     server.dataReceived(GOOD)
     assert client.transport.value() == b"$5\r\nvalue\r\n"
 
@@ -164,8 +164,8 @@
         resource.prlimit(limiter.process.pid, resource.RLIMIT_NOFILE, (64, 64))  # a descriptor more is an error
         crowd = [limiter.connect() for _ in range(100)]
         watch.close()
-        again, asked = limiter.watch()
-        assert b"index=41 " in asked
+        again, request_line = limiter.watch()
+        assert b"index=41 " in request_line
         limiter.send_endpoint_change(again, 42, limiter.entry(0))
         served = False
         number = 0
--- a/tests/frontend/test_drains.py
+++ b/tests/frontend/test_drains.py
@@ -130,11 +130,11 @@
     lifecycle = limiter.lifecycle
     lifecycle.phase = Phase.SERVING
     lifecycle.terminate()
-    told = clock.now()
+    terminated_at = clock.now()
     client.dataReceived(request(1, wait=60000))
     server = world.up(len(world.reactor.tcpClients) - 1)
     assert server.transport.value()
     while not client.transport.value().startswith(b"-BUSY"):  # the server says nothing
         world.reactor.advance(0.05)
-    assert clock.now() - told < TERMINATION_LINGER + MAX_AWAITED_DEADLINE
+    assert clock.now() - terminated_at < TERMINATION_LINGER + MAX_AWAITED_DEADLINE
     assert server.closed
--- a/tests/frontend/test_limits.py
+++ b/tests/frontend/test_limits.py
@@ -13,20 +13,20 @@
 
 def test_client_is_accepted_when_all_connections_are_taken_by_silent_ones(world: InMemoryNetwork) -> None:
     front = make_limiter(world, 64).frontend
-    silent = [world.connected(front.buildProtocol(None)) for _ in range(16)]  # all the room there is
+    silent_clients = [world.connected(front.buildProtocol(None)) for _ in range(16)]  # all the room there is
     world.reactor.advance(0.04)
     assert front.buildProtocol(None) is None  # they may be about to ask
     world.reactor.advance(0.02)
-    usual = world.connected(front.buildProtocol(None))
-    usual.dataReceived(command(b"PING"))
-    assert usual.transport.value()
-    assert silent[0].transport.disconnected
-    assert not any(client.transport.disconnected for client in silent[1:])
+    ordinary_client = world.connected(front.buildProtocol(None))
+    ordinary_client.dataReceived(command(b"PING"))
+    assert ordinary_client.transport.value()
+    assert silent_clients[0].transport.disconnected
+    assert not any(client.transport.disconnected for client in silent_clients[1:])
 
 
-@pytest.mark.parametrize("held", [0, 50, 150, 1000])
+@pytest.mark.parametrize("open_connections", [0, 50, 150, 1000])
 def test_both_processes_stay_within_the_limits_of_one_when_a_predecessor_runs(
-    world: InMemoryNetwork, held: int
+    world: InMemoryNetwork, open_connections: int
 ) -> None:
     limiter = make_limiter(world, 256)
 
@@ -41,9 +41,9 @@
         )
 
     alone = budgets()
-    limiter.limit_beside_predecessor(held)
+    limiter.limit_beside_predecessor(open_connections)
     both = budgets()
-    assert both[0] + both[1] + held <= sum(alone[:2]) or both[0] + both[1] == MIN_CONNECTIONS
+    assert both[0] + both[1] + open_connections <= sum(alone[:2]) or both[0] + both[1] == MIN_CONNECTIONS
     assert all(2 * part <= whole + 1 for part, whole in zip(both[2:], alone[2:], strict=True))
     limiter.limit_beside_predecessor(None)
     assert budgets() == alone
--- a/tests/limiter.py
+++ b/tests/limiter.py
@@ -152,7 +152,7 @@
         self.backends = [Listener() for _ in range(backend_count)]
         self.discovery = Listener()
         self.counter = Listener()
-        listed = [self.entry(n) for n in range(backend_count)] if known else []
+        instances = [self.entry(n) for n in range(backend_count)] if known else []
         config: dict[str, Any] = {
             "name": "n0",
             "listen": "127.0.0.1:0",
@@ -160,7 +160,7 @@
             "counter": self.counter.address,
             "seed": "8c1f30d27a5be964",
             "limits": {"cores": 1.0, "memory_mb": memory, "sockets": sockets},
-            "known": {"generation": 41, "reset": True, "instances": listed},
+            "known": {"generation": 41, "reset": True, "instances": instances},
             "settings": {**SETTINGS, **settings},
         }
         if managed:
--- a/tests/run_line/test_bad_input.py
+++ b/tests/run_line/test_bad_input.py
@@ -23,15 +23,15 @@
     return b"%x\r\n%b\r\n" % (len(data), data)
 
 
-def message(generation: Any, *entries: dict[str, Any], whole: bool = False) -> bytes:
-    return json.dumps({"generation": generation, "reset": whole, "instances": entries}).encode() + b"\n"
+def message(generation: Any, *entries: dict[str, Any], is_complete: bool = False) -> bytes:
+    return json.dumps({"generation": generation, "reset": is_complete, "instances": entries}).encode() + b"\n"
 
 
 def test_endpoint_list_stays_and_the_next_valid_one_applies_when_a_list_is_malformed(tmp_path: Path) -> None:
     with Limiter(tmp_path) as limiter:
         watch, _ = limiter.watch()
-        agent = limiter.connect()
-        server = limiter.serve_request(agent, 1)
+        client = limiter.connect()
+        server = limiter.serve_request(client, 1)
         leaves = limiter.entry(0, "leaving")
         odd = {**limiter.entry(0), "hostPort": "nowhere"}
         broken = [
@@ -53,11 +53,11 @@
             watch.send(bad)
             if number == 0:
                 watch.close()  # cut in the middle
-            watch, asked = limiter.watch()  # asked for again, from the version before it
-            assert b"index=41 " in asked, bad
-            limiter.serve_request(agent, 100 + number, server)
-        watch.send(chunk(message(12, leaves, whole=True)) + chunk(message(13, leaves)))  # gone back
-        limiter.serve_request(agent, 200, server)
+            watch, request_line = limiter.watch()  # asked for again, from the version before it
+            assert b"index=41 " in request_line, bad
+            limiter.serve_request(client, 100 + number, server)
+        watch.send(chunk(message(12, leaves, is_complete=True)) + chunk(message(13, leaves)))  # gone back
+        limiter.serve_request(client, 200, server)
         watch.send(chunk(json.dumps(json.loads(message(42, leaves)), indent=2).encode()))
         assert server.is_closed_by_peer()  # that one was taken
 
@@ -65,20 +65,20 @@
 def test_no_backend_is_left_and_the_watch_goes_on_when_a_complete_list_is_empty(tmp_path: Path) -> None:
     with Limiter(tmp_path) as limiter:
         watch, _ = limiter.watch()
-        agent = limiter.connect()
-        server = limiter.serve_request(agent, 1)
-        watch.send(chunk(message(42, whole=True)))
+        client = limiter.connect()
+        server = limiter.serve_request(client, 1)
+        watch.send(chunk(message(42, is_complete=True)))
         assert server.is_closed_by_peer()  # what it does not name is gone, though it answers
-        agent.send(request(2))
-        assert agent.line().startswith(b"-BUSY ")
+        client.send(request(2))
+        assert client.line().startswith(b"-BUSY ")
         limiter.send_endpoint_change(watch, 43, limiter.entry(0))
         limiter.wait_for_reply(b"+PONG", command(b"PING"))
-        agent.send(request(3))
-        while not agent.receives_nothing(0.2):  # until that list is read
-            assert agent.line().startswith(b"-BUSY ")
-            agent.send(request(3))
+        client.send(request(3))
+        while not client.receives_nothing(0.2):  # until that list is read
+            assert client.line().startswith(b"-BUSY ")
+            client.send(request(3))
         limiter.backends[0].serve(GOOD)
-        assert agent.read_bulk() == b"value"
+        assert client.read_bulk() == b"value"
 
 
 def slowly(peer: Peer, data: bytes) -> None:
@@ -88,36 +88,36 @@
 
 def test_every_command_is_answered_when_bytes_come_one_at_a_time_or_all_at_once(tmp_path: Path) -> None:
     with Limiter(tmp_path) as limiter:
-        agent = limiter.connect()
-        slowly(agent, request(1))
+        client = limiter.connect()
+        slowly(client, request(1))
         server = limiter.backends[0].accept()
         server.read_command()
         slowly(server, GOOD)
-        assert agent.read_bulk() == b"value"
-        agent.send(command(b"PING") * 300 + request(2) + command(b"PING") * 300)
+        assert client.read_bulk() == b"value"
+        client.send(command(b"PING") * 300 + request(2) + command(b"PING") * 300)
         assert server.read_command()[2] == b"%016x" % 2
-        assert [agent.line() for _ in range(300)] == [b"+PONG"] * 300
+        assert [client.line() for _ in range(300)] == [b"+PONG"] * 300
         server.send(GOOD)
-        assert agent.read_bulk() == b"value"
-        assert [agent.line() for _ in range(300)] == [b"+PONG"] * 300
+        assert client.read_bulk() == b"value"
+        assert [client.line() for _ in range(300)] == [b"+PONG"] * 300
 
 
 def test_reply_is_given_to_no_request_when_it_comes_twice_or_after_the_close(tmp_path: Path) -> None:
     with Limiter(tmp_path) as limiter:
-        agent = limiter.connect()
-        server = limiter.serve_request(agent, 1)
+        client = limiter.connect()
+        server = limiter.serve_request(client, 1)
         server.send(GOOD)  # once more, while nothing is asked
         assert server.is_closed_by_peer()
-        agent.send(request(2, wait=300))
+        client.send(request(2, wait=300))
         second = limiter.backends[0].accept()
         second.read_command()
-        assert agent.line().startswith(b"-BUSY")
+        assert client.line().startswith(b"-BUSY")
         assert second.is_closed_by_peer()
         with contextlib.suppress(OSError):
             second.send(GOOD)
-        agent.send(request(3))
+        client.send(request(3))
         limiter.backends[0].serve(b"*3\r\n$5\r\nthird\r\n$-1\r\n$-1\r\n")
-        assert agent.read_bulk() == b"third"
+        assert client.read_bulk() == b"third"
 
 
 @pytest.mark.parametrize("name", ["d", "c", "k", "units", "first", "PING", "SVC.QUERY", "busy", "OK", "-ERR", "d=5"])
@@ -130,8 +130,8 @@
         }
     )
     text = f"c={name},t={name},d=480,units=2,spread=1,first=0".encode()
-    call, told = CallReader(settings).read([b"SVC.QUERY", b"00000000b4d65521", b"%016x" % 1, text])
-    assert (told.class_name, told.plan, told.units) == (name, name, 2.0)
+    call, received = CallReader(settings).read([b"SVC.QUERY", b"00000000b4d65521", b"%016x" % 1, text])
+    assert (received.class_name, received.plan, received.units) == (name, name, 2.0)
     assert parse_command(call.encode(77))[3] == text.replace(b"d=480", b"d=77")
 
 
@@ -145,23 +145,23 @@
 
 
 @pytest.mark.parametrize(
-    ("part", "key"),
+    ("section", "key"),
     [("classes", "on-time"), ("classes", "deadline"), ("classes", "name"), ("tiers-of-service", "name")],
 )
-def test_missing_key_is_named_with_its_place_when_a_class_or_plan_lacks_it(part: str, key: str) -> None:
-    lacks = {name: value for name, value in SETTINGS[part][0].items() if name != key}
-    with pytest.raises(ValueError, match=rf"settings\.{part}\[0\]: {key} is missing"):
-        settings_from({**SETTINGS, part: [lacks]})
+def test_missing_key_is_named_with_its_place_when_a_class_or_plan_lacks_it(section: str, key: str) -> None:
+    missing_key = {name: value for name, value in SETTINGS[section][0].items() if name != key}
+    with pytest.raises(ValueError, match=rf"settings\.{section}\[0\]: {key} is missing"):
+        settings_from({**SETTINGS, section: [missing_key]})
 
 
-@pytest.mark.parametrize("part", ["rules", "caps", "family-info"])
+@pytest.mark.parametrize("section", ["rules", "caps", "family-info"])
 @pytest.mark.parametrize("value", [7, None, True])
-def test_one_fault_is_reported_when_a_section_of_the_settings_is_no_object(part: str, value: object) -> None:
+def test_one_fault_is_reported_when_a_section_of_the_settings_is_no_object(section: str, value: object) -> None:
     source = {
         "listen": "127.0.0.1:0",
         "discovery": "127.0.0.1:9",
         "counter": "127.0.0.1:9",
-        "settings": {**SETTINGS, part: value},
+        "settings": {**SETTINGS, section: value},
     }
     with pytest.raises(ConfigurationError):
         from_source(source, "c.json", {})
--- a/tests/run_line/test_clients.py
+++ b/tests/run_line/test_clients.py
@@ -80,26 +80,26 @@
 
 def test_connection_is_closed_when_it_sends_nothing_or_half_a_command_and_others_stay(tmp_path: Path) -> None:
     with Limiter(tmp_path) as limiter:
-        usual = limiter.connect()
+        ordinary_client = limiter.connect()
         begun = time.monotonic()
-        usual.send(request(1))
+        ordinary_client.send(request(1))
         server = limiter.backends[0].accept()
         server.read_command()
-        silent = limiter.connect()
+        idle_client = limiter.connect()
         half = limiter.connect()
         half.send(request(2)[:50])
         assert half.line().startswith(b"-ERR Protocol error")
         assert half.is_closed_by_peer()
-        assert silent.is_closed_by_peer()
+        assert idle_client.is_closed_by_peer()
         assert time.monotonic() - begun > 2.0
         server.send(SERVED_REPLY)
-        assert usual.read_bulk() == b"value"
+        assert ordinary_client.read_bulk() == b"value"
 
 
 def test_connections_that_only_sent_ping_are_closed_first_when_all_are_in_use(tmp_path: Path) -> None:
     with Limiter(tmp_path, sockets=64) as limiter:
-        usual = limiter.connect()
-        usual.send(request(1))
+        ordinary_client = limiter.connect()
+        ordinary_client.send(request(1))
         server = limiter.backends[0].accept()
         server.read_command()
         idle = [limiter.connect() for _ in range(15)]  # all the room there is
@@ -107,13 +107,13 @@
             client.send(command(b"PING"))
             assert client.line() == b"+PONG"
         server.send(SERVED_REPLY)
-        assert usual.read_bulk() == b"value"
+        assert ordinary_client.read_bulk() == b"value"
         late = limiter.connect()  # no wait for anybody's idle time to pass
         late.send(command(b"PING"))
         assert late.line() == b"+PONG"
         assert idle[0].is_closed_by_peer()
-        usual.send(command(b"PING"))
-        assert usual.line() == b"+PONG"
+        ordinary_client.send(command(b"PING"))
+        assert ordinary_client.line() == b"+PONG"
 
 
 def test_idle_clients_are_closed_sooner_but_not_within_two_seconds_when_connections_are_scarce(tmp_path: Path) -> None:
--- a/tests/run_line/test_lifecycle_wiring.py
+++ b/tests/run_line/test_lifecycle_wiring.py
@@ -26,7 +26,7 @@
 from thymeflow.runtime import log
 
 DEADLINE_SECONDS = 0.5  # of every class of these limiters
-LATER_DEADLINE_SECONDS = 1.0
+LONGER_DEADLINE_SECONDS = 1.0
 __all__ = ["world"]
 
 
@@ -173,7 +173,7 @@
     assert world.reactor.hasStopped
 
 
-@pytest.mark.parametrize("deadline", [DEADLINE_SECONDS, LATER_DEADLINE_SECONDS, 0.1])
+@pytest.mark.parametrize("deadline", [DEADLINE_SECONDS, LONGER_DEADLINE_SECONDS, 0.1])
 def test_process_stops_after_the_longest_deadline_when_a_client_never_takes_its_response(
     world: InMemoryNetwork, deadline: float
 ) -> None:
--- a/tests/run_line/test_management.py
+++ b/tests/run_line/test_management.py
@@ -33,14 +33,14 @@
         return client.line()[:1], limiter.call(b"readyz\n")[:1]
 
 
-@pytest.mark.parametrize(("phase", "word"), list(itertools.product(Phase, OperatorCommand)))
-def test_every_command_has_an_outcome_in_every_phase(phase: Phase, word: OperatorCommand) -> None:
-    after, yes, why = apply_command(phase, word, phase is Phase.SERVING)
+@pytest.mark.parametrize(("phase", "operator_command"), list(itertools.product(Phase, OperatorCommand)))
+def test_every_command_has_an_outcome_in_every_phase(phase: Phase, operator_command: OperatorCommand) -> None:
+    after, yes, why = apply_command(phase, operator_command, phase is Phase.SERVING)
     assert why
     assert yes or after is phase, "a no changes nothing"
     assert after is phase or {phase, after} == {Phase.SERVING, Phase.EVACUATED}
-    assert yes == ((phase, word) in TRANSITIONS) or word is OperatorCommand.READY
-    assert apply_command(after, word, yes)[:2] == (after, yes), "twice the same call is once"
+    assert yes == ((phase, operator_command) in TRANSITIONS) or operator_command is OperatorCommand.READY
+    assert apply_command(after, operator_command, yes)[:2] == (after, yes), "twice the same call is once"
 
 
 @pytest.mark.parametrize(
@@ -64,13 +64,13 @@
 
 
 def test_callers_are_served_when_others_are_connected_and_idle(limiter: Limiter) -> None:
-    silent = [limiter.operator() for _ in range(MAX_CALLERS + 4)]
+    idle_callers = [limiter.operator() for _ in range(MAX_CALLERS + 4)]
     begun = time.monotonic()
     assert limiter.call(b"readyz\n").startswith(b"200 ")
     assert time.monotonic() - begun < 1.0
-    assert sum(peer.receives_nothing(0.0) for peer in silent) <= MAX_CALLERS  # the oldest made room
-    silent[-1].send(b"readyz\n")
-    assert silent[-1].line().startswith(b"200 ")  # a late one is answered all the same
+    assert sum(peer.receives_nothing(0.0) for peer in idle_callers) <= MAX_CALLERS  # the oldest made room
+    idle_callers[-1].send(b"readyz\n")
+    assert idle_callers[-1].line().startswith(b"200 ")  # a late one is answered all the same
 
 
 def test_clients_are_closed_when_evacuated_and_accepted_when_activated(limiter: Limiter) -> None:
@@ -78,40 +78,40 @@
     idle = limiter.connect()
     begun = time.monotonic()
     busy.send(request(1))
-    held = limiter.backends[0].accept()
-    held.read_command()
-    warm = limiter.serve_request(idle, 2)
+    busy_backend = limiter.backends[0].accept()
+    busy_backend.read_command()
+    backend_connection = limiter.serve_request(idle, 2)
     assert answers(limiter) == (b"+", b"2")
     for _ in range(2):
         assert limiter.call(b"evacuate\n").startswith(b"200 ")
         assert answers(limiter) == (b"-", b"4")
-    limiter.serve_request(idle, 3, warm)  # the front sends on for a moment
+    limiter.serve_request(idle, 3, backend_connection)  # the front sends on for a moment
     assert idle.is_closed_by_peer()
-    held.send(SERVED_REPLY)
+    busy_backend.send(SERVED_REPLY)
     assert busy.read_bulk() == b"value"
     assert busy.is_closed_by_peer()
     late = limiter.connect()  # the listener stays; what comes all the same is answered
-    limiter.serve_request(late, 4, held)  # over the warmest connection
+    limiter.serve_request(late, 4, busy_backend)  # over the warmest connection
     assert late.is_closed_by_peer()
     assert time.monotonic() - begun < 3.0
     assert limiter.call(b"activate\n").startswith(b"200 ")
     assert answers(limiter) == (b"+", b"2")
-    limiter.serve_request(back := limiter.connect(), 5, held)
-    limiter.serve_request(back, 6, held)  # and stays connected
+    limiter.serve_request(back := limiter.connect(), 5, busy_backend)
+    limiter.serve_request(back, 6, busy_backend)  # and stays connected
 
 
 def test_limiter_drains_and_is_never_ready_when_it_is_terminated_while_evacuated(limiter: Limiter) -> None:
     busy = limiter.connect()
     busy.send(request(1))
-    held = limiter.backends[0].accept()
-    held.read_command()
+    busy_backend = limiter.backends[0].accept()
+    busy_backend.read_command()
     assert limiter.call(b"evacuate\n").startswith(b"200 ")
     limiter.terminate()
     limiter.log("phase: draining")
     assert answers(limiter) == (b"-", b"4")
-    for word in (b"evacuate\n", b"activate\n"):
-        assert limiter.call(word).startswith(b"400 ")
-    held.send(SERVED_REPLY)
+    for operator_command in (b"evacuate\n", b"activate\n"):
+        assert limiter.call(operator_command).startswith(b"400 ")
+    busy_backend.send(SERVED_REPLY)
     assert busy.read_bulk() == b"value"
     assert limiter.process.wait(PATIENCE) == 0
 
--- a/tests/run_line/test_operation.py
+++ b/tests/run_line/test_operation.py
@@ -18,8 +18,8 @@
 
 def test_backend_gets_no_new_request_and_completes_its_own_when_it_drains(tmp_path: Path) -> None:
     with Limiter(tmp_path) as limiter:
-        (watch, asked), listener = limiter.watch(), limiter.backends[0]
-        assert asked == b"GET /api/targets?stream=1&index=41 HTTP/1.1"
+        (watch, request_line), listener = limiter.watch(), limiter.backends[0]
+        assert request_line == b"GET /api/targets?stream=1&index=41 HTTP/1.1"
         client = limiter.connect()
         other = limiter.connect()
         client.send(request(1))
@@ -57,11 +57,11 @@
         limiter.send_endpoint_change(watch, 44, limiter.entry(0))
         limiter.wait_for_reply(b"+PONG", command(b"PING"))
         watch.send(b"4\r\n{[]\n\r\n")  # not JSON: the list stands
-        again, asked = limiter.watch()
-        assert asked == b"GET /api/targets?stream=1&index=44 HTTP/1.1"
+        again, request_line = limiter.watch()
+        assert request_line == b"GET /api/targets?stream=1&index=44 HTTP/1.1"
         again.send(b"zz\r\n")  # not even a chunk
-        third, asked = limiter.watch()
-        assert b"index=44 " in asked
+        third, request_line = limiter.watch()
+        assert b"index=44 " in request_line
         third.close()
         limiter.wait_for_reply(b"+PONG", command(b"PING"))
 
@@ -100,8 +100,8 @@
         counter = Listener()
         for _ in range(2):  # the second finds nothing to do
             limiter.reload(discovery=discovery.address, counter=counter.address)
-        moved, asked = limiter.watch(discovery)
-        assert b"index=42 " in asked
+        moved, request_line = limiter.watch(discovery)
+        assert b"index=42 " in request_line
         assert old.is_closed_by_peer()
         assert all(peer.is_closed_by_peer() for peer in calls if peer.sock not in ready)  # no call is out on these
         server.send(SERVED_REPLY)
--- a/tests/run_line/test_requests.py
+++ b/tests/run_line/test_requests.py
@@ -137,6 +137,6 @@
         client.send(request(1))
         limiter.backends[0].serve(SERVED_REPLY)
         ready = select.select([peer.sock for peer in peers], [], [], PATIENCE)[0]
-        verb, name, amount, life = next(peer for peer in peers if peer.sock in ready).read_command()
-        assert (verb, life) == (b"INCRTTL", b"20000")
+        verb, name, amount, ttl_ms = next(peer for peer in peers if peer.sock in ready).read_command()
+        assert (verb, ttl_ms) == (b"INCRTTL", b"20000")
         assert counter_encoding.decode(int(name), float(amount))[0] == pytest.approx(1.0, abs=0.05)
--- a/tests/run_line/test_start.py
+++ b/tests/run_line/test_start.py
@@ -83,10 +83,10 @@
     # Its core is taken nineteen parts of twenty, from its start to its last answer, while fifty try to reach it.
     with Limiter(tmp_path, backend_count=3, is_list_sent=False) as limiter:
         clients = dict[int, Peer]()
-        asked = dict[int, float]()
+        sent_at = dict[int, float]()
         answer = dict[int, bytes]()
         servers = list[Peer]()
-        told = 0.0
+        notified_at = 0.0
         late = list[float]()
         end = time.monotonic() + PATIENCE * 4
         watch: Peer | None = None
@@ -98,17 +98,17 @@
             assert time.monotonic() < end, f"{len(answer)} of 50 answered, {len(clients)} let in"
             if watch is None and not limiter.discovery.has_no_connection(0.0):
                 watch = limiter.discovery.accept()  # it asks in a later turn, and is stopped till then
-            elif watch is not None and not told and not watch.receives_nothing(0.0):
+            elif watch is not None and not notified_at and not watch.receives_nothing(0.0):
                 if limiter.read_watch_request(watch):  # two servers are lost between its start and its first turn
                     limiter.send_endpoint_change(watch, 44, limiter.entry(0, "leaving"), limiter.entry(1, "left"))
-                    told = time.monotonic()
+                    notified_at = time.monotonic()
                 else:
                     watch = None  # it gave that one up, and dials anew
             for number in [n for n in range(50) if n not in clients][:10]:
                 with contextlib.suppress(ConnectionRefusedError):
                     clients[number] = limiter.connect()
                     clients[number].send(request(number, wait=10000))
-                    asked[number] = time.monotonic()
+                    sent_at[number] = time.monotonic()
             waiting = [
                 limiter.backends[2].sock,
                 *(s.sock for s in servers),
@@ -122,9 +122,9 @@
                 peer.send(GOOD)
             for number in [n for n, peer in clients.items() if n not in answer and peer.sock in ready]:
                 answer[number] = clients[number].line()
-                late.append(time.monotonic() - asked[number] - 10.0)
+                late.append(time.monotonic() - sent_at[number] - 10.0)
         limiter.process.send_signal(signal.SIGCONT)
-        assert told, answer
+        assert notified_at, answer
         assert all(line == b"$5" or line.startswith(b"-BUSY") for line in answer.values()), answer
         assert max(late) < 0.5
         assert limiter.backends[0].has_no_connection(0.0)
@@ -243,9 +243,9 @@
 
 
 def test_stall_is_remembered_until_waiting_bytes_are_read(world: InMemoryNetwork) -> None:
-    told = list[float]()
+    reported = list[float]()
     amid = list[float]()
-    deadlines = clock.Deadlines(world.reactor, told.append)
+    deadlines = clock.Deadlines(world.reactor, reported.append)
     for after in (0.1, 0.2):  # the first finds the stall, the second runs in its wake
         deadlines.schedule(
             clock.now() + after, lambda _: amid.append(clock.now() - deadlines.earliest_arrival(clock.now()))
@@ -257,7 +257,7 @@
     assert deadlines.earliest_arrival(clock.now()) == begun + 0.1
     assert deadlines.is_stalled(clock.now())
     world.reactor.advance(0.0)  # all turns that are due at once
-    assert told == [pytest.approx(1.9)]
+    assert reported == [pytest.approx(1.9)]
     assert amid == [pytest.approx(1.9)] * 2
     assert not deadlines.is_stalled(clock.now())
 
--- a/tests/testkit/test_fault_injection.py
+++ b/tests/testkit/test_fault_injection.py
@@ -38,7 +38,7 @@
     output: str
 
 
-def play(folder: Path, schedule: Schedule, *arguments: str) -> PlayedRun:
+def run_schedule(folder: Path, schedule: Schedule, *arguments: str) -> PlayedRun:
     """Run a schedule in a process of its own."""
     file = folder / "schedule.toml"
     file.write_text(text_of(schedule))
@@ -102,7 +102,7 @@
     schedule = Schedule(
         limiter_count=10, load_seconds=8.0, seed=5, demand_fraction=0.3, customer_count=24, steps=tuple(steps)
     )
-    run = play(tmp_path, schedule)
+    run = run_schedule(tmp_path, schedule)
     assert run.exit_code == 0, run.output
     assert run.figures["served"] > 0
     assert run.figures["steps"] >= len(steps)
@@ -110,7 +110,7 @@
 
 def test_no_checker_finds_anything_when_generated_faults_hit_every_link(tmp_path: Path) -> None:
     cluster = Schedule(limiter_count=4, load_seconds=5.0, seed=11, demand_fraction=0.4)
-    run = play(tmp_path, generate(cluster, 12))
+    run = run_schedule(tmp_path, generate(cluster, 12))
     assert run.exit_code == 0, run.output
     assert run.figures["served"] > 0, run.output
 
@@ -130,7 +130,7 @@
     )
     schedule = generate(cluster, 10)
     steps = in_order([*schedule.steps, FaultStep(3.0, FaultAction.CLEAR_COUNTER)])
-    run = play(tmp_path, replace(schedule, steps=steps))
+    run = run_schedule(tmp_path, replace(schedule, steps=steps))
     assert run.exit_code == 0, run.output
     assert run.figures["served"] > 0, run.output
 
@@ -160,7 +160,7 @@
 def test_checker_finds_the_fault_when_it_is_put_into_the_limiters(
     tmp_path: Path, fault_mode: str, checker: str, schedule: Schedule
 ) -> None:
-    run = play(tmp_path, schedule, "--broken", fault_mode)
+    run = run_schedule(tmp_path, schedule, "--broken", fault_mode)
     assert run.exit_code == 1, run.output
     assert run.figures[checker] > 0, run.output
     printed = run.output[run.output.index("limiters =") : run.output.rindex("lab play:")]
--- a/tests/transport/test_long.py
+++ b/tests/transport/test_long.py
@@ -119,11 +119,11 @@
 def test_backend_is_paused_and_no_byte_lost_when_the_client_reads_slowly(limiter: Limiter) -> None:
     client = limiter.connect()
     other = limiter.connect()
-    most = resp.MAX_LONG_VALUE
+    max_bytes = resp.MAX_LONG_VALUE
     client.sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 1 << 16)
     servers = [passed_on(limiter, client, 1)]
     server = servers[0]
-    text = b"*3\r\n$%d\r\n" % most + b"x" * most + b"\r\n$-1\r\n$-1\r\n"
+    text = b"*3\r\n$%d\r\n" % max_bytes + b"x" * max_bytes + b"\r\n$-1\r\n$-1\r\n"
     sent = 0
     server.sock.setblocking(False)
     while sent < len(text) and select.select([], [server.sock], [], 0.5)[1]:
@@ -133,7 +133,7 @@
     got = 0
     begun = time.monotonic()
     client.sock.setblocking(True)
-    while got < most + len(b"$%d\r\n\r\n" % most):
+    while got < max_bytes + len(b"$%d\r\n\r\n" % max_bytes):
         if sent < len(text) and select.select([], [server.sock], [], 0.0)[1]:
             sent += server.sock.send(text[sent : sent + 65536])
         if select.select([client.sock], [], [], 0.01)[0]:
--- a/tests/transport/test_resp.py
+++ b/tests/transport/test_resp.py
@@ -13,16 +13,16 @@
 
 
 @given(st.lists(st.binary(max_size=40), min_size=1, max_size=5), st.data())
-def test_messages_are_parsed_however_the_bytes_are_cut(parts: list[bytes], data: st.DataObject) -> None:
-    text = command(*parts) + resp.bulk(b"x") + b"-ERR e\r\n:-5\r\n$-1\r\n"
+def test_messages_are_parsed_however_the_bytes_are_cut(chunks: list[bytes], data: st.DataObject) -> None:
+    text = command(*chunks) + resp.bulk(b"x") + b"-ERR e\r\n:-5\r\n$-1\r\n"
     parser = resp.Parser()
     found = list[resp.Event]()
-    place = 0
-    while place < len(text):
+    position = 0
+    while position < len(text):
         step = data.draw(st.integers(1, 30))
-        found += parser.feed(text[place : place + step])[0]
-        place += step
-    assert found == [parts, b"x", resp.ErrorReply(b"ERR e"), -5, None]
+        found += parser.feed(text[position : position + step])[0]
+        position += step
+    assert found == [chunks, b"x", resp.ErrorReply(b"ERR e"), -5, None]
 
 
 @given(st.binary(max_size=200))
@@ -47,16 +47,17 @@
     text += command(b"PING")
     parser = resp.Parser(resp.MAX_LONG_VALUE)
     found = list[resp.Event]()
-    place = 0
-    while place < len(text):
-        step = data.draw(st.integers(1, 30) if place < 40 or place > len(text) - 99 else st.integers(2**14, 2**16))
-        events, fault = parser.feed(text[place : place + step])
+    position = 0
+    while position < len(text):
+        is_near_an_end = position < 40 or position > len(text) - 99
+        step = data.draw(st.integers(1, 30) if is_near_an_end else st.integers(2**14, 2**16))
+        events, fault = parser.feed(text[position : position + step])
         assert not fault
         assert parser.buffered_bytes() < 200
         found = found + events
-        place = place + step
-    parts = [event.data for event in found if isinstance(event, resp.LongValueChunk)]
-    assert b"".join(parts) == value
+        position = position + step
+    chunks = [event.data for event in found if isinstance(event, resp.LongValueChunk)]
+    assert b"".join(chunks) == value
     assert [event for event in found if not isinstance(event, resp.LongValueChunk)] == [
         resp.LongValueBegin(list(before), len(value), len(after)),
         resp.LongValueEnd(),
--- a/thymeflow/__init__.py
+++ b/thymeflow/__init__.py
@@ -1,1 +1,1 @@
-"""thymeflow: a limiter that holds customers to their quotas over many instances."""
+"""thymeflow: a limiter that enforces the quotas of customers over many instances."""
--- a/thymeflow/__main__.py
+++ b/thymeflow/__main__.py
@@ -54,7 +54,7 @@
 
 
 def main() -> int:
-    """Run until told to end; a configuration that cannot be used is one line and a failure."""
+    """Run until a signal ends it; a configuration that cannot be used is one line and a failure."""
     # The default action of SIGHUP would end the program; one that comes too early to be served is remembered.
     early_reloads: list[int] = []
     signal.signal(signal.SIGHUP, lambda number, _: early_reloads.append(number))
--- a/thymeflow/core/attempt_starter.py
+++ b/thymeflow/core/attempt_starter.py
@@ -108,7 +108,7 @@
             actual_units = result.actual_units
         if is_ok and not pending.is_answered:
             self._owner.respond(pending, Response(ResponseKind.SERVED, result.value))
-        # How long a client takes to send or to read tells nothing about the backend.
+        # How long a client takes to send or to read says nothing about the backend.
         latency = pending.response_latency
         if latency < 0.0:
             latency = clock.now() - max(sent_at, pending.body_received_at)
--- a/thymeflow/decision/counter_first_admission.py
+++ b/thymeflow/decision/counter_first_admission.py
@@ -1,4 +1,4 @@
-"""Large sets: the counter is asked before a request is admitted on old knowledge. No I/O, no clock.
+"""Large sets: the counter is called before a request is admitted on old totals. No I/O, no clock.
 
 Where an even slice of a quota is under one request, a limiter of 200 sees a customer once in many seconds.
 What the counter replies after a request was forwarded is too old for the next one; received before, it
--- a/thymeflow/frontend/client_connection.py
+++ b/thymeflow/frontend/client_connection.py
@@ -275,7 +275,7 @@
         if self._slots and self._slots[0] is slot:
             self._flush()
         if self._memory.used_bytes > self._memory.max_bytes:
-            # Guards the memory limit, past which the whole limiter would be killed: one client that
+            # Guards the memory limit, past which the process would be killed: one client that
             # pipelines behind its own slow request, or takes no responses, is disconnected instead.
             log.emit_rate_limited(
                 LogKind.BACKLOG,
--- a/thymeflow/gossip/publisher.py
+++ b/thymeflow/gossip/publisher.py
@@ -71,7 +71,7 @@
         self._reports.clear_pending()
         self._pending_replies = {}
         if is_round:
-            # A limiter may conclude that no customer is busy only while it hears from some peers.
+            # A limiter may conclude that no customer is busy only while it receives messages of some peers.
             for _ in range(AGGREGATOR_COUNT):
                 outbox.entries.setdefault(context.rng.randrange(context.settings.limiter_count), [])
         outbox.entries.pop(context.settings.index, None)
--- a/thymeflow/handover/state_machine.py
+++ b/thymeflow/handover/state_machine.py
@@ -3,7 +3,7 @@
     receiver  REQUESTED ->         sender  sends the descriptors of the listening socket and the lock
     receiver  RECEIVER_READY ->    sender  pauses its listener and sends its state
     receiver  STATE_ACCEPTED ->    sender  permits the receiver to accept
-    receiver  RECEIVER_SERVING ->  sender  delegates: closes idle clients, and drains once it is asked to end or the
+    receiver  RECEIVER_SERVING ->  sender  delegates: closes idle clients, and drains once it is shut down or the
                                            rollback window has passed; at the end sends what it charged since the state
 
 Whatever fails, hangs or dies before the sender drains rolls everything back: the sender accepts again. The two never
@@ -41,7 +41,7 @@
     RECEIVER_SERVING = "serving"
     DISCONNECTED = "broken"
     TIMED_OUT = "late"  # a step took too long
-    SHUTDOWN_REQUESTED = "ending"  # the process was asked to end
+    SHUTDOWN_REQUESTED = "ending"  # the process has to shut down
 
 
 class SenderAction(Enum):
@@ -111,7 +111,7 @@
         # The receiver outlived the rollback window.
         (SenderState.DELEGATED, SenderEvent.TIMED_OUT): SenderTransition(SenderState.DRAINING, (SenderAction.DRAIN,)),
         (SenderState.DELEGATED, SenderEvent.SHUTDOWN_REQUESTED): SenderTransition(SenderState.DRAINING),
-        # The sender was asked to end before this message arrived.
+        # The sender began to shut down before this message arrived.
         (SenderState.DRAINING, SenderEvent.RECEIVER_SERVING): SenderTransition(
             SenderState.DRAINING, (SenderAction.CONFIRM_DELEGATION,)
         ),
@@ -150,7 +150,7 @@
     DELEGATION_CONFIRMED = "draining"
     DISCONNECTED = "broken"
     TIMED_OUT = "late"
-    ABORTED = "unfit"  # locally: the receiver gives up, as what it was sent cannot be used or it was asked to end
+    ABORTED = "unfit"  # locally: what the receiver was sent cannot be used, or it has to shut down
 
 
 class ReceiverAction(Enum):
--- a/thymeflow/limiter/__init__.py
+++ b/thymeflow/limiter/__init__.py
@@ -1,1 +1,1 @@
-"""One limiter process: assembly of its parts, lifecycle, operators' commands and reload."""
+"""One limiter process: assembly, lifecycle, operators' commands and reload."""
--- a/thymeflow/transport/connections.py
+++ b/thymeflow/transport/connections.py
@@ -4,7 +4,7 @@
 asked for more exactly when the transport's buffer has gone to the kernel, which is how this is known.
 
 What can be sent at once is given to the kernel at once. By way of the reactor each message would cost a
-second turn with two changes of the poll set, which was a quarter of the CPU of a request.
+second turn with two changes of the poll set.
 """
 
 from __future__ import annotations
@@ -105,7 +105,7 @@
 class RespConnection(WriteTrackingConnection):
     """A connection on which we send commands in RESP2; subclasses handle the replies and the end."""
 
-    closed = False  # ended, or given up by us
+    closed = False  # ended, or closed by the limiter
 
     def __init__(self, max_value: int = resp.MAX_VALUE) -> None:
         self._parser = resp.Parser(max_value)
@@ -165,7 +165,7 @@
         return stream
 
     def clientConnectionFailed(self, connector: IConnector, reason: Failure) -> None:  # noqa: ARG002  # likewise
-        """Report a connection that was refused, or given up at the deadline."""
+        """Report a connection that was refused, or abandoned at the deadline."""
         self._settled.errback(reason)
 
 
@@ -179,7 +179,8 @@
     """Connect; the Deferred fails if that is refused, or not done by `deadline` (a time of `clock.now`).
 
     A deadline that comes due in a turn that came late shows nothing of the peer: the reactor begins to connect in
-    its next turn, and finds that it is connected in one after that. So each gets its turn before we give up.
+    its next turn, and finds that it is connected in one after that. So each gets its turn before the attempt is
+    abandoned.
     """
     settled: Deferred[ConnectionT] = Deferred()
     connector = reactor.connectTCP(address.host, address.port, _SingleConnectionFactory(build, settled), timeout=None)
