--- a/tests/runtime/test_transitions.py
+++ b/tests/runtime/test_transitions.py
@@ -42,7 +42,7 @@
 def test_lookup_raises_and_names_state_and_event_when_the_pair_is_not_in_the_table() -> None:
     with pytest.raises(IllegalTransitionError) as caught:
         TABLE[GateState.OPEN, GateEvent.PULL]
-    assert str(caught.value) == "no transition for DoorEvent.PULL in DoorState.OPEN"
+    assert str(caught.value) == "no transition for GateEvent.PULL in GateState.OPEN"
     assert isinstance(caught.value, KeyError)
     assert isinstance(caught.value, ThymeflowError)
 
