--- a/tests/fleet/controller_labels.py
+++ b/tests/fleet/controller_labels.py
@@ -62,12 +62,12 @@
 Member: TypeAlias = member_state.Member
 
 
-def operation_of(number: int, kind: str, count: int) -> Event:
+def build_operation(number: int, kind: str, count: int) -> Event:
     """Return an operator's order."""
     return events.Operation(number, OPERATIONS[kind], count)
 
 
-def controller_of(seed: int) -> Controller:
+def build_controller(seed: int) -> Controller:
     """Return a controller with short times."""
     settings = Fleet(
         instances=3,
@@ -83,12 +83,12 @@
     return Controller(settings, random.Random(seed))
 
 
-def states_of(controller: Controller) -> list[list[object]]:
+def list_states(controller: Controller) -> list[list[object]]:
     """Return each member's number, state, and the runs that serve and start up."""
     return [[n, STATES[m.state], m.run_id, m.successor_run_id] for n, m in controller.members.items()]
 
 
-def values_of(action: Action) -> list[Any]:
+def list_values(action: Action) -> list[Any]:
     """Return an action's label and its values in declared order."""
     return [ACTIONS[type(action)], *(getattr(action, f.name) for f in fields(action))]
 
@@ -106,6 +106,6 @@
     return pairs
 
 
-def table_rows() -> list[list[str]]:
+def list_table_rows() -> list[list[str]]:
     """Return the transition table, in labels."""
     return sorted([STATES[state], TRANSITIONS[event], STATES[after]] for (state, event), after in TABLE.items())
--- a/tests/fleet/controller_trace.py
+++ b/tests/fleet/controller_trace.py
@@ -20,10 +20,10 @@
     STOP,
     Controller,
     Event,
-    controller_of,
-    operation_of,
-    states_of,
-    values_of,
+    build_controller,
+    build_operation,
+    list_states,
+    list_values,
 )
 from tests.golden_trace import Trace
 from thymeflow.fleet import events
@@ -66,12 +66,12 @@
 
     def handle(self, label: str, event: Event) -> None:
         """Hand over one event, trace what is decided, and carry it out."""
-        actions = [values_of(action) for action in self.controller.handle(self.now, event)]
+        actions = [list_values(action) for action in self.controller.handle(self.now, event)]
         for action in actions:
             self._carry_out(action)
         next_deadline = self.controller.next_deadline()
         plain = [_without_text(action) for action in actions]
-        self.decisions.add(label, round(self.now, 6), plain, states_of(self.controller), round(next_deadline, 6))
+        self.decisions.add(label, round(self.now, 6), plain, list_states(self.controller), round(next_deadline, 6))
         self.texts.add(
             [action for action in actions if action[0] in (LOG, REPORT)], self.controller.describe_operation()
         )
@@ -103,7 +103,7 @@
     def adopt(self, number: int, serves: bool) -> None:
         """Let the controller adopt a process that ran before."""
         self.handle("adopted", events.MemberAdopted(number, f"life{number}", serves))
-        run = next(row[2] for row in states_of(self.controller) if row[0] == number)
+        run = next(row[2] for row in list_states(self.controller) if row[0] == number)
         assert isinstance(run, int)
         serves_at = self.now + self.rng.uniform(0.1, 4.0)
         self.processes[run] = Process(number, False, NEVER if serves else serves_at, NEVER, serves)
@@ -178,7 +178,7 @@
 
     def _begin_operation(self, kind: str) -> None:
         self.operations += 1
-        self.handle(kind, operation_of(self.operations, kind, self.rng.randint(1, 6) if kind == "scale" else 0))
+        self.handle(kind, build_operation(self.operations, kind, self.rng.randint(1, 6) if kind == "scale" else 0))
 
 
 def _without_text(action: list[Any]) -> list[Any]:
@@ -193,7 +193,7 @@
     texts = Trace()
     for episode in range(EPISODES):
         rng = random.Random(7000 + episode)
-        model = Model(controller_of(episode), rng, (0.05, 0.15, 0.3)[episode % 3], decisions, texts)
+        model = Model(build_controller(episode), rng, (0.05, 0.15, 0.3)[episode % 3], decisions, texts)
         for number in rng.sample(range(5), episode % 4):
             model.adopt(number, rng.random() < 0.7)
         model.handle("up", events.FleetStarted(rng.randint(1, 4)))
@@ -202,7 +202,7 @@
                 break
             model.step()
         if not model.is_over and episode % 2:
-            model.handle("down", operation_of(10_000, "down", 0))
+            model.handle("down", build_operation(10_000, "down", 0))
             for _ in range(SHUTDOWN_STEPS):
                 if model.is_over:
                     break
--- a/tests/fleet/test_controller_trace.py
+++ b/tests/fleet/test_controller_trace.py
@@ -7,14 +7,14 @@
 
 import pytest
 
-from tests.fleet.controller_labels import record_transitions, table_rows
+from tests.fleet.controller_labels import list_table_rows, record_transitions
 from tests.fleet.controller_trace import run_episodes
 from tests.golden_trace import assert_golden, golden
 
 
 def test_transition_table_is_the_one_on_file_when_written_in_labels() -> None:
     """Each legal pair of state and transition leads to the same state."""
-    assert {"rows": table_rows()} == golden("fleet-table")
+    assert {"rows": list_table_rows()} == golden("fleet-table")
 
 
 def test_every_legal_transition_is_driven_when_members_start_fail_and_operations_overlap(
@@ -23,7 +23,7 @@
     """The seeded runs go through all of the table, so that the digests cover each pair."""
     pairs = record_transitions(monkeypatch)
     run_episodes()
-    assert pairs == {(state, event) for state, event, _ in table_rows()}
+    assert pairs == {(state, event) for state, event, _ in list_table_rows()}
 
 
 def test_decisions_match_the_digest_when_members_start_fail_and_operations_overlap() -> None:
--- a/tests/fleet/test_member_messages.py
+++ b/tests/fleet/test_member_messages.py
@@ -4,10 +4,10 @@
 
 from thymeflow.fleet.member_messages import (
     UNKNOWN_PID,
-    ejections_message,
-    grant_message,
-    status_from_message,
-    threshold_message,
+    build_ejections_message,
+    build_grant_message,
+    build_threshold_message,
+    parse_status,
 )
 from thymeflow.leases.allocation import Allocation, allocation_from_message
 from thymeflow.outliers.ejection import Ejection, EjectionKey
@@ -16,7 +16,7 @@
 
 def test_status_has_the_values_of_its_message() -> None:
     message = {"pid": 7, "life": "0b1c", "phase": "serving", "healthy": True, "part": {"era": 1}, "evidence": {}}
-    status = status_from_message(message)
+    status = parse_status(message)
     assert (status.pid, status.incarnation, status.is_healthy) == (7, "0b1c", True)
     assert status.is_serving
     assert status.allocation_report == {"era": 1}
@@ -25,7 +25,7 @@
 
 
 def test_status_is_not_serving_and_reports_nothing_when_its_message_is_empty() -> None:
-    status = status_from_message({})
+    status = parse_status({})
     assert status.pid == UNKNOWN_PID
     assert not status.is_serving
     assert not status.is_healthy
@@ -35,12 +35,12 @@
 
 def test_grant_and_ejections_are_the_same_when_the_member_parses_them() -> None:
     allocation = Allocation(2, 3)
-    assert allocation_from_message(grant_message(allocation)["part"]) == allocation
+    assert allocation_from_message(build_grant_message(allocation)["part"]) == allocation
     ejection = Ejection(EjectionKey(7, "read"), 1, 0, False, False, 5.5)
-    assert ejections_from_message(ejections_message([ejection])["verdicts"]) == [ejection]
+    assert ejections_from_message(build_ejections_message([ejection])["verdicts"]) == [ejection]
 
 
 def test_commands_are_those_that_members_know() -> None:
-    messages = (grant_message(Allocation()), ejections_message([]), threshold_message(0.5))
+    messages = (build_grant_message(Allocation()), build_ejections_message([]), build_threshold_message(0.5))
     assert [message["do"] for message in messages] == ["part", "verdicts", "shed"]
-    assert threshold_message(0.5)["level"] == 0.5
+    assert build_threshold_message(0.5)["level"] == 0.5
--- a/tests/fleet/test_message_formats.py
+++ b/tests/fleet/test_message_formats.py
@@ -29,7 +29,9 @@
 FIRST_RECOVERED_STEP = 24
 STEPS_PER_STATUS = 8
 LEASE_STEPS = 24
-INI = "[fleet]\ninstances = {1}\nspread = 0s\nsettle = 10ms\nwait = 100ms\nready = 10s\n[log]\nfile = {0}/log\n"
+SETTINGS_TEMPLATE = (
+    "[fleet]\ninstances = {1}\nspread = 0s\nsettle = 10ms\nwait = 100ms\nready = 10s\n[log]\nfile = {0}/log\n"
+)
 POLL_SECONDS = 0.02
 
 
@@ -49,7 +51,7 @@
         self.now += STEP_SECONDS
 
 
-def member_report(failed: list[list[Json]], is_failing: bool, probe_results: dict[str, bool]) -> dict[str, Json]:
+def build_member_report(failed: list[list[Json]], is_failing: bool, probe_results: dict[str, bool]) -> dict[str, Json]:
     """Return what each member reports while a backend fails, and after that."""
     good = [[2, ""], [2, "read"], *([] if is_failing else [[4, "read"]])]
     return {
@@ -83,7 +85,7 @@
         is_failing = FIRST_FAILING_STEP <= step < FIRST_RECOVERED_STEP
         results = probe_results(sent, is_failing)
         for name in MEMBERS:
-            service.on_report(name, member_report(failed, is_failing, results))
+            service.on_report(name, build_member_report(failed, is_failing, results))
         service.on_report("n3", {"against": 7})
         deadlines.call_pending()
         if step % STEPS_PER_STATUS == STEPS_PER_STATUS - 1:
@@ -127,16 +129,16 @@
 
 
 @contextmanager
-def supervisor(folder: Path, limiter: Limiter, members: int) -> Iterator[Path]:
+def run_supervisor(folder: Path, limiter: Limiter, members: int) -> Iterator[Path]:
     """Run a fleet's supervisor over the peers of a limiter; yield the path of its control socket."""
     ini = folder / "fleet.ini"
-    ini.write_text(INI.format(folder, members))
+    ini.write_text(SETTINGS_TEMPLATE.format(folder, members))
     options = ["--settings", str(ini), "--platform", str(limiter.path), "--state", str(limiter.state)]
     process = subprocess.Popen([sys.executable, "-m", "thymeflow", "fleet", "up", *options], cwd=ROOT)
     path = limiter.state / "fleet.sock"
     deadline = time.monotonic() + PATIENCE
     try:
-        while not path.exists() or fleet_status(path)["ready"] < members:
+        while not path.exists() or request_fleet_status(path)["ready"] < members:
             assert process.poll() is None
             assert time.monotonic() < deadline
             time.sleep(POLL_SECONDS)
@@ -147,14 +149,14 @@
             process.wait(PATIENCE)
 
 
-def fleet_status(path: Path) -> dict[str, Json]:
+def request_fleet_status(path: Path) -> dict[str, Json]:
     """Return the supervisor's status."""
     with control_session(path) as session:
         session.send(do="status")
         return session.receive()
 
 
-def responses_of(path: Path, message: dict[str, Json]) -> list[Json]:
+def request_responses(path: Path, message: dict[str, Json]) -> list[Json]:
     """Return the messages with which the supervisor responds to a request, up to the last one."""
     with control_session(path) as session:
         session.send(**message)
@@ -178,13 +180,13 @@
         {"do": "down"},
     ]
     exchanges: list[Json] = []
-    with Limiter(tmp_path) as limiter, supervisor(tmp_path, limiter, 2) as path:
-        exchanges.append([{"do": "status"}, masked(fleet_status(path), VOLATILE_KEYS | {"base", "lease"})])
+    with Limiter(tmp_path) as limiter, run_supervisor(tmp_path, limiter, 2) as path:
+        exchanges.append([{"do": "status"}, masked(request_fleet_status(path), VOLATILE_KEYS | {"base", "lease"})])
         for message in requests:
-            exchanges.append([message, masked(responses_of(path, message), VOLATILE_KEYS | AMOUNT_KEYS)])
+            exchanges.append([message, masked(request_responses(path, message), VOLATILE_KEYS | AMOUNT_KEYS)])
     assert_as_recorded("supervisor", exchanges)
 
 
 def test_supervisor_reports_the_same_progress_when_it_restarts_a_member(tmp_path: Path) -> None:
-    with Limiter(tmp_path) as limiter, supervisor(tmp_path, limiter, 1) as path:
-        assert_as_recorded("supervisor restart", responses_of(path, {"do": "restart"}))
+    with Limiter(tmp_path) as limiter, run_supervisor(tmp_path, limiter, 1) as path:
+        assert_as_recorded("supervisor restart", request_responses(path, {"do": "restart"}))
--- a/tests/fleet/test_stored_files.py
+++ b/tests/fleet/test_stored_files.py
@@ -13,11 +13,11 @@
 MASKED_SEED = b"5eed5eed5eed5eed"
 
 
-def member_configuration(folder: Path) -> bytes:
+def write_member_with_masked_seed(folder: Path) -> bytes:
     """Return a member's configuration as the supervisor writes it, with its random seed masked."""
     names = registry.FleetNames(folder, "web")
     template = registry.read_template(STORED_FOLDER / "platform.json")
-    registry.write_member(names, template, "127.0.0.1:7402", 2, 3, ALLOCATION)
+    registry.write_member_configuration(names, template, "127.0.0.1:7402", 2, 3, ALLOCATION)
     written = names.path(2, "json").read_bytes()
     return written.replace(json.loads(written)["seed"].encode(), MASKED_SEED)
 
@@ -36,7 +36,7 @@
 
 
 def test_member_configuration_has_the_same_bytes_when_the_supervisor_writes_it(tmp_path: Path) -> None:
-    assert member_configuration(tmp_path) == stored("web2.json")
+    assert write_member_with_masked_seed(tmp_path) == stored("web2.json")
 
 
 def test_member_configuration_has_the_same_values_when_a_member_reads_it() -> None:
--- a/thymeflow/fleet/adoption.py
+++ b/thymeflow/fleet/adoption.py
@@ -60,10 +60,10 @@
         self._processes.follow(RunProcess(run_id, number, status.pid, process))
         log.emit(LogKind.ADOPTED, f"{self._names.name(number)}, pid {status.pid}, {status.phase}")
         self._carry_out(actions)
-        return _SocketCopy(self._reactor, self._names, self._sockets, number).begin()
+        return _SocketCopyRequest(self._reactor, self._names, self._sockets, number).start()
 
 
-class _SocketCopy:
+class _SocketCopyRequest:
     """Requests a copy of one member's listening socket over its control socket."""
 
     def __init__(self, reactor: FleetReactor, names: FleetNames, sockets: MemberSockets, number: int) -> None:
@@ -74,7 +74,7 @@
         self._session: control_client.ControlSession | None = None
         self._finished: Deferred[int | None] = Deferred()
 
-    def begin(self) -> Deferred[int | None]:
+    def start(self) -> Deferred[int | None]:
         """Send the request; the Deferred gives the member's number once the connection has ended."""
         connected = control_client.open_session(self._reactor, self._path, self._on_message, self._on_ended)
         connected.addCallbacks(self._on_connected, self._on_connect_failure)
--- a/thymeflow/fleet/control_requests.py
+++ b/thymeflow/fleet/control_requests.py
@@ -24,9 +24,9 @@
 class RequestHandlers:
     """The handlers of requests that order no operation; `reload` returns an error text, empty for success."""
 
-    status: Callable[[], JsonObject]
-    lease_status: Callable[[], JsonObject]
-    outlier_status: Callable[[], JsonObject]
+    get_status: Callable[[], JsonObject]
+    get_lease_status: Callable[[], JsonObject]
+    get_outlier_status: Callable[[], JsonObject]
     reload: Callable[[], str]
     leave: Callable[[], None]
 
@@ -75,7 +75,7 @@
         if isinstance(command, str) and command in self._commands:
             self._commands[command](caller)
         elif command in OPERATION_COMMANDS:
-            self.begin_operation(caller, operation_from_message(OperationKind(command), message))
+            self.begin_operation(caller, parse_operation(OperationKind(command), message))
         else:
             commands = ", ".join([*self._commands, *OPERATION_COMMANDS])
             caller.send({"ok": False, "why": f"'do' is {str(command)[:40]!r}; it may be {commands}"})
@@ -88,10 +88,10 @@
             caller.is_persistent = True
             self._callers[operation_id] = caller
         if request.program is not None and not self._controller.describe_operation():
-            self._previous_programs[operation_id] = self._environment.use_program(request.program)
+            self._previous_programs[operation_id] = self._environment.replace_program(request.program)
         suffix = f" to {request.count}" if request.kind is OperationKind.SCALE else ""
         log.emit(LogKind.ORDER, f"{request.kind.value}{suffix}")
-        self._handler.decide(Operation(operation_id, request.kind, request.count))
+        self._handler.handle_event(Operation(operation_id, request.kind, request.count))
 
     def report(self, report: ReportProgress) -> None:
         """Log a report of an operation, and send it to the caller who ordered it."""
@@ -100,23 +100,23 @@
             self._restore_program(report)
         caller = self._callers.get(report.operation_id)
         if caller is not None and not caller.is_closed:
-            caller.send(_progress_message(report))
+            caller.send(_build_progress_message(report))
         if report.is_done:
             self._callers.pop(report.operation_id, None)
 
     def _restore_program(self, report: ReportProgress) -> None:
         previous = self._previous_programs.pop(report.operation_id, None)
         if previous is not None and not report.is_successful:
-            self._environment.use_program(previous)  # the next restart must not use a program that failed
+            self._environment.replace_program(previous)  # the next restart must not use a program that failed
 
     def _send_status(self, caller: ControlCaller) -> None:
-        caller.send({"ok": True, **self._handlers.status()})
+        caller.send({"ok": True, **self._handlers.get_status()})
 
     def _send_lease_status(self, caller: ControlCaller) -> None:
-        caller.send({"ok": True, **self._handlers.lease_status()})
+        caller.send({"ok": True, **self._handlers.get_lease_status()})
 
     def _send_outlier_status(self, caller: ControlCaller) -> None:
-        caller.send({"ok": True, **self._handlers.outlier_status()})
+        caller.send({"ok": True, **self._handlers.get_outlier_status()})
 
     def _reload(self, caller: ControlCaller) -> None:
         error = self._handlers.reload()
@@ -128,7 +128,7 @@
         self._handlers.leave()
 
 
-def operation_from_message(kind: OperationKind, message: Message) -> OperationRequest:
+def parse_operation(kind: OperationKind, message: Message) -> OperationRequest:
     """Return the operation that a request orders.
 
     :raises ValueError: the count or the program is invalid.
@@ -150,7 +150,7 @@
         raise ValueError(text) from None
 
 
-def _progress_message(report: ReportProgress) -> Message:
+def _build_progress_message(report: ReportProgress) -> Message:
     if report.is_done:
         return {"ok": report.is_successful, "why": report.text}
     return {"text": report.text}
--- a/thymeflow/fleet/events.py
+++ b/thymeflow/fleet/events.py
@@ -67,7 +67,7 @@
 class EventHandler(Protocol):
     """What the supervisor offers to the objects that it is composed of."""
 
-    def decide(self, event: Event) -> None:
+    def handle_event(self, event: Event) -> None:
         """Decide on an event, and carry out the actions."""
 
     def fleet_size(self) -> int:
--- a/thymeflow/fleet/lease_distributor.py
+++ b/thymeflow/fleet/lease_distributor.py
@@ -5,8 +5,8 @@
 from collections.abc import Callable
 from pathlib import Path
 
-from thymeflow.fleet.member_messages import grant_message
-from thymeflow.fleet.status_messages import JsonObject, lease_status
+from thymeflow.fleet.member_messages import build_grant_message
+from thymeflow.fleet.status_messages import JsonObject, build_lease_status
 from thymeflow.handover.control_socket import Message
 from thymeflow.leases import grant_file
 from thymeflow.leases.allocation import Allocation, message_of, report_from_message
@@ -16,7 +16,7 @@
 from thymeflow.runtime import clock, log
 from thymeflow.runtime.log_kinds import LogKind
 
-TICK_SECONDS = 0.25  # between distributions of the fleet's limits
+TICK_INTERVAL_SECONDS = 0.25  # between distributions of the fleet's limits
 
 
 class LeaseDistributor:
@@ -38,9 +38,9 @@
         self._fleet_size = fleet_size
         self._issuer = LeaseIssuer(1, clock.monotonic())
 
-    def start(self, may_have_members: bool) -> None:
-        """Continue from the previous supervisor's grant file; `may_have_members`: members in it may run."""
-        self._issuer, error = grant_file.read(self._path, self._fleet_name, clock.monotonic(), may_have_members)
+    def start(self, may_have_running_members: bool) -> None:
+        """Continue from the previous supervisor's grant file; `may_have_running_members`: members in it may run."""
+        self._issuer, error = grant_file.read(self._path, self._fleet_name, clock.monotonic(), may_have_running_members)
         if error:
             log.emit(LogKind.BUDGETS, f"the previous grant file is not used: {error}")
         log.emit(
@@ -84,7 +84,7 @@
 
     def status(self) -> JsonObject:
         """Return the limits, allocations and their ends in the form of the control socket."""
-        return lease_status(self._issuer, self.write_error, clock.monotonic())
+        return build_lease_status(self._issuer, self.write_error, clock.monotonic())
 
     def _write_grant_file(self) -> bool:
         try:
@@ -104,7 +104,7 @@
                 self._write_and_grant(action)
             else:
                 self._send_allocation(action.holder, action.allocation)
-        self._deadlines.schedule(clock.now() + TICK_SECONDS, self._tick)
+        self._deadlines.schedule(clock.now() + TICK_INTERVAL_SECONDS, self._tick)
 
     def _write_and_grant(self, action: Write) -> None:
         if not self._write_grant_file():
@@ -114,4 +114,4 @@
             self._send_allocation(grant.holder, grant.allocation)
 
     def _send_allocation(self, name: str, allocation: Allocation) -> None:
-        self._send(name, grant_message(allocation))
+        self._send(name, build_grant_message(allocation))
--- a/thymeflow/fleet/member_lifecycle.py
+++ b/thymeflow/fleet/member_lifecycle.py
@@ -36,24 +36,24 @@
         self._on_fault = on_fault
         self._last_run_id = 0
         self._member_numbers: dict[int, int] = {}  # by run
-        self._retiring_until: dict[int, float] = {}  # runs that are to end, and when they are killed
+        self._retiring_deadlines: dict[int, float] = {}  # runs that are to end, and when they are killed
 
     # --- queries -------------------------------------------------------------------------------------------
 
     def has_retiring_runs(self) -> bool:
         """Return whether replaced runs or abandoned successors have yet to end."""
-        return bool(self._retiring_until)
+        return bool(self._retiring_deadlines)
 
     def deadlines(self) -> list[float]:
         """Return the times at which `on_tick` would change something."""
         pending = [member.deadline for member in self.members.values() if member.state in _TIMED_STATES]
-        return [*pending, *self._retiring_until.values()]
+        return [*pending, *self._retiring_deadlines.values()]
 
-    def in_state(self, state: MemberState) -> list[Member]:
+    def find_members_in_state(self, state: MemberState) -> list[Member]:
         """Return the members in a state."""
         return [member for member in self.members.values() if member.state is state]
 
-    def _member_of(self, run_id: int) -> Member | None:
+    def _find_member(self, run_id: int) -> Member | None:
         number = self._member_numbers.get(run_id)
         return None if number is None else self.members.get(number)
 
@@ -66,7 +66,7 @@
         for position, number in enumerate(missing):
             # Spread, so that counter, discovery and backends are not loaded in one instant. Where members were
             # adopted, the missing ones died while no supervisor ran: they are started at once.
-            delay = 0.0 if adopted_count else self._policy.spread_delay_seconds(position, len(missing))
+            delay = 0.0 if adopted_count else self._policy.compute_spread_delay_seconds(position, len(missing))
             self.members[number] = Member(number, deadline=self._decisions.now + delay)
         surplus = [member for member in self.members.values() if member.number >= count]
         self.resize(max([count, *(member.number + 1 for member in surplus)]))
@@ -76,10 +76,10 @@
             text = f"{adopted_count} members were running and are adopted, {len(missing)} are started"
             self._decisions.log(LogKind.FLEET, text)
 
-    def add_joining(self, numbers: range) -> None:
+    def schedule_joining_members(self, numbers: range) -> None:
         """Schedule the start of new members that join a running set."""
         for position, number in enumerate(numbers):
-            delay = self._policy.spread_delay_seconds(position, len(numbers))
+            delay = self._policy.compute_spread_delay_seconds(position, len(numbers))
             self.members[number] = Member(number, deadline=self._decisions.now + delay, is_joining=True)
 
     def resize(self, size: int) -> None:
@@ -139,7 +139,7 @@
             self._abandon_replacement(member)
         if member.state in (MemberState.WAITING, MemberState.CRASH_LOOP):
             member.apply(Transition.STOP)
-            self._after_stop(member)
+            self._finish_stop(member)
         elif member.state not in (MemberState.STOPPING, MemberState.STOPPED):
             member.apply(Transition.STOP)
             member.deadline = self._decisions.now + self._settings.stop
@@ -156,20 +156,20 @@
             self._decisions.add(StopProcess(member.successor_run_id))
         member.successor_run_id = NO_RUN
 
-    def _after_stop(self, member: Member) -> None:
+    def _finish_stop(self, member: Member) -> None:
         if member.is_restarting:
             member.is_restarting = False
             self.reset(member)
 
     def _retire(self, run_id: int) -> None:
-        self._retiring_until[run_id] = self._decisions.now + self._settings.stop
+        self._retiring_deadlines[run_id] = self._decisions.now + self._settings.stop
 
     # --- events --------------------------------------------------------------------------------------------
 
     def on_status(self, status: StatusReported) -> None:
         """Handle the status report of a run."""
-        member = self._member_of(status.run_id)
-        if member is None or status.run_id in self._retiring_until:
+        member = self._find_member(status.run_id)
+        if member is None or status.run_id in self._retiring_deadlines:
             return
         if status.run_id == member.successor_run_id:
             if status.is_serving:
@@ -200,8 +200,8 @@
     def on_run_ended(self, run_id: int, reason: str) -> None:
         """Handle the end of a run."""
         number = self._member_numbers.pop(run_id, None)
-        if run_id in self._retiring_until:
-            del self._retiring_until[run_id]
+        if run_id in self._retiring_deadlines:
+            del self._retiring_deadlines[run_id]
             return
         member = None if number is None else self.members.get(number)
         if member is None:
@@ -217,7 +217,7 @@
             return  # the successor either reports that it serves, or ends too
         if member.state is MemberState.STOPPING:
             member.apply(Transition.END)
-            self._after_stop(member)
+            self._finish_stop(member)
             return
         self._on_crash(member, reason)
 
@@ -241,7 +241,7 @@
             self._decisions.log(LogKind.CRASH_LOOP, text)
         else:
             member.apply(Transition.END)
-            backoff = self._policy.backoff_seconds(crash_count)
+            backoff = self._policy.compute_backoff_seconds(crash_count)
             member.deadline = self._decisions.now + backoff
             self._decisions.log(LogKind.MEMBER, f"{member.number} {reason}; started again in {backoff:.2f} s")
         self._on_fault(member, f"it {reason}")
@@ -253,7 +253,7 @@
         for member in list(self.members.values()):
             if self._decisions.now >= member.deadline:
                 self._on_deadline(member)
-        for run_id, until in self._retiring_until.items():
+        for run_id, until in self._retiring_deadlines.items():
             if self._decisions.now >= until:
                 self._retire(run_id)
                 self._decisions.add(KillProcess(run_id))
--- a/thymeflow/fleet/member_messages.py
+++ b/thymeflow/fleet/member_messages.py
@@ -41,7 +41,7 @@
         return self.phase == SERVING_PHASE
 
 
-def status_from_message(message: Message) -> MemberStatus:
+def parse_status(message: Message) -> MemberStatus:
     """Return the record of a status message; what is missing counts as not serving, not healthy or not reported."""
     pid = message.get("pid")
     return MemberStatus(
@@ -55,16 +55,16 @@
     )
 
 
-def grant_message(allocation: Allocation) -> Message:
+def build_grant_message(allocation: Allocation) -> Message:
     """Return the message that grants an allocation."""
     return {"do": "part", "part": message_of_allocation(allocation)}
 
 
-def ejections_message(ejections: list[Ejection]) -> Message:
+def build_ejections_message(ejections: list[Ejection]) -> Message:
     """Return the message that replaces all ejections of a member."""
     return {"do": "verdicts", "verdicts": [message_of_ejection(ejection) for ejection in ejections]}
 
 
-def threshold_message(threshold: float) -> Message:
+def build_threshold_message(threshold: float) -> Message:
     """Return the message that sets the admission threshold of a member."""
     return {"do": "shed", "level": threshold}
--- a/thymeflow/fleet/member_processes.py
+++ b/thymeflow/fleet/member_processes.py
@@ -14,7 +14,7 @@
 from thymeflow.fleet.actions import StartProcess
 from thymeflow.fleet.events import EventHandler, RunEnded, StatusReported
 from thymeflow.fleet.lease_distributor import LeaseDistributor
-from thymeflow.fleet.member_messages import STATUS_REQUEST, MemberStatus, status_from_message
+from thymeflow.fleet.member_messages import STATUS_REQUEST, MemberStatus, parse_status
 from thymeflow.fleet.member_runs import MemberRuns
 from thymeflow.fleet.member_sockets import MemberSockets, format_address
 from thymeflow.fleet.member_state import NO_RUN, Member
@@ -25,11 +25,11 @@
     ChildProcess,
     MemberRun,
     RunProcess,
-    member_command,
+    build_member_command,
     spawn_member,
 )
 from thymeflow.fleet.reactor import FleetReactor
-from thymeflow.fleet.registry import ConfigurationTemplate, FleetNames, read_template, write_member
+from thymeflow.fleet.registry import ConfigurationTemplate, FleetNames, read_template, write_member_configuration
 from thymeflow.handover import control_client
 from thymeflow.handover.control_socket import Message
 from thymeflow.leases.allocation import EMPTY_ALLOCATION, message_of
@@ -39,7 +39,7 @@
 
 STATUS_TIMEOUT_SECONDS = 1.0  # within which a running member answers
 OUTPUT_FILE_MODE = 0o600
-SUPERVISOR_VARIABLES = ("LISTEN_", "NOTIFY_")  # prefixes of variables that members do not inherit
+SUPERVISOR_VARIABLE_PREFIXES = ("LISTEN_", "NOTIFY_")  # prefixes of variables that members do not inherit
 
 
 class ProcessEnvironment:
@@ -68,13 +68,13 @@
         path = self.names.supervisor_path("out")
         self.output_descriptor = os.open(path, os.O_WRONLY | os.O_APPEND | os.O_CREAT | os.O_CLOEXEC, OUTPUT_FILE_MODE)
 
-    def use_program(self, program: str) -> str:
+    def replace_program(self, program: str) -> str:
         """Start later processes with this command line; return the previous one."""
         previous = self.program
         self.program = program
         return previous
 
-    def command(self, action: StartProcess) -> list[str]:
+    def build_command(self, action: StartProcess) -> list[str]:
         """Return the command line of a process."""
         arguments = ["--platform", str(self.names.path(action.number, "json"))]
         arguments += ["--state", str(self.names.folder), "--detach"]
@@ -84,11 +84,13 @@
             arguments.append("--joins")
         if action.is_replacement:
             arguments.append("--take-over")
-        return member_command(shlex.split(self.program), arguments)
+        return build_member_command(shlex.split(self.program), arguments)
 
-    def variables(self) -> dict[str, str]:
+    def build_variables(self) -> dict[str, str]:
         """Return the environment variables of a process."""
-        variables = {name: value for name, value in os.environ.items() if not name.startswith(SUPERVISOR_VARIABLES)}
+        variables = {
+            name: value for name, value in os.environ.items() if not name.startswith(SUPERVISOR_VARIABLE_PREFIXES)
+        }
         variables["THYMEFLOW_DAEMON_DRAIN_LINGER"] = f"{self._settings.linger:g}s"
         return variables
 
@@ -131,7 +133,7 @@
             STATUS_REQUEST,
             clock.now() + STATUS_TIMEOUT_SECONDS,
         )
-        return requested.addCallback(status_from_message)
+        return requested.addCallback(parse_status)
 
     def resize(self, members: dict[int, Member], fleet_size: int) -> None:
         """Rewrite the configuration of all members for a size, and let those that run read it again."""
@@ -140,7 +142,7 @@
                 continue
             try:
                 listen = self._sockets.address_text(number)
-                write_member(self._names, self._environment.template, listen, number, fleet_size)
+                write_member_configuration(self._names, self._environment.template, listen, number, fleet_size)
             except OSError as error:
                 log.emit(LogKind.RESIZE, f"{self._names.name(number)} was not notified: {error}")
                 continue
@@ -160,7 +162,7 @@
         )
 
     def _adopt_or_spawn(self, action: StartProcess, spawn: Callable[[], None], status: MemberStatus) -> None:
-        process = self._adopted_process(status)
+        process = self._find_running_process(status)
         if process is None:
             spawn()
             return
@@ -173,7 +175,7 @@
             child, pid = self._spawn_process(action)
         except (OSError, ValueError) as error:
             event = RunEnded(action.run_id, f"could not be started: {error}")
-            self._reactor.callLater(0, self._handler.decide, event)
+            self._reactor.callLater(0, self._handler.handle_event, event)
             return
         suffix = ", to take over" if action.is_replacement else ""
         log.emit(LogKind.STARTED, f"{name}, pid {pid}{suffix}", number=action.number)
@@ -181,8 +183,8 @@
 
     def _spawn_process(self, action: StartProcess) -> tuple[ChildProcess, int]:
         listening = self._sockets.open(action.number)
-        allocation = self._initial_allocation(action)
-        write_member(
+        allocation = self._build_initial_allocation(action)
+        write_member_configuration(
             self._names,
             self._environment.template,
             format_address(listening),
@@ -192,18 +194,18 @@
         )
         return spawn_member(
             self._reactor,
-            self._environment.command(action),
-            self._environment.variables(),
+            self._environment.build_command(action),
+            self._environment.build_variables(),
             self._environment.output_descriptor,
             None if action.is_replacement else listening,
         )
 
-    def _initial_allocation(self, action: StartProcess) -> Message:
+    def _build_initial_allocation(self, action: StartProcess) -> Message:
         if action.is_replacement:
             return message_of(EMPTY_ALLOCATION)
         return self._leases.on_starting(self._names.name(action.number))
 
-    def _adopted_process(self, status: MemberStatus) -> AdoptedProcess | None:
+    def _find_running_process(self, status: MemberStatus) -> AdoptedProcess | None:
         try:
             return AdoptedProcess(self._reactor, status.pid)
         except OSError:
@@ -227,11 +229,11 @@
             self._leases.on_report(name, status.allocation_report)
         if status.outlier_report is not None:
             self._outliers.on_report(name, status.outlier_report)
-        self._handler.decide(StatusReported(run.run_id, status.incarnation, status.is_serving, status.is_healthy))
+        self._handler.handle_event(StatusReported(run.run_id, status.incarnation, status.is_serving, status.is_healthy))
 
     def on_disconnected(self, run: MemberRun) -> None:
         """Handle the end of the connection to a run."""
-        if self._runs.has_run_of(run.number):
+        if self._runs.has_run(run.number):
             self._leases.on_disconnected(self._names.name(run.number))
             self._outliers.on_member_gone(self._names.name(run.number))
 
@@ -248,7 +250,7 @@
         )
 
     def _follow_successor(self, run: MemberRun, end_run: Callable[[], None], status: MemberStatus) -> None:
-        process = self._adopted_process(status)
+        process = self._find_running_process(status)
         if process is None:
             end_run()
             return
@@ -257,10 +259,10 @@
 
     def _end_run(self, run: MemberRun, reason: str) -> None:
         self._runs.remove(run.run_id)
-        if not self._runs.has_run_of(run.number):
+        if not self._runs.has_run(run.number):
             self._leases.on_death(self._names.name(run.number))
             self._outliers.on_member_gone(self._names.name(run.number))
-        self._handler.decide(RunEnded(run.run_id, reason))
+        self._handler.handle_event(RunEnded(run.run_id, reason))
 
 
 def _call_ignoring_failure(function: Callable[[], None], _: Failure) -> None:
--- a/thymeflow/fleet/member_runs.py
+++ b/thymeflow/fleet/member_runs.py
@@ -26,7 +26,7 @@
         """Return a run, None where it has ended."""
         return self._runs.get(run_id)
 
-    def has_run_of(self, number: int) -> bool:
+    def has_run(self, number: int) -> bool:
         """Return whether a process of a member runs."""
         return any(run.number == number for run in self._runs.values())
 
--- a/thymeflow/fleet/member_sockets.py
+++ b/thymeflow/fleet/member_sockets.py
@@ -11,7 +11,7 @@
 import socket
 from collections.abc import Container
 
-from thymeflow.fleet.registry import listen_address
+from thymeflow.fleet.registry import compute_listen_address
 from thymeflow.frontend.listener import bind_listener, start_listening
 from thymeflow.handover import listening_sockets
 
@@ -39,7 +39,7 @@
         """
         listening = self._sockets.get(number)
         if listening is None:
-            address = listen_address(self._base_address, number, self.ports)
+            address = compute_listen_address(self._base_address, number, self.ports)
             listening = start_listening(bind_listener(address.host, address.port))
             self._sockets[number] = listening
         self.ports[str(number)] = listening.getsockname()[1]
@@ -56,7 +56,7 @@
         listening = self._sockets.get(number)
         return "" if listening is None else format_address(listening)
 
-    def close_all_but(self, numbers: Container[int]) -> None:
+    def close_all_except(self, numbers: Container[int]) -> None:
         """Close the sockets of members that are gone for good; their addresses reject connections from now on."""
         for number in [number for number in self._sockets if number not in numbers]:
             self._sockets.pop(number).close()
--- a/thymeflow/fleet/outlier_service.py
+++ b/thymeflow/fleet/outlier_service.py
@@ -8,8 +8,8 @@
 from collections.abc import Callable
 from dataclasses import dataclass, field, replace
 
-from thymeflow.fleet.member_messages import ejections_message, threshold_message
-from thymeflow.fleet.status_messages import JsonObject, outlier_status
+from thymeflow.fleet.member_messages import build_ejections_message, build_threshold_message
+from thymeflow.fleet.status_messages import JsonObject, build_outlier_status
 from thymeflow.handover.control_socket import Message
 from thymeflow.outliers.coordinator import OutlierCoordinator
 from thymeflow.outliers.ejection import Ejection, EjectionKey, EjectionState
@@ -19,8 +19,8 @@
 from thymeflow.runtime.log_kinds import LogKind
 from thymeflow.shedding.threshold import AdmissionThreshold
 
-TICK_SECONDS = 0.25  # between evaluations of the reports
-RENEWAL_SECONDS = 1.0  # unchanged ejections and thresholds are sent again, a third of their lease
+TICK_INTERVAL_SECONDS = 0.25  # between evaluations of the reports
+RENEWAL_INTERVAL_SECONDS = 1.0  # unchanged ejections and thresholds are sent again, a third of their lease
 THRESHOLD_DECIMALS = 3  # of a threshold in messages
 STATE_TEXTS = {  # in log lines, where an ejection changes its state
     EjectionState.EJECTED: "ejected again",
@@ -58,7 +58,7 @@
         self._sent_ejections: dict[str, _SentEjections] = {}  # by member
 
     def start(self) -> None:
-        """Begin to evaluate the reports, every `TICK_SECONDS`."""
+        """Begin to evaluate the reports, every `TICK_INTERVAL_SECONDS`."""
         self._tick(0)
 
     def on_report(self, name: str, message: object) -> None:
@@ -84,7 +84,7 @@
 
     def status(self) -> JsonObject:
         """Return the threshold, and the ejections with the members that reported them, in the control socket's form."""
-        return outlier_status(self._coordinator, self._threshold, clock.monotonic())
+        return build_outlier_status(self._coordinator, self._threshold, clock.monotonic())
 
     def _tick(self, _: int) -> None:
         now = clock.monotonic()
@@ -97,7 +97,7 @@
         for name in self._coordinator.reports:
             self._send_ejections(name, now)
         self._update_threshold(now)
-        self._deadlines.schedule(clock.now() + TICK_SECONDS, self._tick)
+        self._deadlines.schedule(clock.now() + TICK_INTERVAL_SECONDS, self._tick)
 
     def _log_state_changes(self, previous_states: dict[EjectionKey, EjectionState]) -> None:
         for key, state in previous_states.items():
@@ -113,9 +113,9 @@
         # Compared without their ends, which move with every tick.
         ejections = [replace(ejection, ends_at=0.0) for ejection in self._coordinator.ejections_for(name, now)]
         sent = self._sent_ejections.get(name, _SentEjections(now))
-        if ejections != sent.ejections or (ejections and now - sent.sent_at >= RENEWAL_SECONDS):
+        if ejections != sent.ejections or (ejections and now - sent.sent_at >= RENEWAL_INTERVAL_SECONDS):
             self._sent_ejections[name] = _SentEjections(now, ejections)
-            self._send(name, ejections_message(self._coordinator.ejections_for(name, now)))
+            self._send(name, build_ejections_message(self._coordinator.ejections_for(name, now)))
 
     def _update_threshold(self, now: float) -> None:
         # Rounded as it was sent: one that rounds to 0 sheds nothing.
@@ -136,10 +136,10 @@
             self._send_threshold(name, threshold, now)
 
     def _send_threshold(self, name: str, threshold: float, now: float) -> None:
-        sent = self._sent_thresholds.get(name, _SentThreshold(0.0, now - RENEWAL_SECONDS))
-        if threshold != sent.threshold or now - sent.sent_at >= RENEWAL_SECONDS:
+        sent = self._sent_thresholds.get(name, _SentThreshold(0.0, now - RENEWAL_INTERVAL_SECONDS))
+        if threshold != sent.threshold or now - sent.sent_at >= RENEWAL_INTERVAL_SECONDS:
             self._sent_thresholds[name] = _SentThreshold(threshold, now)
-            self._send(name, threshold_message(threshold))
+            self._send(name, build_threshold_message(threshold))
 
 
 def _describe_key(key: EjectionKey) -> str:
--- a/thymeflow/fleet/processes.py
+++ b/thymeflow/fleet/processes.py
@@ -16,7 +16,7 @@
 from twisted.internet.protocol import ProcessProtocol
 from twisted.python.failure import Failure
 
-from thymeflow.fleet.member_messages import WATCH_REQUEST, MemberStatus, status_from_message
+from thymeflow.fleet.member_messages import WATCH_REQUEST, MemberStatus, parse_status
 from thymeflow.fleet.reactor import FleetReactor
 from thymeflow.handover import control_client
 from thymeflow.handover.control_socket import Message
@@ -24,7 +24,7 @@
 
 CONNECT_RETRY_SECONDS = 0.05  # between attempts to reach a control socket that does not exist yet
 LISTENING_DESCRIPTOR = 3  # the first that sd_listen_fds(3) passes on
-SHELL_SCRIPT = 'LISTEN_PID=$$ exec "$@"'  # the process's own pid, as sd_listen_fds(3) wants it
+SET_LISTEN_PID_SCRIPT = 'LISTEN_PID=$$ exec "$@"'  # the process's own pid, as sd_listen_fds(3) wants it
 
 
 class RunObserver(Protocol):
@@ -67,10 +67,8 @@
         """Connect to the control socket, now and again until the process ends."""
         if self.is_ended:
             return
-        connected = control_client.open_session(
-            self._reactor, self._path, self._handle_message, self._handle_disconnect
-        )
-        connected.addCallbacks(self._handle_connect, self._handle_connect_failure)
+        connected = control_client.open_session(self._reactor, self._path, self._on_message, self._on_disconnected)
+        connected.addCallbacks(self._on_connected, self._on_connect_failure)
 
     def send(self, message: Message) -> None:
         """Send a message if connected; there is no retry, and no answer."""
@@ -83,7 +81,7 @@
             with contextlib.suppress(ProcessLookupError):
                 os.kill(self.pid, signal_number)
 
-    def end(self, reason: str) -> None:
+    def on_process_ended(self, reason: str) -> None:
         """Stop following the process, as it has ended."""
         if self.is_ended:
             return
@@ -96,24 +94,24 @@
         if not self.is_ended:
             self._deadlines.schedule(clock.now() + CONNECT_RETRY_SECONDS, self.connect)
 
-    def _handle_connect(self, session: control_client.ControlSession) -> None:
+    def _on_connected(self, session: control_client.ControlSession) -> None:
         self._session = session
         if self.is_ended:
             session.close()
         else:
             session.send(WATCH_REQUEST)
 
-    def _handle_connect_failure(self, _: Failure) -> None:
+    def _on_connect_failure(self, _: Failure) -> None:
         self._schedule_connect()
 
-    def _handle_disconnect(self) -> None:
+    def _on_disconnected(self) -> None:
         self._session = None
         self._observer.on_disconnected(self)
         self._schedule_connect()
 
-    def _handle_message(self, message: Message) -> None:
+    def _on_message(self, message: Message) -> None:
         content = message.get("status")
-        status = status_from_message(content) if isinstance(content, dict) else None
+        status = parse_status(content) if isinstance(content, dict) else None
         if status is None or status.pid != self.pid:
             # The name still belongs to the process that this one is to replace, or to an earlier one: retry.
             if self._session is not None:
@@ -134,13 +132,13 @@
         """Notify a run of the process's end, also where it has ended already."""
         self._run = run
         if self._end_reason:
-            run.end(self._end_reason)
+            run.on_process_ended(self._end_reason)
 
     def processEnded(self, reason: Failure) -> None:
         """Handle the end of the process, which has been waited for."""
         self._end_reason = _describe_exit(reason.value)
         if self._run is not None:
-            self._run.end(self._end_reason)
+            self._run.on_process_ended(self._end_reason)
 
 
 def _describe_exit(status: BaseException | None) -> str:
@@ -178,7 +176,7 @@
         self._reactor.removeReader(self)
         os.close(self._descriptor)
         if self._run is not None:
-            self._run.end("ended (it was not started by this supervisor)")
+            self._run.on_process_ended("ended (it was not started by this supervisor)")
 
     def connectionLost(self, _: Failure) -> None:
         """Do nothing: the reactor stops."""
@@ -194,7 +192,7 @@
     handle: ChildProcess | AdoptedProcess
 
 
-def member_command(program: Sequence[str], arguments: Sequence[str]) -> list[str]:
+def build_member_command(program: Sequence[str], arguments: Sequence[str]) -> list[str]:
     """Return the command line of a member; an empty program stands for this one."""
     return [*(program or (sys.executable, "-m", "thymeflow")), "serve", *arguments]
 
@@ -219,7 +217,7 @@
     if listening_socket is not None:
         child_descriptors[LISTENING_DESCRIPTOR] = listening_socket.fileno()
         child_environment["LISTEN_FDS"] = "1"
-        child_command = ["/bin/sh", "-c", SHELL_SCRIPT, "sh", *command]
+        child_command = ["/bin/sh", "-c", SET_LISTEN_PID_SCRIPT, "sh", *command]
     try:
         transport = reactor.spawnProcess(
             child, child_command[0], child_command, child_environment, childFDs=child_descriptors
--- a/thymeflow/fleet/registry.py
+++ b/thymeflow/fleet/registry.py
@@ -79,11 +79,11 @@
     if not isinstance(source, dict) or not isinstance(source.get("settings"), dict):
         text = f"{path}: no JSON object with settings"
         raise ConfigurationError(text)
-    from_source(member_configuration(source, "n0", "127.0.0.1:0", 0, 1), str(path), {})
+    from_source(build_member_configuration(source, "n0", "127.0.0.1:0", 0, 1), str(path), {})
     return source
 
 
-def member_configuration(
+def build_member_configuration(
     source: ConfigurationTemplate,
     name: str,
     listen: str,
@@ -100,7 +100,7 @@
     return configuration
 
 
-def write_member(
+def write_member_configuration(
     names: FleetNames,
     source: ConfigurationTemplate,
     listen: str,
@@ -109,7 +109,7 @@
     allocation: Message | None = None,
 ) -> None:
     """Write one member's configuration atomically."""
-    configuration = member_configuration(source, names.name(number), listen, number, fleet_size, allocation)
+    configuration = build_member_configuration(source, names.name(number), listen, number, fleet_size, allocation)
     content = json.dumps(configuration, indent=1).encode()
     atomic_file.write(names.path(number, "json"), content, atomic_file.Durability.PROCESS)
 
@@ -133,7 +133,7 @@
     atomic_file.write(path, msgspec.json.encode(registry), atomic_file.Durability.PROCESS)
 
 
-def listen_address(base: str, number: int, known_ports: dict[str, int]) -> Address:
+def compute_listen_address(base: str, number: int, known_ports: dict[str, int]) -> Address:
     """Return where a member listens: the base port plus its number, or the port that the system chose before.
 
     :raises RegistryError: the port would be out of range.
--- a/thymeflow/fleet/restart_policy.py
+++ b/thymeflow/fleet/restart_policy.py
@@ -7,8 +7,8 @@
 from thymeflow.fleet.member_state import Member
 from thymeflow.settings.sections import Fleet
 
-JITTER = 0.5  # fraction of a backoff that is random, so that members that ended together start apart
-MAX_DOUBLINGS = 16
+JITTER_FRACTION = 0.5  # fraction of a backoff that is random, so that members that ended together start apart
+MAX_BACKOFF_DOUBLINGS = 16
 
 
 class RestartPolicy:
@@ -18,7 +18,7 @@
         self._settings = settings
         self._rng = rng
 
-    def spread_delay_seconds(self, position: int, total: int) -> float:
+    def compute_spread_delay_seconds(self, position: int, total: int) -> float:
         """Return the delay of the start at a position among `total` starts that are spread over time."""
         return self._settings.spread * (position + self._rng.random()) / total
 
@@ -34,8 +34,8 @@
         """Return whether so many crashes within the window make a crash loop."""
         return crash_count >= self._settings.crashes
 
-    def backoff_seconds(self, crash_count: int) -> float:
+    def compute_backoff_seconds(self, crash_count: int) -> float:
         """Return the jittered delay before the start that follows the last of `crash_count` crashes."""
-        doublings = min(MAX_DOUBLINGS, crash_count - 1)
+        doublings = min(MAX_BACKOFF_DOUBLINGS, crash_count - 1)
         backoff = min(self._settings.longest_wait, self._settings.wait * 2.0**doublings)
-        return backoff * (1.0 - JITTER * self._rng.random())
+        return backoff * (1.0 - JITTER_FRACTION * self._rng.random())
--- a/thymeflow/fleet/rollout.py
+++ b/thymeflow/fleet/rollout.py
@@ -101,13 +101,13 @@
         if operation.count > previous_count:
             # All are notified first, so that no request is rejected of a customer whose set is larger by now.
             self._lifecycle.resize(operation.count)
-            self._lifecycle.add_joining(numbers)
+            self._lifecycle.schedule_joining_members(numbers)
         else:
             for number in numbers:
                 self._lifecycle.stop(self._lifecycle.members[number])
 
     def _begin_roll(self, operation: Operation) -> None:
-        crash_looping = self._lifecycle.in_state(MemberState.CRASH_LOOP)
+        crash_looping = self._lifecycle.find_members_in_state(MemberState.CRASH_LOOP)
         if operation.kind is OperationKind.RESTART:
             for member in crash_looping:  # a restart is the order that ends a crash loop
                 member.crashed_at.clear()
@@ -207,7 +207,7 @@
         if not progress.queue:
             self._complete(progress, f"{progress.operation.kind.value} done: {progress.total} members")
             return
-        self._roll_next(progress)
+        self._roll_next_member(progress)
 
     def _is_settled(self, member: Member) -> bool:
         is_ready = member.state is MemberState.READY
@@ -218,7 +218,7 @@
         self._decisions.log(LogKind.ROLL, f"{progress.operation.kind.value} stopped: {progress.failure}")
         self._abort(f"stopped: {progress.failure}; not touched: {untouched or 'none'}")
 
-    def _roll_next(self, progress: OperationProgress) -> None:
+    def _roll_next_member(self, progress: OperationProgress) -> None:
         progress.rolling_number = progress.queue.popleft()
         member = self._lifecycle.members[progress.rolling_number]
         if progress.operation.kind is OperationKind.RESTART:
--- a/thymeflow/fleet/status_messages.py
+++ b/thymeflow/fleet/status_messages.py
@@ -26,7 +26,7 @@
 JsonObject = dict[str, object]
 
 
-def fleet_status(
+def build_fleet_status(
     controller: FleetController, names: FleetNames, runs: MemberRuns, sockets: MemberSockets
 ) -> JsonObject:
     """Return the status of a fleet and of each member."""
@@ -36,11 +36,11 @@
         "ready": sum(member.state in SERVING_STATES for member in members.values()),
         "working": controller.describe_operation(),
         "pid": os.getpid(),
-        "members": [_member_status(member, names, runs, sockets) for _, member in sorted(members.items())],
+        "members": [_build_member_status(member, names, runs, sockets) for _, member in sorted(members.items())],
     }
 
 
-def _member_status(member: Member, names: FleetNames, runs: MemberRuns, sockets: MemberSockets) -> JsonObject:
+def _build_member_status(member: Member, names: FleetNames, runs: MemberRuns, sockets: MemberSockets) -> JsonObject:
     run = runs.get(member.run_id)
     return {
         "name": names.name(member.number),
@@ -53,7 +53,7 @@
     }
 
 
-def lease_status(issuer: LeaseIssuer, write_error: str, now: float) -> JsonObject:
+def build_lease_status(issuer: LeaseIssuer, write_error: str, now: float) -> JsonObject:
     """Return the fleet's limits, what is free of them, and each member's allocation; amounts are in points."""
     return {
         "whole": TOTAL_POINTS,
@@ -68,11 +68,11 @@
             }
             for index, resource in enumerate(Resource)
         },
-        "members": {name: _holder_status(issuer, name, now) for name in sorted(issuer.records)},
+        "members": {name: _build_holder_status(issuer, name, now) for name in sorted(issuer.records)},
     }
 
 
-def _holder_status(issuer: LeaseIssuer, name: str, now: float) -> JsonObject:
+def _build_holder_status(issuer: LeaseIssuer, name: str, now: float) -> JsonObject:
     record = issuer.records[name]
     return {
         "state": record.state.value,
@@ -87,7 +87,7 @@
     }
 
 
-def outlier_status(coordinator: OutlierCoordinator, threshold: AdmissionThreshold, now: float) -> JsonObject:
+def build_outlier_status(coordinator: OutlierCoordinator, threshold: AdmissionThreshold, now: float) -> JsonObject:
     """Return the admission threshold, and the ejections with the members that reported them."""
     return {
         "level": round(threshold.value, FRACTION_DECIMALS),
@@ -95,11 +95,11 @@
         "every_s": coordinator.probe_interval,
         "left_out": coordinator.invalid_reports,
         "members": sorted(coordinator.reports),
-        "cases": [_ejection_status(key, record, now) for key, record in sorted(coordinator.ejections.items())],
+        "cases": [_build_ejection_status(key, record, now) for key, record in sorted(coordinator.ejections.items())],
     }
 
 
-def _ejection_status(key: EjectionKey, record: EjectionRecord, now: float) -> JsonObject:
+def _build_ejection_status(key: EjectionKey, record: EjectionRecord, now: float) -> JsonObject:
     return {
         "server": key.backend,
         "class": "" if key.is_zone() else key.name,
--- a/thymeflow/fleet/supervisor.py
+++ b/thymeflow/fleet/supervisor.py
@@ -44,7 +44,7 @@
 from thymeflow.fleet.reactor import FleetReactor
 from thymeflow.fleet.registry import FleetNames, MemberRegistry
 from thymeflow.fleet.registry_store import RegistryStore
-from thymeflow.fleet.status_messages import JsonObject, fleet_status
+from thymeflow.fleet.status_messages import JsonObject, build_fleet_status
 from thymeflow.handover.control_socket import ControlError, ControlServer
 from thymeflow.logs.structured import StructuredLog
 from thymeflow.platform import configuration
@@ -95,7 +95,9 @@
             self._outliers,
             self,
         )
-        handlers = RequestHandlers(self.status, self._leases.status, self._outliers.status, self._reload, self._end)
+        handlers = RequestHandlers(
+            self.status, self._leases.status, self._outliers.status, self._reload, self._schedule_stop
+        )
         self._requests = ControlRequests(self._controller, self._environment, handlers, self)
 
     # --- start and end -------------------------------------------------------------------------------------
@@ -123,7 +125,7 @@
             self._reactor, self._names, self._controller, self._processes, self._sockets, self._carry_out
         )
         adoptions = [adopter.adopt(number) for number in self._names.find_control_sockets()]
-        DeferredList(adoptions, consumeErrors=True).addCallback(self._begin, previous)
+        DeferredList(adoptions, consumeErrors=True).addCallback(self._start_fleet, previous)
 
     def run(self) -> int:
         """Supervise until the end, and return the exit code."""
@@ -159,14 +161,14 @@
                 log.emit(LogKind.ROLL, f"{previous.working}, when the last supervisor ended; it is not resumed")
         return previous
 
-    def _begin(self, adoptions: list[tuple[bool, int | None]], previous: MemberRegistry | None) -> None:
+    def _start_fleet(self, adoptions: list[tuple[bool, int | None]], previous: MemberRegistry | None) -> None:
         has_adopted = any(is_successful and number is not None for is_successful, number in adoptions)
         for name in self._leases.holders():
             if is_name_free(self._names.folder / f"{name}.lock"):
                 self._leases.on_death(name)  # the kernel has released the lock: its process has ended
         # Where members still run, the count that was ordered last applies; otherwise that of the settings.
         count = previous.count if previous is not None and has_adopted else self._fleet.instances
-        self.decide(FleetStarted(count))
+        self.handle_event(FleetStarted(count))
         self._notifier.notify(ready=1, mainpid=os.getpid(), status=f"{count} members")
 
     def _install_signal_handlers(self) -> None:
@@ -180,21 +182,21 @@
     def _shut_down(self) -> None:
         self._requests.begin_operation(None, OperationRequest(OperationKind.SHUTDOWN))
 
-    def _end(self) -> None:
+    def _schedule_stop(self) -> None:
         # Counted from the reactor's next turn: this one may still wait for the disk, and the last answer would
         # not have left when the delay was over.
         self._reactor.callLater(0, self._reactor.callLater, EXIT_DELAY_SECONDS, self._reactor.stop)
 
     # --- decisions -----------------------------------------------------------------------------------------
 
-    def decide(self, event: Event) -> None:
+    def handle_event(self, event: Event) -> None:
         """Let the controller decide on an event, and carry out its actions."""
         self._carry_out(self._controller.handle(clock.now(), event))
 
     def _carry_out(self, actions: list[Action]) -> None:
         for action in actions:
             self._carry_out_action(action)
-        self._sockets.close_all_but(self._controller.members)
+        self._sockets.close_all_except(self._controller.members)
         self._write_registry()
         self._set_tick_timer()
 
@@ -214,7 +216,7 @@
                 self._requests.report(action)
             case Exit():
                 self._notifier.notify(stopping=1)
-                self._end()
+                self._schedule_stop()
 
     def _write_registry(self) -> None:
         wanted_count = self._controller.wanted_count
@@ -229,7 +231,7 @@
             self._tick_timer = self._deadlines.schedule(max(deadline, clock.now()), self._on_tick_timer)
 
     def _on_tick_timer(self, _: int) -> None:
-        self.decide(Tick())
+        self.handle_event(Tick())
 
     # --- members -------------------------------------------------------------------------------------------
 
@@ -253,7 +255,7 @@
 
     def status(self) -> JsonObject:
         """Return the status of the fleet and of each member in the form of the control socket."""
-        return fleet_status(self._controller, self._names, self._runs, self._sockets)
+        return build_fleet_status(self._controller, self._names, self._runs, self._sockets)
 
 
 def supervise(options: SupervisorOptions) -> int:
