--- a/thymeflow/fleet/actions.py
+++ b/thymeflow/fleet/actions.py
@@ -9,7 +9,11 @@
 
 @dataclass(frozen=True, slots=True)
 class StartProcess:
-    """Start a process of a member, which may join a running set, or take over from the run that serves."""
+    """Start a process of a member.
+
+    With `is_joining` the member joins a running set; with `is_replacement` the process takes over from the run that
+    serves.
+    """
 
     run_id: int
     number: int
@@ -26,14 +30,14 @@
 
 @dataclass(frozen=True, slots=True)
 class KillProcess:
-    """End a run at once: it hangs, or did not shut down in time."""
+    """Kill a run that hangs or did not shut down in time."""
 
     run_id: int
 
 
 @dataclass(frozen=True, slots=True)
 class ResizeFleet:
-    """Notify every member, present or yet to start, of a new size of the fleet."""
+    """Notify every member of a new fleet size, including members that have yet to start."""
 
     size: int
 
@@ -48,7 +52,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ReportProgress:
-    """Report to the operator who ordered an operation; the last report has `is_done`."""
+    """Send a report to the operator who ordered an operation; `is_done` is set in the last report."""
 
     operation_id: int
     text: str
@@ -58,7 +62,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Exit:
-    """End the supervisor: every member has ended."""
+    """Stop the supervisor, because every member has ended."""
 
 
 Action = StartProcess | StopProcess | KillProcess | ResizeFleet | WriteLog | ReportProgress | Exit
--- a/thymeflow/fleet/adoption.py
+++ b/thymeflow/fleet/adoption.py
@@ -1,4 +1,4 @@
-"""Adopts members that run already when a supervisor starts, each with a copy of its listening socket."""
+"""Adopts the members that are already running when a supervisor starts, with a copy of each listening socket."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 
 
 class MemberAdopter:
-    """Finds running members by their control sockets; the actions decided on go to `carry_out`."""
+    """Finds running members by their control sockets; passes the controller's actions to `carry_out`."""
 
     def __init__(
         self,
@@ -43,7 +43,7 @@
         self._carry_out = carry_out
 
     def adopt(self, number: int) -> Deferred[int | None]:
-        """Adopt a member if it runs; the Deferred gives its number, or None where no process answered."""
+        """Adopt a member if it runs; the Deferred returns the member's number, or None if no process was adopted."""
         requested = self._processes.request_status(number)
         return requested.addCallbacks(partial(self._on_status, number), _ignore_failure)
 
@@ -58,13 +58,16 @@
         actions = self._controller.handle(clock.now(), event)
         run_id = self._controller.members[number].run_id
         self._processes.follow(RunProcess(run_id, number, status.pid, process))
-        log.emit(LogKind.ADOPTED, f"{self._names.name(number)}, pid {status.pid}, {status.phase}")
+        log.emit(
+            LogKind.ADOPTED,
+            f"adopted the running member {self._names.name(number)}, pid {status.pid}, phase {status.phase}",
+        )
         self._carry_out(actions)
         return _SocketCopyRequest(self._reactor, self._names, self._sockets, number).start()
 
 
 class _SocketCopyRequest:
-    """Requests a copy of one member's listening socket over its control socket."""
+    """One request for a copy of a member's listening socket, over the member's control socket."""
 
     def __init__(self, reactor: FleetReactor, names: FleetNames, sockets: MemberSockets, number: int) -> None:
         self._reactor = reactor
@@ -75,7 +78,7 @@
         self._finished: Deferred[int | None] = Deferred()
 
     def start(self) -> Deferred[int | None]:
-        """Send the request; the Deferred gives the member's number once the connection has ended."""
+        """Connect and send the request; the Deferred returns the member's number when the connection has ended."""
         connected = control_client.open_session(self._reactor, self._path, self._on_message, self._on_ended)
         connected.addCallbacks(self._on_connected, self._on_connect_failure)
         return self._finished
--- a/thymeflow/fleet/control_requests.py
+++ b/thymeflow/fleet/control_requests.py
@@ -1,4 +1,4 @@
-"""The requests on the supervisor's control socket, and the operations that they order."""
+"""Handles the requests on the supervisor's control socket, and the operations that operators order there."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RequestHandlers:
-    """The handlers of requests that order no operation; `reload` returns an error text, empty for success."""
+    """The handlers of requests that order no operation; `reload` returns an error text, which is empty on success."""
 
     get_status: Callable[[], JsonObject]
     get_lease_status: Callable[[], JsonObject]
@@ -33,15 +33,16 @@
 
 @dataclass(frozen=True, slots=True)
 class OperationRequest:
-    """An operation that is ordered."""
+    """The content of a request that orders an operation."""
 
     kind: OperationKind
-    count: int = 0  # wanted members, of a SCALE
-    program: str | None = None  # command line of the members from now on; None: unchanged
+    count: int = 0  # Number of wanted members, for a SCALE only.
+    # Command line of members that start from now on; None leaves it unchanged.
+    program: str | None = None
 
 
 class ControlRequests:
-    """Answers callers, and reports the progress of operations to those who ordered them."""
+    """Answers callers, and reports the progress of each operation to the caller who ordered it."""
 
     def __init__(
         self,
@@ -55,9 +56,10 @@
         self._handlers = handlers
         self._handler = handler
         self._last_operation_id = 0
-        self._callers: dict[int, ControlCaller] = {}  # by operation
-        self._previous_programs: dict[int, str] = {}  # by operation that replaced the program
-        # The keys are the values of a request's `do`.
+        self._callers: dict[int, ControlCaller] = {}  # Key: operation id.
+        # Key: id of the operation that replaced the program.
+        self._previous_programs: dict[int, str] = {}
+        # The keys are the values of `do` in a request.
         self._commands: dict[str, Callable[[ControlCaller], None]] = {
             "status": self._send_status,
             "budgets": self._send_lease_status,
@@ -69,7 +71,7 @@
     def handle(self, caller: ControlCaller, message: Message) -> None:
         """Answer one request.
 
-        :raises ValueError: an argument is invalid.
+        :raises ValueError: an argument of the request is invalid.
         """
         command = message.get("do")
         if isinstance(command, str) and command in self._commands:
@@ -81,7 +83,7 @@
             caller.send({"ok": False, "why": f"'do' is {str(command)[:40]!r}; it may be {commands}"})
 
     def begin_operation(self, caller: ControlCaller | None, request: OperationRequest) -> None:
-        """Order an operation, for a caller or for the supervisor itself."""
+        """Start an operation that a caller orders; `caller` is None if the supervisor orders it."""
         self._last_operation_id += 1
         operation_id = self._last_operation_id
         if caller is not None:
@@ -90,7 +92,7 @@
         if request.program is not None and not self._controller.describe_operation():
             self._previous_programs[operation_id] = self._environment.replace_program(request.program)
         suffix = f" to {request.count}" if request.kind is OperationKind.SCALE else ""
-        log.emit(LogKind.ORDER, f"{request.kind.value}{suffix}")
+        log.emit(LogKind.ORDER, f"operation ordered: {request.kind.value}{suffix}")
         self._handler.handle_event(Operation(operation_id, request.kind, request.count))
 
     def report(self, report: ReportProgress) -> None:
@@ -107,7 +109,8 @@
     def _restore_program(self, report: ReportProgress) -> None:
         previous = self._previous_programs.pop(report.operation_id, None)
         if previous is not None and not report.is_successful:
-            self._environment.replace_program(previous)  # the next restart must not use a program that failed
+            # The next restart must not use a program that failed.
+            self._environment.replace_program(previous)
 
     def _send_status(self, caller: ControlCaller) -> None:
         caller.send({"ok": True, **self._handlers.get_status()})
@@ -123,7 +126,7 @@
         caller.send({"ok": not error, "why": error})
 
     def _leave(self, caller: ControlCaller) -> None:
-        log.emit(LogKind.LEAVE, "the supervisor ends; its members keep serving")
+        log.emit(LogKind.LEAVE, "the supervisor exits on request; its members keep serving without a supervisor")
         caller.send({"ok": True, "why": f"{len(self._controller.members)} members go on by themselves"})
         self._handlers.leave()
 
@@ -133,7 +136,7 @@
 
     :raises ValueError: the count or the program is invalid.
     """
-    # Plain ValueErrors: the control socket shows callers the name of the type.
+    # Raises plain ValueErrors, because the control socket shows the name of the exception's type to callers.
     count = _parse_count(message.get("count", 0)) if kind is OperationKind.SCALE else 0
     program = message.get("program")
     if program is not None and (not isinstance(program, str) or len(program) > MAX_PROGRAM_CHARACTERS):
--- a/thymeflow/fleet/controller.py
+++ b/thymeflow/fleet/controller.py
@@ -1,7 +1,8 @@
-"""What a supervisor decides: events in, actions out; no I/O, no clock, no random source of its own.
+"""The decisions of a supervisor: a state machine that takes events and returns actions.
 
-Each member is in one named state, and `member_state.TRANSITIONS` has every legal change; anything else is a programming
-error of the controller and raises IllegalTransitionError. Operations run one at a time; see `rollout`.
+The controller does no I/O and has no clock or random source of its own. Each member is in one named state;
+`member_state.TRANSITIONS` lists every legal transition, and any other one is a programming error of the controller and
+raises IllegalTransitionError. Operations run one at a time; see `rollout`.
 """
 
 from __future__ import annotations
@@ -27,7 +28,7 @@
 
 
 class FleetController:
-    """The decisions about one fleet; all times are those that the caller hands in, in seconds."""
+    """Decides on the events of one fleet; all times are in seconds on the caller's clock."""
 
     def __init__(self, settings: Fleet, rng: random.Random) -> None:
         self._decisions = Decisions()
@@ -42,16 +43,16 @@
 
     @property
     def wanted_count(self) -> int:
-        """How many members are wanted."""
+        """The wanted number of members."""
         return self._operations.wanted_count
 
     @property
     def fleet_size(self) -> int:
-        """The size of the fleet that members are notified of."""
+        """The fleet size that members are notified of."""
         return self._lifecycle.fleet_size
 
     def handle(self, now: float, event: Event) -> list[Action]:
-        """Decide on one event."""
+        """Handle one event at time `now`, and return the actions to carry out in order."""
         self._decisions.begin(now)
         match event:
             case FleetStarted(count):
@@ -71,11 +72,11 @@
         return self._decisions.actions
 
     def next_deadline(self) -> float:
-        """Return when the next Tick would change something; inf if nothing waits for time."""
+        """Return the time at which the next Tick is due, inf if the controller waits for no deadline."""
         return min([*self._lifecycle.deadlines(), *self._operations.deadlines()], default=inf)
 
     def describe_operation(self) -> str:
-        """Return the operation in progress as text, empty where there is none."""
+        """Return the operation in progress as text, empty if there is none."""
         return self._operations.describe()
 
     def _on_member_fault(self, member: Member, reason: str) -> None:
--- a/thymeflow/fleet/errors.py
+++ b/thymeflow/fleet/errors.py
@@ -10,7 +10,7 @@
 
 
 class SupervisorError(FleetError):
-    """The supervisor cannot start; the text gives the reason in one line."""
+    """The supervisor cannot start; the message gives the reason in one line."""
 
     def __init__(self, reason: str, exit_code: int) -> None:
         super().__init__(reason)
@@ -18,4 +18,4 @@
 
 
 class RegistryError(FleetError, ValueError):
-    """A file of the fleet cannot be read, or an address of a member is out of range."""
+    """The registry file cannot be read, or the port of a member is out of range."""
--- a/thymeflow/fleet/events.py
+++ b/thymeflow/fleet/events.py
@@ -9,19 +9,19 @@
 
 @dataclass(frozen=True, slots=True)
 class Tick:
-    """Time has passed."""
+    """Time has passed, so that a deadline may be due."""
 
 
 @dataclass(frozen=True, slots=True)
 class FleetStarted:
-    """The supervisor has adopted the members that run already, and wants `count` members."""
+    """The supervisor has adopted the members that were already running; the fleet is to have `count` members."""
 
     count: int
 
 
 @dataclass(frozen=True, slots=True)
 class MemberAdopted:
-    """A member that runs already was found."""
+    """The supervisor has found a member that was already running."""
 
     number: int
     incarnation: str
@@ -40,14 +40,14 @@
 
 @dataclass(frozen=True, slots=True)
 class RunEnded:
-    """A run is over; `reason` completes a sentence that begins with the member's name."""
+    """The process of a run has ended; `reason` is a predicate about the member, such as "ended with code 1"."""
 
     run_id: int
     reason: str
 
 
 class OperationKind(Enum):
-    """What an operator may order; the values are those of the control socket."""
+    """The kinds of operations that an operator can order; the values are those of `do` on the control socket."""
 
     SCALE = "scale"
     RESTART = "restart"
@@ -57,7 +57,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Operation:
-    """An operator's order; `count` is the wanted number of members of a SCALE, `id` comes back in its reports."""
+    """An operation that an operator orders; `count` is the wanted number of members, for a SCALE only.
+
+    `id` identifies the operation in its progress reports.
+    """
 
     id: int
     kind: OperationKind
@@ -65,13 +68,13 @@
 
 
 class EventHandler(Protocol):
-    """What the supervisor offers to the objects that it is composed of."""
+    """The supervisor's interface for the objects that it is composed of."""
 
     def handle_event(self, event: Event) -> None:
-        """Decide on an event, and carry out the actions."""
+        """Pass an event to the controller, and carry out the resulting actions."""
 
     def fleet_size(self) -> int:
-        """Return the size of the fleet that members are notified of."""
+        """Return the fleet size that members are notified of."""
 
 
 Event = Tick | FleetStarted | MemberAdopted | StatusReported | RunEnded | Operation
--- a/thymeflow/fleet/lease_distributor.py
+++ b/thymeflow/fleet/lease_distributor.py
@@ -1,4 +1,4 @@
-"""The supervisor's adapter of the lease issuer: the grant file, members' reports, and the grants sent to them."""
+"""Connects the lease issuer to the grant file and to the members: handles their reports and sends them grants."""
 
 from __future__ import annotations
 
@@ -16,11 +16,11 @@
 from thymeflow.runtime import clock, log
 from thymeflow.runtime.log_kinds import LogKind
 
-TICK_INTERVAL_SECONDS = 0.25  # between distributions of the fleet's limits
+TICK_INTERVAL_SECONDS = 0.25  # Interval between distributions of the fleet's limits.
 
 
 class LeaseDistributor:
-    """Divides the fleet's limits among its members, which it knows by name."""
+    """Divides the fleet's limits among the members, which are identified by name."""
 
     def __init__(
         self,
@@ -30,7 +30,7 @@
         send: Callable[[str, Message], None],
         fleet_size: Callable[[], int],
     ) -> None:
-        self.write_error = ""  # of the last write of the grant file
+        self.write_error = ""  # Error of the last write of the grant file, empty if it succeeded.
         self._deadlines = deadlines
         self._path = path
         self._fleet_name = fleet_name
@@ -39,38 +39,43 @@
         self._issuer = LeaseIssuer(1, clock.monotonic())
 
     def start(self, may_have_running_members: bool) -> None:
-        """Continue from the previous supervisor's grant file; `may_have_running_members`: members in it may run."""
+        """Continue from the previous supervisor's grant file.
+
+        `may_have_running_members` tells whether members that the file lists may still run.
+        """
         self._issuer, error = grant_file.read(self._path, self._fleet_name, clock.monotonic(), may_have_running_members)
         if error:
-            log.emit(LogKind.BUDGETS, f"the previous grant file is not used: {error}")
+            log.emit(
+                LogKind.BUDGETS,
+                f"the previous grant file is not used; a new epoch begins without it: {error}",
+            )
         log.emit(
             LogKind.BUDGETS,
-            f"epoch {self._issuer.epoch}, {len(self._issuer.records)} members may have allocations",
-            era=self._issuer.epoch,  # the log field keeps its name, by which logs are searched
+            f"lease epoch {self._issuer.epoch} begins; {len(self._issuer.records)} members may have older allocations",
+            era=self._issuer.epoch,  # Operators search logs by this field name.
         )
         self._tick(0)
 
     def holders(self) -> list[str]:
-        """Return the members that may have an allocation."""
+        """Return the names of the members that may have an allocation."""
         return [name for name, record in self._issuer.records.items() if record.state is not HolderState.ABSENT]
 
     def on_starting(self, name: str) -> Message:
-        """Return the allocation that a new process of a member starts with."""
+        """Return the initial allocation of a member's new process, as a message."""
         if self._issuer.record_of(name).state not in (HolderState.ABSENT, HolderState.NOT_REPORTING):
             self._issuer.on_disconnected(name)
         allocation, _ = self._issuer.on_starting(name, clock.monotonic())
         if not self._write_grant_file():
-            allocation = Allocation(
-                allocation.epoch, allocation.number
-            )  # the process starts without any, and is granted some later
+            # Without a written grant file the process starts with an empty allocation, and is granted one later.
+            allocation = Allocation(allocation.epoch, allocation.number)
         return message_of(allocation)
 
     def on_report(self, name: str, message: object) -> None:
-        """Handle a member's report of its allocation; a malformed one changes nothing."""
+        """Handle a member's report of its allocation; a malformed report is logged and ignored."""
         try:
             report = report_from_message(message)
         except MalformedAllocationError as error:
-            log.emit_rate_limited(LogKind.BUDGETS, f"ignored a malformed allocation report of {name}: {error}")
+            log.emit_rate_limited(LogKind.BUDGETS, f"ignored a malformed allocation report from {name}: {error}")
             return
         self._issuer.on_report(name, report.allocation, report.demand, clock.monotonic())
 
@@ -83,7 +88,7 @@
         self._issuer.on_death(name)
 
     def status(self) -> JsonObject:
-        """Return the limits, allocations and their ends in the form of the control socket."""
+        """Return the limits, the allocations and their expiry times in the control socket's format."""
         return build_lease_status(self._issuer, self.write_error, clock.monotonic())
 
     def _write_grant_file(self) -> bool:
@@ -91,7 +96,10 @@
             grant_file.write(self._path, self._issuer, self._fleet_name)
         except OSError as error:
             if not self.write_error:
-                log.emit(LogKind.BUDGETS, f"the grant file was not written, so nothing new is granted: {error}")
+                log.emit(
+                    LogKind.BUDGETS,
+                    f"the grant file was not written; nothing new is granted until a write succeeds: {error}",
+                )
             self.write_error = str(error)
             return False
         self.write_error = ""
--- a/thymeflow/fleet/member_lifecycle.py
+++ b/thymeflow/fleet/member_lifecycle.py
@@ -1,6 +1,6 @@
 """The lifecycle of fleet members: starts, adoptions, stops, replacements and crashes.
 
-A *run* is one process of a member, identified by a number; reports about a run that is over change nothing.
+A *run* is one process of a member, identified by a number. Reports about a run that has ended are ignored.
 """
 
 from __future__ import annotations
@@ -19,7 +19,7 @@
 
 
 class MemberLifecycle:
-    """All members of a fleet and their runs; `on_fault` is called with each member that fails and the reason."""
+    """Tracks all members of a fleet and their runs; calls `on_fault` with each member that fails and the reason."""
 
     def __init__(
         self,
@@ -29,23 +29,24 @@
         on_fault: Callable[[Member, str], None],
     ) -> None:
         self.members: dict[int, Member] = {}
-        self.fleet_size = 0  # as members are notified of it
+        self.fleet_size = 0  # The size that members are notified of.
         self._settings = settings
         self._policy = policy
         self._decisions = decisions
         self._on_fault = on_fault
         self._last_run_id = 0
-        self._member_numbers: dict[int, int] = {}  # by run
-        self._retiring_deadlines: dict[int, float] = {}  # runs that are to end, and when they are killed
+        self._member_numbers: dict[int, int] = {}  # Key: run id.
+        # When to kill the runs that were asked to end because another run replaced them. Key: run id.
+        self._retiring_deadlines: dict[int, float] = {}
 
     # --- queries -------------------------------------------------------------------------------------------
 
     def has_retiring_runs(self) -> bool:
-        """Return whether replaced runs or abandoned successors have yet to end."""
+        """Return whether any replaced run or abandoned successor has not ended yet."""
         return bool(self._retiring_deadlines)
 
     def deadlines(self) -> list[float]:
-        """Return the times at which `on_tick` would change something."""
+        """Return the times at which `on_tick` is due for a member or a retiring run."""
         pending = [member.deadline for member in self.members.values() if member.state in _TIMED_STATES]
         return [*pending, *self._retiring_deadlines.values()]
 
@@ -60,12 +61,12 @@
     # --- starts --------------------------------------------------------------------------------------------
 
     def start_fleet(self, count: int) -> None:
-        """Schedule the members that are missing of `count`, and stop those beyond it."""
+        """Schedule the start of each missing member below number `count`, and stop the members from `count` on."""
         adopted_count = len(self.members)
         missing = [number for number in range(count) if number not in self.members]
         for position, number in enumerate(missing):
-            # Spread, so that counter, discovery and backends are not loaded in one instant. Where members were
-            # adopted, the missing ones died while no supervisor ran: they are started at once.
+            # Starts are spread over time, so that they do not load the counter, discovery and the backends all at
+            # once. If members were adopted, the missing members died while no supervisor ran, so they start at once.
             delay = 0.0 if adopted_count else self._policy.compute_spread_delay_seconds(position, len(missing))
             self.members[number] = Member(number, deadline=self._decisions.now + delay)
         surplus = [member for member in self.members.values() if member.number >= count]
@@ -77,19 +78,19 @@
             self._decisions.log(LogKind.FLEET, text)
 
     def schedule_joining_members(self, numbers: range) -> None:
-        """Schedule the start of new members that join a running set."""
+        """Schedule the start of new members that join the running set."""
         for position, number in enumerate(numbers):
             delay = self._policy.compute_spread_delay_seconds(position, len(numbers))
             self.members[number] = Member(number, deadline=self._decisions.now + delay, is_joining=True)
 
     def resize(self, size: int) -> None:
-        """Notify all members of the fleet's size, if it has changed."""
+        """Set the fleet size, and notify all members if it has changed."""
         if size != self.fleet_size:
             self.fleet_size = size
             self._decisions.add(ResizeFleet(size))
 
     def adopt(self, number: int, incarnation: str, is_serving: bool) -> None:
-        """Add a member that runs already."""
+        """Add a member that is already running."""
         member = Member(number)
         self.members[number] = member
         member.run_id = self._new_run(member)
@@ -101,7 +102,7 @@
             member.healthy_since = self._decisions.now
 
     def reset(self, member: Member) -> None:
-        """Start a member that ended on purpose or is in a crash loop, at the next tick."""
+        """Schedule a stopped or crash-looping member to start at the next tick."""
         member.apply(Transition.RESET)
         member.deadline = self._decisions.now
 
@@ -127,13 +128,13 @@
         member.is_killed = False
         action = StartProcess(member.run_id, member.number, is_joining=member.is_joining, is_replacement=False)
         self._decisions.add(action)
-        # Only the first start joins the set; after a crash it is a member of the set already.
+        # Only the first start joins the set. A member that starts after a crash already belongs to the set.
         member.is_joining = False
 
     # --- stops ---------------------------------------------------------------------------------------------
 
     def stop(self, member: Member, *, restart: bool = False) -> None:
-        """Stop a member gracefully, and start it again afterwards where `restart` is set."""
+        """Stop a member gracefully; if `restart` is set, start it again after it has ended."""
         member.is_restarting = restart
         if member.successor_run_id != NO_RUN:
             self._abandon_replacement(member)
@@ -147,8 +148,8 @@
             self._decisions.add(StopProcess(member.run_id))
 
     def _abandon_replacement(self, member: Member) -> None:
-        # The progress of the handover is not known here. Either process ends gracefully on SIGTERM, while
-        # killing one could lose requests.
+        # The controller does not know the progress of the handover. Both processes end gracefully on SIGTERM, while
+        # a kill could lose requests.
         if member.run_id == NO_RUN:
             member.run_id = member.successor_run_id
         else:
@@ -214,7 +215,7 @@
     def _on_serving_run_ended(self, member: Member, reason: str) -> None:
         member.run_id = NO_RUN
         if member.successor_run_id != NO_RUN:
-            return  # the successor either reports that it serves, or ends too
+            return  # The successor will report that it serves, or end too.
         if member.state is MemberState.STOPPING:
             member.apply(Transition.END)
             self._finish_stop(member)
@@ -249,12 +250,12 @@
     # --- time ----------------------------------------------------------------------------------------------
 
     def on_tick(self) -> None:
-        """Start the members whose time has come, and kill the runs that have taken too long."""
+        """Start the members whose start is due, and kill the runs that have exceeded their deadline."""
         for member in list(self.members.values()):
             if self._decisions.now >= member.deadline:
                 self._on_deadline(member)
-        for run_id, until in self._retiring_deadlines.items():
-            if self._decisions.now >= until:
+        for run_id, deadline in self._retiring_deadlines.items():
+            if self._decisions.now >= deadline:
                 self._retire(run_id)
                 self._decisions.add(KillProcess(run_id))
 
@@ -271,7 +272,7 @@
             self._on_replacement_failed(member, f"was not ready within {self._settings.ready:g} s")
 
     def _kill(self, member: Member, reason: str, retry_seconds: float) -> None:
-        # A process in the middle of a disk write cannot die at once: it is killed again later, not waited for.
+        # A process that waits for a disk write does not die at once. The kill is repeated after `retry_seconds`.
         if not member.is_killed:
             member.is_killed = True
             self._decisions.log(LogKind.MEMBER, f"{member.number} {reason}: killed")
--- a/thymeflow/fleet/member_messages.py
+++ b/thymeflow/fleet/member_messages.py
@@ -1,7 +1,7 @@
 """The messages between a supervisor and its members, over the members' control sockets.
 
-This module alone knows their keys and values: a format that programs of other versions read and write. The forms of
-allocations, ejections and reports in them are those of `leases.allocation` and `outliers.messages`.
+Only this module knows the keys and values of these messages, which programs of other versions read and write too.
+`leases.allocation` and `outliers.messages` define the format of the allocations, ejections and reports in them.
 """
 
 from __future__ import annotations
@@ -14,25 +14,25 @@
 from thymeflow.outliers.ejection import Ejection
 from thymeflow.outliers.messages import message_of as message_of_ejection
 
-SERVING_PHASE = "serving"  # the value of `phase` while a process serves
+SERVING_PHASE = "serving"  # The value of `phase` while a process serves.
 UNKNOWN_PID = -1
 
-# Requests without arguments.
+# Requests without arguments:
 STATUS_REQUEST: Message = {"do": "status"}
-WATCH_REQUEST: Message = {"do": "watch"}  # the status, now and whenever it changes
-SOCKET_REQUEST: Message = {"do": "socket"}  # a copy of the listening socket
+WATCH_REQUEST: Message = {"do": "watch"}  # Subscribes to the status: sent now, and on each change.
+SOCKET_REQUEST: Message = {"do": "socket"}  # Requests a copy of the listening socket.
 
 
 @dataclass(frozen=True, slots=True)
 class MemberStatus:
-    """The status of one process; `message` is the JSON object that it was read from."""
+    """The status of one process; `message` is the JSON object that the status was parsed from."""
 
-    pid: int  # or UNKNOWN_PID
+    pid: int  # UNKNOWN_PID if the message has none.
     incarnation: str
     phase: str
     is_healthy: bool
-    allocation_report: object  # None where the process has no allocation
-    outlier_report: object  # None where the process reports no outliers
+    allocation_report: object  # None if the process has no allocation.
+    outlier_report: object  # None if the process reports no outliers.
     message: Message
 
     @property
@@ -42,7 +42,7 @@
 
 
 def parse_status(message: Message) -> MemberStatus:
-    """Return the record of a status message; what is missing counts as not serving, not healthy or not reported."""
+    """Parse a status message; a missing key counts as not serving, not healthy or not reported."""
     pid = message.get("pid")
     return MemberStatus(
         pid=pid if isinstance(pid, int) else UNKNOWN_PID,
--- a/thymeflow/fleet/member_processes.py
+++ b/thymeflow/fleet/member_processes.py
@@ -1,4 +1,4 @@
-"""Starts the processes of members, and follows each of them from its start or adoption to its end."""
+"""Starts the processes of members, and follows each process from its start or adoption to its end."""
 
 from __future__ import annotations
 
@@ -37,45 +37,45 @@
 from thymeflow.runtime.log_kinds import LogKind
 from thymeflow.settings.sections import Fleet
 
-STATUS_TIMEOUT_SECONDS = 1.0  # within which a running member answers
+STATUS_TIMEOUT_SECONDS = 1.0  # A member that has not answered by then counts as not running.
 OUTPUT_FILE_MODE = 0o600
-SUPERVISOR_VARIABLE_PREFIXES = ("LISTEN_", "NOTIFY_")  # prefixes of variables that members do not inherit
+SUPERVISOR_VARIABLE_PREFIXES = ("LISTEN_", "NOTIFY_")  # Members do not inherit these environment variables.
 
 
 class ProcessEnvironment:
-    """What all processes of members are started with."""
+    """The command line, environment, output file and configuration that the processes of members start with."""
 
     def __init__(self, options: SupervisorOptions, settings: Fleet, names: FleetNames) -> None:
         self.names = names
-        self.program = options.program  # command line; empty: this program
-        self.output_descriptor = -1  # -1 until `open`
+        self.program = options.program  # Command line; empty for this program.
+        self.output_descriptor = -1  # -1 until `open_output`.
         self.template: ConfigurationTemplate = {}
         self._options = options
         self._settings = settings
 
     def read_template(self) -> None:
-        """Read the platform's configuration, which later starts use.
+        """Read the platform's configuration, which all later starts use.
 
-        :raises ConfigurationError: it is invalid; the previous one stays in use.
+        :raises ConfigurationError: the configuration is invalid; the previous one stays in use.
         """
         self.template = read_template(self._options.platform_path)
 
     def open_output(self) -> None:
-        """Open the file that the output of all processes goes to.
+        """Open the file to which all processes write their output.
 
-        :raises OSError: it cannot be opened.
+        :raises OSError: the file cannot be opened.
         """
         path = self.names.supervisor_path("out")
         self.output_descriptor = os.open(path, os.O_WRONLY | os.O_APPEND | os.O_CREAT | os.O_CLOEXEC, OUTPUT_FILE_MODE)
 
     def replace_program(self, program: str) -> str:
-        """Start later processes with this command line; return the previous one."""
+        """Set the command line of processes that start from now on, and return the previous command line."""
         previous = self.program
         self.program = program
         return previous
 
     def build_command(self, action: StartProcess) -> list[str]:
-        """Return the command line of a process."""
+        """Return the command line of the process to start."""
         arguments = ["--platform", str(self.names.path(action.number, "json"))]
         arguments += ["--state", str(self.names.folder), "--detach"]
         if self._options.settings_path:
@@ -87,7 +87,7 @@
         return build_member_command(shlex.split(self.program), arguments)
 
     def build_variables(self) -> dict[str, str]:
-        """Return the environment variables of a process."""
+        """Return the environment variables of the process to start."""
         variables = {
             name: value for name, value in os.environ.items() if not name.startswith(SUPERVISOR_VARIABLE_PREFIXES)
         }
@@ -98,7 +98,8 @@
 class MemberProcesses:
     """Starts, adopts and follows the processes of all members.
 
-    Status reports and ends become events for the handler; reports to leases and outliers are passed on to these.
+    Passes status reports and the ends of processes to the handler as events, allocation reports to the lease
+    distributor, and outlier reports to the outlier service.
     """
 
     def __init__(
@@ -125,7 +126,10 @@
     # --- requests and messages ------------------------------------------------------------------------------
 
     def request_status(self, number: int) -> Deferred[MemberStatus]:
-        """Request the status of whichever process has the member's name; fails where none answers."""
+        """Request the status of the process that owns the member's control socket.
+
+        The Deferred fails if no process answers within `STATUS_TIMEOUT_SECONDS`.
+        """
         requested = control_client.send_request(
             self._reactor,
             self._deadlines,
@@ -136,7 +140,7 @@
         return requested.addCallback(parse_status)
 
     def resize(self, members: dict[int, Member], fleet_size: int) -> None:
-        """Rewrite the configuration of all members for a size, and let those that run read it again."""
+        """Rewrite the configuration of each running member for a fleet size, and signal the member to reload it."""
         for number, member in members.items():
             if number not in self._sockets or member.run_id == NO_RUN:
                 continue
@@ -144,19 +148,22 @@
                 listen = self._sockets.address_text(number)
                 write_member_configuration(self._names, self._environment.template, listen, number, fleet_size)
             except OSError as error:
-                log.emit(LogKind.RESIZE, f"{self._names.name(number)} was not notified: {error}")
+                log.emit(
+                    LogKind.RESIZE,
+                    f"{self._names.name(number)} was not notified of the fleet size {fleet_size}: {error}",
+                )
                 continue
             self._runs.send_signal(member.run_id, signal.SIGHUP)
 
     # --- starts --------------------------------------------------------------------------------------------
 
     def start(self, action: StartProcess) -> None:
-        """Start a process, or adopt one that already runs under the member's name."""
+        """Start a process, or adopt the one that already runs under the member's name."""
         spawn = partial(self._spawn, action)
         if action.is_replacement or not self._names.path(action.number, "sock").is_symlink():
             spawn()
             return
-        # A process that answers to the name was in a handover that the previous supervisor had begun.
+        # If a process answers under this name, it was in a handover that the previous supervisor had begun.
         self.request_status(action.number).addCallbacks(
             partial(self._adopt_or_spawn, action, spawn), partial(_call_ignoring_failure, spawn)
         )
@@ -166,7 +173,7 @@
         if process is None:
             spawn()
             return
-        log.emit(LogKind.ADOPTED, f"{self._names.name(action.number)}, pid {status.pid}")
+        log.emit(LogKind.ADOPTED, f"adopted the running member {self._names.name(action.number)}, pid {status.pid}")
         self.follow(RunProcess(action.run_id, action.number, status.pid, process))
 
     def _spawn(self, action: StartProcess) -> None:
@@ -177,8 +184,8 @@
             event = RunEnded(action.run_id, f"could not be started: {error}")
             self._reactor.callLater(0, self._handler.handle_event, event)
             return
-        suffix = ", to take over" if action.is_replacement else ""
-        log.emit(LogKind.STARTED, f"{name}, pid {pid}{suffix}", number=action.number)
+        suffix = ", to take over from the running process" if action.is_replacement else ""
+        log.emit(LogKind.STARTED, f"started a process of {name}, pid {pid}{suffix}", number=action.number)
         self.follow(RunProcess(action.run_id, action.number, pid, child))
 
     def _spawn_process(self, action: StartProcess) -> tuple[ChildProcess, int]:
@@ -214,11 +221,11 @@
     # --- following -----------------------------------------------------------------------------------------
 
     def follow(self, process: RunProcess) -> None:
-        """Follow a process until it ends."""
+        """Connect to a process's control socket and handle its reports until it ends."""
         path = self._names.path(process.number, "sock")
         run = MemberRun(self._reactor, self._deadlines, path, process, self)
         self._runs.add(run)
-        # Not at once: the actions that this start is one of are still being carried out.
+        # Deferred to the reactor's next turn, because the other actions of the same event are still being carried out.
         self._reactor.callLater(0, process.handle.report_end_to, run)
         run.connect()
 
@@ -243,8 +250,8 @@
         if not run.is_adopted:
             end_run()
             return
-        # An adopted process may have been in a handover that the previous supervisor had begun: then its
-        # successor answers to the name, and is the same member.
+        # An adopted process may have been in a handover that the previous supervisor had begun. Its successor then
+        # answers under the name and is the same member.
         self.request_status(run.number).addCallbacks(
             partial(self._follow_successor, run, end_run), partial(_call_ignoring_failure, end_run)
         )
@@ -254,7 +261,10 @@
         if process is None:
             end_run()
             return
-        log.emit(LogKind.ADOPTED, f"{self._names.name(run.number)}, pid {status.pid}, which took over")
+        log.emit(
+            LogKind.ADOPTED,
+            f"adopted the successor of {self._names.name(run.number)}, pid {status.pid}, which took over",
+        )
         self.follow(RunProcess(run.run_id, run.number, status.pid, process))
 
     def _end_run(self, run: MemberRun, reason: str) -> None:
--- a/thymeflow/fleet/member_runs.py
+++ b/thymeflow/fleet/member_runs.py
@@ -1,4 +1,4 @@
-"""The running processes of all members, by run and by member's name."""
+"""The running processes of all members, found by run id or by the member's name."""
 
 from __future__ import annotations
 
@@ -8,14 +8,14 @@
 
 
 class MemberRuns:
-    """The runs that are followed now; messages and signals to a run that has ended are dropped."""
+    """The runs that the supervisor follows; drops messages and signals to a run that has ended."""
 
     def __init__(self, names: FleetNames) -> None:
         self._names = names
         self._runs: dict[int, MemberRun] = {}
 
     def add(self, run: MemberRun) -> None:
-        """Add a run, in place of one of the same id."""
+        """Add a run; replaces a run of the same id."""
         self._runs[run.run_id] = run
 
     def remove(self, run_id: int) -> None:
@@ -23,11 +23,11 @@
         self._runs.pop(run_id, None)
 
     def get(self, run_id: int) -> MemberRun | None:
-        """Return a run, None where it has ended."""
+        """Return the run of an id, None if it has ended."""
         return self._runs.get(run_id)
 
     def has_run(self, number: int) -> bool:
-        """Return whether a process of a member runs."""
+        """Return whether any process of the member runs."""
         return any(run.number == number for run in self._runs.values())
 
     def send(self, name: str, message: Message) -> None:
--- a/thymeflow/fleet/member_sockets.py
+++ b/thymeflow/fleet/member_sockets.py
@@ -1,7 +1,7 @@
 """The listening sockets of all members, which the supervisor keeps open.
 
-A member's address accepts connections while the member restarts, as the supervisor passes the same socket on to each
-of its processes (LISTEN_FDS).
+The supervisor passes the same socket to each process of a member (LISTEN_FDS), so that the member's address accepts
+connections while the member restarts.
 """
 
 from __future__ import annotations
@@ -17,10 +17,10 @@
 
 
 class MemberSockets:
-    """Listening sockets by member's number, from a base address on."""
+    """The listening sockets by member's number; the ports count up from the port of the base address."""
 
     def __init__(self, base_address: str) -> None:
-        self.ports: dict[str, int] = {}  # by member's number, as the registry's file has them
+        self.ports: dict[str, int] = {}  # Key: member's number as text, as in the registry file.
         self._base_address = base_address
         self._sockets: dict[int, socket.socket] = {}
 
@@ -28,11 +28,11 @@
         return number in self._sockets
 
     def restore_ports(self, ports: dict[str, int]) -> None:
-        """Let members listen on the ports of before, where the system chose them."""
+        """Reuse the ports of the previous supervisor if the system chose them."""
         self.ports = dict(ports)
 
     def open(self, number: int) -> socket.socket:
-        """Return a member's socket, opened if it is not open yet.
+        """Return a member's listening socket, and open it first if necessary.
 
         :raises OSError: the address cannot be bound.
         :raises RegistryError: the port would be out of range.
@@ -46,23 +46,23 @@
         return listening
 
     def adopt(self, number: int, descriptor: int) -> None:
-        """Use a copy of a descriptor as a member's socket, unless it is no listening socket; closes the descriptor."""
+        """Use a copy of a descriptor as a member's socket if it is a listening socket, and close the descriptor."""
         with contextlib.suppress(listening_sockets.BadDescriptorError, OSError):
             self._sockets[number] = listening_sockets.duplicate_listening_socket(descriptor)
         os.close(descriptor)
 
     def address_text(self, number: int) -> str:
-        """Return a member's address as host:port, empty where no socket is open."""
+        """Return a member's address as host:port, empty if its socket is not open."""
         listening = self._sockets.get(number)
         return "" if listening is None else format_address(listening)
 
     def close_all_except(self, numbers: Container[int]) -> None:
-        """Close the sockets of members that are gone for good; their addresses reject connections from now on."""
+        """Close the sockets of all members that are not in `numbers`; their addresses then reject connections."""
         for number in [number for number in self._sockets if number not in numbers]:
             self._sockets.pop(number).close()
 
 
 def format_address(listening: socket.socket) -> str:
-    """Return a socket's own address as host:port."""
+    """Return the local address of a socket as host:port."""
     host, port = listening.getsockname()[:2]
     return f"{host}:{port}"
--- a/thymeflow/fleet/member_state.py
+++ b/thymeflow/fleet/member_state.py
@@ -9,23 +9,23 @@
 
 from thymeflow.runtime.transitions import TransitionTable
 
-NO_RUN = -1  # in place of a run's id
+NO_RUN = -1  # Stands for a run id where there is no run.
 
 
 class MemberState(Enum):
-    """Where a member is; the values are shown to operators."""
+    """The state of a member; operators see the values."""
 
-    WAITING = "waiting"  # is started once its time has come
+    WAITING = "waiting"  # Starts when its deadline is due.
     STARTING = "starting"
     READY = "ready"
-    REPLACING = "replacing"  # serves, while a successor starts beside it
+    REPLACING = "replacing"  # Serves while its successor starts.
     STOPPING = "stopping"
-    STOPPED = "down"  # ended on purpose
-    CRASH_LOOP = "crash loop"  # ended too often; not started again before an operator orders it
+    STOPPED = "down"  # Ended on request.
+    CRASH_LOOP = "crash loop"  # Crashed too often; starts again only when an operator orders it.
 
 
 class Transition(Enum):
-    """What may happen to a member."""
+    """The transitions between the states of a member."""
 
     START = "start"
     ADOPT = "adopt"
@@ -33,9 +33,9 @@
     END = "end"
     ENTER_CRASH_LOOP = "enter crash loop"
     REPLACE = "replace"
-    FINISH_REPLACEMENT = "finish replacement"  # whether it succeeded or not
+    FINISH_REPLACEMENT = "finish replacement"  # The replacement has succeeded or failed.
     STOP = "stop"
-    RESET = "reset"  # after an end on purpose, or out of a crash loop
+    RESET = "reset"  # Schedules a stopped or crash-looping member to start.
 
 
 TRANSITIONS: TransitionTable[MemberState, Transition, MemberState] = TransitionTable(
@@ -65,24 +65,24 @@
 
 @dataclass(slots=True)
 class Member:
-    """One member, from the first use of its number to the supervisor's end; times in seconds."""
+    """One member, from the first use of its number until a scale removes it; all times are in seconds."""
 
     number: int
     state: MemberState = MemberState.WAITING
-    deadline: float = 0.0  # when to start it, or until when to wait for it
-    run_id: int = NO_RUN  # the process that serves, or is to serve
+    deadline: float = 0.0  # When to start a waiting member, or when to give up waiting for a start or an end.
+    run_id: int = NO_RUN  # The process that serves or is starting to serve.
     successor_run_id: int = NO_RUN
     incarnation: str = ""
     healthy_since: float = inf
-    is_joining: bool = False  # its next start joins a running set
-    is_restarting: bool = False  # start it again after the stop that is in progress
+    is_joining: bool = False  # The next start joins a running set.
+    is_restarting: bool = False  # Starts again after the stop that is in progress.
     is_killed: bool = False
     crashed_at: deque[float] = field(default_factory=deque)
     last_crash_reason: str = ""
 
     def apply(self, transition: Transition) -> None:
-        """Go to the next state.
+        """Apply a transition to the state.
 
-        :raises IllegalTransitionError: the transition is illegal in this state: a programming error of the controller.
+        :raises IllegalTransitionError: the transition is illegal in this state, which is an error in the controller.
         """
         self.state = TRANSITIONS[self.state, transition]
--- a/thymeflow/fleet/options.py
+++ b/thymeflow/fleet/options.py
@@ -1,4 +1,4 @@
-"""What a supervisor is started with."""
+"""The options that a supervisor is started with."""
 
 from __future__ import annotations
 
@@ -11,10 +11,10 @@
 
 @dataclass(frozen=True, slots=True)
 class SupervisorOptions:
-    """How the supervisor reads its settings, and the files and the program that its members are to use."""
+    """The function that reads the supervisor's settings, and the files and the program that its members use."""
 
     read_settings: Callable[[], Settings]
-    settings_path: str  # empty: members read their settings from the default place
+    settings_path: str  # If empty, members read their settings from the default path.
     platform_path: Path
     state_folder: Path
-    program: str = ""  # command line of the members; empty: this program
+    program: str = ""  # Command line of the members; empty for this program.
--- a/thymeflow/fleet/outlier_service.py
+++ b/thymeflow/fleet/outlier_service.py
@@ -1,6 +1,6 @@
-"""The supervisor's adapter of the outlier coordinator and the admission threshold.
+"""Connects the outlier coordinator and the admission threshold to the members.
 
-It handles members' reports about backends, and sends members ejections and the fleet's admission threshold.
+The service handles members' reports about backends, and sends ejections and the fleet's admission threshold to members.
 """
 
 from __future__ import annotations
@@ -19,10 +19,12 @@
 from thymeflow.runtime.log_kinds import LogKind
 from thymeflow.shedding.threshold import AdmissionThreshold
 
-TICK_INTERVAL_SECONDS = 0.25  # between evaluations of the reports
-RENEWAL_INTERVAL_SECONDS = 1.0  # unchanged ejections and thresholds are sent again, a third of their lease
-THRESHOLD_DECIMALS = 3  # of a threshold in messages
-STATE_TEXTS = {  # in log lines, where an ejection changes its state
+TICK_INTERVAL_SECONDS = 0.25  # Interval between evaluations of the reports.
+# Unchanged ejections and thresholds are sent again at this interval, which is a third of their lease.
+RENEWAL_INTERVAL_SECONDS = 1.0
+THRESHOLD_DECIMALS = 3  # Decimal places of a threshold in messages.
+# Texts of the log lines that report a new state of an ejection.
+STATE_TEXTS = {
     EjectionState.EJECTED: "ejected again",
     EjectionState.RECOVERING: "recovering",
     EjectionState.RECOVERED: "recovered",
@@ -42,7 +44,7 @@
 
 
 class OutlierService:
-    """The fleet's ejections and its admission threshold, by the members' reports."""
+    """Computes the fleet's ejections and admission threshold from members' reports, and sends them to the members."""
 
     def __init__(
         self,
@@ -54,20 +56,20 @@
         self._send = send
         self._coordinator = OutlierCoordinator(probes_per_second)
         self._threshold = AdmissionThreshold()
-        self._sent_thresholds: dict[str, _SentThreshold] = {}  # by member
-        self._sent_ejections: dict[str, _SentEjections] = {}  # by member
+        self._sent_thresholds: dict[str, _SentThreshold] = {}  # Key: member's name.
+        self._sent_ejections: dict[str, _SentEjections] = {}  # Key: member's name.
 
     def start(self) -> None:
-        """Begin to evaluate the reports, every `TICK_INTERVAL_SECONDS`."""
+        """Evaluate the reports at once, and again every `TICK_INTERVAL_SECONDS`."""
         self._tick(0)
 
     def on_report(self, name: str, message: object) -> None:
-        """Handle a member's report about backends; a malformed one is counted and ignored."""
+        """Handle a member's report about backends; a malformed report is logged, counted and ignored."""
         try:
             report = report_from_message(message)
         except MalformedOutlierMessageError as error:
             self._coordinator.invalid_reports += 1
-            log.emit_rate_limited(LogKind.OVERLOAD, f"ignored a malformed outlier report of {name}: {error}")
+            log.emit_rate_limited(LogKind.OVERLOAD, f"ignored a malformed outlier report from {name}: {error}")
             return
         now = clock.monotonic()
         if report.pressure is not None:
@@ -83,7 +85,7 @@
         self._sent_thresholds.pop(name, None)
 
     def status(self) -> JsonObject:
-        """Return the threshold, and the ejections with the members that reported them, in the control socket's form."""
+        """Return the threshold, and the ejections with their reporting members, in the control socket's format."""
         return build_outlier_status(self._coordinator, self._threshold, clock.monotonic())
 
     def _tick(self, _: int) -> None:
@@ -103,14 +105,14 @@
         for key, state in previous_states.items():
             record = self._coordinator.ejections.get(key)
             if record is None and self._coordinator.is_covered_by_zone(key):
-                continue  # the ejection of its zone has replaced it, and is logged
+                continue  # The ejection of the zone has replaced this one, and is logged instead.
             if record is None:
                 log.emit(LogKind.OVERLOAD, f"{_describe_key(key)} is used again by all members", server=key.backend)
             elif record.state is not state:
                 log.emit(LogKind.OVERLOAD, f"{_describe_key(key)} is {STATE_TEXTS[record.state]}", server=key.backend)
 
     def _send_ejections(self, name: str, now: float) -> None:
-        # Compared without their ends, which move with every tick.
+        # Compares the ejections without their expiry times, which change with every tick.
         ejections = [replace(ejection, ends_at=0.0) for ejection in self._coordinator.ejections_for(name, now)]
         sent = self._sent_ejections.get(name, _SentEjections(now))
         if ejections != sent.ejections or (ejections and now - sent.sent_at >= RENEWAL_INTERVAL_SECONDS):
@@ -118,7 +120,7 @@
             self._send(name, build_ejections_message(self._coordinator.ejections_for(name, now)))
 
     def _update_threshold(self, now: float) -> None:
-        # Rounded as it was sent: one that rounds to 0 sheds nothing.
+        # Compares the rounded values, which the members receive: a threshold that rounds to 0 sheds nothing.
         previous = round(self._threshold.value, THRESHOLD_DECIMALS)
         threshold = round(self._threshold.tick(now), THRESHOLD_DECIMALS)
         if (threshold > 0.0) != (previous > 0.0):
@@ -130,7 +132,9 @@
             )
         elif threshold:
             log.emit_rate_limited(
-                LogKind.OVERLOAD, f"all members shed requests of a rank below {threshold:.2f}", level=threshold
+                LogKind.OVERLOAD,
+                f"all members shed requests whose rank is below the threshold {threshold:.2f}",
+                level=threshold,
             )
         for name in self._threshold.reports:
             self._send_threshold(name, threshold, now)
--- a/thymeflow/fleet/processes.py
+++ b/thymeflow/fleet/processes.py
@@ -1,4 +1,4 @@
-"""Processes of members: spawned or adopted, followed over their control sockets until they end."""
+"""The processes of members, which are spawned or adopted, and followed over their control sockets until they end."""
 
 from __future__ import annotations
 
@@ -22,26 +22,26 @@
 from thymeflow.handover.control_socket import Message
 from thymeflow.runtime import clock
 
-CONNECT_RETRY_SECONDS = 0.05  # between attempts to reach a control socket that does not exist yet
-LISTENING_DESCRIPTOR = 3  # the first that sd_listen_fds(3) passes on
-SET_LISTEN_PID_SCRIPT = 'LISTEN_PID=$$ exec "$@"'  # the process's own pid, as sd_listen_fds(3) wants it
+CONNECT_RETRY_SECONDS = 0.05  # A starting process has no control socket yet, so connecting is retried.
+LISTENING_DESCRIPTOR = 3  # The first descriptor of sd_listen_fds(3).
+SET_LISTEN_PID_SCRIPT = 'LISTEN_PID=$$ exec "$@"'  # sd_listen_fds(3) requires the process's own pid.
 
 
 class RunObserver(Protocol):
-    """What is notified of the status and the end of a run."""
+    """The observer of a run, which is notified of its status reports and its end."""
 
     def on_status(self, run: MemberRun, status: MemberStatus) -> None:
         """Handle a status report."""
 
     def on_disconnected(self, run: MemberRun) -> None:
-        """Handle the end of a connection, after which the run connects again."""
+        """Handle the end of the connection; the run then connects again."""
 
     def on_ended(self, run: MemberRun, reason: str) -> None:
-        """Handle the end of the process, once; `reason` completes a sentence that begins with the member's name."""
+        """Handle the end of the process; called once. `reason` is a predicate about the member, as in `RunEnded`."""
 
 
 class MemberRun:
-    """One process of a member, followed over the control socket at `path`."""
+    """One process of a member, which is followed over the control socket at `path`."""
 
     def __init__(
         self,
@@ -64,25 +64,25 @@
         self._session: control_client.ControlSession | None = None
 
     def connect(self, _: int = 0) -> None:
-        """Connect to the control socket, now and again until the process ends."""
+        """Connect to the control socket, and reconnect after each failure until the process ends."""
         if self.is_ended:
             return
         connected = control_client.open_session(self._reactor, self._path, self._on_message, self._on_disconnected)
         connected.addCallbacks(self._on_connected, self._on_connect_failure)
 
     def send(self, message: Message) -> None:
-        """Send a message if connected; there is no retry, and no answer."""
+        """Send a message if connected, without waiting for an answer; otherwise drop it."""
         if self._session is not None and not self.is_ended:
             self._session.send(message)
 
     def send_signal(self, signal_number: int) -> None:
-        """Send a signal, unless the process has ended."""
+        """Send a signal to the process, unless it has ended."""
         if not self.is_ended and self.pid > 0:
             with contextlib.suppress(ProcessLookupError):
                 os.kill(self.pid, signal_number)
 
     def on_process_ended(self, reason: str) -> None:
-        """Stop following the process, as it has ended."""
+        """Stop following the process, because it has ended."""
         if self.is_ended:
             return
         self.is_ended = True
@@ -113,7 +113,8 @@
         content = message.get("status")
         status = parse_status(content) if isinstance(content, dict) else None
         if status is None or status.pid != self.pid:
-            # The name still belongs to the process that this one is to replace, or to an earlier one: retry.
+            # The control socket still belongs to an earlier process, such as the predecessor in a handover. Closing the
+            # session makes this run connect again.
             if self._session is not None:
                 self._session.close()
             return
@@ -122,20 +123,20 @@
 
 
 class ChildProcess(ProcessProtocol):
-    """A process that this supervisor spawned; the reactor reports its end."""
+    """A process that this supervisor spawned. The reactor reports its end."""
 
     def __init__(self) -> None:
         self._run: MemberRun | None = None
-        self._end_reason = ""  # for a run that begins to follow after the end
+        self._end_reason = ""  # Kept for a run that follows the process only after its end.
 
     def report_end_to(self, run: MemberRun) -> None:
-        """Notify a run of the process's end, also where it has ended already."""
+        """Notify a run of the process's end, at once if the process has already ended."""
         self._run = run
         if self._end_reason:
             run.on_process_ended(self._end_reason)
 
     def processEnded(self, reason: Failure) -> None:
-        """Handle the end of the process, which has been waited for."""
+        """Handle the end of the process; the reactor has already reaped it."""
         self._end_reason = _describe_exit(reason.value)
         if self._run is not None:
             self._run.on_process_ended(self._end_reason)
@@ -148,9 +149,9 @@
 
 
 class AdoptedProcess:
-    """A process that another supervisor spawned; its pidfd becomes readable at its end (pidfd_open(2)).
+    """A process that another supervisor spawned. Its pidfd becomes readable when it ends (pidfd_open(2)).
 
-    :raises OSError: there is no such process.
+    :raises OSError: no process has this pid.
     """
 
     def __init__(self, reactor: FleetReactor, pid: int) -> None:
@@ -159,7 +160,7 @@
         self._run: MemberRun | None = None
 
     def report_end_to(self, run: MemberRun) -> None:
-        """Notify a run of the process's end; the descriptor is readable also where it has ended already."""
+        """Notify a run of the process's end; if it has already ended, the descriptor is readable at once."""
         self._run = run
         self._reactor.addReader(self)
 
@@ -168,8 +169,8 @@
         return self._descriptor
 
     def logPrefix(self) -> str:
-        """Return the name in Twisted's log."""
-        return "found process"
+        """Return the name of this reader in Twisted's log."""
+        return "adopted member process"
 
     def doRead(self) -> None:
         """Handle the end of the process."""
@@ -179,7 +180,7 @@
             self._run.on_process_ended("ended (it was not started by this supervisor)")
 
     def connectionLost(self, _: Failure) -> None:
-        """Do nothing: the reactor stops."""
+        """Do nothing, because the reactor is stopping."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -187,13 +188,13 @@
     """A process of a member, and the run that it belongs to."""
 
     run_id: int
-    number: int  # of the member
+    number: int  # The member's number.
     pid: int
     handle: ChildProcess | AdoptedProcess
 
 
 def build_member_command(program: Sequence[str], arguments: Sequence[str]) -> list[str]:
-    """Return the command line of a member; an empty program stands for this one."""
+    """Return the command line of a member; an empty `program` stands for this program."""
     return [*(program or (sys.executable, "-m", "thymeflow")), "serve", *arguments]
 
 
@@ -206,8 +207,8 @@
 ) -> tuple[ChildProcess, int]:
     """Start a process that outlives the supervisor, and return it with its pid.
 
-    Its output goes to the given descriptor, and the listening socket is passed on as descriptor 3. The pid is 0
-    where the process has ended by now, which it then reports by itself.
+    The process writes its output to `output_descriptor` and inherits the listening socket as descriptor 3. The pid is
+    0 if the process has already ended; the returned process then reports its end to the run.
     """
     child = ChildProcess()
     null_descriptor = os.open(os.devnull, os.O_RDONLY)
--- a/thymeflow/fleet/reactor.py
+++ b/thymeflow/fleet/reactor.py
@@ -1,4 +1,4 @@
-"""What the fleet needs of Twisted's reactor, as a type."""
+"""The type of Twisted's reactor, with the methods that the fleet package uses."""
 # ruff: noqa: N802 - Twisted gives the methods their names.
 
 from __future__ import annotations
@@ -11,7 +11,7 @@
 
 
 class ProcessTransport(Protocol):
-    """What the reactor returns for a process that it has spawned."""
+    """The reactor's handle of a process that it has spawned."""
 
     pid: int | None
 
--- a/thymeflow/fleet/registry.py
+++ b/thymeflow/fleet/registry.py
@@ -1,7 +1,7 @@
 """The files of a fleet: each member's configuration, and the registry that the next supervisor reads.
 
-The configuration of a member is the platform's JSON with the member's name, address, number and the fleet's size
-filled in.
+A member's configuration is the platform's JSON, in which the supervisor fills in the member's name, address and number
+and the fleet size.
 """
 
 from __future__ import annotations
@@ -23,15 +23,15 @@
 MAX_TEMPLATE_BYTES = 4 << 20
 MAX_PORT = 65535
 
-ConfigurationTemplate = Message  # the platform's JSON object
+ConfigurationTemplate = Message  # The platform's JSON object.
 
 
 class MemberRegistry(msgspec.Struct, forbid_unknown_fields=True):
-    """What the next supervisor needs to know; the field names are those of the file `fleet.json`."""
+    """The state that the next supervisor continues from; the field names are the keys of the file `fleet.json`."""
 
-    count: int  # wanted members
-    ports: dict[str, int]  # by member's number, those that the system chose included
-    working: str = ""  # the operation that was in progress
+    count: int  # Number of wanted members.
+    ports: dict[str, int]  # Key: member's number. Includes ports that the system chose.
+    working: str = ""  # Description of the operation in progress, empty if there is none.
 
 
 @dataclass(frozen=True, slots=True)
@@ -46,15 +46,15 @@
         return f"{self.prefix}{number}"
 
     def path(self, number: int, suffix: str) -> Path:
-        """Return the path of a member's file."""
+        """Return the path of the member's file with this suffix."""
         return self.folder / f"{self.name(number)}.{suffix}"
 
     def supervisor_path(self, suffix: str) -> Path:
-        """Return the path of a file of the supervisor."""
+        """Return the path of the supervisor's file with this suffix."""
         return self.folder / f"fleet.{suffix}"
 
     def find_control_sockets(self) -> list[int]:
-        """Return the numbers of the members that have left a control socket, running or not."""
+        """Return the sorted numbers of the members whose control socket exists, whether or not they run."""
         numbers = []
         for path in self.folder.glob(f"{self.prefix}*.sock"):
             digits = path.name[len(self.prefix) : -len(".sock")]
@@ -64,9 +64,9 @@
 
 
 def read_template(path: Path) -> ConfigurationTemplate:
-    """Read the platform's JSON for all members.
+    """Read the platform's JSON, from which all members' configurations are built.
 
-    :raises ConfigurationError: no member could use it.
+    :raises ConfigurationError: the file cannot be read, or members could not use its content.
     """
     try:
         if path.stat().st_size > MAX_TEMPLATE_BYTES:
@@ -77,7 +77,7 @@
         text = f"{path}: {error}"
         raise ConfigurationError(text) from None
     if not isinstance(source, dict) or not isinstance(source.get("settings"), dict):
-        text = f"{path}: no JSON object with settings"
+        text = f"{path}: not a JSON object with an object under the key 'settings'"
         raise ConfigurationError(text)
     from_source(build_member_configuration(source, "n0", "127.0.0.1:0", 0, 1), str(path), {})
     return source
@@ -91,7 +91,7 @@
     fleet_size: int,
     allocation: Message | None = None,
 ) -> ConfigurationTemplate:
-    """Return one member's configuration; `allocation` is its initial allocation of the fleet's limits."""
+    """Return a member's configuration; `allocation` is its initial allocation of the fleet's limits."""
     configuration = copy.deepcopy(source)
     configuration.update(name=name, listen=listen, seed=secrets.token_hex(8))
     if allocation is not None:
@@ -108,16 +108,16 @@
     fleet_size: int,
     allocation: Message | None = None,
 ) -> None:
-    """Write one member's configuration atomically."""
+    """Write a member's configuration file atomically."""
     configuration = build_member_configuration(source, names.name(number), listen, number, fleet_size, allocation)
     content = json.dumps(configuration, indent=1).encode()
     atomic_file.write(names.path(number, "json"), content, atomic_file.Durability.PROCESS)
 
 
 def read_registry(path: Path) -> MemberRegistry | None:
-    """Read what an earlier supervisor left; None where there is no file.
+    """Read the registry of an earlier supervisor; return None if there is no file.
 
-    :raises RegistryError: the file cannot be read.
+    :raises RegistryError: the file cannot be read or is malformed.
     """
     try:
         return msgspec.json.decode(path.read_bytes(), type=MemberRegistry)
@@ -129,18 +129,21 @@
 
 
 def write_registry(path: Path, registry: MemberRegistry) -> None:
-    """Write the registry atomically."""
+    """Write the registry file atomically."""
     atomic_file.write(path, msgspec.json.encode(registry), atomic_file.Durability.PROCESS)
 
 
 def compute_listen_address(base: str, number: int, known_ports: dict[str, int]) -> Address:
-    """Return where a member listens: the base port plus its number, or the port that the system chose before.
+    """Return the address on which a member listens.
+
+    The port is the base port plus the member's number. If the base port is 0, it is the port that the system chose
+    before, or 0 if the system has yet to choose one.
 
     :raises RegistryError: the port would be out of range.
     """
     first = address(base, 0)
     port = first.port + number if first.port else known_ports.get(str(number), 0)
     if port > MAX_PORT:
-        text = f"member {number} would listen on port {port}"
+        text = f"member {number} would listen on port {port}, which is above {MAX_PORT}"
         raise RegistryError(text)
     return Address(first.host, port)
--- a/thymeflow/fleet/registry_store.py
+++ b/thymeflow/fleet/registry_store.py
@@ -1,4 +1,4 @@
-"""The file `fleet.json`: read when a supervisor starts, and written whenever its content has changed."""
+"""The registry file `fleet.json`, which is read when a supervisor starts and written when its content has changed."""
 
 from __future__ import annotations
 
@@ -11,22 +11,24 @@
 
 
 class RegistryStore:
-    """Keeps the registry of one fleet in its file; failures are logged and change nothing else."""
+    """Stores the registry of one fleet in a file. Failures are logged, and the supervisor continues without it."""
 
     def __init__(self, path: Path) -> None:
         self._path = path
         self._last_content = ""
 
     def read_previous(self) -> MemberRegistry | None:
-        """Return the registry of the previous supervisor; None where there is none that can be used."""
+        """Return the previous supervisor's registry, None if the file is missing or unusable."""
         try:
             return read_registry(self._path)
         except RegistryError as error:
-            log.emit(LogKind.REGISTRY, f"ignored, the settings apply: {error}")
+            log.emit(
+                LogKind.REGISTRY, f"the registry of the previous supervisor is ignored; the settings apply: {error}"
+            )
             return None
 
     def write_if_changed(self, registry: MemberRegistry) -> None:
-        """Replace the file, unless this content was the last to be written."""
+        """Replace the file, unless the registry is the same as in the previous call."""
         content = repr(registry)
         if content == self._last_content:
             return
@@ -34,4 +36,7 @@
         try:
             write_registry(self._path, registry)
         except OSError as error:
-            log.emit_rate_limited(LogKind.REGISTRY, f"not written: {error}")
+            log.emit_rate_limited(
+                LogKind.REGISTRY,
+                f"the registry was not written; the next supervisor may start from older values: {error}",
+            )
--- a/thymeflow/fleet/restart_policy.py
+++ b/thymeflow/fleet/restart_policy.py
@@ -1,4 +1,4 @@
-"""When members are started: spread starts, exponential backoff after crashes, and crash loops."""
+"""The times of member starts: spread starts, exponential backoff after crashes, and crash loops."""
 
 from __future__ import annotations
 
@@ -7,23 +7,24 @@
 from thymeflow.fleet.member_state import Member
 from thymeflow.settings.sections import Fleet
 
-JITTER_FRACTION = 0.5  # fraction of a backoff that is random, so that members that ended together start apart
+# Random fraction of a backoff, so that members that crashed together restart at different times.
+JITTER_FRACTION = 0.5
 MAX_BACKOFF_DOUBLINGS = 16
 
 
 class RestartPolicy:
-    """Delays before starts, randomized by the given source."""
+    """Computes the delays before starts, with random numbers from `rng`."""
 
     def __init__(self, settings: Fleet, rng: random.Random) -> None:
         self._settings = settings
         self._rng = rng
 
     def compute_spread_delay_seconds(self, position: int, total: int) -> float:
-        """Return the delay of the start at a position among `total` starts that are spread over time."""
+        """Return the delay in seconds of the start at `position` among `total` starts that are spread over time."""
         return self._settings.spread * (position + self._rng.random()) / total
 
     def record_crash(self, member: Member, reason: str, now: float) -> int:
-        """Record a crash and return how many crashes lie within the crash window."""
+        """Record a crash, and return the number of the member's crashes within the crash window."""
         member.last_crash_reason = reason
         member.crashed_at.append(now)
         while member.crashed_at and now - member.crashed_at[0] > self._settings.crash_window:
@@ -31,11 +32,11 @@
         return len(member.crashed_at)
 
     def is_crash_loop(self, crash_count: int) -> bool:
-        """Return whether so many crashes within the window make a crash loop."""
+        """Return whether this number of crashes within the crash window counts as a crash loop."""
         return crash_count >= self._settings.crashes
 
     def compute_backoff_seconds(self, crash_count: int) -> float:
-        """Return the jittered delay before the start that follows the last of `crash_count` crashes."""
+        """Return the jittered delay in seconds before the start that follows the last of `crash_count` crashes."""
         doublings = min(MAX_BACKOFF_DOUBLINGS, crash_count - 1)
         backoff = min(self._settings.longest_wait, self._settings.wait * 2.0**doublings)
         return backoff * (1.0 - JITTER_FRACTION * self._rng.random())
--- a/thymeflow/fleet/rollout.py
+++ b/thymeflow/fleet/rollout.py
@@ -1,7 +1,7 @@
-"""The operations that operators order: scaling, rolling restarts and upgrades, and shutdown; one at a time.
+"""Runs the operations that operators order, one at a time: scaling, rolling restarts and upgrades, and shutdown.
 
-A roll touches one member at a time. It goes on only when that member is ready and has been healthy for a while, and
-stops when any member fails meanwhile.
+A roll changes one member at a time. It continues with the next member only when the current one is ready and has been
+healthy for the settle time, and stops if any member fails in the meantime.
 """
 
 from __future__ import annotations
@@ -17,7 +17,7 @@
 from thymeflow.runtime.log_kinds import LogKind
 from thymeflow.settings.sections import Fleet
 
-NO_MEMBER = -1  # in place of a member's number
+NO_MEMBER = -1  # Stands for a member's number where there is no member.
 ROLLING_KINDS = (OperationKind.RESTART, OperationKind.UPGRADE)
 
 
@@ -27,14 +27,14 @@
 
     operation: Operation
     total: int
-    queue: deque[int] = field(default_factory=deque)  # members that a roll has yet to touch
+    queue: deque[int] = field(default_factory=deque)  # Numbers of members that a roll has not changed yet.
     rolling_number: int = NO_MEMBER
     failure: str = ""
-    scaled_numbers: range = range(0)  # members that a scale adds or removes
-    unreported: set[int] = field(default_factory=set)  # those of them that are not reported yet
+    scaled_numbers: range = range(0)  # Numbers of the members that a scale adds or removes.
+    unreported: set[int] = field(default_factory=set)  # The part of `scaled_numbers` not reported yet.
 
     def describe(self) -> str:
-        """Return the kind of the operation and how many members are done."""
+        """Return the operation's kind and its number of finished members as text."""
         done = self.total - len(self.queue) - (self.rolling_number != NO_MEMBER)
         return f"{self.operation.kind.value}, {done} of {self.total} done"
 
@@ -52,11 +52,14 @@
     # --- queries -------------------------------------------------------------------------------------------
 
     def describe(self) -> str:
-        """Return the operation in progress as text, empty where there is none."""
+        """Return the operation in progress as text, empty if there is none."""
         return "" if self._progress is None else self._progress.describe()
 
     def deadlines(self) -> list[float]:
-        """Return the time at which the member being rolled has been healthy for long enough, if it is ready."""
+        """Return the time at which the rolling member will have been healthy for the settle time.
+
+        The list is empty if no roll is in progress or its current member is not ready.
+        """
         if self._progress is None or self._progress.rolling_number == NO_MEMBER:
             return []
         member = self._lifecycle.members[self._progress.rolling_number]
@@ -67,12 +70,12 @@
     # --- begin ---------------------------------------------------------------------------------------------
 
     def start_fleet(self, count: int) -> None:
-        """Want so many members from now on, and start those that are missing."""
+        """Set the wanted number of members, and schedule the start of the missing ones."""
         self.wanted_count = count
         self._lifecycle.start_fleet(count)
 
     def begin(self, operation: Operation) -> None:
-        """Begin an operation; all but a shutdown are rejected while another is in progress."""
+        """Begin an operation; while another is in progress, reject all but a shutdown, which aborts the other."""
         if self._progress is not None and operation.kind is not OperationKind.SHUTDOWN:
             self._decisions.report_failure(operation.id, f"{self.describe()} is under way: wait for its end")
             return
@@ -99,7 +102,8 @@
             operation, total=len(numbers), scaled_numbers=numbers, unreported=set(numbers)
         )
         if operation.count > previous_count:
-            # All are notified first, so that no request is rejected of a customer whose set is larger by now.
+            # All members are notified before the starts. Otherwise a member that knows only the smaller set would
+            # reject requests of customers whose set has grown.
             self._lifecycle.resize(operation.count)
             self._lifecycle.schedule_joining_members(numbers)
         else:
@@ -109,7 +113,8 @@
     def _begin_roll(self, operation: Operation) -> None:
         crash_looping = self._lifecycle.find_members_in_state(MemberState.CRASH_LOOP)
         if operation.kind is OperationKind.RESTART:
-            for member in crash_looping:  # a restart is the order that ends a crash loop
+            # A restart is the operation that ends a crash loop.
+            for member in crash_looping:
                 member.crashed_at.clear()
                 self._lifecycle.reset(member)
         members = self._lifecycle.members.values()
@@ -131,7 +136,7 @@
         self._decisions.report_failure(operation.id, text)
 
     def on_member_fault(self, member: Member, reason: str) -> None:
-        """Let a roll in progress fail, whichever member it is that failed."""
+        """Mark the roll in progress as failed; the fault of any member fails it."""
         progress = self._progress
         if progress is None or progress.operation.kind not in ROLLING_KINDS:
             return
@@ -140,7 +145,7 @@
     # --- advance -------------------------------------------------------------------------------------------
 
     def advance(self) -> None:
-        """Take the next step of the operation in progress, if its time has come."""
+        """Take the next step of the operation in progress if it is due."""
         if self._progress is None:
             return
         match self._progress.operation.kind:
--- a/thymeflow/fleet/status_messages.py
+++ b/thymeflow/fleet/status_messages.py
@@ -1,7 +1,7 @@
-"""The status of a fleet as JSON: what `status`, `budgets` and `overload` answer on the control socket.
+"""The status of a fleet as JSON: the responses to `status`, `budgets` and `overload` on the control socket.
 
-This module alone knows the keys and the values of these messages, which `thymeflow ... --json` prints: a format that
-programs of other versions read.
+Only this module knows the keys and values of these messages. `thymeflow ... --json` prints them, and programs of other
+versions read them.
 """
 
 from __future__ import annotations
@@ -54,7 +54,7 @@
 
 
 def build_lease_status(issuer: LeaseIssuer, write_error: str, now: float) -> JsonObject:
-    """Return the fleet's limits, what is free of them, and each member's allocation; amounts are in points."""
+    """Return the fleet's limits, their unallocated amounts and each member's allocation; all amounts are in points."""
     return {
         "whole": TOTAL_POINTS,
         "base": BASE_POINTS,
--- a/thymeflow/fleet/supervisor.py
+++ b/thymeflow/fleet/supervisor.py
@@ -1,8 +1,8 @@
-"""The supervisor of a fleet: carries out what its controller decides, with processes, sockets and files.
+"""The supervisor of a fleet: carries out the controller's actions with processes, sockets and files.
 
-It keeps every listening socket open and passes it to the members (LISTEN_FDS), so that an address accepts connections
-while its member restarts. Members run in sessions of their own and keep serving when the supervisor dies; the next
-one finds them by their control sockets, copies each listening socket from them, and continues.
+The supervisor keeps every listening socket open and passes it to the member (LISTEN_FDS), so that the address accepts
+connections while the member restarts. Members run in sessions of their own and keep serving when the supervisor dies.
+The next supervisor finds them by their control sockets, copies their listening sockets, and continues.
 """
 
 from __future__ import annotations
@@ -52,12 +52,12 @@
 from thymeflow.runtime.log_kinds import LogKind
 from thymeflow.settings import SettingsError
 
-EXIT_DELAY_SECONDS = 0.1  # in which the last answer leaves
-MAX_CALLERS = 32  # of the control socket at a time
+EXIT_DELAY_SECONDS = 0.1  # Time to send the last answer before the reactor stops.
+MAX_CALLERS = 32  # Concurrent connections to the control socket.
 
 
 class Supervisor:
-    """Runs a fleet until it is down, or until an operator lets the members run without a supervisor."""
+    """Runs a fleet until it has shut down, or until an operator orders the supervisor to leave the members running."""
 
     def __init__(self, options: SupervisorOptions, reactor: FleetReactor) -> None:
         self.settings = options.read_settings()
@@ -103,7 +103,7 @@
     # --- start and end -------------------------------------------------------------------------------------
 
     def start(self) -> None:
-        """Take the fleet's name, adopt the members that run, and begin.
+        """Acquire the lock of the fleet's name, adopt the running members, and start the missing ones.
 
         :raises SupervisorError: the supervisor cannot start.
         """
@@ -128,9 +128,9 @@
         DeferredList(adoptions, consumeErrors=True).addCallback(self._start_fleet, previous)
 
     def run(self) -> int:
-        """Supervise until the end, and return the exit code."""
-        # Twisted's own handler is needed for SIGCHLD, by which it learns of its children's ends; ours replace
-        # its other ones.
+        """Run the reactor until it stops, and return the exit code."""
+        # Twisted installs its signal handlers when the reactor starts. Its SIGCHLD handler has to stay, because it
+        # reports the ends of child processes; the supervisor's handlers then replace the other ones.
         self._reactor.callWhenRunning(self._install_signal_handlers)
         self._reactor.run()
         self._control.close()
@@ -158,15 +158,17 @@
         if previous is not None:
             self._sockets.restore_ports(previous.ports)
             if previous.working:
-                log.emit(LogKind.ROLL, f"{previous.working}, when the last supervisor ended; it is not resumed")
+                log.emit(
+                    LogKind.ROLL, f"{previous.working}, when the last supervisor ended; this operation is not resumed"
+                )
         return previous
 
     def _start_fleet(self, adoptions: list[tuple[bool, int | None]], previous: MemberRegistry | None) -> None:
         has_adopted = any(is_successful and number is not None for is_successful, number in adoptions)
         for name in self._leases.holders():
             if is_name_free(self._names.folder / f"{name}.lock"):
-                self._leases.on_death(name)  # the kernel has released the lock: its process has ended
-        # Where members still run, the count that was ordered last applies; otherwise that of the settings.
+                self._leases.on_death(name)  # The kernel has released the lock, so the process has ended.
+        # If members still run, the count that was ordered last applies; otherwise the count in the settings applies.
         count = previous.count if previous is not None and has_adopted else self._fleet.instances
         self.handle_event(FleetStarted(count))
         self._notifier.notify(ready=1, mainpid=os.getpid(), status=f"{count} members")
@@ -183,14 +185,14 @@
         self._requests.begin_operation(None, OperationRequest(OperationKind.SHUTDOWN))
 
     def _schedule_stop(self) -> None:
-        # Counted from the reactor's next turn: this one may still wait for the disk, and the last answer would
-        # not have left when the delay was over.
+        # The delay starts in the reactor's next turn. The current turn may still wait for the disk, so that the delay
+        # could be over before the last answer is sent.
         self._reactor.callLater(0, self._reactor.callLater, EXIT_DELAY_SECONDS, self._reactor.stop)
 
     # --- decisions -----------------------------------------------------------------------------------------
 
     def handle_event(self, event: Event) -> None:
-        """Let the controller decide on an event, and carry out its actions."""
+        """Pass an event to the controller, and carry out the resulting actions."""
         self._carry_out(self._controller.handle(clock.now(), event))
 
     def _carry_out(self, actions: list[Action]) -> None:
@@ -220,7 +222,7 @@
 
     def _write_registry(self) -> None:
         wanted_count = self._controller.wanted_count
-        if wanted_count:  # 0 until the fleet has started
+        if wanted_count:  # The count is 0 until the fleet has started.
             operation = self._controller.describe_operation()
             self._registry.write_if_changed(MemberRegistry(wanted_count, self._sockets.ports, operation))
 
@@ -236,11 +238,14 @@
     # --- members -------------------------------------------------------------------------------------------
 
     def fleet_size(self) -> int:
-        """Return the size of the fleet that members are notified of."""
+        """Return the fleet size that members are notified of."""
         return self._controller.fleet_size
 
     def _reload(self) -> str:
-        """Read the settings and the platform's file again; where they are invalid, return why and change nothing."""
+        """Read the settings and the platform's file again.
+
+        If they are invalid, change nothing and return the reason; otherwise return an empty text.
+        """
         try:
             settings = self._options.read_settings()
             self._environment.read_template()
@@ -250,17 +255,19 @@
             return reason
         self._log.set_level(settings.log.level)
         self._processes.resize(self._controller.members, self._controller.fleet_size)
-        log.emit(LogKind.RELOAD, "every member reads its configuration again")
+        log.emit(
+            LogKind.RELOAD, "the settings were read again; every member is signalled to read its configuration again"
+        )
         return ""
 
     def status(self) -> JsonObject:
-        """Return the status of the fleet and of each member in the form of the control socket."""
+        """Return the status of the fleet and of each member in the control socket's format."""
         return build_fleet_status(self._controller, self._names, self._runs, self._sockets)
 
 
 def supervise(options: SupervisorOptions) -> int:
-    """Run a supervisor in the foreground, and return its exit code."""
-    from twisted.internet import reactor  # installed on import, so not before it is needed
+    """Run a supervisor in the foreground until it stops, and return its exit code."""
+    from twisted.internet import reactor  # The import installs the reactor, so it comes late.
 
     try:
         supervisor = Supervisor(options, reactor)
