--- a/tests/fleet/controller_labels.py
+++ b/tests/fleet/controller_labels.py
@@ -1,4 +1,4 @@
-"""The names of the fleet controller's code, as labels that survive a renaming: traces use no others."""
+"""Fixed labels for the names in the fleet controller's code, so that recorded traces stay valid when a name changes."""
 
 from __future__ import annotations
 
@@ -63,12 +63,12 @@
 
 
 def build_operation(number: int, kind: str, count: int) -> Event:
-    """Return an operator's order."""
+    """Return the event of an operation that an operator orders."""
     return events.Operation(number, OPERATIONS[kind], count)
 
 
 def build_controller(seed: int) -> Controller:
-    """Return a controller with short times."""
+    """Return a controller whose settings have short times."""
     settings = Fleet(
         instances=3,
         spread=1.0,
@@ -84,28 +84,28 @@
 
 
 def list_states(controller: Controller) -> list[list[object]]:
-    """Return each member's number, state, and the runs that serve and start up."""
+    """Return each member's number, the label of its state, its run id and its successor's run id."""
     return [[n, STATES[m.state], m.run_id, m.successor_run_id] for n, m in controller.members.items()]
 
 
 def list_values(action: Action) -> list[Any]:
-    """Return an action's label and its values in declared order."""
+    """Return an action's label and its field values in the order of declaration."""
     return [ACTIONS[type(action)], *(getattr(action, f.name) for f in fields(action))]
 
 
 def record_transitions(monkeypatch: pytest.MonkeyPatch) -> set[tuple[str, str]]:
-    """Return a set that collects the pairs of state and transition that members go through from now on."""
+    """Record the label pairs of state and transition that members go through from now on, and return their set."""
     pairs = set[tuple[str, str]]()
     original: Callable[[Member, member_state.Transition], None] = Member.apply
 
-    def recorded(member: Member, transition: member_state.Transition) -> None:
+    def record_and_apply(member: Member, transition: member_state.Transition) -> None:
         pairs.add((STATES[member.state], TRANSITIONS[transition]))
         original(member, transition)
 
-    monkeypatch.setattr(Member, original.__name__, recorded)
+    monkeypatch.setattr(Member, original.__name__, record_and_apply)
     return pairs
 
 
 def list_table_rows() -> list[list[str]]:
-    """Return the transition table, in labels."""
+    """Return the sorted rows of the transition table as labels: state, transition and next state."""
     return sorted([STATES[state], TRANSITIONS[event], STATES[after]] for (state, event), after in TABLE.items())
--- a/tests/fleet/controller_model.py
+++ b/tests/fleet/controller_model.py
@@ -1,4 +1,4 @@
-"""A fleet controller with a model of the processes that it starts, in virtual time."""
+"""A model of a fleet in virtual time: a real controller, and simulated processes that it starts."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 class FleetModel:
-    """A controller, and the processes that it has started."""
+    """A controller, and the simulated processes that it has started."""
 
     def __init__(self, count: int = 3, start: bool = True) -> None:
         self.controller = FleetController(SETTINGS, random.Random(1))
@@ -31,7 +31,7 @@
             self.run_until_settled()
 
     def handle(self, event: events.Event) -> list[actions.Action]:
-        """Handle an event, and keep track of the processes that the actions start and stop."""
+        """Pass an event to the controller, and track the processes that its actions start and stop."""
         decided = self.controller.handle(self.now, event)
         for action in decided:
             if isinstance(action, actions.StartProcess):
@@ -44,42 +44,44 @@
         return decided
 
     def report_status(self, run_id: int, healthy: bool = True) -> None:
-        """Report a run as serving."""
+        """Report that a run serves, and whether it is healthy."""
         self.handle(events.StatusReported(run_id, f"incarnation{run_id}", True, healthy))
 
     def end(self, run_id: int, reason: str = "ended with code 0") -> None:
-        """End a run."""
+        """End the process of a run, and report the end to the controller."""
         self.alive.pop(run_id)
         self.stopping.discard(run_id)
         self.handle(events.RunEnded(run_id, reason))
 
     def advance(self, seconds: float) -> None:
-        """Let time pass, with a tick at each deadline of the controller."""
+        """Advance the time, with a tick at each deadline of the controller."""
         end = self.now + seconds
         ticks = 0
-        while (due := self.controller.next_deadline()) <= end:
-            self.now = max(self.now, due)
+        while (deadline := self.controller.next_deadline()) <= end:
+            self.now = max(self.now, deadline)
             self.handle(events.Tick())
             ticks += 1
-            assert ticks < 200 or self.controller.next_deadline() > self.now, f"it spins: {self.controller.members}"
+            assert ticks < 200 or self.controller.next_deadline() > self.now, (
+                f"the controller only schedules ticks: {self.controller.members}"
+            )
         self.now = end
         self.handle(events.Tick())
 
     def run_until_settled(self, rounds: int = 60) -> None:
-        """Let every stop and every start succeed."""
+        """Let every pending stop and start succeed, and advance the time by 0.3 s per round."""
         for _ in range(rounds):
-            for run in list(self.stopping):
-                if run in self.alive:
-                    self.end(run)
-            for run, start in list(self.alive.items()):
+            for run_id in list(self.stopping):
+                if run_id in self.alive:
+                    self.end(run_id)
+            for run_id, start in list(self.alive.items()):
                 member = self.controller.members.get(start.number)
-                if member and run in (member.run_id, member.successor_run_id):
-                    if start.is_replacement and member.successor_run_id == run and member.run_id in self.alive:
-                        old = member.run_id
-                        self.report_status(run)
-                        self.stopping.add(old)
+                if member and run_id in (member.run_id, member.successor_run_id):
+                    if start.is_replacement and member.successor_run_id == run_id and member.run_id in self.alive:
+                        previous_run_id = member.run_id
+                        self.report_status(run_id)
+                        self.stopping.add(previous_run_id)
                     else:
-                        self.report_status(run)
+                        self.report_status(run_id)
             self.advance(0.3)
 
     def states(self) -> dict[int, MemberState]:
@@ -87,13 +89,13 @@
         return {n: m.state for n, m in self.controller.members.items()}
 
     def begin(self, kind: OperationKind, count: int = 0) -> int:
-        """Begin an operation and return its id."""
+        """Order an operation, and return its id."""
         self.operations += 1
         self.handle(events.Operation(self.operations, kind, count))
         return self.operations
 
     def last_report(self, operation_id: int) -> actions.ReportProgress:
-        """Return the one final report of an operation."""
+        """Return the final report of an operation, of which there has to be exactly one."""
         (report,) = [
             a
             for a in self.actions
@@ -101,6 +103,6 @@
         ]
         return report
 
-    def serving(self) -> int:
-        """Return how many members serve."""
+    def count_serving(self) -> int:
+        """Return the number of members that serve."""
         return sum(m.state in (MemberState.READY, MemberState.REPLACING) for m in self.controller.members.values())
--- a/tests/fleet/controller_trace.py
+++ b/tests/fleet/controller_trace.py
@@ -1,7 +1,7 @@
-"""Seeded runs of the fleet controller, whose decisions and texts are traced in labels that survive a renaming.
+"""Seeded runs of the fleet controller, whose decisions and texts are traced with labels that do not depend on names.
 
-A model of members' processes drives the controller: starts that succeed, fail or hang, ends on request and unexpected
-ones, adoption, health reports and operations that overlap.
+A model of members' processes drives the controller: starts that succeed, fail or hang, requested and unexpected ends,
+adoptions, health reports and overlapping operations.
 """
 
 from __future__ import annotations
@@ -30,7 +30,8 @@
 
 EPISODES = 60
 EPISODE_STEPS = 110
-SHUTDOWN_STEPS = 500  # a controller that only schedules ticks fails here instead of running forever
+# Bound on the steps of a shutdown, so that a controller that only schedules ticks fails instead of running forever.
+SHUTDOWN_STEPS = 500
 NEVER = 1e9
 OPERATION_WEIGHTS = (0.35, 0.3, 0.33, 0.02)
 ENDS = ("ended with code 0", "ended with code 1", "was killed by signal 9")
@@ -41,17 +42,17 @@
     """One process of the model."""
 
     number: int
-    replaces: bool
+    is_replacement: bool
     serves_at: float
     ends_at: float
-    serves: bool = False
-    healthy: bool = True
+    is_serving: bool = False
+    is_healthy: bool = True
     predecessor: int = -1
 
 
 @dataclass(slots=True)
 class Model:
-    """The processes that a controller has started; `fault_rate` is the probability that one fails."""
+    """A controller and the processes that it has started; `fault_rate` is the probability that a process fails."""
 
     controller: Controller
     rng: random.Random
@@ -60,17 +61,17 @@
     texts: Trace
     now: float = 1000.0
     processes: dict[int, Process] = field(default_factory=dict)
-    serving: dict[int, int] = field(default_factory=dict)
+    serving_run_ids: dict[int, int] = field(default_factory=dict)
     operations: int = 0
     is_over: bool = False
 
     def handle(self, label: str, event: Event) -> None:
-        """Hand over one event, trace what is decided, and carry it out."""
+        """Pass one event to the controller, and trace and carry out the resulting actions."""
         actions = [list_values(action) for action in self.controller.handle(self.now, event)]
         for action in actions:
             self._carry_out(action)
         next_deadline = self.controller.next_deadline()
-        plain = [_without_text(action) for action in actions]
+        plain = [_remove_text(action) for action in actions]
         self.decisions.add(label, round(self.now, 6), plain, list_states(self.controller), round(next_deadline, 6))
         self.texts.add(
             [action for action in actions if action[0] in (LOG, REPORT)], self.controller.describe_operation()
@@ -78,75 +79,78 @@
 
     def _carry_out(self, action: list[Any]) -> None:
         if action[0] == START:
-            _, run, number, _, replaces = action
-            self.processes[run] = self._new_process(number, replaces)
+            _, run_id, number, _, is_replacement = action
+            self.processes[run_id] = self._new_process(number, is_replacement)
         elif action[0] == STOP and action[1] in self.processes:
-            hangs = self.rng.random() < self.fault_rate
-            self._end_in(action[1], NEVER if hangs else self.rng.uniform(0.0, 2.0))
+            is_hanging = self.rng.random() < self.fault_rate
+            self._schedule_end(action[1], NEVER if is_hanging else self.rng.uniform(0.0, 2.0))
         elif action[0] == KILL and action[1] in self.processes:
-            self._end_in(action[1], self.rng.choice([0.0, 0.05, 6.0]))
+            self._schedule_end(action[1], self.rng.choice([0.0, 0.05, 6.0]))
         elif action[0] == EXIT:
             self.is_over = True
 
-    def _end_in(self, run: int, seconds: float) -> None:
-        process = self.processes[run]
+    def _schedule_end(self, run_id: int, seconds: float) -> None:
+        process = self.processes[run_id]
         process.ends_at = min(process.ends_at, self.now + seconds)
 
-    def _new_process(self, number: int, replaces: bool) -> Process:
-        fate = self.rng.random()
+    def _new_process(self, number: int, is_replacement: bool) -> Process:
+        random_value = self.rng.random()
         delay = self.rng.uniform(0.05, 3.0)
-        serves_at = NEVER if fate < self.fault_rate else self.now + delay
-        ends_at = self.now + self.rng.uniform(0.0, 2.5) if fate < self.fault_rate * 0.6 else NEVER
-        predecessor = self.serving.get(number, -1) if replaces else -1
-        return Process(number, replaces, serves_at, ends_at, predecessor=predecessor)
-
-    def adopt(self, number: int, serves: bool) -> None:
-        """Let the controller adopt a process that ran before."""
-        self.handle("adopted", events.MemberAdopted(number, f"life{number}", serves))
-        run = next(row[2] for row in list_states(self.controller) if row[0] == number)
-        assert isinstance(run, int)
+        serves_at = NEVER if random_value < self.fault_rate else self.now + delay
+        ends_at = self.now + self.rng.uniform(0.0, 2.5) if random_value < self.fault_rate * 0.6 else NEVER
+        predecessor = self.serving_run_ids.get(number, -1) if is_replacement else -1
+        return Process(number, is_replacement, serves_at, ends_at, predecessor=predecessor)
+
+    def adopt(self, number: int, is_serving: bool) -> None:
+        """Let the controller adopt a member that was already running."""
+        self.handle("adopted", events.MemberAdopted(number, f"life{number}", is_serving))
+        run_id = next(row[2] for row in list_states(self.controller) if row[0] == number)
+        assert isinstance(run_id, int)
         serves_at = self.now + self.rng.uniform(0.1, 4.0)
-        self.processes[run] = Process(number, False, NEVER if serves else serves_at, NEVER, serves)
-        if serves:
-            self.serving[number] = run
+        self.processes[run_id] = Process(number, False, NEVER if is_serving else serves_at, NEVER, is_serving)
+        if is_serving:
+            self.serving_run_ids[number] = run_id
 
     def step(self) -> None:
-        """Let the next event happen: a process's change, a deadline, or a random event."""
-        serves = min(((p.serves_at, run) for run, p in self.processes.items() if not p.serves), default=(NEVER, -1))
-        ends = min(((p.ends_at, run) for run, p in self.processes.items()), default=(NEVER, -1))
-        tick = (max(self.now, self.controller.next_deadline()), -1)
-        chance = (self.now + self.rng.expovariate(1.5), -1)
-        at, run = min(serves, ends, tick, chance)
+        """Trigger the next event: the start or end of a process, a deadline, or a random event."""
+        next_start = min(
+            ((p.serves_at, run_id) for run_id, p in self.processes.items() if not p.is_serving), default=(NEVER, -1)
+        )
+        next_end = min(((p.ends_at, run_id) for run_id, p in self.processes.items()), default=(NEVER, -1))
+        next_tick = (max(self.now, self.controller.next_deadline()), -1)
+        random_event = (self.now + self.rng.expovariate(1.5), -1)
+        at, run_id = min(next_start, next_end, next_tick, random_event)
         self.now = max(self.now, at)
-        if (at, run) == ends:
-            self._process_ends(run)
-        elif (at, run) == serves:
-            self._process_serves(run)
-        elif (at, run) == tick:
+        if (at, run_id) == next_end:
+            self._end_process(run_id)
+        elif (at, run_id) == next_start:
+            self._start_serving(run_id)
+        elif (at, run_id) == next_tick:
             self.handle("tick", events.Tick())
         else:
-            self._random_event()
+            self._trigger_random_event()
 
-    def _process_serves(self, run: int) -> None:
-        process = self.processes[run]
-        process.serves = True
-        process.healthy = self.rng.random() > self.fault_rate / 2
-        if process.predecessor in self.processes and self._predecessor_is_first(process, run):
+    def _start_serving(self, run_id: int) -> None:
+        process = self.processes[run_id]
+        process.is_serving = True
+        process.is_healthy = self.rng.random() > self.fault_rate / 2
+        if process.predecessor in self.processes and self._end_predecessor_first(process, run_id):
             return
-        self.serving[process.number] = run
-        self.handle("told", events.StatusReported(run, f"life{run}", True, process.healthy))
-
-    def _predecessor_is_first(self, process: Process, run: int) -> bool:
-        # Whether the predecessor's end is known before its successor's report, which then comes later or never.
-        hangs = self.rng.random() < self.fault_rate
-        self._end_in(process.predecessor, NEVER if hangs else self.rng.uniform(0.0, 1.5))
+        self.serving_run_ids[process.number] = run_id
+        self.handle("told", events.StatusReported(run_id, f"life{run_id}", True, process.is_healthy))
+
+    def _end_predecessor_first(self, process: Process, run_id: int) -> bool:
+        # Returns whether the controller learns of the predecessor's end before the successor's report. The report then
+        # comes later or never.
+        is_hanging = self.rng.random() < self.fault_rate
+        self._schedule_end(process.predecessor, NEVER if is_hanging else self.rng.uniform(0.0, 1.5))
         if self.rng.random() > 0.3:
             return False
-        self._process_ends(process.predecessor)
+        self._end_process(process.predecessor)
         if self.rng.random() < 2.0 * self.fault_rate:
-            self._process_ends(run)
+            self._end_process(run_id)
         elif self.rng.random() < 0.5:
-            process.serves = False
+            process.is_serving = False
             process.serves_at = self.now + self.rng.uniform(0.1, 1.0)
             if self.rng.random() < 0.2:
                 self._begin_operation("down")
@@ -154,23 +158,23 @@
             return False
         return True
 
-    def _process_ends(self, run: int) -> None:
-        process = self.processes.pop(run)
-        if self.serving.get(process.number) == run:
-            del self.serving[process.number]
-        self.handle("ended", events.RunEnded(run, self.rng.choice(ENDS)))
+    def _end_process(self, run_id: int) -> None:
+        process = self.processes.pop(run_id)
+        if self.serving_run_ids.get(process.number) == run_id:
+            del self.serving_run_ids[process.number]
+        self.handle("ended", events.RunEnded(run_id, self.rng.choice(ENDS)))
 
-    def _random_event(self) -> None:
+    def _trigger_random_event(self) -> None:
         sample = self.rng.random()
-        run = self.rng.choice(list(self.processes)) if self.processes else -1
+        run_id = self.rng.choice(list(self.processes)) if self.processes else -1
         if sample < 0.30:
             self._begin_operation(*self.rng.choices(list(OPERATIONS), OPERATION_WEIGHTS))
-        elif sample < 0.30 + 0.4 * self.fault_rate and run >= 0:
-            self._process_ends(run)
-        elif sample < 0.95 and run >= 0:
-            process = self.processes[run]
-            process.healthy = not process.healthy if self.rng.random() < 0.7 else process.healthy
-            self.handle("told", events.StatusReported(run, f"life{run}", process.serves, process.healthy))
+        elif sample < 0.30 + 0.4 * self.fault_rate and run_id >= 0:
+            self._end_process(run_id)
+        elif sample < 0.95 and run_id >= 0:
+            process = self.processes[run_id]
+            process.is_healthy = not process.is_healthy if self.rng.random() < 0.7 else process.is_healthy
+            self.handle("told", events.StatusReported(run_id, f"life{run_id}", process.is_serving, process.is_healthy))
         elif sample < 0.97:
             self.handle("told", events.StatusReported(self.rng.randrange(1, 400), "stranger", True, True))
         else:
@@ -181,14 +185,14 @@
         self.handle(kind, build_operation(self.operations, kind, self.rng.randint(1, 6) if kind == "scale" else 0))
 
 
-def _without_text(action: list[Any]) -> list[Any]:
+def _remove_text(action: list[Any]) -> list[Any]:
     if action[0] == LOG:
         return [LOG]
     return [action[0], action[1], *action[3:]] if action[0] == REPORT else action
 
 
 def run_episodes() -> tuple[Trace, Trace]:
-    """Run all episodes, from a start to a shutdown or the last step: decisions and texts."""
+    """Run all episodes, each from a start to a shutdown or the last step; return the traces of decisions and texts."""
     decisions = Trace()
     texts = Trace()
     for episode in range(EPISODES):
--- a/tests/fleet/support.py
+++ b/tests/fleet/support.py
@@ -1,4 +1,4 @@
-"""A fleet of real processes for tests: its supervisor, its members, and the command line."""
+"""A fleet of real processes for tests: the supervisor, its members, and the command line."""
 
 from __future__ import annotations
 
@@ -14,24 +14,26 @@
 
 from tests.limiter import PATIENCE, ROOT, Limiter, command
 
-INI = "[fleet]\ninstances = 3\nspread = 100ms\nsettle = 100ms\nwait = 100ms\nready = 10s\n[log]\nfile = {0}/log\n"
-Message = dict[str, Any]  # a JSON object of the control socket
+SETTINGS_TEMPLATE = (
+    "[fleet]\ninstances = 3\nspread = 100ms\nsettle = 100ms\nwait = 100ms\nready = 10s\n[log]\nfile = {0}/log\n"
+)
+Message = dict[str, Any]  # A JSON object on the control socket.
 
-THYMEFLOW = ("-m", "thymeflow")  # arguments of Python
-POLL_SECONDS = 0.05  # between looks at a status that is to change
+THYMEFLOW = ("-m", "thymeflow")  # Arguments of the Python interpreter.
+POLL_SECONDS = 0.05  # Interval between status requests.
 LOG_TAIL_CHARACTERS = 3000
 
 
 class RunningFleet:
-    """A supervisor with three members, which use the platform configuration of a limiter that the test has started."""
+    """A supervisor with three members, which use the platform configuration of a limiter that the test started."""
 
     def __init__(
         self, folder: Path, limiter: Limiter, program: tuple[str, ...] = THYMEFLOW, is_awaited: bool = True
     ) -> None:
-        """Start the supervisor with this program, and wait until its members are ready if it is awaited."""
+        """Start the supervisor with this program; if `is_awaited`, wait until its members are ready."""
         self.state = limiter.state
         self.ini = folder / "f.ini"
-        self.ini.write_text(INI.format(folder))
+        self.ini.write_text(SETTINGS_TEMPLATE.format(folder))
         self.path = limiter.path
         self.process = self.up(program)
         if is_awaited:
@@ -48,9 +50,9 @@
         )
 
     def request(self, **message: object) -> Message:
-        """Send a request to the control socket and return its last answer.
+        """Send a request to the control socket, and return the last answer.
 
-        :raises ConnectionError: the connection ended without one; the text is the end of the log.
+        :raises ConnectionError: the connection ended without a last answer; the message is the end of the log.
         """
         with socket.socket(socket.AF_UNIX) as connection:
             connection.settimeout(PATIENCE)
@@ -63,14 +65,14 @@
         raise ConnectionError((self.ini.parent / "log").read_text()[-LOG_TAIL_CHARACTERS:])
 
     def status(self) -> Message:
-        """Return the fleet's status, empty while no supervisor answers."""
+        """Return the fleet's status, empty if no supervisor answers."""
         try:
             return self.request(do="status")
         except (OSError, ValueError):
             return {}
 
     def ready(self, count: int) -> Message:
-        """Wait until so many members are wanted and ready and no operation is in progress; return the status."""
+        """Wait until `count` members are wanted and ready and no operation is in progress; return the status."""
         deadline = time.monotonic() + PATIENCE
         while (status := self.status()).get("ready") != count or status["wanted"] != count or status["working"]:
             assert time.monotonic() < deadline, status
@@ -107,7 +109,7 @@
 
 
 def cli(*arguments: str) -> subprocess.CompletedProcess[str]:
-    """Run a command of thymeflow to its end."""
+    """Run a thymeflow command until it exits, and return the result."""
     return subprocess.run(
         [sys.executable, "-m", "thymeflow", *arguments], cwd=ROOT, capture_output=True, text=True, check=False
     )
--- a/tests/fleet/test_control_requests.py
+++ b/tests/fleet/test_control_requests.py
@@ -1,4 +1,4 @@
-"""The operations that requests on the supervisor's control socket order."""
+"""Operation requests on the supervisor's control socket: which arguments are parsed, ignored or rejected."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 from thymeflow.fleet.events import OperationKind
 
 
-def test_scale_has_its_count_and_other_operations_ignore_one() -> None:
+def test_count_is_used_by_scale_and_ignored_by_other_operations_when_it_is_given() -> None:
     message = {"do": "scale", "count": 4}
     assert parse_operation(OperationKind.SCALE, message) == OperationRequest(OperationKind.SCALE, 4)
     assert parse_operation(OperationKind.RESTART, message) == OperationRequest(OperationKind.RESTART, 0)
--- a/tests/fleet/test_controller_invariants.py
+++ b/tests/fleet/test_controller_invariants.py
@@ -1,4 +1,4 @@
-"""The fleet controller against its invariants, whatever happens to its processes and in whatever order."""
+"""The invariants of the fleet controller, checked with random events in random order."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 class ControllerMachine(RuleBasedStateMachine):
-    """Any event at any time, against the invariants of the controller."""
+    """A Hypothesis state machine that generates any event at any time and checks the invariants after each event."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -26,7 +26,7 @@
         self.model.handle(events.FleetStarted(count))
 
     def choose_run(self, number: int) -> int:
-        """Return one of the runs that are alive."""
+        """Return the id of a run that is alive."""
         return sorted(self.model.alive)[number % len(self.model.alive)]
 
     @precondition(lambda self: self.model.alive)
@@ -43,7 +43,7 @@
 
     @rule(seconds=st.sampled_from([0.01, 0.6, 3.0, 9.0]))
     def time_advances(self, seconds: float) -> None:
-        """Let time pass."""
+        """Advance the time."""
         self.model.advance(seconds)
 
     @rule(
@@ -51,12 +51,12 @@
         count=st.integers(1, 5),
     )
     def operation_begins(self, kind: OperationKind, count: int) -> None:
-        """Begin an operation."""
+        """Order an operation."""
         self.model.begin(kind, count)
 
     @invariant()
     def rolled_members_never_exceed_one(self) -> None:
-        """Check that a roll touches one member at a time."""
+        """Check that a roll replaces or restarts at most one member at a time."""
         rolled = [
             m
             for m in self.model.controller.members.values()
@@ -66,7 +66,7 @@
 
     @invariant()
     def every_run_belongs_to_one_member(self) -> None:
-        """Check that no run is counted twice."""
+        """Check that no run id is used by two members, or twice by one member."""
         runs: list[int] = [m.run_id for m in self.model.controller.members.values() if m.run_id != NO_RUN]
         runs += [m.successor_run_id for m in self.model.controller.members.values() if m.successor_run_id != NO_RUN]
         assert len(runs) == len(set(runs))
@@ -77,7 +77,7 @@
         assert all(m.number < self.model.controller.fleet_size for m in self.model.controller.members.values())
 
     def teardown(self) -> None:
-        """Check that from any state, once nothing fails, the fleet gets to the size that was ordered last."""
+        """Check that the fleet reaches the last ordered size from any state once no process fails any more."""
         model = self.model
         if model.controller.members:
             model.run_until_settled(150)
--- a/tests/fleet/test_controller_trace.py
+++ b/tests/fleet/test_controller_trace.py
@@ -1,6 +1,6 @@
-"""Characterization of the fleet controller: the decisions of seeded runs, as digests that survive a renaming.
+"""Characterization of the fleet controller: digests of the decisions in seeded runs, which do not depend on names.
 
-Decisions and texts have digests of their own, as a text may be reworded on purpose while a decision may not change.
+Decisions and texts have separate digests, because a text may be reworded on purpose while a decision may not change.
 """
 
 from __future__ import annotations
@@ -12,25 +12,25 @@
 from tests.golden_trace import assert_golden, golden
 
 
-def test_transition_table_is_the_one_on_file_when_written_in_labels() -> None:
-    """Each legal pair of state and transition leads to the same state."""
+def test_transition_table_equals_the_recorded_one_when_written_in_labels() -> None:
+    """Each legal pair of state and transition leads to the recorded state."""
     assert {"rows": list_table_rows()} == golden("fleet-table")
 
 
 def test_every_legal_transition_is_driven_when_members_start_fail_and_operations_overlap(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """The seeded runs go through all of the table, so that the digests cover each pair."""
+    """A pair that no seeded run reaches would not be covered by the digests."""
     pairs = record_transitions(monkeypatch)
     run_episodes()
     assert pairs == {(state, event) for state, event, _ in list_table_rows()}
 
 
 def test_decisions_match_the_digest_when_members_start_fail_and_operations_overlap() -> None:
-    """Actions, states and deadlines are those on file."""
+    """Actions, states and deadlines equal the recorded ones."""
     assert_golden(run_episodes()[0], "fleet-decisions")
 
 
 def test_texts_match_the_digest_when_members_start_fail_and_operations_overlap() -> None:
-    """Log lines, reports to operators and descriptions of the operation in progress are those on file."""
+    """Log lines, reports to operators and descriptions of the operation in progress equal the recorded ones."""
     assert_golden(run_episodes()[1], "fleet-texts")
--- a/tests/fleet/test_message_formats.py
+++ b/tests/fleet/test_message_formats.py
@@ -1,4 +1,4 @@
-"""The supervisor's messages to members and operators, which two versions share."""
+"""The supervisor's messages to members and operators equal the recorded ones, because other versions read them too."""
 
 from __future__ import annotations
 
@@ -36,7 +36,7 @@
 
 
 class SteppedClock:
-    """The time of a test, by the wall clock and by the monotonic clock."""
+    """A clock that a test advances; it replaces the wall clock and the monotonic clock."""
 
     def __init__(self, monkeypatch: pytest.MonkeyPatch) -> None:
         self.now = START_AT
@@ -47,12 +47,12 @@
         return self.now
 
     def step(self) -> None:
-        """Let one step of time pass."""
+        """Advance the time by one step."""
         self.now += STEP_SECONDS
 
 
 def build_member_report(failed: list[list[Json]], is_failing: bool, probe_results: dict[str, bool]) -> dict[str, Json]:
-    """Return what each member reports while a backend fails, and after that."""
+    """Return the report that each member sends while a backend fails or after it has recovered."""
     good = [[2, ""], [2, "read"], *([] if is_failing else [[4, "read"]])]
     return {
         **REPORT,
@@ -63,14 +63,14 @@
     }
 
 
-def probe_results(sent: list[Json], is_failing: bool) -> dict[str, bool]:
-    """Return the result of the half-open probe that was permitted last."""
+def build_probe_results(sent: list[Json], is_failing: bool) -> dict[str, bool]:
+    """Return the result of the half-open probe that was permitted last, by permit number."""
     permitted = [ejection for _, message in sent for ejection in message.get("verdicts", ()) if ejection[3]]
     return {str(ejection[3]): not is_failing for ejection in permitted[-1:]}
 
 
 @pytest.mark.parametrize(("case", "failed"), [("class", [[4, "read"]]), ("zone", [[4, "read"], [1, ""], [3, ""]])])
-def test_overload_messages_and_status_are_the_same_when_backends_fail_and_recover(
+def test_overload_messages_and_status_equal_the_recorded_ones_when_backends_fail_and_recover(
     case: str, failed: list[list[Json]], monkeypatch: pytest.MonkeyPatch
 ) -> None:
     stepped_clock = SteppedClock(monkeypatch)
@@ -83,7 +83,7 @@
         if step == 0:
             service.start()
         is_failing = FIRST_FAILING_STEP <= step < FIRST_RECOVERED_STEP
-        results = probe_results(sent, is_failing)
+        results = build_probe_results(sent, is_failing)
         for name in MEMBERS:
             service.on_report(name, build_member_report(failed, is_failing, results))
         service.on_report("n3", {"against": 7})
@@ -96,7 +96,7 @@
     assert_as_recorded(f"overload status, {case}", statuses)
 
 
-def test_allocation_grants_and_status_are_the_same_when_members_report(
+def test_allocation_grants_and_status_equal_the_recorded_ones_when_members_report(
     monkeypatch: pytest.MonkeyPatch, tmp_path: Path
 ) -> None:
     stepped_clock = SteppedClock(monkeypatch)
@@ -130,7 +130,7 @@
 
 @contextmanager
 def run_supervisor(folder: Path, limiter: Limiter, members: int) -> Iterator[Path]:
-    """Run a fleet's supervisor over the peers of a limiter; yield the path of its control socket."""
+    """Run a fleet's supervisor with the platform configuration of a limiter; yield the path of its control socket."""
     ini = folder / "fleet.ini"
     ini.write_text(SETTINGS_TEMPLATE.format(folder, members))
     options = ["--settings", str(ini), "--platform", str(limiter.path), "--state", str(limiter.state)]
@@ -157,7 +157,7 @@
 
 
 def request_responses(path: Path, message: dict[str, Json]) -> list[Json]:
-    """Return the messages with which the supervisor responds to a request, up to the last one."""
+    """Send a request, and return the supervisor's responses up to the last one, which has the key `ok`."""
     with control_session(path) as session:
         session.send(**message)
         responses = [session.receive()]
@@ -166,7 +166,7 @@
     return responses
 
 
-def test_supervisor_responses_are_the_same_when_each_kind_is_requested(tmp_path: Path) -> None:
+def test_supervisor_responses_equal_the_recorded_ones_when_each_kind_is_requested(tmp_path: Path) -> None:
     requests: list[dict[str, Json]] = [
         {"do": "budgets"},
         {"do": "overload"},
@@ -187,6 +187,6 @@
     assert_as_recorded("supervisor", exchanges)
 
 
-def test_supervisor_reports_the_same_progress_when_it_restarts_a_member(tmp_path: Path) -> None:
+def test_supervisor_reports_equal_the_recorded_ones_when_it_restarts_a_member(tmp_path: Path) -> None:
     with Limiter(tmp_path) as limiter, run_supervisor(tmp_path, limiter, 1) as path:
         assert_as_recorded("supervisor restart", request_responses(path, {"do": "restart"}))
--- a/tests/fleet/test_stored_files.py
+++ b/tests/fleet/test_stored_files.py
@@ -1,4 +1,4 @@
-"""The fleet's files as an earlier version wrote them: the registry and the configuration of a member."""
+"""The registry and a member's configuration: today's files equal those that an earlier version wrote."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 def write_member_with_masked_seed(folder: Path) -> bytes:
-    """Return a member's configuration as the supervisor writes it, with its random seed masked."""
+    """Write a member's configuration as the supervisor does; return the content with the random seed masked."""
     names = registry.FleetNames(folder, "web")
     template = registry.read_template(STORED_FOLDER / "platform.json")
     registry.write_member_configuration(names, template, "127.0.0.1:7402", 2, 3, ALLOCATION)
@@ -30,7 +30,7 @@
     assert (tmp_path / "fleet.json").read_bytes() == stored("fleet.json")
 
 
-def test_fleet_file_is_read_alike_when_it_has_no_order() -> None:
+def test_fleet_file_is_read_when_it_has_no_operation() -> None:
     content = registry.read_registry(STORED_FOLDER / "fleet-no-order.json")
     assert plain(content) == recorded_value("fleet-no-order.json")
 
--- a/tests/fleet/test_supervisor.py
+++ b/tests/fleet/test_supervisor.py
@@ -1,4 +1,4 @@
-"""A fleet of real processes: a supervisor killed during a roll, programs that fail, and what members do then."""
+"""A fleet of real processes: a supervisor or a member is killed, a program fails, or a configuration is invalid."""
 
 from __future__ import annotations
 
@@ -14,8 +14,8 @@
 from tests.limiter import PATIENCE, ROOT, Limiter
 
 
-def test_new_supervisor_adopts_members_when_the_last_was_killed_during_a_roll(tmp_path: Path) -> None:
-    """Members serve without a supervisor, and keep their addresses under the next one."""
+def test_new_supervisor_adopts_members_when_the_last_one_was_killed_during_a_roll(tmp_path: Path) -> None:
+    """Members keep serving without a supervisor, and keep their addresses under the next supervisor."""
     with Limiter(tmp_path) as limiter, RunningFleet(tmp_path, limiter) as fleet:
         first = fleet.ready(3)
         rolling = subprocess.Popen(
@@ -30,29 +30,29 @@
         fleet.process.communicate()
         assert rolling.wait(PATIENCE) == 6
         rolling.communicate()
-        assert all(is_serving(m) for m in first["members"])  # without a supervisor
+        assert all(is_serving(m) for m in first["members"])  # No supervisor runs.
         fleet.process = fleet.up()
         status = fleet.ready(3)
         assert [m["listen"] for m in status["members"]] == [m["listen"] for m in first["members"]]
         assert "upgrade, 1 of 3 done, when the last supervisor ended" in (tmp_path / "log").read_text()
-        # A handover that the last supervisor began may still be in progress, and its member rejects another.
+        # A handover that the last supervisor began may still be in progress. Its member then rejects another handover.
         deadline = time.monotonic() + PATIENCE
         while not fleet.request(do="upgrade")["ok"]:
             assert time.monotonic() < deadline
         assert all(is_serving(m) for m in fleet.ready(3)["members"])
 
 
-def test_killed_member_restarts_at_its_address_and_scaling_works(tmp_path: Path) -> None:
-    """No connection is rejected while a member restarts; members learn of a new size."""
+def test_members_keep_addresses_and_learn_sizes_when_one_is_killed_and_the_fleet_is_scaled(tmp_path: Path) -> None:
+    """The supervisor's listening socket has to accept connections while a member restarts, so that none is rejected."""
     with Limiter(tmp_path) as limiter, RunningFleet(tmp_path, limiter) as fleet:
         before = fleet.ready(3)
         victim = psutil.Process(before["members"][1]["pid"])
         victim.kill()
         assert not psutil.wait_procs([victim], PATIENCE)[1]
-        assert is_serving(before["members"][1])  # the connection waited in the queue of the supervisor's socket
+        assert is_serving(before["members"][1])  # The connection waited in the supervisor's socket.
         fleet.ready(3)
         assert fleet.request(do="scale", count=4)["ok"]
-        deadline = time.monotonic() + PATIENCE  # members reload by signal and report it a moment later
+        deadline = time.monotonic() + PATIENCE  # Members reload on a signal and report the size later.
         while {m["told"].get("gateways") for m in fleet.ready(4)["members"]} != {4}:
             assert time.monotonic() < deadline
         assert fleet.request(do="scale", count=2)["ok"]
@@ -64,8 +64,8 @@
         assert fleet.process.wait(PATIENCE) == 0
 
 
-def test_upgrade_stops_and_every_member_serves_on_when_the_program_fails(tmp_path: Path) -> None:
-    """An upgrade to a program that fails changes no process."""
+def test_upgrade_stops_and_every_member_keeps_serving_when_the_program_fails(tmp_path: Path) -> None:
+    """An upgrade to a program that fails must not replace any process, nor be used for later starts."""
     with Limiter(tmp_path) as limiter, RunningFleet(tmp_path, limiter) as fleet:
         fleet.ready(3)
         pids = fleet.pids()
@@ -77,12 +77,12 @@
         status = fleet.ready(3)
         assert fleet.pids() == pids
         assert all(is_serving(m) for m in status["members"])
-        assert fleet.request(do="upgrade")["ok"]  # uses the program that worked before
+        assert fleet.request(do="upgrade")["ok"]  # Uses the previous program.
         assert fleet.pids() != pids
 
 
-def test_second_supervisor_and_invalid_configuration_are_rejected(tmp_path: Path) -> None:
-    """A fleet has one supervisor, and a bad reload changes nothing."""
+def test_second_supervisor_and_invalid_reload_are_rejected_when_a_supervisor_runs(tmp_path: Path) -> None:
+    """A fleet has one supervisor, and a reload of an invalid configuration changes nothing."""
     with Limiter(tmp_path) as limiter, RunningFleet(tmp_path, limiter) as fleet:
         fleet.ready(3)
         second = fleet.up()
@@ -101,8 +101,8 @@
         assert "n2" in table
 
 
-def test_command_line_reports_every_fault_and_exit_code(tmp_path: Path) -> None:
-    """All faults of a configuration are reported at once."""
+def test_command_line_reports_every_fault_when_the_configuration_is_invalid(tmp_path: Path) -> None:
+    """All faults of a configuration are reported at once, and each kind of failure has its exit code."""
     (tmp_path / "bad.ini").write_text("[daemon]\nstat = x\n[fleet]\nwait = 40s\n")
     (tmp_path / "bad.json").write_text('{"listen": "nowhere", "discovery": "a:1", "sed": "0"}')
     checked = cli("check", "--settings", str(tmp_path / "bad.ini"), "--platform", str(tmp_path / "bad.json"))
