--- a/tests/fleet/test_supervisor.py
+++ b/tests/fleet/test_supervisor.py
@@ -18,18 +18,18 @@
     """Members keep serving without a supervisor, and keep their addresses under the next supervisor."""
     with Limiter(tmp_path) as limiter, RunningFleet(tmp_path, limiter) as fleet:
         first = fleet.ready(3)
-        rolling = subprocess.Popen(
+        upgrade_process = subprocess.Popen(
             [sys.executable, "-m", "thymeflow", "fleet", "upgrade", "--state", str(fleet.state)],
             cwd=ROOT,
             stderr=subprocess.PIPE,
             text=True,
         )
-        assert rolling.stderr is not None
-        assert "member 0 is ready" in rolling.stderr.readline()
+        assert upgrade_process.stderr is not None
+        assert "member 0 is ready" in upgrade_process.stderr.readline()
         fleet.process.kill()
         fleet.process.communicate()
-        assert rolling.wait(PATIENCE) == 6
-        rolling.communicate()
+        assert upgrade_process.wait(PATIENCE) == 6
+        upgrade_process.communicate()
         assert all(is_serving(m) for m in first["members"])  # No supervisor runs.
         fleet.process = fleet.up()
         status = fleet.ready(3)
@@ -46,9 +46,9 @@
     """The supervisor's listening socket has to accept connections while a member restarts, so that none is rejected."""
     with Limiter(tmp_path) as limiter, RunningFleet(tmp_path, limiter) as fleet:
         before = fleet.ready(3)
-        victim = psutil.Process(before["members"][1]["pid"])
-        victim.kill()
-        assert not psutil.wait_procs([victim], PATIENCE)[1]
+        killed_process = psutil.Process(before["members"][1]["pid"])
+        killed_process.kill()
+        assert not psutil.wait_procs([killed_process], PATIENCE)[1]
         assert is_serving(before["members"][1])  # The connection waited in the supervisor's socket.
         fleet.ready(3)
         assert fleet.request(do="scale", count=4)["ok"]
@@ -57,9 +57,9 @@
             assert time.monotonic() < deadline
         assert fleet.request(do="scale", count=2)["ok"]
         assert len(fleet.ready(2)["members"]) == 2
-        answer = fleet.request(do="scale", count="many")
-        assert not answer["ok"]
-        assert "no whole number" in answer["why"]
+        response = fleet.request(do="scale", count="many")
+        assert not response["ok"]
+        assert "no whole number" in response["why"]
         assert fleet.request(do="down")["ok"]
         assert fleet.process.wait(PATIENCE) == 0
 
@@ -70,10 +70,10 @@
         fleet.ready(3)
         pids = fleet.pids()
         for program, why in (("/bin/false", "ended with code 1"), ("/no/such/program", "could not be started")):
-            answer = fleet.request(do="upgrade", program=program)
-            assert not answer["ok"]
-            assert why in answer["why"]
-            assert "not touched: 1, 2" in answer["why"]
+            response = fleet.request(do="upgrade", program=program)
+            assert not response["ok"]
+            assert why in response["why"]
+            assert "not touched: 1, 2" in response["why"]
         status = fleet.ready(3)
         assert fleet.pids() == pids
         assert all(is_serving(m) for m in status["members"])
@@ -85,16 +85,16 @@
     """A fleet has one supervisor, and a reload of an invalid configuration changes nothing."""
     with Limiter(tmp_path) as limiter, RunningFleet(tmp_path, limiter) as fleet:
         fleet.ready(3)
-        second = fleet.up()
-        _, text = second.communicate(timeout=PATIENCE)
-        assert second.returncode == 4
-        assert "another supervisor runs" in text
-        good = limiter.path.read_text()
+        second_process = fleet.up()
+        _, error_output = second_process.communicate(timeout=PATIENCE)
+        assert second_process.returncode == 4
+        assert "another supervisor runs" in error_output
+        valid_configuration = limiter.path.read_text()
         limiter.path.write_text("{")
-        answer = fleet.request(do="reload")
-        assert not answer["ok"]
-        assert "the old settings stay" in answer["why"]
-        limiter.path.write_text(good)
+        response = fleet.request(do="reload")
+        assert not response["ok"]
+        assert "the old settings stay" in response["why"]
+        limiter.path.write_text(valid_configuration)
         assert fleet.request(do="reload")["ok"]
         table = cli("fleet", "status", "--state", str(fleet.state)).stdout
         assert "3 of 3 members are ready" in table
@@ -105,15 +105,15 @@
     """All faults of a configuration are reported at once, and each kind of failure has its exit code."""
     (tmp_path / "bad.ini").write_text("[daemon]\nstat = x\n[fleet]\nwait = 40s\n")
     (tmp_path / "bad.json").write_text('{"listen": "nowhere", "discovery": "a:1", "sed": "0"}')
-    checked = cli("check", "--settings", str(tmp_path / "bad.ini"), "--platform", str(tmp_path / "bad.json"))
-    assert checked.returncode == 2
-    assert checked.stderr.splitlines()[-1] == "3 faults"
-    assert "did you mean 'state'?" in checked.stderr
-    assert "'nowhere' is no address; write host:port" in checked.stderr
-    assert "did you mean 'seed'?" in checked.stderr
-    good = cli("check", "--settings", "deploy/thymeflow.ini", "--platform", "deploy/example.json", "--show")
-    assert good.returncode == 0
-    assert "[snapshot]\nevery = 2s" in good.stdout
+    invalid_check = cli("check", "--settings", str(tmp_path / "bad.ini"), "--platform", str(tmp_path / "bad.json"))
+    assert invalid_check.returncode == 2
+    assert invalid_check.stderr.splitlines()[-1] == "3 faults"
+    assert "did you mean 'state'?" in invalid_check.stderr
+    assert "'nowhere' is no address; write host:port" in invalid_check.stderr
+    assert "did you mean 'seed'?" in invalid_check.stderr
+    valid_check = cli("check", "--settings", "deploy/thymeflow.ini", "--platform", "deploy/example.json", "--show")
+    assert valid_check.returncode == 0
+    assert "[snapshot]\nevery = 2s" in valid_check.stdout
     as_json = json.loads(cli("check", "--settings", str(tmp_path / "bad.ini"), "--json").stdout)
     assert [f["key"] for f in as_json["faults"]] == ["stat"]
     assert cli("status", "n0", "--state", str(tmp_path)).returncode == 6
--- a/thymeflow/fleet/control_requests.py
+++ b/thymeflow/fleet/control_requests.py
@@ -37,8 +37,7 @@
 
     kind: OperationKind
     count: int = 0  # Number of wanted members, for a SCALE only.
-    # Command line of members that start from now on; None leaves it unchanged.
-    program: str | None = None
+    program: str | None = None  # Command line of members that start from now on; None leaves it unchanged.
 
 
 class ControlRequests:
@@ -57,8 +56,7 @@
         self._handler = handler
         self._last_operation_id = 0
         self._callers: dict[int, ControlCaller] = {}  # Key: operation id.
-        # Key: id of the operation that replaced the program.
-        self._previous_programs: dict[int, str] = {}
+        self._previous_programs: dict[int, str] = {}  # Key: id of the operation that replaced the program.
         # The keys are the values of `do` in a request.
         self._commands: dict[str, Callable[[ControlCaller], None]] = {
             "status": self._send_status,
@@ -69,7 +67,7 @@
         }
 
     def handle(self, caller: ControlCaller, message: Message) -> None:
-        """Answer one request.
+        """Handle one request, and answer the caller.
 
         :raises ValueError: an argument of the request is invalid.
         """
@@ -132,7 +130,7 @@
 
 
 def parse_operation(kind: OperationKind, message: Message) -> OperationRequest:
-    """Return the operation that a request orders.
+    """Parse the operation that a request orders.
 
     :raises ValueError: the count or the program is invalid.
     """
--- a/thymeflow/fleet/lease_distributor.py
+++ b/thymeflow/fleet/lease_distributor.py
@@ -41,14 +41,11 @@
     def start(self, may_have_running_members: bool) -> None:
         """Continue from the previous supervisor's grant file.
 
-        `may_have_running_members` tells whether members that the file lists may still run.
+        Set `may_have_running_members` if members of the previous supervisor may still run.
         """
         self._issuer, error = grant_file.read(self._path, self._fleet_name, clock.monotonic(), may_have_running_members)
         if error:
-            log.emit(
-                LogKind.BUDGETS,
-                f"the previous grant file is not used; a new epoch begins without it: {error}",
-            )
+            log.emit(LogKind.BUDGETS, f"the previous grant file is not used; a new epoch begins without it: {error}")
         log.emit(
             LogKind.BUDGETS,
             f"lease epoch {self._issuer.epoch} begins; {len(self._issuer.records)} members may have older allocations",
--- a/thymeflow/fleet/member_lifecycle.py
+++ b/thymeflow/fleet/member_lifecycle.py
@@ -15,7 +15,7 @@
 from thymeflow.runtime.log_kinds import LogKind
 from thymeflow.settings.sections import Fleet
 
-_TIMED_STATES = (MemberState.WAITING, MemberState.STARTING, MemberState.REPLACING, MemberState.STOPPING)
+_STATES_WITH_DEADLINE = (MemberState.WAITING, MemberState.STARTING, MemberState.REPLACING, MemberState.STOPPING)
 
 
 class MemberLifecycle:
@@ -36,7 +36,7 @@
         self._on_fault = on_fault
         self._last_run_id = 0
         self._member_numbers: dict[int, int] = {}  # Key: run id.
-        # When to kill the runs that were asked to end because another run replaced them. Key: run id.
+        # When to kill replaced runs and abandoned successors that have not ended by then. Key: run id.
         self._retiring_deadlines: dict[int, float] = {}
 
     # --- queries -------------------------------------------------------------------------------------------
@@ -47,7 +47,7 @@
 
     def deadlines(self) -> list[float]:
         """Return the times at which `on_tick` is due for a member or a retiring run."""
-        pending = [member.deadline for member in self.members.values() if member.state in _TIMED_STATES]
+        pending = [member.deadline for member in self.members.values() if member.state in _STATES_WITH_DEADLINE]
         return [*pending, *self._retiring_deadlines.values()]
 
     def find_members_in_state(self, state: MemberState) -> list[Member]:
--- a/thymeflow/fleet/member_runs.py
+++ b/thymeflow/fleet/member_runs.py
@@ -15,7 +15,7 @@
         self._runs: dict[int, MemberRun] = {}
 
     def add(self, run: MemberRun) -> None:
-        """Add a run; replaces a run of the same id."""
+        """Add a run, or replace the run with the same id."""
         self._runs[run.run_id] = run
 
     def remove(self, run_id: int) -> None:
@@ -23,7 +23,7 @@
         self._runs.pop(run_id, None)
 
     def get(self, run_id: int) -> MemberRun | None:
-        """Return the run of an id, None if it has ended."""
+        """Return the run with this id, None if it has ended."""
         return self._runs.get(run_id)
 
     def has_run(self, number: int) -> bool:
--- a/thymeflow/fleet/member_state.py
+++ b/thymeflow/fleet/member_state.py
@@ -69,7 +69,7 @@
 
     number: int
     state: MemberState = MemberState.WAITING
-    deadline: float = 0.0  # When to start a waiting member, or when to give up waiting for a start or an end.
+    deadline: float = 0.0  # When to start a waiting member, or when a start or stop has taken too long.
     run_id: int = NO_RUN  # The process that serves or is starting to serve.
     successor_run_id: int = NO_RUN
     incarnation: str = ""
--- a/thymeflow/fleet/outlier_service.py
+++ b/thymeflow/fleet/outlier_service.py
@@ -22,7 +22,7 @@
 TICK_INTERVAL_SECONDS = 0.25  # Interval between evaluations of the reports.
 # Unchanged ejections and thresholds are sent again at this interval, which is a third of their lease.
 RENEWAL_INTERVAL_SECONDS = 1.0
-THRESHOLD_DECIMALS = 3  # Decimal places of a threshold in messages.
+THRESHOLD_DECIMALS = 3  # Number of decimals of a threshold in messages.
 # Texts of the log lines that report a new state of an ejection.
 STATE_TEXTS = {
     EjectionState.EJECTED: "ejected again",
--- a/thymeflow/fleet/processes.py
+++ b/thymeflow/fleet/processes.py
@@ -22,7 +22,7 @@
 from thymeflow.handover.control_socket import Message
 from thymeflow.runtime import clock
 
-CONNECT_RETRY_SECONDS = 0.05  # A starting process has no control socket yet, so connecting is retried.
+CONNECT_RETRY_SECONDS = 0.05  # Interval between connection attempts; a starting process has no control socket yet.
 LISTENING_DESCRIPTOR = 3  # The first descriptor of sd_listen_fds(3).
 SET_LISTEN_PID_SCRIPT = 'LISTEN_PID=$$ exec "$@"'  # sd_listen_fds(3) requires the process's own pid.
 
@@ -127,7 +127,7 @@
 
     def __init__(self) -> None:
         self._run: MemberRun | None = None
-        self._end_reason = ""  # Kept for a run that follows the process only after its end.
+        self._end_reason = ""  # Empty until the end. A run that follows the process later reads it.
 
     def report_end_to(self, run: MemberRun) -> None:
         """Notify a run of the process's end, at once if the process has already ended."""
--- a/thymeflow/fleet/rollout.py
+++ b/thymeflow/fleet/rollout.py
@@ -31,7 +31,7 @@
     rolling_number: int = NO_MEMBER
     failure: str = ""
     scaled_numbers: range = range(0)  # Numbers of the members that a scale adds or removes.
-    unreported: set[int] = field(default_factory=set)  # The part of `scaled_numbers` not reported yet.
+    unreported: set[int] = field(default_factory=set)  # Members in `scaled_numbers` not reported yet.
 
     def describe(self) -> str:
         """Return the operation's kind and its number of finished members as text."""
