--- a/thymeflow/fleet/control_requests.py
+++ b/thymeflow/fleet/control_requests.py
@@ -1,4 +1,4 @@
-"""The requests on the supervisor's control socket, and the operations that they order."""
+"""Handles the requests on the supervisor's control socket, and the operations that operators order there."""
 
 from __future__ import annotations
 
@@ -22,26 +22,26 @@
 
 @dataclass(frozen=True, slots=True)
 class RequestHandlers:
-    """The handlers of requests that order no operation; `reload` returns an error text, empty for success."""
+    """The handlers of requests that order no operation; `reload` returns an error text, which is empty on success."""
 
-    status: Callable[[], JsonObject]
-    lease_status: Callable[[], JsonObject]
-    outlier_status: Callable[[], JsonObject]
+    get_status: Callable[[], JsonObject]
+    get_lease_status: Callable[[], JsonObject]
+    get_outlier_status: Callable[[], JsonObject]
     reload: Callable[[], str]
     leave: Callable[[], None]
 
 
 @dataclass(frozen=True, slots=True)
 class OperationRequest:
-    """An operation that is ordered."""
+    """The content of a request that orders an operation."""
 
     kind: OperationKind
-    count: int = 0  # wanted members, of a SCALE
-    program: str | None = None  # command line of the members from now on; None: unchanged
+    count: int = 0  # Number of wanted members, for a SCALE only.
+    program: str | None = None  # Command line of members that start from now on; None leaves it unchanged.
 
 
 class ControlRequests:
-    """Answers callers, and reports the progress of operations to those who ordered them."""
+    """Answers callers, and reports the progress of each operation to the caller who ordered it."""
 
     def __init__(
         self,
@@ -55,9 +55,9 @@
         self._handlers = handlers
         self._handler = handler
         self._last_operation_id = 0
-        self._callers: dict[int, ControlCaller] = {}  # by operation
-        self._previous_programs: dict[int, str] = {}  # by operation that replaced the program
-        # The keys are the values of a request's `do`.
+        self._callers: dict[int, ControlCaller] = {}  # Key: operation id.
+        self._previous_programs: dict[int, str] = {}  # Key: id of the operation that replaced the program.
+        # The keys are the values of `do` in a request.
         self._commands: dict[str, Callable[[ControlCaller], None]] = {
             "status": self._send_status,
             "budgets": self._send_lease_status,
@@ -67,31 +67,31 @@
         }
 
     def handle(self, caller: ControlCaller, message: Message) -> None:
-        """Answer one request.
+        """Handle one request, and answer the caller.
 
-        :raises ValueError: an argument is invalid.
+        :raises ValueError: an argument of the request is invalid.
         """
         command = message.get("do")
         if isinstance(command, str) and command in self._commands:
             self._commands[command](caller)
         elif command in OPERATION_COMMANDS:
-            self.begin_operation(caller, operation_from_message(OperationKind(command), message))
+            self.begin_operation(caller, parse_operation(OperationKind(command), message))
         else:
             commands = ", ".join([*self._commands, *OPERATION_COMMANDS])
             caller.send({"ok": False, "why": f"'do' is {str(command)[:40]!r}; it may be {commands}"})
 
     def begin_operation(self, caller: ControlCaller | None, request: OperationRequest) -> None:
-        """Order an operation, for a caller or for the supervisor itself."""
+        """Start an operation that a caller orders; `caller` is None if the supervisor orders it."""
         self._last_operation_id += 1
         operation_id = self._last_operation_id
         if caller is not None:
             caller.is_persistent = True
             self._callers[operation_id] = caller
         if request.program is not None and not self._controller.describe_operation():
-            self._previous_programs[operation_id] = self._environment.use_program(request.program)
+            self._previous_programs[operation_id] = self._environment.replace_program(request.program)
         suffix = f" to {request.count}" if request.kind is OperationKind.SCALE else ""
-        log.emit(LogKind.ORDER, f"{request.kind.value}{suffix}")
-        self._handler.decide(Operation(operation_id, request.kind, request.count))
+        log.emit(LogKind.ORDER, f"operation ordered: {request.kind.value}{suffix}")
+        self._handler.handle_event(Operation(operation_id, request.kind, request.count))
 
     def report(self, report: ReportProgress) -> None:
         """Log a report of an operation, and send it to the caller who ordered it."""
@@ -100,40 +100,41 @@
             self._restore_program(report)
         caller = self._callers.get(report.operation_id)
         if caller is not None and not caller.is_closed:
-            caller.send(_progress_message(report))
+            caller.send(_build_progress_message(report))
         if report.is_done:
             self._callers.pop(report.operation_id, None)
 
     def _restore_program(self, report: ReportProgress) -> None:
         previous = self._previous_programs.pop(report.operation_id, None)
         if previous is not None and not report.is_successful:
-            self._environment.use_program(previous)  # the next restart must not use a program that failed
+            # The next restart must not use a program that failed.
+            self._environment.replace_program(previous)
 
     def _send_status(self, caller: ControlCaller) -> None:
-        caller.send({"ok": True, **self._handlers.status()})
+        caller.send({"ok": True, **self._handlers.get_status()})
 
     def _send_lease_status(self, caller: ControlCaller) -> None:
-        caller.send({"ok": True, **self._handlers.lease_status()})
+        caller.send({"ok": True, **self._handlers.get_lease_status()})
 
     def _send_outlier_status(self, caller: ControlCaller) -> None:
-        caller.send({"ok": True, **self._handlers.outlier_status()})
+        caller.send({"ok": True, **self._handlers.get_outlier_status()})
 
     def _reload(self, caller: ControlCaller) -> None:
         error = self._handlers.reload()
         caller.send({"ok": not error, "why": error})
 
     def _leave(self, caller: ControlCaller) -> None:
-        log.emit(LogKind.LEAVE, "the supervisor ends; its members keep serving")
+        log.emit(LogKind.LEAVE, "the supervisor exits on request; its members keep serving without a supervisor")
         caller.send({"ok": True, "why": f"{len(self._controller.members)} members go on by themselves"})
         self._handlers.leave()
 
 
-def operation_from_message(kind: OperationKind, message: Message) -> OperationRequest:
-    """Return the operation that a request orders.
+def parse_operation(kind: OperationKind, message: Message) -> OperationRequest:
+    """Parse the operation that a request orders.
 
     :raises ValueError: the count or the program is invalid.
     """
-    # Plain ValueErrors: the control socket shows callers the name of the type.
+    # Raises plain ValueErrors, because the control socket shows the name of the exception's type to callers.
     count = _parse_count(message.get("count", 0)) if kind is OperationKind.SCALE else 0
     program = message.get("program")
     if program is not None and (not isinstance(program, str) or len(program) > MAX_PROGRAM_CHARACTERS):
@@ -150,7 +151,7 @@
         raise ValueError(text) from None
 
 
-def _progress_message(report: ReportProgress) -> Message:
+def _build_progress_message(report: ReportProgress) -> Message:
     if report.is_done:
         return {"ok": report.is_successful, "why": report.text}
     return {"text": report.text}
--- a/thymeflow/fleet/member_lifecycle.py
+++ b/thymeflow/fleet/member_lifecycle.py
@@ -1,6 +1,6 @@
 """The lifecycle of fleet members: starts, adoptions, stops, replacements and crashes.
 
-A *run* is one process of a member, identified by a number; reports about a run that is over change nothing.
+A *run* is one process of a member, identified by a number. Reports about a run that has ended are ignored.
 """
 
 from __future__ import annotations
@@ -15,11 +15,11 @@
 from thymeflow.runtime.log_kinds import LogKind
 from thymeflow.settings.sections import Fleet
 
-_TIMED_STATES = (MemberState.WAITING, MemberState.STARTING, MemberState.REPLACING, MemberState.STOPPING)
+_STATES_WITH_DEADLINE = (MemberState.WAITING, MemberState.STARTING, MemberState.REPLACING, MemberState.STOPPING)
 
 
 class MemberLifecycle:
-    """All members of a fleet and their runs; `on_fault` is called with each member that fails and the reason."""
+    """Tracks all members of a fleet and their runs; calls `on_fault` with each member that fails and the reason."""
 
     def __init__(
         self,
@@ -29,44 +29,45 @@
         on_fault: Callable[[Member, str], None],
     ) -> None:
         self.members: dict[int, Member] = {}
-        self.fleet_size = 0  # as members are notified of it
+        self.fleet_size = 0  # The size that members are notified of.
         self._settings = settings
         self._policy = policy
         self._decisions = decisions
         self._on_fault = on_fault
         self._last_run_id = 0
-        self._member_numbers: dict[int, int] = {}  # by run
-        self._retiring_until: dict[int, float] = {}  # runs that are to end, and when they are killed
+        self._member_numbers: dict[int, int] = {}  # Key: run id.
+        # When to kill replaced runs and abandoned successors that have not ended by then. Key: run id.
+        self._retiring_deadlines: dict[int, float] = {}
 
     # --- queries -------------------------------------------------------------------------------------------
 
     def has_retiring_runs(self) -> bool:
-        """Return whether replaced runs or abandoned successors have yet to end."""
-        return bool(self._retiring_until)
+        """Return whether any replaced run or abandoned successor has not ended yet."""
+        return bool(self._retiring_deadlines)
 
     def deadlines(self) -> list[float]:
-        """Return the times at which `on_tick` would change something."""
-        pending = [member.deadline for member in self.members.values() if member.state in _TIMED_STATES]
-        return [*pending, *self._retiring_until.values()]
+        """Return the times at which `on_tick` is due for a member or a retiring run."""
+        pending = [member.deadline for member in self.members.values() if member.state in _STATES_WITH_DEADLINE]
+        return [*pending, *self._retiring_deadlines.values()]
 
-    def in_state(self, state: MemberState) -> list[Member]:
+    def find_members_in_state(self, state: MemberState) -> list[Member]:
         """Return the members in a state."""
         return [member for member in self.members.values() if member.state is state]
 
-    def _member_of(self, run_id: int) -> Member | None:
+    def _find_member(self, run_id: int) -> Member | None:
         number = self._member_numbers.get(run_id)
         return None if number is None else self.members.get(number)
 
     # --- starts --------------------------------------------------------------------------------------------
 
     def start_fleet(self, count: int) -> None:
-        """Schedule the members that are missing of `count`, and stop those beyond it."""
+        """Schedule the start of each missing member below number `count`, and stop the members from `count` on."""
         adopted_count = len(self.members)
         missing = [number for number in range(count) if number not in self.members]
         for position, number in enumerate(missing):
-            # Spread, so that counter, discovery and backends are not loaded in one instant. Where members were
-            # adopted, the missing ones died while no supervisor ran: they are started at once.
-            delay = 0.0 if adopted_count else self._policy.spread_delay_seconds(position, len(missing))
+            # Starts are spread over time, so that they do not load the counter, discovery and the backends all at
+            # once. If members were adopted, the missing members died while no supervisor ran, so they start at once.
+            delay = 0.0 if adopted_count else self._policy.compute_spread_delay_seconds(position, len(missing))
             self.members[number] = Member(number, deadline=self._decisions.now + delay)
         surplus = [member for member in self.members.values() if member.number >= count]
         self.resize(max([count, *(member.number + 1 for member in surplus)]))
@@ -76,20 +77,20 @@
             text = f"{adopted_count} members were running and are adopted, {len(missing)} are started"
             self._decisions.log(LogKind.FLEET, text)
 
-    def add_joining(self, numbers: range) -> None:
-        """Schedule the start of new members that join a running set."""
+    def schedule_joining_members(self, numbers: range) -> None:
+        """Schedule the start of new members that join the running set."""
         for position, number in enumerate(numbers):
-            delay = self._policy.spread_delay_seconds(position, len(numbers))
+            delay = self._policy.compute_spread_delay_seconds(position, len(numbers))
             self.members[number] = Member(number, deadline=self._decisions.now + delay, is_joining=True)
 
     def resize(self, size: int) -> None:
-        """Notify all members of the fleet's size, if it has changed."""
+        """Set the fleet size, and notify all members if it has changed."""
         if size != self.fleet_size:
             self.fleet_size = size
             self._decisions.add(ResizeFleet(size))
 
     def adopt(self, number: int, incarnation: str, is_serving: bool) -> None:
-        """Add a member that runs already."""
+        """Add a member that is already running."""
         member = Member(number)
         self.members[number] = member
         member.run_id = self._new_run(member)
@@ -101,7 +102,7 @@
             member.healthy_since = self._decisions.now
 
     def reset(self, member: Member) -> None:
-        """Start a member that ended on purpose or is in a crash loop, at the next tick."""
+        """Schedule a stopped or crash-looping member to start at the next tick."""
         member.apply(Transition.RESET)
         member.deadline = self._decisions.now
 
@@ -127,19 +128,19 @@
         member.is_killed = False
         action = StartProcess(member.run_id, member.number, is_joining=member.is_joining, is_replacement=False)
         self._decisions.add(action)
-        # Only the first start joins the set; after a crash it is a member of the set already.
+        # Only the first start joins the set. A member that starts after a crash already belongs to the set.
         member.is_joining = False
 
     # --- stops ---------------------------------------------------------------------------------------------
 
     def stop(self, member: Member, *, restart: bool = False) -> None:
-        """Stop a member gracefully, and start it again afterwards where `restart` is set."""
+        """Stop a member gracefully; if `restart` is set, start it again after it has ended."""
         member.is_restarting = restart
         if member.successor_run_id != NO_RUN:
             self._abandon_replacement(member)
         if member.state in (MemberState.WAITING, MemberState.CRASH_LOOP):
             member.apply(Transition.STOP)
-            self._after_stop(member)
+            self._finish_stop(member)
         elif member.state not in (MemberState.STOPPING, MemberState.STOPPED):
             member.apply(Transition.STOP)
             member.deadline = self._decisions.now + self._settings.stop
@@ -147,8 +148,8 @@
             self._decisions.add(StopProcess(member.run_id))
 
     def _abandon_replacement(self, member: Member) -> None:
-        # The progress of the handover is not known here. Either process ends gracefully on SIGTERM, while
-        # killing one could lose requests.
+        # The controller does not know the progress of the handover. Both processes end gracefully on SIGTERM, while
+        # a kill could lose requests.
         if member.run_id == NO_RUN:
             member.run_id = member.successor_run_id
         else:
@@ -156,20 +157,20 @@
             self._decisions.add(StopProcess(member.successor_run_id))
         member.successor_run_id = NO_RUN
 
-    def _after_stop(self, member: Member) -> None:
+    def _finish_stop(self, member: Member) -> None:
         if member.is_restarting:
             member.is_restarting = False
             self.reset(member)
 
     def _retire(self, run_id: int) -> None:
-        self._retiring_until[run_id] = self._decisions.now + self._settings.stop
+        self._retiring_deadlines[run_id] = self._decisions.now + self._settings.stop
 
     # --- events --------------------------------------------------------------------------------------------
 
     def on_status(self, status: StatusReported) -> None:
         """Handle the status report of a run."""
-        member = self._member_of(status.run_id)
-        if member is None or status.run_id in self._retiring_until:
+        member = self._find_member(status.run_id)
+        if member is None or status.run_id in self._retiring_deadlines:
             return
         if status.run_id == member.successor_run_id:
             if status.is_serving:
@@ -200,8 +201,8 @@
     def on_run_ended(self, run_id: int, reason: str) -> None:
         """Handle the end of a run."""
         number = self._member_numbers.pop(run_id, None)
-        if run_id in self._retiring_until:
-            del self._retiring_until[run_id]
+        if run_id in self._retiring_deadlines:
+            del self._retiring_deadlines[run_id]
             return
         member = None if number is None else self.members.get(number)
         if member is None:
@@ -214,10 +215,10 @@
     def _on_serving_run_ended(self, member: Member, reason: str) -> None:
         member.run_id = NO_RUN
         if member.successor_run_id != NO_RUN:
-            return  # the successor either reports that it serves, or ends too
+            return  # The successor will report that it serves, or end too.
         if member.state is MemberState.STOPPING:
             member.apply(Transition.END)
-            self._after_stop(member)
+            self._finish_stop(member)
             return
         self._on_crash(member, reason)
 
@@ -241,7 +242,7 @@
             self._decisions.log(LogKind.CRASH_LOOP, text)
         else:
             member.apply(Transition.END)
-            backoff = self._policy.backoff_seconds(crash_count)
+            backoff = self._policy.compute_backoff_seconds(crash_count)
             member.deadline = self._decisions.now + backoff
             self._decisions.log(LogKind.MEMBER, f"{member.number} {reason}; started again in {backoff:.2f} s")
         self._on_fault(member, f"it {reason}")
@@ -249,12 +250,12 @@
     # --- time ----------------------------------------------------------------------------------------------
 
     def on_tick(self) -> None:
-        """Start the members whose time has come, and kill the runs that have taken too long."""
+        """Start the members whose start is due, and kill the runs that have exceeded their deadline."""
         for member in list(self.members.values()):
             if self._decisions.now >= member.deadline:
                 self._on_deadline(member)
-        for run_id, until in self._retiring_until.items():
-            if self._decisions.now >= until:
+        for run_id, deadline in self._retiring_deadlines.items():
+            if self._decisions.now >= deadline:
                 self._retire(run_id)
                 self._decisions.add(KillProcess(run_id))
 
@@ -271,7 +272,7 @@
             self._on_replacement_failed(member, f"was not ready within {self._settings.ready:g} s")
 
     def _kill(self, member: Member, reason: str, retry_seconds: float) -> None:
-        # A process in the middle of a disk write cannot die at once: it is killed again later, not waited for.
+        # A process that waits for a disk write does not die at once. The kill is repeated after `retry_seconds`.
         if not member.is_killed:
             member.is_killed = True
             self._decisions.log(LogKind.MEMBER, f"{member.number} {reason}: killed")
--- a/thymeflow/fleet/member_processes.py
+++ b/thymeflow/fleet/member_processes.py
@@ -1,4 +1,4 @@
-"""Starts the processes of members, and follows each of them from its start or adoption to its end."""
+"""Starts the processes of members, and follows each process from its start or adoption to its end."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 from thymeflow.fleet.actions import StartProcess
 from thymeflow.fleet.events import EventHandler, RunEnded, StatusReported
 from thymeflow.fleet.lease_distributor import LeaseDistributor
-from thymeflow.fleet.member_messages import STATUS_REQUEST, MemberStatus, status_from_message
+from thymeflow.fleet.member_messages import STATUS_REQUEST, MemberStatus, parse_status
 from thymeflow.fleet.member_runs import MemberRuns
 from thymeflow.fleet.member_sockets import MemberSockets, format_address
 from thymeflow.fleet.member_state import NO_RUN, Member
@@ -25,11 +25,11 @@
     ChildProcess,
     MemberRun,
     RunProcess,
-    member_command,
+    build_member_command,
     spawn_member,
 )
 from thymeflow.fleet.reactor import FleetReactor
-from thymeflow.fleet.registry import ConfigurationTemplate, FleetNames, read_template, write_member
+from thymeflow.fleet.registry import ConfigurationTemplate, FleetNames, read_template, write_member_configuration
 from thymeflow.handover import control_client
 from thymeflow.handover.control_socket import Message
 from thymeflow.leases.allocation import EMPTY_ALLOCATION, message_of
@@ -37,45 +37,45 @@
 from thymeflow.runtime.log_kinds import LogKind
 from thymeflow.settings.sections import Fleet
 
-STATUS_TIMEOUT_SECONDS = 1.0  # within which a running member answers
+STATUS_TIMEOUT_SECONDS = 1.0  # A member that has not answered by then counts as not running.
 OUTPUT_FILE_MODE = 0o600
-SUPERVISOR_VARIABLES = ("LISTEN_", "NOTIFY_")  # prefixes of variables that members do not inherit
+SUPERVISOR_VARIABLE_PREFIXES = ("LISTEN_", "NOTIFY_")  # Members do not inherit these environment variables.
 
 
 class ProcessEnvironment:
-    """What all processes of members are started with."""
+    """The command line, environment, output file and configuration that the processes of members start with."""
 
     def __init__(self, options: SupervisorOptions, settings: Fleet, names: FleetNames) -> None:
         self.names = names
-        self.program = options.program  # command line; empty: this program
-        self.output_descriptor = -1  # -1 until `open`
+        self.program = options.program  # Command line; empty for this program.
+        self.output_descriptor = -1  # -1 until `open_output`.
         self.template: ConfigurationTemplate = {}
         self._options = options
         self._settings = settings
 
     def read_template(self) -> None:
-        """Read the platform's configuration, which later starts use.
+        """Read the platform's configuration, which all later starts use.
 
-        :raises ConfigurationError: it is invalid; the previous one stays in use.
+        :raises ConfigurationError: the configuration is invalid; the previous one stays in use.
         """
         self.template = read_template(self._options.platform_path)
 
     def open_output(self) -> None:
-        """Open the file that the output of all processes goes to.
+        """Open the file to which all processes write their output.
 
-        :raises OSError: it cannot be opened.
+        :raises OSError: the file cannot be opened.
         """
         path = self.names.supervisor_path("out")
         self.output_descriptor = os.open(path, os.O_WRONLY | os.O_APPEND | os.O_CREAT | os.O_CLOEXEC, OUTPUT_FILE_MODE)
 
-    def use_program(self, program: str) -> str:
-        """Start later processes with this command line; return the previous one."""
+    def replace_program(self, program: str) -> str:
+        """Set the command line of processes that start from now on, and return the previous command line."""
         previous = self.program
         self.program = program
         return previous
 
-    def command(self, action: StartProcess) -> list[str]:
-        """Return the command line of a process."""
+    def build_command(self, action: StartProcess) -> list[str]:
+        """Return the command line of the process to start."""
         arguments = ["--platform", str(self.names.path(action.number, "json"))]
         arguments += ["--state", str(self.names.folder), "--detach"]
         if self._options.settings_path:
@@ -84,11 +84,13 @@
             arguments.append("--joins")
         if action.is_replacement:
             arguments.append("--take-over")
-        return member_command(shlex.split(self.program), arguments)
+        return build_member_command(shlex.split(self.program), arguments)
 
-    def variables(self) -> dict[str, str]:
-        """Return the environment variables of a process."""
-        variables = {name: value for name, value in os.environ.items() if not name.startswith(SUPERVISOR_VARIABLES)}
+    def build_variables(self) -> dict[str, str]:
+        """Return the environment variables of the process to start."""
+        variables = {
+            name: value for name, value in os.environ.items() if not name.startswith(SUPERVISOR_VARIABLE_PREFIXES)
+        }
         variables["THYMEFLOW_DAEMON_DRAIN_LINGER"] = f"{self._settings.linger:g}s"
         return variables
 
@@ -96,7 +98,8 @@
 class MemberProcesses:
     """Starts, adopts and follows the processes of all members.
 
-    Status reports and ends become events for the handler; reports to leases and outliers are passed on to these.
+    Passes status reports and the ends of processes to the handler as events, allocation reports to the lease
+    distributor, and outlier reports to the outlier service.
     """
 
     def __init__(
@@ -123,7 +126,10 @@
     # --- requests and messages ------------------------------------------------------------------------------
 
     def request_status(self, number: int) -> Deferred[MemberStatus]:
-        """Request the status of whichever process has the member's name; fails where none answers."""
+        """Request the status of the process that owns the member's control socket.
+
+        The Deferred fails if no process answers within `STATUS_TIMEOUT_SECONDS`.
+        """
         requested = control_client.send_request(
             self._reactor,
             self._deadlines,
@@ -131,40 +137,43 @@
             STATUS_REQUEST,
             clock.now() + STATUS_TIMEOUT_SECONDS,
         )
-        return requested.addCallback(status_from_message)
+        return requested.addCallback(parse_status)
 
     def resize(self, members: dict[int, Member], fleet_size: int) -> None:
-        """Rewrite the configuration of all members for a size, and let those that run read it again."""
+        """Rewrite the configuration of each running member for a fleet size, and signal the member to reload it."""
         for number, member in members.items():
             if number not in self._sockets or member.run_id == NO_RUN:
                 continue
             try:
                 listen = self._sockets.address_text(number)
-                write_member(self._names, self._environment.template, listen, number, fleet_size)
+                write_member_configuration(self._names, self._environment.template, listen, number, fleet_size)
             except OSError as error:
-                log.emit(LogKind.RESIZE, f"{self._names.name(number)} was not notified: {error}")
+                log.emit(
+                    LogKind.RESIZE,
+                    f"{self._names.name(number)} was not notified of the fleet size {fleet_size}: {error}",
+                )
                 continue
             self._runs.send_signal(member.run_id, signal.SIGHUP)
 
     # --- starts --------------------------------------------------------------------------------------------
 
     def start(self, action: StartProcess) -> None:
-        """Start a process, or adopt one that already runs under the member's name."""
+        """Start a process, or adopt the one that already runs under the member's name."""
         spawn = partial(self._spawn, action)
         if action.is_replacement or not self._names.path(action.number, "sock").is_symlink():
             spawn()
             return
-        # A process that answers to the name was in a handover that the previous supervisor had begun.
+        # If a process answers under this name, it was in a handover that the previous supervisor had begun.
         self.request_status(action.number).addCallbacks(
             partial(self._adopt_or_spawn, action, spawn), partial(_call_ignoring_failure, spawn)
         )
 
     def _adopt_or_spawn(self, action: StartProcess, spawn: Callable[[], None], status: MemberStatus) -> None:
-        process = self._adopted_process(status)
+        process = self._find_running_process(status)
         if process is None:
             spawn()
             return
-        log.emit(LogKind.ADOPTED, f"{self._names.name(action.number)}, pid {status.pid}")
+        log.emit(LogKind.ADOPTED, f"adopted the running member {self._names.name(action.number)}, pid {status.pid}")
         self.follow(RunProcess(action.run_id, action.number, status.pid, process))
 
     def _spawn(self, action: StartProcess) -> None:
@@ -173,16 +182,16 @@
             child, pid = self._spawn_process(action)
         except (OSError, ValueError) as error:
             event = RunEnded(action.run_id, f"could not be started: {error}")
-            self._reactor.callLater(0, self._handler.decide, event)
+            self._reactor.callLater(0, self._handler.handle_event, event)
             return
-        suffix = ", to take over" if action.is_replacement else ""
-        log.emit(LogKind.STARTED, f"{name}, pid {pid}{suffix}", number=action.number)
+        suffix = ", to take over from the running process" if action.is_replacement else ""
+        log.emit(LogKind.STARTED, f"started a process of {name}, pid {pid}{suffix}", number=action.number)
         self.follow(RunProcess(action.run_id, action.number, pid, child))
 
     def _spawn_process(self, action: StartProcess) -> tuple[ChildProcess, int]:
         listening = self._sockets.open(action.number)
-        allocation = self._initial_allocation(action)
-        write_member(
+        allocation = self._build_initial_allocation(action)
+        write_member_configuration(
             self._names,
             self._environment.template,
             format_address(listening),
@@ -192,18 +201,18 @@
         )
         return spawn_member(
             self._reactor,
-            self._environment.command(action),
-            self._environment.variables(),
+            self._environment.build_command(action),
+            self._environment.build_variables(),
             self._environment.output_descriptor,
             None if action.is_replacement else listening,
         )
 
-    def _initial_allocation(self, action: StartProcess) -> Message:
+    def _build_initial_allocation(self, action: StartProcess) -> Message:
         if action.is_replacement:
             return message_of(EMPTY_ALLOCATION)
         return self._leases.on_starting(self._names.name(action.number))
 
-    def _adopted_process(self, status: MemberStatus) -> AdoptedProcess | None:
+    def _find_running_process(self, status: MemberStatus) -> AdoptedProcess | None:
         try:
             return AdoptedProcess(self._reactor, status.pid)
         except OSError:
@@ -212,11 +221,11 @@
     # --- following -----------------------------------------------------------------------------------------
 
     def follow(self, process: RunProcess) -> None:
-        """Follow a process until it ends."""
+        """Connect to a process's control socket and handle its reports until it ends."""
         path = self._names.path(process.number, "sock")
         run = MemberRun(self._reactor, self._deadlines, path, process, self)
         self._runs.add(run)
-        # Not at once: the actions that this start is one of are still being carried out.
+        # Deferred to the reactor's next turn, because the other actions of the same event are still being carried out.
         self._reactor.callLater(0, process.handle.report_end_to, run)
         run.connect()
 
@@ -227,11 +236,11 @@
             self._leases.on_report(name, status.allocation_report)
         if status.outlier_report is not None:
             self._outliers.on_report(name, status.outlier_report)
-        self._handler.decide(StatusReported(run.run_id, status.incarnation, status.is_serving, status.is_healthy))
+        self._handler.handle_event(StatusReported(run.run_id, status.incarnation, status.is_serving, status.is_healthy))
 
     def on_disconnected(self, run: MemberRun) -> None:
         """Handle the end of the connection to a run."""
-        if self._runs.has_run_of(run.number):
+        if self._runs.has_run(run.number):
             self._leases.on_disconnected(self._names.name(run.number))
             self._outliers.on_member_gone(self._names.name(run.number))
 
@@ -241,26 +250,29 @@
         if not run.is_adopted:
             end_run()
             return
-        # An adopted process may have been in a handover that the previous supervisor had begun: then its
-        # successor answers to the name, and is the same member.
+        # An adopted process may have been in a handover that the previous supervisor had begun. Its successor then
+        # answers under the name and is the same member.
         self.request_status(run.number).addCallbacks(
             partial(self._follow_successor, run, end_run), partial(_call_ignoring_failure, end_run)
         )
 
     def _follow_successor(self, run: MemberRun, end_run: Callable[[], None], status: MemberStatus) -> None:
-        process = self._adopted_process(status)
+        process = self._find_running_process(status)
         if process is None:
             end_run()
             return
-        log.emit(LogKind.ADOPTED, f"{self._names.name(run.number)}, pid {status.pid}, which took over")
+        log.emit(
+            LogKind.ADOPTED,
+            f"adopted the successor of {self._names.name(run.number)}, pid {status.pid}, which took over",
+        )
         self.follow(RunProcess(run.run_id, run.number, status.pid, process))
 
     def _end_run(self, run: MemberRun, reason: str) -> None:
         self._runs.remove(run.run_id)
-        if not self._runs.has_run_of(run.number):
+        if not self._runs.has_run(run.number):
             self._leases.on_death(self._names.name(run.number))
             self._outliers.on_member_gone(self._names.name(run.number))
-        self._handler.decide(RunEnded(run.run_id, reason))
+        self._handler.handle_event(RunEnded(run.run_id, reason))
 
 
 def _call_ignoring_failure(function: Callable[[], None], _: Failure) -> None:
--- a/thymeflow/fleet/supervisor.py
+++ b/thymeflow/fleet/supervisor.py
@@ -1,8 +1,8 @@
-"""The supervisor of a fleet: carries out what its controller decides, with processes, sockets and files.
+"""The supervisor of a fleet: carries out the controller's actions with processes, sockets and files.
 
-It keeps every listening socket open and passes it to the members (LISTEN_FDS), so that an address accepts connections
-while its member restarts. Members run in sessions of their own and keep serving when the supervisor dies; the next
-one finds them by their control sockets, copies each listening socket from them, and continues.
+The supervisor keeps every listening socket open and passes it to the member (LISTEN_FDS), so that the address accepts
+connections while the member restarts. Members run in sessions of their own and keep serving when the supervisor dies.
+The next supervisor finds them by their control sockets, copies their listening sockets, and continues.
 """
 
 from __future__ import annotations
@@ -44,7 +44,7 @@
 from thymeflow.fleet.reactor import FleetReactor
 from thymeflow.fleet.registry import FleetNames, MemberRegistry
 from thymeflow.fleet.registry_store import RegistryStore
-from thymeflow.fleet.status_messages import JsonObject, fleet_status
+from thymeflow.fleet.status_messages import JsonObject, build_fleet_status
 from thymeflow.handover.control_socket import ControlError, ControlServer
 from thymeflow.logs.structured import StructuredLog
 from thymeflow.platform import configuration
@@ -52,12 +52,12 @@
 from thymeflow.runtime.log_kinds import LogKind
 from thymeflow.settings import SettingsError
 
-EXIT_DELAY_SECONDS = 0.1  # in which the last answer leaves
-MAX_CALLERS = 32  # of the control socket at a time
+EXIT_DELAY_SECONDS = 0.1  # Time to send the last answer before the reactor stops.
+MAX_CALLERS = 32  # Concurrent connections to the control socket.
 
 
 class Supervisor:
-    """Runs a fleet until it is down, or until an operator lets the members run without a supervisor."""
+    """Runs a fleet until it has shut down, or until an operator orders the supervisor to leave the members running."""
 
     def __init__(self, options: SupervisorOptions, reactor: FleetReactor) -> None:
         self.settings = options.read_settings()
@@ -95,13 +95,15 @@
             self._outliers,
             self,
         )
-        handlers = RequestHandlers(self.status, self._leases.status, self._outliers.status, self._reload, self._end)
+        handlers = RequestHandlers(
+            self.status, self._leases.status, self._outliers.status, self._reload, self._schedule_stop
+        )
         self._requests = ControlRequests(self._controller, self._environment, handlers, self)
 
     # --- start and end -------------------------------------------------------------------------------------
 
     def start(self) -> None:
-        """Take the fleet's name, adopt the members that run, and begin.
+        """Acquire the lock of the fleet's name, adopt the running members, and start the missing ones.
 
         :raises SupervisorError: the supervisor cannot start.
         """
@@ -123,12 +125,12 @@
             self._reactor, self._names, self._controller, self._processes, self._sockets, self._carry_out
         )
         adoptions = [adopter.adopt(number) for number in self._names.find_control_sockets()]
-        DeferredList(adoptions, consumeErrors=True).addCallback(self._begin, previous)
+        DeferredList(adoptions, consumeErrors=True).addCallback(self._start_fleet, previous)
 
     def run(self) -> int:
-        """Supervise until the end, and return the exit code."""
-        # Twisted's own handler is needed for SIGCHLD, by which it learns of its children's ends; ours replace
-        # its other ones.
+        """Run the reactor until it stops, and return the exit code."""
+        # Twisted installs its signal handlers when the reactor starts. Its SIGCHLD handler has to stay, because it
+        # reports the ends of child processes; the supervisor's handlers then replace the other ones.
         self._reactor.callWhenRunning(self._install_signal_handlers)
         self._reactor.run()
         self._control.close()
@@ -156,17 +158,19 @@
         if previous is not None:
             self._sockets.restore_ports(previous.ports)
             if previous.working:
-                log.emit(LogKind.ROLL, f"{previous.working}, when the last supervisor ended; it is not resumed")
+                log.emit(
+                    LogKind.ROLL, f"{previous.working}, when the last supervisor ended; this operation is not resumed"
+                )
         return previous
 
-    def _begin(self, adoptions: list[tuple[bool, int | None]], previous: MemberRegistry | None) -> None:
+    def _start_fleet(self, adoptions: list[tuple[bool, int | None]], previous: MemberRegistry | None) -> None:
         has_adopted = any(is_successful and number is not None for is_successful, number in adoptions)
         for name in self._leases.holders():
             if is_name_free(self._names.folder / f"{name}.lock"):
-                self._leases.on_death(name)  # the kernel has released the lock: its process has ended
-        # Where members still run, the count that was ordered last applies; otherwise that of the settings.
+                self._leases.on_death(name)  # The kernel has released the lock, so the process has ended.
+        # If members still run, the count that was ordered last applies; otherwise the count in the settings applies.
         count = previous.count if previous is not None and has_adopted else self._fleet.instances
-        self.decide(FleetStarted(count))
+        self.handle_event(FleetStarted(count))
         self._notifier.notify(ready=1, mainpid=os.getpid(), status=f"{count} members")
 
     def _install_signal_handlers(self) -> None:
@@ -180,21 +184,21 @@
     def _shut_down(self) -> None:
         self._requests.begin_operation(None, OperationRequest(OperationKind.SHUTDOWN))
 
-    def _end(self) -> None:
-        # Counted from the reactor's next turn: this one may still wait for the disk, and the last answer would
-        # not have left when the delay was over.
+    def _schedule_stop(self) -> None:
+        # The delay starts in the reactor's next turn. The current turn may still wait for the disk, so that the delay
+        # could be over before the last answer is sent.
         self._reactor.callLater(0, self._reactor.callLater, EXIT_DELAY_SECONDS, self._reactor.stop)
 
     # --- decisions -----------------------------------------------------------------------------------------
 
-    def decide(self, event: Event) -> None:
-        """Let the controller decide on an event, and carry out its actions."""
+    def handle_event(self, event: Event) -> None:
+        """Pass an event to the controller, and carry out the resulting actions."""
         self._carry_out(self._controller.handle(clock.now(), event))
 
     def _carry_out(self, actions: list[Action]) -> None:
         for action in actions:
             self._carry_out_action(action)
-        self._sockets.close_all_but(self._controller.members)
+        self._sockets.close_all_except(self._controller.members)
         self._write_registry()
         self._set_tick_timer()
 
@@ -214,11 +218,11 @@
                 self._requests.report(action)
             case Exit():
                 self._notifier.notify(stopping=1)
-                self._end()
+                self._schedule_stop()
 
     def _write_registry(self) -> None:
         wanted_count = self._controller.wanted_count
-        if wanted_count:  # 0 until the fleet has started
+        if wanted_count:  # The count is 0 until the fleet has started.
             operation = self._controller.describe_operation()
             self._registry.write_if_changed(MemberRegistry(wanted_count, self._sockets.ports, operation))
 
@@ -229,16 +233,19 @@
             self._tick_timer = self._deadlines.schedule(max(deadline, clock.now()), self._on_tick_timer)
 
     def _on_tick_timer(self, _: int) -> None:
-        self.decide(Tick())
+        self.handle_event(Tick())
 
     # --- members -------------------------------------------------------------------------------------------
 
     def fleet_size(self) -> int:
-        """Return the size of the fleet that members are notified of."""
+        """Return the fleet size that members are notified of."""
         return self._controller.fleet_size
 
     def _reload(self) -> str:
-        """Read the settings and the platform's file again; where they are invalid, return why and change nothing."""
+        """Read the settings and the platform's file again.
+
+        If they are invalid, change nothing and return the reason; otherwise return an empty text.
+        """
         try:
             settings = self._options.read_settings()
             self._environment.read_template()
@@ -248,17 +255,19 @@
             return reason
         self._log.set_level(settings.log.level)
         self._processes.resize(self._controller.members, self._controller.fleet_size)
-        log.emit(LogKind.RELOAD, "every member reads its configuration again")
+        log.emit(
+            LogKind.RELOAD, "the settings were read again; every member is signalled to read its configuration again"
+        )
         return ""
 
     def status(self) -> JsonObject:
-        """Return the status of the fleet and of each member in the form of the control socket."""
-        return fleet_status(self._controller, self._names, self._runs, self._sockets)
+        """Return the status of the fleet and of each member in the control socket's format."""
+        return build_fleet_status(self._controller, self._names, self._runs, self._sockets)
 
 
 def supervise(options: SupervisorOptions) -> int:
-    """Run a supervisor in the foreground, and return its exit code."""
-    from twisted.internet import reactor  # installed on import, so not before it is needed
+    """Run a supervisor in the foreground until it stops, and return its exit code."""
+    from twisted.internet import reactor  # The import installs the reactor, so it comes late.
 
     try:
         supervisor = Supervisor(options, reactor)
