--- a/tests/frontend/test_connections.py
+++ b/tests/frontend/test_connections.py
@@ -20,14 +20,13 @@
     make_attempt_spec,
     make_backend_connections,
     make_limiter,
-    one_backend_update,
+    make_limiter_with_client,
     parse_command,
     served_reply,
     world,
 )
 from thymeflow.decision.types import Status
 from thymeflow.frontend.timeouts import CROWDED_IDLE_TIMEOUT
-from thymeflow.limiter.assembly import Limiter as AssembledLimiter
 from thymeflow.limiter.management import ManagementServer
 from thymeflow.runtime import clock
 
@@ -40,22 +39,8 @@
 __all__ = ["world"]
 
 
-def connect_client(world: InMemoryNetwork) -> tuple[AssembledLimiter, Any]:
-    """A limiter in memory with one server, and a user agent of it; the agent notes whether it was aborted."""
-    limiter = make_limiter(world, 256)
-    limiter.on_endpoints_changed(one_backend_update("active", reset=True))
-    client = world.connected(limiter.frontend.buildProtocol(None))
-    client.aborted = False
-
-    def abort() -> None:
-        client.aborted = True
-
-    client.transport.abortConnection = abort
-    return limiter, client
-
-
 def test_small_writes_are_sent_at_once_on_every_connection(world: InMemoryNetwork) -> None:
-    limiter, client = connect_client(world)
+    limiter, client = make_limiter_with_client(world)
     limiter.connect(clock.now() + 1.0)  # discovery and the counter
     client.dataReceived(request(1))  # a server
     callers = ManagementServer(world.deadlines, lambda word: (True, ""))
@@ -123,7 +108,7 @@
 
 @pytest.mark.parametrize("pieces", [1, 3])
 def test_time_of_a_first_request_starts_with_its_last_byte(world: InMemoryNetwork, pieces: int) -> None:
-    _, client = connect_client(world)
+    _, client = make_limiter_with_client(world)
     text = request(1, wait=500)
     for piece in range(pieces):
         world.reactor.pump([0.1] * 6)  # it rests, or writes slowly: no stall of ours
--- a/tests/frontend/test_disconnects.py
+++ b/tests/frontend/test_disconnects.py
@@ -7,18 +7,15 @@
 import struct
 from collections.abc import Callable
 from pathlib import Path
-from typing import Any
 
 import pytest
 
 from tests.limiter import PATIENCE, Limiter, Peer, command, is_connection_refused, request
 from tests.network_support import (
     InMemoryNetwork,
-    make_limiter,
-    one_backend_update,
+    make_limiter_with_client,
     world,
 )
-from thymeflow.limiter.assembly import Limiter as AssembledLimiter
 
 ERROR = b"-ERR failed\r\n"  # of a class that is safe to repeat: another pass follows while somebody waits
 
@@ -122,25 +119,11 @@
         assert limiter.backends[1].has_no_connection(0.0)
 
 
-def connect_client(world: InMemoryNetwork) -> tuple[AssembledLimiter, Any]:
-    """A limiter in memory with one server, and a user agent of it; the agent notes whether it was aborted."""
-    limiter = make_limiter(world, 256)
-    limiter.on_endpoints_changed(one_backend_update("active", reset=True))
-    client = world.connected(limiter.frontend.buildProtocol(None))
-    client.aborted = False
-
-    def abort() -> None:
-        client.aborted = True
-
-    client.transport.abortConnection = abort
-    return limiter, client
-
-
 @pytest.mark.parametrize("way", ["many commands", "answers not taken", "told to end"])
 def test_attempts_are_cancelled_when_a_client_leaves_while_it_is_not_read_from(
     world: InMemoryNetwork, way: str
 ) -> None:
-    limiter, client = connect_client(world)
+    limiter, client = make_limiter_with_client(world)
     if way == "many commands":
         client.dataReceived(b"".join(request(n) for n in range(1, 70)))
     elif way == "answers not taken":
--- a/tests/frontend/test_drains.py
+++ b/tests/frontend/test_drains.py
@@ -10,12 +10,11 @@
 from tests.network_support import (
     InMemoryNetwork,
     make_limiter,
-    one_backend_update,
+    make_limiter_with_client,
     served_reply,
     world,
 )
 from thymeflow.frontend.timeouts import IDLE_TIMEOUT, LINGER_TIMEOUT
-from thymeflow.limiter.assembly import Limiter as AssembledLimiter
 from thymeflow.limiter.lifecycle import MAX_AWAITED_DEADLINE, TERMINATION_LINGER
 from thymeflow.limiter.phases import Phase
 from thymeflow.runtime import clock
@@ -68,22 +67,8 @@
         assert limiter.process.wait(PATIENCE) == 0
 
 
-def connect_client(world: InMemoryNetwork) -> tuple[AssembledLimiter, Any]:
-    """A limiter in memory with one server, and a user agent of it; the agent notes whether it was aborted."""
-    limiter = make_limiter(world, 256)
-    limiter.on_endpoints_changed(one_backend_update("active", reset=True))
-    client = world.connected(limiter.frontend.buildProtocol(None))
-    client.aborted = False
-
-    def abort() -> None:
-        client.aborted = True
-
-    client.transport.abortConnection = abort
-    return limiter, client
-
-
 def test_later_requests_are_not_forwarded_when_an_idle_connection_was_half_closed(world: InMemoryNetwork) -> None:
-    limiter, client = connect_client(world)
+    limiter, client = make_limiter_with_client(world)
     client.dataReceived(request(1))
     world.up(len(world.reactor.tcpClients) - 1).dataReceived(GOOD)
     assert limiter.dispatcher.open_count() == 0
@@ -126,7 +111,7 @@
 
 
 def test_requests_after_sigterm_are_answered_before_sigkill_may_come(world: InMemoryNetwork) -> None:
-    limiter, client = connect_client(world)
+    limiter, client = make_limiter_with_client(world)
     lifecycle = limiter.lifecycle
     lifecycle.phase = Phase.SERVING
     lifecycle.terminate()
--- a/tests/network_support.py
+++ b/tests/network_support.py
@@ -146,6 +146,20 @@
     return Limiter(make_configuration(limits={"sockets": sockets, "memory_mb": 64}), world.reactor)
 
 
+def make_limiter_with_client(world: InMemoryNetwork) -> tuple[Limiter, Any]:
+    """Return a limiter with one backend and a client's connection, whose `aborted` shows whether it was aborted."""
+    limiter = make_limiter(world, 256)
+    limiter.on_endpoints_changed(one_backend_update("active", reset=True))
+    client = world.connected(limiter.frontend.buildProtocol(None))
+    client.aborted = False
+
+    def abort() -> None:
+        client.aborted = True
+
+    client.transport.abortConnection = abort
+    return limiter, client
+
+
 def parse_command(text: bytes) -> list[bytes]:
     """Return the words of one command."""
     (found,), _ = resp.Parser().feed(text)
