--- a/tests/backends/test_attempts.py
+++ b/tests/backends/test_attempts.py
@@ -10,10 +10,10 @@
     InMemoryNetwork,
     make_attempt_spec,
     make_backend_connections,
-    one_backend_update,
+    make_backend_update,
+    make_served_reply,
+    network,
     parse_command,
-    served_reply,
-    world,
 )
 from thymeflow.backends.backends import STALL as ANSWER_STALL
 from thymeflow.backends.replies import parse_attempt_result
@@ -24,16 +24,16 @@
 from thymeflow.transport.commands import Call
 from thymeflow.transport.value_stream import ValueStream
 
-__all__ = ["world"]
+__all__ = ["network"]
 
 
 @pytest.mark.parametrize("news", ["leaving", "left"])
-def test_waiting_attempt_is_not_written_when_its_backend_drains(world: InMemoryNetwork, news: str) -> None:
-    made, ends = make_backend_connections(world)
+def test_waiting_attempt_is_not_written_when_its_backend_drains(network: InMemoryNetwork, news: str) -> None:
+    made, ends = make_backend_connections(network)
     made.start_attempt(make_attempt_spec()).addCallback(ends.append)
-    made.apply_update(one_backend_update(news))
+    made.apply_update(make_backend_update(news))
     assert [end.status for end in ends] == [Status.CONNECT_FAILED]
-    assert world.up(0).transport.value() == b""
+    assert network.complete_dial(0).transport.value() == b""
     made.start_attempt(make_attempt_spec()).addCallback(ends.append)
     assert ends[1].status is Status.CONNECT_FAILED
 
@@ -42,56 +42,56 @@
     ("max_bytes_taken", "status"), [(10**6, Status.RESET), (0, Status.CONNECT_FAILED), (7, Status.CONNECT_FAILED)]
 )
 def test_attempt_may_have_executed_only_when_its_last_byte_was_written(
-    world: InMemoryNetwork, max_bytes_taken: int, status: Status
+    network: InMemoryNetwork, max_bytes_taken: int, status: Status
 ) -> None:
-    made, ends = make_backend_connections(world)
+    made, ends = make_backend_connections(network)
     made.start_attempt(make_attempt_spec()).addCallback(ends.append)
-    server = world.up(0)
-    server.dataReceived(served_reply(b"v"))  # the connection is warm and idle now
+    server = network.complete_dial(0)
+    server.dataReceived(make_served_reply(b"v"))  # the connection is warm and idle now
     made.start_attempt(make_attempt_spec()).addCallback(ends.append)
-    server.dataReceived(served_reply(b"v"))
+    server.dataReceived(make_served_reply(b"v"))
     server.transport.handle.max_bytes = max_bytes_taken  # what the kernel does not take stays with the transport
     server.transport.clear()
     made.start_attempt(make_attempt_spec()).addCallback(ends.append)
     assert parse_command(server.transport.value())[0] == b"SVC.QUERY"  # nothing missing, nothing twice
     server.connectionLost()
     assert [end.status for end in ends] == [Status.OK, Status.OK, status]
-    assert len(world.reactor.tcpClients) == 1  # and nothing was sent again
+    assert len(network.reactor.tcpClients) == 1  # and nothing was sent again
 
 
-def test_waiting_attempt_is_written_when_a_connection_becomes_idle(world: InMemoryNetwork) -> None:
-    made, ends = make_backend_connections(world)
+def test_waiting_attempt_is_written_when_a_connection_becomes_idle(network: InMemoryNetwork) -> None:
+    made, ends = make_backend_connections(network)
     made.start_attempt(make_attempt_spec()).addCallback(ends.append)
-    server = world.up(0)
+    server = network.complete_dial(0)
     made.start_attempt(make_attempt_spec()).addCallback(ends.append)
-    server.dataReceived(served_reply(b"v"))
-    server.dataReceived(served_reply(b"w"))
+    server.dataReceived(make_served_reply(b"v"))
+    server.dataReceived(make_served_reply(b"w"))
     assert [end.value for end in ends] == [b"v", b"w"]
 
 
-@pytest.mark.parametrize("behind", [served_reply(b"v"), b"!noise", b"$9\r\n", b"-BUSY\r\n"])
-def test_bytes_after_a_reply_are_given_to_no_request_when_they_arrive(world: InMemoryNetwork, behind: bytes) -> None:
-    made, ends = make_backend_connections(world)
+@pytest.mark.parametrize("behind", [make_served_reply(b"v"), b"!noise", b"$9\r\n", b"-BUSY\r\n"])
+def test_bytes_after_a_reply_are_given_to_no_request_when_they_arrive(network: InMemoryNetwork, behind: bytes) -> None:
+    made, ends = make_backend_connections(network)
     made.start_attempt(make_attempt_spec()).addCallback(ends.append)
-    server = world.up(0)
+    server = network.complete_dial(0)
     made.start_attempt(make_attempt_spec()).addCallback(ends.append)  # waits for a connection
-    server.dataReceived(served_reply(b"v") + behind)
+    server.dataReceived(make_served_reply(b"v") + behind)
     assert [end.value for end in ends] == [b"v"]
     assert server.closed
-    world.up(1).dataReceived(served_reply(b"w"))
+    network.complete_dial(1).dataReceived(make_served_reply(b"w"))
     assert [end.value for end in ends] == [b"v", b"w"]
 
 
-def test_connection_is_not_reused_when_it_has_unread_bytes(world: InMemoryNetwork) -> None:
-    made, ends = make_backend_connections(world)
+def test_connection_is_not_reused_when_it_has_unread_bytes(network: InMemoryNetwork) -> None:
+    made, ends = make_backend_connections(network)
     made.start_attempt(make_attempt_spec()).addCallback(ends.append)
-    server = world.up(0)
-    server.dataReceived(served_reply(b"v"))
+    server = network.complete_dial(0)
+    server.dataReceived(make_served_reply(b"v"))
     server.transport.clear()
     server.transport.handle.unread = b"*3"  # it came after the look at what was read with the answer
     made.start_attempt(make_attempt_spec()).addCallback(ends.append)
     assert (server.closed, server.transport.value()) == (True, b"")
-    world.up(1).dataReceived(served_reply(b"w"))
+    network.complete_dial(1).dataReceived(make_served_reply(b"w"))
     assert [end.value for end in ends] == [b"v", b"w"]
 
 
@@ -109,13 +109,13 @@
     ],
 )
 def test_attempt_fails_soon_and_its_connection_closes_when_the_reply_is_malformed(
-    world: InMemoryNetwork, text: bytes
+    network: InMemoryNetwork, text: bytes
 ) -> None:
-    made, ends = make_backend_connections(world)
+    made, ends = make_backend_connections(network)
     made.start_attempt(make_attempt_spec()).addCallback(ends.append)
-    server = world.up(0)
+    server = network.complete_dial(0)
     server.dataReceived(text)
-    world.reactor.advance(ANSWER_STALL + 0.01)
+    network.reactor.advance(ANSWER_STALL + 0.01)
     assert [end.status for end in ends] == [Status.ERROR]
     assert server.closed
 
@@ -127,27 +127,27 @@
     assert (found.status, found.quota_usage, found.actual_units, found.load_report) == (Status.OK, None, None, None)
 
 
-def test_idle_connections_are_closed_before_the_backend_would_close_them(world: InMemoryNetwork) -> None:
-    made, ends = make_backend_connections(world)
+def test_idle_connections_are_closed_before_the_backend_would_close_them(network: InMemoryNetwork) -> None:
+    made, ends = make_backend_connections(network)
     made.start_attempt(make_attempt_spec()).addCallback(ends.append)
-    server = world.up(0)
-    server.dataReceived(served_reply(b"v"))
-    world.reactor.pump([1.0] * int(Limits().connection_idle - 1))
+    server = network.complete_dial(0)
+    server.dataReceived(make_served_reply(b"v"))
+    network.reactor.pump([1.0] * int(Limits().connection_idle - 1))
     assert server.closed
 
 
 @pytest.mark.parametrize("moves", [True, False])
-def test_long_body_is_abandoned_when_the_backend_reads_nothing_of_it(world: InMemoryNetwork, moves: bool) -> None:
-    made, ends = make_backend_connections(world)
+def test_long_body_is_abandoned_when_the_backend_reads_nothing_of_it(network: InMemoryNetwork, moves: bool) -> None:
+    made, ends = make_backend_connections(network)
     body = ValueStream(300_000, lambda waits: None, lambda: None)
     call = make_attempt_spec().payload
     assert isinstance(call, Call)
     made.start_attempt(AttemptSpec(1, call._replace(flow=body), inf)).addCallback(ends.append)
-    server = world.up(0)
+    server = network.complete_dial(0)
     server.transport.handle.max_bytes = 0  # the kernel's buffer is full
     for _ in range(4):
         body.push(b"x" * 1000)
-        world.reactor.pump([0.1] * round(0.4 * LONG_VALUE_TIMEOUT / 0.1))
+        network.reactor.pump([0.1] * round(0.4 * LONG_VALUE_TIMEOUT / 0.1))
         if moves:
             server.resumeProducing()  # a little has gone
     if moves:
--- a/tests/core/test_dispatcher.py
+++ b/tests/core/test_dispatcher.py
@@ -11,8 +11,8 @@
 from tests.network_support import (
     InMemoryNetwork,
     make_backend_connections,
+    network,
     parse_command,
-    world,
 )
 from thymeflow.core.dispatcher import RequestDispatcher
 from thymeflow.core.types import IncomingRequest, Response, ResponseKind
@@ -25,7 +25,7 @@
 from thymeflow.runtime import clock
 from thymeflow.transport.commands import CallReader
 
-__all__ = ["world"]
+__all__ = ["network"]
 
 
 class Odd:
@@ -42,14 +42,14 @@
 
 
 @pytest.mark.parametrize("raises", [True, False])
-def test_request_gets_one_response_when_the_gateway_fails(world: InMemoryNetwork, raises: bool) -> None:
-    backends, _ = make_backend_connections(world)
+def test_request_gets_one_response_when_the_gateway_fails(network: InMemoryNetwork, raises: bool) -> None:
+    backends, _ = make_backend_connections(network)
     gateway: Any = Odd(raises)
-    core = RequestDispatcher(settings_from(SETTINGS), gateway, world.deadlines, 10**6, backends, None, None)
+    core = RequestDispatcher(settings_from(SETTINGS), gateway, network.deadlines, 10**6, backends, None, None)
     answers: list[Response] = []
     call, received = CallReader(settings_from(SETTINGS)).read(parse_command(request(1, wait=500)))
     core.submit(IncomingRequest(received, clock.now() + 0.5, call, 100)).addCallback(answers.append)
-    world.reactor.advance(0.52)
+    network.reactor.advance(0.52)
     assert [answer.kind for answer in answers] == [ResponseKind.FAILED]
     assert core.open_count() == 0
 
@@ -64,10 +64,10 @@
         return Deferred()
 
 
-def test_counter_call_ends_before_the_next_of_its_name_when_its_reply_is_late(world: InMemoryNetwork) -> None:
+def test_counter_call_ends_before_the_next_of_its_name_when_its_reply_is_late(network: InMemoryNetwork) -> None:
     settings = settings_from(SETTINGS)
     counter = Slow()
-    backends, _ = make_backend_connections(world)
-    core = RequestDispatcher(settings, Gateway(settings, 1), world.deadlines, 10**6, backends, counter, None)
+    backends, _ = make_backend_connections(network)
+    core = RequestDispatcher(settings, Gateway(settings, 1), network.deadlines, 10**6, backends, counter, None)
     core._carry_out(AddToCounter(5, 1.0, 20.0))
     assert settings.information.counter_timeout < counter.until - clock.now() < MIN_CALL_INTERVAL_SECONDS
--- a/tests/discovery/support.py
+++ b/tests/discovery/support.py
@@ -7,7 +7,7 @@
 from typing import Any
 
 from tests.network_support import InMemoryNetwork, RecordingObserver
-from tests.network_support import world as world
+from tests.network_support import network as network
 from thymeflow.discovery.timeouts import FIRST_LIST_TIMEOUT
 from thymeflow.discovery.watch import EndpointWatcher
 from thymeflow.platform.endpoints import Address, EndpointUpdate
@@ -38,18 +38,20 @@
 
 
 def start_discovery(
-    world: InMemoryNetwork, on_change: Callable[[EndpointUpdate], None], pushed: bool = True, limiters: int = 200
+    network: InMemoryNetwork, on_change: Callable[[EndpointUpdate], None], pushed: bool = True, limiters: int = 200
 ) -> EndpointWatcher:
     """Start a watch at `ADDRESS` from `INITIAL_VERSION`."""
     observer = RecordingObserver(on_change)
-    discovery = EndpointWatcher(world.reactor, world.deadlines, ADDRESS, INITIAL_VERSION, observer, limiters, 1, pushed)
+    discovery = EndpointWatcher(
+        network.reactor, network.deadlines, ADDRESS, INITIAL_VERSION, observer, limiters, 1, pushed
+    )
     discovery.start(clock.now() + FIRST_LIST_TIMEOUT)
     return discovery
 
 
-def connect(world: InMemoryNetwork, number: int) -> Any:
+def connect(network: InMemoryNetwork, number: int) -> Any:
     """Complete the connect of that number and receive the response's head; `ends` counts how often it is closed."""
-    stream = world.up(number)
+    stream = network.complete_dial(number)
     stream.ends = 0
 
     def on_abort() -> None:
@@ -61,9 +63,9 @@
     return stream
 
 
-def wait_for_connect(world: InMemoryNetwork, known_connects: int, max_seconds: float = 9.0) -> float:
+def wait_for_connect(network: InMemoryNetwork, known_connects: int, max_seconds: float = 9.0) -> float:
     """Let time pass until there are more connects than those known; return the seconds until then."""
     started_at = clock.now()
-    while len(world.reactor.tcpClients) <= known_connects and clock.now() - started_at < max_seconds:
-        world.reactor.advance(0.01)
+    while len(network.reactor.tcpClients) <= known_connects and clock.now() - started_at < max_seconds:
+        network.reactor.advance(0.01)
     return clock.now() - started_at
--- a/tests/discovery/test_watch.py
+++ b/tests/discovery/test_watch.py
@@ -15,7 +15,7 @@
     start_discovery,
     wait_for_connect,
 )
-from tests.discovery.support import world as world
+from tests.discovery.support import network as network
 from tests.network_support import InMemoryNetwork
 from thymeflow.decision.types import BackendState
 from thymeflow.discovery.backoff import INITIAL_BACKOFF, MAX_BACKOFF
@@ -34,10 +34,10 @@
     return [update.change.version for update in updates]
 
 
-def test_indented_list_is_applied_when_complete_and_ignored_when_cut(world: InMemoryNetwork) -> None:
+def test_indented_list_is_applied_when_complete_and_ignored_when_cut(network: InMemoryNetwork) -> None:
     updates: list[EndpointUpdate] = []
-    start_discovery(world, updates.append)
-    stream = connect(world, 0)
+    start_discovery(network, updates.append)
+    stream = connect(network, 0)
     message = build_message(43, build_entry(1), build_entry(2, "leaving"), is_complete=True, indent=2)
     for position in range(0, len(message), 7):
         stream.dataReceived(build_chunk(message[position : position + 7]))
@@ -46,21 +46,21 @@
     stream.dataReceived(build_chunk(build_message(44, build_entry(1, "leaving"), indent=2)[:-9]))
     stream.connectionLost()
     assert len(updates) == 1
-    world.reactor.advance(INITIAL_BACKOFF)
-    next_stream = connect(world, 1)
+    network.reactor.advance(INITIAL_BACKOFF)
+    next_stream = connect(network, 1)
     assert b"index=43 " in next_stream.transport.value()
     next_stream.dataReceived(build_chunk(build_message(44, build_entry(1, "leaving"))))
     assert updates[1].change.backends[0].state is BackendState.DRAINING
 
 
 def test_watch_goes_on_unchanged_when_a_generation_goes_back(
-    world: InMemoryNetwork, monkeypatch: pytest.MonkeyPatch
+    network: InMemoryNetwork, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     updates = list[EndpointUpdate]()
     logged = list[str]()
     monkeypatch.setattr(log, "emit_rate_limited", lambda kind, text, **fields: logged.append(text))
-    start_discovery(world, updates.append)
-    stream = connect(world, 0)
+    start_discovery(network, updates.append)
+    stream = connect(network, 0)
     for chunk in (
         build_chunk(build_message(43, build_entry(1, "leaving"))),
         build_chunk(build_message(42, build_entry(1), is_complete=True)),
@@ -77,14 +77,14 @@
     ]
 
 
-def test_list_and_watch_are_left_when_a_fetched_list_is_late_or_malformed(world: InMemoryNetwork) -> None:
+def test_list_and_watch_are_left_when_a_fetched_list_is_late_or_malformed(network: InMemoryNetwork) -> None:
     updates: list[EndpointUpdate] = []
-    discovery = start_discovery(world, updates.append)
-    stream = connect(world, 0)
+    discovery = start_discovery(network, updates.append)
+    stream = connect(network, 0)
     discovery.fetch_complete_list()
     discovery.fetch_complete_list()
-    late = connect(world, 1)
-    malformed = connect(world, 2)
+    late = connect(network, 1)
+    malformed = connect(network, 2)
     stream.dataReceived(build_chunk(build_message(43, build_entry(1, "leaving"))))
     late.dataReceived(build_chunk(build_message(42, build_entry(1), is_complete=True)))
     malformed.dataReceived(build_chunk(b'{"generation": 50}'))
@@ -92,7 +92,7 @@
     assert not stream.ends
     while not late.ends:
         stream.dataReceived(HEARTBEAT)
-        world.reactor.advance(1.0)
+        network.reactor.advance(1.0)
     assert not stream.ends
 
 
@@ -107,28 +107,28 @@
 
 
 @pytest.mark.parametrize("pushed", [True, False])
-def test_idle_timeout_is_not_extended_when_a_new_watch_receives_nothing(world: InMemoryNetwork, pushed: bool) -> None:
-    start_discovery(world, lambda update: None, pushed)
-    first = connect(world, 0)
+def test_idle_timeout_is_not_extended_when_a_new_watch_receives_nothing(network: InMemoryNetwork, pushed: bool) -> None:
+    start_discovery(network, lambda update: None, pushed)
+    first = connect(network, 0)
     first.dataReceived(HEARTBEAT)
     assert (
-        wait_for_connect(world, 1) < (PUSHED_IDLE_TIMEOUT if pushed else POLLED_IDLE_TIMEOUT) + INITIAL_BACKOFF + 0.02
+        wait_for_connect(network, 1) < (PUSHED_IDLE_TIMEOUT if pushed else POLLED_IDLE_TIMEOUT) + INITIAL_BACKOFF + 0.02
     )
-    second = connect(world, 1)  # connects, and then receives nothing either
+    second = connect(network, 1)  # connects, and then receives nothing either
     max_wait = PUSHED_FIRST_MESSAGE_TIMEOUT if pushed else POLLED_FIRST_MESSAGE_TIMEOUT + MAX_BACKOFF
-    assert wait_for_connect(world, 2) <= max_wait + 0.02
-    third = connect(world, 2)
+    assert wait_for_connect(network, 2) <= max_wait + 0.02
+    third = connect(network, 2)
     second.dataReceived(HEARTBEAT)  # a slow response is a response
     assert (first.ends, second.ends, third.ends) == (1, 0, 1)
 
 
-def test_a_stream_is_open_as_discovery_returns_when_the_agent_was_idle_meanwhile(world: InMemoryNetwork) -> None:
-    discovery = start_discovery(world, lambda update: None)
-    streams = [connect(world, 0)]
+def test_a_stream_is_open_as_discovery_returns_when_the_agent_was_idle_meanwhile(network: InMemoryNetwork) -> None:
+    discovery = start_discovery(network, lambda update: None)
+    streams = [connect(network, 0)]
     for _ in range(800):  # 8 s: never long without an attempt, never many at once
-        world.reactor.advance(0.01)
-        while len(streams) < len(world.reactor.tcpClients):
-            streams.append(connect(world, len(streams)))
+        network.reactor.advance(0.01)
+        while len(streams) < len(network.reactor.tcpClients):
+            streams.append(connect(network, len(streams)))
     assert discovery.is_ready  # clients were admitted all the same
     assert 8.0 / PUSHED_FIRST_MESSAGE_TIMEOUT - 2 <= len(streams) <= 8.0 / PUSHED_FIRST_MESSAGE_TIMEOUT + 2
     assert sum(not stream.ends for stream in streams) == 3
@@ -136,37 +136,37 @@
     assert sum(not stream.ends for stream in streams) == 1
 
 
-def test_first_list_is_awaited_when_it_arrives_slowly_in_pieces(world: InMemoryNetwork) -> None:
+def test_first_list_is_awaited_when_it_arrives_slowly_in_pieces(network: InMemoryNetwork) -> None:
     updates: list[EndpointUpdate] = []
-    start_discovery(world, updates.append)
-    stream = connect(world, 0)
+    start_discovery(network, updates.append)
+    stream = connect(network, 0)
     message = build_message(43, build_entry(1), is_complete=True, indent=1)
     for position in range(0, len(message), 10):
-        world.reactor.advance(0.4)
+        network.reactor.advance(0.4)
         stream.dataReceived(build_chunk(message[position : position + 10]))
-    assert len(updates) == len(world.reactor.tcpClients) == 1
+    assert len(updates) == len(network.reactor.tcpClients) == 1
     assert not stream.ends
 
 
-def test_backoff_and_streams_of_the_old_address_are_dropped_when_the_address_changes(world: InMemoryNetwork) -> None:
+def test_backoff_and_streams_of_the_old_address_are_dropped_when_the_address_changes(network: InMemoryNetwork) -> None:
     updates: list[EndpointUpdate] = []
-    discovery = start_discovery(world, updates.append, pushed=False)
-    old_stream = connect(world, 0)
+    discovery = start_discovery(network, updates.append, pushed=False)
+    old_stream = connect(network, 0)
     for _ in range(5):
         discovery._backoff.next_wait()
     discovery.set_address(Address("127.0.0.1", 9))
     assert old_stream.ends
-    assert world.reactor.tcpClients[1][1] == 9  # at once
+    assert network.reactor.tcpClients[1][1] == 9  # at once
     assert discovery._backoff.next_wait() <= MAX_BACKOFF
     assert discovery._backoff._bound > discovery._backoff._initial_bound - 1e-9
     old_stream.dataReceived(build_chunk(build_message(50, build_entry(1))))
     assert not updates
-    connect(world, 1).dataReceived(build_chunk(build_message(51, build_entry(1))))
+    connect(network, 1).dataReceived(build_chunk(build_message(51, build_entry(1))))
     assert versions(updates) == [51]
 
 
-def test_backoff_starts_again_when_the_address_changes(world: InMemoryNetwork) -> None:
-    discovery = start_discovery(world, lambda update: None, pushed=False, limiters=3)
+def test_backoff_starts_again_when_the_address_changes(network: InMemoryNetwork) -> None:
+    discovery = start_discovery(network, lambda update: None, pushed=False, limiters=3)
     for _ in range(5):
         discovery._backoff.next_wait()
     discovery.set_address(Address("127.0.0.1", 9))
--- a/tests/discovery/test_watch_connection.py
+++ b/tests/discovery/test_watch_connection.py
@@ -5,32 +5,32 @@
 from tests.network_support import (
     InMemoryNetwork,
     RecordingObserver,
-    world,
+    network,
 )
 from thymeflow.decision.types import EndpointListKind
 from thymeflow.discovery.watch import EndpointWatcher
 from thymeflow.platform.endpoints import Address, EndpointUpdate
 from thymeflow.runtime import clock
 
-__all__ = ["world"]
+__all__ = ["network"]
 
 
-def test_watch_is_dialed_again_when_it_is_silent_and_a_complete_list_can_be_requested(world: InMemoryNetwork) -> None:
+def test_watch_is_dialed_again_when_it_is_silent_and_a_complete_list_can_be_requested(network: InMemoryNetwork) -> None:
     updates: list[EndpointUpdate] = []
     observer = RecordingObserver(updates.append)
-    watch = EndpointWatcher(world.reactor, world.deadlines, Address("127.0.0.1", 9), 41, observer, 3, 1)
+    watch = EndpointWatcher(network.reactor, network.deadlines, Address("127.0.0.1", 9), 41, observer, 3, 1)
     watch.start(clock.now() + 1.0)
-    reading = world.up(0)
+    reading = network.complete_dial(0)
     reading.transport.abortConnection = lambda: None
     reading.dataReceived(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n1\r\n\n\r\n")
     for _ in range(5):  # empty lines keep it up
-        world.reactor.pump([0.5] * 4)
+        network.reactor.pump([0.5] * 4)
         reading.dataReceived(b"1\r\n\n\r\n")
-    assert len(world.reactor.tcpClients) == 1
-    world.reactor.pump([0.1] * 49)  # two of them have not come
-    assert len(world.reactor.tcpClients) == 2
+    assert len(network.reactor.tcpClients) == 1
+    network.reactor.pump([0.1] * 49)  # two of them have not come
+    assert len(network.reactor.tcpClients) == 2
     watch.fetch_complete_list()
-    complete_list = world.up(2)
+    complete_list = network.complete_dial(2)
     assert complete_list.transport.value().startswith(b"GET /api/targets HTTP/1.1\r\n")
     complete_list.transport.abortConnection = lambda: None
     text = b'{"generation":50,"reset":true,"instances":[]}'
--- a/tests/frontend/test_connections.py
+++ b/tests/frontend/test_connections.py
@@ -21,55 +21,55 @@
     make_backend_connections,
     make_limiter,
     make_limiter_with_client,
+    make_served_reply,
+    network,
     parse_command,
-    served_reply,
-    world,
 )
 from thymeflow.decision.types import Status
 from thymeflow.frontend.timeouts import CROWDED_IDLE_TIMEOUT
 from thymeflow.limiter.management import ManagementServer
 from thymeflow.runtime import clock
 
-GOOD = served_reply(b"value")
+GOOD = make_served_reply(b"value")
 
 
 ERROR = b"-ERR failed\r\n"  # of a class that is safe to repeat: another pass follows while somebody waits
 
 
-__all__ = ["world"]
+__all__ = ["network"]
 
 
-def test_small_writes_are_sent_at_once_on_every_connection(world: InMemoryNetwork) -> None:
-    limiter, client = make_limiter_with_client(world)
+def test_small_writes_are_sent_at_once_on_every_connection(network: InMemoryNetwork) -> None:
+    limiter, client = make_limiter_with_client(network)
     limiter.connect(clock.now() + 1.0)  # discovery and the counter
     client.dataReceived(request(1))  # a server
-    callers = ManagementServer(world.deadlines, lambda word: (True, ""))
+    callers = ManagementServer(network.deadlines, lambda word: (True, ""))
     made = [
         client,
-        world.connected(callers.buildProtocol(None)),
-        *(world.up(number) for number in range(len(world.reactor.tcpClients))),
+        network.connect_protocol(callers.buildProtocol(None)),
+        *(network.complete_dial(number) for number in range(len(network.reactor.tcpClients))),
     ]
     assert len(made) == 2 + 1 + 3 + 1
     assert all(one.transport.handle.no_delay for one in made)
 
 
-def test_connection_with_unread_bytes_is_not_evicted_when_all_are_in_use(world: InMemoryNetwork) -> None:
-    front = make_limiter(world, 64).frontend
-    clients = [world.connected(front.buildProtocol(None)) for _ in range(front._max_clients)]
+def test_connection_with_unread_bytes_is_not_evicted_when_all_are_in_use(network: InMemoryNetwork) -> None:
+    front = make_limiter(network, 64).frontend
+    clients = [network.connect_protocol(front.buildProtocol(None)) for _ in range(front._max_clients)]
     for client in clients:
         client.dataReceived(command(b"PING"))
-    world.reactor.advance(CROWDED_IDLE_TIMEOUT + 0.05)
+    network.reactor.advance(CROWDED_IDLE_TIMEOUT + 0.05)
     for client in clients[1:]:
         client.transport.handle.unread = b"*"
-    world.connected(front.buildProtocol(None))
+    network.connect_protocol(front.buildProtocol(None))
     assert [client.transport.disconnected for client in clients].count(True) == 1
     assert clients[0].transport.disconnected
     assert front.buildProtocol(None) is None
 
 
 @pytest.mark.parametrize("why", ["left", "late", "past the window"])
-def test_waiting_attempt_is_written_only_when_it_is_still_valid(world: InMemoryNetwork, why: str) -> None:
-    made, ends = make_backend_connections(world)
+def test_waiting_attempt_is_written_only_when_it_is_still_valid(network: InMemoryNetwork, why: str) -> None:
+    made, ends = make_backend_connections(network)
     there = [True]
     void = make_attempt_spec()._replace(
         is_connected=lambda: there[0], start_before=clock.now() + 0.3 if why == "past the window" else inf
@@ -80,21 +80,21 @@
         late_attempt = made._attempts.items()[0]
         late_attempt.spec = late_attempt.spec._replace(deadline=clock.now() + 0.2)  # its timer has not had its turn
     there[0] = why != "left"
-    world.reactor.rightNow += 0.4
-    server = world.up(0)
-    server.dataReceived(served_reply(b"v"))
+    network.reactor.rightNow += 0.4
+    server = network.complete_dial(0)
+    server.dataReceived(make_served_reply(b"v"))
     assert [end.status for end in ends] == [Status.MOOT, Status.OK]
     assert not server.closed
 
 
-def test_waiting_attempt_ends_when_its_connection_ends_as_it_comes_up(world: InMemoryNetwork) -> None:
-    made, ends = make_backend_connections(world)
+def test_waiting_attempt_ends_when_its_connection_ends_as_it_comes_up(network: InMemoryNetwork) -> None:
+    made, ends = make_backend_connections(network)
     made.start_attempt(make_attempt_spec()).addCallback(ends.append)
     made.start_attempt(make_attempt_spec()).addCallback(ends.append)
-    world.up(0, unread=b"-BUSY\r\n")  # no room there: it says so at once, or closes
+    network.complete_dial(0, unread=b"-BUSY\r\n")  # no room there: it says so at once, or closes
     assert [end.status for end in ends] == [Status.CONNECT_FAILED]
     assert made.open_connections == 1
-    world.up(1).dataReceived(served_reply(b"v"))
+    network.complete_dial(1).dataReceived(make_served_reply(b"v"))
     assert [end.status for end in ends] == [Status.CONNECT_FAILED, Status.OK]
 
 
@@ -107,13 +107,13 @@
 
 
 @pytest.mark.parametrize("pieces", [1, 3])
-def test_time_of_a_first_request_starts_with_its_last_byte(world: InMemoryNetwork, pieces: int) -> None:
-    _, client = make_limiter_with_client(world)
+def test_time_of_a_first_request_starts_with_its_last_byte(network: InMemoryNetwork, pieces: int) -> None:
+    _, client = make_limiter_with_client(network)
     text = request(1, wait=500)
     for piece in range(pieces):
-        world.reactor.pump([0.1] * 6)  # it rests, or writes slowly: no stall of ours
+        network.reactor.pump([0.1] * 6)  # it rests, or writes slowly: no stall of ours
         client.dataReceived(text[piece * 30 :] if piece == pieces - 1 else text[piece * 30 : piece * 30 + 30])
-    server = world.up(len(world.reactor.tcpClients) - 1)
+    server = network.complete_dial(len(network.reactor.tcpClients) - 1)
     terms = parse_command(server.transport.value())[3]
     assert b",d=49" in terms or b",d=500" in terms
     server.dataReceived(GOOD)
--- a/tests/frontend/test_disconnects.py
+++ b/tests/frontend/test_disconnects.py
@@ -14,13 +14,13 @@
 from tests.network_support import (
     InMemoryNetwork,
     make_limiter_with_client,
-    world,
+    network,
 )
 
 ERROR = b"-ERR failed\r\n"  # of a class that is safe to repeat: another pass follows while somebody waits
 
 
-__all__ = ["world"]
+__all__ = ["network"]
 
 
 def stopped(limiter: Limiter, happens: Callable[[], None]) -> None:
@@ -121,9 +121,9 @@
 
 @pytest.mark.parametrize("way", ["many commands", "answers not taken", "told to end"])
 def test_attempts_are_cancelled_when_a_client_leaves_while_it_is_not_read_from(
-    world: InMemoryNetwork, way: str
+    network: InMemoryNetwork, way: str
 ) -> None:
-    limiter, client = make_limiter_with_client(world)
+    limiter, client = make_limiter_with_client(network)
     if way == "many commands":
         client.dataReceived(b"".join(request(n) for n in range(1, 70)))
     elif way == "answers not taken":
@@ -134,10 +134,10 @@
         client.finish()
     assert not client._is_reading
     assert not client.aborted
-    world.reactor.advance(0.11)
+    network.reactor.advance(0.11)
     assert not client.aborted
     client.transport.handle.departed = True
-    world.reactor.advance(0.11)
+    network.reactor.advance(0.11)
     assert client.aborted
     client.connectionLost()
     assert limiter.dispatcher.open_count() == 0
--- a/tests/frontend/test_drains.py
+++ b/tests/frontend/test_drains.py
@@ -11,18 +11,18 @@
     InMemoryNetwork,
     make_limiter,
     make_limiter_with_client,
-    served_reply,
-    world,
+    make_served_reply,
+    network,
 )
 from thymeflow.frontend.timeouts import IDLE_TIMEOUT, LINGER_TIMEOUT
 from thymeflow.limiter.lifecycle import MAX_AWAITED_DEADLINE, TERMINATION_LINGER
 from thymeflow.limiter.phases import Phase
 from thymeflow.runtime import clock
 
-GOOD = served_reply(b"value")
+GOOD = make_served_reply(b"value")
 
 
-__all__ = ["world"]
+__all__ = ["network"]
 
 
 def test_open_response_arrives_when_another_request_crosses_the_close_of_a_drain(tmp_path: Path) -> None:
@@ -67,22 +67,22 @@
         assert limiter.process.wait(PATIENCE) == 0
 
 
-def test_later_requests_are_not_forwarded_when_an_idle_connection_was_half_closed(world: InMemoryNetwork) -> None:
-    limiter, client = make_limiter_with_client(world)
+def test_later_requests_are_not_forwarded_when_an_idle_connection_was_half_closed(network: InMemoryNetwork) -> None:
+    limiter, client = make_limiter_with_client(network)
     client.dataReceived(request(1))
-    world.up(len(world.reactor.tcpClients) - 1).dataReceived(GOOD)
+    network.complete_dial(len(network.reactor.tcpClients) - 1).dataReceived(GOOD)
     assert limiter.dispatcher.open_count() == 0
-    world.reactor.pump([0.1] * int(IDLE_TIMEOUT / 0.1 + 2))
+    network.reactor.pump([0.1] * int(IDLE_TIMEOUT / 0.1 + 2))
     assert client.transport.handle.half_closed
     assert not client.aborted
     client.dataReceived(request(2))
     assert limiter.dispatcher.open_count() == 0
-    world.reactor.pump([0.1] * int(LINGER_TIMEOUT / 0.1 + 2))
+    network.reactor.pump([0.1] * int(LINGER_TIMEOUT / 0.1 + 2))
     assert client.aborted
 
 
-def test_all_queued_connections_are_accepted_before_the_listener_is_closed(world: InMemoryNetwork) -> None:
-    limiter = make_limiter(world, 256)
+def test_all_queued_connections_are_accepted_before_the_listener_is_closed(network: InMemoryNetwork) -> None:
+    limiter = make_limiter(network, 256)
     waiting = list(range(7))
     taken = list[Any]()
 
@@ -95,7 +95,7 @@
         def doRead(self) -> None:
             if waiting:
                 waiting.pop()
-                taken.append(world.connected(limiter.frontend.buildProtocol(None)))
+                taken.append(network.connect_protocol(limiter.frontend.buildProtocol(None)))
 
         def stopListening(self) -> None:
             assert not waiting
@@ -105,21 +105,21 @@
     lifecycle.phase = Phase.SERVING
     lifecycle.port = Port()
     lifecycle.terminate(0.0)
-    world.reactor.advance(0.01)
+    network.reactor.advance(0.01)
     assert len(taken) == 7
     assert not any(client.transport.handle.half_closed for client in taken)
 
 
-def test_requests_after_sigterm_are_answered_before_sigkill_may_come(world: InMemoryNetwork) -> None:
-    limiter, client = make_limiter_with_client(world)
+def test_requests_after_sigterm_are_answered_before_sigkill_may_come(network: InMemoryNetwork) -> None:
+    limiter, client = make_limiter_with_client(network)
     lifecycle = limiter.lifecycle
     lifecycle.phase = Phase.SERVING
     lifecycle.terminate()
     terminated_at = clock.now()
     client.dataReceived(request(1, wait=60000))
-    server = world.up(len(world.reactor.tcpClients) - 1)
+    server = network.complete_dial(len(network.reactor.tcpClients) - 1)
     assert server.transport.value()
     while not client.transport.value().startswith(b"-BUSY"):  # the server says nothing
-        world.reactor.advance(0.05)
+        network.reactor.advance(0.05)
     assert clock.now() - terminated_at < TERMINATION_LINGER + MAX_AWAITED_DEADLINE
     assert server.closed
--- a/tests/frontend/test_limits.py
+++ b/tests/frontend/test_limits.py
@@ -5,19 +5,19 @@
 import pytest
 
 from tests.limiter import command
-from tests.network_support import InMemoryNetwork, make_limiter, world
+from tests.network_support import InMemoryNetwork, make_limiter, network
 from thymeflow.limiter.assembly import MIN_CONNECTIONS
 
-__all__ = ["world"]
+__all__ = ["network"]
 
 
-def test_client_is_accepted_when_all_connections_are_taken_by_silent_ones(world: InMemoryNetwork) -> None:
-    front = make_limiter(world, 64).frontend
-    silent_clients = [world.connected(front.buildProtocol(None)) for _ in range(16)]  # all the room there is
-    world.reactor.advance(0.04)
+def test_client_is_accepted_when_all_connections_are_taken_by_silent_ones(network: InMemoryNetwork) -> None:
+    front = make_limiter(network, 64).frontend
+    silent_clients = [network.connect_protocol(front.buildProtocol(None)) for _ in range(16)]  # all the room there is
+    network.reactor.advance(0.04)
     assert front.buildProtocol(None) is None  # they may be about to ask
-    world.reactor.advance(0.02)
-    ordinary_client = world.connected(front.buildProtocol(None))
+    network.reactor.advance(0.02)
+    ordinary_client = network.connect_protocol(front.buildProtocol(None))
     ordinary_client.dataReceived(command(b"PING"))
     assert ordinary_client.transport.value()
     assert silent_clients[0].transport.disconnected
@@ -26,9 +26,9 @@
 
 @pytest.mark.parametrize("open_connections", [0, 50, 150, 1000])
 def test_both_processes_stay_within_the_limits_of_one_when_a_predecessor_runs(
-    world: InMemoryNetwork, open_connections: int
+    network: InMemoryNetwork, open_connections: int
 ) -> None:
-    limiter = make_limiter(world, 256)
+    limiter = make_limiter(network, 256)
 
     def budgets() -> tuple[int, ...]:
         front, core = limiter.frontend, limiter.dispatcher
--- a/tests/network_support.py
+++ b/tests/network_support.py
@@ -66,12 +66,12 @@
         monkeypatch.setattr(clock, "now", lambda: 1e9 + self.reactor.seconds())
         self.deadlines = clock.Deadlines(self.reactor)
 
-    def up(self, number: int, unread: bytes = b"") -> Any:
+    def complete_dial(self, number: int, unread: bytes = b"") -> Any:
         """Let the dial of that number succeed; return the protocol, with the handle of its socket."""
         *_, factory, _, _ = self.reactor.tcpClients[number]
-        return self.connected(factory.buildProtocol(None), unread)
+        return self.connect_protocol(factory.buildProtocol(None), unread)
 
-    def connected(self, protocol: Any, unread: bytes = b"") -> Any:
+    def connect_protocol(self, protocol: Any, unread: bytes = b"") -> Any:
         """Return the protocol on a connection in memory, with bytes that wait there."""
         transport: Any = StringTransport()  # type: ignore[no-untyped-call]
         transport.handle = FakeSocket(transport)
@@ -85,7 +85,7 @@
 
 
 @pytest.fixture
-def world(monkeypatch: pytest.MonkeyPatch) -> InMemoryNetwork:
+def network(monkeypatch: pytest.MonkeyPatch) -> InMemoryNetwork:
     """Return a network in memory, whose clock the code under test uses."""
     return InMemoryNetwork(monkeypatch)
 
@@ -141,16 +141,16 @@
     return from_source(source, "c.json", {})
 
 
-def make_limiter(world: InMemoryNetwork, sockets: int) -> Limiter:
+def make_limiter(network: InMemoryNetwork, sockets: int) -> Limiter:
     """Return a limiter in memory with that many descriptors."""
-    return Limiter(make_configuration(limits={"sockets": sockets, "memory_mb": 64}), world.reactor)
+    return Limiter(make_configuration(limits={"sockets": sockets, "memory_mb": 64}), network.reactor)
 
 
-def make_limiter_with_client(world: InMemoryNetwork) -> tuple[Limiter, Any]:
+def make_limiter_with_client(network: InMemoryNetwork) -> tuple[Limiter, Any]:
     """Return a limiter with one backend and a client's connection, whose `aborted` shows whether it was aborted."""
-    limiter = make_limiter(world, 256)
-    limiter.on_endpoints_changed(one_backend_update("active", reset=True))
-    client = world.connected(limiter.frontend.buildProtocol(None))
+    limiter = make_limiter(network, 256)
+    limiter.on_endpoints_changed(make_backend_update("active", reset=True))
+    client = network.connect_protocol(limiter.frontend.buildProtocol(None))
     client.aborted = False
 
     def abort() -> None:
@@ -173,19 +173,19 @@
     return AttemptSpec(1, call, clock.now() + 3.0)
 
 
-def served_reply(value: bytes) -> bytes:
+def make_served_reply(value: bytes) -> bytes:
     """Return a backend's reply without figures."""
     return b"*3\r\n" + resp.bulk(value) + b"$-1\r\n$-1\r\n"
 
 
-def make_backend_connections(world: InMemoryNetwork) -> tuple[BackendConnections, list[AttemptResult]]:
+def make_backend_connections(network: InMemoryNetwork) -> tuple[BackendConnections, list[AttemptResult]]:
     """Return the connections to one active backend, and a list for the results of attempts."""
-    connections = BackendConnections(world.reactor, world.deadlines, Limits(), 10, lambda: None)
-    connections.apply_update(one_backend_update("active", reset=True))
+    connections = BackendConnections(network.reactor, network.deadlines, Limits(), 10, lambda: None)
+    connections.apply_update(make_backend_update("active", reset=True))
     return connections, []
 
 
-def one_backend_update(lifecycle: str, reset: bool = False) -> EndpointUpdate:
+def make_backend_update(lifecycle: str, reset: bool = False) -> EndpointUpdate:
     """Return an endpoint list of one backend in that state."""
     entry = {"instanceId": "s-00000001", "hostPort": "127.0.0.1:9", "lifecycle": lifecycle}
     return endpoint_update({"generation": 1, "reset": reset, "instances": [entry]})
--- a/tests/run_line/test_lifecycle_wiring.py
+++ b/tests/run_line/test_lifecycle_wiring.py
@@ -11,9 +11,9 @@
     SERVED_REPLY,
     FakePort,
     InMemoryNetwork,
+    make_backend_update,
     make_configuration,
-    one_backend_update,
-    world,
+    network,
 )
 from thymeflow.limiter.assembly import Limiter
 from thymeflow.limiter.lifecycle import (
@@ -27,7 +27,7 @@
 
 DEADLINE_SECONDS = 0.5  # of every class of these limiters
 LONGER_DEADLINE_SECONDS = 1.0
-__all__ = ["world"]
+__all__ = ["network"]
 
 
 def settings_with_deadline(seconds: float) -> dict[str, Any]:
@@ -36,30 +36,30 @@
     return {**SETTINGS, "classes": classes, "caps": {**SETTINGS["caps"], "cancel": False}}
 
 
-def build_limiter(world: InMemoryNetwork, linger: float = TERMINATION_LINGER) -> Limiter:
+def build_limiter(network: InMemoryNetwork, linger: float = TERMINATION_LINGER) -> Limiter:
     """Return a limiter that knows one active backend and doesn't listen yet."""
     configuration = make_configuration(settings=settings_with_deadline(DEADLINE_SECONDS))
-    limiter = Limiter(configuration, world.reactor, linger=linger)
-    limiter.on_endpoints_changed(one_backend_update("active", reset=True))
+    limiter = Limiter(configuration, network.reactor, linger=linger)
+    limiter.on_endpoints_changed(make_backend_update("active", reset=True))
     return limiter
 
 
-def build_serving_limiter(world: InMemoryNetwork, linger: float = TERMINATION_LINGER) -> tuple[Limiter, FakePort]:
+def build_serving_limiter(network: InMemoryNetwork, linger: float = TERMINATION_LINGER) -> tuple[Limiter, FakePort]:
     """Return a limiter that accepts clients, and its port."""
-    limiter = build_limiter(world, linger)
+    limiter = build_limiter(network, linger)
     port = FakePort()
     limiter.lifecycle.on_listening(port)
     return limiter, port
 
 
-def connect_client(world: InMemoryNetwork, limiter: Limiter) -> Any:
+def connect_client(network: InMemoryNetwork, limiter: Limiter) -> Any:
     """Return a client's connection."""
-    return world.connected(limiter.frontend.buildProtocol(None))
+    return network.connect_protocol(limiter.frontend.buildProtocol(None))
 
 
-def test_ping_is_answered_with_the_reason_when_the_limiter_is_not_ready(world: InMemoryNetwork) -> None:
-    limiter = build_limiter(world)
-    client = connect_client(world, limiter)
+def test_ping_is_answered_with_the_reason_when_the_limiter_is_not_ready(network: InMemoryNetwork) -> None:
+    limiter = build_limiter(network)
+    client = connect_client(network, limiter)
     client.dataReceived(command(b"PING"))
     assert client.transport.value() == b"-LOADING %b\r\n" % REASONS[Phase.STARTING].encode()
     client.transport.clear()
@@ -72,130 +72,130 @@
     assert client.transport.value() == b"-LOADING %b\r\n" % REASONS[Phase.EVACUATED].encode()
 
 
-def test_clients_are_drained_after_a_delay_when_the_limiter_is_evacuated(world: InMemoryNetwork) -> None:
-    limiter, port = build_serving_limiter(world)
-    client = connect_client(world, limiter)
+def test_clients_are_drained_after_a_delay_when_the_limiter_is_evacuated(network: InMemoryNetwork) -> None:
+    limiter, port = build_serving_limiter(network)
+    client = connect_client(network, limiter)
     client.dataReceived(command(b"PING"))
     limiter.lifecycle.on_command(OperatorCommand.EVACUATE)
-    world.reactor.pump([0.05] * int(EVACUATION_DELAY / 0.05 - 1))
+    network.reactor.pump([0.05] * int(EVACUATION_DELAY / 0.05 - 1))
     assert not client.transport.handle.half_closed
-    world.reactor.pump([0.05] * 2)
+    network.reactor.pump([0.05] * 2)
     assert client.transport.handle.half_closed
     assert port.stopped_count == 0
     limiter.lifecycle.on_command(OperatorCommand.ACTIVATE)
     assert not limiter.frontend.is_draining
 
 
-def test_delayed_drain_is_dropped_when_the_limiter_is_activated_and_evacuated_again(world: InMemoryNetwork) -> None:
-    limiter, _ = build_serving_limiter(world)
+def test_delayed_drain_is_dropped_when_the_limiter_is_activated_and_evacuated_again(network: InMemoryNetwork) -> None:
+    limiter, _ = build_serving_limiter(network)
     limiter.lifecycle.on_command(OperatorCommand.EVACUATE)
-    world.reactor.pump([0.05] * int(EVACUATION_DELAY / 0.05 - 2))
+    network.reactor.pump([0.05] * int(EVACUATION_DELAY / 0.05 - 2))
     limiter.lifecycle.on_command(OperatorCommand.ACTIVATE)
     limiter.lifecycle.on_command(OperatorCommand.EVACUATE)
-    world.reactor.pump([0.05] * 4)  # past the delay of the first evacuation
+    network.reactor.pump([0.05] * 4)  # past the delay of the first evacuation
     assert not limiter.frontend.is_draining
-    world.reactor.pump([0.05] * int(EVACUATION_DELAY / 0.05))
+    network.reactor.pump([0.05] * int(EVACUATION_DELAY / 0.05))
     assert limiter.frontend.is_draining
 
 
-def test_clients_stay_when_the_limiter_is_activated_before_the_drain(world: InMemoryNetwork) -> None:
-    limiter, _ = build_serving_limiter(world)
+def test_clients_stay_when_the_limiter_is_activated_before_the_drain(network: InMemoryNetwork) -> None:
+    limiter, _ = build_serving_limiter(network)
     limiter.lifecycle.on_command(OperatorCommand.EVACUATE)
     limiter.lifecycle.on_command(OperatorCommand.ACTIVATE)
-    world.reactor.pump([0.05] * int(2 * EVACUATION_DELAY / 0.05))
+    network.reactor.pump([0.05] * int(2 * EVACUATION_DELAY / 0.05))
     assert not limiter.frontend.is_draining
 
 
-def test_limiter_serves_when_its_first_backend_is_known_after_it_listens(world: InMemoryNetwork) -> None:
-    limiter = Limiter(make_configuration(), world.reactor)
+def test_limiter_serves_when_its_first_backend_is_known_after_it_listens(network: InMemoryNetwork) -> None:
+    limiter = Limiter(make_configuration(), network.reactor)
     limiter.lifecycle.on_listening(FakePort())
     assert not limiter.lifecycle.takes_clients()
-    limiter.on_endpoints_changed(one_backend_update("active", reset=True))
+    limiter.on_endpoints_changed(make_backend_update("active", reset=True))
     assert limiter.lifecycle.takes_clients()
 
 
 def test_phases_are_passed_on_in_order_when_the_limiter_starts_and_stops(
-    world: InMemoryNetwork, monkeypatch: pytest.MonkeyPatch
+    network: InMemoryNetwork, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    limiter = build_limiter(world)
+    limiter = build_limiter(network)
     phases: list[Phase] = []
     lines: list[str] = []
     monkeypatch.setattr(log, "_sink", lambda kind, text, skipped, fields: lines.append(f"{kind}: {text}"))
     limiter.lifecycle.on_phase = phases.append
     limiter.lifecycle.on_listening(FakePort())
     limiter.lifecycle.terminate(0.0)
-    world.reactor.advance(0.01)
+    network.reactor.advance(0.01)
     assert phases == [Phase.SERVING, Phase.DRAINING, Phase.STOPPED]
     assert lines == ["listening: 127.0.0.1:1", "phase: serving", "phase: draining", "phase: stopped"]
 
 
 @pytest.mark.parametrize("linger", [0.2, TERMINATION_LINGER])
 def test_clients_are_accepted_when_the_limiter_lingers_and_rejected_afterwards(
-    world: InMemoryNetwork, linger: float
+    network: InMemoryNetwork, linger: float
 ) -> None:
-    limiter, port = build_serving_limiter(world, linger)
-    client = connect_client(world, limiter)
+    limiter, port = build_serving_limiter(network, linger)
+    client = connect_client(network, limiter)
     client.dataReceived(request(1))
     limiter.lifecycle.terminate()
-    world.reactor.pump([0.05] * int(linger / 0.05 - 1))
+    network.reactor.pump([0.05] * int(linger / 0.05 - 1))
     assert limiter.lifecycle.takes_clients()
     assert port.stopped_count == 0
     assert limiter.frontend.buildProtocol(None) is not None
-    world.reactor.pump([0.05] * 2)
+    network.reactor.pump([0.05] * 2)
     assert not limiter.lifecycle.takes_clients()
     assert port.stopped_count == 1
     assert limiter.frontend.buildProtocol(None) is None
 
 
-def test_process_stops_at_once_when_the_last_client_leaves_a_closed_limiter(world: InMemoryNetwork) -> None:
-    limiter, _ = build_serving_limiter(world)
-    client = connect_client(world, limiter)
+def test_process_stops_at_once_when_the_last_client_leaves_a_closed_limiter(network: InMemoryNetwork) -> None:
+    limiter, _ = build_serving_limiter(network)
+    client = connect_client(network, limiter)
     limiter.lifecycle.terminate(0.0)
-    world.reactor.advance(0.01)
-    assert not world.reactor.hasStopped
+    network.reactor.advance(0.01)
+    assert not network.reactor.hasStopped
     client.connectionLost()
-    assert world.reactor.hasStopped
+    assert network.reactor.hasStopped
     assert limiter.lifecycle.phase is Phase.STOPPED
 
 
-def test_process_stops_when_the_last_attempt_ends_after_its_client_has_left(world: InMemoryNetwork) -> None:
-    limiter, _ = build_serving_limiter(world)
-    client = connect_client(world, limiter)
+def test_process_stops_when_the_last_attempt_ends_after_its_client_has_left(network: InMemoryNetwork) -> None:
+    limiter, _ = build_serving_limiter(network)
+    client = connect_client(network, limiter)
     client.dataReceived(request(1))
-    backend = world.up(0)
+    backend = network.complete_dial(0)
     limiter.lifecycle.terminate(0.0)
-    world.reactor.advance(0.01)
+    network.reactor.advance(0.01)
     client.connectionLost()
     assert limiter.dispatcher.open_count() == 1
-    assert not world.reactor.hasStopped
+    assert not network.reactor.hasStopped
     backend.dataReceived(SERVED_REPLY)
-    world.reactor.pump([STOP_CHECK_INTERVAL] * 2)
-    assert world.reactor.hasStopped
+    network.reactor.pump([STOP_CHECK_INTERVAL] * 2)
+    assert network.reactor.hasStopped
 
 
 @pytest.mark.parametrize("deadline", [DEADLINE_SECONDS, LONGER_DEADLINE_SECONDS, 0.1])
 def test_process_stops_after_the_longest_deadline_when_a_client_never_takes_its_response(
-    world: InMemoryNetwork, deadline: float
+    network: InMemoryNetwork, deadline: float
 ) -> None:
-    limiter, _ = build_serving_limiter(world)
-    client = connect_client(world, limiter)
+    limiter, _ = build_serving_limiter(network)
+    client = connect_client(network, limiter)
     client.transport.handle.max_bytes = 0
     client.dataReceived(command(b"PING"))
     limiter.apply_settings(make_configuration(settings=settings_with_deadline(deadline)).settings)
     limiter.lifecycle.terminate(0.0)
     stop_after = max(deadline, DEADLINE_SECONDS) + UNTAKEN_RESPONSE_GRACE
-    world.reactor.pump([0.05] * round(stop_after / 0.05 - 1))
-    assert not world.reactor.hasStopped
-    world.reactor.pump([0.05] * 2)
-    assert world.reactor.hasStopped
+    network.reactor.pump([0.05] * round(stop_after / 0.05 - 1))
+    assert not network.reactor.hasStopped
+    network.reactor.pump([0.05] * 2)
+    assert network.reactor.hasStopped
 
 
-def test_process_stops_later_when_final_messages_need_time(world: InMemoryNetwork) -> None:
-    limiter, _ = build_serving_limiter(world)
+def test_process_stops_later_when_final_messages_need_time(network: InMemoryNetwork) -> None:
+    limiter, _ = build_serving_limiter(network)
     limiter.lifecycle.on_stopping = lambda: 0.2
     limiter.lifecycle.terminate(0.0)
-    world.reactor.advance(0.01)
+    network.reactor.advance(0.01)
     assert limiter.lifecycle.phase is Phase.STOPPED
-    assert not world.reactor.hasStopped
-    world.reactor.pump([0.05] * 5)
-    assert world.reactor.hasStopped
+    assert not network.reactor.hasStopped
+    network.reactor.pump([0.05] * 5)
+    assert network.reactor.hasStopped
--- a/tests/run_line/test_limiter_wiring.py
+++ b/tests/run_line/test_limiter_wiring.py
@@ -17,9 +17,9 @@
     InMemoryNetwork,
     make_attempt_spec,
     make_backend_connections,
+    make_backend_update,
     make_configuration,
-    one_backend_update,
-    world,
+    network,
 )
 from tests.wiring_support import (
     MAX_WAIT_SECONDS,
@@ -39,17 +39,17 @@
 
 LARGE_SET_SIZE = 200  # limiters, of which each waits longer before it connects to discovery again
 POLLED = "on_request"  # the platform's name for lists that are polled
-__all__ = ["log_lines", "world"]
+__all__ = ["log_lines", "network"]
 
 
 # --- a handover --------------------------------------------------------------------------------------------
 
 
-def test_idle_backend_connections_are_closed_when_the_limiter_is_handed_over(world: InMemoryNetwork) -> None:
-    limiter = build_limiter(world)
+def test_idle_backend_connections_are_closed_when_the_limiter_is_handed_over(network: InMemoryNetwork) -> None:
+    limiter = build_limiter(network)
     limiter.lifecycle.on_listening(FakePort())
-    connect_client(world, limiter).dataReceived(request(1))
-    backend = world.up(0)
+    connect_client(network, limiter).dataReceived(request(1))
+    backend = network.complete_dial(0)
     backend.dataReceived(SERVED_REPLY)
     assert not backend.closed
     assert limiter.backends.open_connections == 1
@@ -60,12 +60,12 @@
 
 @pytest.mark.parametrize("rolled_back", [False, True])
 def test_backend_connection_is_closed_when_it_becomes_idle_after_the_handover(
-    world: InMemoryNetwork, rolled_back: bool
+    network: InMemoryNetwork, rolled_back: bool
 ) -> None:
-    limiter = build_limiter(world)
+    limiter = build_limiter(network)
     limiter.lifecycle.on_listening(FakePort())
-    connect_client(world, limiter).dataReceived(request(1))
-    backend = world.up(0)
+    connect_client(network, limiter).dataReceived(request(1))
+    backend = network.complete_dial(0)
     limiter.on_handover_changed(True)
     if rolled_back:
         limiter.on_handover_changed(False)
@@ -74,11 +74,11 @@
     assert limiter.backends.open_connections == int(rolled_back)
 
 
-def test_waiting_attempt_is_served_when_its_connection_comes_up_after_the_handover(world: InMemoryNetwork) -> None:
-    connections, results = make_backend_connections(world)
-    connections.set_resting(True)
+def test_waiting_attempt_is_served_when_its_connection_comes_up_after_the_handover(network: InMemoryNetwork) -> None:
+    connections, results = make_backend_connections(network)
+    connections.set_close_when_idle(True)
     connections.start_attempt(make_attempt_spec()).addCallback(results.append)
-    backend = world.up(0)
+    backend = network.complete_dial(0)
     backend.dataReceived(SERVED_REPLY)
     assert [result.status for result in results] == [Status.OK]
     assert backend.closed
@@ -86,9 +86,9 @@
 
 
 def test_clients_are_drained_when_the_limiter_is_handed_over_and_admitted_when_it_is_rolled_back(
-    world: InMemoryNetwork,
+    network: InMemoryNetwork,
 ) -> None:
-    limiter = build_limiter(world)
+    limiter = build_limiter(network)
     port = FakePort()
     limiter.lifecycle.on_listening(port)
     limiter.on_handover_changed(True)
@@ -106,103 +106,103 @@
 # --- other settings ----------------------------------------------------------------------------------------
 
 
-def test_backoff_of_the_watch_is_resized_when_the_number_of_limiters_changes(world: InMemoryNetwork) -> None:
+def test_backoff_of_the_watch_is_resized_when_the_number_of_limiters_changes(network: InMemoryNetwork) -> None:
     small_set = changed_settings(discovery=POLLED)
     large_set = changed_settings(discovery=POLLED, balancers=LARGE_SET_SIZE)
-    small = build_limiter(world, settings=small_set, seed="7", discovery="127.0.0.1:101")
-    large = build_limiter(world, settings=large_set, seed="7", discovery="127.0.0.1:102")
-    resized = build_limiter(world, settings=small_set, seed="7", discovery="127.0.0.1:103")
+    small = build_limiter(network, settings=small_set, seed="7", discovery="127.0.0.1:101")
+    large = build_limiter(network, settings=large_set, seed="7", discovery="127.0.0.1:102")
+    resized = build_limiter(network, settings=small_set, seed="7", discovery="127.0.0.1:103")
     resized.apply_settings(make_configuration(settings=large_set).settings)
-    wait_of_large_set = wait_of_next_watch(world, large)
+    wait_of_large_set = wait_of_next_watch(network, large)
     assert INITIAL_BACKOFF < wait_of_large_set < MAX_WAIT_SECONDS
-    assert wait_of_next_watch(world, resized) == pytest.approx(wait_of_large_set, abs=0.002)
-    assert wait_of_next_watch(world, small) <= INITIAL_BACKOFF + 0.002
+    assert wait_of_next_watch(network, resized) == pytest.approx(wait_of_large_set, abs=0.002)
+    assert wait_of_next_watch(network, small) <= INITIAL_BACKOFF + 0.002
 
 
-def test_commands_are_read_by_the_new_classes_when_settings_change(world: InMemoryNetwork) -> None:
-    limiter = build_limiter(world)
-    client = connect_client(world, limiter)
+def test_commands_are_read_by_the_new_classes_when_settings_change(network: InMemoryNetwork) -> None:
+    limiter = build_limiter(network)
+    client = connect_client(network, limiter)
     client.dataReceived(request(1).replace(b"c=look", b"c=news"))
     assert client.transport.value() == b"-ERR unknown class\r\n"
     limiter.apply_settings(settings_with(classes=[*SETTINGS["classes"], {**SETTINGS["classes"][0], "name": "news"}]))
     client.dataReceived(request(2).replace(b"c=look", b"c=news"))
-    world.up(0).dataReceived(SERVED_REPLY)
+    network.complete_dial(0).dataReceived(SERVED_REPLY)
     assert client.transport.value().endswith(b"$5\r\nvalue\r\n")
 
 
-def test_requests_are_bounded_by_the_new_number_when_settings_change(world: InMemoryNetwork) -> None:
-    limiter = build_limiter(world)
+def test_requests_are_bounded_by_the_new_number_when_settings_change(network: InMemoryNetwork) -> None:
+    limiter = build_limiter(network)
     limiter.apply_settings(settings_with(caps={**SETTINGS["caps"], "open-cap": 1}))
-    client = connect_client(world, limiter)
+    client = connect_client(network, limiter)
     client.dataReceived(request(1))
-    connect_client(world, limiter).dataReceived(request(2))
+    connect_client(network, limiter).dataReceived(request(2))
     assert limiter.dispatcher.open_count() == 1
 
 
-def test_connects_to_backends_end_by_the_new_timeout_when_settings_change(world: InMemoryNetwork) -> None:
-    limiter = build_limiter(world)
+def test_connects_to_backends_end_by_the_new_timeout_when_settings_change(network: InMemoryNetwork) -> None:
+    limiter = build_limiter(network)
     limiter.apply_settings(settings_with(caps={**SETTINGS["caps"], "dial-timeout": 0.5}))
-    connect_client(world, limiter).dataReceived(request(1))
-    world.reactor.pump([0.01] * 40)
-    assert not world.reactor.connectors[0].stoppedConnecting
-    world.reactor.pump([0.01] * 20)
-    assert world.reactor.connectors[0].stoppedConnecting
+    connect_client(network, limiter).dataReceived(request(1))
+    network.reactor.pump([0.01] * 40)
+    assert not network.reactor.connectors[0].stoppedConnecting
+    network.reactor.pump([0.01] * 20)
+    assert network.reactor.connectors[0].stoppedConnecting
 
 
 # --- a reload ----------------------------------------------------------------------------------------------
 
 
-def build_reloadable(world: InMemoryNetwork, load: Callable[[], Configuration]) -> Limiter:
+def build_reloadable(network: InMemoryNetwork, load: Callable[[], Configuration]) -> Limiter:
     """Return a connected limiter that reloads what `load` returns."""
-    limiter = Limiter(make_configuration(), world.reactor, load=load)
+    limiter = Limiter(make_configuration(), network.reactor, load=load)
     limiter.connect(inf)
     return limiter
 
 
-def test_counter_and_discovery_are_dialed_anew_when_a_reload_moves_them(world: InMemoryNetwork) -> None:
+def test_counter_and_discovery_are_dialed_anew_when_a_reload_moves_them(network: InMemoryNetwork) -> None:
     moved = make_configuration(discovery="127.0.0.1:18", counter="127.0.0.1:19")
-    build_reloadable(world, lambda: moved).lifecycle.reload_settings()
-    assert len(dials_to(world, 18)) == 1
-    assert len(dials_to(world, 19)) == 3
+    build_reloadable(network, lambda: moved).lifecycle.reload_settings()
+    assert len(dials_to(network, 18)) == 1
+    assert len(dials_to(network, 19)) == 3
 
 
-def test_old_addresses_are_dialed_again_when_a_second_reload_moves_them_back(world: InMemoryNetwork) -> None:
+def test_old_addresses_are_dialed_again_when_a_second_reload_moves_them_back(network: InMemoryNetwork) -> None:
     moved = make_configuration(discovery="127.0.0.1:18", counter="127.0.0.1:19")
     files = [moved, make_configuration()]
-    limiter = build_reloadable(world, lambda: files.pop(0))
+    limiter = build_reloadable(network, lambda: files.pop(0))
     limiter.lifecycle.reload_settings()
-    known_dials = len(world.reactor.tcpClients)
+    known_dials = len(network.reactor.tcpClients)
     limiter.lifecycle.reload_settings()
-    assert len([dial for dial in dials_to(world, DISCOVERY_PORT) if dial >= known_dials]) == 1
-    assert len([dial for dial in dials_to(world, COUNTER_PORT) if dial >= known_dials]) == 3
+    assert len([dial for dial in dials_to(network, DISCOVERY_PORT) if dial >= known_dials]) == 1
+    assert len([dial for dial in dials_to(network, COUNTER_PORT) if dial >= known_dials]) == 3
 
 
-def test_nothing_is_dialed_anew_when_a_reload_changes_no_address(world: InMemoryNetwork) -> None:
-    limiter = build_reloadable(world, make_configuration)
-    known_dials = len(world.reactor.tcpClients)
+def test_nothing_is_dialed_anew_when_a_reload_changes_no_address(network: InMemoryNetwork) -> None:
+    limiter = build_reloadable(network, make_configuration)
+    known_dials = len(network.reactor.tcpClients)
     limiter.lifecycle.reload_settings()
-    assert len(world.reactor.tcpClients) == known_dials
+    assert len(network.reactor.tcpClients) == known_dials
     assert limiter.reload.last
 
 
-def test_settings_are_applied_when_a_reload_changes_them(world: InMemoryNetwork, log_lines: list[str]) -> None:
+def test_settings_are_applied_when_a_reload_changes_them(network: InMemoryNetwork, log_lines: list[str]) -> None:
     changed = make_configuration(settings=changed_settings(caps={**SETTINGS["caps"], "open-cap": 1}), memory=1)
-    limiter = build_reloadable(world, lambda: changed)
-    limiter.on_endpoints_changed(one_backend_update("active", reset=True))
+    limiter = build_reloadable(network, lambda: changed)
+    limiter.on_endpoints_changed(make_backend_update("active", reset=True))
     limiter.lifecycle.reload_settings()
-    connect_client(world, limiter).dataReceived(request(1) + request(2))
+    connect_client(network, limiter).dataReceived(request(1) + request(2))
     assert limiter.dispatcher.open_count() == 1
     assert any(line.startswith("reload: settings taken: ") for line in log_lines)
 
 
-def test_fixed_values_are_named_when_a_reload_changes_them(world: InMemoryNetwork, log_lines: list[str]) -> None:
-    limiter = build_reloadable(world, lambda: replace(make_configuration(), memory=2**20, sockets=99))
+def test_fixed_values_are_named_when_a_reload_changes_them(network: InMemoryNetwork, log_lines: list[str]) -> None:
+    limiter = build_reloadable(network, lambda: replace(make_configuration(), memory=2**20, sockets=99))
     limiter.lifecycle.reload_settings()
     assert "reload: sockets, memory differ and hold from the next start" in log_lines
 
 
-def test_nothing_is_reloaded_when_the_limiter_has_stopped(world: InMemoryNetwork) -> None:
-    limiter = build_reloadable(world, make_configuration)
+def test_nothing_is_reloaded_when_the_limiter_has_stopped(network: InMemoryNetwork) -> None:
+    limiter = build_reloadable(network, make_configuration)
     limiter.lifecycle.phase = Phase.STOPPED
     limiter.lifecycle.reload_settings()
     assert limiter.reload.last == ""
--- a/tests/run_line/test_start.py
+++ b/tests/run_line/test_start.py
@@ -17,7 +17,7 @@
 import pytest
 
 from tests.limiter import PATIENCE, SETTINGS, Limiter, Peer, command, is_connection_refused, request
-from tests.network_support import InMemoryNetwork, RecordingObserver, world
+from tests.network_support import InMemoryNetwork, RecordingObserver, network
 from thymeflow.discovery.watch import FIRST_LIST_TIMEOUT, POLLED_IDLE_TIMEOUT, PUSHED_IDLE_TIMEOUT, EndpointWatcher
 from thymeflow.frontend.listener import bind_listener, start_listening
 from thymeflow.limiter.assembly import Limiter as Assembled
@@ -29,7 +29,7 @@
 
 GOOD = b"*3\r\n$5\r\nvalue\r\n$-1\r\n$-1\r\n"
 HEAD = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
-__all__ = ["world"]
+__all__ = ["network"]
 
 
 def connect_when_open(limiter: Limiter) -> Peer:
@@ -182,7 +182,7 @@
 
 @pytest.mark.parametrize("late", [0.0, 0.6 * FIRST_LIST_TIMEOUT, None])
 def test_ping_is_answered_when_the_agent_has_sent_its_list_or_the_timeout_is_over(
-    world: InMemoryNetwork, late: float | None
+    network: InMemoryNetwork, late: float | None
 ) -> None:
     source = {
         "listen": "127.0.0.1:0",
@@ -195,35 +195,35 @@
             "instances": [{"instanceId": "s-00000001", "hostPort": "127.0.0.1:7", "lifecycle": "active"}],
         },
     }
-    limiter = Assembled(from_source(source, "c.json", {}), world.reactor)
-    world.reactor.adoptStreamPort = lambda descriptor, family, factory: Port()
+    limiter = Assembled(from_source(source, "c.json", {}), network.reactor)
+    network.reactor.adoptStreamPort = lambda descriptor, family, factory: Port()
     limiter.start()
-    discovery_dial = next(n for n, dialled in enumerate(world.reactor.tcpClients) if dialled[1] == 8)
-    reading = world.up(discovery_dial)
+    discovery_dial = next(n for n, dialled in enumerate(network.reactor.tcpClients) if dialled[1] == 8)
+    reading = network.complete_dial(discovery_dial)
     reading.transport.abortConnection = lambda: None
     reading.dataReceived(HEAD)
     moments = int((FIRST_LIST_TIMEOUT if late is None else late) / 0.05)
     for _ in range(moments):
         assert limiter.lifecycle.phase is Phase.STARTING
-        world.reactor.advance(0.05)
+        network.reactor.advance(0.05)
     if late is not None:
         assert limiter.lifecycle.phase is Phase.STARTING
         reading.dataReceived(b"1\r\n\n\r\n")
     else:
-        world.reactor.advance(0.05)
+        network.reactor.advance(0.05)
     assert limiter.lifecycle.takes_clients()
     assert limiter.lifecycle.phase is Phase.SERVING
 
 
 def test_queued_requests_have_waited_since_the_start_when_the_socket_was_passed_in(
-    world: InMemoryNetwork, monkeypatch: pytest.MonkeyPatch
+    network: InMemoryNetwork, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr(clock, "STARTED_AT", clock.now() - 3.0)
     source = {"listen": "127.0.0.1:0", "discovery": "127.0.0.1:8", "counter": "127.0.0.1:9", "settings": SETTINGS}
-    limiter = Assembled(from_source(source, "c.json", {}), world.reactor)
-    world.reactor.adoptStreamPort = lambda descriptor, family, factory: Port()
+    limiter = Assembled(from_source(source, "c.json", {}), network.reactor)
+    network.reactor.adoptStreamPort = lambda descriptor, family, factory: Port()
     limiter.listen(start_listening(bind_listener("127.0.0.1", 0)), waited=True)
-    world.reactor.advance(0.5)
+    network.reactor.advance(0.5)
     assert limiter.deadlines.earliest_arrival(clock.now()) == clock.now()  # nothing is read yet
     limiter.discovery.is_ready = True
     limiter.on_endpoints_ready()
@@ -242,10 +242,10 @@
             assert limiter.process.wait(PATIENCE) == 3
 
 
-def test_stall_is_remembered_until_waiting_bytes_are_read(world: InMemoryNetwork) -> None:
+def test_stall_is_remembered_until_waiting_bytes_are_read(network: InMemoryNetwork) -> None:
     reported = list[float]()
     amid = list[float]()
-    deadlines = clock.Deadlines(world.reactor, reported.append)
+    deadlines = clock.Deadlines(network.reactor, reported.append)
     for after in (0.1, 0.2):  # the first finds the stall, the second runs in its wake
         deadlines.schedule(
             clock.now() + after, lambda _: amid.append(clock.now() - deadlines.earliest_arrival(clock.now()))
@@ -253,27 +253,27 @@
     begun = clock.now()
     assert deadlines.earliest_arrival(begun) == begun
     assert not deadlines.is_stalled(begun)
-    world.reactor.rightNow += 2.0  # no turn: stopped, or one turn took so long
+    network.reactor.rightNow += 2.0  # no turn: stopped, or one turn took so long
     assert deadlines.earliest_arrival(clock.now()) == begun + 0.1
     assert deadlines.is_stalled(clock.now())
-    world.reactor.advance(0.0)  # all turns that are due at once
+    network.reactor.advance(0.0)  # all turns that are due at once
     assert reported == [pytest.approx(1.9)]
     assert amid == [pytest.approx(1.9)] * 2
     assert not deadlines.is_stalled(clock.now())
 
 
-def test_dial_gets_its_turns_first_when_its_deadline_expires_in_a_late_turn(world: InMemoryNetwork) -> None:
+def test_dial_gets_its_turns_first_when_its_deadline_expires_in_a_late_turn(network: InMemoryNetwork) -> None:
     given_up = list[float]()
-    world.reactor.connectTCP = lambda *_, **__: type(
+    network.reactor.connectTCP = lambda *_, **__: type(
         "Dial", (), {"stopConnecting": lambda self: given_up.append(clock.now())}
     )()
     begun = clock.now()
-    dial(world.reactor, world.deadlines, Address("127.0.0.1", 1), begun + 1.0, WriteTrackingConnection)
-    world.reactor.rightNow += 3.0  # no turn for so long: it was not even begun
-    world.reactor.advance(0.0)
+    dial(network.reactor, network.deadlines, Address("127.0.0.1", 1), begun + 1.0, WriteTrackingConnection)
+    network.reactor.rightNow += 3.0  # no turn for so long: it was not even begun
+    network.reactor.advance(0.0)
     assert not given_up
     for _ in range(clock.SETTLING_TURNS + 2):
-        world.reactor.advance(clock.STALL / 2)
+        network.reactor.advance(clock.STALL / 2)
     assert len(given_up) == 1
     assert given_up[0] >= begun + 3.0 + clock.STALL
 
@@ -281,12 +281,12 @@
 @pytest.mark.parametrize("pushed", [True, False])
 @pytest.mark.parametrize("seed", range(6))
 def test_silent_watch_is_opened_again_before_a_missed_drain_is_due(
-    world: InMemoryNetwork, seed: int, pushed: bool
+    network: InMemoryNetwork, seed: int, pushed: bool
 ) -> None:
     # Told 6 s after the silence began, by whatever word, and a second's grace: in a set of any size.
     discovery = EndpointWatcher(
-        world.reactor,
-        world.deadlines,
+        network.reactor,
+        network.deadlines,
         Address("127.0.0.1", 8),
         1,
         RecordingObserver(lambda _: None),
@@ -295,10 +295,10 @@
         pushed,
     )
     discovery.start(clock.now() + FIRST_LIST_TIMEOUT)
-    reading = world.up(0)
+    reading = network.complete_dial(0)
     reading.transport.abortConnection = lambda: None
     reading.dataReceived(HEAD + b"1\r\n\n\r\n")
     fell = clock.now()
-    while len(world.reactor.tcpClients) == 1:
-        world.reactor.advance(0.01)
+    while len(network.reactor.tcpClients) == 1:
+        network.reactor.advance(0.01)
     assert 0.0 < clock.now() - fell - (PUSHED_IDLE_TIMEOUT if pushed else POLLED_IDLE_TIMEOUT) < 0.4
--- a/tests/wiring_support.py
+++ b/tests/wiring_support.py
@@ -14,8 +14,8 @@
 from tests.network_support import (
     DISCOVERY_PORT,
     InMemoryNetwork,
+    make_backend_update,
     make_configuration,
-    one_backend_update,
 )
 from thymeflow.decision import actions, events
 from thymeflow.decision.settings import GatewaySettings
@@ -45,10 +45,10 @@
     return lines
 
 
-def build_limiter(world: InMemoryNetwork, gateway: Any = None, **changes: Any) -> Limiter:
+def build_limiter(network: InMemoryNetwork, gateway: Any = None, **changes: Any) -> Limiter:
     """Return a limiter that knows one active backend; `changes` replace keys of its configuration."""
-    limiter = Limiter(make_configuration(**changes), world.reactor, gateway)
-    limiter.on_endpoints_changed(one_backend_update("active", reset=True))
+    limiter = Limiter(make_configuration(**changes), network.reactor, gateway)
+    limiter.on_endpoints_changed(make_backend_update("active", reset=True))
     return limiter
 
 
@@ -62,37 +62,37 @@
     return make_configuration(settings=changed_settings(**changes)).settings
 
 
-def connect_client(world: InMemoryNetwork, limiter: Limiter) -> Any:
+def connect_client(network: InMemoryNetwork, limiter: Limiter) -> Any:
     """Return a client's connection."""
-    return world.connected(limiter.frontend.buildProtocol(None))
+    return network.connect_protocol(limiter.frontend.buildProtocol(None))
 
 
-def dials_to(world: InMemoryNetwork, port: int) -> list[int]:
+def dials_to(network: InMemoryNetwork, port: int) -> list[int]:
     """Return the numbers of the dials to a port, the first one first."""
-    return [number for number, (_, dialed_port, *_) in enumerate(world.reactor.tcpClients) if dialed_port == port]
+    return [number for number, (_, dialed_port, *_) in enumerate(network.reactor.tcpClients) if dialed_port == port]
 
 
-def fail_dial(world: InMemoryNetwork, number: int) -> None:
+def fail_dial(network: InMemoryNetwork, number: int) -> None:
     """Let the dial of that number fail."""
-    *_, factory, _, _ = world.reactor.tcpClients[number]
+    *_, factory, _, _ = network.reactor.tcpClients[number]
     reason = Failure(ConnectError())  # type: ignore[no-untyped-call]
-    factory.clientConnectionFailed(world.reactor.connectors[number], reason)
+    factory.clientConnectionFailed(network.reactor.connectors[number], reason)
 
 
-def receive_first_list(world: InMemoryNetwork) -> Any:
+def receive_first_list(network: InMemoryNetwork) -> Any:
     """Let the watch connect and receive its first message; return its stream."""
-    stream = world.up(dials_to(world, DISCOVERY_PORT)[0])
+    stream = network.complete_dial(dials_to(network, DISCOVERY_PORT)[0])
     stream.dataReceived(HEAD + HEARTBEAT)
     return stream
 
 
-def wait_of_next_watch(world: InMemoryNetwork, limiter: Limiter) -> float:
+def wait_of_next_watch(network: InMemoryNetwork, limiter: Limiter) -> float:
     """Let the limiter's first connect to discovery fail; return the seconds until the next."""
     port = limiter.configuration.discovery.port
     limiter.connect(inf)
-    (dial,) = dials_to(world, port)  # limiters of one test watch at ports of their own
-    fail_dial(world, dial)
+    (dial,) = dials_to(network, port)  # limiters of one test watch at ports of their own
+    fail_dial(network, dial)
     failed_at = clock.now()
-    while len(dials_to(world, port)) < 2 and clock.now() - failed_at < MAX_WAIT_SECONDS:
-        world.reactor.advance(0.001)
+    while len(dials_to(network, port)) < 2 and clock.now() - failed_at < MAX_WAIT_SECONDS:
+        network.reactor.advance(0.001)
     return clock.now() - failed_at
--- a/thymeflow/backends/connections.py
+++ b/thymeflow/backends/connections.py
@@ -151,7 +151,7 @@
         log.emit_rate_limited(
             LogKind.BACKEND_REPLY_MALFORMED, f"{self.pool.address}: {fault}", address=self.pool.address
         )
-        self.hang_up()
+        self.abort_connection()
         self.owner.on_malformed(self)
 
     def on_lost(self) -> None:
--- a/thymeflow/backends/pools.py
+++ b/thymeflow/backends/pools.py
@@ -33,7 +33,7 @@
         """Set another bound on connections, for those that are opened from now on."""
         self._max_connections = max_connections
 
-    def set_resting(self, resting: bool) -> None:
+    def set_close_when_idle(self, resting: bool) -> None:
         """Set whether connections are closed as they become idle, since backends accept only so many."""
         self.resting = resting
         for pool in self._pools_by_id.values() if resting else ():
@@ -46,12 +46,12 @@
 
     def _close_idle(self, pool: Pool) -> None:
         for connection in pool.idle:
-            connection.hang_up()
+            connection.abort_connection()
         self.open_connections -= len(pool.idle)
         pool.idle.clear()
 
     def _close(self, connection: Connection) -> None:
-        connection.hang_up()
+        connection.abort_connection()
         self.open_connections -= 1
 
     def _check_usable(self, connection: Connection) -> bool:
--- a/thymeflow/counter/client.py
+++ b/thymeflow/counter/client.py
@@ -76,7 +76,7 @@
     def on_malformed(self, fault: str) -> None:
         """Close the connection, as replies can no longer be assigned to calls."""
         log.emit_rate_limited(LogKind.COUNTER_REPLY_MALFORMED, fault)
-        self.hang_up()
+        self.abort_connection()
         self.on_lost()
 
     def on_lost(self) -> None:
@@ -137,7 +137,7 @@
 
     def _close(self, _: int) -> None:
         if self._connection is not None:
-            self._connection.hang_up()
+            self._connection.abort_connection()
             self.on_connection_lost()
 
     def _close_if_retired(self) -> None:
@@ -196,7 +196,7 @@
                 address=self._address,
                 waiting=len(self.written),
             )
-            self._connection.hang_up()
+            self._connection.abort_connection()
             self.on_connection_lost()
 
     def on_reply(self, value: resp.Value) -> None:
--- a/thymeflow/limiter/assembly.py
+++ b/thymeflow/limiter/assembly.py
@@ -242,7 +242,7 @@
 
     def on_handover_changed(self, is_handed_over: bool) -> None:
         """Stop accepting, as a successor does, or accept again if it does not."""
-        self.backends.set_resting(is_handed_over)
+        self.backends.set_close_when_idle(is_handed_over)
         if is_handed_over:
             self.lifecycle.on_handed_over()
         else:
--- a/thymeflow/transport/connections.py
+++ b/thymeflow/transport/connections.py
@@ -126,7 +126,7 @@
             self.closed = True
             self.on_lost()
 
-    def hang_up(self) -> None:
+    def abort_connection(self) -> None:
         """End the connection now; what the peer still sends is discarded."""
         if self.closed:
             return
