--- a/tests/counter/test_client.py
+++ b/tests/counter/test_client.py
@@ -24,9 +24,9 @@
     line.call(b"first", clock.now() + 0.03).addCallback(results.append)
     network.reactor.advance(0.04)
     line.call(b"second", clock.now() + 0.03).addCallback(results.append)
-    wire.message(b"7")  # late, and nobody's any more
+    wire.on_message(b"7")  # late, and nobody's any more
     assert results == [(Status.TIMEOUT, 0.0)]
-    wire.message(b"9.5")
+    wire.on_message(b"9.5")
     assert results[1] == (Status.OK, 9.5)
 
 
@@ -66,7 +66,7 @@
     assert wire.closed == (gap > STALL)
     assert len(results) == 4
     if not wire.closed:
-        wire.message(b"9")  # the second call's: the line is in step
+        wire.on_message(b"9")  # the second call's: the line is in step
         assert [call.is_reported for call in line.written] == [True, True]
 
 
--- a/thymeflow/counter/client.py
+++ b/thymeflow/counter/client.py
@@ -65,7 +65,7 @@
         self._last_received_at = clock.now()
         super().dataReceived(data)
 
-    def message(self, value: resp.Value) -> None:
+    def on_message(self, value: resp.Value) -> None:
         """Report the reply to the oldest call."""
         self._line.on_reply(value)
 
--- a/thymeflow/frontend/client_connection.py
+++ b/thymeflow/frontend/client_connection.py
@@ -264,9 +264,9 @@
             # after the end of a process that is shutting down.
             request = request._replace(remaining=deadline - self._last_activity_at)
         slot.response_deferred = dispatcher.submit(IncomingRequest(request, deadline, call, size, self.is_present))
-        slot.response_deferred.addCallbacks(self._answered, lambda _: None, callbackArgs=(slot,))
+        slot.response_deferred.addCallbacks(self._on_response, lambda _: None, callbackArgs=(slot,))
 
-    def _answered(self, response: Response, slot: PipelineSlot, /) -> None:
+    def _on_response(self, response: Response, slot: PipelineSlot, /) -> None:
         slot.response = encode_response(response)
         slot.response_stream = response.stream
         if slot.body is not None and response.stream is None:
--- a/thymeflow/testkit/faults/fault_modes.py
+++ b/thymeflow/testkit/faults/fault_modes.py
@@ -37,7 +37,7 @@
 
 def drop_responses() -> None:
     """Close the connection in place of a response, for some requests and whenever they come."""
-    write_response = frontend.ClientConnection._answered
+    write_response = frontend.ClientConnection._on_response
 
     def write_nine_of_ten(self: frontend.ClientConnection, response: Response, slot: frontend.PipelineSlot) -> None:
         """Write the response, or close the connection."""
@@ -46,7 +46,7 @@
         else:
             self.transport.abortConnection()
 
-    patch.object(frontend.ClientConnection, "_answered", write_nine_of_ten).start()
+    patch.object(frontend.ClientConnection, "_on_response", write_nine_of_ten).start()
 
 
 def duplicate_attempts() -> None:
--- a/thymeflow/transport/connections.py
+++ b/thymeflow/transport/connections.py
@@ -116,7 +116,7 @@
         for value in found:
             if self.closed:
                 return
-            self.message(value)  # type: ignore[arg-type]  # events come only where long values are allowed
+            self.on_message(value)  # type: ignore[arg-type]  # events come only where long values are allowed
         if fault and not self.closed:
             self.on_malformed(fault)
 
@@ -136,7 +136,7 @@
             self.transport.getHandle().shutdown(socket.SHUT_RDWR)
         self.transport.abortConnection()
 
-    def message(self, value: resp.Value) -> None:
+    def on_message(self, value: resp.Value) -> None:
         """Handle a complete message."""
         raise NotImplementedError
 
