--- a/tests/backends/test_attempts.py
+++ b/tests/backends/test_attempts.py
@@ -15,7 +15,7 @@
     network,
     parse_command,
 )
-from thymeflow.backends.backends import STALL as ANSWER_STALL
+from thymeflow.backends.backends import REPLY_STALL_TIMEOUT
 from thymeflow.backends.replies import parse_attempt_result
 from thymeflow.backends.streaming import LONG_VALUE_TIMEOUT
 from thymeflow.core.types import AttemptSpec
@@ -115,7 +115,7 @@
     made.start_attempt(make_attempt_spec()).addCallback(ends.append)
     server = network.complete_dial(0)
     server.dataReceived(text)
-    network.reactor.advance(ANSWER_STALL + 0.01)
+    network.reactor.advance(REPLY_STALL_TIMEOUT + 0.01)
     assert [end.status for end in ends] == [Status.ERROR]
     assert server.closed
 
@@ -142,7 +142,7 @@
     body = ValueStream(300_000, lambda waits: None, lambda: None)
     call = make_attempt_spec().payload
     assert isinstance(call, Call)
-    made.start_attempt(AttemptSpec(1, call._replace(flow=body), inf)).addCallback(ends.append)
+    made.start_attempt(AttemptSpec(1, call._replace(body_stream=body), inf)).addCallback(ends.append)
     server = network.complete_dial(0)
     server.transport.handle.max_bytes = 0  # the kernel's buffer is full
     for _ in range(4):
--- a/tests/core/test_dispatcher.py
+++ b/tests/core/test_dispatcher.py
@@ -69,5 +69,5 @@
     counter = Slow()
     backends, _ = make_backend_connections(network)
     core = RequestDispatcher(settings, Gateway(settings, 1), network.deadlines, 10**6, backends, counter, None)
-    core._carry_out(AddToCounter(5, 1.0, 20.0))
+    core._execute_action(AddToCounter(5, 1.0, 20.0))
     assert settings.information.counter_timeout < counter.until - clock.now() < MIN_CALL_INTERVAL_SECONDS
--- a/tests/frontend/test_connections.py
+++ b/tests/frontend/test_connections.py
@@ -72,7 +72,7 @@
     made, ends = make_backend_connections(network)
     there = [True]
     void = make_attempt_spec()._replace(
-        is_connected=lambda: there[0], start_before=clock.now() + 0.3 if why == "past the window" else inf
+        is_connected=lambda: there[0], start_deadline=clock.now() + 0.3 if why == "past the window" else inf
     )
     made.start_attempt(void).addCallback(ends.append)
     made.start_attempt(make_attempt_spec()).addCallback(ends.append)
--- a/thymeflow/backends/backends.py
+++ b/thymeflow/backends/backends.py
@@ -26,7 +26,7 @@
 from thymeflow.transport.commands import Call
 from thymeflow.transport.connections import dial
 
-STALL = 1.0  # s: without a byte of a reply that has begun; backends write in pieces, and some slowly
+REPLY_STALL_TIMEOUT = 1.0  # s: without a byte of a reply that has begun; backends write in pieces, and some slowly
 MAX_ATTEMPTS = 1 << 16  # in progress at a time
 READY = BackendState.READY
 
@@ -74,26 +74,26 @@
         # No new attempt may reach a backend that is draining: those that wait for a connection end here.
         pool.state = state
         self._close_idle(pool)
-        while pool.waiting:
-            self._end(pool.waiting.popleft(), AttemptResult(Status.CONNECT_FAILED))
+        while pool.waiting_handles:
+            self._end_attempt(pool.waiting_handles.popleft(), AttemptResult(Status.CONNECT_FAILED))
 
     def start_attempt(self, spec: AttemptSpec) -> Deferred[AttemptResult]:
         """Begin an attempt; the Deferred never fails, and cancelling it gives the attempt up."""
-        result_deferred: Deferred[AttemptResult] = Deferred(lambda _: self.give_up(handle, Status.CANCELLED))
+        result_deferred: Deferred[AttemptResult] = Deferred(lambda _: self.abandon_attempt(handle, Status.CANCELLED))
         attempt = Attempt(spec, result_deferred)
         handle = self._attempts.add(attempt)
         pool = self._pools_by_id.get(spec.backend)
         if spec.deadline <= clock.now():
-            self._end(handle, AttemptResult(Status.TIMEOUT))
+            self._end_attempt(handle, AttemptResult(Status.TIMEOUT))
         elif pool is None or pool.state is not READY:
-            self._end(handle, AttemptResult(Status.CONNECT_FAILED))
+            self._end_attempt(handle, AttemptResult(Status.CONNECT_FAILED))
         else:
             if spec.deadline < inf:
                 attempt.timeout_call = self._deadlines.schedule(spec.deadline, self.on_deadline, handle)
             if connection := self._take_idle(pool):
-                self._send(connection, handle)
+                self._send_request(connection, handle)
             elif self.open_connections < self._max_connections or self._close_longest_idle():
-                pool.waiting.append(handle)
+                pool.waiting_handles.append(handle)
                 self._dial(pool)
             else:
                 log.emit_rate_limited(
@@ -101,23 +101,23 @@
                     f"all {self._max_connections} connections to backends are busy",
                     most=self._max_connections,
                 )
-                self._end(handle, AttemptResult(Status.CONNECT_FAILED))
+                self._end_attempt(handle, AttemptResult(Status.CONNECT_FAILED))
         return result_deferred
 
     def _dial(self, pool: Pool) -> None:
-        pool.dialing += 1
+        pool.dialing_count += 1
         self.open_connections += 1
         deadline = clock.now() + self._limits.connect_timeout
         connected = dial(self._reactor, self._deadlines, pool.address, deadline, lambda: Connection(self, pool))
         connected.addCallbacks(self._on_connected, self._on_connect_failed, errbackArgs=(pool,))
 
     def _on_connected(self, connection: Connection) -> None:
-        connection.pool.dialing -= 1
+        connection.pool.dialing_count -= 1
         if not connection.closed:
             self._release(connection)
 
     def _on_connect_failed(self, failure: Failure, pool: Pool) -> None:
-        pool.dialing -= 1
+        pool.dialing_count -= 1
         self.open_connections -= 1
         log.emit_rate_limited(
             LogKind.CONNECT_FAILED, f"{pool.address}: {failure.getErrorMessage()}", address=pool.address
@@ -126,13 +126,13 @@
 
     def _end_unserved(self, pool: Pool) -> None:
         # Each waiting attempt has a dial of its own, but any connection that was released may have served it.
-        if len(pool.waiting) > pool.dialing:
-            self._end(pool.waiting.popleft(), AttemptResult(Status.CONNECT_FAILED))
+        if len(pool.waiting_handles) > pool.dialing_count:
+            self._end_attempt(pool.waiting_handles.popleft(), AttemptResult(Status.CONNECT_FAILED))
 
     def _release(self, connection: Connection) -> None:
         pool = connection.pool
         # The state is checked again before a request is written: the backend may be draining by now.
-        if pool.state is not READY or (self.resting and not pool.waiting):
+        if pool.state is not READY or (self.is_closing_when_idle and not pool.waiting_handles):
             self._close(connection)
         elif not self._check_usable(connection):
             self._end_unserved(pool)  # it ended as it came up, and was the dial of an attempt that waits
@@ -142,53 +142,53 @@
     def _serve_waiting(self, connection: Connection) -> None:
         # The connection takes the first waiting attempt that is still wanted; it may have come up late.
         pool = connection.pool
-        moot_handles = list[int]()
+        skipped_handles = list[int]()
         now = clock.now()
-        while pool.waiting:
-            handle = pool.waiting.popleft()
+        while pool.waiting_handles:
+            handle = pool.waiting_handles.popleft()
             attempt = self._attempts.get(handle)
             assert attempt is not None
             spec = attempt.spec
-            if now < min(spec.deadline, spec.start_before) and spec.is_connected():
-                self._send(connection, handle)
+            if now < min(spec.deadline, spec.start_deadline) and spec.is_connected():
+                self._send_request(connection, handle)
                 break
-            moot_handles.append(handle)
+            skipped_handles.append(handle)
         else:
             connection.last_activity_at = now
             pool.idle.append(connection)
-        for handle in moot_handles:  # no fault of the backend's, and not counted as one
-            self._end(handle, AttemptResult(Status.MOOT))
+        for handle in skipped_handles:  # no fault of the backend's, and not counted as one
+            self._end_attempt(handle, AttemptResult(Status.MOOT))
 
-    def _send(self, connection: Connection, handle: int) -> None:
+    def _send_request(self, connection: Connection, handle: int) -> None:
         attempt = self._attempts.get(handle)
         assert attempt is not None
         call = attempt.spec.payload
         assert isinstance(call, Call)
         # After a stall of this process an endpoint update may lie unread for longer than a drain's grace period.
-        if self._deadlines.is_stalled(clock.now()) and not self._recheck(connection, handle, attempt):
+        if self._deadlines.is_stalled(clock.now()) and not self._recheck_before_send(connection, handle, attempt):
             return
         attempt.connection = connection
         connection.attempt_handle = handle
         connection.is_reply_started = False
-        connection.flow = None
-        if call.flow is None:
+        connection.reply_stream = None
+        if call.body_stream is None:
             connection.write(call.encode(max(1, int((attempt.spec.deadline - clock.now()) * 1000.0))))
         else:
-            self._streaming.send_body(connection, handle, attempt, call, call.flow)
+            self._streaming.send_body(connection, handle, attempt, call, call.body_stream)
 
-    def _recheck(self, connection: Connection, handle: int, attempt: Attempt) -> bool:
+    def _recheck_before_send(self, connection: Connection, handle: int, attempt: Attempt) -> bool:
         self._read_endpoint_updates()
         is_attempt_open = self._attempts.get(handle) is attempt
         if connection.pool.state is READY and is_attempt_open:
             return True
         self._close(connection)
         if self._attempts.get(handle) is attempt:
-            self._end(handle, AttemptResult(Status.CONNECT_FAILED))
+            self._end_attempt(handle, AttemptResult(Status.CONNECT_FAILED))
         return False
 
     def on_body_failed(self, connection: Connection) -> None:
         """Abandon the attempt; closing the connection shows the backend that the body is incomplete."""
-        self.give_up(connection.attempt_handle, Status.CANCELLED)
+        self.abandon_attempt(connection.attempt_handle, Status.CANCELLED)
 
     def on_long_value(self, connection: Connection, length: int) -> None:
         """Stream a long reply to the client; its deadline is met by its first bytes."""
@@ -203,20 +203,20 @@
             self._release(connection)
         else:
             self._close(connection)
-        self._end(handle, result)
+        self._end_attempt(handle, result)
 
     def on_reply_started(self, connection: Connection) -> None:
         """Watch a reply that has begun: one that stalls is treated as malformed."""
-        self._deadlines.schedule(clock.now() + STALL, self._check_reply, connection.attempt_handle)
+        self._deadlines.schedule(clock.now() + REPLY_STALL_TIMEOUT, self._check_reply, connection.attempt_handle)
 
     def _check_reply(self, handle: int) -> None:
         attempt = self._attempts.get(handle)
         connection = None if attempt is None else attempt.connection
         if connection is None or not connection.is_reply_started:
             return
-        flow = connection.flow
+        flow = connection.reply_stream
         now = clock.now()
-        stalled_at = connection.last_activity_at + (STALL if flow is None else LONG_VALUE_TIMEOUT)
+        stalled_at = connection.last_activity_at + (REPLY_STALL_TIMEOUT if flow is None else LONG_VALUE_TIMEOUT)
         if flow is not None and flow.is_paused:
             stalled_at = now + LONG_VALUE_TIMEOUT  # its reader takes its time
         if stalled_at <= now:
@@ -229,7 +229,7 @@
         status = Status.ERROR if connection.is_request_sent() else Status.CONNECT_FAILED
         handle = self._detach_closed(connection)
         if handle >= 0:
-            self._end(handle, AttemptResult(status))
+            self._end_attempt(handle, AttemptResult(status))
 
     def on_connection_lost(self, connection: Connection) -> None:
         """End the attempt on a connection that the other end closed."""
@@ -240,7 +240,7 @@
             log.emit_rate_limited(
                 LogKind.RESET, f"{address} broke a connection with an attempt in flight", address=address
             )
-            self._end(handle, AttemptResult(status))
+            self._end_attempt(handle, AttemptResult(status))
 
     def _detach_closed(self, connection: Connection) -> int:
         # Returns the handle of the attempt that was in flight. Both callers find its status before: a request that
@@ -258,9 +258,9 @@
         attempt = self._attempts.get(handle)
         if attempt is not None:
             is_sent = attempt.connection is not None and attempt.connection.is_request_sent()
-            self.give_up(handle, Status.TIMEOUT if is_sent else Status.CONNECT_FAILED)
+            self.abandon_attempt(handle, Status.TIMEOUT if is_sent else Status.CONNECT_FAILED)
 
-    def give_up(self, handle: int, status: Status) -> None:
+    def abandon_attempt(self, handle: int, status: Status) -> None:
         """End an attempt before its reply, with that status; its connection is closed."""
         attempt = self._attempts.get(handle)
         if attempt is None:
@@ -271,10 +271,10 @@
             self._close(connection)
             detach_streams(connection)
         elif pool := self._pools_by_id.get(attempt.spec.backend):
-            pool.waiting.remove(handle)
-        self._end(handle, AttemptResult(status))
+            pool.waiting_handles.remove(handle)
+        self._end_attempt(handle, AttemptResult(status))
 
-    def _end(self, handle: int, result: AttemptResult) -> None:
+    def _end_attempt(self, handle: int, result: AttemptResult) -> None:
         attempt = self._attempts.remove(handle)
         if attempt is not None:
             self._deadlines.cancel(attempt.timeout_call)
--- a/thymeflow/backends/connections.py
+++ b/thymeflow/backends/connections.py
@@ -44,15 +44,15 @@
 class Pool:
     """The connections to one backend, and the attempts that wait for one."""
 
-    __slots__ = ("address", "dialing", "id", "idle", "state", "waiting")
+    __slots__ = ("address", "dialing_count", "id", "idle", "state", "waiting_handles")
 
     def __init__(self, backend_id: int, address: Address, state: BackendState) -> None:
         self.id = backend_id
         self.address = address
         self.state = state
         self.idle: list[Connection] = []  # the most recently used last
-        self.waiting: deque[int] = deque()  # handles of the attempts for which a connection is being opened
-        self.dialing = 0  # connections being opened
+        self.waiting_handles: deque[int] = deque()  # handles of the attempts for which a connection is being opened
+        self.dialing_count = 0  # connections being opened
 
 
 class Connection(RespConnection):
@@ -65,18 +65,18 @@
         self.attempt_handle = NO_ATTEMPT  # of the attempt in flight
         self.last_activity_at = 0.0  # when it became idle, or when bytes of a long body or of a reply last moved
         self.is_reply_started = False  # the first bytes of a reply have arrived
-        self.flow: ValueStream | None = None  # the value of a reply, while it is streamed
-        self.body: ValueStream | None = None  # a streamed request body that is not completely written
+        self.reply_stream: ValueStream | None = None  # the value of a reply, while it is streamed
+        self.body_stream: ValueStream | None = None  # a streamed request body that is not completely written
 
     def is_request_sent(self) -> bool:
         """Return whether the last byte of the request has gone to the kernel, so that it may be executed."""
-        return self.flushed and self.body is None
+        return self.flushed and self.body_stream is None
 
     def resumeProducing(self) -> None:
         """Write more of a streamed body, as the buffer has gone to the kernel."""
         super().resumeProducing()
-        if self.body is not None:
-            self.body.resume()
+        if self.body_stream is not None:
+            self.body_stream.resume()
 
     def dataReceived(self, data: bytes) -> None:
         """Read all that has arrived before the connection is used again: it may be more than the reply."""
@@ -97,10 +97,10 @@
             event = events.pop(0)
             if isinstance(event, resp.LongValueBegin):
                 self._begin_long_value(event)
-            elif isinstance(event, resp.LongValueChunk) and self.flow is not None:
-                self.flow.push(event.data)
-            elif isinstance(event, resp.LongValueEnd) and self.flow is not None:
-                self.flow.finish()
+            elif isinstance(event, resp.LongValueChunk) and self.reply_stream is not None:
+                self.reply_stream.push(event.data)
+            elif isinstance(event, resp.LongValueEnd) and self.reply_stream is not None:
+                self.reply_stream.finish()
             else:
                 self._handle_reply(event, events, fault)
                 return
@@ -113,15 +113,17 @@
             self.owner.on_reply_started(self)
 
     def _begin_long_value(self, event: resp.LongValueBegin) -> None:
-        if event.before or event.after != 2 or self.body is not None:
+        if event.leading_items or event.trailing_count != 2 or self.body_stream is not None:
             self.on_malformed("a long value at a wrong position")
         else:
             self.owner.on_long_value(self, event.length)
 
     def _handle_reply(self, event: resp.Event, trailing: list[resp.Event], fault: str) -> None:
         is_long = isinstance(event, resp.LongValueArrayEnd)
-        result = parse_attempt_result([b"", *event.after] if isinstance(event, resp.LongValueArrayEnd) else event)
-        if result is None or (self.body is not None and result.status is Status.OK):
+        result = parse_attempt_result(
+            [b"", *event.trailing_items] if isinstance(event, resp.LongValueArrayEnd) else event
+        )
+        if result is None or (self.body_stream is not None and result.status is Status.OK):
             self.on_malformed(f"no valid reply: {str(event)[:60]}")
             return
         # What follows is a duplicate or noise: the next attempt on this connection would be given it as its reply.
@@ -129,8 +131,8 @@
         if not is_clean:
             log.emit_rate_limited(LogKind.BACKEND_REPLY_MALFORMED, f"{self.pool.address}: bytes after the reply")
         if is_long:
-            self.flow = None
-        self.owner.on_reply(self, result, is_clean and self.body is None)
+            self.reply_stream = None
+        self.owner.on_reply(self, result, is_clean and self.body_stream is None)
 
     def write_chunk(self, data: bytes) -> None:
         """Write the next bytes of the body."""
@@ -140,7 +142,7 @@
     def end(self) -> None:
         """Complete the body: from now on the request may be executed, and its sender waits."""
         self.write(b"\r\n")
-        self.body = None
+        self.body_stream = None
 
     def on_broken(self) -> None:
         """Abandon the attempt, as the rest of the body will not come and so it is never executed."""
--- a/thymeflow/backends/pools.py
+++ b/thymeflow/backends/pools.py
@@ -23,7 +23,7 @@
         self._max_connections = max_connections
         self._pools_by_id: dict[int, Pool] = {}  # by the backend's id
         self.open_connections = 0  # connections open or being opened
-        self.resting = False  # no new attempts are expected: a connection that becomes idle is closed
+        self.is_closing_when_idle = False  # no new attempts are expected: a connection that becomes idle is closed
 
     def set_limits(self, limits: Limits) -> None:
         """Apply other timeouts to what is connected or becomes idle from now on."""
@@ -33,10 +33,10 @@
         """Set another bound on connections, for those that are opened from now on."""
         self._max_connections = max_connections
 
-    def set_close_when_idle(self, resting: bool) -> None:
+    def set_close_when_idle(self, is_closing_when_idle: bool) -> None:
         """Set whether connections are closed as they become idle, since backends accept only so many."""
-        self.resting = resting
-        for pool in self._pools_by_id.values() if resting else ():
+        self.is_closing_when_idle = is_closing_when_idle
+        for pool in self._pools_by_id.values() if is_closing_when_idle else ():
             self._close_idle(pool)
 
     def close_idle(self, backend: int) -> None:
--- a/thymeflow/backends/streaming.py
+++ b/thymeflow/backends/streaming.py
@@ -24,7 +24,7 @@
     def on_deadline(self, handle: int) -> None:
         """End an attempt whose time is over."""
 
-    def give_up(self, handle: int, status: Status) -> None:
+    def abandon_attempt(self, handle: int, status: Status) -> None:
         """End an attempt before its reply, with that status; its connection is closed."""
 
 
@@ -41,13 +41,13 @@
 
         The deadline of a request whose body is streamed begins with the body's last byte.
         """
-        connection.body = body
+        connection.body_stream = body
         connection.shrink_buffers()
         connection.last_activity_at = clock.now()
         self._deadlines.schedule(connection.last_activity_at + LONG_VALUE_TIMEOUT, self._check_body, handle)
-        body.when_complete(lambda: self._on_body_received(handle, body.deadline))
+        body.set_on_complete(lambda: self._on_body_received(handle, body.deadline))
         attempt.spec.on_response_started(None)
-        connection.write(call.encode(call.wait))
+        connection.write(call.encode(call.wait_ms))
         body.attach(connection)
 
     def _on_body_received(self, handle: int, deadline: float) -> None:
@@ -60,7 +60,7 @@
         # Guards both ends of a streamed body against a backend that stopped without closing its connection.
         attempt = self._attempts.get(handle)
         connection = None if attempt is None else attempt.connection
-        if connection is None or connection.body is None:
+        if connection is None or connection.body_stream is None:
             return
         now = clock.now()
         waiting_since = now if connection.flushed else connection.last_activity_at
@@ -75,7 +75,7 @@
                 "the attempt was abandoned",
                 address=address,
             )
-            self._owner.give_up(handle, Status.CONNECT_FAILED)
+            self._owner.abandon_attempt(handle, Status.CONNECT_FAILED)
 
     def begin_reply(self, connection: Connection, length: int) -> None:
         """Stream a long reply to the client; its deadline is met by its first bytes."""
@@ -94,18 +94,18 @@
                 transport.resumeProducing()
 
         connection.shrink_buffers()
-        reply = ValueStream(length, set_paused, lambda: self._owner.give_up(handle, Status.CANCELLED))
-        connection.flow = reply
+        reply = ValueStream(length, set_paused, lambda: self._owner.abandon_attempt(handle, Status.CANCELLED))
+        connection.reply_stream = reply
         if not attempt.spec.on_response_started(reply):
-            self._owner.give_up(handle, Status.CANCELLED)
+            self._owner.abandon_attempt(handle, Status.CANCELLED)
 
 
 def detach_streams(connection: Connection) -> None:
     """Detach what was streamed by an attempt that has ended: a body's rest is unwanted, a reply's will not come."""
-    body = connection.body
-    reply = connection.flow
-    connection.body = None
-    connection.flow = None
+    body = connection.body_stream
+    reply = connection.reply_stream
+    connection.body_stream = None
+    connection.reply_stream = None
     if body is not None:
         body.discard()
     if reply is not None:
--- a/thymeflow/core/attempt_starter.py
+++ b/thymeflow/core/attempt_starter.py
@@ -50,9 +50,9 @@
         number = pending.attempt_count
         pending.attempt_count += 1
         if not pending.is_answered and not pending.incoming.is_connected():
-            self._owner.on_client_left(self._requests.handle_of(pending.id))
+            self._owner.on_client_left(self._requests.get_handle(pending.id))
         if pending.is_answered or number >= pending.max_attempts or now >= pending.deadline:
-            self._on_ended(AttemptResult(Status.MOOT), pending, number, action.backend, now)
+            self._on_attempt_ended(AttemptResult(Status.MOOT), pending, number, action.backend, now)
             return
         deadline = pending.deadline
         if action.timeout and deadline < inf:
@@ -67,8 +67,8 @@
         )
         attempt = self._backends.start_attempt(spec)
         pending.open_attempts[number] = attempt
-        attempt.addCallback(self._on_ended, pending, number, action.backend, now)
-        attempt.addErrback(self._on_fault)
+        attempt.addCallback(self._on_attempt_ended, pending, number, action.backend, now)
+        attempt.addErrback(self._on_unexpected_error)
 
     def cancel(self, action: actions.CancelAttempt) -> None:
         """Abandon an attempt, if it has not ended."""
@@ -92,10 +92,10 @@
         return True
 
     @staticmethod
-    def _on_fault(failure: object) -> None:
+    def _on_unexpected_error(failure: object) -> None:
         logging.getLogger("thymeflow").error("attempt fault: %s", failure)
 
-    def _on_ended(
+    def _on_attempt_ended(
         self, result: AttemptResult, pending: PendingRequest, number: int, backend: int, sent_at: float
     ) -> None:
         pending.open_attempts.pop(number, None)
--- a/thymeflow/core/dispatcher.py
+++ b/thymeflow/core/dispatcher.py
@@ -37,11 +37,11 @@
 MAX_REQUESTS = 1 << 16
 # For the counter's reply, which counts however late it comes (PROTOCOL); under the gateway's pause between two calls of
 # one name, so that each has ended before the next.
-COUNTER_CALL_SECONDS = 0.4
-FULL_RETRY_AFTER = 0.1  # s: advice where no more requests can be admitted
+COUNTER_CALL_TIMEOUT = 0.4
+CAPACITY_RETRY_AFTER = 0.1  # s: advice where no more requests can be admitted
 
 
-def _max_requests(settings: GatewaySettings) -> int:
+def _compute_max_requests(settings: GatewaySettings) -> int:
     return min(MAX_REQUESTS, int(settings.limits.max_concurrent_requests) or 1)
 
 
@@ -62,7 +62,7 @@
         self._settings = settings
         self._deadlines = deadlines
         self._gateway = gateway
-        self._requests = PendingRequests(_max_requests(settings), memory)
+        self._requests = PendingRequests(_compute_max_requests(settings), memory)
         self._events: deque[events.Event] = deque()
         self._is_running = False
         self._counters = RequestCounters(deadlines)
@@ -89,7 +89,7 @@
     def apply_settings(self, settings: GatewaySettings) -> None:
         """Take other settings into use, for requests that are submitted from now on."""
         self._settings = settings
-        self._requests.set_max_requests(_max_requests(settings))
+        self._requests.set_max_requests(_compute_max_requests(settings))
         self.handle(events.SettingsChanged(settings))
 
     def set_memory_limit(self, memory: int) -> None:
@@ -127,15 +127,15 @@
             requests=len(self._requests),
             held=self._requests.memory_used,
         )
-        response.callback(Response(ResponseKind.REJECTED, retry_after=FULL_RETRY_AFTER))
+        response.callback(Response(ResponseKind.REJECTED, retry_after=CAPACITY_RETRY_AFTER))
 
-    def body_received(self, request_id: str, deadline: float) -> None:
+    def on_body_received(self, request_id: str, deadline: float) -> None:
         """Start a request's time, as its long body is complete."""
         pending = self._requests.find(request_id)
         if pending is not None and not pending.is_answered:
             pending.deadline = deadline
             pending.body_received_at = clock.now()
-            self._set_overdue_timer(self._requests.handle_of(request_id), pending)
+            self._set_overdue_timer(self._requests.get_handle(request_id), pending)
 
     def handle(self, event: events.Event) -> None:
         """Hand an event to the gateway, behind those that wait, and carry out what it decides."""
@@ -169,7 +169,7 @@
                     self._on_gateway_error(event, error)
                     continue
                 for action in decided:
-                    self._carry_out(action)
+                    self._execute_action(action)
         finally:
             self._is_running = False
 
@@ -179,7 +179,7 @@
         if pending is not None:
             self.respond(pending, Response(ResponseKind.FAILED))
 
-    def _carry_out(self, action: actions.Action) -> None:
+    def _execute_action(self, action: actions.Action) -> None:
         handler = self._action_handlers.get(type(action), self._log_unsupported)
         handler(action)
 
@@ -194,10 +194,10 @@
 
     def _reject(self, action: actions.RejectRequest) -> None:
         self._counters.add(self._counters.rejections, action.reason.value)
-        self._finish(action.id, Response(ResponseKind.REJECTED, retry_after=action.retry_after))
+        self._respond_by_id(action.id, Response(ResponseKind.REJECTED, retry_after=action.retry_after))
 
     def _fail(self, action: actions.FailRequest) -> None:
-        self._finish(action.id, Response(ResponseKind.FAILED))
+        self._respond_by_id(action.id, Response(ResponseKind.FAILED))
 
     def _close_idle_connections(self, action: actions.CloseIdleConnections) -> None:
         self._backends.close_idle(action.backend)
@@ -227,12 +227,12 @@
             status, total = reply
             self.handle(events.CounterReplied(action.name, status, total, clock.now() - called_at))
 
-        deadline = called_at + COUNTER_CALL_SECONDS
+        deadline = called_at + COUNTER_CALL_TIMEOUT
         self.counter.add(action.name, action.amount, action.ttl, deadline).addCallback(on_reply)
 
     # --- the end of requests -------------------------------------------------------------------------------
 
-    def _finish(self, request_id: str, response: Response) -> None:
+    def _respond_by_id(self, request_id: str, response: Response) -> None:
         pending = self._requests.find(request_id)
         if pending is not None and not pending.is_answered:
             self.respond(pending, response)
--- a/thymeflow/core/pending_requests.py
+++ b/thymeflow/core/pending_requests.py
@@ -50,7 +50,7 @@
         handle = self._handles.get(request_id)
         return None if handle is None else self._table.get(handle)
 
-    def handle_of(self, request_id: str) -> int:
+    def get_handle(self, request_id: str) -> int:
         """Return the handle of a request that is pending."""
         return self._handles[request_id]
 
--- a/thymeflow/core/request_counters.py
+++ b/thymeflow/core/request_counters.py
@@ -8,12 +8,12 @@
 from thymeflow.runtime import clock, log
 from thymeflow.runtime.log_kinds import LogKind
 
-LOG_INTERVAL = 5.0  # s between two lines; a day of a bench is a few of them, a day in service thousands
+LOG_INTERVAL_SECONDS = 5.0  # s between two lines; a day of a bench is a few of them, a day in service thousands
 
 Counts = dict[str, int]
 
 
-def _joined(counts: Counts) -> str:
+def _format_counts(counts: Counts) -> str:
     return ", ".join(f"{name} {count}" for name, count in counts.items())
 
 
@@ -31,13 +31,13 @@
         counts[name] = counts.get(name, 0) + 1
         if counts is self.rejections and not self._is_scheduled:
             self._is_scheduled = True
-            self._deadlines.schedule(clock.now() + LOG_INTERVAL, self._write)
+            self._deadlines.schedule(clock.now() + LOG_INTERVAL_SECONDS, self._write)
 
     def _write(self, _: int) -> None:
         self._is_scheduled = False
         log.emit(
             LogKind.REJECTIONS,
-            f"by reason: {_joined(self.rejections)}; attempts: {_joined(self.attempts)}",
+            f"by reason: {_format_counts(self.rejections)}; attempts: {_format_counts(self.attempts)}",
             rejected=dict(self.rejections),
             attempts=dict(self.attempts),
         )
--- a/thymeflow/core/types.py
+++ b/thymeflow/core/types.py
@@ -46,7 +46,7 @@
 class IncomingRequest(NamedTuple):
     """A request as a frontend submits it; the backends know how to forward the `payload`.
 
-    A request whose body is not complete has no deadline (inf) until `RequestDispatcher.body_received` is called.
+    A request whose body is not complete has no deadline (inf) until `RequestDispatcher.on_body_received` is called.
     `is_connected` is called before each attempt: nothing is sent for a client that has left, even where the frontend
     could not read of it yet.
     """
@@ -63,14 +63,14 @@
 
     `on_response_started` is given a long response, and returns whether anybody wants it; None notifies it that a long
     body goes into this attempt, so that there can be no other. An attempt that has to wait is not written after
-    `start_before`, nor for a client that has left.
+    `start_deadline`, nor for a client that has left.
     """
 
     backend: int
     payload: object
     deadline: float
     on_response_started: Callable[[ValueStream | None], bool] = _accept_nothing
-    start_before: float = inf
+    start_deadline: float = inf
     is_connected: Callable[[], bool] = _always_connected
 
 
--- a/thymeflow/frontend/body_receiver.py
+++ b/thymeflow/frontend/body_receiver.py
@@ -1,4 +1,7 @@
-"""The long request body that a client is sending: streamed to a backend, while its request waits for its end."""
+"""Receives one long request body from a client and streams it to a backend.
+
+The response to the request is held back until the body is complete.
+"""
 
 from __future__ import annotations
 
@@ -9,42 +12,43 @@
 
 
 class BodyReceiver:
-    """The one body that a connection receives at a time."""
+    """Receives the body of a connection's request; a connection receives one body at a time."""
 
     __slots__ = ("is_blocked", "slot")
 
     def __init__(self) -> None:
-        self.slot: PipelineSlot | None = None  # of the request whose body is being received
-        self.is_blocked = False  # the reader of the body has no capacity
+        self.slot: PipelineSlot | None = None  # the request whose body is being received
+        self.is_blocked = False  # the reader of the body has no capacity for more bytes
 
-    def build_flow(self, length: int, on_paced: Callable[[], None]) -> ValueStream:
-        """Return the flow of a body that is about to arrive.
+    def build_body_stream(self, length: int, on_pause_changed: Callable[[], None]) -> ValueStream:
+        """Return the stream of a body that is about to arrive.
 
-        `on_paced` is called when the reader of the body gets or loses the capacity for more. It is not kept here: a
-        connection that refers to itself would stay in memory until the garbage collector finds it.
+        `on_pause_changed` is called when the reader of the body gains or loses the capacity for more bytes. This object
+        keeps no reference to it, because a connection that refers to itself would stay in memory until the garbage
+        collector finds it.
         """
 
         def set_blocked(is_blocked: bool) -> None:
-            """Note whether the reader has capacity."""
+            """Record whether the reader has no capacity, and report the change."""
             self.is_blocked = is_blocked and self.slot is not None
-            on_paced()
+            on_pause_changed()
 
         return ValueStream(length, set_blocked, lambda: None)
 
     def begin(self, slot: PipelineSlot, body: ValueStream) -> None:
-        """Receive a body from now on; it is discarded where its request is answered already."""
+        """Begin to receive a body, which is discarded if its request has been answered already."""
         slot.body = body
         self.slot = slot
         if slot.response is not None:
             body.discard()
 
     def push(self, data: bytes) -> None:
-        """Forward the next bytes."""
+        """Forward the next bytes of the body to its reader."""
         if self.slot is not None and self.slot.body is not None:
             self.slot.body.push(data)
 
     def detach(self) -> ValueStream:
-        """Return the body, whose last byte has come; its request waits for it no longer."""
+        """Return the body and stop receiving it: the response to its request is no longer held back for it."""
         slot = self.slot
         assert slot is not None
         body = slot.body
@@ -55,7 +59,7 @@
         return body
 
     def fail(self) -> None:
-        """Break off a body whose rest will not come: the backend connection must not wait for it."""
+        """End an incomplete body whose remaining bytes will not arrive, so that the backend connection does not wait."""
         slot = self.slot
         if slot is None:
             return
--- a/thymeflow/frontend/client_connection.py
+++ b/thymeflow/frontend/client_connection.py
@@ -27,9 +27,9 @@
 
 BODY_INDEX = 4  # of the item of a command that may come slowly, in pieces; the others are its head
 MAX_PIPELINED_COMMANDS = 64  # commands of one client that are not answered; then it is not read from
-REQUEST_OVERHEAD = 2048  # bytes that a request takes beside its own
-MAX_DISCARDED = 256 * 1024  # bytes that are read meanwhile and thrown away
-LATE_ARRIVAL = 0.005  # s: less than that a request has waited unread in any turn
+REQUEST_OVERHEAD_BYTES = 2048  # bytes that a request takes beside its own
+MAX_DISCARDED_BYTES = 256 * 1024  # bytes that are read meanwhile and thrown away
+LATE_READ_SECONDS = 0.005  # s: less than that a request has waited unread in any turn
 LONG_VALUE_EVENTS = (resp.LongValueChunk, resp.LongValueEnd, resp.LongValueArrayEnd)
 # Eviction scores: clients without a use for their connection go first, then those that sent no request, then by
 # idle time, which is far below these.
@@ -88,7 +88,7 @@
             wanted = not self._body.is_blocked
         else:
             wanted = self.flushed and not self._is_closing and len(self._slots) < MAX_PIPELINED_COMMANDS
-        wanted = wanted or (self._is_write_closed and self._discarded_bytes < MAX_DISCARDED)
+        wanted = wanted or (self._is_write_closed and self._discarded_bytes < MAX_DISCARDED_BYTES)
         if wanted != self._is_reading:
             self._is_reading = wanted
             if wanted:
@@ -118,7 +118,7 @@
                 self._on_long_value_event(value)
             elif self._is_closing:
                 return
-            elif isinstance(value, list) and all(type(word) is bytes for word in value):
+            elif isinstance(value, list) and all(type(argument) is bytes for argument in value):
                 self._has_sent_command = True
                 self._idle_since = self._last_activity_at
                 if value:
@@ -139,10 +139,14 @@
         # A command with a long body: it is submitted with its head, and answered once the body has come.
         self._has_sent_command = True
         self.shrink_buffers()
-        words = begin.before
-        body = self._body.build_flow(begin.length, self._on_body_paced)
-        if all(type(word) is bytes for word in words) and len(words) == BODY_INDEX and not begin.after:
-            self._submit_request([*words, b""], body)  # type: ignore[list-item]  # checked above
+        arguments = begin.leading_items
+        body = self._body.build_body_stream(begin.length, self._on_body_pause_changed)
+        if (
+            all(type(argument) is bytes for argument in arguments)
+            and len(arguments) == BODY_INDEX
+            and not begin.trailing_count
+        ):
+            self._submit_request([*arguments, b""], body)  # type: ignore[list-item]  # checked above
         else:
             self._reply(resp.error_reply("ERR a value is too long for this command"))
         self._body.begin(self._slots[-1], body)
@@ -155,11 +159,11 @@
             body = self._body.detach()
             if request is not None:
                 body.deadline = self._arrived_at + request.remaining
-                self._owner.dispatcher.body_received(request.id, body.deadline)
+                self._owner.dispatcher.on_body_received(request.id, body.deadline)
             self._idle_since = self._last_activity_at
             body.finish()
 
-    def _on_body_paced(self) -> None:
+    def _on_body_pause_changed(self) -> None:
         self._last_activity_at = clock.now()
         self._update_reading()
 
@@ -172,7 +176,7 @@
         self._reply(resp.error_reply(f"ERR Protocol error: {fault}"))
         self.finish()
 
-    def idle_seconds(self, now: float) -> float:
+    def compute_idle_seconds(self, now: float) -> float:
         """Return for how long it has had no open command, in seconds."""
         return 0.0 if self._slots else now - self._idle_since
 
@@ -184,13 +188,13 @@
         """Return whether a command has begun and is incomplete."""
         return self._parser.is_incomplete()
 
-    def input_backlog(self) -> tuple[bool, int]:
+    def get_input_backlog(self) -> tuple[bool, int]:
         """Return whether no command is open, and the bytes buffered of an incomplete one."""
         return not self._slots, self._parser.buffered_bytes()
 
-    def eviction_score(self, now: float) -> float:
+    def compute_eviction_score(self, now: float) -> float:
         """Return how well its connection could be used by another client; 0: not at all."""
-        idle = self.idle_seconds(now)
+        idle = self.compute_idle_seconds(now)
         if self._is_write_closed or (self._has_sent_command and not self._has_sent_request and not self._slots):
             return NO_USE_SCORE + idle
         if not self._has_sent_request:
@@ -199,7 +203,7 @@
 
     def enforce_timeouts(self, now: float, idle_timeout: float) -> None:
         """Disconnect a client that sends nothing, never completes a command, or takes no response."""
-        idle = self.idle_seconds(now)
+        idle = self.compute_idle_seconds(now)
         if self._owner.is_draining and idle > timeouts.DRAIN_GRACE:
             idle_timeout = 0.0  # who sends no request at once is disconnected, and who often sends PING stays
         if not self._is_reading and self.has_peer_closed():
@@ -214,7 +218,7 @@
         elif self._is_closing:
             return
         elif self._parser.is_incomplete():
-            is_head = self._parser.awaited_item != BODY_INDEX  # a body may come slowly, but not stand still
+            is_head = self._parser.awaited_item_index != BODY_INDEX  # a body may come slowly, but not stand still
             if now - (self._command_started_at if is_head else self._last_activity_at) > timeouts.COMMAND_TIMEOUT:
                 self._on_malformed_input("a command was begun and not ended")
         elif idle > (
@@ -227,12 +231,12 @@
         self.is_evicted = True
         self.transport.abortConnection()
 
-    def _on_command(self, words: list[bytes]) -> None:
-        name = words[0].upper()
+    def _on_command(self, arguments: list[bytes]) -> None:
+        name = arguments[0].upper()
         if name in (QUERY, SUBMIT):
-            self._submit_request(words)
+            self._submit_request(arguments)
         else:
-            self._reply(answer_connection_command(name, words, self._owner))
+            self._reply(answer_connection_command(name, arguments, self._owner))
             if name == QUIT:
                 self.finish()
 
@@ -240,10 +244,10 @@
         log.emit_rate_limited(LogKind.CLIENT_COMMAND_INVALID, reason)
         self._reply(resp.error_reply(f"ERR {reason}"))
 
-    def _submit_request(self, words: list[bytes], body: ValueStream | None = None) -> None:
+    def _submit_request(self, arguments: list[bytes], body: ValueStream | None = None) -> None:
         dispatcher = self._owner.dispatcher
         try:
-            call, request = self._owner.reader.read(words)
+            call, request = self._owner.reader.read(arguments)
         except CallError as error:
             self._reject_command(str(error))
             return
@@ -254,16 +258,18 @@
         self._has_sent_request = True
         self._slots.append(slot)
         if body is not None:
-            call = call._replace(flow=body)
-        size = REQUEST_OVERHEAD + len(call.before) + len(call.after) + len(call.body or b"")
+            call = call._replace(body_stream=body)
+        size = REQUEST_OVERHEAD_BYTES + len(call.terms_before_wait) + len(call.terms_after_wait) + len(call.body or b"")
         exit_deadline = self._owner.exit_deadline
         deadline = min(self._arrived_at + request.remaining, exit_deadline) if body is None else inf
-        is_late = self._last_activity_at - self._arrived_at > LATE_ARRIVAL
+        is_late = self._last_activity_at - self._arrived_at > LATE_READ_SECONDS
         if body is None and (is_late or deadline == exit_deadline):
             # Its time runs from when it reached this machine: what a stall took of it is gone, as is what comes
             # after the end of a process that is shutting down.
             request = request._replace(remaining=deadline - self._last_activity_at)
-        slot.response_deferred = dispatcher.submit(IncomingRequest(request, deadline, call, size, self.is_present))
+        slot.response_deferred = dispatcher.submit(
+            IncomingRequest(request, deadline, call, size, self.is_client_connected)
+        )
         slot.response_deferred.addCallbacks(self._on_response, lambda _: None, callbackArgs=(slot,))
 
     def _on_response(self, response: Response, slot: PipelineSlot, /) -> None:
@@ -284,7 +290,7 @@
             )
             self.transport.abortConnection()
 
-    def is_present(self) -> bool:
+    def is_client_connected(self) -> bool:
         """Return whether the client is still connected, also where it isn't read from or our turn came late."""
         return not self.has_peer_closed()
 
--- a/thymeflow/frontend/connection_commands.py
+++ b/thymeflow/frontend/connection_commands.py
@@ -21,12 +21,12 @@
         """Return why it is not."""
 
 
-def answer_connection_command(name: bytes, words: list[bytes], readiness: ReadinessSource) -> bytes:
-    """Return the encoded reply to a command; `name` is its first word in capitals."""
-    if name == b"PING" and len(words) <= 2:
+def answer_connection_command(name: bytes, arguments: list[bytes], readiness: ReadinessSource) -> bytes:
+    """Return the encoded reply to a command; `name` is its first argument in capitals."""
+    if name == b"PING" and len(arguments) <= 2:
         if not readiness.is_ready():
             return resp.error_reply(f"LOADING {readiness.describe_state()}")
-        return resp.bulk(words[1]) if len(words) == 2 else b"+PONG\r\n"
+        return resp.bulk(arguments[1]) if len(arguments) == 2 else b"+PONG\r\n"
     if name in ACKNOWLEDGED_COMMANDS:
         return b"+OK\r\n"
     return resp.error_reply(f"ERR unknown command '{name[:MAX_ECHOED_NAME_BYTES].decode('ascii', 'replace')}'")
--- a/thymeflow/frontend/frontend.py
+++ b/thymeflow/frontend/frontend.py
@@ -77,7 +77,7 @@
         if self.is_closing:
             return None
         if self.clients.is_full():
-            candidate = self._eviction_candidate(clock.now())
+            candidate = self._find_eviction_candidate(clock.now())
             if candidate is None or self._evicting_count >= MAX_EVICTING:
                 log.emit_rate_limited(
                     LogKind.CLIENTS,
@@ -120,17 +120,17 @@
         self._evicting_count += 1
         connection.evict()
 
-    def _eviction_candidate(self, now: float) -> ClientConnection | None:
+    def _find_eviction_candidate(self, now: float) -> ClientConnection | None:
         # Many clients send one request and stay, and others send nothing: who has least use of its connection goes.
         # Bytes that wait there may be a request, which a close would lose.
         scored = nlargest(
-            MAX_EVICTION_CANDIDATES, self.clients.items(), key=lambda connection: connection.eviction_score(now)
+            MAX_EVICTION_CANDIDATES, self.clients.items(), key=lambda connection: connection.compute_eviction_score(now)
         )
         return next(
             (
                 connection
                 for connection in scored
-                if connection.eviction_score(now) and not has_unread_bytes(connection.transport)
+                if connection.compute_eviction_score(now) and not has_unread_bytes(connection.transport)
             ),
             None,
         )
@@ -150,7 +150,7 @@
                 LogKind.INPUT,
                 f"{self._unfinished_input_bytes} bytes of incomplete commands are buffered; the longest was dropped",
             )
-            self._evict(max(self.clients.items(), key=ClientConnection.input_backlog))
+            self._evict(max(self.clients.items(), key=ClientConnection.get_input_backlog))
 
     def _sweep(self, _: int) -> None:
         now = clock.now()
--- a/thymeflow/transport/commands.py
+++ b/thymeflow/transport/commands.py
@@ -33,17 +33,17 @@
     verb: bytes
     customer: bytes
     id: bytes
-    before: bytes  # the terms up to the value of d, and from there on
-    after: bytes
+    terms_before_wait: bytes  # the terms up to the value of d, and from there on
+    terms_after_wait: bytes
     body: bytes | None
-    wait: int = 0  # ms that its sender waits from the last byte on
-    flow: ValueStream | None = None  # a streamed body, in place of one that is buffered
-
-    def encode(self, wait: int) -> bytes:
-        """Return the command for a backend; `wait` is how long we wait for the answer, in milliseconds."""
-        terms = b"%b%d%b" % (self.before, wait, self.after)
-        if self.flow is not None:
-            return resp.command_head(self.flow.length, self.verb, self.customer, self.id, terms)
+    wait_ms: int = 0  # ms that its sender waits from the last byte on
+    body_stream: ValueStream | None = None  # a streamed body, in place of one that is buffered
+
+    def encode(self, wait_ms: int) -> bytes:
+        """Return the command for a backend; `wait_ms` is how long we wait for the answer, in milliseconds."""
+        terms = b"%b%d%b" % (self.terms_before_wait, wait_ms, self.terms_after_wait)
+        if self.body_stream is not None:
+            return resp.command_head(self.body_stream.length, self.verb, self.customer, self.id, terms)
         if self.body is None:
             return resp.command(self.verb, self.customer, self.id, terms)
         return resp.command(self.verb, self.customer, self.id, terms, self.body)
@@ -58,15 +58,15 @@
         self._limiter_count = settings.limiter_count
         self._max_units = settings.information.max_units
 
-    def read(self, words: list[bytes]) -> tuple[Call, RequestReceived]:
+    def read(self, arguments: list[bytes]) -> tuple[Call, RequestReceived]:
         """Return the call and the event that the decision module receives.
 
         :raises CallError: if the command cannot be served.
         """
-        verb = words[0].upper()
-        if len(words) != (4 if verb == QUERY else 5):
+        verb = arguments[0].upper()
+        if len(arguments) != (4 if verb == QUERY else 5):
             raise CallError(f"wrong number of arguments for '{verb.decode()}'")
-        customer, name, text = words[1:4]
+        customer, name, text = arguments[1:4]
         if not _HEX.fullmatch(customer) or not _HEX.fullmatch(name):
             raise CallError("customer and id are 16 hex digits each")
         terms = _parse_terms(text)
@@ -75,7 +75,7 @@
         if request_class is None or plan is None:
             raise CallError("unknown class" if request_class is None else "unknown plan")
         _check_class(verb, request_class, terms)
-        wait = _parse_decimal(terms, b"d", b"")
+        wait_ms = _parse_decimal(terms, b"d", b"")
         units = _parse_decimal(terms, b"units", b"1")
         spread = _parse_integer(terms, b"spread", b"1")
         first = _parse_integer(terms, b"first", b"0")
@@ -87,14 +87,14 @@
         customer_name = customer.decode().lower()
         is_retry = terms.get(b"r") == b"1"
         is_write = verb == SUBMIT
-        remaining = wait / 1000.0
+        remaining = wait_ms / 1000.0
         request = RequestReceived(
             name.decode(), request_class.name, plan, customer_name, remaining, units, spread, first, is_retry, is_write
         )
         start = 2 if text.startswith(b"d=") else text.index(b",d=") + 3
-        after = text[start + len(terms[b"d"]) :]
-        body = words[4] if is_write else None
-        return Call(verb, customer, name, text[:start], after, body, max(1, int(wait))), request
+        terms_after_wait = text[start + len(terms[b"d"]) :]
+        body = arguments[4] if is_write else None
+        return Call(verb, customer, name, text[:start], terms_after_wait, body, max(1, int(wait_ms))), request
 
 
 def _parse_terms(text: bytes) -> dict[bytes, bytes]:
--- a/thymeflow/transport/connections.py
+++ b/thymeflow/transport/connections.py
@@ -41,7 +41,7 @@
 
 # That the peer has closed, also where bytes that came before that wait unread: reading alone shows it only
 # behind them, and not at all while nothing is read.
-_PEER_CLOSED = getattr(select, "POLLRDHUP", 0) | select.POLLHUP | select.POLLERR
+_PEER_CLOSED_EVENTS = getattr(select, "POLLRDHUP", 0) | select.POLLHUP | select.POLLERR
 
 
 @implementer(IPullProducer)
@@ -74,7 +74,7 @@
         if descriptor < 0:
             return True
         poller = select.poll()
-        poller.register(descriptor, _PEER_CLOSED)
+        poller.register(descriptor, _PEER_CLOSED_EVENTS)
         return bool(poller.poll(0))
 
     def shrink_buffers(self) -> None:
@@ -154,19 +154,19 @@
 
     noisy = False
 
-    def __init__(self, build: Callable[[], WriteTrackingConnection], settled: Deferred[Any]) -> None:
+    def __init__(self, build: Callable[[], WriteTrackingConnection], connection_deferred: Deferred[Any]) -> None:
         self._build = build
-        self._settled = settled
+        self._connection_deferred = connection_deferred
 
     def buildProtocol(self, addr: IAddress | None) -> WriteTrackingConnection:  # noqa: ARG002  # Twisted passes it
         """Build the protocol, which reports success once it has its transport."""
         stream = self._build()
-        stream.on_connected = self._settled.callback
+        stream.on_connected = self._connection_deferred.callback
         return stream
 
     def clientConnectionFailed(self, connector: IConnector, reason: Failure) -> None:  # noqa: ARG002  # likewise
         """Report a connection that was refused, or abandoned at the deadline."""
-        self._settled.errback(reason)
+        self._connection_deferred.errback(reason)
 
 
 def dial(
@@ -182,24 +182,26 @@
     its next turn, and finds that it is connected in one after that. So each gets its turn before the attempt is
     abandoned.
     """
-    settled: Deferred[ConnectionT] = Deferred()
-    connector = reactor.connectTCP(address.host, address.port, _SingleConnectionFactory(build, settled), timeout=None)
+    connection_deferred: Deferred[ConnectionT] = Deferred()
+    connector = reactor.connectTCP(
+        address.host, address.port, _SingleConnectionFactory(build, connection_deferred), timeout=None
+    )
     timeout_call = clock.NOT_SCHEDULED
 
-    def give_up(_: int) -> None:
+    def on_timeout(_: int) -> None:
         """Stop connecting, or wait a little longer if the process itself was stalled."""
         nonlocal timeout_call
         now = clock.now()
         if deadlines.is_stalled(now):
-            timeout_call = deadlines.schedule(now + clock.STALL, give_up)
+            timeout_call = deadlines.schedule(now + clock.STALL, on_timeout)
         else:
             connector.stopConnecting()
 
-    timeout_call = deadlines.schedule(deadline, give_up)
+    timeout_call = deadlines.schedule(deadline, on_timeout)
 
     def cancel_deadline(result: ConnectionT | Failure) -> ConnectionT | Failure:
         """Cancel the deadline, and pass the result on."""
         deadlines.cancel(timeout_call)
         return result
 
-    return settled.addBoth(cancel_deadline)
+    return connection_deferred.addBoth(cancel_deadline)
--- a/thymeflow/transport/resp.py
+++ b/thymeflow/transport/resp.py
@@ -46,14 +46,14 @@
 
 
 class LongValueBegin(_Event):
-    """A long value begins, behind these items of its array; `after` is how many items will follow it."""
+    """A long value begins, behind these items of its array; `trailing_count` is how many items will follow it."""
 
-    __slots__ = ("after", "before", "length")
+    __slots__ = ("leading_items", "length", "trailing_count")
 
-    def __init__(self, before: list[Value], length: int, after: int) -> None:
-        self.before = before
+    def __init__(self, leading_items: list[Value], length: int, trailing_count: int) -> None:
+        self.leading_items = leading_items
         self.length = length
-        self.after = after
+        self.trailing_count = trailing_count
 
 
 class LongValueChunk(_Event):
@@ -72,21 +72,21 @@
 
 
 class LongValueArrayEnd(_Event):
-    """The array is complete; `after` contains the items behind the long value."""
+    """The array is complete; `trailing_items` contains the items behind the long value."""
 
-    __slots__ = ("after",)
+    __slots__ = ("trailing_items",)
 
-    def __init__(self, after: list[Value]) -> None:
-        self.after = after
+    def __init__(self, trailing_items: list[Value]) -> None:
+        self.trailing_items = trailing_items
 
 
 Event = Union[Value, LongValueBegin, LongValueChunk, LongValueEnd, LongValueArrayEnd]
 
 
 class _IncompleteError(TransportError):
-    """The message goes on in bytes that have not come; `item`: within which bulk string of an array, or -1."""
+    """The message goes on in bytes that have not come; `item_index`: within which bulk string of an array, or -1."""
 
-    item = -1
+    item_index = -1
 
 
 class _LongValueError(TransportError):
@@ -115,7 +115,7 @@
         self._remaining_bytes = -1  # of a long value, still to come; -1: no long value has begun
         self._trailing_items: list[Value] = []  # that have come behind the long value
         self._missing_items = -1  # that follow the long value and have not come; -1: no long value has begun
-        self.awaited_item = -1  # of an incomplete array: the bulk string that bytes are awaited for
+        self.awaited_item_index = -1  # of an incomplete array: the bulk string that bytes are awaited for
 
     def buffered_bytes(self) -> int:
         """Return how many bytes of an incomplete message are buffered."""
@@ -141,22 +141,22 @@
             source = self._buffer
         position = 0
         end = len(source)
-        self.awaited_item = -1
+        self.awaited_item_index = -1
         try:
             while position < end:
                 if self._remaining_bytes >= 0 or self._missing_items >= 0:
-                    position = self._parse_long(source, position, found)
+                    position = self._parse_long_value_step(source, position, found)
                     continue
                 try:
                     value, position = self._parse_value(source, position, 0)
                     found.append(value)
-                except _LongValueError as long:
-                    found.append(long.begin)
-                    position = long.position
-                    self._remaining_bytes = long.begin.length
-                    self._missing_items = long.begin.after
-        except _IncompleteError as missing:
-            self.awaited_item = missing.item
+                except _LongValueError as long_value:
+                    found.append(long_value.begin)
+                    position = long_value.position
+                    self._remaining_bytes = long_value.begin.length
+                    self._missing_items = long_value.begin.trailing_count
+        except _IncompleteError as incomplete:
+            self.awaited_item_index = incomplete.item_index
             if end - position > MAX_MESSAGE:
                 raise ProtocolError("message too long") from None
         if source is data:
@@ -164,7 +164,7 @@
         else:
             del self._buffer[:position]
 
-    def _parse_long(self, source: bytes | bytearray, position: int, found: list[Event]) -> int:
+    def _parse_long_value_step(self, source: bytes | bytearray, position: int, found: list[Event]) -> int:
         # One step of a message with a long value: bytes of the value, its end, or an item behind it.
         if self._remaining_bytes > 0:
             data = bytes(source[position : position + self._remaining_bytes])
@@ -223,11 +223,11 @@
             for number in range(count):
                 try:
                     item, position = self._parse_value(source, position, depth + 1)
-                except _IncompleteError as missing:
-                    missing.item = number if missing.item >= 0 else -1
+                except _IncompleteError as incomplete:
+                    incomplete.item_index = number if incomplete.item_index >= 0 else -1
                     raise
-                except _LongValueError as long:
-                    long.begin = LongValueBegin(items, long.begin.length, count - number - 1)
+                except _LongValueError as long_value:
+                    long_value.begin = LongValueBegin(items, long_value.begin.length, count - number - 1)
                     raise
                 items.append(item)
             return items, position
@@ -243,24 +243,26 @@
             raise ProtocolError("value too long")
         end = position + length
         if len(source) < end + 2:
-            missing = _IncompleteError()
-            missing.item = 0  # the reader of the array sets which
-            raise missing
+            incomplete = _IncompleteError()
+            incomplete.item_index = 0  # the reader of the array sets which
+            raise incomplete
         if source[end : end + 2] != b"\r\n":
             raise ProtocolError("value not closed")
         return bytes(source[position:end]), end + 2
 
 
-def command(*words: bytes) -> bytes:
+def command(*arguments: bytes) -> bytes:
     """Return a command: an array of bulk strings."""
-    return b"*%d\r\n" % len(words) + b"".join([b"$%d\r\n%b\r\n" % (len(word), word) for word in words])
+    return b"*%d\r\n" % len(arguments) + b"".join(
+        [b"$%d\r\n%b\r\n" % (len(argument), argument) for argument in arguments]
+    )
 
 
-def command_head(length: int, *words: bytes) -> bytes:
+def command_head(length: int, *arguments: bytes) -> bytes:
     """Return a command up to its last bulk string, of that length, which is written behind it."""
     return (
-        b"*%d\r\n" % (len(words) + 1)
-        + b"".join([b"$%d\r\n%b\r\n" % (len(word), word) for word in words])
+        b"*%d\r\n" % (len(arguments) + 1)
+        + b"".join([b"$%d\r\n%b\r\n" % (len(argument), argument) for argument in arguments])
         + bulk_head(length)
     )
 
--- a/thymeflow/transport/value_stream.py
+++ b/thymeflow/transport/value_stream.py
@@ -1,7 +1,8 @@
-"""One long value in transit, in either direction: no I/O, and one chunk at a time between source and sink.
+"""Passes one long value from a source to a sink, one chunk at a time and without I/O.
 
-The source pushes what has come and can be paused; the sink writes, and shows by `flushed` whether its buffer has
-gone. A chunk that the sink has no capacity for is buffered here, and the source is paused until it has left.
+The value is a request body or a response. The source pushes each chunk that has arrived and can be paused. The sink
+writes chunks, and its `flushed` shows whether its buffer has gone to the kernel. A chunk that the sink has no capacity
+for is buffered here, and the source is paused until the sink has written it.
 """
 
 from __future__ import annotations
@@ -10,26 +11,27 @@
 from collections.abc import Callable
 from typing import Protocol
 
-CHUNK_BYTES = 32 * 1024  # bytes read at a time from a connection that brings a long value: bounds what is buffered here
+# Bytes read at a time from a connection that brings a long value. This bounds the bytes that are buffered here.
+CHUNK_BYTES = 32 * 1024
 
 
 class Sink(Protocol):
-    """Where a value goes."""
+    """The receiver of a long value."""
 
     flushed: bool
 
     def write_chunk(self, data: bytes) -> None:
-        """Write the next bytes."""
+        """Write the next bytes of the value."""
 
     def end(self) -> None:
-        """Close the value: all of it has been written, and it is complete."""
+        """Terminate the value, which is complete and completely written."""
 
     def on_broken(self) -> None:
-        """Abandon the value: the rest will not come."""
+        """Abandon the value, because its remaining bytes will not arrive."""
 
 
 class NullSink:
-    """Discards a value without a reader, so that the source's connection stays in step."""
+    """Discards a value that has no reader, so that the next message can be read from the source's connection."""
 
     flushed = True
 
@@ -47,18 +49,18 @@
 
 
 class ValueStream:
-    """A value of a known length, from its head to its end.
+    """A value of a known length in bytes, while it is in transit.
 
-    `on_paced` is called with whether the source must pause, at each change; `on_abandoned` is called once if the
-    sink is gone before the end.
+    `on_pause_changed` is called at each change, with whether the source must pause. `on_abandoned` is called once if
+    the sink ends before the value is complete.
     """
 
-    def __init__(self, length: int, on_paced: Callable[[bool], None], on_abandoned: Callable[[], None]) -> None:
+    def __init__(self, length: int, on_pause_changed: Callable[[bool], None], on_abandoned: Callable[[], None]) -> None:
         self.length = length
-        self.deadline = 0.0  # of a complete body: until when its sender waits
-        self.is_done = False  # complete or broken off, and the sink was notified
+        self.deadline = 0.0  # the time until which the sender of a complete body waits for the response
+        self.is_done = False  # the value is complete, broken or abandoned, and the sink has been notified
         self.is_paused = False  # the source is paused
-        self._on_paced = on_paced
+        self._on_pause_changed = on_pause_changed
         self._on_abandoned = on_abandoned
         self._buffer: deque[bytes] = deque()
         self._is_ended = False
@@ -66,46 +68,46 @@
         self._on_complete: Callable[[], None] = lambda: None
         self._sink: Sink | None = None
 
-    # The source's side.
+    # Methods for the source.
 
     def push(self, data: bytes) -> None:
-        """Take the next bytes from the source."""
+        """Accept the next bytes from the source."""
         self._buffer.append(data)
         self.resume()
 
     def finish(self) -> None:
-        """Mark the value as complete: all of it has come from the source."""
+        """Mark the value as complete: all of its bytes have arrived from the source."""
         self._is_ended = True
         self._on_complete()
         self.resume()
 
     def fail(self) -> None:
-        """Mark the value as broken: the rest will not come; what has come is still forwarded."""
+        """Mark the value as broken: no more bytes will arrive. Bytes that have arrived are still forwarded."""
         if not self._is_ended:
             self._is_ended = True
             self._is_broken = True
             self.resume()
 
-    # The sink's side.
+    # Methods for the sink.
 
-    def when_complete(self, on_complete: Callable[[], None]) -> None:
-        """Call back once all has come from the source, be it written or not."""
+    def set_on_complete(self, on_complete: Callable[[], None]) -> None:
+        """Call `on_complete` once all bytes have arrived from the source, whether or not they are written."""
         self._on_complete = on_complete
         if self._is_ended and not self._is_broken:
             on_complete()
 
     def attach(self, sink: Sink) -> None:
-        """Forward to this sink from now on."""
+        """Forward the value to this sink from now on."""
         self._sink = sink
         self.resume()
 
     def discard(self) -> None:
-        """Discard what still comes."""
+        """Discard the bytes that are buffered and those that still arrive."""
         if not self.is_done:
             self.attach(NULL_SINK)
 
     def resume(self) -> None:
-        """Write what is buffered as far as the sink has capacity, and let the source go on once nothing is."""
+        """Write buffered chunks while the sink has capacity, and let the source continue once none is buffered."""
         sink = self._sink
         while self._buffer and sink is not None and sink.flushed:
             sink.write_chunk(self._buffer.popleft())
@@ -115,13 +117,13 @@
                 sink.on_broken()
             else:
                 sink.end()
-        waits = not self.is_done and (sink is None or not sink.flushed or bool(self._buffer))
-        if waits != self.is_paused:
-            self.is_paused = waits
-            self._on_paced(waits)
+        should_pause = not self.is_done and (sink is None or not sink.flushed or bool(self._buffer))
+        if should_pause != self.is_paused:
+            self.is_paused = should_pause
+            self._on_pause_changed(should_pause)
 
     def abandon(self) -> None:
-        """Discard everything, as the sink is gone; the source may end."""
+        """Discard all bytes because the sink has ended; the source may end too."""
         if not self.is_done:
             self.is_done = True
             self._sink = NULL_SINK
