--- a/thymeflow/core/__init__.py
+++ b/thymeflow/core/__init__.py
@@ -1,1 +1,1 @@
-"""Pending requests: events to the decisions, actions carried out; no protocol is known here."""
+"""Tracks pending requests, passes events to the gateway and executes its actions; it depends on no protocol."""
--- a/thymeflow/core/attempt_starter.py
+++ b/thymeflow/core/attempt_starter.py
@@ -1,4 +1,4 @@
-"""Attempts as the gateway starts and cancels them, and what their results mean for requests and gateway."""
+"""Starts and cancels attempts for the gateway, and passes their results on to the request and the gateway."""
 
 from __future__ import annotations
 
@@ -17,10 +17,10 @@
 
 
 class RequestOwner(Protocol):
-    """Responds to requests, and hands events to the gateway."""
+    """Responds to requests, and passes events to the gateway."""
 
     def handle(self, event: events.Event) -> None:
-        """Hand an event to the gateway."""
+        """Pass an event to the gateway."""
 
     def respond(self, pending: PendingRequest, response: Response) -> None:
         """Give a request its final response."""
@@ -41,11 +41,15 @@
         self._owner = owner
 
     def start(self, action: actions.StartAttempt) -> None:
-        """Start an attempt, or report it as moot where its request is answered, over or out of attempts."""
+        """Start an attempt.
+
+        The attempt ends at once with the status MOOT if its request is answered, past its deadline or out of attempts.
+        It is logged and dropped if its request is no longer pending.
+        """
         pending = self._requests.find(action.id)
         now = clock.now()
         if pending is None:
-            log.emit_rate_limited(LogKind.GATEWAY, f"attempt for {action.id}, which is over")
+            log.emit_rate_limited(LogKind.GATEWAY, f"attempt for request {action.id} dropped: the request has ended")
             return
         number = pending.attempt_count
         pending.attempt_count += 1
@@ -71,7 +75,7 @@
         attempt.addErrback(self._on_unexpected_error)
 
     def cancel(self, action: actions.CancelAttempt) -> None:
-        """Abandon an attempt, if it has not ended."""
+        """Cancel an attempt, if it has not ended."""
         pending = self._requests.find(action.id)
         attempt = pending.open_attempts.get(action.attempt) if pending else None
         if attempt is not None:
@@ -83,7 +87,8 @@
         if stream is None:
             self._owner.handle(events.RequestBodyStarted(pending.id))
             return True
-        # From its first bytes on a long response is the client's: no other attempt, and no deadline.
+        # The client receives a long response from its first bytes on. After that the request gets no other attempt, and
+        # its deadline no longer applies.
         if pending.is_answered:
             return False
         pending.response_latency = clock.now() - max(sent_at, pending.body_received_at)
@@ -103,12 +108,12 @@
         is_ok = result.status is Status.OK
         actual_units = None
         if is_ok and not pending.is_settled:
-            # The actual units go with the first good response only, as the simulator has it.
+            # Only the first good response settles the actual units, as in the simulator.
             pending.is_settled = True
             actual_units = result.actual_units
         if is_ok and not pending.is_answered:
             self._owner.respond(pending, Response(ResponseKind.SERVED, result.value))
-        # How long a client takes to send or to read says nothing about the backend.
+        # The time that a client takes to send a body or read a response must not count as latency of the backend.
         latency = pending.response_latency
         if latency < 0.0:
             latency = clock.now() - max(sent_at, pending.body_received_at)
--- a/thymeflow/core/dispatcher.py
+++ b/thymeflow/core/dispatcher.py
@@ -1,8 +1,7 @@
-"""Pending requests: events are handed to the gateway in strict order, and its actions are carried out.
+"""Passes events of pending requests to the gateway in strict order, and executes the actions that it returns.
 
-No protocol is known here. A frontend submits an IncomingRequest and gets a Deferred of the one final Response;
-attempts, counter calls and the watch on the endpoint list are made by whatever is plugged in as AttemptRunner,
-CounterClient and EndpointSource.
+This module depends on no protocol. A frontend submits an IncomingRequest and gets a Deferred of the one final Response.
+The AttemptRunner makes attempts, the CounterClient calls the counter, and the EndpointSource watches the endpoint list.
 """
 
 from __future__ import annotations
@@ -35,10 +34,10 @@
 from thymeflow.runtime.log_kinds import LogKind
 
 MAX_REQUESTS = 1 << 16
-# For the counter's reply, which counts however late it comes (PROTOCOL); under the gateway's pause between two calls of
-# one name, so that each has ended before the next.
+# Seconds to wait for the counter's reply, which counts however late it arrives. The timeout is shorter than the
+# gateway's pause between two calls with one name, so that each call has ended before the next.
 COUNTER_CALL_TIMEOUT = 0.4
-CAPACITY_RETRY_AFTER = 0.1  # s: advice where no more requests can be admitted
+CAPACITY_RETRY_AFTER = 0.1  # seconds that a client is advised to wait when no more requests can be admitted
 
 
 def _compute_max_requests(settings: GatewaySettings) -> int:
@@ -46,27 +45,27 @@
 
 
 class RequestDispatcher:
-    """All pending requests, between frontends, the gateway and the backends."""
+    """Connects frontends, the gateway and the backends, and owns all pending requests."""
 
     def __init__(
         self,
         settings: GatewaySettings,
         gateway: Gateway,
         deadlines: clock.Deadlines,
-        memory: int,
+        memory_limit: int,
         backends: AttemptRunner,
         counter: CounterClient | None,
         discovery: EndpointSource | None,
     ) -> None:
-        """`memory` bounds the bytes of requests in flight."""
+        """`memory_limit` bounds the bytes of the requests in flight."""
         self._settings = settings
         self._deadlines = deadlines
         self._gateway = gateway
-        self._requests = PendingRequests(_compute_max_requests(settings), memory)
+        self._requests = PendingRequests(_compute_max_requests(settings), memory_limit)
         self._events: deque[events.Event] = deque()
         self._is_running = False
         self._counters = RequestCounters(deadlines)
-        self.response_counts = dict.fromkeys(ResponseKind, 0)  # final responses so far
+        self.response_counts = dict.fromkeys(ResponseKind, 0)  # final responses since the start, by kind
         self._backends = backends
         self._attempts = AttemptStarter(backends, self._requests, self._counters, self)
         self.counter = counter
@@ -84,28 +83,32 @@
             actions.SubscribeEndpoints: self._subscribe_endpoints,
         }
 
-    # --- for frontends and the limiter ---------------------------------------------------------------------
+    # --- methods for frontends and the limiter ---------------------------------------------------------------------
 
     def apply_settings(self, settings: GatewaySettings) -> None:
-        """Take other settings into use, for requests that are submitted from now on."""
+        """Apply new settings to requests that are submitted from now on."""
         self._settings = settings
         self._requests.set_max_requests(_compute_max_requests(settings))
         self.handle(events.SettingsChanged(settings))
 
-    def set_memory_limit(self, memory: int) -> None:
-        """Bound the bytes of requests that are submitted from now on."""
-        self._requests.set_memory_limit(memory)
+    def set_memory_limit(self, memory_limit: int) -> None:
+        """Set the bound, in bytes, that applies to requests submitted from now on."""
+        self._requests.set_memory_limit(memory_limit)
 
     def open_count(self) -> int:
-        """Return how many requests have not ended."""
+        """Return the number of requests that have not ended."""
         return len(self._requests)
 
     def is_open(self, request_id: str) -> bool:
-        """Return whether a request of that id has not ended."""
+        """Return whether a request with that id has not ended."""
         return request_id in self._requests
 
     def submit(self, incoming: IncomingRequest) -> Deferred[Response]:
-        """Submit a request; cancelling the Deferred means that the client has left."""
+        """Submit a request and return a Deferred of its final response.
+
+        A frontend cancels the Deferred when the client has left. A request for which no slot or memory is left is
+        rejected at once.
+        """
         response: Deferred[Response] = Deferred(lambda _: self.on_client_left(handle))
         if not self._requests.can_add(incoming.size):
             handle = -1
@@ -120,17 +123,17 @@
         return response
 
     def _reject_for_capacity(self, response: Deferred[Response]) -> None:
-        # Rejected before the gateway, as nothing was forwarded.
+        # The gateway never sees this request, because nothing of it was forwarded.
         log.emit_rate_limited(
             LogKind.CAPACITY,
-            f"{len(self._requests)} requests hold {self._requests.memory_used} bytes",
+            f"request rejected: {len(self._requests)} pending requests hold {self._requests.memory_used} bytes",
             requests=len(self._requests),
             held=self._requests.memory_used,
         )
         response.callback(Response(ResponseKind.REJECTED, retry_after=CAPACITY_RETRY_AFTER))
 
     def on_body_received(self, request_id: str, deadline: float) -> None:
-        """Start a request's time, as its long body is complete."""
+        """Set a request's deadline (a time of `clock.now`), as its long body is complete now."""
         pending = self._requests.find(request_id)
         if pending is not None and not pending.is_answered:
             pending.deadline = deadline
@@ -138,13 +141,16 @@
             self._set_overdue_timer(self._requests.get_handle(request_id), pending)
 
     def handle(self, event: events.Event) -> None:
-        """Hand an event to the gateway, behind those that wait, and carry out what it decides."""
+        """Queue an event, and pass all queued events to the gateway in order unless that is in progress already."""
         self._events.append(event)
         if not self._is_running:
             self._run()
 
     def apply_endpoints(self, event: events.EndpointsChanged, apply: Callable[[], None]) -> None:
-        """Hand over a change of the endpoint list before what it ends; `apply` puts it in force for attempts."""
+        """Pass a change of the endpoint list to the gateway ahead of the events that the change causes.
+
+        `apply` applies the change to the connections, which may end attempts.
+        """
         was_running = self._is_running
         self._is_running = True
         try:
@@ -165,7 +171,7 @@
                 try:
                     decided = self._gateway.handle(clock.now(), event)
                 except Exception as error:
-                    # An error in the gateway ends the one request that it met, not the program.
+                    # An error in the gateway fails the request that the event belongs to, and not the whole process.
                     self._on_gateway_error(event, error)
                     continue
                 for action in decided:
@@ -184,7 +190,9 @@
         handler(action)
 
     def _log_unsupported(self, action: actions.Action) -> None:
-        log.emit_rate_limited(LogKind.GATEWAY, f"action {type(action).__name__} is not supported by this deployment")
+        log.emit_rate_limited(
+            LogKind.GATEWAY, f"action {type(action).__name__} ignored: not supported by this deployment"
+        )
 
     def _set_timer(self, action: actions.SetTimer) -> None:
         self._deadlines.schedule(clock.now() + action.delay, self._on_timer, action.token)
@@ -214,7 +222,7 @@
 
     @staticmethod
     def _subscribe_endpoints(_: actions.SubscribeEndpoints) -> None:
-        """Do nothing: the watch is always on."""
+        """Do nothing, because the endpoint list is always watched."""
 
     def _add_to_counter(self, action: actions.AddToCounter) -> None:
         if self.counter is None:
@@ -223,7 +231,7 @@
         called_at = clock.now()
 
         def on_reply(reply: tuple[Status, float]) -> None:
-            """Hand the counter's reply to the gateway."""
+            """Pass the counter's reply to the gateway."""
             status, total = reply
             self.handle(events.CounterReplied(action.name, status, total, clock.now() - called_at))
 
@@ -246,7 +254,7 @@
         self._requests.remove_if_ended(pending)
 
     def on_client_left(self, handle: int) -> None:
-        """End a request whose client has left: no response is owed."""
+        """End a request whose client has left, and which needs no response."""
         pending = self._requests.get(handle)
         if pending is not None and not pending.is_answered:
             self._requests.mark_answered(pending)
@@ -262,11 +270,13 @@
         return response
 
     def _on_overdue(self, handle: int) -> None:
-        # Guards the rule that each request gets one final response: the gateway should have given it.
+        # Ensures that each request gets a final response, even if the gateway has failed to give it in time.
         pending = self._requests.get(handle)
         if pending is not None and not pending.is_answered:
             log.emit_rate_limited(
-                LogKind.OVERDUE, f"{pending.id} had no response from the gateway by its deadline", request=pending.id
+                LogKind.OVERDUE,
+                f"request {pending.id} failed: no response from the gateway by its deadline",
+                request=pending.id,
             )
             self.respond(pending, Response(ResponseKind.FAILED))
             self.handle(events.ClientDisconnected(pending.id))
--- a/thymeflow/core/request_counters.py
+++ b/thymeflow/core/request_counters.py
@@ -1,6 +1,7 @@
-"""What a limiter did in the last seconds, in one log line: over a fleet these lines add up.
+"""Counts rejections and attempts, and writes the counts to one log line at an interval.
 
-Nothing is written for seconds in which no request was rejected: a quiet log is a healthy limiter.
+The counts of all limiters of a fleet can be added up. No line is written for an interval without a rejected request,
+so that a healthy limiter writes none.
 """
 
 from __future__ import annotations
@@ -8,7 +9,7 @@
 from thymeflow.runtime import clock, log
 from thymeflow.runtime.log_kinds import LogKind
 
-LOG_INTERVAL_SECONDS = 5.0  # s between two lines; a day of a bench is a few of them, a day in service thousands
+LOG_INTERVAL_SECONDS = 5.0  # a benchmark writes a few lines, a day in service thousands
 
 Counts = dict[str, int]
 
@@ -18,7 +19,7 @@
 
 
 class RequestCounters:
-    """Rejections by reason and attempts by status, since the last line."""
+    """Counts rejections by reason and attempts by status since the last log line."""
 
     def __init__(self, deadlines: clock.Deadlines) -> None:
         self.rejections: Counts = {}
@@ -27,7 +28,7 @@
         self._is_scheduled = False
 
     def add(self, counts: Counts, name: str) -> None:
-        """Count one more of that name; the first rejection schedules a line."""
+        """Increment the count of `name` in `counts`; the first rejection schedules a log line."""
         counts[name] = counts.get(name, 0) + 1
         if counts is self.rejections and not self._is_scheduled:
             self._is_scheduled = True
@@ -37,7 +38,8 @@
         self._is_scheduled = False
         log.emit(
             LogKind.REJECTIONS,
-            f"by reason: {_format_counts(self.rejections)}; attempts: {_format_counts(self.attempts)}",
+            f"requests rejected, by reason: {_format_counts(self.rejections)}; "
+            f"attempts ended, by status: {_format_counts(self.attempts)}",
             rejected=dict(self.rejections),
             attempts=dict(self.attempts),
         )
--- a/thymeflow/core/types.py
+++ b/thymeflow/core/types.py
@@ -1,4 +1,4 @@
-"""Requests, responses and attempts as frontends, the dispatcher and the backends pass them on."""
+"""Types of the requests, responses and attempts that pass between frontends, the dispatcher and the backends."""
 
 from __future__ import annotations
 
@@ -19,14 +19,15 @@
     """The kind of a final response."""
 
     SERVED = "served"
-    REJECTED = "unavailable"  # trying again is harmless
-    FAILED = "failed"  # nothing is promised about its effect
+    REJECTED = "unavailable"  # the client can safely send the request again
+    FAILED = "failed"  # the request may or may not have taken effect
 
 
 class Response(NamedTuple):
-    """The one final response; `value` when served, `retry_after` in seconds when rejected (0: no advice).
+    """The one final response to a request.
 
-    A long value is served from its first bytes on: `stream` brings it, in place of `value`.
+    A served response has a `value`, or a `stream` that brings a long value from its first bytes on. A rejected response
+    has `retry_after` in seconds, or 0 for no advice.
     """
 
     kind: ResponseKind
@@ -46,24 +47,24 @@
 class IncomingRequest(NamedTuple):
     """A request as a frontend submits it; the backends know how to forward the `payload`.
 
-    A request whose body is not complete has no deadline (inf) until `RequestDispatcher.on_body_received` is called.
-    `is_connected` is called before each attempt: nothing is sent for a client that has left, even where the frontend
-    could not read of it yet.
+    The deadline of a request whose body is incomplete is inf until `RequestDispatcher.on_body_received` is called.
+    `is_connected` is called before each attempt, so that nothing is sent for a client that has left, even if the
+    frontend has not read the end of its connection yet.
     """
 
     request: RequestReceived
     deadline: float
     payload: object
-    size: int  # bytes that it counts for against the memory limit
+    size: int  # bytes that count against the memory limit
     is_connected: Callable[[], bool] = _always_connected
 
 
 class AttemptSpec(NamedTuple):
     """An attempt for the backends to make.
 
-    `on_response_started` is given a long response, and returns whether anybody wants it; None notifies it that a long
-    body goes into this attempt, so that there can be no other. An attempt that has to wait is not written after
-    `start_deadline`, nor for a client that has left.
+    `on_response_started` is called with a long response, and returns whether the request still needs it. It is called
+    with None when a long body is about to be streamed into this attempt, after which no other attempt is possible. An
+    attempt that has waited for a connection is not sent after `start_deadline`, nor for a client that has left.
     """
 
     backend: int
@@ -75,7 +76,7 @@
 
 
 class AttemptResult(NamedTuple):
-    """How an attempt ended, and what the backend sent with it."""
+    """The status with which an attempt ended, and the value and figures that the backend sent."""
 
     status: Status
     value: bytes = b""
@@ -85,31 +86,31 @@
 
 
 class AttemptRunner(Protocol):
-    """Makes attempts."""
+    """Makes attempts at backends."""
 
     def start_attempt(self, spec: AttemptSpec) -> Deferred[AttemptResult]:
-        """Begin an attempt; cancelling the Deferred ends it with the status CANCELLED."""
+        """Begin an attempt and return a Deferred of its result; cancelling it ends the attempt as CANCELLED."""
 
     def close_idle(self, backend: int) -> None:
         """Close the idle connections to a backend."""
 
 
 class CounterClient(Protocol):
-    """Adds to named numbers."""
+    """Adds to the numbers that the counter keeps by name."""
 
     def add(self, name: int, amount: float, ttl: float, deadline: float) -> Deferred[tuple[Status, float]]:
-        """Add to a number; the Deferred gives the status and the total."""
+        """Add to a number that expires after `ttl` seconds; return a Deferred of the status and the total."""
 
 
 class EndpointSource(Protocol):
-    """Watches the endpoint list from the start on, so that only the complete list can be requested."""
+    """Watches the endpoint list from the start on, and fetches the complete list on request."""
 
     def fetch_complete_list(self) -> None:
         """Request the complete list."""
 
 
 class PendingRequest:
-    """A submitted request, until it is answered and its last attempt has ended."""
+    """A submitted request that is not answered yet or whose last attempt has not ended."""
 
     __slots__ = (
         "attempt_count",
@@ -127,16 +128,16 @@
     )
 
     def __init__(self, incoming: IncomingRequest, response_deferred: Deferred[Response], max_attempts: int) -> None:
-        """`max_attempts` is as the settings have it when the request is submitted."""
+        """`max_attempts` comes from the settings in force when the request is submitted."""
         self.incoming = incoming
         self.id = incoming.request.id
         self.deadline = incoming.deadline
         self.response_deferred = response_deferred
         self.max_attempts = max_attempts
-        self.attempt_count = 0  # so far, and so the number of the next one
-        self.open_attempts: dict[int, Deferred[AttemptResult]] = {}  # by number
+        self.attempt_count = 0  # attempts begun so far, which is also the number of the next attempt
+        self.open_attempts: dict[int, Deferred[AttemptResult]] = {}  # by attempt number
         self.is_answered = False
-        self.is_settled = False  # the actual units were passed on
+        self.is_settled = False  # the actual units were passed to the gateway
         self.overdue_timer = clock.NOT_SCHEDULED
-        self.body_received_at = 0.0  # when a long body was complete
-        self.response_latency = -1.0  # s: to the first bytes of a long response
+        self.body_received_at = 0.0  # time at which a long body was complete
+        self.response_latency = -1.0  # seconds to the first bytes of a long response; negative until they arrive
--- a/thymeflow/frontend/body_receiver.py
+++ b/thymeflow/frontend/body_receiver.py
@@ -59,7 +59,7 @@
         return body
 
     def fail(self) -> None:
-        """End an incomplete body whose remaining bytes will not arrive, so that the backend connection does not wait."""
+        """End a body whose remaining bytes will not arrive, so that the backend connection does not wait for them."""
         slot = self.slot
         if slot is None:
             return
