--- a/thymeflow/transport/__init__.py
+++ b/thymeflow/transport/__init__.py
@@ -1,4 +1,4 @@
-"""RESP2 and its connections: codec, commands, byte streams and long values in transit."""
+"""The RESP2 protocol: its codec, the commands, the connections, and long values in transit."""
 
 from __future__ import annotations
 
--- a/thymeflow/transport/commands.py
+++ b/thymeflow/transport/commands.py
@@ -1,9 +1,9 @@
-"""The two commands that carry requests: read from a client, written to a backend.
+"""Parses the two commands that carry requests from clients, and encodes them for backends.
 
-All that a client may get wrong is found here, before the dispatcher sees the request; what is accepted can be
-forwarded with nothing changed but `d`, the time that the sender waits.
+A client's command is validated here, before the dispatcher receives the request. An accepted command is forwarded with
+nothing changed but the term `d`, the time in milliseconds that the sender waits for the response.
 """
-# ruff: noqa: EM101, EM102  # the texts are sent to the client, and stand next to the check that each belongs to
+# ruff: noqa: EM101, EM102  # the texts are sent to the client, and each stands next to its check
 
 from __future__ import annotations
 
@@ -17,30 +17,30 @@
 
 QUERY = b"SVC.QUERY"
 SUBMIT = b"SVC.SUBMIT"
-MAX_CUSTOMER_NUMBER = 1 << 33  # customers' numbers are below it
+MAX_CUSTOMER_NUMBER = 1 << 33  # every customer's number is lower
 _HEX = re.compile(rb"[0-9a-fA-F]{16}")
 _DECIMAL = re.compile(rb"[0-9]{1,9}(\.[0-9]{1,9})?")
 _INTEGER = re.compile(rb"[0-9]{1,9}")
 
 
 class CallError(TransportError):
-    """The command cannot be served; the text is for the client."""
+    """The command cannot be served; the text is sent to the client."""
 
 
 class Call(NamedTuple):
-    """A request's command, ready to be written with another `d`."""
+    """A request's command, which can be encoded with a new value for the term `d`."""
 
     verb: bytes
     customer: bytes
     id: bytes
-    terms_before_wait: bytes  # the terms up to the value of d, and from there on
-    terms_after_wait: bytes
+    terms_before_wait: bytes  # the terms up to the value of d
+    terms_after_wait: bytes  # the terms behind the value of d
     body: bytes | None
-    wait_ms: int = 0  # ms that its sender waits from the last byte on
-    body_stream: ValueStream | None = None  # a streamed body, in place of one that is buffered
+    wait_ms: int = 0  # milliseconds that the sender waits after the last byte
+    body_stream: ValueStream | None = None  # a streamed body, in place of `body`
 
     def encode(self, wait_ms: int) -> bytes:
-        """Return the command for a backend; `wait_ms` is how long we wait for the answer, in milliseconds."""
+        """Return the command for a backend, which is told that the limiter waits `wait_ms` for the reply."""
         terms = b"%b%d%b" % (self.terms_before_wait, wait_ms, self.terms_after_wait)
         if self.body_stream is not None:
             return resp.command_head(self.body_stream.length, self.verb, self.customer, self.id, terms)
@@ -50,7 +50,7 @@
 
 
 class CallReader:
-    """Reads calls under the site's classes and plans."""
+    """Parses calls, and validates them against the configured request classes and plans."""
 
     def __init__(self, settings: GatewaySettings) -> None:
         self._classes = {request_class.name.encode(): request_class for request_class in settings.classes}
@@ -59,7 +59,7 @@
         self._max_units = settings.information.max_units
 
     def read(self, arguments: list[bytes]) -> tuple[Call, RequestReceived]:
-        """Return the call and the event that the decision module receives.
+        """Return the call and the event for the gateway.
 
         :raises CallError: if the command cannot be served.
         """
@@ -79,7 +79,8 @@
         units = _parse_decimal(terms, b"units", b"1")
         spread = _parse_integer(terms, b"spread", b"1")
         first = _parse_integer(terms, b"first", b"0")
-        # More units than any request costs would be demand of an ordinary customer, published to all limiters.
+        # A request with more units than any request may cost would count as demand of an ordinary customer, which is
+        # published to all limiters.
         if not 0 < units <= self._max_units or not 1 <= spread <= self._limiter_count or first >= self._limiter_count:
             raise CallError("units, spread or first out of range")
         if int(customer, 16) >= MAX_CUSTOMER_NUMBER:
--- a/thymeflow/transport/connections.py
+++ b/thymeflow/transport/connections.py
@@ -1,10 +1,10 @@
-"""Byte streams that know whether what was written has left, and the connections that the limiter opens.
+"""Connections that know whether all written bytes have gone to the kernel, and the function that opens connections.
 
-Whether a message's last byte was written decides if it may have had an effect. A pull producer is
-asked for more exactly when the transport's buffer has gone to the kernel, which is how this is known.
+A request may have been executed only if its last byte was written. The transport asks a pull producer for more bytes
+exactly when its buffer has gone to the kernel, so that a connection registers itself as a pull producer.
 
-What can be sent at once is given to the kernel at once. By way of the reactor each message would cost a
-second turn with two changes of the poll set.
+Bytes are sent to the kernel immediately where it takes them. If the reactor sent them, each message would cost a second
+turn of the reactor with two changes of the poll set.
 """
 
 from __future__ import annotations
@@ -29,7 +29,7 @@
 
 
 def has_unread_bytes(transport: Any) -> bool:  # noqa: ANN401  # Twisted's transports share no static type with getHandle()
-    """Return whether bytes or the end of the connection wait to be read: it is not as idle as it seems."""
+    """Return whether bytes, an error or the end of the connection wait to be read, so that it is not idle."""
     try:
         transport.getHandle().recv(1, socket.MSG_PEEK)
     except BlockingIOError:
@@ -39,21 +39,21 @@
     return True
 
 
-# That the peer has closed, also where bytes that came before that wait unread: reading alone shows it only
-# behind them, and not at all while nothing is read.
+# Poll events which show that the peer has closed the connection. Reading would show the close only after all earlier
+# bytes are read, and never while the connection is not read from.
 _PEER_CLOSED_EVENTS = getattr(select, "POLLRDHUP", 0) | select.POLLHUP | select.POLLERR
 
 
 @implementer(IPullProducer)
 class WriteTrackingConnection(Protocol):
-    """A connection in either direction, which writes at once and knows when its buffer is empty."""
+    """A connection, inbound or outbound, that writes immediately and knows when its buffer is empty."""
 
     transport: Any
-    flushed = True  # all that was written has gone to the kernel
+    flushed = True  # all written bytes have gone to the kernel
     on_connected: Callable[[Any], None] | None = None  # called once, when the connection is up
 
     def connectionMade(self) -> None:
-        """Set the connection up so that small messages leave at once; see the module's text for the producer."""
+        """Disable Nagle's algorithm so that small messages are sent at once, and register as a pull producer."""
         self.transport.setTcpNoDelay(True)
         self.transport.registerProducer(self, False)
         if self.on_connected is not None:
@@ -62,14 +62,14 @@
             on_connected(self)
 
     def resumeProducing(self) -> None:
-        """Note that the buffer has gone to the kernel."""
+        """Record that the buffer has gone to the kernel."""
         self.flushed = True
 
     def stopProducing(self) -> None:
-        """Do nothing: the transport will write no more, and `connectionLost` follows."""
+        """Do nothing, because the transport writes no more and calls `connectionLost` next."""
 
     def has_peer_closed(self) -> bool:
-        """Return whether the peer has closed the connection, read or not."""
+        """Return whether the peer has closed the connection, even if its close has not been read."""
         descriptor = self.transport.fileno()
         if descriptor < 0:
             return True
@@ -78,19 +78,19 @@
         return bool(poller.poll(0))
 
     def shrink_buffers(self) -> None:
-        """Make the buffers small, here and in the kernel, so that a long value's sender goes at its reader's pace.
+        """Shrink the transport's and the kernel's buffers, so that a long value is sent at the pace of its reader.
 
-        Where the kernel takes megabytes at once, a slow reader looks like one that is stalled.
+        If the kernel buffered megabytes at once, a slow reader could not be told from a stalled one.
         """
         self.transport.bufferSize = CHUNK_BYTES
         with contextlib.suppress(OSError):
             self.transport.getHandle().setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 2 * CHUNK_BYTES)
 
     def write(self, data: bytes) -> None:
-        """Write behind what was written; `flushed` shows whether all of it has gone to the kernel."""
+        """Write bytes after those already written; `flushed` shows whether all have gone to the kernel."""
         if self.flushed:
             sent = 0
-            with contextlib.suppress(OSError):  # an error shows when the transport tries the rest
+            with contextlib.suppress(OSError):  # the transport reports the error when it sends the remaining bytes
                 sent = self.transport.getHandle().send(data)
             if sent == len(data):
                 return
@@ -103,35 +103,36 @@
 
 
 class RespConnection(WriteTrackingConnection):
-    """A connection on which we send commands in RESP2; subclasses handle the replies and the end."""
+    """A connection on which the limiter sends RESP2 commands; subclasses handle the replies and the end."""
 
-    closed = False  # ended, or closed by the limiter
+    closed = False  # the connection has ended, or the limiter has closed it
 
     def __init__(self, max_value: int = resp.MAX_VALUE) -> None:
         self._parser = resp.Parser(max_value)
 
     def dataReceived(self, data: bytes) -> None:
-        """Pass on each complete message."""
+        """Pass each complete message to `on_message`."""
         found, fault = self._parser.feed(data)
         for value in found:
             if self.closed:
                 return
-            self.on_message(value)  # type: ignore[arg-type]  # events come only where long values are allowed
+            self.on_message(value)  # type: ignore[arg-type]  # events occur only if long values are allowed
         if fault and not self.closed:
             self.on_malformed(fault)
 
     def connectionLost(self, reason: Failure = connectionDone) -> None:  # noqa: ARG002  # Twisted passes it
-        """Call `lost`, unless we ended the connection."""
+        """Call `on_lost`, unless the limiter has closed the connection."""
         if not self.closed:
             self.closed = True
             self.on_lost()
 
     def abort_connection(self) -> None:
-        """End the connection now; what the peer still sends is discarded."""
+        """Close the connection now; bytes that the peer still sends are discarded."""
         if self.closed:
             return
         self.closed = True
-        # abortConnection waits for the reactor's next turn; a second attempt must not overtake this.
+        # abortConnection closes the socket only in the reactor's next turn. The shutdown here takes effect at once, so
+        # that a second attempt of the same request does not reach a backend before this connection ends.
         with contextlib.suppress(OSError):
             self.transport.getHandle().shutdown(socket.SHUT_RDWR)
         self.transport.abortConnection()
@@ -141,16 +142,16 @@
         raise NotImplementedError
 
     def on_malformed(self, fault: str) -> None:
-        """Handle input that is not RESP2; the connection cannot be used any more."""
+        """Handle input that is not RESP2, after which the connection is unusable."""
         raise NotImplementedError
 
     def on_lost(self) -> None:
-        """Handle the end of the connection, where we did not end it."""
+        """Handle the end of a connection that the limiter did not close."""
         raise NotImplementedError
 
 
 class _SingleConnectionFactory(ClientFactory):
-    """Builds the one protocol, and reports how the connecting ended."""
+    """Builds the protocol of one connection, and reports whether the connection was made."""
 
     noisy = False
 
@@ -159,13 +160,13 @@
         self._connection_deferred = connection_deferred
 
     def buildProtocol(self, addr: IAddress | None) -> WriteTrackingConnection:  # noqa: ARG002  # Twisted passes it
-        """Build the protocol, which reports success once it has its transport."""
+        """Build the protocol, which fires the Deferred once it has its transport."""
         stream = self._build()
         stream.on_connected = self._connection_deferred.callback
         return stream
 
-    def clientConnectionFailed(self, connector: IConnector, reason: Failure) -> None:  # noqa: ARG002  # likewise
-        """Report a connection that was refused, or abandoned at the deadline."""
+    def clientConnectionFailed(self, connector: IConnector, reason: Failure) -> None:  # noqa: ARG002  # Twisted passes both
+        """Report a connection that was refused or was not made by the deadline."""
         self._connection_deferred.errback(reason)
 
 
@@ -176,11 +177,11 @@
     deadline: float,
     build: Callable[[], ConnectionT],
 ) -> Deferred[ConnectionT]:
-    """Connect; the Deferred fails if that is refused, or not done by `deadline` (a time of `clock.now`).
+    """Connect to an address and return a Deferred of the connection.
 
-    A deadline that comes due in a turn that came late shows nothing of the peer: the reactor begins to connect in
-    its next turn, and finds that it is connected in one after that. So each gets its turn before the attempt is
-    abandoned.
+    The Deferred fails if the connection is refused or not made by `deadline` (a time of `clock.now`). If this process
+    was stalled when the deadline passed, the peer may not be at fault: the reactor begins to connect in its next turn,
+    and learns of the connection in a later one. The deadline is then extended by `clock.STALL` for these turns.
     """
     connection_deferred: Deferred[ConnectionT] = Deferred()
     connector = reactor.connectTCP(
@@ -189,7 +190,7 @@
     timeout_call = clock.NOT_SCHEDULED
 
     def on_timeout(_: int) -> None:
-        """Stop connecting, or wait a little longer if the process itself was stalled."""
+        """Stop connecting, or extend the deadline if this process was stalled."""
         nonlocal timeout_call
         now = clock.now()
         if deadlines.is_stalled(now):
--- a/thymeflow/transport/resp.py
+++ b/thymeflow/transport/resp.py
@@ -1,11 +1,12 @@
-"""RESP2 without I/O: an incremental parser with firm bounds, and encoders of the few forms that are sent.
+"""RESP2 without I/O: an incremental parser with fixed bounds, and encoders of the forms that the limiter sends.
 
-The peer may be faulty or hostile, so a message that would exceed the bounds is rejected as soon as its head shows
-it, and no more than one incomplete message is ever buffered. A value too long to be buffered, in an array or alone,
-comes as events instead: `LongValueBegin`, a `LongValueChunk` as often as bytes come, `LongValueEnd` behind the value,
-and `LongValueArrayEnd` with what follows it in the array.
+The peer may be faulty or hostile. A message that would exceed the bounds is therefore rejected as soon as its head
+announces it, and at most one incomplete message is buffered.
+
+A value that is too long to be buffered, in an array or alone, is reported as events: `LongValueBegin`, then a
+`LongValueChunk` each time bytes arrive, then `LongValueEnd`, then `LongValueArrayEnd` with the array's items after it.
 """
-# ruff: noqa: EM101  # the texts are sent to the peer or logged, and stand next to the check that each belongs to
+# ruff: noqa: EM101  # the texts are sent to the peer or logged, and each stands next to its check
 
 from __future__ import annotations
 
@@ -13,17 +14,17 @@
 
 from thymeflow.transport import TransportError
 
-MAX_VALUE = 64 * 1024  # bytes of one bulk string that is buffered
-MAX_LONG_VALUE = 4 * 2**20  # bytes of one that is forwarded in chunks
-MAX_MESSAGE = MAX_VALUE + 8 * 1024  # bytes of one message: a value and its small companions
-MAX_ITEMS = 32  # items of one array; the longest that any peer sends has five
+MAX_VALUE = 64 * 1024  # bytes of a bulk string that is buffered
+MAX_LONG_VALUE = 4 * 2**20  # bytes of a bulk string that is forwarded in chunks
+MAX_MESSAGE = MAX_VALUE + 8 * 1024  # bytes of a message: one value and its short items
+MAX_ITEMS = 32  # items of an array; the longest that a peer sends has five
 MAX_LINE = 1024  # bytes of a simple string, an error or a length
 MAX_ERROR_TEXT = 200  # characters of an error reply that we send
-MAX_DIGITS = 18  # of a number, so that it fits 64 bits
+MAX_DIGITS = 18  # digits of a number, so that it fits into 64 bits
 
 
 class ProtocolError(TransportError):
-    """The bytes are not RESP2, or exceed the bounds; where the next message begins is not known."""
+    """The bytes are not RESP2 or exceed the bounds, so that the start of the next message is unknown."""
 
 
 class SimpleString(bytes):
@@ -31,14 +32,14 @@
 
 
 class ErrorReply(bytes):
-    """An error reply without its dash."""
+    """The text of an error reply, without the leading dash."""
 
 
 Value = Union[bytes, int, None, list["Value"]]
 
 
 class _Event:
-    # Plain classes: four dataclasses would add 5 ms to the start.
+    # The events are plain classes, because four dataclasses would add 5 ms to the start of the process.
     __slots__: tuple[str, ...] = ()
 
     def __eq__(self, other: object) -> bool:
@@ -46,7 +47,7 @@
 
 
 class LongValueBegin(_Event):
-    """A long value begins, behind these items of its array; `trailing_count` is how many items will follow it."""
+    """A long value of `length` bytes begins, after `leading_items` and before `trailing_count` items of its array."""
 
     __slots__ = ("leading_items", "length", "trailing_count")
 
@@ -66,13 +67,13 @@
 
 
 class LongValueEnd(_Event):
-    """The long value is complete, and was terminated as it should be."""
+    """The long value is complete and correctly terminated."""
 
     __slots__ = ()
 
 
 class LongValueArrayEnd(_Event):
-    """The array is complete; `trailing_items` contains the items behind the long value."""
+    """The array is complete; `trailing_items` are its items after the long value."""
 
     __slots__ = ("trailing_items",)
 
@@ -84,7 +85,10 @@
 
 
 class _IncompleteError(TransportError):
-    """The message goes on in bytes that have not come; `item_index`: within which bulk string of an array, or -1."""
+    """The message is incomplete.
+
+    `item_index` is the index of the bulk string in an array for whose bytes the parser waits, or -1.
+    """
 
     item_index = -1
 
@@ -99,7 +103,7 @@
 
 
 def _parse_number(text: bytes) -> int:
-    # int() also takes spaces, underscores and signs, which a peer that frames rightly never sends.
+    # int() also accepts spaces, underscores and plus signs, which a correct peer never sends.
     digits = text[1:] if text[:1] == b"-" else text
     if not digits.isdigit() or len(digits) > MAX_DIGITS:
         raise ProtocolError("bad number")
@@ -107,18 +111,18 @@
 
 
 class Parser:
-    """Cuts a stream of bytes into messages."""
+    """Splits a stream of bytes into messages."""
 
     def __init__(self, max_value: int = MAX_VALUE) -> None:
         self._buffer = bytearray()
         self._max_value = max_value
-        self._remaining_bytes = -1  # of a long value, still to come; -1: no long value has begun
-        self._trailing_items: list[Value] = []  # that have come behind the long value
-        self._missing_items = -1  # that follow the long value and have not come; -1: no long value has begun
-        self.awaited_item_index = -1  # of an incomplete array: the bulk string that bytes are awaited for
+        self._remaining_bytes = -1  # bytes of a long value that have not arrived; -1: none is being read
+        self._trailing_items: list[Value] = []  # array items that arrived after the long value
+        self._missing_items = -1  # array items after the long value that have not arrived; -1: likewise
+        self.awaited_item_index = -1  # index of the bulk string in an incomplete array that is incomplete; or -1
 
     def buffered_bytes(self) -> int:
-        """Return how many bytes of an incomplete message are buffered."""
+        """Return the number of buffered bytes of an incomplete message."""
         return len(self._buffer)
 
     def is_incomplete(self) -> bool:
@@ -126,7 +130,10 @@
         return bool(self._buffer) or self._remaining_bytes >= 0 or self._missing_items >= 0
 
     def feed(self, data: bytes) -> tuple[list[Event], str]:
-        """Return the messages that these bytes complete, and the fault behind them, if framing is lost; else ''."""
+        """Return the messages that these bytes complete, and the text of a framing error after them.
+
+        The text is empty if there is no framing error.
+        """
         found: list[Event] = []
         try:
             self._parse(data, found)
@@ -165,7 +172,8 @@
             del self._buffer[:position]
 
     def _parse_long_value_step(self, source: bytes | bytearray, position: int, found: list[Event]) -> int:
-        # One step of a message with a long value: bytes of the value, its end, or an item behind it.
+        # Parses one step of a message with a long value and returns the new position. A step is a chunk of the value,
+        # its end, or an array item after it.
         if self._remaining_bytes > 0:
             data = bytes(source[position : position + self._remaining_bytes])
             self._remaining_bytes -= len(data)
@@ -244,7 +252,7 @@
         end = position + length
         if len(source) < end + 2:
             incomplete = _IncompleteError()
-            incomplete.item_index = 0  # the reader of the array sets which
+            incomplete.item_index = 0  # _parse_value replaces it with the index in the array
             raise incomplete
         if source[end : end + 2] != b"\r\n":
             raise ProtocolError("value not closed")
@@ -252,14 +260,14 @@
 
 
 def command(*arguments: bytes) -> bytes:
-    """Return a command: an array of bulk strings."""
+    """Return an encoded command, which is an array of bulk strings."""
     return b"*%d\r\n" % len(arguments) + b"".join(
         [b"$%d\r\n%b\r\n" % (len(argument), argument) for argument in arguments]
     )
 
 
 def command_head(length: int, *arguments: bytes) -> bytes:
-    """Return a command up to its last bulk string, of that length, which is written behind it."""
+    """Return an encoded command up to the head of its last argument, whose `length` bytes are written separately."""
     return (
         b"*%d\r\n" % (len(arguments) + 1)
         + b"".join([b"$%d\r\n%b\r\n" % (len(argument), argument) for argument in arguments])
@@ -268,15 +276,18 @@
 
 
 def bulk_head(length: int) -> bytes:
-    """Return the head of a bulk string."""
+    """Return the encoded head of a bulk string of `length` bytes."""
     return b"$%d\r\n" % length
 
 
 def bulk(value: bytes) -> bytes:
-    """Return a bulk string."""
+    """Return an encoded bulk string."""
     return b"$%d\r\n%b\r\n" % (len(value), value)
 
 
 def error_reply(text: str) -> bytes:
-    """Return an error reply; line breaks, which would end it early, become spaces, and it is cut at a bound."""
+    """Return an encoded error reply of at most `MAX_ERROR_TEXT` characters.
+
+    Line breaks would end the reply early, so they become spaces.
+    """
     return b"-%b\r\n" % " ".join(text.split())[:MAX_ERROR_TEXT].encode("ascii", "replace")
