--- a/thymeflow/backends/backends.py
+++ b/thymeflow/backends/backends.py
@@ -1,7 +1,7 @@
-"""Attempts sent to backends: each is given a connection, and ends in exactly one result.
+"""Sends attempts to backends over pooled connections; each attempt ends in exactly one result.
 
-A connection carries one attempt at a time: cancelling an attempt means closing its connection, which would end
-any others on it.
+A connection carries one attempt at a time, because cancelling an attempt closes its connection and would end any other
+attempt on it.
 """
 
 from __future__ import annotations
@@ -26,15 +26,16 @@
 from thymeflow.transport.commands import Call
 from thymeflow.transport.connections import dial
 
-REPLY_STALL_TIMEOUT = 1.0  # s: without a byte of a reply that has begun; backends write in pieces, and some slowly
-MAX_ATTEMPTS = 1 << 16  # in progress at a time
+# Seconds without a byte of a reply that has begun. Backends write replies in pieces, and some of them slowly.
+REPLY_STALL_TIMEOUT = 1.0
+MAX_ATTEMPTS = 1 << 16  # attempts in progress at a time
 READY = BackendState.READY
 
 
 class BackendConnections(ConnectionPools):
     """Sends attempts to backends over pooled connections.
 
-    `read_endpoint_updates` is called after a stall of this process, to read updates that wait at the sockets.
+    `read_endpoint_updates` is called after a stall of this process, to read updates that are waiting at the sockets.
     """
 
     def __init__(
@@ -53,7 +54,7 @@
         self._sweep(0)
 
     def apply_update(self, update: EndpointUpdate) -> None:
-        """Apply a change of the endpoint list; it applies to all requests that are not written yet."""
+        """Apply a change of the endpoint list to all requests that have not been written to a connection yet."""
         if update.change.kind is not EndpointListKind.DELTA:
             for backend_id in self._pools_by_id.keys() - {backend.id for backend in update.change.backends}:
                 self._retire(self._pools_by_id.pop(backend_id), BackendState.GONE)
@@ -71,14 +72,15 @@
                 self._retire(pool, backend.state)
 
     def _retire(self, pool: Pool, state: BackendState) -> None:
-        # No new attempt may reach a backend that is draining: those that wait for a connection end here.
+        # No new attempt may be sent to a backend that is draining, so that attempts waiting for a connection to it
+        # fail.
         pool.state = state
         self._close_idle(pool)
         while pool.waiting_handles:
             self._end_attempt(pool.waiting_handles.popleft(), AttemptResult(Status.CONNECT_FAILED))
 
     def start_attempt(self, spec: AttemptSpec) -> Deferred[AttemptResult]:
-        """Begin an attempt; the Deferred never fails, and cancelling it gives the attempt up."""
+        """Begin an attempt and return a Deferred of its result, which never fails; cancelling it ends the attempt."""
         result_deferred: Deferred[AttemptResult] = Deferred(lambda _: self.abandon_attempt(handle, Status.CANCELLED))
         attempt = Attempt(spec, result_deferred)
         handle = self._attempts.add(attempt)
@@ -98,7 +100,7 @@
             else:
                 log.emit_rate_limited(
                     LogKind.POOL,
-                    f"all {self._max_connections} connections to backends are busy",
+                    f"attempt failed: all {self._max_connections} connections to backends are busy",
                     most=self._max_connections,
                 )
                 self._end_attempt(handle, AttemptResult(Status.CONNECT_FAILED))
@@ -120,27 +122,29 @@
         pool.dialing_count -= 1
         self.open_connections -= 1
         log.emit_rate_limited(
-            LogKind.CONNECT_FAILED, f"{pool.address}: {failure.getErrorMessage()}", address=pool.address
+            LogKind.CONNECT_FAILED, f"backend {pool.address}: {failure.getErrorMessage()}", address=pool.address
         )
         self._end_unserved(pool)
 
     def _end_unserved(self, pool: Pool) -> None:
-        # Each waiting attempt has a dial of its own, but any connection that was released may have served it.
+        # A connection is opened for each waiting attempt, but the attempt may be sent over any other connection that
+        # becomes idle first. One attempt fails only if more attempts wait than connections are being opened.
         if len(pool.waiting_handles) > pool.dialing_count:
             self._end_attempt(pool.waiting_handles.popleft(), AttemptResult(Status.CONNECT_FAILED))
 
     def _release(self, connection: Connection) -> None:
         pool = connection.pool
-        # The state is checked again before a request is written: the backend may be draining by now.
+        # The state is checked again before a request is written, because the backend may have begun to drain.
         if pool.state is not READY or (self.is_closing_when_idle and not pool.waiting_handles):
             self._close(connection)
         elif not self._check_usable(connection):
-            self._end_unserved(pool)  # it ended as it came up, and was the dial of an attempt that waits
+            self._end_unserved(pool)  # it may have been opened for an attempt that still waits
         else:
             self._serve_waiting(connection)
 
     def _serve_waiting(self, connection: Connection) -> None:
-        # The connection takes the first waiting attempt that is still wanted; it may have come up late.
+        # Sends the first waiting attempt that is still needed. Some may no longer be, because opening the connection
+        # took time.
         pool = connection.pool
         skipped_handles = list[int]()
         now = clock.now()
@@ -156,7 +160,7 @@
         else:
             connection.last_activity_at = now
             pool.idle.append(connection)
-        for handle in skipped_handles:  # no fault of the backend's, and not counted as one
+        for handle in skipped_handles:  # the status MOOT does not count as a failure of the backend
             self._end_attempt(handle, AttemptResult(Status.MOOT))
 
     def _send_request(self, connection: Connection, handle: int) -> None:
@@ -164,7 +168,8 @@
         assert attempt is not None
         call = attempt.spec.payload
         assert isinstance(call, Call)
-        # After a stall of this process an endpoint update may lie unread for longer than a drain's grace period.
+        # After a stall of this process, an endpoint update may have been unread for longer than the grace period of a
+        # backend that drains.
         if self._deadlines.is_stalled(clock.now()) and not self._recheck_before_send(connection, handle, attempt):
             return
         attempt.connection = connection
@@ -187,15 +192,15 @@
         return False
 
     def on_body_failed(self, connection: Connection) -> None:
-        """Abandon the attempt; closing the connection shows the backend that the body is incomplete."""
+        """Cancel the attempt; the backend learns that the body is incomplete when its connection closes."""
         self.abandon_attempt(connection.attempt_handle, Status.CANCELLED)
 
     def on_long_value(self, connection: Connection, length: int) -> None:
-        """Stream a long reply to the client; its deadline is met by its first bytes."""
+        """Stream a long reply to the client; the deadline no longer applies after its first bytes."""
         self._streaming.begin_reply(connection, length)
 
     def on_reply(self, connection: Connection, result: AttemptResult, is_reusable: bool) -> None:
-        """End the attempt in flight; its connection is released first, or closed if it can't be used again."""
+        """End the attempt in flight, after releasing its connection or closing one that can't be reused."""
         handle = connection.attempt_handle
         connection.attempt_handle = NO_ATTEMPT
         detach_streams(connection)
@@ -206,7 +211,7 @@
         self._end_attempt(handle, result)
 
     def on_reply_started(self, connection: Connection) -> None:
-        """Watch a reply that has begun: one that stalls is treated as malformed."""
+        """Watch a reply that has begun; a reply that stalls is treated as malformed."""
         self._deadlines.schedule(clock.now() + REPLY_STALL_TIMEOUT, self._check_reply, connection.attempt_handle)
 
     def _check_reply(self, handle: int) -> None:
@@ -214,37 +219,37 @@
         connection = None if attempt is None else attempt.connection
         if connection is None or not connection.is_reply_started:
             return
-        flow = connection.reply_stream
+        reply_stream = connection.reply_stream
         now = clock.now()
-        stalled_at = connection.last_activity_at + (REPLY_STALL_TIMEOUT if flow is None else LONG_VALUE_TIMEOUT)
-        if flow is not None and flow.is_paused:
-            stalled_at = now + LONG_VALUE_TIMEOUT  # its reader takes its time
+        stalled_at = connection.last_activity_at + (REPLY_STALL_TIMEOUT if reply_stream is None else LONG_VALUE_TIMEOUT)
+        if reply_stream is not None and reply_stream.is_paused:
+            stalled_at = now + LONG_VALUE_TIMEOUT  # the client reads slowly, and the backend is not at fault
         if stalled_at <= now:
-            connection.on_malformed("a reply has begun and is incomplete")
+            connection.on_malformed("a reply stopped before its end")
         else:
             self._deadlines.schedule(stalled_at, self._check_reply, handle)
 
     def on_malformed(self, connection: Connection) -> None:
-        """End the attempt on a connection that was closed because of what arrived on it."""
+        """End the attempt on a connection that was closed because malformed bytes arrived on it."""
         status = Status.ERROR if connection.is_request_sent() else Status.CONNECT_FAILED
         handle = self._detach_closed(connection)
         if handle >= 0:
             self._end_attempt(handle, AttemptResult(status))
 
     def on_connection_lost(self, connection: Connection) -> None:
-        """End the attempt on a connection that the other end closed."""
+        """End the attempt on a connection that the backend closed or reset."""
         status = Status.RESET if connection.is_request_sent() else Status.CONNECT_FAILED
         handle = self._detach_closed(connection)
         if handle >= 0:
             address = connection.pool.address
             log.emit_rate_limited(
-                LogKind.RESET, f"{address} broke a connection with an attempt in flight", address=address
+                LogKind.RESET, f"backend {address} closed a connection with an attempt in flight", address=address
             )
             self._end_attempt(handle, AttemptResult(status))
 
     def _detach_closed(self, connection: Connection) -> int:
-        # Returns the handle of the attempt that was in flight. Both callers find its status before: a request that
-        # was not completely written was never executed, any other may have been.
+        # Returns the handle of the attempt that was in flight. Both callers determine its status before the call: a
+        # request that was not completely written was never executed, and any other request may have been.
         handle = connection.attempt_handle
         connection.attempt_handle = NO_ATTEMPT
         self.open_connections -= 1
@@ -254,19 +259,19 @@
         return handle
 
     def on_deadline(self, handle: int) -> None:
-        """End an attempt whose time is over."""
+        """End an attempt whose deadline has passed."""
         attempt = self._attempts.get(handle)
         if attempt is not None:
             is_sent = attempt.connection is not None and attempt.connection.is_request_sent()
             self.abandon_attempt(handle, Status.TIMEOUT if is_sent else Status.CONNECT_FAILED)
 
     def abandon_attempt(self, handle: int, status: Status) -> None:
-        """End an attempt before its reply, with that status; its connection is closed."""
+        """End an attempt with a status before its reply is complete, and close its connection."""
         attempt = self._attempts.get(handle)
         if attempt is None:
             return
         connection = attempt.connection
-        if connection is not None:  # closing it shows the backend that the reply is not awaited
+        if connection is not None:  # the close shows the backend that nobody waits for the reply
             connection.attempt_handle = NO_ATTEMPT
             self._close(connection)
             detach_streams(connection)
--- a/thymeflow/backends/connections.py
+++ b/thymeflow/backends/connections.py
@@ -1,4 +1,4 @@
-"""One connection to a backend, which carries one attempt at a time, and the pool that it belongs to."""
+"""A connection to a backend, which carries one attempt at a time, and the pool that it belongs to."""
 
 from __future__ import annotations
 
@@ -15,34 +15,34 @@
 from thymeflow.transport.connections import RespConnection
 from thymeflow.transport.value_stream import ValueStream
 
-COMPLETE_REPLY_TYPES = (list, resp.ErrorReply)  # types of a reply that arrived in one piece
-NO_ATTEMPT = -1  # in place of an attempt's handle
+COMPLETE_REPLY_TYPES = (list, resp.ErrorReply)  # the types of replies without a long value
+NO_ATTEMPT = -1  # the handle that stands for no attempt
 
 
 class ConnectionOwner(Protocol):
-    """Receives what happens on a connection."""
+    """Receives the events of a connection."""
 
     def on_reply(self, connection: Connection, result: AttemptResult, is_reusable: bool) -> None:
-        """Take the result of the attempt in flight."""
+        """Receive the result of the attempt in flight; the connection can be reused if `is_reusable` is set."""
 
     def on_reply_started(self, connection: Connection) -> None:
-        """Take note that the first bytes of a reply have arrived."""
+        """Handle the arrival of the first bytes of a reply that is incomplete."""
 
     def on_long_value(self, connection: Connection, length: int) -> None:
-        """Take note that a reply with a streamed value of `length` bytes has begun."""
+        """Handle the start of a reply with a streamed value of `length` bytes."""
 
     def on_body_failed(self, connection: Connection) -> None:
-        """Abandon the attempt in flight, whose request body will not be completed."""
+        """Cancel the attempt in flight, whose request body will not be completed."""
 
     def on_malformed(self, connection: Connection) -> None:
-        """Take note that the connection was closed because of what arrived on it."""
+        """Handle a connection that was closed because malformed bytes arrived on it."""
 
     def on_connection_lost(self, connection: Connection) -> None:
-        """Take note that the other end closed or reset the connection."""
+        """Handle a connection that the backend closed or reset."""
 
 
 class Pool:
-    """The connections to one backend, and the attempts that wait for one."""
+    """The connections to one backend, and the attempts that wait for a connection."""
 
     __slots__ = ("address", "dialing_count", "id", "idle", "state", "waiting_handles")
 
@@ -50,7 +50,7 @@
         self.id = backend_id
         self.address = address
         self.state = state
-        self.idle: list[Connection] = []  # the most recently used last
+        self.idle: list[Connection] = []  # the most recently used connection is last
         self.waiting_handles: deque[int] = deque()  # handles of the attempts for which a connection is being opened
         self.dialing_count = 0  # connections being opened
 
@@ -62,10 +62,11 @@
         super().__init__(resp.MAX_LONG_VALUE)
         self.owner = owner
         self.pool = pool
-        self.attempt_handle = NO_ATTEMPT  # of the attempt in flight
-        self.last_activity_at = 0.0  # when it became idle, or when bytes of a long body or of a reply last moved
+        self.attempt_handle = NO_ATTEMPT  # the handle of the attempt in flight
+        # The time at which the connection became idle, or at which bytes of a long body or of a reply last moved.
+        self.last_activity_at = 0.0
         self.is_reply_started = False  # the first bytes of a reply have arrived
-        self.reply_stream: ValueStream | None = None  # the value of a reply, while it is streamed
+        self.reply_stream: ValueStream | None = None  # the long value of a reply that is being streamed
         self.body_stream: ValueStream | None = None  # a streamed request body that is not completely written
 
     def is_request_sent(self) -> bool:
@@ -73,18 +74,18 @@
         return self.flushed and self.body_stream is None
 
     def resumeProducing(self) -> None:
-        """Write more of a streamed body, as the buffer has gone to the kernel."""
+        """Write more of a streamed body, because the buffer has gone to the kernel."""
         super().resumeProducing()
         if self.body_stream is not None:
             self.body_stream.resume()
 
     def dataReceived(self, data: bytes) -> None:
-        """Read all that has arrived before the connection is used again: it may be more than the reply."""
+        """Parse all bytes that have arrived, which may be more than the reply, before the connection is reused."""
         events, fault = self._parser.feed(data)
         if self.closed:
             return
         if self.attempt_handle < 0:
-            self.on_malformed("bytes without a request")
+            self.on_malformed("bytes arrived although no request was sent")
             return
         self.last_activity_at = clock.now()
         if len(events) == 1 and type(events[0]) in COMPLETE_REPLY_TYPES:  # the common case
@@ -114,7 +115,7 @@
 
     def _begin_long_value(self, event: resp.LongValueBegin) -> None:
         if event.leading_items or event.trailing_count != 2 or self.body_stream is not None:
-            self.on_malformed("a long value at a wrong position")
+            self.on_malformed("a long value is not the first of three items, or precedes the end of the request body")
         else:
             self.owner.on_long_value(self, event.length)
 
@@ -124,12 +125,16 @@
             [b"", *event.trailing_items] if isinstance(event, resp.LongValueArrayEnd) else event
         )
         if result is None or (self.body_stream is not None and result.status is Status.OK):
-            self.on_malformed(f"no valid reply: {str(event)[:60]}")
+            self.on_malformed(f"the reply is not valid: {str(event)[:60]}")
             return
-        # What follows is a duplicate or noise: the next attempt on this connection would be given it as its reply.
+        # Bytes after the reply are a duplicate or invalid. If the connection were reused, the next attempt would
+        # receive them as its reply.
         is_clean = not trailing and not fault and not self._parser.buffered_bytes()
         if not is_clean:
-            log.emit_rate_limited(LogKind.BACKEND_REPLY_MALFORMED, f"{self.pool.address}: bytes after the reply")
+            log.emit_rate_limited(
+                LogKind.BACKEND_REPLY_MALFORMED,
+                f"connection to backend {self.pool.address} closed: bytes after the reply",
+            )
         if is_long:
             self.reply_stream = None
         self.owner.on_reply(self, result, is_clean and self.body_stream is None)
@@ -140,22 +145,24 @@
         self.write(data)
 
     def end(self) -> None:
-        """Complete the body: from now on the request may be executed, and its sender waits."""
+        """Terminate the body; from now on the request may be executed, and the sender waits for the reply."""
         self.write(b"\r\n")
         self.body_stream = None
 
     def on_broken(self) -> None:
-        """Abandon the attempt, as the rest of the body will not come and so it is never executed."""
+        """Cancel the attempt, whose body stays incomplete so that the request is never executed."""
         self.owner.on_body_failed(self)
 
     def on_malformed(self, fault: str) -> None:
-        """Close the connection; the attempt in flight may have been executed, and its reply is unknown."""
+        """Close the connection; the request in flight may have been executed, and its reply is unknown."""
         log.emit_rate_limited(
-            LogKind.BACKEND_REPLY_MALFORMED, f"{self.pool.address}: {fault}", address=self.pool.address
+            LogKind.BACKEND_REPLY_MALFORMED,
+            f"connection to backend {self.pool.address} closed: {fault}",
+            address=self.pool.address,
         )
         self.abort_connection()
         self.owner.on_malformed(self)
 
     def on_lost(self) -> None:
-        """Report that the other end closed or reset the connection."""
+        """Report that the backend closed or reset the connection."""
         self.owner.on_connection_lost(self)
--- a/thymeflow/backends/pools.py
+++ b/thymeflow/backends/pools.py
@@ -1,4 +1,4 @@
-"""The open connections to each backend, and the bound on all of them together."""
+"""Pools of open connections to each backend, with one bound on the connections of all pools."""
 
 from __future__ import annotations
 
@@ -7,34 +7,37 @@
 from thymeflow.runtime import clock
 from thymeflow.transport.connections import has_unread_bytes
 
-IDLE_FRACTION = 0.7  # of the idle timeout: an idle connection is closed then, well before the other end may close it
-SWEEP_INTERVAL = 1.0  # s: between searches for connections that have been idle for long
+# The fraction of the idle timeout after which an idle connection is closed, well before the backend may close it.
+IDLE_FRACTION = 0.7
+SWEEP_INTERVAL = 1.0  # seconds between searches for connections that have been idle for too long
 
 
 class ConnectionPools:
     """The pools of all backends, with one bound on their connections.
 
-    The most recently used connection is used first, so that the others become idle and are closed.
+    The most recently used connection is reused first, so that connections which are not needed stay idle and are
+    closed.
     """
 
     def __init__(self, deadlines: clock.Deadlines, limits: Limits, max_connections: int) -> None:
         self._deadlines = deadlines
         self._limits = limits
         self._max_connections = max_connections
-        self._pools_by_id: dict[int, Pool] = {}  # by the backend's id
-        self.open_connections = 0  # connections open or being opened
-        self.is_closing_when_idle = False  # no new attempts are expected: a connection that becomes idle is closed
+        self._pools_by_id: dict[int, Pool] = {}
+        self.open_connections = 0  # the number of connections that are open or being opened
+        # Whether a connection is closed as soon as it becomes idle, because no new attempts are expected.
+        self.is_closing_when_idle = False
 
     def set_limits(self, limits: Limits) -> None:
-        """Apply other timeouts to what is connected or becomes idle from now on."""
+        """Apply new timeouts to connections that are opened or become idle from now on."""
         self._limits = limits
 
     def set_max_connections(self, max_connections: int) -> None:
-        """Set another bound on connections, for those that are opened from now on."""
+        """Set the bound that applies to connections opened from now on."""
         self._max_connections = max_connections
 
     def set_close_when_idle(self, is_closing_when_idle: bool) -> None:
-        """Set whether connections are closed as they become idle, since backends accept only so many."""
+        """Set whether connections are closed as soon as they are idle, because backends limit their number."""
         self.is_closing_when_idle = is_closing_when_idle
         for pool in self._pools_by_id.values() if is_closing_when_idle else ():
             self._close_idle(pool)
@@ -55,8 +58,8 @@
         self.open_connections -= 1
 
     def _check_usable(self, connection: Connection) -> bool:
-        # An attempt written to a connection that has ended, or on which bytes of an earlier reply still arrive,
-        # would count as one that may have been executed, or would be given the wrong reply.
+        # A request written to a connection that has ended would count as one that may have been executed. On a
+        # connection with unread bytes of an earlier reply, the attempt would receive the wrong reply.
         if not has_unread_bytes(connection.transport):
             return True
         self._close(connection)
@@ -69,7 +72,8 @@
         return None
 
     def _close_longest_idle(self) -> bool:
-        # The descriptor limit binds over all backends: the connection idle for longest, of any pool, is closed.
+        # The limit on descriptors applies to all backends together, so that the connection that has been idle for
+        # longest is closed, whichever pool it belongs to.
         pools = [pool for pool in self._pools_by_id.values() if pool.idle]
         if not pools:
             return False
--- a/thymeflow/backends/replies.py
+++ b/thymeflow/backends/replies.py
@@ -1,4 +1,4 @@
-"""Parse a backend's replies into attempt results, and the figures in them into load reports."""
+"""Parses a backend's replies into attempt results, and the figures in them into load reports."""
 
 from __future__ import annotations
 
@@ -10,7 +10,8 @@
 from thymeflow.runtime.log_kinds import LogKind
 from thymeflow.transport import resp
 
-MAX_FIGURE = 1e6  # larger figures are dropped: 10,000 times a quota, or 17 minutes of service time
+# Larger figures are dropped. As quota usage this is 10,000 times a quota, and as service time 17 minutes.
+MAX_FIGURE = 1e6
 
 # The figures that backends send, by their names on the wire, and the field of `LoadReport` that each one fills.
 LOAD_REPORT_FIELDS = {
@@ -30,22 +31,22 @@
 
 
 def _parse_figures(text: bytes, figures: dict[bytes, float]) -> None:
-    """Add the figures of one `name=value,...` text to `figures`; log and drop those out of bounds."""
+    """Add the figures of a `name=value,...` text to `figures`; log and drop figures that are out of bounds."""
     for pair in text.split(b","):
         name, _, value = pair.partition(b"=")
         try:
             number = float(value)
         except ValueError:
             number = -1.0
-        # A figure that is not finite would stay in the running means and sums for good.
+        # A figure that is not finite would make the running means and sums useless for good.
         if isfinite(number) and 0.0 <= number <= MAX_FIGURE:
             figures[name] = number
         else:
-            log.emit_rate_limited(LogKind.BAD_FIGURES, repr(text[:60]))
+            log.emit_rate_limited(LogKind.BAD_FIGURES, f"figure in a backend's reply ignored: {text[:60]!r}")
 
 
 def _build_result(status: Status, value: bytes, texts: list[bytes]) -> AttemptResult:
-    """Build the result of an attempt from its status, its value and the texts that hold figures."""
+    """Build the result of an attempt from its status, its value and the texts with figures."""
     figures: dict[bytes, float] = {}
     for text in texts:
         _parse_figures(text, figures)
@@ -66,7 +67,7 @@
 
 
 def parse_attempt_result(reply: resp.Event) -> AttemptResult | None:
-    """Return the result that a reply stands for, or None if it is malformed and the connection is out of step."""
+    """Return the result in a reply, or None if the reply is malformed and its connection is unusable."""
     if isinstance(reply, list) and len(reply) == 3 and isinstance(reply[0], bytes):
         return _build_result(Status.OK, reply[0], [item for item in reply[1:] if isinstance(item, bytes)])
     if isinstance(reply, resp.ErrorReply):
--- a/thymeflow/backends/streaming.py
+++ b/thymeflow/backends/streaming.py
@@ -1,4 +1,4 @@
-"""Long request bodies and long replies, which pass in chunks between a client and a backend."""
+"""Streams long request bodies and long replies in chunks between a client and a backend."""
 
 from __future__ import annotations
 
@@ -13,8 +13,8 @@
 from thymeflow.transport.commands import Call
 from thymeflow.transport.value_stream import ValueStream
 
-# s: without a byte of a reply that is being streamed, as ending one that still moves would lose it; and without a byte
-# taken of a streamed body.
+# Seconds after which a streamed reply without a new byte, or a streamed body of which the backend reads no byte, is
+# abandoned. A reply that still makes progress is never abandoned, because it would be lost.
 LONG_VALUE_TIMEOUT = 5.0
 
 
@@ -22,14 +22,14 @@
     """Ends attempts."""
 
     def on_deadline(self, handle: int) -> None:
-        """End an attempt whose time is over."""
+        """End an attempt whose deadline has passed."""
 
     def abandon_attempt(self, handle: int, status: Status) -> None:
-        """End an attempt before its reply, with that status; its connection is closed."""
+        """End an attempt with a status before its reply is complete, and close its connection."""
 
 
 class ValueStreaming:
-    """Attaches long values to the connections that they pass over, and watches that they move."""
+    """Attaches long values to connections, and ends attempts whose long values make no progress."""
 
     def __init__(self, deadlines: clock.Deadlines, attempts: SlotTable[Attempt], owner: AttemptOwner) -> None:
         self._deadlines = deadlines
@@ -39,7 +39,7 @@
     def send_body(self, connection: Connection, handle: int, attempt: Attempt, call: Call, body: ValueStream) -> None:
         """Write the head of a request, and its body as it arrives from the client.
 
-        The deadline of a request whose body is streamed begins with the body's last byte.
+        The time of the request begins with the last byte of its body.
         """
         connection.body_stream = body
         connection.shrink_buffers()
@@ -51,13 +51,14 @@
         body.attach(connection)
 
     def _on_body_received(self, handle: int, deadline: float) -> None:
-        # The body has arrived completely from the client, whose deadline counts from now on.
+        # The body has arrived completely from the client, so that the deadline of the request applies from now on.
         attempt = self._attempts.get(handle)
         if attempt is not None:
             attempt.timeout_call = self._deadlines.schedule(deadline, self._owner.on_deadline, handle)
 
     def _check_body(self, handle: int) -> None:
-        # Guards both ends of a streamed body against a backend that stopped without closing its connection.
+        # Ends the attempt if the backend has stopped reading without closing its connection, so that neither the client
+        # nor the connection waits for ever.
         attempt = self._attempts.get(handle)
         connection = None if attempt is None else attempt.connection
         if connection is None or connection.body_stream is None:
@@ -78,7 +79,7 @@
             self._owner.abandon_attempt(handle, Status.CONNECT_FAILED)
 
     def begin_reply(self, connection: Connection, length: int) -> None:
-        """Stream a long reply to the client; its deadline is met by its first bytes."""
+        """Stream a long reply to the client; the deadline no longer applies after its first bytes."""
         handle = connection.attempt_handle
         transport = connection.transport
         attempt = self._attempts.get(handle)
@@ -90,7 +91,7 @@
             if is_paused:
                 transport.pauseProducing()
             else:
-                connection.last_activity_at = clock.now()  # no byte could move before
+                connection.last_activity_at = clock.now()  # no byte could arrive while reading was paused
                 transport.resumeProducing()
 
         connection.shrink_buffers()
@@ -101,7 +102,11 @@
 
 
 def detach_streams(connection: Connection) -> None:
-    """Detach what was streamed by an attempt that has ended: a body's rest is unwanted, a reply's will not come."""
+    """Detach the streams of an attempt that has ended.
+
+    The remaining bytes of a request body are discarded. The remaining bytes of a reply will not arrive, so that its
+    stream fails.
+    """
     body = connection.body_stream
     reply = connection.reply_stream
     connection.body_stream = None
