--- a/thymeflow/frontend/__init__.py
+++ b/thymeflow/frontend/__init__.py
@@ -1,1 +1,1 @@
-"""The client side: listening socket, client connections and their pipelined responses."""
+"""The side of the clients: the listening socket, client connections and their pipelined responses."""
--- a/thymeflow/frontend/client_connection.py
+++ b/thymeflow/frontend/client_connection.py
@@ -1,7 +1,7 @@
-"""One client connection: its commands, its timeouts and its departure.
+"""A client connection: reads RESP2 commands, enforces timeouts, and cancels requests when the client leaves.
 
-The protocol is RESP2. A request goes to the dispatcher, which answers it through a Deferred; nothing else here
-depends on what a request means.
+A request is submitted to the dispatcher, which responds through a Deferred. No other code here depends on the meaning
+of a request.
 """
 
 from __future__ import annotations
@@ -25,20 +25,20 @@
 from thymeflow.transport.connections import has_unread_bytes
 from thymeflow.transport.value_stream import ValueStream
 
-BODY_INDEX = 4  # of the item of a command that may come slowly, in pieces; the others are its head
-MAX_PIPELINED_COMMANDS = 64  # commands of one client that are not answered; then it is not read from
-REQUEST_OVERHEAD_BYTES = 2048  # bytes that a request takes beside its own
-MAX_DISCARDED_BYTES = 256 * 1024  # bytes that are read meanwhile and thrown away
-LATE_READ_SECONDS = 0.005  # s: less than that a request has waited unread in any turn
+BODY_INDEX = 4  # the index of a command's body, which may arrive slowly; the items before it are the command's head
+MAX_PIPELINED_COMMANDS = 64  # a client with this many unanswered commands is not read from
+REQUEST_OVERHEAD_BYTES = 2048  # memory that a request takes in addition to its own bytes
+MAX_DISCARDED_BYTES = 256 * 1024  # bytes that are read and discarded after the write side of a connection is closed
+LATE_READ_SECONDS = 0.005  # a request that was unread for longer was delayed; an ordinary turn delays it for less
 LONG_VALUE_EVENTS = (resp.LongValueChunk, resp.LongValueEnd, resp.LongValueArrayEnd)
-# Eviction scores: clients without a use for their connection go first, then those that sent no request, then by
-# idle time, which is far below these.
+# Eviction scores. Connections of which the client makes no use are evicted first, then connections that sent no
+# request, and then connections by their idle time, which is far below these scores.
 NO_USE_SCORE = 2e6
 NO_REQUEST_SCORE = 1e6
 
 
 class ClientConnectionOwner(ReadinessSource, Protocol):
-    """What a client connection needs of the frontend that accepted it."""
+    """The interface of the frontend that accepted a client connection."""
 
     deadlines: clock.Deadlines
     dispatcher: RequestDispatcher
@@ -51,27 +51,27 @@
         """Register a connection and return its handle."""
 
     def on_input_buffered(self, change: int) -> None:
-        """Count bytes of incomplete commands."""
+        """Add `change` to the number of buffered bytes of incomplete commands."""
 
     def on_client_lost(self, connection: ClientConnection) -> None:
-        """Take note that a connection has ended and that nothing is open on it any more."""
+        """Handle a connection that has ended and has no open requests left."""
 
 
 class ClientConnection(ResponsePipeline):
-    """One client's connection: reads its commands and enforces the timeouts."""
+    """One client's connection, which reads commands and enforces timeouts."""
 
     def __init__(self, owner: ClientConnectionOwner, memory: ResponseMemory) -> None:
         super().__init__(memory)
         self._owner = owner
         self._parser = resp.Parser(resp.MAX_LONG_VALUE)
-        self._command_started_at = 0.0  # when the incomplete command began
-        self._arrived_at = 0.0  # the earliest at which what is read now can have come
+        self._command_started_at = 0.0  # time at which the incomplete command began
+        self._arrived_at = 0.0  # the earliest time at which the bytes being read can have arrived
         self._body = BodyReceiver()
         self.handle = -1
-        self._is_reading = True  # as the transport was last set
-        self.is_evicted = False  # its slot was given to another
+        self._is_reading = True  # whether the transport was last resumed, and not paused
+        self.is_evicted = False  # the slot of this connection was given to another client
         self._has_sent_command = False
-        self._has_sent_request = False  # a PING alone doesn't count, and doesn't keep a connection open
+        self._has_sent_request = False  # commands without a request, such as PING, do not count
         self._discarded_bytes = 0
 
     def connectionMade(self) -> None:
@@ -83,21 +83,21 @@
         super().connectionMade()
 
     def _update_reading(self) -> None:
-        # From a client that does not take its responses, nothing more is taken.
-        if self._body.slot is not None:  # also where no further command is accepted
-            wanted = not self._body.is_blocked
+        # A client that does not read its responses is not read from either.
+        if self._body.slot is not None:  # the body is read even if no further command is accepted
+            should_read = not self._body.is_blocked
         else:
-            wanted = self.flushed and not self._is_closing and len(self._slots) < MAX_PIPELINED_COMMANDS
-        wanted = wanted or (self._is_write_closed and self._discarded_bytes < MAX_DISCARDED_BYTES)
-        if wanted != self._is_reading:
-            self._is_reading = wanted
-            if wanted:
+            should_read = self.flushed and not self._is_closing and len(self._slots) < MAX_PIPELINED_COMMANDS
+        should_read = should_read or (self._is_write_closed and self._discarded_bytes < MAX_DISCARDED_BYTES)
+        if should_read != self._is_reading:
+            self._is_reading = should_read
+            if should_read:
                 self.transport.resumeProducing()
             else:
                 self.transport.pauseProducing()
 
     def dataReceived(self, data: bytes) -> None:
-        """Begin each command once it is complete; the responses keep the order of the commands."""
+        """Execute each command once it is complete; responses are sent in the order of the commands."""
         if self._is_closing and self._body.slot is None:
             self._discarded_bytes += len(data)
             self._update_reading()
@@ -107,8 +107,9 @@
         was_incomplete = self._parser.is_incomplete()
         parsed, fault = self._parser.feed(data)
         now = self._last_activity_at = clock.now()
-        # What comes first on a connection may have come as early as that did, where that was a moment ago: a stall
-        # since then is known. What comes slowly or after a rest has its time from its last byte on.
+        # The first command of a connection may have arrived as early as the connection itself, if that was accepted a
+        # moment ago. Its time then includes a stall of this process since the connection arrived. The time of a command
+        # that arrives in pieces or after a pause begins with its last byte.
         is_first = not self._has_sent_command and not was_incomplete and now - self._idle_since < clock.STALL
         self._arrived_at = min(owner.deadlines.earliest_arrival(now), self._arrived_at if is_first else inf)
         if parsed or not was_incomplete:
@@ -136,16 +137,12 @@
             self.finish()
 
     def _on_long_command(self, begin: resp.LongValueBegin) -> None:
-        # A command with a long body: it is submitted with its head, and answered once the body has come.
+        # Submits a command with a long body once its head is complete. It is answered once the body is complete.
         self._has_sent_command = True
         self.shrink_buffers()
         arguments = begin.leading_items
         body = self._body.build_body_stream(begin.length, self._on_body_pause_changed)
-        if (
-            all(type(argument) is bytes for argument in arguments)
-            and len(arguments) == BODY_INDEX
-            and not begin.trailing_count
-        ):
+        if all(type(item) is bytes for item in arguments) and len(arguments) == BODY_INDEX and not begin.trailing_count:
             self._submit_request([*arguments, b""], body)  # type: ignore[list-item]  # checked above
         else:
             self._reply(resp.error_reply("ERR a value is too long for this command"))
@@ -168,8 +165,8 @@
         self._update_reading()
 
     def _on_malformed_input(self, fault: str) -> None:
-        # Where the next command begins is not known any more: one error line, then the end.
-        log.emit_rate_limited(LogKind.CLIENT_COMMAND_MALFORMED, fault)
+        # The start of the next command is unknown, so that the connection ends after one error line.
+        log.emit_rate_limited(LogKind.CLIENT_COMMAND_MALFORMED, f"a client's connection was closed: {fault}")
         self._body.fail()
         self._owner.on_input_buffered(-self._parser.buffered_bytes())
         self._parser = resp.Parser()
@@ -177,11 +174,11 @@
         self.finish()
 
     def compute_idle_seconds(self, now: float) -> float:
-        """Return for how long it has had no open command, in seconds."""
+        """Return the seconds for which no command has been open, or 0 while one is."""
         return 0.0 if self._slots else now - self._idle_since
 
     def is_awaiting_first_command(self, now: float) -> bool:
-        """Return whether it has connected a moment ago and sent no command yet."""
+        """Return whether the client connected less than `DRAIN_GRACE` ago and has sent no command yet."""
         return not self._has_sent_command and now - self._idle_since < timeouts.DRAIN_GRACE
 
     def has_incomplete_command(self) -> bool:
@@ -189,11 +186,11 @@
         return self._parser.is_incomplete()
 
     def get_input_backlog(self) -> tuple[bool, int]:
-        """Return whether no command is open, and the bytes buffered of an incomplete one."""
+        """Return whether no command is open, and the number of buffered bytes of an incomplete command."""
         return not self._slots, self._parser.buffered_bytes()
 
     def compute_eviction_score(self, now: float) -> float:
-        """Return how well its connection could be used by another client; 0: not at all."""
+        """Return the eviction score: the highest is evicted first, and 0 is never evicted."""
         idle = self.compute_idle_seconds(now)
         if self._is_write_closed or (self._has_sent_command and not self._has_sent_request and not self._slots):
             return NO_USE_SCORE + idle
@@ -202,10 +199,10 @@
         return idle if idle > timeouts.CROWDED_IDLE_TIMEOUT else 0.0
 
     def enforce_timeouts(self, now: float, idle_timeout: float) -> None:
-        """Disconnect a client that sends nothing, never completes a command, or takes no response."""
+        """Disconnect a client that sends nothing, never completes a command, or does not read its responses."""
         idle = self.compute_idle_seconds(now)
         if self._owner.is_draining and idle > timeouts.DRAIN_GRACE:
-            idle_timeout = 0.0  # who sends no request at once is disconnected, and who often sends PING stays
+            idle_timeout = 0.0  # a client that sent nothing for the grace period is disconnected; PING keeps it
         if not self._is_reading and self.has_peer_closed():
             self.transport.abortConnection()
         elif self._is_write_closed or not self.flushed:
@@ -218,7 +215,7 @@
         elif self._is_closing:
             return
         elif self._parser.is_incomplete():
-            is_head = self._parser.awaited_item_index != BODY_INDEX  # a body may come slowly, but not stand still
+            is_head = self._parser.awaited_item_index != BODY_INDEX  # a body may arrive slowly, but without long pauses
             if now - (self._command_started_at if is_head else self._last_activity_at) > timeouts.COMMAND_TIMEOUT:
                 self._on_malformed_input("a command was begun and not ended")
         elif idle > (
@@ -227,7 +224,7 @@
             self.finish()
 
     def evict(self) -> None:
-        """Close the connection now, as its slot is given to another client."""
+        """Close the connection now, because its slot is given to another client."""
         self.is_evicted = True
         self.transport.abortConnection()
 
@@ -241,7 +238,7 @@
                 self.finish()
 
     def _reject_command(self, reason: str) -> None:
-        log.emit_rate_limited(LogKind.CLIENT_COMMAND_INVALID, reason)
+        log.emit_rate_limited(LogKind.CLIENT_COMMAND_INVALID, f"command answered with an error: {reason}")
         self._reply(resp.error_reply(f"ERR {reason}"))
 
     def _submit_request(self, arguments: list[bytes], body: ValueStream | None = None) -> None:
@@ -264,12 +261,10 @@
         deadline = min(self._arrived_at + request.remaining, exit_deadline) if body is None else inf
         is_late = self._last_activity_at - self._arrived_at > LATE_READ_SECONDS
         if body is None and (is_late or deadline == exit_deadline):
-            # Its time runs from when it reached this machine: what a stall took of it is gone, as is what comes
-            # after the end of a process that is shutting down.
+            # The request's time began when it arrived at this machine. The gateway gets the time that remains after a
+            # stall, and no more than remains until a process that is shutting down exits.
             request = request._replace(remaining=deadline - self._last_activity_at)
-        slot.response_deferred = dispatcher.submit(
-            IncomingRequest(request, deadline, call, size, self.is_client_connected)
-        )
+        slot.response_deferred = dispatcher.submit(IncomingRequest(request, deadline, call, size, self.is_connected))
         slot.response_deferred.addCallbacks(self._on_response, lambda _: None, callbackArgs=(slot,))
 
     def _on_response(self, response: Response, slot: PipelineSlot, /) -> None:
@@ -281,21 +276,21 @@
         if self._slots and self._slots[0] is slot:
             self._flush()
         if self._memory.used_bytes > self._memory.max_bytes:
-            # Guards the memory limit, past which the process would be killed: one client that
-            # pipelines behind its own slow request, or takes no responses, is disconnected instead.
+            # The process would be killed if it exceeded its memory limit. A client that pipelines commands behind its
+            # own slow request, or that does not read its responses, is disconnected instead.
             log.emit_rate_limited(
                 LogKind.BACKLOG,
-                f"{self._memory.used_bytes} bytes of responses are pending; a connection was closed",
+                f"a client's connection was closed: {self._memory.used_bytes} bytes of responses are pending",
                 held=self._memory.used_bytes,
             )
             self.transport.abortConnection()
 
-    def is_client_connected(self) -> bool:
-        """Return whether the client is still connected, also where it isn't read from or our turn came late."""
+    def is_connected(self) -> bool:
+        """Return whether the client is connected; its close is detected even if it has not been read."""
         return not self.has_peer_closed()
 
     def connectionLost(self, reason: Failure = connectionDone) -> None:  # noqa: ARG002  # Twisted passes it
-        """Cancel everything that is open: no response can reach the client any more."""
+        """Cancel all open requests, because no response can reach the client any more."""
         self._is_closing = True
         self._body.fail()
         self._owner.on_input_buffered(-self._parser.buffered_bytes())
--- a/thymeflow/frontend/connection_commands.py
+++ b/thymeflow/frontend/connection_commands.py
@@ -1,4 +1,4 @@
-"""The commands that concern a connection and carry no request."""
+"""Answers the commands that concern a connection and carry no request."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 QUIT = b"QUIT"
 ACKNOWLEDGED_COMMANDS = (b"CLIENT", b"SELECT", QUIT)
-MAX_ECHOED_NAME_BYTES = 32  # of an unknown command
+MAX_ECHOED_NAME_BYTES = 32  # bytes of an unknown command's name that are repeated in the error reply
 
 
 class ReadinessSource(Protocol):
@@ -18,11 +18,11 @@
         """Return whether PING is answered with PONG."""
 
     def describe_state(self) -> str:
-        """Return why it is not."""
+        """Return the reason for which clients are not accepted."""
 
 
 def answer_connection_command(name: bytes, arguments: list[bytes], readiness: ReadinessSource) -> bytes:
-    """Return the encoded reply to a command; `name` is its first argument in capitals."""
+    """Return the encoded reply to a command; `name` is its first argument in upper case."""
     if name == b"PING" and len(arguments) <= 2:
         if not readiness.is_ready():
             return resp.error_reply(f"LOADING {readiness.describe_state()}")
--- a/thymeflow/frontend/frontend.py
+++ b/thymeflow/frontend/frontend.py
@@ -1,4 +1,4 @@
-"""The factory of client connections: admits, limits, evicts and drains them."""
+"""The factory of client connections, which accepts, limits, evicts and drains them."""
 
 from __future__ import annotations
 
@@ -21,27 +21,29 @@
 from thymeflow.transport.commands import CallReader
 from thymeflow.transport.connections import has_unread_bytes
 
-SWEEP_INTERVAL = 0.1  # s: between checks of the timeouts
-CROWDED_FRACTION = 0.35  # of the connections: from here on they are scarce; clients have a limit of their own
-MAX_EVICTION_CANDIDATES = 8  # connections checked for one that may be evicted
-MAX_EVICTING = 24  # evicted connections whose descriptors are not free yet
+SWEEP_INTERVAL = 0.1  # seconds between checks of the timeouts
+# The fraction of the connections in use from which on connections are scarce and the idle timeout is shorter. Clients
+# limit their own connections too, see `Frontend._sweep`.
+CROWDED_FRACTION = 0.35
+MAX_EVICTION_CANDIDATES = 8  # connections that are checked for unread bytes before one is evicted
+MAX_EVICTING = 24  # evicted connections whose descriptors have not been closed yet
 
 
 class FrontendOwner(Protocol):
-    """What the frontend needs of the limiter that it belongs to."""
+    """The interface of the limiter that the frontend belongs to."""
 
     def takes_clients(self) -> bool:
         """Return whether clients are accepted now, so that PING is answered with PONG."""
 
     def describe_state(self) -> str:
-        """Return why they are not."""
+        """Return the reason for which clients are not accepted."""
 
     def on_client_lost(self) -> None:
-        """Take note that a client has left."""
+        """Handle a client that has left."""
 
 
 class Frontend(Factory):
-    """The listening side."""
+    """Accepts client connections and keeps them within the limits."""
 
     noisy = False
 
@@ -60,19 +62,19 @@
         self.deadlines = deadlines
         self._owner = owner
         self.response_memory = ResponseMemory(max_pending_response_bytes)
-        self._unfinished_input_bytes = 0  # of incomplete commands
-        self._max_unfinished_input_bytes = max_unfinished_input_bytes  # likewise
+        self._unfinished_input_bytes = 0  # buffered bytes of incomplete commands
+        self._max_unfinished_input_bytes = max_unfinished_input_bytes
         self._max_clients = max_clients
         self.clients: SlotTable[ClientConnection] = SlotTable(max_clients)
-        self._evicting_count = 0  # connections
-        self.accepted_count = 0  # connections accepted so far, those closed at once included
-        self.is_draining = False  # a connection ends with its last response, or as it falls idle
-        self.is_closing = False  # and no new one is taken
-        self.exit_deadline = inf  # when this process ends, however long a request may wait
+        self._evicting_count = 0  # evicted connections that have not ended yet
+        self.accepted_count = 0  # connections accepted since the start, including those closed at once
+        self.is_draining = False  # a connection is closed after its last response, or when it becomes idle
+        self.is_closing = False  # the limiter is draining, and new connections are closed at once
+        self.exit_deadline = inf  # time at which this process exits, even if a request could wait longer
         self._sweep(0)
 
     def buildProtocol(self, addr: IAddress | None) -> ClientConnection | None:  # noqa: ARG002  # Twisted passes it
-        """Accept a connection, unless no descriptor is left or the process is about to end."""
+        """Accept a connection, unless no descriptor is left or the limiter is closing."""
         self.accepted_count += 1
         if self.is_closing:
             return None
@@ -81,7 +83,7 @@
             if candidate is None or self._evicting_count >= MAX_EVICTING:
                 log.emit_rate_limited(
                     LogKind.CLIENTS,
-                    f"all {len(self.clients)} connections are in use; a new one was closed",
+                    f"a new connection was closed: all {len(self.clients)} client connections are in use",
                     connections=len(self.clients),
                 )
                 return None
@@ -89,11 +91,11 @@
         return ClientConnection(self, self.response_memory)
 
     def apply_settings(self, settings: GatewaySettings) -> None:
-        """Read commands by other classes and plans from now on."""
+        """Parse commands with the request classes and plans of new settings from now on."""
         self.reader = CallReader(settings)
 
     def set_exit_deadline(self, deadline: float) -> None:
-        """Bound what clients wait by the time at which this process ends."""
+        """Limit the deadlines of requests to the time at which this process exits."""
         self.exit_deadline = deadline
 
     def is_ready(self) -> bool:
@@ -101,7 +103,7 @@
         return self._owner.takes_clients()
 
     def describe_state(self) -> str:
-        """Return why it is not."""
+        """Return the reason for which clients are not accepted."""
         return self._owner.describe_state()
 
     def on_client_connected(self, connection: ClientConnection) -> int:
@@ -115,14 +117,14 @@
         self._owner.on_client_lost()
 
     def _evict(self, connection: ClientConnection) -> None:
-        # Its slot is free at once, its descriptor only as the reactor has closed it.
+        # The slot is free at once, but the descriptor only after the reactor has closed it.
         self.clients.remove(connection.handle)
         self._evicting_count += 1
         connection.evict()
 
     def _find_eviction_candidate(self, now: float) -> ClientConnection | None:
-        # Many clients send one request and stay, and others send nothing: who has least use of its connection goes.
-        # Bytes that wait there may be a request, which a close would lose.
+        # Finds the connection that its client uses least, because many clients send one request and stay connected, and
+        # others send nothing. A connection with unread bytes is kept: they may be a request, which a close would lose.
         scored = nlargest(
             MAX_EVICTION_CANDIDATES, self.clients.items(), key=lambda connection: connection.compute_eviction_score(now)
         )
@@ -136,26 +138,32 @@
         )
 
     def set_limits(self, max_clients: int, max_pending_response_bytes: int, max_unfinished_input_bytes: int) -> None:
-        """Apply other bounds to what comes from now on."""
+        """Set the bounds for connections and bytes that arrive from now on."""
         self._max_clients = max_clients
         self.response_memory.set_max_bytes(max_pending_response_bytes)
         self._max_unfinished_input_bytes = max_unfinished_input_bytes
         self.clients.set_limit(max_clients)
 
     def on_input_buffered(self, change: int) -> None:
-        """Count bytes of incomplete commands; guards the memory limit against many that are never completed."""
+        """Add `change` to the number of buffered bytes of incomplete commands.
+
+        If their number exceeds its bound, the client with the most bytes is evicted. Otherwise many commands that are
+        never completed could exceed the memory limit.
+        """
         self._unfinished_input_bytes += change
         if change > 0 and self._unfinished_input_bytes > self._max_unfinished_input_bytes:
             log.emit_rate_limited(
                 LogKind.INPUT,
-                f"{self._unfinished_input_bytes} bytes of incomplete commands are buffered; the longest was dropped",
+                f"{self._unfinished_input_bytes} bytes of incomplete commands are buffered; the client of the longest "
+                "was disconnected",
             )
             self._evict(max(self.clients.items(), key=ClientConnection.get_input_backlog))
 
     def _sweep(self, _: int) -> None:
         now = clock.now()
-        # Clients keep a bounded number of connections: while we hold one that has no more use, they
-        # cannot open another for the next request.
+        # Clients limit the number of their connections. A client that keeps an idle connection here may therefore be
+        # unable to open another one for its next request, so that idle connections are closed sooner when they are
+        # scarce.
         is_crowded = len(self.clients) >= CROWDED_FRACTION * self._max_clients
         idle_timeout = CROWDED_IDLE_TIMEOUT if is_crowded else IDLE_TIMEOUT
         for connection in self.clients.items():
@@ -163,21 +171,21 @@
         self.deadlines.schedule(now + SWEEP_INTERVAL, self._sweep)
 
     def close(self) -> None:
-        """Accept nothing more, and drain all connections."""
+        """Accept no more connections, and drain the present ones."""
         self.is_closing = True
         self.drain()
 
     def resume(self) -> None:
-        """Serve again: clients that connect or send requests from now on stay."""
+        """Stop draining: clients that connect or send requests from now on stay connected."""
         self.is_closing = False
         self.is_draining = False
 
     def drain(self) -> None:
-        """Disconnect the clients: idle connections end now, the others with their last response."""
+        """Disconnect the clients: idle connections now, and busy connections after their last response."""
         self.is_draining = True
         now = clock.now()
         for connection in self.clients.items():
-            # Who has just connected has a request on its way: a close that crosses it would lose it.
+            # A client that has just connected probably has a request on its way, which a close now would lose.
             if connection.is_awaiting_first_command(now):
                 self.deadlines.schedule(now + DRAIN_GRACE, self._on_drain_grace_over, connection.handle)
             else:
@@ -190,6 +198,6 @@
 
     @staticmethod
     def _finish(connection: ClientConnection) -> None:
-        # What has come is read first, and answered before the end.
+        # Bytes that have arrived are read first, and a command in them is answered before the connection is closed.
         if not connection.has_incomplete_command() and not has_unread_bytes(connection.transport):
             connection.finish()
--- a/thymeflow/frontend/listener.py
+++ b/thymeflow/frontend/listener.py
@@ -1,16 +1,19 @@
-"""The socket at which clients connect: bound early, so that a wrong address fails at once, and opened late."""
+"""The listening socket for clients.
+
+It is bound early, so that an invalid address is reported at once, and starts to listen late.
+"""
 
 from __future__ import annotations
 
 import socket
 
-BACKLOG = 511  # connections that wait to be accepted
+BACKLOG = 511  # maximum of connections that wait to be accepted
 
 
 def bind_listener(host: str, port: int, shared: bool = False) -> socket.socket:
-    """Return a socket that is bound to the address and doesn't listen yet.
+    """Return a socket that is bound to the address and does not listen yet.
 
-    `shared`: a later process may listen at the address beside us, where it cannot take over from us.
+    If `shared` is set, a later process that cannot take over this socket can listen at the same address beside it.
 
     :raises OSError: if the address is invalid or in use.
     """
@@ -28,6 +31,6 @@
 
 
 def start_listening(listener: socket.socket) -> socket.socket:
-    """Return the same socket, which listens from now on, whether it did before or not."""
+    """Make a socket listen, if it does not listen already, and return it."""
     listener.listen(BACKLOG)
     return listener
--- a/thymeflow/frontend/pipeline.py
+++ b/thymeflow/frontend/pipeline.py
@@ -1,4 +1,4 @@
-"""The response half of a client connection: responses leave in the order of their commands."""
+"""Writes the responses of a client connection in the order of its commands."""
 
 from __future__ import annotations
 
@@ -18,16 +18,16 @@
 
 
 class ResponseMemory:
-    """The bytes of responses that clients have not taken yet, over all connections, and their bound."""
+    """Counts the bytes of responses that clients have not read yet, over all connections, against a bound."""
 
     __slots__ = ("max_bytes", "used_bytes")
 
     def __init__(self, max_bytes: int) -> None:
         self.used_bytes = 0
-        self.max_bytes = max_bytes  # beyond it connections are closed
+        self.max_bytes = max_bytes  # above this bound connections are closed
 
     def set_max_bytes(self, max_bytes: int) -> None:
-        """Set another bound, for what is added from now on."""
+        """Set the bound that applies to responses added from now on."""
         self.max_bytes = max_bytes
 
 
@@ -39,16 +39,16 @@
     def __init__(
         self, response: bytes | None = None, request: RequestReceived | None = None, body: ValueStream | None = None
     ) -> None:
-        self.response = response  # encoded; None until it is known
+        self.response = response  # the encoded response, or only its head if it is streamed; None until it is known
         self.request = request
         self.response_deferred: Deferred[Response] | None = None
-        self.body = body  # a streamed request body that is incomplete: the response waits for its end
-        self.response_stream: ValueStream | None = None  # a streamed response, whose head `response` is
-        self.is_started = False  # that head has been written
+        self.body = body  # an incomplete streamed request body, whose end the response waits for
+        self.response_stream: ValueStream | None = None  # a streamed response, whose head is `response`
+        self.is_started = False  # the head of a streamed response has been written
 
 
 def encode_response(response: Response) -> bytes:
-    """Return a final response as RESP2; `retry_after` is sent in whole milliseconds, rounded up."""
+    """Return a final response encoded as RESP2; `retry_after` is rounded up to whole milliseconds."""
     if response.kind is ResponseKind.SERVED:
         return resp.bulk(response.value) if response.stream is None else resp.bulk_head(response.stream.length)
     if response.kind is ResponseKind.FAILED:
@@ -57,26 +57,26 @@
 
 
 class ResponsePipeline(WriteTrackingConnection):
-    """A client connection's responses; a subclass reads the commands.
+    """The responses of a client connection; a subclass reads the commands.
 
-    It is the `value_stream.Sink` of the streamed response that is being written.
+    The pipeline is the `value_stream.Sink` of the streamed response that is being written.
     """
 
     def __init__(self, memory: ResponseMemory) -> None:
         self._memory = memory
         self._slots: deque[PipelineSlot] = deque()
-        self._last_activity_at = 0.0  # when bytes came or left last
-        self._idle_since = 0.0  # when it last did something of use, or was last answered
-        self._pending_bytes = 0  # of responses that wait for earlier ones, or for the client to read
-        self._is_closing = False  # close once everything is answered
-        self._is_write_closed = False  # all is written and our end closed; what still comes is discarded
+        self._last_activity_at = 0.0  # time at which bytes were last received or written
+        self._idle_since = 0.0  # time of the last command or last response
+        self._pending_bytes = 0  # bytes of responses that wait for earlier responses or for the client to read
+        self._is_closing = False  # the connection is closed once every command is answered
+        self._is_write_closed = False  # all responses are written and the write side is closed; input is discarded
 
     def _update_reading(self) -> None:
-        """Read from the client or pause it, as the pipeline has capacity."""
+        """Read from the client or pause reading, depending on the capacity of the pipeline."""
         raise NotImplementedError
 
     def resumeProducing(self) -> None:
-        """Continue to write: the client has taken what was written."""
+        """Continue to write, because all written bytes have gone to the kernel."""
         super().resumeProducing()
         self._last_activity_at = clock.now()
         self._recount_pending()
@@ -89,7 +89,7 @@
         self._memory.used_bytes += change
 
     def _recount_pending(self) -> None:
-        # All that was written has left, so only responses that wait for earlier ones count.
+        # All written bytes have gone to the kernel, so that only responses waiting for earlier responses count.
         self._add_pending(sum(len(slot.response or b"") for slot in self._slots) - self._pending_bytes)
 
     def _reply(self, encoded: bytes) -> None:
@@ -116,36 +116,37 @@
             if not self._slots:
                 self._idle_since = self._last_activity_at
         if stream is not None:
-            stream.attach(self)  # may write it to its end, and come back here
+            stream.attach(self)  # may write the whole value and call this method again through `end`
         elif self._is_closing and not self._slots and not self._is_write_closed:
             self._close_write_side()
         else:
             self._update_reading()
 
-    # The streamed response that is being written: see `value_stream.Sink`.
+    # The methods of `value_stream.Sink`, for the streamed response that is being written.
 
     def write_chunk(self, data: bytes) -> None:
-        """Write the next bytes."""
+        """Write the next bytes of the response."""
         self._last_activity_at = clock.now()
         self.write(data)
 
     def end(self) -> None:
-        """Close the value, which is complete, and continue with the next response."""
+        """Terminate the complete value, and continue with the next response."""
         self.write(b"\r\n")
         self._slots.popleft()
         self._idle_since = clock.now()
         self._flush()
 
     def on_broken(self) -> None:
-        """Close the connection: this shows the client that the value is incomplete."""
-        log.emit_rate_limited(LogKind.CUT_SHORT, "a long response broke off; the client's connection was closed")
+        """Close the connection, which shows the client that the value is incomplete."""
+        log.emit_rate_limited(LogKind.CUT_SHORT, "a client's connection was closed: its long response ended early")
         self._is_closing = True
         self._cancel_slots()
         self._close_write_side()
 
     def _close_write_side(self) -> None:
-        # Lingering close: one over bytes that are unread would reset the connection, and take with it what the client
-        # has not read. What comes from now on crosses our close, and is the client's to send again elsewhere.
+        # Lingering close. Closing a connection with unread bytes would reset it, and the client would lose responses
+        # that it has not read. Commands that arrive from now on were sent before the client saw the close. They are not
+        # executed, and the client can send them again elsewhere.
         if self.flushed and not self._is_write_closed:
             self._is_write_closed = True
             self._idle_since = clock.now()
@@ -154,14 +155,14 @@
             self._update_reading()
 
     def finish(self) -> None:
-        """Read no more, and close once every request taken is answered."""
+        """Accept no more commands, and close the connection once every accepted command is answered."""
         if not self._is_closing:
             self._is_closing = True
             self._update_reading()
             self._flush()
 
     def _cancel_slots(self) -> None:
-        # Nothing can be answered here any more.
+        # Cancels all commands in the pipeline, because no response can be sent any more.
         slots = self._slots
         self._slots = deque()
         self._add_pending(-self._pending_bytes)
--- a/thymeflow/frontend/timeouts.py
+++ b/thymeflow/frontend/timeouts.py
@@ -1,11 +1,19 @@
-"""The timeouts of client connections. All are in seconds."""
+"""The timeouts of client connections, in seconds."""
 
 from __future__ import annotations
 
-WRITE_STALL_TIMEOUT = 10.0  # without a byte taken of what was written, for a client that reads slowly
-COMMAND_TIMEOUT = 2.3  # to the first complete command, for the head of one, and without a byte of a body
-CROWDED_IDLE_TIMEOUT = 2.0  # with nothing open, where connections are scarce; before, a request may be near
-NEW_CONNECTION_GRACE = 0.05  # the same for a client that has sent nothing, as most send as they connect
-DRAIN_GRACE = 0.25  # while draining, for a client that has just connected and is about to send a request
-LINGER_TIMEOUT = 1.0  # from an error line that ends a connection to its close
-IDLE_TIMEOUT = 4.0  # with nothing open, for a client that has sent a request; it would connect again
+# The time in which a client must read some of a pending response. It is long because some clients read slowly.
+WRITE_STALL_TIMEOUT = 10.0
+# The time to the first complete command, the time for the head of a command, and the time between bytes of a body.
+COMMAND_TIMEOUT = 2.3
+# The idle timeout without an open command while connections are scarce. A client that has been idle for less may be
+# about to send a request.
+CROWDED_IDLE_TIMEOUT = 2.0
+# The same for a client that has sent nothing. It is short because most clients send a command as soon as they connect.
+NEW_CONNECTION_GRACE = 0.05
+# The time that a client which has just connected has for its first request while the limiter drains.
+DRAIN_GRACE = 0.25
+# The time from the close of the write side of a connection, for example after an error line, to its complete close.
+LINGER_TIMEOUT = 1.0
+# The idle timeout without an open command, for a client that has sent a request and would have to connect again.
+IDLE_TIMEOUT = 4.0
