--- a/tests/backends/test_attempts.py
+++ b/tests/backends/test_attempts.py
@@ -1,4 +1,9 @@
-"""Attempts at backends in orders of events that no socket can force, with a reactor in memory."""
+"""Attempts at backends, with a reactor in memory.
+
+The reactor in memory forces orders of events that real sockets cannot force. The tests guard against an attempt that is
+written twice or to the wrong backend, that receives another attempt's reply, or whose status wrongly says that the
+request was not executed.
+"""
 
 from __future__ import annotations
 
@@ -27,15 +32,15 @@
 __all__ = ["network"]
 
 
-@pytest.mark.parametrize("news", ["leaving", "left"])
-def test_waiting_attempt_is_not_written_when_its_backend_drains(network: InMemoryNetwork, news: str) -> None:
-    made, ends = make_backend_connections(network)
-    made.start_attempt(make_attempt_spec()).addCallback(ends.append)
-    made.apply_update(make_backend_update(news))
-    assert [end.status for end in ends] == [Status.CONNECT_FAILED]
+@pytest.mark.parametrize("lifecycle", ["leaving", "left"])
+def test_waiting_attempt_is_not_written_when_its_backend_drains(network: InMemoryNetwork, lifecycle: str) -> None:
+    connections, results = make_backend_connections(network)
+    connections.start_attempt(make_attempt_spec()).addCallback(results.append)
+    connections.apply_update(make_backend_update(lifecycle))
+    assert [result.status for result in results] == [Status.CONNECT_FAILED]
     assert network.complete_dial(0).transport.value() == b""
-    made.start_attempt(make_attempt_spec()).addCallback(ends.append)
-    assert ends[1].status is Status.CONNECT_FAILED
+    connections.start_attempt(make_attempt_spec()).addCallback(results.append)
+    assert results[1].status is Status.CONNECT_FAILED
 
 
 @pytest.mark.parametrize(
@@ -44,55 +49,57 @@
 def test_attempt_may_have_executed_only_when_its_last_byte_was_written(
     network: InMemoryNetwork, max_bytes_taken: int, status: Status
 ) -> None:
-    made, ends = make_backend_connections(network)
-    made.start_attempt(make_attempt_spec()).addCallback(ends.append)
-    server = network.complete_dial(0)
-    server.dataReceived(make_served_reply(b"v"))  # the connection is warm and idle now
-    made.start_attempt(make_attempt_spec()).addCallback(ends.append)
-    server.dataReceived(make_served_reply(b"v"))
-    server.transport.handle.max_bytes = max_bytes_taken  # what the kernel does not take stays with the transport
-    server.transport.clear()
-    made.start_attempt(make_attempt_spec()).addCallback(ends.append)
-    assert parse_command(server.transport.value())[0] == b"SVC.QUERY"  # nothing missing, nothing twice
-    server.connectionLost()
-    assert [end.status for end in ends] == [Status.OK, Status.OK, status]
-    assert len(network.reactor.tcpClients) == 1  # and nothing was sent again
+    connections, results = make_backend_connections(network)
+    connections.start_attempt(make_attempt_spec()).addCallback(results.append)
+    backend = network.complete_dial(0)
+    backend.dataReceived(make_served_reply(b"v"))  # the connection is idle now and is reused
+    connections.start_attempt(make_attempt_spec()).addCallback(results.append)
+    backend.dataReceived(make_served_reply(b"v"))
+    backend.transport.handle.max_bytes = max_bytes_taken  # the transport buffers the remaining bytes
+    backend.transport.clear()
+    connections.start_attempt(make_attempt_spec()).addCallback(results.append)
+    assert parse_command(backend.transport.value())[0] == b"SVC.QUERY"  # the request was written once and completely
+    backend.connectionLost()
+    assert [result.status for result in results] == [Status.OK, Status.OK, status]
+    assert len(network.reactor.tcpClients) == 1  # no attempt was sent again
 
 
 def test_waiting_attempt_is_written_when_a_connection_becomes_idle(network: InMemoryNetwork) -> None:
-    made, ends = make_backend_connections(network)
-    made.start_attempt(make_attempt_spec()).addCallback(ends.append)
-    server = network.complete_dial(0)
-    made.start_attempt(make_attempt_spec()).addCallback(ends.append)
-    server.dataReceived(make_served_reply(b"v"))
-    server.dataReceived(make_served_reply(b"w"))
-    assert [end.value for end in ends] == [b"v", b"w"]
-
-
-@pytest.mark.parametrize("behind", [make_served_reply(b"v"), b"!noise", b"$9\r\n", b"-BUSY\r\n"])
-def test_bytes_after_a_reply_are_given_to_no_request_when_they_arrive(network: InMemoryNetwork, behind: bytes) -> None:
-    made, ends = make_backend_connections(network)
-    made.start_attempt(make_attempt_spec()).addCallback(ends.append)
-    server = network.complete_dial(0)
-    made.start_attempt(make_attempt_spec()).addCallback(ends.append)  # waits for a connection
-    server.dataReceived(make_served_reply(b"v") + behind)
-    assert [end.value for end in ends] == [b"v"]
-    assert server.closed
+    connections, results = make_backend_connections(network)
+    connections.start_attempt(make_attempt_spec()).addCallback(results.append)
+    backend = network.complete_dial(0)
+    connections.start_attempt(make_attempt_spec()).addCallback(results.append)
+    backend.dataReceived(make_served_reply(b"v"))
+    backend.dataReceived(make_served_reply(b"w"))
+    assert [result.value for result in results] == [b"v", b"w"]
+
+
+@pytest.mark.parametrize("trailing", [make_served_reply(b"v"), b"!noise", b"$9\r\n", b"-BUSY\r\n"])
+def test_bytes_after_a_reply_are_given_to_no_request_when_they_arrive(
+    network: InMemoryNetwork, trailing: bytes
+) -> None:
+    connections, results = make_backend_connections(network)
+    connections.start_attempt(make_attempt_spec()).addCallback(results.append)
+    backend = network.complete_dial(0)
+    connections.start_attempt(make_attempt_spec()).addCallback(results.append)  # waits for a connection
+    backend.dataReceived(make_served_reply(b"v") + trailing)
+    assert [result.value for result in results] == [b"v"]
+    assert backend.closed
     network.complete_dial(1).dataReceived(make_served_reply(b"w"))
-    assert [end.value for end in ends] == [b"v", b"w"]
+    assert [result.value for result in results] == [b"v", b"w"]
 
 
 def test_connection_is_not_reused_when_it_has_unread_bytes(network: InMemoryNetwork) -> None:
-    made, ends = make_backend_connections(network)
-    made.start_attempt(make_attempt_spec()).addCallback(ends.append)
-    server = network.complete_dial(0)
-    server.dataReceived(make_served_reply(b"v"))
-    server.transport.clear()
-    server.transport.handle.unread = b"*3"  # it came after the look at what was read with the answer
-    made.start_attempt(make_attempt_spec()).addCallback(ends.append)
-    assert (server.closed, server.transport.value()) == (True, b"")
+    connections, results = make_backend_connections(network)
+    connections.start_attempt(make_attempt_spec()).addCallback(results.append)
+    backend = network.complete_dial(0)
+    backend.dataReceived(make_served_reply(b"v"))
+    backend.transport.clear()
+    backend.transport.handle.unread = b"*3"  # it arrived after the reply was parsed
+    connections.start_attempt(make_attempt_spec()).addCallback(results.append)
+    assert (backend.closed, backend.transport.value()) == (True, b"")
     network.complete_dial(1).dataReceived(make_served_reply(b"w"))
-    assert [end.value for end in ends] == [b"v", b"w"]
+    assert [result.value for result in results] == [b"v", b"w"]
 
 
 @pytest.mark.parametrize(
@@ -111,13 +118,13 @@
 def test_attempt_fails_soon_and_its_connection_closes_when_the_reply_is_malformed(
     network: InMemoryNetwork, text: bytes
 ) -> None:
-    made, ends = make_backend_connections(network)
-    made.start_attempt(make_attempt_spec()).addCallback(ends.append)
-    server = network.complete_dial(0)
-    server.dataReceived(text)
+    connections, results = make_backend_connections(network)
+    connections.start_attempt(make_attempt_spec()).addCallback(results.append)
+    backend = network.complete_dial(0)
+    backend.dataReceived(text)
     network.reactor.advance(REPLY_STALL_TIMEOUT + 0.01)
-    assert [end.status for end in ends] == [Status.ERROR]
-    assert server.closed
+    assert [result.status for result in results] == [Status.ERROR]
+    assert backend.closed
 
 
 @pytest.mark.parametrize("text", [b"used=nan,cost=inf", b"used=-1,cost=-2", b"used=1e300,cost=nan", b"used,cost=x"])
@@ -128,34 +135,36 @@
 
 
 def test_idle_connections_are_closed_before_the_backend_would_close_them(network: InMemoryNetwork) -> None:
-    made, ends = make_backend_connections(network)
-    made.start_attempt(make_attempt_spec()).addCallback(ends.append)
-    server = network.complete_dial(0)
-    server.dataReceived(make_served_reply(b"v"))
+    connections, results = make_backend_connections(network)
+    connections.start_attempt(make_attempt_spec()).addCallback(results.append)
+    backend = network.complete_dial(0)
+    backend.dataReceived(make_served_reply(b"v"))
     network.reactor.pump([1.0] * int(Limits().connection_idle - 1))
-    assert server.closed
+    assert backend.closed
 
 
-@pytest.mark.parametrize("moves", [True, False])
-def test_long_body_is_abandoned_when_the_backend_reads_nothing_of_it(network: InMemoryNetwork, moves: bool) -> None:
-    made, ends = make_backend_connections(network)
-    body = ValueStream(300_000, lambda waits: None, lambda: None)
+@pytest.mark.parametrize("is_reading", [True, False])
+def test_long_body_is_abandoned_when_the_backend_reads_nothing_of_it(
+    network: InMemoryNetwork, is_reading: bool
+) -> None:
+    connections, results = make_backend_connections(network)
+    body = ValueStream(300_000, lambda is_paused: None, lambda: None)
     call = make_attempt_spec().payload
     assert isinstance(call, Call)
-    made.start_attempt(AttemptSpec(1, call._replace(body_stream=body), inf)).addCallback(ends.append)
-    server = network.complete_dial(0)
-    server.transport.handle.max_bytes = 0  # the kernel's buffer is full
+    connections.start_attempt(AttemptSpec(1, call._replace(body_stream=body), inf)).addCallback(results.append)
+    backend = network.complete_dial(0)
+    backend.transport.handle.max_bytes = 0  # the kernel's buffer is full
     for _ in range(4):
         body.push(b"x" * 1000)
         network.reactor.pump([0.1] * round(0.4 * LONG_VALUE_TIMEOUT / 0.1))
-        if moves:
-            server.resumeProducing()  # a little has gone
-    if moves:
-        assert not ends
-        assert server.flushed
+        if is_reading:
+            backend.resumeProducing()  # the backend has read the buffered bytes
+    if is_reading:
+        assert not results
+        assert backend.flushed
         body.fail()
-        assert ends[0].status is Status.CANCELLED
+        assert results[0].status is Status.CANCELLED
     else:
-        assert ends[0].status is Status.CONNECT_FAILED
-        assert server.closed
+        assert results[0].status is Status.CONNECT_FAILED
+        assert backend.closed
         assert not body.is_paused
--- a/tests/core/test_dispatcher.py
+++ b/tests/core/test_dispatcher.py
@@ -1,4 +1,8 @@
-"""The dispatcher, with a gateway or counter that misbehaves."""
+"""The dispatcher, with a gateway or a counter that is faulty.
+
+The tests guard against a request that never gets a response because the gateway raises an exception or returns no
+action, and against two open counter calls with one name.
+"""
 
 from __future__ import annotations
 
@@ -28,8 +32,8 @@
 __all__ = ["network"]
 
 
-class Odd:
-    """A decision module that is out of order."""
+class FaultyGateway:
+    """A gateway that raises an exception for each event, or returns no actions."""
 
     def __init__(self, raises: bool) -> None:
         self.raises = raises
@@ -44,30 +48,30 @@
 @pytest.mark.parametrize("raises", [True, False])
 def test_request_gets_one_response_when_the_gateway_fails(network: InMemoryNetwork, raises: bool) -> None:
     backends, _ = make_backend_connections(network)
-    gateway: Any = Odd(raises)
-    core = RequestDispatcher(settings_from(SETTINGS), gateway, network.deadlines, 10**6, backends, None, None)
-    answers: list[Response] = []
-    call, received = CallReader(settings_from(SETTINGS)).read(parse_command(request(1, wait=500)))
-    core.submit(IncomingRequest(received, clock.now() + 0.5, call, 100)).addCallback(answers.append)
+    gateway: Any = FaultyGateway(raises)
+    dispatcher = RequestDispatcher(settings_from(SETTINGS), gateway, network.deadlines, 10**6, backends, None, None)
+    responses: list[Response] = []
+    call, request_event = CallReader(settings_from(SETTINGS)).read(parse_command(request(1, wait=500)))
+    dispatcher.submit(IncomingRequest(request_event, clock.now() + 0.5, call, 100)).addCallback(responses.append)
     network.reactor.advance(0.52)
-    assert [answer.kind for answer in answers] == [ResponseKind.FAILED]
-    assert core.open_count() == 0
+    assert [response.kind for response in responses] == [ResponseKind.FAILED]
+    assert dispatcher.open_count() == 0
 
 
-class Slow:
-    """A counter that notes until when it may answer."""
+class SlowCounter:
+    """A counter that never replies, and records the deadline of the last call."""
 
-    until = 0.0
+    deadline = 0.0
 
     def add(self, name: int, amount: float, ttl: float, deadline: float) -> Deferred[CounterResult]:
-        self.until = deadline
+        self.deadline = deadline
         return Deferred()
 
 
 def test_counter_call_ends_before_the_next_of_its_name_when_its_reply_is_late(network: InMemoryNetwork) -> None:
     settings = settings_from(SETTINGS)
-    counter = Slow()
+    counter = SlowCounter()
     backends, _ = make_backend_connections(network)
-    core = RequestDispatcher(settings, Gateway(settings, 1), network.deadlines, 10**6, backends, counter, None)
-    core._execute_action(AddToCounter(5, 1.0, 20.0))
-    assert settings.information.counter_timeout < counter.until - clock.now() < MIN_CALL_INTERVAL_SECONDS
+    dispatcher = RequestDispatcher(settings, Gateway(settings, 1), network.deadlines, 10**6, backends, counter, None)
+    dispatcher._execute_action(AddToCounter(5, 1.0, 20.0))
+    assert settings.information.counter_timeout < counter.deadline - clock.now() < MIN_CALL_INTERVAL_SECONDS
--- a/tests/frontend/test_disconnects.py
+++ b/tests/frontend/test_disconnects.py
@@ -1,4 +1,8 @@
-"""Clients that leave, in each state of their requests."""
+"""Clients that leave in each state of their requests.
+
+The tests guard against an attempt that is sent or continued for a client that has left. Some tests stop the process
+meanwhile, so that it finds several events in one turn and does not know their order.
+"""
 
 from __future__ import annotations
 
@@ -17,16 +21,17 @@
     network,
 )
 
-ERROR = b"-ERR failed\r\n"  # of a class that is safe to repeat: another pass follows while somebody waits
+# A backend's reply after which another attempt follows for an idempotent class, unless the client has left.
+ERROR = b"-ERR failed\r\n"
 
 
 __all__ = ["network"]
 
 
-def stopped(limiter: Limiter, happens: Callable[[], None]) -> None:
-    """What happens while the process does not run: it finds all of it in one turn."""
+def run_while_stopped(limiter: Limiter, action: Callable[[], None]) -> None:
+    """Run an action while the limiter's process is stopped, so that it finds all effects in one turn."""
     limiter.process.send_signal(signal.SIGSTOP)
-    happens()
+    action()
     limiter.process.send_signal(signal.SIGCONT)
 
 
@@ -34,16 +39,16 @@
     with Limiter(tmp_path) as limiter:
         client = limiter.connect()
         other = limiter.connect()
-        server = limiter.serve_request(other, 1)  # a warm connection, to which it could be written at once
-        limiter.serve_request(client, 2, server)
+        backend = limiter.serve_request(other, 1)  # an idle connection, over which a request could be sent at once
+        limiter.serve_request(client, 2, backend)
 
-        def leaves() -> None:
+        def leave() -> None:
             client.send(request(3))
             client.close()
 
-        stopped(limiter, leaves)
+        run_while_stopped(limiter, leave)
         limiter.wait_for_reply(b"+PONG", command(b"PING"))
-        limiter.serve_request(other, 4, server)  # what comes next at the server is this one
+        limiter.serve_request(other, 4, backend)  # the backend receives this request next
 
 
 @pytest.mark.parametrize("reset", [False, True])
@@ -52,17 +57,17 @@
         client = limiter.connect()
         client.send(request(1))
         number = 1 if limiter.backends[0].has_no_connection(0.5) else 0
-        server = limiter.backends[number].accept()
-        server.read_command()
+        backend = limiter.backends[number].accept()
+        backend.read_command()
 
         if reset:
             client.sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
 
-        def leaves() -> None:
-            server.send(ERROR)
+        def leave() -> None:
+            backend.send(ERROR)
             client.close()
 
-        stopped(limiter, leaves)
+        run_while_stopped(limiter, leave)
         limiter.wait_for_reply(b"+PONG", command(b"PING"))
         assert limiter.backends[1 - number].has_no_connection(0.0)
         assert limiter.backends[number].has_no_connection(0.0)
@@ -74,7 +79,8 @@
         other = limiter.connect()
         listener = limiter.backends[0].sock
         listener.listen(0)
-        filling = [socket.socket() for _ in range(2)]  # its queue is full: nobody else comes up
+        # These connections fill the queue of the listener, so that no other connection is made.
+        filling = [socket.socket() for _ in range(2)]
         for sock in filling:
             sock.setblocking(False)
             sock.connect_ex(listener.getsockname())
@@ -82,21 +88,21 @@
         # The first PING may be answered in the turn that reads the request; the reactor connects in the next one.
         for _ in range(2):
             limiter.wait_for_reply(b"+PONG", command(b"PING"))
-        server: list[Peer] = []
+        backend: list[Peer] = []
 
-        def comes_up_and_leaves() -> None:
+        def accept_and_leave() -> None:
             ports = {sock.getsockname()[1] for sock in filling}
-            listener.listen(100)  # room for all that knock again
-            while not server:  # the kernel tries again, about once a second
+            listener.listen(100)  # the queue takes all connections that are tried again
+            while not backend:  # the kernel tries to connect again about once a second
                 peer = limiter.backends[0].accept()
                 if peer.sock.getpeername()[1] in ports:
                     peer.close()
                 else:
-                    server.append(peer)
+                    backend.append(peer)
             client.close()
 
-        stopped(limiter, comes_up_and_leaves)
-        limiter.serve_request(other, 2, server[0])  # nothing was written before it
+        run_while_stopped(limiter, accept_and_leave)
+        limiter.serve_request(other, 2, backend[0])  # no other request was written before this one
         for sock in filling:
             sock.close()
 
@@ -104,29 +110,29 @@
 def test_client_that_leaves_is_detected_when_it_is_not_read_from_while_draining(tmp_path: Path) -> None:
     with Limiter(tmp_path, backend_count=2) as limiter:
         client = limiter.connect()
-        client.send(request(1, wait=60000))  # its deadline comes after the test's patience
+        client.send(request(1, wait=60000))  # the deadline is later than the timeout of the test
         number = 1 if limiter.backends[0].has_no_connection(0.5) else 0
-        server = limiter.backends[number].accept()
-        server.read_command()
+        backend = limiter.backends[number].accept()
+        backend.read_command()
         limiter.terminate()
         while not is_connection_refused(limiter):
             pass
-        client.send(request(2))  # unread, and so is the end behind it
+        client.send(request(2))  # neither the request nor the close after it is read
         client.close()
-        assert server.is_closed_by_peer()  # nobody waits for it any more
+        assert backend.is_closed_by_peer()  # the attempt is cancelled, because the client has left
         assert limiter.process.wait(PATIENCE) == 0
         assert limiter.backends[0].has_no_connection(0.0)
         assert limiter.backends[1].has_no_connection(0.0)
 
 
-@pytest.mark.parametrize("way", ["many commands", "answers not taken", "told to end"])
+@pytest.mark.parametrize("cause", ["many commands", "answers not taken", "told to end"])
 def test_attempts_are_cancelled_when_a_client_leaves_while_it_is_not_read_from(
-    network: InMemoryNetwork, way: str
+    network: InMemoryNetwork, cause: str
 ) -> None:
     limiter, client = make_limiter_with_client(network)
-    if way == "many commands":
+    if cause == "many commands":
         client.dataReceived(b"".join(request(n) for n in range(1, 70)))
-    elif way == "answers not taken":
+    elif cause == "answers not taken":
         client.transport.handle.max_bytes = 0
         client.dataReceived(command(b"PING") + request(1))
     else:
--- a/tests/frontend/test_drains.py
+++ b/tests/frontend/test_drains.py
@@ -1,4 +1,7 @@
-"""What is still answered when the limiter shuts down or closes a connection."""
+"""Requests that arrive while the limiter drains or closes a connection.
+
+The tests guard against a request or response that is lost because a client's command crosses the limiter's close.
+"""
 
 from __future__ import annotations
 
@@ -19,7 +22,7 @@
 from thymeflow.limiter.phases import Phase
 from thymeflow.runtime import clock
 
-GOOD = make_served_reply(b"value")
+SERVED = make_served_reply(b"value")
 
 
 __all__ = ["network"]
@@ -29,20 +32,20 @@
     with Limiter(tmp_path) as limiter:
         client = limiter.connect()
         client.send(request(1))
-        server = limiter.backends[0].accept()
-        server.read_command()
+        backend = limiter.backends[0].accept()
+        backend.read_command()
         limiter.terminate()
         while not is_connection_refused(limiter):
             pass
-        client.send(request(2))  # behind the first, and never read before the close
-        server.send(GOOD)
+        client.send(request(2))  # it is pipelined after the first request, and not read before the close
+        backend.send(SERVED)
         assert client.read_bulk() == b"value"
-        assert client.file.read(1) == b""  # an end, and no reset behind it
+        assert client.file.read(1) == b""  # the connection was closed and not reset
         reset = select.poll()
         reset.register(client.sock, 0)
         assert not reset.poll(200)
-        client.send(request(3))  # its own end stays open for a moment
-        assert server.is_closed_by_peer()
+        client.send(request(3))  # the client's side of the connection stays open for a moment
+        assert backend.is_closed_by_peer()
         assert limiter.backends[0].has_no_connection(0.0)
         client.close()
         assert limiter.process.wait(PATIENCE) == 0
@@ -58,9 +61,9 @@
         limiter.terminate()
         while not is_connection_refused(limiter):
             pass
-        for place in range(20, len(text)):
-            client.send(text[place : place + 1])
-        limiter.backends[0].serve(GOOD)
+        for position in range(20, len(text)):
+            client.send(text[position : position + 1])
+        limiter.backends[0].serve(SERVED)
         assert client.read_bulk() == b"value"
         assert client.file.read(1) == b""
         client.close()
@@ -70,7 +73,7 @@
 def test_later_requests_are_not_forwarded_when_an_idle_connection_was_half_closed(network: InMemoryNetwork) -> None:
     limiter, client = make_limiter_with_client(network)
     client.dataReceived(request(1))
-    network.complete_dial(len(network.reactor.tcpClients) - 1).dataReceived(GOOD)
+    network.complete_dial(len(network.reactor.tcpClients) - 1).dataReceived(SERVED)
     assert limiter.dispatcher.open_count() == 0
     network.reactor.pump([0.1] * int(IDLE_TIMEOUT / 0.1 + 2))
     assert client.transport.handle.half_closed
@@ -84,10 +87,10 @@
 def test_all_queued_connections_are_accepted_before_the_listener_is_closed(network: InMemoryNetwork) -> None:
     limiter = make_limiter(network, 256)
     waiting = list(range(7))
-    taken = list[Any]()
+    accepted = list[Any]()
 
     class Port:
-        """Takes one connection in a turn, as a port does that had little to do."""
+        """Accepts one connection in each turn, as a port does that was idle before."""
 
         def getHost(self) -> Any:
             return type("Host", (), {"host": "127.0.0.1", "port": 1})
@@ -95,19 +98,19 @@
         def doRead(self) -> None:
             if waiting:
                 waiting.pop()
-                taken.append(network.connect_protocol(limiter.frontend.buildProtocol(None)))
+                accepted.append(network.connect_protocol(limiter.frontend.buildProtocol(None)))
 
         def stopListening(self) -> None:
             assert not waiting
-            assert len(taken) == 7
+            assert len(accepted) == 7
 
     lifecycle = limiter.lifecycle
     lifecycle.phase = Phase.SERVING
     lifecycle.port = Port()
     lifecycle.terminate(0.0)
     network.reactor.advance(0.01)
-    assert len(taken) == 7
-    assert not any(client.transport.handle.half_closed for client in taken)
+    assert len(accepted) == 7
+    assert not any(client.transport.handle.half_closed for client in accepted)
 
 
 def test_requests_after_sigterm_are_answered_before_sigkill_may_come(network: InMemoryNetwork) -> None:
@@ -117,9 +120,9 @@
     lifecycle.terminate()
     terminated_at = clock.now()
     client.dataReceived(request(1, wait=60000))
-    server = network.complete_dial(len(network.reactor.tcpClients) - 1)
-    assert server.transport.value()
-    while not client.transport.value().startswith(b"-BUSY"):  # the server says nothing
+    backend = network.complete_dial(len(network.reactor.tcpClients) - 1)
+    assert backend.transport.value()
+    while not client.transport.value().startswith(b"-BUSY"):  # the backend sends nothing
         network.reactor.advance(0.05)
     assert clock.now() - terminated_at < TERMINATION_LINGER + MAX_AWAITED_DEADLINE
-    assert server.closed
+    assert backend.closed
--- a/tests/frontend/test_limits.py
+++ b/tests/frontend/test_limits.py
@@ -1,4 +1,8 @@
-"""Limits of the client connections: a full table, and limits that two processes share."""
+"""The limits of client connections.
+
+The tests guard against silent clients that use all connections, and against a process and its predecessor that together
+exceed the limits of one process during a handover.
+"""
 
 from __future__ import annotations
 
@@ -12,12 +16,13 @@
 
 
 def test_client_is_accepted_when_all_connections_are_taken_by_silent_ones(network: InMemoryNetwork) -> None:
-    front = make_limiter(network, 64).frontend
-    silent_clients = [network.connect_protocol(front.buildProtocol(None)) for _ in range(16)]  # all the room there is
+    frontend = make_limiter(network, 64).frontend
+    # These are all the connections that the limiter accepts.
+    silent_clients = [network.connect_protocol(frontend.buildProtocol(None)) for _ in range(16)]
     network.reactor.advance(0.04)
-    assert front.buildProtocol(None) is None  # they may be about to ask
+    assert frontend.buildProtocol(None) is None  # the silent clients may be about to send a request
     network.reactor.advance(0.02)
-    ordinary_client = network.connect_protocol(front.buildProtocol(None))
+    ordinary_client = network.connect_protocol(frontend.buildProtocol(None))
     ordinary_client.dataReceived(command(b"PING"))
     assert ordinary_client.transport.value()
     assert silent_clients[0].transport.disconnected
@@ -30,20 +35,20 @@
 ) -> None:
     limiter = make_limiter(network, 256)
 
-    def budgets() -> tuple[int, ...]:
-        front, core = limiter.frontend, limiter.dispatcher
+    def read_budgets() -> tuple[int, ...]:
+        frontend, dispatcher = limiter.frontend, limiter.dispatcher
         return (
-            front._max_clients,
+            frontend._max_clients,
             limiter.backends._max_connections,
-            front.response_memory.max_bytes,
-            front._max_unfinished_input_bytes,
-            core._requests._memory_limit,
+            frontend.response_memory.max_bytes,
+            frontend._max_unfinished_input_bytes,
+            dispatcher._requests._memory_limit,
         )
 
-    alone = budgets()
+    alone = read_budgets()
     limiter.limit_beside_predecessor(open_connections)
-    both = budgets()
+    both = read_budgets()
     assert both[0] + both[1] + open_connections <= sum(alone[:2]) or both[0] + both[1] == MIN_CONNECTIONS
     assert all(2 * part <= whole + 1 for part, whole in zip(both[2:], alone[2:], strict=True))
     limiter.limit_beside_predecessor(None)
-    assert budgets() == alone
+    assert read_budgets() == alone
--- a/tests/transport/test_resp.py
+++ b/tests/transport/test_resp.py
@@ -1,4 +1,8 @@
-"""The RESP2 parser, with the bytes cut in every way and with bytes that are no messages."""
+"""The RESP2 parser, with messages split at random positions and with arbitrary bytes.
+
+The tests guard against a parser whose result depends on how the bytes arrive, and against bytes of a hostile peer that
+raise an unexpected exception.
+"""
 
 from __future__ import annotations
 
@@ -40,9 +44,9 @@
     st.data(),
 )
 def test_events_are_the_same_however_the_bytes_are_cut(
-    before: list[bytes], more: int, after: list[bytes], data: st.DataObject
+    before: list[bytes], excess: int, after: list[bytes], data: st.DataObject
 ) -> None:
-    value = b"\r\n$" * ((resp.MAX_VALUE + more) // 3 + 1)
+    value = b"\r\n$" * ((resp.MAX_VALUE + excess) // 3 + 1)
     text = b"*%d\r\n" % (len(before) + 1 + len(after)) + b"".join(map(resp.bulk, [*before, value, *after]))
     text += command(b"PING")
     parser = resp.Parser(resp.MAX_LONG_VALUE)
