--- a/tests/frontend/test_drains.py
+++ b/tests/frontend/test_drains.py
@@ -76,7 +76,7 @@
     network.complete_dial(len(network.reactor.tcpClients) - 1).dataReceived(SERVED)
     assert limiter.dispatcher.open_count() == 0
     network.reactor.pump([0.1] * int(IDLE_TIMEOUT / 0.1 + 2))
-    assert client.transport.handle.half_closed
+    assert client.transport.handle.is_half_closed
     assert not client.aborted
     client.dataReceived(request(2))
     assert limiter.dispatcher.open_count() == 0
@@ -110,7 +110,7 @@
     lifecycle.terminate(0.0)
     network.reactor.advance(0.01)
     assert len(accepted) == 7
-    assert not any(client.transport.handle.half_closed for client in accepted)
+    assert not any(client.transport.handle.is_half_closed for client in accepted)
 
 
 def test_requests_after_sigterm_are_answered_before_sigkill_may_come(network: InMemoryNetwork) -> None:
--- a/tests/network_support.py
+++ b/tests/network_support.py
@@ -34,7 +34,7 @@
         self.max_bytes = KERNEL_BUFFER
         self.unread = b""
         self.departed = False  # the other end has closed
-        self.half_closed = False
+        self.is_half_closed = False
         self.no_delay = False
 
     def send(self, data: bytes) -> int:
@@ -52,7 +52,7 @@
 
     def shutdown(self, how: int) -> None:
         """Note the half-close."""
-        self.half_closed = True
+        self.is_half_closed = True
 
     def setsockopt(self, level: int, name: int, value: int) -> None:
         """Do nothing."""
--- a/tests/run_line/test_lifecycle_wiring.py
+++ b/tests/run_line/test_lifecycle_wiring.py
@@ -78,9 +78,9 @@
     client.dataReceived(command(b"PING"))
     limiter.lifecycle.on_command(OperatorCommand.EVACUATE)
     network.reactor.pump([0.05] * int(EVACUATION_DELAY / 0.05 - 1))
-    assert not client.transport.handle.half_closed
+    assert not client.transport.handle.is_half_closed
     network.reactor.pump([0.05] * 2)
-    assert client.transport.handle.half_closed
+    assert client.transport.handle.is_half_closed
     assert port.stopped_count == 0
     limiter.lifecycle.on_command(OperatorCommand.ACTIVATE)
     assert not limiter.frontend.is_draining
