--- a/tests/frontend/test_disconnects.py
+++ b/tests/frontend/test_disconnects.py
@@ -142,7 +142,7 @@
     assert not client.aborted
     network.reactor.advance(0.11)
     assert not client.aborted
-    client.transport.handle.departed = True
+    client.transport.handle.is_peer_closed = True
     network.reactor.advance(0.11)
     assert client.aborted
     client.connectionLost()
--- a/tests/network_support.py
+++ b/tests/network_support.py
@@ -1,4 +1,4 @@
-"""Builders for tests of connections: a network in memory, and the messages that pass over it."""
+"""A network in memory for tests of connections, and builders of messages, limiters and attempts for it."""
 
 from __future__ import annotations
 
@@ -23,35 +23,35 @@
 
 SMALL_PLAN: dict[str, Any] = {"tiers-of-service": [{"name": "basic", "refill": 2.0, "most-at-once": 16.0}]}
 SERVED_REPLY = b"*3\r\n$5\r\nvalue\r\n$14\r\nused=37,cost=2\r\n$11\r\navg_ms=14.5\r\n"
-KERNEL_BUFFER = 10**6  # bytes that a fake socket takes at a time, unless a test sets less
+KERNEL_BUFFER_BYTES = 10**6  # bytes that a fake socket accepts at a time, unless a test sets fewer
 
 
 class FakeSocket:
-    """A socket that takes at most `max_bytes` at a time."""
+    """A socket that accepts at most `max_bytes` at a time."""
 
     def __init__(self, transport: Any) -> None:
         self.transport = transport
-        self.max_bytes = KERNEL_BUFFER
+        self.max_bytes = KERNEL_BUFFER_BYTES
         self.unread = b""
-        self.departed = False  # the other end has closed
+        self.is_peer_closed = False
         self.is_half_closed = False
         self.no_delay = False
 
     def send(self, data: bytes) -> int:
-        """Take as many bytes as there is capacity for."""
+        """Accept at most `max_bytes` and return their number; raise BlockingIOError if `max_bytes` is 0."""
         if not self.max_bytes:
             raise BlockingIOError
         self.transport.write(data[: self.max_bytes])
         return min(self.max_bytes, len(data))
 
     def recv(self, max_bytes: int, flags: int) -> bytes:
-        """Return the bytes that wait, without removing them."""
+        """Return the unread bytes without removing them; raise BlockingIOError if there are none."""
         if not self.unread:
             raise BlockingIOError
         return self.unread[:max_bytes]
 
     def shutdown(self, how: int) -> None:
-        """Note the half-close."""
+        """Record that the connection is half closed."""
         self.is_half_closed = True
 
     def setsockopt(self, level: int, name: int, value: int) -> None:
@@ -59,7 +59,7 @@
 
 
 class InMemoryNetwork:
-    """A reactor in memory under a clock that the test moves."""
+    """A reactor in memory, with a clock that the test advances."""
 
     def __init__(self, monkeypatch: pytest.MonkeyPatch) -> None:
         self.reactor: Any = MemoryReactorClock()  # type: ignore[no-untyped-call]
@@ -67,31 +67,31 @@
         self.deadlines = clock.Deadlines(self.reactor)
 
     def complete_dial(self, number: int, unread: bytes = b"") -> Any:
-        """Let the dial of that number succeed; return the protocol, with the handle of its socket."""
+        """Let the dial with that number succeed, and return its protocol, which finds the `unread` bytes."""
         *_, factory, _, _ = self.reactor.tcpClients[number]
         return self.connect_protocol(factory.buildProtocol(None), unread)
 
     def connect_protocol(self, protocol: Any, unread: bytes = b"") -> Any:
-        """Return the protocol on a connection in memory, with bytes that wait there."""
+        """Connect a protocol in memory and return it; `unread` bytes wait at its socket."""
         transport: Any = StringTransport()  # type: ignore[no-untyped-call]
         transport.handle = FakeSocket(transport)
         transport.handle.unread = unread
         transport.getHandle = lambda: transport.handle
         transport.setTcpNoDelay = lambda on: setattr(transport.handle, "no_delay", on)
         transport.registerProducer = lambda producer, streaming: None
-        protocol.has_peer_closed = lambda: transport.handle.departed
+        protocol.has_peer_closed = lambda: transport.handle.is_peer_closed
         protocol.makeConnection(transport)
         return protocol
 
 
 @pytest.fixture
 def network(monkeypatch: pytest.MonkeyPatch) -> InMemoryNetwork:
-    """Return a network in memory, whose clock the code under test uses."""
+    """Return a network in memory whose clock is used by the code under test."""
     return InMemoryNetwork(monkeypatch)
 
 
 class FakePort:
-    """A listening port in memory, which counts how often it was resumed and stopped."""
+    """A listening port in memory that counts how often it was resumed and stopped."""
 
     def __init__(self) -> None:
         self.resumed_count = 0
@@ -102,31 +102,31 @@
         return IPv4Address("TCP", "127.0.0.1", 1)
 
     def doRead(self) -> None:
-        """Accept nothing: no connection waits."""
+        """Do nothing, because no connection waits to be accepted."""
 
     def startReading(self) -> None:
-        """Count it."""
+        """Count the call."""
         self.resumed_count += 1
 
     def stopListening(self) -> None:
-        """Count it."""
+        """Count the call."""
         self.stopped_count += 1
 
 
 class RecordingObserver:
-    """Receives what a watch learns, and passes each update on."""
+    """Receives the updates of a watch of the endpoint list, and passes them on."""
 
     def __init__(self, on_change: Callable[[EndpointUpdate], None]) -> None:
         self.on_endpoints_changed = on_change
         self.ready_count = 0
 
     def on_endpoints_ready(self) -> None:
-        """Count it."""
+        """Count the call."""
         self.ready_count += 1
 
 
-DISCOVERY_PORT = 8  # of a limiter in memory
-COUNTER_PORT = 9  # likewise
+DISCOVERY_PORT = 8  # the port at which a limiter in memory expects discovery
+COUNTER_PORT = 9  # the port at which a limiter in memory expects the counter
 
 
 def make_configuration(**changes: Any) -> Configuration:
@@ -142,7 +142,7 @@
 
 
 def make_limiter(network: InMemoryNetwork, sockets: int) -> Limiter:
-    """Return a limiter in memory with that many descriptors."""
+    """Return a limiter in memory that may use `sockets` descriptors."""
     return Limiter(make_configuration(limits={"sockets": sockets, "memory_mb": 64}), network.reactor)
 
 
@@ -161,31 +161,31 @@
 
 
 def parse_command(text: bytes) -> list[bytes]:
-    """Return the words of one command."""
+    """Return the arguments of one encoded command."""
     (found,), _ = resp.Parser().feed(text)
     assert isinstance(found, list)
-    return [word for word in found if isinstance(word, bytes)]
+    return [argument for argument in found if isinstance(argument, bytes)]
 
 
 def make_attempt_spec() -> AttemptSpec:
-    """Return an attempt at backend 1 with three seconds left."""
+    """Return an attempt at backend 1 whose deadline is in three seconds."""
     call, _ = CallReader(settings_from(SETTINGS)).read(parse_command(request(1)))
     return AttemptSpec(1, call, clock.now() + 3.0)
 
 
 def make_served_reply(value: bytes) -> bytes:
-    """Return a backend's reply without figures."""
+    """Return a backend's encoded reply without figures."""
     return b"*3\r\n" + resp.bulk(value) + b"$-1\r\n$-1\r\n"
 
 
 def make_backend_connections(network: InMemoryNetwork) -> tuple[BackendConnections, list[AttemptResult]]:
-    """Return the connections to one active backend, and a list for the results of attempts."""
+    """Return the connections to one active backend, and an empty list for the results of attempts."""
     connections = BackendConnections(network.reactor, network.deadlines, Limits(), 10, lambda: None)
     connections.apply_update(make_backend_update("active", reset=True))
     return connections, []
 
 
 def make_backend_update(lifecycle: str, reset: bool = False) -> EndpointUpdate:
-    """Return an endpoint list of one backend in that state."""
+    """Return an endpoint list of one backend with a lifecycle state; `reset` makes it a complete list."""
     entry = {"instanceId": "s-00000001", "hostPort": "127.0.0.1:9", "lifecycle": lifecycle}
     return endpoint_update({"generation": 1, "reset": reset, "instances": [entry]})
--- a/tests/transport/test_long.py
+++ b/tests/transport/test_long.py
@@ -1,4 +1,8 @@
-"""Values too long to be held: in parts both ways, at the pace of whoever is slower, and broken in the middle."""
+"""Values that are too long to be buffered: streamed in both directions, to slow readers, and broken off.
+
+The tests guard against a long value that is buffered completely, loses bytes, delays other requests, or is forwarded as
+complete although it broke off.
+"""
 
 from __future__ import annotations
 
@@ -12,7 +16,7 @@
 import pytest
 
 from tests.helpers import ended, sends, started
-from tests.helpers import request as asked
+from tests.helpers import request as make_request_event
 from tests.limiter import PATIENCE, Limiter, Peer, command, request
 from tests.network_support import SERVED_REPLY, SMALL_PLAN
 from thymeflow.decision.actions import RejectRequest, StartAttempt
@@ -28,84 +32,84 @@
 
 @pytest.fixture
 def limiter(tmp_path: Path) -> Iterator[Limiter]:
-    with Limiter(tmp_path, managed=True) as made:
-        yield made
+    with Limiter(tmp_path, managed=True) as limiter:
+        yield limiter
 
 
-def passed_on(limiter: Limiter, client: Peer, number: int, cls: str = "look", body: bytes = b"B") -> Peer:
+def forward_request(limiter: Limiter, client: Peer, number: int, cls: str = "look", body: bytes = b"B") -> Peer:
     client.send(request(number, cls, body=body))
-    server = limiter.backends[0].accept()
-    assert server.read_command()[2] == b"%016x" % number
-    return server
+    backend = limiter.backends[0].accept()
+    assert backend.read_command()[2] == b"%016x" % number
+    return backend
 
 
-def upload(number: int, wait: int = 20000) -> bytes:
-    """A request whose body is long, up to the body."""
+def build_upload_head(number: int, wait: int = 20000) -> bytes:
+    """Return a request with a long body, up to the body; `wait` is in milliseconds."""
     text = request(number, "book", wait, body=b"")
     assert text.endswith(b"$0\r\n\r\n")
     return text.removesuffix(b"$0\r\n\r\n") + b"$%d\r\n" % SIZE
 
 
-def uploaded(server: Peer) -> list[bytes]:
-    """The words before the body, and the head of the body."""
-    assert server.line() == b"*5"
-    return [server.file.read(int(server.line()[1:]) + 2)[:-2] for _ in range(4)] + [server.line()]
+def read_upload_head(backend: Peer) -> list[bytes]:
+    """Return the arguments before the body, and the head of the body."""
+    assert backend.line() == b"*5"
+    return [backend.file.read(int(backend.line()[1:]) + 2)[:-2] for _ in range(4)] + [backend.line()]
 
 
 def test_long_response_is_streamed_and_its_connection_reused(limiter: Limiter) -> None:
     client = limiter.connect()
-    server = passed_on(limiter, client, 1)
-    server.send(HEAD + VALUE[:1000])
+    backend = forward_request(limiter, client, 1)
+    backend.send(HEAD + VALUE[:1000])
     assert client.line() == b"$%d" % SIZE
     assert client.file.read(1000) == VALUE[:1000]
-    server.send(VALUE[1000:])
+    backend.send(VALUE[1000:])
     assert client.file.read(SIZE - 1000) == VALUE[1000:]
-    server.send(TAIL)
+    backend.send(TAIL)
     assert client.file.read(2) == b"\r\n"
-    limiter.serve_request(client, 2, server)
+    limiter.serve_request(client, 2, backend)
 
 
 def test_deadline_does_not_end_a_response_that_has_begun(limiter: Limiter) -> None:
     client = limiter.connect()
     client.send(request(1, wait=300))
-    server = limiter.backends[0].accept()
-    server.read_command()
-    server.send(HEAD + VALUE[:1000])
+    backend = limiter.backends[0].accept()
+    backend.read_command()
+    backend.send(HEAD + VALUE[:1000])
     assert client.line() == b"$%d" % SIZE
     client.file.read(1000)
     assert client.receives_nothing(0.6)
-    server.send(VALUE[1000:] + TAIL)
+    backend.send(VALUE[1000:] + TAIL)
     assert client.file.read(SIZE - 998) == VALUE[1000:] + b"\r\n"
 
 
-@pytest.mark.parametrize("rest", [b"", VALUE[:5000], VALUE + b"no end", VALUE[:-1] + b"\r\n"])
-def test_client_connection_is_closed_when_a_long_response_breaks_off(limiter: Limiter, rest: bytes) -> None:
+@pytest.mark.parametrize("sent_bytes", [b"", VALUE[:5000], VALUE + b"no end", VALUE[:-1] + b"\r\n"])
+def test_client_connection_is_closed_when_a_long_response_breaks_off(limiter: Limiter, sent_bytes: bytes) -> None:
     client = limiter.connect()
-    server = passed_on(limiter, client, 1, "book")
-    server.send(HEAD + rest)
-    if len(rest) < SIZE:
-        server.close()
-    assert len(client.file.read()) <= SIZE + len(HEAD)  # and then the end, with the value not closed
-    assert limiter.backends[0].has_no_connection(0.1)  # it may have run: no other pass
+    backend = forward_request(limiter, client, 1, "book")
+    backend.send(HEAD + sent_bytes)
+    if len(sent_bytes) < SIZE:
+        backend.close()
+    assert len(client.file.read()) <= SIZE + len(HEAD)  # the connection was closed without the end of the value
+    assert limiter.backends[0].has_no_connection(0.1)  # executed perhaps, so not tried again
     limiter.serve_request(limiter.connect(), 2)
 
 
 def test_other_side_is_released_when_one_side_leaves_during_a_long_value(limiter: Limiter) -> None:
     client = limiter.connect()
     sender = limiter.connect()
-    server = passed_on(limiter, client, 1)
-    server.send(HEAD + VALUE[:1000])
+    backend = forward_request(limiter, client, 1)
+    backend.send(HEAD + VALUE[:1000])
     client.line()
     client.close()
-    assert server.is_closed_by_peer()
-    sender.send(upload(2) + VALUE[:1000])
-    server = limiter.backends[0].accept()
-    assert uploaded(server)[2] == b"%016x" % 2
+    assert backend.is_closed_by_peer()
+    sender.send(build_upload_head(2) + VALUE[:1000])
+    backend = limiter.backends[0].accept()
+    assert read_upload_head(backend)[2] == b"%016x" % 2
     sender.close()
-    assert len(server.file.read()) == 1000
+    assert len(backend.file.read()) == 1000
 
 
-def test_responses_wait_for_their_turn_when_a_long_one_is_ahead(limiter: Limiter) -> None:
+def test_responses_keep_their_order_when_a_long_response_is_first(limiter: Limiter) -> None:
     client = limiter.connect()
     client.send(request(1) + request(2) + command(b"PING"))
     peers = [limiter.backends[0].accept(), limiter.backends[0].accept()]
@@ -121,99 +125,99 @@
     other = limiter.connect()
     max_bytes = resp.MAX_LONG_VALUE
     client.sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 1 << 16)
-    servers = [passed_on(limiter, client, 1)]
-    server = servers[0]
+    backends = [forward_request(limiter, client, 1)]
+    backend = backends[0]
     text = b"*3\r\n$%d\r\n" % max_bytes + b"x" * max_bytes + b"\r\n$-1\r\n$-1\r\n"
     sent = 0
-    server.sock.setblocking(False)
-    while sent < len(text) and select.select([], [server.sock], [], 0.5)[1]:
-        sent += server.sock.send(text[sent : sent + 65536])
-    limiter.serve_request(other, 2)  # nobody else waits for it
-    server.sock.settimeout(PATIENCE)
-    got = 0
-    begun = time.monotonic()
+    backend.sock.setblocking(False)
+    while sent < len(text) and select.select([], [backend.sock], [], 0.5)[1]:
+        sent += backend.sock.send(text[sent : sent + 65536])
+    limiter.serve_request(other, 2)  # a slow reader does not delay other clients
+    backend.sock.settimeout(PATIENCE)
+    received_count = 0
+    started_at = time.monotonic()
     client.sock.setblocking(True)
-    while got < max_bytes + len(b"$%d\r\n\r\n" % max_bytes):
-        if sent < len(text) and select.select([], [server.sock], [], 0.0)[1]:
-            sent += server.sock.send(text[sent : sent + 65536])
+    while received_count < max_bytes + len(b"$%d\r\n\r\n" % max_bytes):
+        if sent < len(text) and select.select([], [backend.sock], [], 0.0)[1]:
+            sent += backend.sock.send(text[sent : sent + 65536])
         if select.select([client.sock], [], [], 0.01)[0]:
-            got += len(client.sock.recv(1 << 20))
-        assert time.monotonic() - begun < PATIENCE
+            received_count += len(client.sock.recv(1 << 20))
+        assert time.monotonic() - started_at < PATIENCE
 
 
 def test_long_body_is_streamed_and_its_time_starts_with_its_end(limiter: Limiter) -> None:
     client = limiter.connect()
-    client.send(upload(1, 1500) + VALUE[:1000])
-    server = limiter.backends[0].accept()
-    verb, _, name, terms, head = uploaded(server)
+    client.send(build_upload_head(1, 1500) + VALUE[:1000])
+    backend = limiter.backends[0].accept()
+    verb, _, name, terms, head = read_upload_head(backend)
     assert (verb, name, head) == (b"SVC.SUBMIT", b"%016x" % 1, b"$%d" % SIZE)
     assert b",d=1500," in terms
-    assert server.file.read(1000) == VALUE[:1000]
-    for _ in range(4):  # for longer than it will wait, and never silent for long
+    assert backend.file.read(1000) == VALUE[:1000]
+    for _ in range(4):  # longer than the client waits for a response, but with short pauses only
         assert client.receives_nothing(0.5)
         client.send(b"x")
     client.send(VALUE[1004:] + b"\r\n" + command(b"PING"))
-    assert server.file.read(SIZE - 1000 + 2) == b"xxxx" + VALUE[1004:] + b"\r\n"
-    server.send(SERVED_REPLY)
+    assert backend.file.read(SIZE - 1000 + 2) == b"xxxx" + VALUE[1004:] + b"\r\n"
+    backend.send(SERVED_REPLY)
     assert [client.read_bulk(), client.line()] == [b"value", b"+PONG"]
-    limiter.serve_request(client, 2, server)
+    limiter.serve_request(client, 2, backend)
 
 
 def test_body_is_discarded_and_the_connection_stays_usable_when_the_request_is_rejected(tmp_path: Path) -> None:
     with Limiter(tmp_path, **{**SMALL_PLAN, "caps": {"open-cap": 1, "dial-timeout": 20.0}}) as limiter:
         busy = limiter.connect()
         client = limiter.connect()
-        server = passed_on(limiter, busy, 1)
-        for wrong in (b"c=book", b"c=none"):
-            client.send(upload(2).replace(b"c=book", wrong) + VALUE[:1000])
-            assert client.receives_nothing(0.1)  # the request has not come yet
+        backend = forward_request(limiter, busy, 1)
+        for class_term in (b"c=book", b"c=none"):
+            client.send(build_upload_head(2).replace(b"c=book", class_term) + VALUE[:1000])
+            assert client.receives_nothing(0.1)  # the request is incomplete
             client.send(VALUE[1000:] + b"\r\n" + command(b"PING"))
             assert client.line()[:4] in (b"-BUS", b"-ERR")
             assert client.line() == b"+PONG"
-        server.send(SERVED_REPLY)
+        backend.send(SERVED_REPLY)
         assert busy.read_bulk() == b"value"
 
 
-@pytest.mark.parametrize("rest", [b"", b"no end"])
+@pytest.mark.parametrize("sent_bytes", [b"", b"no end"])
 def test_one_error_line_and_a_close_follow_when_a_body_stops_or_is_not_terminated(
-    limiter: Limiter, rest: bytes
+    limiter: Limiter, sent_bytes: bytes
 ) -> None:
     client = limiter.connect()
-    client.send(upload(1) + VALUE[:1000])
-    server = limiter.backends[0].accept()
-    uploaded(server)
-    if rest:
+    client.send(build_upload_head(1) + VALUE[:1000])
+    backend = limiter.backends[0].accept()
+    read_upload_head(backend)
+    if sent_bytes:
         client.send(VALUE[1000:])
-        assert server.file.read(SIZE) == VALUE  # before the end comes: a reset throws away what is not read yet
-        client.send(rest)
+        assert backend.file.read(SIZE) == VALUE  # read first, because a reset discards unread bytes
+        client.send(sent_bytes)
     assert client.line().startswith(b"-ERR Protocol error")
     assert client.is_closed_by_peer()
     with contextlib.suppress(ConnectionResetError):
-        assert len(server.file.read()) < SIZE  # never whole, so it never ran
+        assert len(backend.file.read()) < SIZE  # the body stayed incomplete, so that the request was never executed
     limiter.serve_request(limiter.connect(), 2)
 
 
 def test_another_backend_is_tried_when_no_byte_of_the_body_was_sent(tmp_path: Path) -> None:
     with Limiter(tmp_path, backend_count=2) as limiter:
         limiter.backends[0].sock.close()
-        for number in range(1, 5):  # some of them meet the server that is down first
+        for number in range(1, 5):  # some requests are tried at the stopped backend first
             client = limiter.connect()
-            client.send(upload(number) + VALUE + b"\r\n")
-            server = limiter.backends[1].accept()
-            assert uploaded(server)[2] == b"%016x" % number
-            assert server.file.read(SIZE + 2) == VALUE + b"\r\n"
-            server.send(b"-BUSY\r\n")
+            client.send(build_upload_head(number) + VALUE + b"\r\n")
+            backend = limiter.backends[1].accept()
+            assert read_upload_head(backend)[2] == b"%016x" % number
+            assert backend.file.read(SIZE + 2) == VALUE + b"\r\n"
+            backend.send(b"-BUSY\r\n")
             assert client.line().startswith(b"-BUSY")
-            server.close()
+            backend.close()
 
 
 def test_attempt_ends_and_the_rest_is_discarded_when_the_backend_rejects_early(limiter: Limiter) -> None:
     client = limiter.connect()
-    client.send(upload(1) + VALUE[:1000])
-    server = limiter.backends[0].accept()
-    uploaded(server)
-    server.send(b"-BUSY\r\n")
-    assert len(server.file.read()) == 1000  # closed: the rest of the body would be taken for a command
+    client.send(build_upload_head(1) + VALUE[:1000])
+    backend = limiter.backends[0].accept()
+    read_upload_head(backend)
+    backend.send(b"-BUSY\r\n")
+    assert len(backend.file.read()) == 1000  # closed, because further bytes of the body would be read as a command
     client.send(VALUE[1000:] + b"\r\n")
     assert client.line().startswith(b"-BUSY")
 
@@ -221,23 +225,23 @@
 def test_stream_continues_when_the_limiter_is_evacuated_or_drains(limiter: Limiter) -> None:
     client = limiter.connect()
     sender = limiter.connect()
-    server = passed_on(limiter, client, 1)
-    server.send(HEAD + VALUE[:1000])
-    sender.send(upload(2) + VALUE[:1000])
+    backend = forward_request(limiter, client, 1)
+    backend.send(HEAD + VALUE[:1000])
+    sender.send(build_upload_head(2) + VALUE[:1000])
     body = limiter.backends[0].accept()
     assert limiter.call(b"evacuate\n").startswith(b"200 ")
-    uploaded(body)
+    read_upload_head(body)
     assert client.receives_nothing(0.0) or client.line()
-    time_over = sender.receives_nothing(0.7)
+    is_body_awaited = sender.receives_nothing(0.7)
     limiter.terminate()
-    assert time_over
+    assert is_body_awaited
     assert sender.receives_nothing(0.3)
     sender.send(VALUE[1000:] + b"\r\n")
     body.file.read(SIZE + 2)
     body.send(SERVED_REPLY)
     assert sender.read_bulk() == b"value"
     assert sender.is_closed_by_peer()
-    server.send(VALUE[1000:] + TAIL)
+    backend.send(VALUE[1000:] + TAIL)
     assert client.file.read().endswith(VALUE[-100:] + b"\r\n")
     assert limiter.process.wait(PATIENCE) == 0
 
@@ -245,20 +249,20 @@
 def test_head_in_pieces_has_its_full_time_when_the_connection_is_old(limiter: Limiter) -> None:
     client = limiter.connect()
     text = request(2)
-    server = limiter.serve_request(client, 1)
+    backend = limiter.serve_request(client, 1)
     assert client.receives_nothing(2.0)
-    for place in range(0, len(text), 30):  # 1 s in all, long after the last answer
-        client.send(text[place : place + 30])
+    for position in range(0, len(text), 30):  # 1 s in total, long after the last response
+        client.send(text[position : position + 30])
         time.sleep(0.1)
-    server.read_command()
-    server.send(SERVED_REPLY)
+    backend.read_command()
+    backend.send(SERVED_REPLY)
     assert client.read_bulk() == b"value"
 
 
 def test_begun_response_uses_no_capacity_and_ends_its_request_once() -> None:
     gateway = started()
-    for number in range(200):  # two hundred readers that take their time
-        sent = sends(gateway.handle(0.1 + number, asked(f"r{number}")))
+    for number in range(200):  # 200 clients that read slowly
+        sent = sends(gateway.handle(0.1 + number, make_request_event(f"r{number}")))
         gateway.handle(0.2 + number, ResponseStarted(f"r{number}", 0, sent[0].backend, 0.1))
     assert gateway.registry.in_flight == 0
     assert len(gateway.pending) == 200
@@ -266,17 +270,17 @@
         gateway.handle(
             300.0, ended(f"r{number}", StartAttempt(f"r{number}", 1), Status.OK if number % 2 else Status.CANCELLED)
         )
-    assert (gateway.registry.in_flight, {server.in_flight for server in gateway.backends.values()}) == (0, {0})
+    assert (gateway.registry.in_flight, {backend.in_flight for backend in gateway.backends.values()}) == (0, {0})
     gateway.handle(300.1, ClientDisconnected("r0"))
-    assert all(job.is_answered for job in gateway.pending.values())
+    assert all(pending.is_answered for pending in gateway.pending.values())
 
 
 def test_no_other_attempt_begins_when_a_body_is_being_sent() -> None:
     gateway = started()
-    (first,) = sends(gateway.handle(0.1, asked("a", class_name="book")))
-    (again,) = sends(gateway.handle(0.2, ended("a", first, Status.CONNECT_FAILED)))
+    (first,) = sends(gateway.handle(0.1, make_request_event("a", class_name="book")))
+    (retry,) = sends(gateway.handle(0.2, ended("a", first, Status.CONNECT_FAILED)))
     gateway.handle(0.3, RequestBodyStarted("a"))
-    assert not sends(gateway.handle(5.0, TimerFired(2))), "its time starts with its last byte"
-    answers = gateway.handle(9.0, ended("a", again, Status.FULL, 1))
-    (answer,) = [a for a in answers if isinstance(a, RejectRequest | StartAttempt)]
-    assert isinstance(answer, RejectRequest)
+    assert not sends(gateway.handle(5.0, TimerFired(2))), "the time of a request starts with its last byte"
+    actions = gateway.handle(9.0, ended("a", retry, Status.FULL, 1))
+    (action,) = [a for a in actions if isinstance(a, RejectRequest | StartAttempt)]
+    assert isinstance(action, RejectRequest)
