--- a/tests/frontend/test_connections.py
+++ b/tests/frontend/test_connections.py
@@ -68,20 +68,20 @@
     assert frontend.buildProtocol(None) is None
 
 
-@pytest.mark.parametrize("why", ["left", "late", "past the window"])
-def test_waiting_attempt_is_written_only_when_it_is_still_valid(network: InMemoryNetwork, why: str) -> None:
+@pytest.mark.parametrize("cause", ["left", "late", "past the window"])
+def test_waiting_attempt_is_written_only_when_it_is_still_valid(network: InMemoryNetwork, cause: str) -> None:
     connections, results = make_backend_connections(network)
     is_client_connected = [True]
     invalid_spec = make_attempt_spec()._replace(
         is_connected=lambda: is_client_connected[0],
-        start_deadline=clock.now() + 0.3 if why == "past the window" else inf,
+        start_deadline=clock.now() + 0.3 if cause == "past the window" else inf,
     )
     connections.start_attempt(invalid_spec).addCallback(results.append)
     connections.start_attempt(make_attempt_spec()).addCallback(results.append)
-    if why == "late":
+    if cause == "late":
         late_attempt = connections._attempts.items()[0]
         late_attempt.spec = late_attempt.spec._replace(deadline=clock.now() + 0.2)  # its timer has not fired yet
-    is_client_connected[0] = why != "left"
+    is_client_connected[0] = cause != "left"
     network.reactor.rightNow += 0.4
     backend = network.complete_dial(0)
     backend.dataReceived(make_served_reply(b"v"))
@@ -123,14 +123,14 @@
 
 
 @pytest.mark.parametrize(
-    ("changes", "why"),
+    ("changes", "expected_text"),
     [
         ({"name": "n7"}, "name"),
         ({"settings": {**SETTINGS, "tiers-of-service": [{"name": "guest"}]}}, "another customer"),
     ],
 )
 def test_nothing_changes_when_the_configuration_is_another_limiters(
-    tmp_path: Path, changes: dict[str, Any], why: str
+    tmp_path: Path, changes: dict[str, Any], expected_text: str
 ) -> None:
     with Limiter(tmp_path) as limiter:
         settings = changes.get("settings", SETTINGS)
@@ -141,7 +141,7 @@
         limiter.process.send_signal(signal.SIGHUP)
         line = limiter.log("reload:")
         assert "the old settings stay" in line
-        assert why in line
+        assert expected_text in line
         limiter.serve_request(limiter.connect(), 1)
 
 
--- a/tests/frontend/test_disconnects.py
+++ b/tests/frontend/test_disconnects.py
@@ -21,7 +21,7 @@
     network,
 )
 
-# A backend's reply after which another attempt follows for an idempotent class, unless the client has left.
+# After this reply, a request of a class that is safe to repeat gets another attempt, unless its client has left.
 ERROR = b"-ERR failed\r\n"
 
 
@@ -88,21 +88,21 @@
         # The first PING may be answered in the turn that reads the request; the reactor connects in the next one.
         for _ in range(2):
             limiter.wait_for_reply(b"+PONG", command(b"PING"))
-        backend: list[Peer] = []
+        accepted: list[Peer] = []
 
         def accept_and_leave() -> None:
             ports = {sock.getsockname()[1] for sock in filling}
             listener.listen(100)  # the queue takes all connections that are tried again
-            while not backend:  # the kernel tries to connect again about once a second
+            while not accepted:  # the kernel tries to connect again about once a second
                 peer = limiter.backends[0].accept()
                 if peer.sock.getpeername()[1] in ports:
                     peer.close()
                 else:
-                    backend.append(peer)
+                    accepted.append(peer)
             client.close()
 
         run_while_stopped(limiter, accept_and_leave)
-        limiter.serve_request(other, 2, backend[0])  # no other request was written before this one
+        limiter.serve_request(other, 2, accepted[0])  # no other request was written before this one
         for sock in filling:
             sock.close()
 
--- a/tests/frontend/test_limits.py
+++ b/tests/frontend/test_limits.py
@@ -20,7 +20,7 @@
     # These are all the connections that the limiter accepts.
     silent_clients = [network.connect_protocol(frontend.buildProtocol(None)) for _ in range(16)]
     network.reactor.advance(0.04)
-    assert frontend.buildProtocol(None) is None  # the silent clients may be about to send a request
+    assert frontend.buildProtocol(None) is None  # the silent clients may be about to ask for something
     network.reactor.advance(0.02)
     ordinary_client = network.connect_protocol(frontend.buildProtocol(None))
     ordinary_client.dataReceived(command(b"PING"))
--- a/tests/transport/test_long.py
+++ b/tests/transport/test_long.py
@@ -1,4 +1,4 @@
-"""Values that are too long to be buffered: streamed in both directions, to slow readers, and broken off.
+"""Values that are too long to be buffered: streamed in both directions at the pace of the slower side.
 
 The tests guard against a long value that is buffered completely, loses bytes, delays other requests, or is forwarded as
 complete although it broke off.
--- a/thymeflow/backends/backends.py
+++ b/thymeflow/backends/backends.py
@@ -72,8 +72,7 @@
                 self._retire(pool, backend.state)
 
     def _retire(self, pool: Pool, state: BackendState) -> None:
-        # No new attempt may be sent to a backend that is draining, so that attempts waiting for a connection to it
-        # fail.
+        # No new attempt may be sent to a backend that is draining. Attempts that wait for a connection to it fail here.
         pool.state = state
         self._close_idle(pool)
         while pool.waiting_handles:
@@ -124,11 +123,11 @@
         log.emit_rate_limited(
             LogKind.CONNECT_FAILED, f"backend {pool.address}: {failure.getErrorMessage()}", address=pool.address
         )
-        self._end_unserved(pool)
+        self._fail_unserved_attempt(pool)
 
-    def _end_unserved(self, pool: Pool) -> None:
-        # A connection is opened for each waiting attempt, but the attempt may be sent over any other connection that
-        # becomes idle first. One attempt fails only if more attempts wait than connections are being opened.
+    def _fail_unserved_attempt(self, pool: Pool) -> None:
+        # A connection is opened for each waiting attempt, but an attempt may also be sent over another connection that
+        # becomes idle first. An attempt fails only if more attempts wait than connections are being opened.
         if len(pool.waiting_handles) > pool.dialing_count:
             self._end_attempt(pool.waiting_handles.popleft(), AttemptResult(Status.CONNECT_FAILED))
 
@@ -138,13 +137,13 @@
         if pool.state is not READY or (self.is_closing_when_idle and not pool.waiting_handles):
             self._close(connection)
         elif not self._check_usable(connection):
-            self._end_unserved(pool)  # it may have been opened for an attempt that still waits
+            self._fail_unserved_attempt(pool)  # it may have been opened for an attempt that still waits
         else:
             self._serve_waiting(connection)
 
     def _serve_waiting(self, connection: Connection) -> None:
-        # Sends the first waiting attempt that is still needed. Some may no longer be, because opening the connection
-        # took time.
+        # Sends the first waiting attempt that is still needed. Attempts before it have become useless while the
+        # connection was opened.
         pool = connection.pool
         skipped_handles = list[int]()
         now = clock.now()
--- a/thymeflow/core/dispatcher.py
+++ b/thymeflow/core/dispatcher.py
@@ -100,7 +100,7 @@
         return len(self._requests)
 
     def is_open(self, request_id: str) -> bool:
-        """Return whether a request with that id has not ended."""
+        """Return whether the request with an id has not ended."""
         return request_id in self._requests
 
     def submit(self, incoming: IncomingRequest) -> Deferred[Response]:
@@ -123,7 +123,7 @@
         return response
 
     def _reject_for_capacity(self, response: Deferred[Response]) -> None:
-        # The gateway never sees this request, because nothing of it was forwarded.
+        # The request is rejected without the gateway, because nothing of it was forwarded.
         log.emit_rate_limited(
             LogKind.CAPACITY,
             f"request rejected: {len(self._requests)} pending requests hold {self._requests.memory_used} bytes",
--- a/thymeflow/frontend/client_connection.py
+++ b/thymeflow/frontend/client_connection.py
@@ -27,7 +27,7 @@
 
 BODY_INDEX = 4  # the index of a command's body, which may arrive slowly; the items before it are the command's head
 MAX_PIPELINED_COMMANDS = 64  # a client with this many unanswered commands is not read from
-REQUEST_OVERHEAD_BYTES = 2048  # memory that a request takes in addition to its own bytes
+REQUEST_OVERHEAD_BYTES = 2048  # bytes of memory that a request takes in addition to its text
 MAX_DISCARDED_BYTES = 256 * 1024  # bytes that are read and discarded after the write side of a connection is closed
 LATE_READ_SECONDS = 0.005  # a request that was unread for longer was delayed; an ordinary turn delays it for less
 LONG_VALUE_EVENTS = (resp.LongValueChunk, resp.LongValueEnd, resp.LongValueArrayEnd)
@@ -174,7 +174,7 @@
         self.finish()
 
     def compute_idle_seconds(self, now: float) -> float:
-        """Return the seconds for which no command has been open, or 0 while one is."""
+        """Return the seconds for which no command has been open, or 0 while a command is open."""
         return 0.0 if self._slots else now - self._idle_since
 
     def is_awaiting_first_command(self, now: float) -> bool:
--- a/thymeflow/frontend/frontend.py
+++ b/thymeflow/frontend/frontend.py
@@ -22,8 +22,8 @@
 from thymeflow.transport.connections import has_unread_bytes
 
 SWEEP_INTERVAL = 0.1  # seconds between checks of the timeouts
-# The fraction of the connections in use from which on connections are scarce and the idle timeout is shorter. Clients
-# limit their own connections too, see `Frontend._sweep`.
+# If this fraction of the connections is in use, connections are scarce and the idle timeout is shorter. Clients limit
+# the number of their own connections too, see `Frontend._sweep`.
 CROWDED_FRACTION = 0.35
 MAX_EVICTION_CANDIDATES = 8  # connections that are checked for unread bytes before one is evicted
 MAX_EVICTING = 24  # evicted connections whose descriptors have not been closed yet
@@ -123,8 +123,9 @@
         connection.evict()
 
     def _find_eviction_candidate(self, now: float) -> ClientConnection | None:
-        # Finds the connection that its client uses least, because many clients send one request and stay connected, and
-        # others send nothing. A connection with unread bytes is kept: they may be a request, which a close would lose.
+        # Finds the connection that its client uses least. Many clients send one request and stay connected, and some
+        # clients send nothing. A connection with unread bytes is kept, because they may be a request that a close would
+        # lose.
         scored = nlargest(
             MAX_EVICTION_CANDIDATES, self.clients.items(), key=lambda connection: connection.compute_eviction_score(now)
         )
@@ -161,9 +162,9 @@
 
     def _sweep(self, _: int) -> None:
         now = clock.now()
-        # Clients limit the number of their connections. A client that keeps an idle connection here may therefore be
-        # unable to open another one for its next request, so that idle connections are closed sooner when they are
-        # scarce.
+        # Clients limit the number of their connections. A client whose idle connection is kept open here may be unable
+        # to open a connection to another limiter for its next request. Idle connections are therefore closed sooner
+        # when connections are scarce.
         is_crowded = len(self.clients) >= CROWDED_FRACTION * self._max_clients
         idle_timeout = CROWDED_IDLE_TIMEOUT if is_crowded else IDLE_TIMEOUT
         for connection in self.clients.items():
--- a/thymeflow/transport/resp.py
+++ b/thymeflow/transport/resp.py
@@ -19,7 +19,7 @@
 MAX_MESSAGE = MAX_VALUE + 8 * 1024  # bytes of a message: one value and its short items
 MAX_ITEMS = 32  # items of an array; the longest that a peer sends has five
 MAX_LINE = 1024  # bytes of a simple string, an error or a length
-MAX_ERROR_TEXT = 200  # characters of an error reply that we send
+MAX_ERROR_TEXT = 200  # characters of an error reply that the limiter sends
 MAX_DIGITS = 18  # digits of a number, so that it fits into 64 bits
 
 
@@ -87,7 +87,7 @@
 class _IncompleteError(TransportError):
     """The message is incomplete.
 
-    `item_index` is the index of the bulk string in an array for whose bytes the parser waits, or -1.
+    `item_index` is the index of the incomplete bulk string in an array, or -1 if no bulk string is incomplete.
     """
 
     item_index = -1
@@ -116,10 +116,12 @@
     def __init__(self, max_value: int = MAX_VALUE) -> None:
         self._buffer = bytearray()
         self._max_value = max_value
-        self._remaining_bytes = -1  # bytes of a long value that have not arrived; -1: none is being read
+        self._remaining_bytes = -1  # bytes of a long value that have not arrived; -1: no long value is being read
         self._trailing_items: list[Value] = []  # array items that arrived after the long value
-        self._missing_items = -1  # array items after the long value that have not arrived; -1: likewise
-        self.awaited_item_index = -1  # index of the bulk string in an incomplete array that is incomplete; or -1
+        self._missing_items = (
+            -1
+        )  # array items after the long value that have not arrived; -1: no long value is being read
+        self.awaited_item_index = -1  # index of the incomplete bulk string in an incomplete array, or -1
 
     def buffered_bytes(self) -> int:
         """Return the number of buffered bytes of an incomplete message."""
