--- a/tests/backends/test_attempts.py
+++ b/tests/backends/test_attempts.py
@@ -134,7 +134,7 @@
     assert (found.status, found.quota_usage, found.actual_units, found.load_report) == (Status.OK, None, None, None)
 
 
-def test_idle_connections_are_closed_before_the_backend_would_close_them(network: InMemoryNetwork) -> None:
+def test_idle_connection_is_closed_when_its_backend_would_soon_close_it(network: InMemoryNetwork) -> None:
     connections, results = make_backend_connections(network)
     connections.start_attempt(make_attempt_spec()).addCallback(results.append)
     backend = network.complete_dial(0)
--- a/tests/frontend/test_connections.py
+++ b/tests/frontend/test_connections.py
@@ -40,7 +40,7 @@
 __all__ = ["network"]
 
 
-def test_small_writes_are_sent_at_once_on_every_connection(network: InMemoryNetwork) -> None:
+def test_small_writes_are_sent_at_once_when_a_connection_is_made(network: InMemoryNetwork) -> None:
     limiter, client = make_limiter_with_client(network)
     limiter.connect(clock.now() + 1.0)  # opens connections to discovery and the counter
     client.dataReceived(request(1))  # opens a connection to a backend
@@ -89,7 +89,7 @@
     assert not backend.closed
 
 
-def test_waiting_attempt_ends_when_its_connection_ends_as_it_comes_up(network: InMemoryNetwork) -> None:
+def test_waiting_attempt_ends_when_its_connection_ends_as_soon_as_it_is_made(network: InMemoryNetwork) -> None:
     connections, results = make_backend_connections(network)
     connections.start_attempt(make_attempt_spec()).addCallback(results.append)
     connections.start_attempt(make_attempt_spec()).addCallback(results.append)
@@ -100,7 +100,7 @@
     assert [result.status for result in results] == [Status.CONNECT_FAILED, Status.OK]
 
 
-def test_keyed_retry_begins_only_within_its_idempotency_window() -> None:
+def test_keyed_retry_begins_only_when_its_idempotency_window_is_open() -> None:
     gateway = helpers.started()
     (first,) = helpers.sends(gateway.handle(0.0, helpers.request("k", class_name="book")))
     assert first.start_within == inf
@@ -109,7 +109,7 @@
 
 
 @pytest.mark.parametrize("pieces", [1, 3])
-def test_time_of_a_first_request_starts_with_its_last_byte(network: InMemoryNetwork, pieces: int) -> None:
+def test_time_of_a_first_request_starts_when_its_last_byte_arrives(network: InMemoryNetwork, pieces: int) -> None:
     _, client = make_limiter_with_client(network)
     text = request(1, wait=500)
     for piece in range(pieces):
--- a/tests/frontend/test_drains.py
+++ b/tests/frontend/test_drains.py
@@ -84,7 +84,7 @@
     assert client.aborted
 
 
-def test_all_queued_connections_are_accepted_before_the_listener_is_closed(network: InMemoryNetwork) -> None:
+def test_all_queued_connections_are_accepted_when_the_listener_is_about_to_close(network: InMemoryNetwork) -> None:
     limiter = make_limiter(network, 256)
     waiting = list(range(7))
     accepted = list[Any]()
@@ -113,7 +113,7 @@
     assert not any(client.transport.handle.is_half_closed for client in accepted)
 
 
-def test_requests_after_sigterm_are_answered_before_sigkill_may_come(network: InMemoryNetwork) -> None:
+def test_request_after_sigterm_is_answered_when_sigkill_may_soon_follow(network: InMemoryNetwork) -> None:
     limiter, client = make_limiter_with_client(network)
     lifecycle = limiter.lifecycle
     lifecycle.phase = Phase.SERVING
--- a/tests/transport/test_long.py
+++ b/tests/transport/test_long.py
@@ -56,7 +56,7 @@
     return [backend.file.read(int(backend.line()[1:]) + 2)[:-2] for _ in range(4)] + [backend.line()]
 
 
-def test_long_response_is_streamed_and_its_connection_reused(limiter: Limiter) -> None:
+def test_long_response_is_streamed_and_its_connection_reused_when_it_is_complete(limiter: Limiter) -> None:
     client = limiter.connect()
     backend = forward_request(limiter, client, 1)
     backend.send(HEAD + VALUE[:1000])
@@ -69,7 +69,7 @@
     limiter.serve_request(client, 2, backend)
 
 
-def test_deadline_does_not_end_a_response_that_has_begun(limiter: Limiter) -> None:
+def test_response_continues_when_its_deadline_passes_after_its_first_bytes(limiter: Limiter) -> None:
     client = limiter.connect()
     client.send(request(1, wait=300))
     backend = limiter.backends[0].accept()
@@ -145,7 +145,7 @@
         assert time.monotonic() - started_at < PATIENCE
 
 
-def test_long_body_is_streamed_and_its_time_starts_with_its_end(limiter: Limiter) -> None:
+def test_long_body_is_streamed_and_its_time_starts_when_its_last_byte_arrives(limiter: Limiter) -> None:
     client = limiter.connect()
     client.send(build_upload_head(1, 1500) + VALUE[:1000])
     backend = limiter.backends[0].accept()
@@ -259,7 +259,7 @@
     assert client.read_bulk() == b"value"
 
 
-def test_begun_response_uses_no_capacity_and_ends_its_request_once() -> None:
+def test_request_uses_no_capacity_and_ends_once_when_its_response_has_begun() -> None:
     gateway = started()
     for number in range(200):  # 200 clients that read slowly
         sent = sends(gateway.handle(0.1 + number, make_request_event(f"r{number}")))
--- a/tests/transport/test_resp.py
+++ b/tests/transport/test_resp.py
@@ -17,7 +17,7 @@
 
 
 @given(st.lists(st.binary(max_size=40), min_size=1, max_size=5), st.data())
-def test_messages_are_parsed_however_the_bytes_are_cut(chunks: list[bytes], data: st.DataObject) -> None:
+def test_messages_are_the_same_when_the_bytes_are_split_anywhere(chunks: list[bytes], data: st.DataObject) -> None:
     text = command(*chunks) + resp.bulk(b"x") + b"-ERR e\r\n:-5\r\n$-1\r\n"
     parser = resp.Parser()
     found = list[resp.Event]()
@@ -30,7 +30,7 @@
 
 
 @given(st.binary(max_size=200))
-def test_any_bytes_are_messages_or_a_parser_error(text: bytes) -> None:
+def test_result_is_messages_or_a_parser_error_when_the_bytes_are_arbitrary(text: bytes) -> None:
     for start in (b"", b"*2\r\n$1\r\nx\r\n", b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"):
         assert isinstance(resp.Parser().feed(start + text)[1], str)
         with contextlib.suppress(HttpError):
@@ -43,7 +43,7 @@
     st.lists(st.binary(max_size=20), min_size=0, max_size=2),
     st.data(),
 )
-def test_events_are_the_same_however_the_bytes_are_cut(
+def test_long_value_events_are_the_same_when_the_bytes_are_split_anywhere(
     before: list[bytes], excess: int, after: list[bytes], data: st.DataObject
 ) -> None:
     value = b"\r\n$" * ((resp.MAX_VALUE + excess) // 3 + 1)
