--- a/tests/frontend/test_limits.py
+++ b/tests/frontend/test_limits.py
@@ -1,23 +1,28 @@
-"""Limits of the client connections: a full table, and limits that two processes share."""
+"""The limits of client connections.
+
+The tests guard against silent clients that use all connections, and against a process and its predecessor that together
+exceed the limits of one process during a handover.
+"""
 
 from __future__ import annotations
 
 import pytest
 
 from tests.limiter import command
-from tests.network_support import InMemoryNetwork, make_limiter, world
+from tests.network_support import InMemoryNetwork, make_limiter, network
 from thymeflow.limiter.assembly import MIN_CONNECTIONS
 
-__all__ = ["world"]
+__all__ = ["network"]
 
 
-def test_client_is_accepted_when_all_connections_are_taken_by_silent_ones(world: InMemoryNetwork) -> None:
-    front = make_limiter(world, 64).frontend
-    silent_clients = [world.connected(front.buildProtocol(None)) for _ in range(16)]  # all the room there is
-    world.reactor.advance(0.04)
-    assert front.buildProtocol(None) is None  # they may be about to ask
-    world.reactor.advance(0.02)
-    ordinary_client = world.connected(front.buildProtocol(None))
+def test_client_is_accepted_when_all_connections_are_taken_by_silent_ones(network: InMemoryNetwork) -> None:
+    frontend = make_limiter(network, 64).frontend
+    # These are all the connections that the limiter accepts.
+    silent_clients = [network.connect_protocol(frontend.buildProtocol(None)) for _ in range(16)]
+    network.reactor.advance(0.04)
+    assert frontend.buildProtocol(None) is None  # the silent clients may be about to ask for something
+    network.reactor.advance(0.02)
+    ordinary_client = network.connect_protocol(frontend.buildProtocol(None))
     ordinary_client.dataReceived(command(b"PING"))
     assert ordinary_client.transport.value()
     assert silent_clients[0].transport.disconnected
@@ -26,24 +31,24 @@
 
 @pytest.mark.parametrize("open_connections", [0, 50, 150, 1000])
 def test_both_processes_stay_within_the_limits_of_one_when_a_predecessor_runs(
-    world: InMemoryNetwork, open_connections: int
+    network: InMemoryNetwork, open_connections: int
 ) -> None:
-    limiter = make_limiter(world, 256)
+    limiter = make_limiter(network, 256)
 
-    def budgets() -> tuple[int, ...]:
-        front, core = limiter.frontend, limiter.dispatcher
+    def read_budgets() -> tuple[int, ...]:
+        frontend, dispatcher = limiter.frontend, limiter.dispatcher
         return (
-            front._max_clients,
+            frontend._max_clients,
             limiter.backends._max_connections,
-            front.response_memory.max_bytes,
-            front._max_unfinished_input_bytes,
-            core._requests._memory_limit,
+            frontend.response_memory.max_bytes,
+            frontend._max_unfinished_input_bytes,
+            dispatcher._requests._memory_limit,
         )
 
-    alone = budgets()
+    alone = read_budgets()
     limiter.limit_beside_predecessor(open_connections)
-    both = budgets()
+    both = read_budgets()
     assert both[0] + both[1] + open_connections <= sum(alone[:2]) or both[0] + both[1] == MIN_CONNECTIONS
     assert all(2 * part <= whole + 1 for part, whole in zip(both[2:], alone[2:], strict=True))
     limiter.limit_beside_predecessor(None)
-    assert budgets() == alone
+    assert read_budgets() == alone
--- a/thymeflow/backends/backends.py
+++ b/thymeflow/backends/backends.py
@@ -1,7 +1,7 @@
-"""Attempts sent to backends: each is given a connection, and ends in exactly one result.
+"""Sends attempts to backends over pooled connections; each attempt ends in exactly one result.
 
-A connection carries one attempt at a time: cancelling an attempt means closing its connection, which would end
-any others on it.
+A connection carries one attempt at a time, because cancelling an attempt closes its connection and would end any other
+attempt on it.
 """
 
 from __future__ import annotations
@@ -26,15 +26,16 @@
 from thymeflow.transport.commands import Call
 from thymeflow.transport.connections import dial
 
-STALL = 1.0  # s: without a byte of a reply that has begun; backends write in pieces, and some slowly
-MAX_ATTEMPTS = 1 << 16  # in progress at a time
+# Seconds without a byte of a reply that has begun. Backends write replies in pieces, and some of them slowly.
+REPLY_STALL_TIMEOUT = 1.0
+MAX_ATTEMPTS = 1 << 16  # attempts in progress at a time
 READY = BackendState.READY
 
 
 class BackendConnections(ConnectionPools):
     """Sends attempts to backends over pooled connections.
 
-    `read_endpoint_updates` is called after a stall of this process, to read updates that wait at the sockets.
+    `read_endpoint_updates` is called after a stall of this process, to read updates that are waiting at the sockets.
     """
 
     def __init__(
@@ -53,7 +54,7 @@
         self._sweep(0)
 
     def apply_update(self, update: EndpointUpdate) -> None:
-        """Apply a change of the endpoint list; it applies to all requests that are not written yet."""
+        """Apply a change of the endpoint list to all requests that have not been written to a connection yet."""
         if update.change.kind is not EndpointListKind.DELTA:
             for backend_id in self._pools_by_id.keys() - {backend.id for backend in update.change.backends}:
                 self._retire(self._pools_by_id.pop(backend_id), BackendState.GONE)
@@ -71,131 +72,134 @@
                 self._retire(pool, backend.state)
 
     def _retire(self, pool: Pool, state: BackendState) -> None:
-        # No new attempt may reach a backend that is draining: those that wait for a connection end here.
+        # No new attempt may be sent to a backend that is draining. Attempts that wait for a connection to it fail here.
         pool.state = state
         self._close_idle(pool)
-        while pool.waiting:
-            self._end(pool.waiting.popleft(), AttemptResult(Status.CONNECT_FAILED))
+        while pool.waiting_handles:
+            self._end_attempt(pool.waiting_handles.popleft(), AttemptResult(Status.CONNECT_FAILED))
 
     def start_attempt(self, spec: AttemptSpec) -> Deferred[AttemptResult]:
-        """Begin an attempt; the Deferred never fails, and cancelling it gives the attempt up."""
-        result_deferred: Deferred[AttemptResult] = Deferred(lambda _: self.give_up(handle, Status.CANCELLED))
+        """Begin an attempt and return a Deferred of its result, which never fails; cancelling it ends the attempt."""
+        result_deferred: Deferred[AttemptResult] = Deferred(lambda _: self.abandon_attempt(handle, Status.CANCELLED))
         attempt = Attempt(spec, result_deferred)
         handle = self._attempts.add(attempt)
         pool = self._pools_by_id.get(spec.backend)
         if spec.deadline <= clock.now():
-            self._end(handle, AttemptResult(Status.TIMEOUT))
+            self._end_attempt(handle, AttemptResult(Status.TIMEOUT))
         elif pool is None or pool.state is not READY:
-            self._end(handle, AttemptResult(Status.CONNECT_FAILED))
+            self._end_attempt(handle, AttemptResult(Status.CONNECT_FAILED))
         else:
             if spec.deadline < inf:
                 attempt.timeout_call = self._deadlines.schedule(spec.deadline, self.on_deadline, handle)
             if connection := self._take_idle(pool):
-                self._send(connection, handle)
+                self._send_request(connection, handle)
             elif self.open_connections < self._max_connections or self._close_longest_idle():
-                pool.waiting.append(handle)
+                pool.waiting_handles.append(handle)
                 self._dial(pool)
             else:
                 log.emit_rate_limited(
                     LogKind.POOL,
-                    f"all {self._max_connections} connections to backends are busy",
+                    f"attempt failed: all {self._max_connections} connections to backends are busy",
                     most=self._max_connections,
                 )
-                self._end(handle, AttemptResult(Status.CONNECT_FAILED))
+                self._end_attempt(handle, AttemptResult(Status.CONNECT_FAILED))
         return result_deferred
 
     def _dial(self, pool: Pool) -> None:
-        pool.dialing += 1
+        pool.dialing_count += 1
         self.open_connections += 1
         deadline = clock.now() + self._limits.connect_timeout
         connected = dial(self._reactor, self._deadlines, pool.address, deadline, lambda: Connection(self, pool))
         connected.addCallbacks(self._on_connected, self._on_connect_failed, errbackArgs=(pool,))
 
     def _on_connected(self, connection: Connection) -> None:
-        connection.pool.dialing -= 1
+        connection.pool.dialing_count -= 1
         if not connection.closed:
             self._release(connection)
 
     def _on_connect_failed(self, failure: Failure, pool: Pool) -> None:
-        pool.dialing -= 1
+        pool.dialing_count -= 1
         self.open_connections -= 1
         log.emit_rate_limited(
-            LogKind.CONNECT_FAILED, f"{pool.address}: {failure.getErrorMessage()}", address=pool.address
+            LogKind.CONNECT_FAILED, f"backend {pool.address}: {failure.getErrorMessage()}", address=pool.address
         )
-        self._end_unserved(pool)
+        self._fail_unserved_attempt(pool)
 
-    def _end_unserved(self, pool: Pool) -> None:
-        # Each waiting attempt has a dial of its own, but any connection that was released may have served it.
-        if len(pool.waiting) > pool.dialing:
-            self._end(pool.waiting.popleft(), AttemptResult(Status.CONNECT_FAILED))
+    def _fail_unserved_attempt(self, pool: Pool) -> None:
+        # A connection is opened for each waiting attempt, but an attempt may also be sent over another connection that
+        # becomes idle first. An attempt fails only if more attempts wait than connections are being opened.
+        if len(pool.waiting_handles) > pool.dialing_count:
+            self._end_attempt(pool.waiting_handles.popleft(), AttemptResult(Status.CONNECT_FAILED))
 
     def _release(self, connection: Connection) -> None:
         pool = connection.pool
-        # The state is checked again before a request is written: the backend may be draining by now.
-        if pool.state is not READY or (self.resting and not pool.waiting):
+        # The state is checked again before a request is written, because the backend may have begun to drain.
+        if pool.state is not READY or (self.is_closing_when_idle and not pool.waiting_handles):
             self._close(connection)
         elif not self._check_usable(connection):
-            self._end_unserved(pool)  # it ended as it came up, and was the dial of an attempt that waits
+            self._fail_unserved_attempt(pool)  # it may have been opened for an attempt that still waits
         else:
             self._serve_waiting(connection)
 
     def _serve_waiting(self, connection: Connection) -> None:
-        # The connection takes the first waiting attempt that is still wanted; it may have come up late.
+        # Sends the first waiting attempt that is still needed. Attempts before it have become useless while the
+        # connection was opened.
         pool = connection.pool
-        moot_handles = list[int]()
+        skipped_handles = list[int]()
         now = clock.now()
-        while pool.waiting:
-            handle = pool.waiting.popleft()
+        while pool.waiting_handles:
+            handle = pool.waiting_handles.popleft()
             attempt = self._attempts.get(handle)
             assert attempt is not None
             spec = attempt.spec
-            if now < min(spec.deadline, spec.start_before) and spec.is_connected():
-                self._send(connection, handle)
+            if now < min(spec.deadline, spec.start_deadline) and spec.is_connected():
+                self._send_request(connection, handle)
                 break
-            moot_handles.append(handle)
+            skipped_handles.append(handle)
         else:
             connection.last_activity_at = now
             pool.idle.append(connection)
-        for handle in moot_handles:  # no fault of the backend's, and not counted as one
-            self._end(handle, AttemptResult(Status.MOOT))
+        for handle in skipped_handles:  # the status MOOT does not count as a failure of the backend
+            self._end_attempt(handle, AttemptResult(Status.MOOT))
 
-    def _send(self, connection: Connection, handle: int) -> None:
+    def _send_request(self, connection: Connection, handle: int) -> None:
         attempt = self._attempts.get(handle)
         assert attempt is not None
         call = attempt.spec.payload
         assert isinstance(call, Call)
-        # After a stall of this process an endpoint update may lie unread for longer than a drain's grace period.
-        if self._deadlines.is_stalled(clock.now()) and not self._recheck(connection, handle, attempt):
+        # After a stall of this process, an endpoint update may have been unread for longer than the grace period of a
+        # backend that drains.
+        if self._deadlines.is_stalled(clock.now()) and not self._recheck_before_send(connection, handle, attempt):
             return
         attempt.connection = connection
         connection.attempt_handle = handle
         connection.is_reply_started = False
-        connection.flow = None
-        if call.flow is None:
+        connection.reply_stream = None
+        if call.body_stream is None:
             connection.write(call.encode(max(1, int((attempt.spec.deadline - clock.now()) * 1000.0))))
         else:
-            self._streaming.send_body(connection, handle, attempt, call, call.flow)
+            self._streaming.send_body(connection, handle, attempt, call, call.body_stream)
 
-    def _recheck(self, connection: Connection, handle: int, attempt: Attempt) -> bool:
+    def _recheck_before_send(self, connection: Connection, handle: int, attempt: Attempt) -> bool:
         self._read_endpoint_updates()
         is_attempt_open = self._attempts.get(handle) is attempt
         if connection.pool.state is READY and is_attempt_open:
             return True
         self._close(connection)
         if self._attempts.get(handle) is attempt:
-            self._end(handle, AttemptResult(Status.CONNECT_FAILED))
+            self._end_attempt(handle, AttemptResult(Status.CONNECT_FAILED))
         return False
 
     def on_body_failed(self, connection: Connection) -> None:
-        """Abandon the attempt; closing the connection shows the backend that the body is incomplete."""
-        self.give_up(connection.attempt_handle, Status.CANCELLED)
+        """Cancel the attempt; the backend learns that the body is incomplete when its connection closes."""
+        self.abandon_attempt(connection.attempt_handle, Status.CANCELLED)
 
     def on_long_value(self, connection: Connection, length: int) -> None:
-        """Stream a long reply to the client; its deadline is met by its first bytes."""
+        """Stream a long reply to the client; the deadline no longer applies after its first bytes."""
         self._streaming.begin_reply(connection, length)
 
     def on_reply(self, connection: Connection, result: AttemptResult, is_reusable: bool) -> None:
-        """End the attempt in flight; its connection is released first, or closed if it can't be used again."""
+        """End the attempt in flight, after releasing its connection or closing one that can't be reused."""
         handle = connection.attempt_handle
         connection.attempt_handle = NO_ATTEMPT
         detach_streams(connection)
@@ -203,48 +207,48 @@
             self._release(connection)
         else:
             self._close(connection)
-        self._end(handle, result)
+        self._end_attempt(handle, result)
 
     def on_reply_started(self, connection: Connection) -> None:
-        """Watch a reply that has begun: one that stalls is treated as malformed."""
-        self._deadlines.schedule(clock.now() + STALL, self._check_reply, connection.attempt_handle)
+        """Watch a reply that has begun; a reply that stalls is treated as malformed."""
+        self._deadlines.schedule(clock.now() + REPLY_STALL_TIMEOUT, self._check_reply, connection.attempt_handle)
 
     def _check_reply(self, handle: int) -> None:
         attempt = self._attempts.get(handle)
         connection = None if attempt is None else attempt.connection
         if connection is None or not connection.is_reply_started:
             return
-        flow = connection.flow
+        reply_stream = connection.reply_stream
         now = clock.now()
-        stalled_at = connection.last_activity_at + (STALL if flow is None else LONG_VALUE_TIMEOUT)
-        if flow is not None and flow.is_paused:
-            stalled_at = now + LONG_VALUE_TIMEOUT  # its reader takes its time
+        stalled_at = connection.last_activity_at + (REPLY_STALL_TIMEOUT if reply_stream is None else LONG_VALUE_TIMEOUT)
+        if reply_stream is not None and reply_stream.is_paused:
+            stalled_at = now + LONG_VALUE_TIMEOUT  # the client reads slowly, and the backend is not at fault
         if stalled_at <= now:
-            connection.on_malformed("a reply has begun and is incomplete")
+            connection.on_malformed("a reply stopped before its end")
         else:
             self._deadlines.schedule(stalled_at, self._check_reply, handle)
 
     def on_malformed(self, connection: Connection) -> None:
-        """End the attempt on a connection that was closed because of what arrived on it."""
+        """End the attempt on a connection that was closed because malformed bytes arrived on it."""
         status = Status.ERROR if connection.is_request_sent() else Status.CONNECT_FAILED
         handle = self._detach_closed(connection)
         if handle >= 0:
-            self._end(handle, AttemptResult(status))
+            self._end_attempt(handle, AttemptResult(status))
 
     def on_connection_lost(self, connection: Connection) -> None:
-        """End the attempt on a connection that the other end closed."""
+        """End the attempt on a connection that the backend closed or reset."""
         status = Status.RESET if connection.is_request_sent() else Status.CONNECT_FAILED
         handle = self._detach_closed(connection)
         if handle >= 0:
             address = connection.pool.address
             log.emit_rate_limited(
-                LogKind.RESET, f"{address} broke a connection with an attempt in flight", address=address
+                LogKind.RESET, f"backend {address} closed a connection with an attempt in flight", address=address
             )
-            self._end(handle, AttemptResult(status))
+            self._end_attempt(handle, AttemptResult(status))
 
     def _detach_closed(self, connection: Connection) -> int:
-        # Returns the handle of the attempt that was in flight. Both callers find its status before: a request that
-        # was not completely written was never executed, any other may have been.
+        # Returns the handle of the attempt that was in flight. Both callers determine its status before the call: a
+        # request that was not completely written was never executed, and any other request may have been.
         handle = connection.attempt_handle
         connection.attempt_handle = NO_ATTEMPT
         self.open_connections -= 1
@@ -254,27 +258,27 @@
         return handle
 
     def on_deadline(self, handle: int) -> None:
-        """End an attempt whose time is over."""
+        """End an attempt whose deadline has passed."""
         attempt = self._attempts.get(handle)
         if attempt is not None:
             is_sent = attempt.connection is not None and attempt.connection.is_request_sent()
-            self.give_up(handle, Status.TIMEOUT if is_sent else Status.CONNECT_FAILED)
+            self.abandon_attempt(handle, Status.TIMEOUT if is_sent else Status.CONNECT_FAILED)
 
-    def give_up(self, handle: int, status: Status) -> None:
-        """End an attempt before its reply, with that status; its connection is closed."""
+    def abandon_attempt(self, handle: int, status: Status) -> None:
+        """End an attempt with a status before its reply is complete, and close its connection."""
         attempt = self._attempts.get(handle)
         if attempt is None:
             return
         connection = attempt.connection
-        if connection is not None:  # closing it shows the backend that the reply is not awaited
+        if connection is not None:  # the close shows the backend that nobody waits for the reply
             connection.attempt_handle = NO_ATTEMPT
             self._close(connection)
             detach_streams(connection)
         elif pool := self._pools_by_id.get(attempt.spec.backend):
-            pool.waiting.remove(handle)
-        self._end(handle, AttemptResult(status))
+            pool.waiting_handles.remove(handle)
+        self._end_attempt(handle, AttemptResult(status))
 
-    def _end(self, handle: int, result: AttemptResult) -> None:
+    def _end_attempt(self, handle: int, result: AttemptResult) -> None:
         attempt = self._attempts.remove(handle)
         if attempt is not None:
             self._deadlines.cancel(attempt.timeout_call)
