--- a/benchmarks/overload_run.py
+++ b/benchmarks/overload_run.py
@@ -58,7 +58,7 @@
 # Run in place of the supervisor and of each member.
 NO_SHEDDING_CODE = (
     "import sys; from thymeflow.health import pressure; from thymeflow.shedding.threshold import AdmissionThreshold; "
-    "pressure.concurrency_limit = lambda *_: 1e9; pressure.shedding_fraction = lambda *_: 0.0; "
+    "pressure.compute_concurrency_limit = lambda *_: 1e9; pressure.compute_shedding_fraction = lambda *_: 0.0; "
     "AdmissionThreshold.tick = lambda self, now: 0.0; from thymeflow.cli import run; sys.exit(run())"
 )
 
--- a/tests/decision/test_balancing.py
+++ b/tests/decision/test_balancing.py
@@ -124,7 +124,7 @@
         send = sends(gateway.handle(100.0 + n, request(f"r{n}", customer=f"c{n}")))[0]
         gateway.backends[send.backend].last_response_at.update({"": 100.5 + n, "read": 100.5 + n})
         gateway.handle(100.9 + n, ended(f"r{n}", send, Status.TIMEOUT))
-    assert all(not s.consecutive_failures("read") for s in gateway.backends.values())
+    assert all(not s.count_consecutive_failures("read") for s in gateway.backends.values())
 
 
 def test_one_short_probe_is_sent_when_an_ejection_has_ended() -> None:
--- a/tests/decision/test_reserved_admission.py
+++ b/tests/decision/test_reserved_admission.py
@@ -261,7 +261,7 @@
     gateway.handle(100.0, request("r1", 1.0))
     (store,) = gateway.buckets.values()
     assert isinstance(store, StrictTokenBucket)
-    assert store.missing_units(inf) == inf
+    assert store.compute_missing_units(inf) == inf
     before = store.level
     for rate in (50.0, 5.0, 50.0):
         gateway.handle(100.0, SettingsChanged(settings(plans=(Plan("plain", rate, BURST),), information=COUNTER)))
--- a/tests/gossip/test_gossip.py
+++ b/tests/gossip/test_gossip.py
@@ -46,7 +46,7 @@
     bucket = only_store(gateways[0])
     assert bucket.remote_rate > 2.0 * PLAN.rate
     gateways[0].handle(60.0, request("s1", set_size=count))
-    assert bucket.quota_fraction(bucket.local_rate) == pytest.approx(1 / count)
+    assert bucket.compute_quota_fraction(bucket.local_rate) == pytest.approx(1 / count)
 
 
 def test_demand_is_still_reported_when_one_rendezvous_node_is_down() -> None:
--- a/tests/quota/test_token_bucket.py
+++ b/tests/quota/test_token_bucket.py
@@ -82,14 +82,16 @@
 def test_slice_follows_demand_and_returns_to_even_when_reports_stop() -> None:
     bucket = member()
     bucket.last_gossip_at = LATE
-    assert bucket.quota_fraction(bucket.local_rate) == pytest.approx(1 / 3)
+    assert bucket.compute_quota_fraction(bucket.local_rate) == pytest.approx(1 / 3)
     bucket.local_rate = 8.0
     bucket.remote_rate = 2.0
-    assert 1 / 3 < bucket.quota_fraction(bucket.local_rate) < 0.7  # peers report, but not yet about this customer
+    assert (
+        1 / 3 < bucket.compute_quota_fraction(bucket.local_rate) < 0.7
+    )  # peers report, but not yet about this customer
     bucket.last_update_at = LATE
-    assert bucket.quota_fraction(bucket.local_rate) == pytest.approx(0.8, abs=0.05)
+    assert bucket.compute_quota_fraction(bucket.local_rate) == pytest.approx(0.8, abs=0.05)
     bucket.refresh(LATE + 5.0)
-    assert bucket.quota_fraction(bucket.local_rate) == pytest.approx(1 / 3)
+    assert bucket.compute_quota_fraction(bucket.local_rate) == pytest.approx(1 / 3)
 
 
 @hypothesis_settings(derandomize=True, max_examples=200, deadline=None)
@@ -117,7 +119,7 @@
                 bucket.global_level -= 0.0 if number == where else units
         for bucket in buckets:
             bucket.refresh(now)
-            assert bucket.level <= PLAN.burst * bucket.quota_fraction(bucket.local_rate) + 1e-9
+            assert bucket.level <= PLAN.burst * bucket.compute_quota_fraction(bucket.local_rate) + 1e-9
     assert spent <= PLAN.burst + PLAN.rate * (now - LATE) + 3 * 4.0
 
 
--- a/thymeflow/decision/admission.py
+++ b/thymeflow/decision/admission.py
@@ -101,7 +101,7 @@
         limits = self._context.limits
         if not limits.retry_after:
             return 0.0
-        refill_rate = max(1e-9, bucket.plan.rate * bucket.quota_fraction(bucket.local_rate))
+        refill_rate = max(1e-9, bucket.plan.rate * bucket.compute_quota_fraction(bucket.local_rate))
         refill_seconds = (units - bucket.level) / refill_rate
         return min(max(MIN_RETRY_AFTER_SECONDS, refill_seconds), limits.max_retry_after)
 
@@ -109,13 +109,15 @@
         """Return why a request within its quota is rejected, if it is; full buckets come first."""
         context = self._context
         registry = self._registry
-        full_level = max(pending.request.units, bucket.plan.burst * bucket.quota_fraction(bucket.local_rate))
+        full_level = max(
+            pending.request.units, bucket.plan.burst * bucket.compute_quota_fraction(bucket.local_rate)
+        )
         deficit = 1.0 - min(1.0, max(0.0, bucket.level / full_level)) if bucket.plan.rate else 0.0
         backends = registry.warmed_up_backends * context.fraction_of(FleetResource.CONCURRENCY)
-        if registry.in_flight >= pressure.concurrency_limit(backends, deficit, registry.pressure):
+        if registry.in_flight >= pressure.compute_concurrency_limit(backends, deficit, registry.pressure):
             return RejectionReason.CONCURRENCY
         sample = context.rng.random()
-        local_fraction = pressure.shedding_fraction(deficit, registry.pressure)
+        local_fraction = pressure.compute_shedding_fraction(deficit, registry.pressure)
         fraction = context.fleet_bounds.adjust_shedding(
             pending.request_class, bucket.plan, bucket.customer_id, local_fraction
         )
--- a/thymeflow/decision/balancing.py
+++ b/thymeflow/decision/balancing.py
@@ -31,7 +31,7 @@
         candidates = self._healthy_backends(ready, pending.request_class.name)
         candidates = self._in_idempotency_scope(candidates, pending)
         endpoints = [backend.endpoint for backend in candidates]
-        warming_up = slow_start.target_loads(endpoints, self._context.now, settings.rules)
+        warming_up = slow_start.compute_target_loads(endpoints, self._context.now, settings.rules)
         # Slow start, sampled for each request: budgets that hundreds of gateways save up are spent in step.
         load = 0.0 if pending.attempts else sum(warming_up.values())
         if load and rng.random() * (max(1.0, len(ready) - len(warming_up)) + load) < load:
@@ -44,7 +44,7 @@
             weights = [max(0.01, backend.endpoint.weight) for backend in candidates]
             candidates = rng.choices(candidates, weights, k=sample_size)
         zone = settings.zone
-        return min(candidates, key=lambda b: (b.expected_wait(zone), rng.random()), default=None)
+        return min(candidates, key=lambda b: (b.compute_wait_score(zone), rng.random()), default=None)
 
     def _ready_backends(self) -> list[BackendStats]:
         backends = self._registry.backends.values()
--- a/thymeflow/decision/open_requests.py
+++ b/thymeflow/decision/open_requests.py
@@ -41,7 +41,7 @@
         self._registry.begin_attempt(backend, now)
         pending.bucket.attempts_in_flight += 1
         timeout = 0.0
-        if backend.consecutive_failures(pending.request_class.name):
+        if backend.count_consecutive_failures(pending.request_class.name):
             timeout = self._begin_half_open_probe(pending, backend)
         self._context.emit(StartAttempt(pending.request.id, backend.endpoint.id, timeout, start_within))
 
--- a/thymeflow/decision/reserved_admission.py
+++ b/thymeflow/decision/reserved_admission.py
@@ -71,7 +71,7 @@
         now = self._context.now
         bucket.refresh(now)
         self._buckets.join_set(bucket, event)
-        missing = bucket.missing_units(event.units)
+        missing = bucket.compute_missing_units(event.units)
         if missing <= 0.0 or event.remaining < MIN_REMAINING_SECONDS or self._reporter.is_unresponsive():
             return False
         waiting = self.waiting.get(customer_id)
@@ -85,7 +85,7 @@
     def _reserve(self, bucket: StrictTokenBucket, missing: float) -> bool:
         if not self._context.settings.information.counter or self._reporter.call_credit < 1.0:
             return False
-        call = bucket.reservation_call(missing)
+        call = bucket.build_reservation_call(missing)
         if call is None:
             return False
         self._reporter.start_call(call, bucket.customer_id)
--- a/thymeflow/health/backend_stats.py
+++ b/thymeflow/health/backend_stats.py
@@ -54,7 +54,7 @@
             if self.last_response_at.get(name, -inf) < sent_at:
                 self.record_failure(name, now)
 
-    def consecutive_failures(self, class_name: str) -> int:
+    def count_consecutive_failures(self, class_name: str) -> int:
         """Return the failures in a row that concern this class."""
         return max(self.failures.get(name, NO_FAILURES).failure_count for name in (ALL_CLASSES, class_name))
 
@@ -64,7 +64,7 @@
             self.failures[name].ejected_until <= now for name in (ALL_CLASSES, class_name) if name in self.failures
         )
 
-    def expected_wait(self, zone: str) -> float:
+    def compute_wait_score(self, zone: str) -> float:
         """Return a score that grows with queue length and latency; lower is better."""
         load = self.in_flight + 1.0 + (CROSS_ZONE_PENALTY if self.endpoint.zone != zone else 0.0)
         return load * max(0.1, self.relative_latency) / max(0.01, self.endpoint.weight)
--- a/thymeflow/health/pressure.py
+++ b/thymeflow/health/pressure.py
@@ -25,7 +25,7 @@
     return min(MAX_EJECTION_SECONDS, max(send_interval, MIN_EJECTION_SECONDS * 2.0**extra_failures))
 
 
-def concurrency_limit(backends: float, deficit: float, pressure: float) -> float:
+def compute_concurrency_limit(backends: float, deficit: float, pressure: float) -> float:
     """Return the attempts that may be in flight to so many warmed-up backends; fewer with an emptier bucket."""
     # A few slow requests among quick ones take much concurrency, which harms nobody while latency is low.
     extra = 1.0 + UNPRESSED_EXTRA * max(0.0, 1.0 - pressure / PRESSURE_THRESHOLD)
@@ -34,6 +34,6 @@
     return limit + 2.0 * sqrt(limit) + 1.0
 
 
-def shedding_fraction(deficit: float, pressure: float) -> float:
+def compute_shedding_fraction(deficit: float, pressure: float) -> float:
     """Return the fraction of requests that is rejected."""
     return SHEDDING_SLOPE * max(0.0, pressure - PRESSURE_THRESHOLD) * (0.5 + deficit)
--- a/thymeflow/health/slow_start.py
+++ b/thymeflow/health/slow_start.py
@@ -28,7 +28,7 @@
     )
 
 
-def target_loads(endpoints: Iterable[Backend], now: float, rules: Rules) -> dict[int, float]:
+def compute_target_loads(endpoints: Iterable[Backend], now: float, rules: Rules) -> dict[int, float]:
     """Return the load for each backend that is warming up, by its id."""
     # Few backends have a start time.
     loads = [
--- a/thymeflow/quota/strict.py
+++ b/thymeflow/quota/strict.py
@@ -84,7 +84,7 @@
         ceiling = min(self.plan.ceiling_burst, self.plan.ceiling_rate * elapsed) / self.member_count
         self.ceiling_level = min(self.ceiling_level, ceiling) if was_member_of_set else ceiling
 
-    def quota_fraction(self, local_rate: float) -> float:  # noqa: ARG002 (overrides)
+    def compute_quota_fraction(self, local_rate: float) -> float:  # noqa: ARG002 (overrides)
         """Return the fraction of the burst that a full base slice has."""
         return self._split().base_burst * self._base_fraction() / max(1e-9, self.plan.burst)
 
@@ -102,7 +102,7 @@
                 self.ceiling_level + self.plan.ceiling_rate / self.member_count * elapsed,
             )
 
-    def missing_units(self, units: float) -> float:
+    def compute_missing_units(self, units: float) -> float:
         """Return the units that are not there for a request, which would be admitted with them."""
         active = self._pool.active_units(self._moment()) if self._split().pool_rate else 0.0
         return max(0.0, units - max(0.0, self.level) - active - 1e-9) if self.plan.rate > 0 else 0.0
@@ -113,7 +113,7 @@
         max_in_flight = max(1, plan.max_concurrency // self.member_count) if plan.max_concurrency else inf
         if self.attempts_in_flight >= max_in_flight or (plan.ceiling_rate > 0 and units > self.ceiling_level):
             return False
-        return self.missing_units(units) <= 0.0
+        return self.compute_missing_units(units) <= 0.0
 
     def charge(self, units: float) -> None:
         """Charge the base first, as it refills without a call; units settled below their charge go back to it."""
@@ -126,7 +126,7 @@
         """Return False: units are reserved when a request wants them."""
         return False
 
-    def reservation_call(self, missing: float) -> AddToCounter | None:
+    def build_reservation_call(self, missing: float) -> AddToCounter | None:
         """Return the counter call that may bring what is missing, None where none can."""
         split = self._split()
         if not split.pool_rate:
--- a/thymeflow/quota/token_bucket.py
+++ b/thymeflow/quota/token_bucket.py
@@ -97,7 +97,7 @@
         """Return whether the last report of any peer or the counter is recent enough to be used."""
         return self.updated_at - self.last_gossip_at <= REPORT_TTL_SECONDS
 
-    def quota_fraction(self, local_rate: float) -> float:
+    def compute_quota_fraction(self, local_rate: float) -> float:
         """Return this limiter's fraction of the quota by demand, the even one while no reports come."""
         prior = PRIOR_DEMAND_FRACTION * self.plan.rate + 1e-9
         even = 1.0 / self.member_count
@@ -141,18 +141,18 @@
         else:
             distance = self.mean_cost + self.reserve - self.global_level
             step = distance * (1.0 - exp(-elapsed * self.remote_rate / self.reserve))
-            self.global_level += min(rate * (0.5 + 0.5 * self.quota_fraction(rate_before)) * elapsed, step)
+            self.global_level += min(rate * (0.5 + 0.5 * self.compute_quota_fraction(rate_before)) * elapsed, step)
         self.global_level = min(self.plan.burst, self.global_level)
 
     def _refill_slice(self, elapsed: float, rate_before: float, decay: float) -> None:
         mean_rate = rate_before
         if elapsed > 0:
             mean_rate = rate_before * (1.0 - decay) * self.local_rate_memory / elapsed
-        self.level += self.plan.rate * self.quota_fraction(mean_rate) * elapsed
+        self.level += self.plan.rate * self.compute_quota_fraction(mean_rate) * elapsed
         if self.has_recent_gossip():
-            target = self.quota_fraction(self.local_rate) * self.global_level
+            target = self.compute_quota_fraction(self.local_rate) * self.global_level
             self.level += (target - self.level) * (1.0 - decay)
-        self.level = min(self.level, self.plan.burst * self.quota_fraction(self.local_rate))
+        self.level = min(self.level, self.plan.burst * self.compute_quota_fraction(self.local_rate))
 
     def has_small_slices(self) -> bool:
         """Return whether an even slice is under a mean request, so that slices decide nothing."""
@@ -173,7 +173,7 @@
     def can_admit(self, units: float, sample: float) -> bool:
         """Return whether bucket, hard ceiling and concurrency cap admit a request; `sample` is from [0, 1)."""
         plan = self.plan
-        fraction = self.quota_fraction(self.local_rate)
+        fraction = self.compute_quota_fraction(self.local_rate)
         max_in_flight = max(1, int(plan.max_concurrency * fraction)) if plan.max_concurrency else inf
         if self.attempts_in_flight >= max_in_flight or (plan.ceiling_rate > 0 and units > self.ceiling_level):
             return False
--- a/thymeflow/snapshot/late_charges.py
+++ b/thymeflow/snapshot/late_charges.py
@@ -47,7 +47,7 @@
         if bucket is not None:
             # Settled units return only to a bucket that knows of the charge, and never beyond its share of the burst.
             bucket.charge(amount)
-            bucket.level = min(bucket.level, bucket.plan.burst * bucket.quota_fraction(bucket.local_rate))
+            bucket.level = min(bucket.level, bucket.plan.burst * bucket.compute_quota_fraction(bucket.local_rate))
             charged_count += 1
     return charged_count
 
