--- a/tests/decision/test_large_fleet.py
+++ b/tests/decision/test_large_fleet.py
@@ -21,8 +21,8 @@
     bucket = TokenBucket(plan, 1, 100.0, 0.0, 0.5)
     bucket.mean_cost = 2.0
     bucket.join_set(0, 40, 40, 0.0)
-    bucket.last_gossip_at = 99.0
-    bucket.last_update_at = 99.0
+    bucket.last_remote_report_at = 99.0
+    bucket.last_customer_report_at = 99.0
     bucket.local_rate = local_rate
     bucket.remote_rate = remote_rate
     bucket.global_level = 2.0
--- a/tests/gossip/test_gossip.py
+++ b/tests/gossip/test_gossip.py
@@ -138,7 +138,7 @@
         bucket.local_rate,
         bucket.remote_rate,
         bucket.level,
-        bucket.last_gossip_at,
+        bucket.last_remote_report_at,
         dict(gateway.aggregator.peer_sequences),
     )
     assert gateway.handle(10.0, GossipReceived(sender, data)) == []
@@ -146,7 +146,7 @@
         bucket.local_rate,
         bucket.remote_rate,
         bucket.level,
-        bucket.last_gossip_at,
+        bucket.last_remote_report_at,
         dict(gateway.aggregator.peer_sequences),
     )
 
--- a/tests/quota/test_token_bucket.py
+++ b/tests/quota/test_token_bucket.py
@@ -71,24 +71,24 @@
 def apply_report(bucket: TokenBucket, now: float, remote_rate: float, global_level: float) -> None:
     """Change a bucket as the aggregate of a rendezvous node does."""
     bucket.refresh(now)
-    bucket.last_gossip_at = now
+    bucket.last_remote_report_at = now
     bucket.remote_rate = remote_rate
     bucket.global_level = global_level
     bucket.remote_rate_memory = 5.0
     bucket.usage_ratio = 1.0
-    bucket.last_update_at = now
+    bucket.last_customer_report_at = now
 
 
 def test_slice_follows_demand_and_returns_to_even_when_reports_stop() -> None:
     bucket = member()
-    bucket.last_gossip_at = LATE
+    bucket.last_remote_report_at = LATE
     assert bucket.compute_quota_fraction(bucket.local_rate) == pytest.approx(1 / 3)
     bucket.local_rate = 8.0
     bucket.remote_rate = 2.0
     assert (
         1 / 3 < bucket.compute_quota_fraction(bucket.local_rate) < 0.7
     )  # peers report, but not yet about this customer
-    bucket.last_update_at = LATE
+    bucket.last_customer_report_at = LATE
     assert bucket.compute_quota_fraction(bucket.local_rate) == pytest.approx(0.8, abs=0.05)
     bucket.refresh(LATE + 5.0)
     assert bucket.compute_quota_fraction(bucket.local_rate) == pytest.approx(1 / 3)
@@ -105,7 +105,7 @@
         now += wait
         for number, bucket in enumerate(buckets):
             bucket.refresh(now)
-            bucket.last_gossip_at = now
+            bucket.last_remote_report_at = now
             bucket.is_aggregator = True
             bucket.remote_rate_memory = 1.5
             if number == where:
@@ -215,9 +215,9 @@
         for actions in [gateways[where].handle(now, request(f"r{number}", units, plan="capped"))]:
             level -= units * len(sends(actions))
         for bucket in gateways[where].buckets.values():
-            bucket.last_gossip_at = now
+            bucket.last_remote_report_at = now
             bucket.global_level = CAPPED.burst
-            gateways[where].token_buckets.last_gossip_at = now
+            gateways[where].token_buckets.last_remote_report_at = now
         assert level >= -CAPPED.ceiling_slack - 1e-6
 
 
--- a/tests/snapshot/test_restore.py
+++ b/tests/snapshot/test_restore.py
@@ -82,17 +82,17 @@
     spend(gateway, 10.0, 0.5, 4.0)
     bucket = only_bucket(gateway)
     bucket.level = -3.0
-    restored = only_bucket(restored_gateway(take_snapshot(gateway, bucket.updated_at), bucket.updated_at))
+    restored = only_bucket(restored_gateway(take_snapshot(gateway, bucket.refreshed_at), bucket.refreshed_at))
     assert restored.level == pytest.approx(-3.0)
     bucket.level = 29.0
     bucket.global_level = 29.0
-    snapshot = take_snapshot(gateway, bucket.updated_at)
+    snapshot = take_snapshot(gateway, bucket.refreshed_at)
     smaller_plan = (Plan("plain", rate=10.0, burst=6.0),)
-    restored = only_bucket(restored_gateway(snapshot, bucket.updated_at, plans=smaller_plan))
+    restored = only_bucket(restored_gateway(snapshot, bucket.refreshed_at, plans=smaller_plan))
     assert restored.level <= 6.0
     assert restored.global_level <= 6.0
     other_plan = (Plan("other", 1.0, 2.0),)
-    assert restored_gateway(snapshot, bucket.updated_at, plans=other_plan).buckets == {}
+    assert restored_gateway(snapshot, bucket.refreshed_at, plans=other_plan).buckets == {}
 
 
 def test_counter_call_is_uncertain_when_in_flight_at_the_snapshot() -> None:
--- a/thymeflow/daemon/status.py
+++ b/thymeflow/daemon/status.py
@@ -65,7 +65,7 @@
     limiter = instance.limiter
     gateway = limiter.gateway
     now = clock.now()
-    last_gossip_at = gateway.token_buckets.last_gossip_at
+    last_remote_report_at = gateway.token_buckets.last_remote_report_at
     return InstanceStatus(
         name=instance.name,
         incarnation=instance.incarnation,
@@ -82,7 +82,7 @@
         response_counts=limiter.dispatcher.response_counts,
         customers=len(gateway.buckets),
         pressure=gateway.registry.pressure,
-        seconds_since_gossip=now - last_gossip_at if last_gossip_at > 0 else None,
+        seconds_since_gossip=now - last_remote_report_at if last_remote_report_at > 0 else None,
         snapshot=instance.snapshot_file.status(),
         handover_state=handover_state,
         dropped_log_lines=instance.log_handler.file.dropped_lines,
--- a/thymeflow/decision/admission.py
+++ b/thymeflow/decision/admission.py
@@ -56,7 +56,7 @@
         if plan is None or event.remaining <= RETRY_MARGIN_SECONDS:
             context.emit(RejectRequest(event.id, RejectionReason.INVALID))
             return None
-        bucket = self._buckets.get_for(event, plan)
+        bucket = self._buckets.get_request_bucket(event, plan)
         request_class = context.classes.get(event.class_name)
         if request_class is None or not isfinite(
             event.remaining
--- a/thymeflow/decision/counter_first_admission.py
+++ b/thymeflow/decision/counter_first_admission.py
@@ -92,14 +92,14 @@
         if now - bucket.counter_called_at < MIN_CALL_INTERVAL_SECONDS:
             # That call may be in flight, and a total after two of them cannot be attributed.
             return False
-        if now - bucket.last_update_at < CURRENT_SECONDS or self._reporter.call_credit < 1.0:
+        if now - bucket.last_customer_report_at < CURRENT_SECONDS or self._reporter.call_credit < 1.0:
             return False
-        is_known = bucket.last_update_at > -inf
+        is_known = bucket.last_customer_report_at > -inf
         return not is_known or bucket.can_admit(units, sample)
 
     def on_counter_replied(self, event: CounterReplied) -> None:
         """Decide on the requests that waited for this reply."""
-        customer_id = self._reporter.customer_of(event.name)
+        customer_id = self._reporter.find_customer_id(event.name)
         counter_timeout = self._context.settings.information.counter_timeout
         if event.status is not Status.OK or event.latency > counter_timeout:
             self._reporter.set_call_rate_growth(CALL_RATE_GROWTH)
--- a/thymeflow/decision/gateway.py
+++ b/thymeflow/decision/gateway.py
@@ -157,7 +157,7 @@
         attempt = pending.attempts[event.attempt]
         pending.results[event.attempt] = event.status
         if not pending.response_started:  # else its capacity was given back as its response began
-            self.registry.release(attempt.backend)
+            self.registry.release_attempt(attempt.backend)
         pending.bucket.attempts_in_flight -= 1
         self._outcomes.record(pending, attempt, event)
         if event.request_answered or pending.is_answered:
@@ -171,7 +171,7 @@
         if pending is not None:
             pending.is_streaming = True
             pending.response_started = True
-            self.registry.release(pending.attempts[event.attempt].backend)
+            self.registry.release_attempt(pending.attempts[event.attempt].backend)
 
     def _on_request_body_started(self, event: RequestBodyStarted) -> None:
         """Note that a long body goes into the present attempt, so that there can be no other."""
--- a/thymeflow/decision/outcomes.py
+++ b/thymeflow/decision/outcomes.py
@@ -45,7 +45,7 @@
             _record_failure(backend, class_name, status, attempt.sent_at, now)
         if status in (Status.OK, Status.FULL, Status.TIMEOUT):
             observed_ratio = latency_ratio if status is Status.OK else max(latency_ratio, 1.0)
-            self._registry.observe_latency(observed_ratio, now)
+            self._registry.update_pressure_by_latency(observed_ratio, now)
         if event.quota_usage is not None:
             self._record_usage(pending.bucket, event.quota_usage)
 
@@ -55,7 +55,7 @@
         for number in pending.in_flight():
             backend, sent_at = pending.attempts[number]
             backend.record_no_response(pending.request_class.name, sent_at, now)
-            self._registry.observe_latency(1.0, now)
+            self._registry.update_pressure_by_latency(1.0, now)
 
     def _settle(self, pending: RequestState, actual_units: float) -> None:
         # The first good response settles the declared units.
--- a/thymeflow/decision/reserved_admission.py
+++ b/thymeflow/decision/reserved_admission.py
@@ -61,10 +61,10 @@
             sample = self._context.rng.random()
             self._admission.admit(pending, pending.bucket.can_admit(event.units, sample))
         # Units are reserved when a request wants them: there is nothing to report.
-        self._reporter.reports.discard(counter_encoding.customer_id(event.customer))
+        self._reporter.reports.discard(counter_encoding.compute_customer_id(event.customer))
 
     def _waits_for_reservation(self, event: RequestReceived, plan: Plan, reservation_count: int) -> bool:
-        customer_id = counter_encoding.customer_id(event.customer)
+        customer_id = counter_encoding.compute_customer_id(event.customer)
         bucket = self._buckets.get(customer_id, plan)
         if not isinstance(bucket, StrictTokenBucket) or reservation_count >= MAX_RESERVATIONS:
             return False
@@ -93,7 +93,7 @@
 
     def on_counter_replied(self, event: CounterReplied) -> None:
         """Admit the requests that waited for this reply, let them wait once more, or reject them."""
-        customer_id = self._reporter.customer_of(event.name)
+        customer_id = self._reporter.find_customer_id(event.name)
         self._reporter.on_reply(event)
         now = self._context.now
         for waiting in self.waiting.pop(customer_id, []):
--- a/thymeflow/gossip/aggregator.py
+++ b/thymeflow/gossip/aggregator.py
@@ -41,7 +41,7 @@
             return
         self.peer_sequences[sender] = (message.incarnation, message.sequence)
         self._buckets.record_remote_report()
-        self._registry.observe_peer_pressure(message.pressure)
+        self._registry.update_pressure_by_peer(message.pressure)
         for entry in message.entries:
             if entry.plan < len(context.settings.plans):
                 self._apply(sender, message.incarnation, entry)
@@ -56,7 +56,7 @@
         context = self._context
         bucket = self._buckets.get(entry.customer_id, context.settings.plans[entry.plan])
         bucket.refresh(context.now)
-        bucket.last_update_at = context.now
+        bucket.last_customer_report_at = context.now
         if not entry.is_aggregate:
             self._aggregate(bucket, sender, incarnation, entry)
         elif not bucket.is_aggregator and (not bucket.members or sender in bucket.members[:AGGREGATOR_COUNT]):
--- a/thymeflow/health/backend_registry.py
+++ b/thymeflow/health/backend_registry.py
@@ -58,7 +58,7 @@
         backend.last_sent_at = now
         self.in_flight += 1
 
-    def release(self, backend: BackendStats) -> None:
+    def release_attempt(self, backend: BackendStats) -> None:
         """Count one attempt less, as it has ended or its response has begun."""
         backend.in_flight -= 1
         self.in_flight -= 1
@@ -70,13 +70,13 @@
         backend.relative_latency += weight * (min(MAX_LATENCY_RATIO, relative) - backend.relative_latency)
         self.mean_latency_ratio += 0.5 * SMOOTHING * (latency_ratio - self.mean_latency_ratio)
 
-    def observe_latency(self, latency_ratio: float, now: float) -> None:
+    def update_pressure_by_latency(self, latency_ratio: float, now: float) -> None:
         """Update the pressure by a latency over its objective; rare samples weigh more."""
         weight = max(SMOOTHING, min(MAX_LATENCY_WEIGHT, 0.5 * (now - self._last_latency_at)))
         self.pressure += weight * (min(1.0, latency_ratio) - self.pressure)
         self._last_latency_at = now
 
-    def observe_peer_pressure(self, peer_pressure: float) -> None:
+    def update_pressure_by_peer(self, peer_pressure: float) -> None:
         """Update the pressure by that of a peer."""
         self.pressure += SMOOTHING * (peer_pressure - self.pressure)
 
--- a/thymeflow/quota/buckets.py
+++ b/thymeflow/quota/buckets.py
@@ -42,7 +42,7 @@
         self._create_bucket = create_bucket
         self.initial_fill = initial_fill
         self.by_customer: dict[int, TokenBucket] = {}
-        self.last_gossip_at = -inf  # s: when a peer or the counter last reported anything
+        self.last_remote_report_at = -inf  # s: when a peer or the counter last reported anything
 
     def create(self, plan: Plan, customer_id: int, start: BucketStart) -> TokenBucket:
         """Create a bucket that is not among these."""
@@ -58,11 +58,11 @@
         bucket.last_seen_at = context.now
         return bucket
 
-    def get_for(self, request: RequestReceived, plan: Plan) -> TokenBucket:
+    def get_request_bucket(self, request: RequestReceived, plan: Plan) -> TokenBucket:
         """Return the bucket of a request's customer, refilled up to now."""
         context = self._context
-        bucket = self.get(counter_encoding.customer_id(request.customer), plan)
-        bucket.last_gossip_at = self.last_gossip_at  # peers that report report all that matter
+        bucket = self.get(counter_encoding.compute_customer_id(request.customer), plan)
+        bucket.last_remote_report_at = self.last_remote_report_at  # peers that report report all that matter
         bucket.refresh(context.now)
         self.join_set(bucket, request)
         bucket.mean_cost += MEAN_COST_WEIGHT * (request.units - bucket.mean_cost) if bucket.mean_cost else request.units
@@ -78,9 +78,9 @@
     def record_remote_report(self, bucket: TokenBucket | None = None) -> None:
         """Record that a peer or the counter reported something now, of this customer if there is one."""
         now = self._context.now
-        self.last_gossip_at = now
+        self.last_remote_report_at = now
         if bucket is not None:
-            bucket.last_update_at = now
+            bucket.last_customer_report_at = now
 
     def apply_plans(self, set_changed: bool) -> None:
         """Fill buckets by the plans in force from now on; their levels stay."""
--- a/thymeflow/quota/counter_encoding.py
+++ b/thymeflow/quota/counter_encoding.py
@@ -23,7 +23,7 @@
 MIX_MULTIPLIER = 0xBF58476D1CE4E5B9
 
 
-def customer_id(customer: str) -> int:
+def compute_customer_id(customer: str) -> int:
     """Return the number by which every gateway knows a customer."""
     return int.from_bytes(hashlib.blake2b(customer.encode(), digest_size=4).digest(), "big")
 
--- a/thymeflow/quota/counter_reporter.py
+++ b/thymeflow/quota/counter_reporter.py
@@ -59,7 +59,7 @@
         """Return whether the last call went without a reply a short while ago, so that no request waits for one."""
         return self._context.now < self._unresponsive_until
 
-    def customer_of(self, counter_name: int) -> int:
+    def find_customer_id(self, counter_name: int) -> int:
         """Return the customer that the open call of a counter name is about, -1 where there is none."""
         return self.calls.get(counter_name, NO_CALL).customer_id
 
--- a/thymeflow/quota/strict.py
+++ b/thymeflow/quota/strict.py
@@ -49,7 +49,7 @@
         return 1.0 / self.member_count if self._index in self.members else 0.0
 
     def _moment(self) -> float:
-        return self.updated_at + self._clock_offset
+        return self.refreshed_at + self._clock_offset
 
     @property
     def local_rate_memory(self) -> float:
@@ -71,7 +71,7 @@
             self.customer_id, first_limiter, self.member_count, limiter_count
         )
         split = self._split()
-        elapsed = max(0.0, self.updated_at - started_at)
+        elapsed = max(0.0, self.refreshed_at - started_at)
         if not was_member_of_set:
             # A customer that was dropped requested nothing during the time-to-live; more is not known of it.
             filled = self._initial_fill * split.base_burst if self.member_count == 1 else 0.0
@@ -90,8 +90,8 @@
 
     def refresh(self, now: float) -> None:
         """Refill for the time that has passed."""
-        elapsed = max(0.0, now - self.updated_at)
-        self.updated_at = now
+        elapsed = max(0.0, now - self.refreshed_at)
+        self.refreshed_at = now
         self.local_rate *= exp(-elapsed / self.local_rate_memory)
         if self.members:
             split = self._split()
--- a/thymeflow/quota/token_bucket.py
+++ b/thymeflow/quota/token_bucket.py
@@ -38,7 +38,7 @@
         """`started_at` is when the gateway started; `initial_fill` the fraction of the burst assumed there then."""
         self.plan = plan
         self.customer_id = customer_id
-        self.updated_at = now
+        self.refreshed_at = now
         self.last_seen_at = now
         self.local_rate = 0.0  # demand here, units a second
         self.remote_rate = 0.0  # demand at the other limiters
@@ -49,11 +49,11 @@
         self.usage_ratio = MIN_USAGE_RATIO  # metered use over the quota
         self.remote_rate_memory = DEMAND_MEMORY_SECONDS
         self.is_aggregator = False
-        self.last_gossip_at = -inf
+        self.last_remote_report_at = -inf
         self.counter_called_at = -inf
         self.counter_ledger = CounterLedger(now)
         self.predicted_remote_usage = 0.0  # charges of others, deducted before they are reported
-        self.last_update_at = -inf  # when something was reported of this customer in particular
+        self.last_customer_report_at = -inf  # when something was reported of this customer in particular
         self.attempts_in_flight = 0
         self.peer_reports: dict[int, PeerReport] = {}
         # A restart forgets what was spent: the level is a fraction of the burst, refilled since the start.
@@ -84,7 +84,7 @@
         if not self.is_aggregator:
             self.remote_rate_memory = min(MAX_REMOTE_MEMORY_SECONDS, max(MIN_REMOTE_MEMORY_SECONDS, self.member_count))
         # The hard ceiling is safe alone: an even slice of rate and burst, empty at each start.
-        refilled = self.plan.ceiling_rate * (self.updated_at - started_at)
+        refilled = self.plan.ceiling_rate * (self.refreshed_at - started_at)
         even_slice = min(self.plan.ceiling_burst, refilled) / self.member_count
         self.ceiling_level = min(self.ceiling_level, self.ceiling_level * shrinkage) if previous_count else even_slice
 
@@ -93,9 +93,9 @@
         """Seconds over which local demand is remembered."""
         return DEMAND_MEMORY_SECONDS * max(1.0, self.member_count / SMALL_SET_SIZE)
 
-    def has_recent_gossip(self) -> bool:
+    def has_recent_remote_reports(self) -> bool:
         """Return whether the last report of any peer or the counter is recent enough to be used."""
-        return self.updated_at - self.last_gossip_at <= REPORT_TTL_SECONDS
+        return self.refreshed_at - self.last_remote_report_at <= REPORT_TTL_SECONDS
 
     def compute_quota_fraction(self, local_rate: float) -> float:
         """Return this limiter's fraction of the quota by demand, the even one while no reports come."""
@@ -103,17 +103,17 @@
         even = 1.0 / self.member_count
         # Local demand rises before that of others is reported: each limiter would take the complete bucket.
         by_demand = even
-        if self.has_recent_gossip():
+        if self.has_recent_remote_reports():
             by_demand = (local_rate + prior / self.member_count) / (local_rate + self.remote_rate + prior)
-        if self.updated_at - self.last_update_at <= REPORT_TTL_SECONDS:
+        if self.refreshed_at - self.last_customer_report_at <= REPORT_TTL_SECONDS:
             return by_demand
         return 0.5 * (by_demand + even)
 
     def refresh(self, now: float) -> None:
         """Refill for the time that has passed; a fraction that changes creates no units."""
-        elapsed = max(0.0, now - self.updated_at)
+        elapsed = max(0.0, now - self.refreshed_at)
         rate_before = self.local_rate
-        self.updated_at = now
+        self.refreshed_at = now
         decay = exp(-elapsed / self.local_rate_memory)
         self.local_rate = rate_before * decay
         self.remote_rate = self.remote_rate * exp(-elapsed / self.remote_rate_memory)
@@ -149,7 +149,7 @@
         if elapsed > 0:
             mean_rate = rate_before * (1.0 - decay) * self.local_rate_memory / elapsed
         self.level += self.plan.rate * self.compute_quota_fraction(mean_rate) * elapsed
-        if self.has_recent_gossip():
+        if self.has_recent_remote_reports():
             target = self.compute_quota_fraction(self.local_rate) * self.global_level
             self.level += (target - self.level) * (1.0 - decay)
         self.level = min(self.level, self.plan.burst * self.compute_quota_fraction(self.local_rate))
@@ -162,8 +162,8 @@
         # What was requested here before is known at once, and the others probably had as much each.
         previous = max(0.0, self.local_rate - units / self.local_rate_memory)
         demand = max(previous + self.remote_rate, previous * self.member_count)
-        has_gossip = self.has_recent_gossip()
-        is_current = self.updated_at <= self.last_update_at
+        has_gossip = self.has_recent_remote_reports()
+        is_current = self.refreshed_at <= self.last_customer_report_at
         reserve = max(0.0, self.global_level - units) if has_gossip else 0.0
         # Where use beyond the quota has no cost, units are lent that the set does not have.
         is_covered = units <= self.global_level or (has_gossip and not self.plan.over_quota_cost)
@@ -181,7 +181,7 @@
             return True
         if self.has_small_slices():
             return self._admits_by_sampling(units, sample)
-        if not self.has_recent_gossip():
+        if not self.has_recent_remote_reports():
             # An even slice that is full admits one request; what it lacks becomes debt.
             return min(units, plan.burst * fraction * 0.999) <= self.level
         # Units of the set are lent by sampling, so that not all limiters lend the same ones at once.
--- a/thymeflow/snapshot/restore.py
+++ b/thymeflow/snapshot/restore.py
@@ -75,7 +75,7 @@
     return StoreRecord(
         number=bucket.customer_id,
         plan=bucket.plan.name,
-        at=bucket.updated_at,
+        at=bucket.refreshed_at,
         seen=bucket.last_seen_at,
         level=bucket.level,
         fleet=bucket.global_level,
@@ -191,12 +191,12 @@
 
 def _restored_bucket(record: StoreRecord, plan: Plan, snapshot: Snapshot, now: float, gateway: Gateway) -> TokenBucket:
     bucket = gateway.token_buckets.create(plan, record.number, BucketStart(now, now, 0.0))
-    updated_at = min(record.at, now)  # a clock that was stepped back must not refill twice
-    _restore_fields(bucket, record, plan, updated_at)
+    refreshed_at = min(record.at, now)  # a clock that was stepped back must not refill twice
+    _restore_fields(bucket, record, plan, refreshed_at)
     bucket.last_seen_at = now
     bucket.counter_ledger.read_at = min(bucket.counter_ledger.read_at, now)
     local_rate = bucket.local_rate
-    gap_seconds = max(0.0, now - updated_at)
+    gap_seconds = max(0.0, now - refreshed_at)
     bucket.refresh(now)
     if not snapshot.final:
         # It may have spent until just now: its demand is the best estimate, and what is not in the bucket cannot
@@ -206,8 +206,8 @@
     return bucket
 
 
-def _restore_fields(bucket: TokenBucket, record: StoreRecord, plan: Plan, updated_at: float) -> None:
-    bucket.updated_at = updated_at
+def _restore_fields(bucket: TokenBucket, record: StoreRecord, plan: Plan, refreshed_at: float) -> None:
+    bucket.refreshed_at = refreshed_at
     bucket.level = min(record.level, plan.burst)
     bucket.global_level = min(record.fleet, plan.burst)
     bucket.local_rate = max(0.0, record.own)
