--- a/tests/gossip/test_gossip_format.py
+++ b/tests/gossip/test_gossip_format.py
@@ -25,8 +25,11 @@
     messages = [
         gossip(0, 0, 0.0).hex(),
         gossip(0xFFFF, 0x1FFFF, 7.0, codec.Entry(1, 127, True, -1.0, 1e9)).hex(),
-        *(gossip(513, 700 + number, 0.456, *chunk).hex() for number, chunk in enumerate(codec.chunks(entries))),
-        gossip(1, 2, 0.3, *codec.chunks([])[0]).hex(),
+        *(
+            gossip(513, 700 + number, 0.456, *chunk).hex()
+            for number, chunk in enumerate(codec.split_into_chunks(entries))
+        ),
+        gossip(1, 2, 0.3, *codec.split_into_chunks([])[0]).hex(),
     ]
     assert_as_recorded("gossip", messages)
 
@@ -36,4 +39,6 @@
     invalid = [b"", valid[0][:-1], valid[1] + b"\0", b"\x02" + valid[0][1:], valid[2] + bytes(9)]
     assert_as_recorded("gossip values", [gossip_values(data) for data in valid + invalid])
     pairs = ((5.0, 2.0), (1.0, 16383.0))
-    assert_as_recorded("gossip differences", [[codec.increase(*pair), codec.change(*pair)] for pair in pairs])
+    assert_as_recorded(
+        "gossip differences", [[codec.compute_increase(*pair), codec.compute_change(*pair)] for pair in pairs]
+    )
--- a/tests/quota/test_counter_reports.py
+++ b/tests/quota/test_counter_reports.py
@@ -165,7 +165,7 @@
     requested = 0.0
     charged = 0.0
     total = 0.0
-    name = counter_encoding.counter_name(7, 100.0, rate, burst)
+    name = counter_encoding.build_counter_name(7, 100.0, rate, burst)
     ledger = CounterLedger(0.0)
     for more, change in reports:
         requested = requested + more * quota
--- a/thymeflow/gossip/aggregator.py
+++ b/thymeflow/gossip/aggregator.py
@@ -16,8 +16,8 @@
 )
 
 SEQUENCE_HALF = 0x8000  # sequence numbers wrap: a difference under this is newer
-MAX_FIRST_REPORT = 2.0  # times the largest request: units of a first report that are accepted
-MAX_REPORT = 10.0  # times the burst, or the largest request: units of a later report that are accepted
+MAX_FIRST_REPORT_RATIO = 2.0  # times the largest request: units of a first report that are accepted
+MAX_REPORT_RATIO = 10.0  # times the burst, or the largest request: units of a later report that are accepted
 
 
 class GossipAggregator:
@@ -44,7 +44,7 @@
         self._registry.update_pressure_by_peer(message.pressure)
         for entry in message.entries:
             if entry.plan < len(context.settings.plans):
-                self._apply(sender, message.incarnation, entry)
+                self._apply_entry(sender, message.incarnation, entry)
 
     def _is_new(self, sender: int, message: codec.Message) -> bool:
         incarnation, last = self.peer_sequences.get(sender, (-1, 0))
@@ -52,28 +52,30 @@
             return False
         return incarnation != message.incarnation or 0 < (message.sequence - last) & 0xFFFF < SEQUENCE_HALF
 
-    def _apply(self, sender: int, incarnation: int, entry: codec.Entry) -> None:
+    def _apply_entry(self, sender: int, incarnation: int, entry: codec.Entry) -> None:
         context = self._context
         bucket = self._buckets.get(entry.customer_id, context.settings.plans[entry.plan])
         bucket.refresh(context.now)
         bucket.last_customer_report_at = context.now
         if not entry.is_aggregate:
-            self._aggregate(bucket, sender, incarnation, entry)
+            self._aggregate_report(bucket, sender, incarnation, entry)
         elif not bucket.is_aggregator and (not bucket.members or sender in bucket.members[:AGGREGATOR_COUNT]):
             bucket.global_level = min(bucket.plan.burst, entry.first)
             bucket.remote_rate_memory = MIN_REMOTE_MEMORY_SECONDS
             bucket.usage_ratio = 1.0
             bucket.remote_rate = max(0.0, entry.second - bucket.local_rate)
 
-    def _aggregate(self, bucket: TokenBucket, sender: int, incarnation: int, entry: codec.Entry) -> None:
+    def _aggregate_report(self, bucket: TokenBucket, sender: int, incarnation: int, entry: codec.Entry) -> None:
         max_units = self._context.settings.information.max_units
         previous = bucket.peer_reports.get(sender)
         is_first = previous is None or previous.incarnation != incarnation
-        units = codec.increase(entry.first, 0.0 if previous is None or is_first else previous.requested)
-        charged = codec.change(entry.second, 0.0 if previous is None or is_first else previous.charged)
+        units = codec.compute_increase(entry.first, 0.0 if previous is None or is_first else previous.requested)
+        charged = codec.compute_change(entry.second, 0.0 if previous is None or is_first else previous.charged)
         bucket.peer_reports[sender] = PeerReport(incarnation, entry.first, entry.second, self._context.now)
         self._publisher.request_reply(bucket.customer_id, (sender,))
-        max_accepted = MAX_FIRST_REPORT * max_units if is_first else MAX_REPORT * max(bucket.plan.burst, max_units)
+        max_accepted = (
+            MAX_FIRST_REPORT_RATIO * max_units if is_first else MAX_REPORT_RATIO * max(bucket.plan.burst, max_units)
+        )
         if units <= max_accepted:
             bucket.is_aggregator = True
             bucket.remote_rate_memory = DEMAND_MEMORY_SECONDS
--- a/thymeflow/gossip/codec.py
+++ b/thymeflow/gossip/codec.py
@@ -56,7 +56,7 @@
     return header + b"".join(entry.encode() for entry in message.entries)
 
 
-def chunks(entries: Sequence[Entry]) -> list[tuple[Entry, ...]]:
+def split_into_chunks(entries: Sequence[Entry]) -> list[tuple[Entry, ...]]:
     """Split entries into chunks that fit a message; one empty chunk where there are none."""
     return [tuple(entries[start : start + MAX_ENTRIES]) for start in range(0, max(1, len(entries)), MAX_ENTRIES)]
 
@@ -79,11 +79,11 @@
     return Message(incarnation, sequence, min(1.0, pressure / 100.0), entries)
 
 
-def increase(amount: float, previous: float) -> float:
+def compute_increase(amount: float, previous: float) -> float:
     """Return by how many units a wrapping amount rose."""
     return (amount - previous) % WRAP_UNITS
 
 
-def change(amount: float, previous: float) -> float:
+def compute_change(amount: float, previous: float) -> float:
     """Return by how many units a wrapping amount changed, up or down."""
     return (amount - previous + WRAP_UNITS / 2.0) % WRAP_UNITS - WRAP_UNITS / 2.0
--- a/thymeflow/gossip/publisher.py
+++ b/thymeflow/gossip/publisher.py
@@ -115,7 +115,7 @@
     def _send(self, outbox: _Outbox) -> None:
         pressure = self._registry.pressure
         for peer, entries in outbox.entries.items():
-            for chunk in codec.chunks(entries):
+            for chunk in codec.split_into_chunks(entries):
                 self._sequence = (self._sequence + 1) & 0xFFFF
                 self._allowance -= 1.0
                 message = codec.Message(self._incarnation, self._sequence, pressure, chunk)
--- a/thymeflow/health/backend_registry.py
+++ b/thymeflow/health/backend_registry.py
@@ -49,7 +49,7 @@
     def count_warmed_up_backends(self, now: float, rules: Rules) -> None:
         """Bring the number of warmed-up backends up to now."""
         endpoints = [backend.endpoint for backend in self.backends.values()]
-        self.warmed_up_backends = slow_start.equivalent_backends(endpoints, now, rules)
+        self.warmed_up_backends = slow_start.compute_warmed_up_backends(endpoints, now, rules)
 
     def begin_attempt(self, backend: BackendStats, now: float) -> None:
         """Count an attempt that is sent to a backend."""
--- a/thymeflow/health/backend_stats.py
+++ b/thymeflow/health/backend_stats.py
@@ -43,7 +43,7 @@
         """Count a failure; from some in a row on it ejects the backend, longer with each further one."""
         increment = EJECTION_FAILURES if self.send_interval > RARELY_USED_SECONDS else 1
         count = self.failures.get(class_name, NO_FAILURES).failure_count + increment
-        length = pressure.ejection_seconds(count - EJECTION_FAILURES, self.send_interval)
+        length = pressure.compute_ejection_seconds(count - EJECTION_FAILURES, self.send_interval)
         until = now + max(length, self.probe_interval()) if count >= EJECTION_FAILURES else -inf
         self.failures[class_name] = FailureStreak(count, until)
 
--- a/thymeflow/quota/counter_ledger.py
+++ b/thymeflow/quota/counter_ledger.py
@@ -23,7 +23,7 @@
     seconds: float
 
 
-NOTHING_UNCERTAIN = UncertainAmount(-1, 0.0)
+NO_UNCERTAIN_AMOUNT = UncertainAmount(-1, 0.0)
 
 
 @dataclass(slots=True)
@@ -35,7 +35,7 @@
     reported_charges: float = 0.0
     counter_name: int = -1  # under which the last total was read
     last_total: float = 0.0
-    uncertain: UncertainAmount = NOTHING_UNCERTAIN
+    uncertain: UncertainAmount = NO_UNCERTAIN_AMOUNT
 
     def report(self, name: int, requested: float, charged: float) -> int:
         """Return the amount to add for what was requested and charged so far; it counts as reported from now on."""
@@ -68,14 +68,14 @@
         since = self.read_at
         if name != self.counter_name or counter_encoding.is_reset(total - previous_total):
             previous_total = 0.0
-            since = now - counter_encoding.window_age(customer, now)
+            since = now - counter_encoding.compute_window_age(customer, now)
         increase = total - previous_total - own_amount - uncertain
         if counter_encoding.is_reset(increase):
             increase += uncertain
         self.counter_name = name
         self.last_total = total
         self.read_at = now
-        self.uncertain = NOTHING_UNCERTAIN
+        self.uncertain = NO_UNCERTAIN_AMOUNT
         seconds = max(0.0, now - since)
         if counter_encoding.is_reset(increase):
             return RemoteUsage(0.0, 0.0, seconds)
--- a/thymeflow/quota/counter_reporter.py
+++ b/thymeflow/quota/counter_reporter.py
@@ -71,7 +71,7 @@
         now = self._context.now
         buckets = map(self._buckets.by_customer.get, self.reports.pending)
         unsent = [bucket for bucket in buckets if bucket and bucket.needs_counter_update(now)]
-        unsent.sort(key=_negative_unreported_ratio)
+        unsent.sort(key=_compute_negative_unreported_ratio)
         for bucket in unsent[: max(0, int(self.call_credit - self._reserved_calls))]:
             self.report(bucket)
             del self.reports.pending[bucket.customer_id]
@@ -80,7 +80,7 @@
         """Add to the counter what was requested and charged since the last report."""
         now = self._context.now
         plan = bucket.plan
-        name = counter_encoding.counter_name(bucket.customer_id, now, plan.rate, plan.burst)
+        name = counter_encoding.build_counter_name(bucket.customer_id, now, plan.rate, plan.burst)
         amount = bucket.counter_ledger.report(name, bucket.requested_units, bucket.charged_units)
         self.start_call(AddToCounter(name, amount, 2.0 * counter_encoding.WINDOW_SECONDS), bucket.customer_id)
         bucket.counter_called_at = now
@@ -119,6 +119,6 @@
         self.call_rate = min(MAX_CALLS_PER_SECOND, max(MIN_CALLS_PER_SECOND, self.call_rate * factor))
 
 
-def _negative_unreported_ratio(bucket: TokenBucket) -> float:
+def _compute_negative_unreported_ratio(bucket: TokenBucket) -> float:
     unreported = bucket.counter_ledger.reported_units - bucket.requested_units
     return unreported / max(bucket.plan.rate, 1e-9)
--- a/thymeflow/quota/probabilistic_admission.py
+++ b/thymeflow/quota/probabilistic_admission.py
@@ -8,7 +8,7 @@
 MIN_BIAS = 0.7
 
 
-def demand_bias(over_quota_cost: float) -> float:
+def compute_demand_bias(over_quota_cost: float) -> float:
     """Return the factor by which estimated demand is raised: over-admission has its cost, rejection its own."""
     return max(MIN_BIAS, MAX_BIAS * over_quota_cost / (over_quota_cost + HALF_BIAS_COST))
 
--- a/thymeflow/quota/reservations.py
+++ b/thymeflow/quota/reservations.py
@@ -59,7 +59,7 @@
     return QuotaSplit(rate - pool_rate, burst - pool_rate * window, pool_rate, window)
 
 
-def window_name(customer_id: int, rate: float, burst: float, window: int) -> int:
+def build_window_name(customer_id: int, rate: float, burst: float, window: int) -> int:
     """Return a window's counter name; limiters that know another quota of the customer use another one."""
     quota = hashlib.blake2b(struct.pack("<dd", rate, burst), digest_size=1).digest()[0] % RESERVATION_NAMES
     return (RESERVATION_NAMES | quota) << 56 | customer_id << 24 | window % 2**24
@@ -109,7 +109,7 @@
                 if span.last > moment - length
             ]
 
-    def active_units(self, moment: float) -> float:
+    def count_active_units(self, moment: float) -> float:
         """Return the units that may be used now."""
         self.advance(moment)
         active = (min(moment, span.last) - span.first for span in self._spans if span.first < moment)
--- a/thymeflow/quota/strict.py
+++ b/thymeflow/quota/strict.py
@@ -32,23 +32,23 @@
         self._index = index
         self._clock_offset = clock_offset
         self._initial_fill = initial_fill
-        self._split_of = (plan, 1)
+        self._split_inputs = (plan, 1)
         self._current_split = reservations.split_quota(plan.rate, plan.burst, 1)
         self._pool = reservations.ReservationPool(self._current_split, customer_id)
         super().__init__(plan, customer_id, now, started_at, initial_fill)
 
-    def _split(self) -> reservations.QuotaSplit:
-        plan, member_count = self._split_of
+    def _update_split(self) -> reservations.QuotaSplit:
+        plan, member_count = self._split_inputs
         if plan is not self.plan or member_count != self.member_count:  # earlier reservations are of another quota
-            self._split_of = (self.plan, self.member_count)
+            self._split_inputs = (self.plan, self.member_count)
             self._current_split = reservations.split_quota(self.plan.rate, self.plan.burst, self.member_count)
             self._pool = reservations.ReservationPool(self._current_split, self.customer_id)
         return self._current_split
 
-    def _base_fraction(self) -> float:
+    def _compute_base_fraction(self) -> float:
         return 1.0 / self.member_count if self._index in self.members else 0.0
 
-    def _moment(self) -> float:
+    def _compute_shared_time(self) -> float:
         return self.refreshed_at + self._clock_offset
 
     @property
@@ -67,16 +67,16 @@
         previous_count = self.member_count
         self.set_changed = False
         self.member_count = min(max(1, set_size), limiter_count)
-        self.members = counter_encoding.rendezvous_order(
+        self.members = counter_encoding.compute_rendezvous_order(
             self.customer_id, first_limiter, self.member_count, limiter_count
         )
-        split = self._split()
+        split = self._update_split()
         elapsed = max(0.0, self.refreshed_at - started_at)
         if not was_member_of_set:
             # A customer that was dropped requested nothing during the time-to-live; more is not known of it.
             filled = self._initial_fill * split.base_burst if self.member_count == 1 else 0.0
             filled += split.base_rate * min(IDLE_BUCKET_TTL_SECONDS, elapsed)
-            self.level = self._base_fraction() * min(split.base_burst, filled)
+            self.level = self._compute_base_fraction() * min(split.base_burst, filled)
         elif not was_inside:
             self.level = min(self.level, 0.0)
         else:
@@ -86,7 +86,7 @@
 
     def compute_quota_fraction(self, local_rate: float) -> float:  # noqa: ARG002 (overrides)
         """Return the fraction of the burst that a full base slice has."""
-        return self._split().base_burst * self._base_fraction() / max(1e-9, self.plan.burst)
+        return self._update_split().base_burst * self._compute_base_fraction() / max(1e-9, self.plan.burst)
 
     def refresh(self, now: float) -> None:
         """Refill for the time that has passed."""
@@ -94,8 +94,8 @@
         self.refreshed_at = now
         self.local_rate *= exp(-elapsed / self.local_rate_memory)
         if self.members:
-            split = self._split()
-            fraction = self._base_fraction()
+            split = self._update_split()
+            fraction = self._compute_base_fraction()
             self.level = min(fraction * split.base_burst, self.level + fraction * split.base_rate * elapsed)
             self.ceiling_level = min(
                 self.plan.ceiling_burst / self.member_count,
@@ -104,7 +104,7 @@
 
     def compute_missing_units(self, units: float) -> float:
         """Return the units that are not there for a request, which would be admitted with them."""
-        active = self._pool.active_units(self._moment()) if self._split().pool_rate else 0.0
+        active = self._pool.count_active_units(self._compute_shared_time()) if self._update_split().pool_rate else 0.0
         return max(0.0, units - max(0.0, self.level) - active - 1e-9) if self.plan.rate > 0 else 0.0
 
     def can_admit(self, units: float, sample: float) -> bool:  # noqa: ARG002 (overrides)
@@ -119,7 +119,11 @@
         """Charge the base first, as it refills without a call; units settled below their charge go back to it."""
         self.charged_units += units
         uncovered = units - max(0.0, min(units, self.level))
-        used = self._pool.use(uncovered, self._moment()) if uncovered > 0.0 and self._split().pool_rate else 0.0
+        used = (
+            self._pool.use(uncovered, self._compute_shared_time())
+            if uncovered > 0.0 and self._update_split().pool_rate
+            else 0.0
+        )
         self.level -= units - used
 
     def needs_counter_update(self, now: float) -> bool:  # noqa: ARG002 (overrides)
@@ -128,26 +132,26 @@
 
     def build_reservation_call(self, missing: float) -> AddToCounter | None:
         """Return the counter call that may bring what is missing, None where none can."""
-        split = self._split()
+        split = self._update_split()
         if not split.pool_rate:
             return None
-        demand = max(0.0, self.local_rate - split.base_rate * self._base_fraction())
-        reservation = self._pool.plan_reservation(missing, demand, self._moment())
+        demand = max(0.0, self.local_rate - split.base_rate * self._compute_base_fraction())
+        reservation = self._pool.plan_reservation(missing, demand, self._compute_shared_time())
         if reservation is None:
             return None
         name_lifetime = RESERVED_WINDOWS * split.window_seconds + LATE_CALL_SECONDS
-        return AddToCounter(self._window_name(reservation.window), reservation.units, name_lifetime)
+        return AddToCounter(self._build_window_name(reservation.window), reservation.units, name_lifetime)
 
-    def _window_name(self, window: int) -> int:
-        return reservations.window_name(self.customer_id, self.plan.rate, self.plan.burst, window)
+    def _build_window_name(self, window: int) -> int:
+        return reservations.build_window_name(self.customer_id, self.plan.rate, self.plan.burst, window)
 
     def on_counter_total(self, name: int, amount: float, total: float, now: float) -> None:
         """Take in the total after a reservation."""
         moment = now + self._clock_offset
-        self._split()
+        self._update_split()
         self._pool.advance(moment)
         for window in (self._pool.window - 1, self._pool.window):
-            if name == self._window_name(window):
+            if name == self._build_window_name(window):
                 self._pool.on_reserved(window, amount, total, moment)
 
     def on_counter_uncertain(self, name: int, amount: float) -> None:
--- a/thymeflow/quota/token_bucket.py
+++ b/thymeflow/quota/token_bucket.py
@@ -71,7 +71,7 @@
         previous_count = self.member_count if self.members else 0
         self.set_changed = False
         self.member_count = min(max(1, set_size), limiter_count)
-        self.members = counter_encoding.rendezvous_order(
+        self.members = counter_encoding.compute_rendezvous_order(
             self.customer_id, first_limiter, self.member_count, limiter_count
         )
         # In a set of another size the slice shrinks with the others' and never grows, so no units are created.
@@ -167,7 +167,7 @@
         reserve = max(0.0, self.global_level - units) if has_gossip else 0.0
         # Where use beyond the quota has no cost, units are lent that the set does not have.
         is_covered = units <= self.global_level or (has_gossip and not self.plan.over_quota_cost)
-        bias = 1.0 if is_current else probabilistic_admission.demand_bias(self.plan.over_quota_cost)
+        bias = 1.0 if is_current else probabilistic_admission.compute_demand_bias(self.plan.over_quota_cost)
         return is_covered and probabilistic_admission.is_sampled(sample, demand, self.plan.rate, reserve, bias)
 
     def can_admit(self, units: float, sample: float) -> bool:
