--- a/thymeflow/quota/__init__.py
+++ b/thymeflow/quota/__init__.py
@@ -1,1 +1,1 @@
-"""Customers' quotas: token buckets, counter encoding and ledger, reservations."""
+"""Customer quotas: token buckets, counter encoding, counter ledger and reservations."""
--- a/thymeflow/quota/buckets.py
+++ b/thymeflow/quota/buckets.py
@@ -1,4 +1,4 @@
-"""The token buckets of all customers seen lately, and which customers have unreported use."""
+"""The token buckets of recently seen customers, and the queue of customers whose use is not reported yet."""
 
 from __future__ import annotations
 
@@ -12,17 +12,20 @@
 from thymeflow.quota import counter_encoding
 from thymeflow.quota.token_bucket import TokenBucket
 
-INITIAL_FILL_FRACTION = 0.5  # of the burst: level after a start, for what earlier incarnations may have spent
-IDLE_BUCKET_TTL_SECONDS = 20.0  # buckets of idle customers are full again before; over a counter's window
-MEAN_COST_WEIGHT = 0.1  # of a new request in the mean cost of a customer's requests
+# A bucket's level when the gateway starts, as a fraction of the burst. The other half stands for the units that an
+# earlier incarnation may have spent just before.
+INITIAL_FILL_FRACTION = 0.5
+# The bucket of an idle customer is full again within this time. The time is also longer than a counter window.
+IDLE_BUCKET_TTL_SECONDS = 20.0
+MEAN_COST_WEIGHT = 0.1  # Weight of a new request in the running mean of a customer's request cost
 
 
 class BucketStart(NamedTuple):
-    """From what a new bucket begins; times are in s."""
+    """Times and level from which a new bucket is initialized; times are in s."""
 
     now: float
-    started_at: float  # when the gateway started
-    initial_fill: float  # fraction of the burst assumed in the bucket then
+    started_at: float  # Start time of the gateway
+    initial_fill: float  # Level that is assumed at `started_at`, as a fraction of the burst
 
 
 BucketFactory = Callable[[GatewaySettings, Plan, int, BucketStart], TokenBucket]
@@ -37,19 +40,23 @@
     """Token buckets by customer id."""
 
     def __init__(self, context: DecisionContext, create_bucket: BucketFactory, initial_fill: float) -> None:
-        """`initial_fill` is a fraction of the burst: 0 for a limiter that joins a set whose units are all allocated."""
+        """Create an empty collection.
+
+        `initial_fill` is the level of new buckets at the gateway's start, as a fraction of the burst. It is 0 for a
+        limiter that joins a set whose units are all allocated to other members.
+        """
         self._context = context
         self._create_bucket = create_bucket
         self.initial_fill = initial_fill
         self.by_customer: dict[int, TokenBucket] = {}
-        self.last_remote_report_at = -inf  # s: when a peer or the counter last reported anything
+        self.last_remote_report_at = -inf  # Time in s of the last report of a peer or the counter, on any customer
 
     def create(self, plan: Plan, customer_id: int, start: BucketStart) -> TokenBucket:
-        """Create a bucket that is not among these."""
+        """Return a new bucket, which is not added to the collection."""
         return self._create_bucket(self._context.settings, plan, customer_id, start)
 
     def get(self, customer_id: int, plan: Plan) -> TokenBucket:
-        """Return the bucket of a customer, a new one for a customer that is not known."""
+        """Return the bucket of a customer; create it if there is none."""
         context = self._context
         bucket = self.by_customer.get(customer_id)
         if bucket is None:
@@ -59,31 +66,32 @@
         return bucket
 
     def get_request_bucket(self, request: RequestReceived, plan: Plan) -> TokenBucket:
-        """Return the bucket of a request's customer, refilled up to now."""
+        """Return the bucket of a request's customer, refilled up to now, with the request in its mean cost."""
         context = self._context
         bucket = self.get(counter_encoding.compute_customer_id(request.customer), plan)
-        bucket.last_remote_report_at = self.last_remote_report_at  # peers that report report all that matter
+        # Peers report every customer with relevant demand, so a report on any customer also informs about this one.
+        bucket.last_remote_report_at = self.last_remote_report_at
         bucket.refresh(context.now)
         self.join_set(bucket, request)
         bucket.mean_cost += MEAN_COST_WEIGHT * (request.units - bucket.mean_cost) if bucket.mean_cost else request.units
         return bucket
 
     def join_set(self, bucket: TokenBucket, request: RequestReceived) -> None:
-        """Give a bucket its slice of the set that the request names, unless it has one."""
+        """Give a bucket its slice of the set that the request names, unless it has a slice of the current set."""
         if not bucket.members or bucket.set_changed:
             context = self._context
             limiter_count = context.settings.limiter_count
             bucket.join_set(request.first_limiter, request.set_size, limiter_count, context.started_at)
 
     def record_remote_report(self, bucket: TokenBucket | None = None) -> None:
-        """Record that a peer or the counter reported something now, of this customer if there is one."""
+        """Record a report that a peer or the counter sent now, for the customer of `bucket` if one is given."""
         now = self._context.now
         self.last_remote_report_at = now
         if bucket is not None:
             bucket.last_customer_report_at = now
 
     def apply_plans(self, set_changed: bool) -> None:
-        """Fill buckets by the plans in force from now on; their levels stay."""
+        """Assign the plans in force to the buckets. Levels stay, and later refills use the new plans."""
         context = self._context
         for bucket in self.by_customer.values():
             bucket.refresh(context.now)
@@ -91,7 +99,7 @@
             bucket.set_changed = bucket.set_changed or set_changed
 
     def drop_idle(self) -> None:
-        """Drop the buckets of idle customers; most customers come once."""
+        """Drop the buckets of idle customers. Most customers send one request only, so buckets would accumulate."""
         now = self._context.now
         self.by_customer = {
             customer_id: bucket
@@ -101,23 +109,23 @@
 
 
 class ReportQueue:
-    """Customers whose use is to be reported to peers or the counter, in the order in which it arose."""
+    """Customers whose use must be reported to peers or the counter, in the order of their first unreported use."""
 
     def __init__(self) -> None:
-        self.pending: dict[int, None] = {}  # customers to be reported now
-        self.deferred: dict[int, None] = {}  # customers to be reported in the next round
+        self.pending: dict[int, None] = {}  # Customers to report in the current round
+        self.deferred: dict[int, None] = {}  # Customers to report in the next round
 
     def discard(self, customer_id: int) -> None:
-        """Report a customer neither now nor in the next round."""
+        """Remove a customer from the current and the next round."""
         self.pending.pop(customer_id, None)
         self.deferred.pop(customer_id, None)
 
     def begin_round(self, known: dict[int, TokenBucket]) -> None:
-        """Make deferred customers pending, and drop those that are not known any more."""
+        """Make deferred customers pending, and drop customers without a bucket among the `known` ones."""
         updates = self.pending | self.deferred
         self.pending = {customer_id: None for customer_id in updates if customer_id in known}
         self.deferred = {}
 
     def clear_pending(self) -> None:
-        """Note that all pending customers were reported."""
+        """Empty the current round, because all pending customers were reported."""
         self.pending = {}
--- a/thymeflow/quota/counter_encoding.py
+++ b/thymeflow/quota/counter_encoding.py
@@ -1,11 +1,13 @@
-"""Customer ids, rendezvous nodes, and names and amounts at the counter: stateless arithmetic, no decisions.
+"""Computes customer ids, rendezvous order, counter names and counter amounts. Stateless arithmetic, no decisions.
 
-A customer's total has a new name in each window, so that the first reading already gives a rate.
-Windows of different customers begin at different times: all would move to new names at once.
+A customer's total at the counter has a new name in each window. The total of a new name starts at 0, so a limiter can
+compute a rate from the first total that it reads. Windows of different customers begin at different times, because
+otherwise all customers would move to new names at once.
 
-A total encodes two amounts in one number: steps of requested units, and above them, from REQUESTED_STEP_COUNT on, steps of
-charged units. The sum of such numbers is the number of the sums. A step is scaled by the quota, to a power of two that
-the name includes: limiters with another quota of the plan in force never read one another's steps.
+An amount encodes requested and charged units in one number: requested steps + REQUESTED_STEP_COUNT * charged steps.
+Adding amounts adds both parts. The size of a step is a fraction of the scale, which is a power of two that follows the
+quota. The counter name includes the scale, so limiters that know different quotas for a plan use different names and
+never read each other's steps.
 """
 
 from __future__ import annotations
@@ -13,26 +15,28 @@
 import hashlib
 from math import frexp
 
-WINDOW_SECONDS = 10.0  # how long a counter name is in use
-REQUESTED_STEP_COUNT = 4096  # 16 times what a quota gives in a window
-CHARGED_STEP_COUNT = (
-    2048  # twice that; with REQUESTED_STEP_COUNT within the seven digits of a total (PROTOCOL, counter)
-)
-REQUESTED_STEP_FRACTION = 16.0 / REQUESTED_STEP_COUNT  # of the scale
-CHARGED_STEP_FRACTION = 2.0 / CHARGED_STEP_COUNT  # of the scale
-SCALE_EXPONENT_OFFSET = 32  # the scale 1 in a name: other scales lie below and above, and none is 0
+WINDOW_SECONDS = 10.0  # A counter name is in use for one window.
+# Requested units are encoded up to 16 times the units that the quota allows in a window.
+REQUESTED_STEP_COUNT = 4096
+# Charged units are encoded up to twice the units that the quota allows in a window. REQUESTED_STEP_COUNT *
+# CHARGED_STEP_COUNT stays below 10^7, because a total is exact to seven digits only (PROTOCOL, counter).
+CHARGED_STEP_COUNT = 2048
+REQUESTED_STEP_FRACTION = 16.0 / REQUESTED_STEP_COUNT  # Step size as a fraction of the scale
+CHARGED_STEP_FRACTION = 2.0 / CHARGED_STEP_COUNT  # Step size as a fraction of the scale
+# Added to the scale's binary exponent in a name. Scales below 1 have a positive number in the name too, and none has 0.
+SCALE_EXPONENT_OFFSET = 32
 HASH_MULTIPLIER = 0x9E3779B97F4A7C15
 MIX_MULTIPLIER = 0xBF58476D1CE4E5B9
 
 
 def compute_customer_id(customer: str) -> int:
-    """Return the number by which every gateway knows a customer."""
+    """Return the customer's 32-bit id, a hash of its name that is the same at every gateway."""
     return int.from_bytes(hashlib.blake2b(customer.encode(), digest_size=4).digest(), "big")
 
 
-def compute_rendezvous_order(customer: int, first_limiter: int, count: int, limiter_count: int) -> list[int]:
-    """Return a customer's set in rendezvous order, the same at every gateway."""
-    members = [(first_limiter + k) % limiter_count for k in range(count)]
+def compute_rendezvous_order(customer: int, first_limiter: int, set_size: int, limiter_count: int) -> list[int]:
+    """Return the limiters of a customer's set, sorted by a hash; the order is the same at every gateway."""
+    members = [(first_limiter + offset) % limiter_count for offset in range(set_size)]
     return sorted(members, key=lambda member: (customer ^ member * HASH_MULTIPLIER) * MIX_MULTIPLIER % 2**64)
 
 
@@ -45,16 +49,19 @@
 
 
 def build_counter_name(customer: int, now: float, rate: float, burst: float) -> int:
-    """Return the name in use now for a customer with this quota."""
+    """Return the counter name that is in use at the time `now` for a customer with this quota."""
     exponent = frexp(rate * WINDOW_SECONDS + burst)[1] + SCALE_EXPONENT_OFFSET
-    scale = min(2 * SCALE_EXPONENT_OFFSET - 1, max(1, exponent))
-    return scale << 56 | customer << 24 | int(_compute_window_position(customer, now)) % 2**24
+    scale_exponent = min(2 * SCALE_EXPONENT_OFFSET - 1, max(1, exponent))
+    return scale_exponent << 56 | customer << 24 | int(_compute_window_position(customer, now)) % 2**24
 
 
 def encode(name: int, requested: float, charged: float) -> int:
-    """Return one amount to add for requested and charged units; `decode` returns how much of them it includes."""
+    """Return the amount to add to the total of a name for requested and charged units.
+
+    The units are rounded to steps and limited to the encodable range; `decode` returns the units that were encoded.
+    """
     scale = _parse_scale(name)
-    # More steps would be read as a charge: the rest is reported with the next call.
+    # More requested steps would be decoded as charged units. The caller reports the remaining units with its next call.
     steps = min(REQUESTED_STEP_COUNT - 1, int(max(0.0, requested) / scale / REQUESTED_STEP_FRACTION))
     charged_steps = round(
         min(CHARGED_STEP_FRACTION * CHARGED_STEP_COUNT, max(-1.0, charged / scale)) / CHARGED_STEP_FRACTION
@@ -63,18 +70,21 @@
 
 
 def decode(name: int, amount: float) -> tuple[float, float]:
-    """Return the requested and charged units in such an amount, or in a sum or difference of several."""
+    """Return the requested and charged units that an amount, or a sum or difference of amounts, encodes."""
     scale = _parse_scale(name)
     charged, requested = divmod(round(amount), REQUESTED_STEP_COUNT)
     return requested * REQUESTED_STEP_FRACTION * scale, charged * CHARGED_STEP_FRACTION * scale
 
 
 def is_reset(increase: float) -> bool:
-    """Return whether a total changed as no amounts can, since requests never fall: the counter lost its totals."""
+    """Return whether the counter lost its totals, judged by the change of a total.
+
+    Requested units only ever increase, so a change that decodes to fewer requested units is impossible otherwise.
+    """
     too_low = -REQUESTED_STEP_COUNT * CHARGED_STEP_COUNT / 8
     return round(increase) % REQUESTED_STEP_COUNT > REQUESTED_STEP_COUNT // 2 or increase < too_low
 
 
 def compute_window_age(customer: int, now: float) -> float:
-    """Return the seconds since the present window began."""
+    """Return the time in seconds since the customer's current window began."""
     return _compute_window_position(customer, now) % 1.0 * WINDOW_SECONDS
--- a/thymeflow/quota/counter_ledger.py
+++ b/thymeflow/quota/counter_ledger.py
@@ -1,4 +1,4 @@
-"""What was reported to the counter about one customer, and what it replied: state and arithmetic, no decisions."""
+"""Reports of a gateway to the counter about one customer, and the totals read. State and arithmetic, no decisions."""
 
 from __future__ import annotations
 
@@ -9,14 +9,14 @@
 
 
 class UncertainAmount(NamedTuple):
-    """What calls added that got no reply, probably: under which name, and how much."""
+    """The amount that calls without a reply have probably added to the total of a counter name."""
 
     name: int
     amount: float
 
 
 class RemoteUsage(NamedTuple):
-    """What the other limiters requested and charged, in units, and over how many seconds."""
+    """The units that the other limiters requested and charged during a number of seconds."""
 
     requested: float
     charged: float
@@ -28,17 +28,20 @@
 
 @dataclass(slots=True)
 class CounterLedger:
-    """One customer's counter calls at this gateway. Amounts are as `counter_encoding.encode` makes them."""
+    """One customer's counter calls at this gateway. Amounts are encoded by `counter_encoding.encode`."""
 
-    read_at: float  # s: when the last total was read; at first, when this was created
+    read_at: float  # Time in s when the last total was read, or when the ledger was created if none was read
     reported_units: float = 0.0
     reported_charges: float = 0.0
-    counter_name: int = -1  # under which the last total was read
+    counter_name: int = -1  # Counter name of the last total that was read, -1 before the first
     last_total: float = 0.0
     uncertain: UncertainAmount = NO_UNCERTAIN_AMOUNT
 
     def report(self, name: int, requested: float, charged: float) -> int:
-        """Return the amount to add for what was requested and charged so far; it counts as reported from now on."""
+        """Return the amount that reports the requested and charged units so far, and count it as reported.
+
+        `requested` and `charged` are units since the bucket was created; the amount encodes their unreported part.
+        """
         amount = counter_encoding.encode(name, requested - self.reported_units, charged - self.reported_charges)
         self._add_reported(name, amount, 1.0)
         return amount
@@ -49,26 +52,27 @@
         self.reported_charges += sign * charged
 
     def retract(self, name: int, amount: float) -> None:
-        """Report the amount again with the next call, as nothing was added."""
+        """Count an amount as unreported, because the counter did not add it; the next call reports it again."""
         self._add_reported(name, amount, -1.0)
 
     def mark_uncertain(self, name: int, amount: float) -> None:
-        """Note a call that got no reply, or a corrupt one."""
+        """Record the amount of a call that got no reply or a corrupt one, and may or may not have been added."""
         previous = self.uncertain.amount if self.uncertain.name == name else 0.0
         self.uncertain = UncertainAmount(name, amount + previous)
 
     def read_total(self, name: int, total: float, own_amount: float, now: float, customer: int) -> RemoteUsage:
-        """Return what others requested and charged since the last reading, by a total with `own_amount` in it.
+        """Return the units that other limiters requested and charged since the last total was read.
 
-        Under another name, or where the counter lost its totals, the total is what was added since the window began. A
-        call that got no reply may not have been added after all.
+        `total` includes `own_amount`, the amount of the call that it replies to. If the name is new or the counter lost
+        its totals, the total is compared with 0, its value when the window began. Uncertain amounts are deducted unless
+        the remaining increase is impossible with them: in that case the calls without a reply were not added.
         """
         uncertain = self.uncertain.amount if self.uncertain.name == name else 0.0
         previous_total = self.last_total
-        since = self.read_at
+        interval_started_at = self.read_at
         if name != self.counter_name or counter_encoding.is_reset(total - previous_total):
             previous_total = 0.0
-            since = now - counter_encoding.compute_window_age(customer, now)
+            interval_started_at = now - counter_encoding.compute_window_age(customer, now)
         increase = total - previous_total - own_amount - uncertain
         if counter_encoding.is_reset(increase):
             increase += uncertain
@@ -76,7 +80,7 @@
         self.last_total = total
         self.read_at = now
         self.uncertain = NO_UNCERTAIN_AMOUNT
-        seconds = max(0.0, now - since)
+        seconds = max(0.0, now - interval_started_at)
         if counter_encoding.is_reset(increase):
             return RemoteUsage(0.0, 0.0, seconds)
         requested, charged = counter_encoding.decode(name, increase)
--- a/thymeflow/quota/counter_reporter.py
+++ b/thymeflow/quota/counter_reporter.py
@@ -1,4 +1,4 @@
-"""Counter calls of a gateway: which customers are reported, at which rate, and what the replies change."""
+"""Reports customers to the counter, limits the rate of these calls, and applies the replies to the buckets."""
 
 from __future__ import annotations
 
@@ -14,16 +14,16 @@
 from thymeflow.quota.buckets import ReportQueue, TokenBuckets
 from thymeflow.quota.token_bucket import TokenBucket
 
-MIN_CALLS_PER_SECOND = 0.5  # of one limiter
-MAX_CALLS_PER_SECOND = 120.0
-INITIAL_FLEET_CALLS_PER_SECOND = 200.0  # with which all limiters together start
-CALL_RATE_GROWTH = 1.05  # for each counter reply in time
-CALL_RATE_DECREASE = 0.8  # for each counter reply that is late or missing
-PAUSE_AFTER_LOST_CALL_SECONDS = 1.0  # in which no request waits for another call
+MIN_CALLS_PER_SECOND = 0.5  # Lower bound on one limiter's call rate
+MAX_CALLS_PER_SECOND = 120.0  # Upper bound on one limiter's call rate
+INITIAL_FLEET_CALLS_PER_SECOND = 200.0  # Initial call rate of all limiters together
+CALL_RATE_GROWTH = 1.05  # Factor on the call rate for each counter reply in time
+CALL_RATE_DECREASE = 0.8  # Factor on the call rate for each counter reply that is late or missing
+PAUSE_AFTER_LOST_CALL_SECONDS = 1.0  # After a call without a reply, no request waits for the counter during this time.
 
 
 class CounterCall(NamedTuple):
-    """A counter call without a reply yet."""
+    """A counter call that has no reply yet."""
 
     customer_id: int
     amount: float
@@ -33,51 +33,51 @@
 
 
 class CounterReporter:
-    """Reports use to the counter, and paces its calls by the replies, as an overloaded counter serves nobody."""
+    """Reports use to the counter, and lowers the call rate when replies show that the counter is overloaded."""
 
     def __init__(self, context: DecisionContext, buckets: TokenBuckets, reports: ReportQueue) -> None:
         self._context = context
         self._buckets = buckets
         self.reports = reports
-        self.calls: dict[int, CounterCall] = {}  # without a reply, by counter name
+        self.calls: dict[int, CounterCall] = {}  # Calls without a reply, by counter name
         initial_rate = INITIAL_FLEET_CALLS_PER_SECOND / context.settings.limiter_count
         self.call_rate = max(MIN_CALLS_PER_SECOND, min(MAX_CALLS_PER_SECOND, initial_rate))
         self.call_credit = self.call_rate
         self._call_rate_growth = CALL_RATE_GROWTH
-        self._reserved_calls = 0.0  # calls that are left to requests that wait for the counter
+        self._reserved_calls = 0.0  # Calls kept for requests that wait for the counter
         self._unresponsive_until = -inf
 
     def set_call_rate_growth(self, factor: float) -> None:
-        """Set the growth of the call rate for each reply in time."""
+        """Set the factor by which each reply in time raises the call rate."""
         self._call_rate_growth = factor
 
     def reserve_calls(self, fraction: float) -> None:
-        """Keep this fraction of a second's calls for requests that wait for the counter."""
+        """Keep a fraction of one second's calls for requests that wait for the counter."""
         self._reserved_calls = fraction * max(1.0, self.call_rate)
 
     def is_unresponsive(self) -> bool:
-        """Return whether the last call went without a reply a short while ago, so that no request waits for one."""
+        """Return whether a call went without a reply recently; requests then don't wait for the counter."""
         return self._context.now < self._unresponsive_until
 
     def find_customer_id(self, counter_name: int) -> int:
-        """Return the customer that the open call of a counter name is about, -1 where there is none."""
+        """Return the customer id of the open call for a counter name, or -1 if there is no such call."""
         return self.calls.get(counter_name, NO_CALL).customer_id
 
     def send_pending(self, elapsed_seconds: float) -> None:
-        """Report pending customers, those with the most unreported demand over their rate first."""
-        # One call may always be saved up: with a credit under one call, there would never be another.
+        """Report pending customers, in descending order of unreported units over the plan's rate."""
+        # The credit can always grow to one call, because with a smaller maximum no call would ever be made.
         rate = min(self.call_rate, self._context.limit_of(FleetResource.COUNTER_CALLS))
         self.call_credit = min(max(1.0, rate), self.call_credit + rate * elapsed_seconds)
         now = self._context.now
         buckets = map(self._buckets.by_customer.get, self.reports.pending)
-        unsent = [bucket for bucket in buckets if bucket and bucket.needs_counter_update(now)]
-        unsent.sort(key=_compute_negative_unreported_ratio)
-        for bucket in unsent[: max(0, int(self.call_credit - self._reserved_calls))]:
+        buckets_to_report = [bucket for bucket in buckets if bucket and bucket.needs_counter_update(now)]
+        buckets_to_report.sort(key=_compute_negative_unreported_ratio)
+        for bucket in buckets_to_report[: max(0, int(self.call_credit - self._reserved_calls))]:
             self.report(bucket)
             del self.reports.pending[bucket.customer_id]
 
     def report(self, bucket: TokenBucket) -> None:
-        """Add to the counter what was requested and charged since the last report."""
+        """Add a customer's requested and charged units since the last report to the counter."""
         now = self._context.now
         plan = bucket.plan
         name = counter_encoding.build_counter_name(bucket.customer_id, now, plan.rate, plan.burst)
@@ -86,13 +86,13 @@
         bucket.counter_called_at = now
 
     def start_call(self, call: AddToCounter, customer_id: int) -> None:
-        """Start a counter call about a customer."""
+        """Emit a counter call for a customer, and remember the call until its reply."""
         self.call_credit -= 1.0
         self._context.emit(call)
         self.calls[call.name] = CounterCall(customer_id, call.amount)
 
     def on_reply(self, event: CounterReplied) -> None:
-        """Adapt the rate of calls, and update the bucket that the call was about."""
+        """Adapt the call rate to a reply, and update the bucket of the call's customer."""
         now = self._context.now
         call = self.calls.pop(event.name, NO_CALL)
         is_ok = event.status is Status.OK
--- a/thymeflow/quota/reservations.py
+++ b/thymeflow/quota/reservations.py
@@ -1,16 +1,18 @@
-"""A quota split into a base and a pool, with reservations at the counter for units of the pool. No I/O, no clock.
+"""Splits a quota into a base and a pool, and reserves units of the pool at the counter. No I/O, no clock.
 
-Of a quota (rate r, burst b) each limiter of the customer's set has an even slice of a base, a bucket of its own that
-needs no message from others. The rest is a pool of rate p whose units lie along time: p of them in a second. A unit
-becomes active at its moment and expires w seconds later. Time is divided into windows of that length w, each with a
-total of its own at the counter: a limiter that adds k and reads the total t has reserved the units from t - k to t of
-that window, whichever limiters reserve in whichever order. What can be used between two moments so lies between the
-first less w and the second: over any time T all limiters together use at most
+A quota has the rate r and the burst b. Each limiter of the customer's set has an even slice of the base, which is a
+bucket of its own that needs no messages from other limiters. The remaining quota is the pool, with the rate p. The
+pool creates p units per second. Each unit becomes active at a fixed time and expires w seconds later. Time is divided
+into windows of the length w, and each window has its own total at the counter. A limiter that adds k units and reads
+the total t has reserved the units from t - k to t of that window. The reservations of different limiters never
+overlap, in whatever order they are made. The units that can be used between two points in time became active between
+w seconds before the first and the second. So all limiters together use, during any time T, at most
 
     base + pool  <=  (b - p w) + (r - p) T  +  p w + p T  =  b + r T.
 
-A counter that loses its totals hands out again what is active then, which adds p w at most, each time. One that is
-down hands out nothing, and the base is left. The derivations: docs/design/budgets.md.
+If the counter loses its totals, the units that are active then can be reserved again. Each loss adds at most p w units.
+While the counter is down nothing can be reserved, and only the base remains. See docs/design/budgets.md for the
+derivations.
 """
 
 from __future__ import annotations
@@ -21,34 +23,37 @@
 from math import ceil, floor
 from typing import NamedTuple
 
-# The base is what is left without a counter. More of the rate would be wasted where traffic is uneven: a limiter of
-# three with 70% of it can use 0.4 / 3 + 0.6 = 73% of the quota.
+# The base is the part of the quota that works without a counter. A larger base would waste more of the rate when
+# traffic is uneven, because a limiter cannot use the base slices of others. With a fraction of 0.4, one limiter of
+# three that gets 70% of the traffic can use 0.4 / 3 + 0.6 = 73% of the quota.
 BASE_RATE_FRACTION = 0.4
 BASE_BURST_FRACTION = 0.3
-PREFETCH_SECONDS = 0.25  # of local demand: reserved beyond what is missing now
-ROUND_TRIP_SECONDS = 0.1  # of a call; what it reserves must not expire by then
-MAX_WINDOW_SECONDS = 25.0  # a counter name expires after 60 s at most, and two windows are reserved from
-STEPS_PER_UNIT = 64.0  # amounts are integral numbers of steps: totals are exact to seven digits
-RESERVATION_NAMES = 64  # top byte from which names of reservations begin; names of counter updates lie below
+PREFETCH_SECONDS = 0.25  # A reservation covers the local demand of this time, if that is more than the missing units.
+ROUND_TRIP_SECONDS = 0.1  # Assumed duration of a counter call; units must not expire before its reply
+# A counter name expires after 60 s at most, and reservations use the names of two windows at a time.
+MAX_WINDOW_SECONDS = 25.0
+STEPS_PER_UNIT = 64.0  # Amounts are multiples of 1/64 unit, because totals are exact to seven digits only.
+# Lowest top byte in the counter names of reservations. Names from `counter_encoding` have lower top bytes.
+MIN_RESERVATION_NAME_BYTE = 64
 
 
 @dataclass(frozen=True, slots=True)
 class QuotaSplit:
-    """Base and pool of a quota, over the complete set."""
+    """The base and the pool of a quota, summed over all limiters of the set."""
 
-    base_rate: float  # units a second
-    base_burst: float
-    pool_rate: float  # 0: there is no pool
+    base_rate: float  # Units per second
+    base_burst: float  # Units
+    pool_rate: float  # Units per second; 0 if there is no pool
     window_seconds: float
 
     @property
     def window_units(self) -> float:
-        """Units of the pool in a window."""
+        """The number of units that the pool creates in one window."""
         return self.pool_rate * self.window_seconds
 
 
 def split_quota(rate: float, burst: float, limiter_count: int = 2) -> QuotaSplit:
-    """Split the quota of a set; a limiter alone has nothing to share, and needs no counter."""
+    """Return the split of a set's quota; a limiter that is alone in its set gets all of it as base, without a pool."""
     without_pool = QuotaSplit(rate, burst, 0.0, 1.0)
     if rate <= 0.0 or limiter_count == 1:
         return without_pool
@@ -60,86 +65,88 @@
 
 
 def build_window_name(customer_id: int, rate: float, burst: float, window: int) -> int:
-    """Return a window's counter name; limiters that know another quota of the customer use another one."""
-    quota = hashlib.blake2b(struct.pack("<dd", rate, burst), digest_size=1).digest()[0] % RESERVATION_NAMES
-    return (RESERVATION_NAMES | quota) << 56 | customer_id << 24 | window % 2**24
+    """Return a window's counter name; limiters that know different quotas of the customer use different names."""
+    quota = hashlib.blake2b(struct.pack("<dd", rate, burst), digest_size=1).digest()[0] % MIN_RESERVATION_NAME_BYTE
+    return (MIN_RESERVATION_NAME_BYTE | quota) << 56 | customer_id << 24 | window % 2**24
 
 
 class Reservation(NamedTuple):
-    """What to add to which window's total."""
+    """Units to add to the total of a window."""
 
     window: int
     units: float
 
 
 class ActiveSpan(NamedTuple):
-    """Reserved units, by the moments at which the first and the last of them become active."""
+    """Reserved units, given by the times in s at which the first and the last unit become active."""
 
-    first: float
-    last: float
+    first_at: float
+    last_at: float
 
 
 class ReservationPool:
     """One limiter's reservations for one customer.
 
-    Moments are seconds on a clock that all limiters of the set share, and never go back.
+    Each `moment` is a time in s on a clock that all limiters of the set share; it must never go back.
     """
 
     def __init__(self, split: QuotaSplit, customer_id: int) -> None:
         self.split = split
-        self._phase = customer_id % 1000 / 1000.0  # windows of different customers begin at different times
+        self._phase = customer_id % 1000 / 1000.0  # Windows of different customers begin at different times.
         self.window = -1
         self._window_started_at = 0.0
-        self._totals = [0.0, 0.0]  # as last read: of the previous window, and of this one
+        self._totals = [0.0, 0.0]  # Last totals that were read for the previous and the current window
         self._spans: list[ActiveSpan] = []
 
     def advance(self, moment: float) -> None:
-        """Drop expired reservations, and begin a new total with its window."""
+        """Drop expired units, and start with an unread total when a new window has begun."""
         length = self.split.window_seconds
-        turns = moment / length + self._phase
-        window = floor(turns)
+        window_position = moment / length + self._phase
+        window = floor(window_position)
         if window > self.window:
             self._totals = [self._totals[1] if window == self.window + 1 else 0.0, 0.0]
             self.window = window
-            self._window_started_at = moment - (turns - window) * length
-        if self._spans and self._spans[0].first < moment - length:
+            self._window_started_at = moment - (window_position - window) * length
+        if self._spans and self._spans[0].first_at < moment - length:
             self._spans = [
-                ActiveSpan(max(moment - length, span.first), span.last)
+                ActiveSpan(max(moment - length, span.first_at), span.last_at)
                 for span in self._spans
-                if span.last > moment - length
+                if span.last_at > moment - length
             ]
 
     def count_active_units(self, moment: float) -> float:
-        """Return the units that may be used now."""
+        """Return the number of reserved units that are active at a moment."""
         self.advance(moment)
-        active = (min(moment, span.last) - span.first for span in self._spans if span.first < moment)
-        return sum(active) * self.split.pool_rate
+        active_seconds = (min(moment, span.last_at) - span.first_at for span in self._spans if span.first_at < moment)
+        return sum(active_seconds) * self.split.pool_rate
 
     def use(self, units: float, moment: float) -> float:
-        """Use active units, the oldest first and at most so many; return how many were used."""
-        left = units
+        """Use up to `units` active units, the oldest first; return the number of used units."""
+        unused_units = units
         remaining: list[ActiveSpan] = []
         rate = self.split.pool_rate
         self.advance(moment)
-        for first, last in self._spans:
-            used = max(0.0, min(left, (min(moment, last) - first) * rate))
-            left -= used
-            if last - first > (used + 1e-9) / rate:
-                remaining.append(ActiveSpan(first + used / rate, last))
+        for first_at, last_at in self._spans:
+            used = max(0.0, min(unused_units, (min(moment, last_at) - first_at) * rate))
+            unused_units -= used
+            if last_at - first_at > (used + 1e-9) / rate:
+                remaining.append(ActiveSpan(first_at + used / rate, last_at))
         self._spans = remaining
-        return units - left
+        return units - unused_units
 
     def plan_reservation(self, missing: float, demand: float, moment: float) -> Reservation | None:
-        """Return the reservation that may bring what is missing, and some of a demand in units a second.
+        """Return a reservation for missing and prefetched units, or None if too few units are available.
 
-        Others have reserved at least what was last read, so where that leaves too little no call is made.
-        In the previous window, units that have expired are skipped by reserving them too: at worst some are skipped
-        that have not expired, and nobody gets these.
+        `missing` is in units, `demand` in units per second. All limiters together have reserved at least the totals
+        that were last read, so no call is made where these leave too few units. In the previous window the oldest units
+        have expired, and the reservation skips them by reserving them too. At worst it skips some units that have not
+        expired, and no limiter uses these.
         """
         self.advance(moment)
         rate = self.split.pool_rate
         active = rate * (moment - self._window_started_at)
-        expired = rate * (moment + ROUND_TRIP_SECONDS - self._window_started_at)  # of the previous window
+        # Units of the previous window that will have expired when the reply arrives
+        expired = rate * (moment + ROUND_TRIP_SECONDS - self._window_started_at)
         available = active - self._totals[1]
         previous = self.split.window_units - max(self._totals[0], expired)
         if max(available, 0.0) + max(previous, 0.0) < missing:
@@ -151,7 +158,7 @@
         return Reservation(self.window - 1, ceil((skipped + missing) * STEPS_PER_UNIT) / STEPS_PER_UNIT)
 
     def on_reserved(self, window: int, units: float, total: float, moment: float) -> None:
-        """Take in the counter's total after a reservation; in a window that is two back all has expired."""
+        """Record a window's total and the reserved units; the units of windows before the previous one have expired."""
         self.advance(moment)
         position = window - self.window + 1
         if position not in (0, 1):
@@ -160,7 +167,7 @@
         rate = self.split.pool_rate
         length = self.split.window_seconds
         started_at = self._window_started_at - (1 - position) * length
-        first = max(started_at + (total - units) / rate, moment - length)
-        last = min(started_at + total / rate, started_at + length)
-        if last > first:
-            self._spans = sorted([*self._spans, ActiveSpan(first, last)])
+        first_at = max(started_at + (total - units) / rate, moment - length)
+        last_at = min(started_at + total / rate, started_at + length)
+        if last_at > first_at:
+            self._spans = sorted([*self._spans, ActiveSpan(first_at, last_at)])
--- a/thymeflow/quota/strict.py
+++ b/thymeflow/quota/strict.py
@@ -1,4 +1,4 @@
-"""A customer's token bucket whose units come from a base slice, and from reservations at the counter."""
+"""A customer's token bucket whose units come from a base slice and from reservations at the counter."""
 
 from __future__ import annotations
 
@@ -10,12 +10,12 @@
 from thymeflow.quota.buckets import IDLE_BUCKET_TTL_SECONDS
 from thymeflow.quota.token_bucket import DEMAND_MEMORY_SECONDS, TokenBucket
 
-RESERVED_WINDOWS = 2.0  # windows for which a counter name is reserved from
-LATE_CALL_SECONDS = 1.0  # added to the lifetime of a counter name, for calls that are late
+RESERVED_WINDOWS = 2.0  # Number of windows during which units are reserved under one counter name
+LATE_CALL_SECONDS = 1.0  # Added to the lifetime of a counter name, for calls that arrive late
 
 
 class StrictTokenBucket(TokenBucket):
-    """A customer's base slice, in `level`, and its reservations."""
+    """A customer's base slice, whose level is `level`, and the customer's reservations."""
 
     def __init__(
         self,
@@ -28,7 +28,11 @@
         index: int,
         clock_offset: float,
     ) -> None:
-        """`clock_offset`: seconds from the clock of events to the one that the set shares."""
+        """Create a bucket that has not joined a set yet.
+
+        `index` is the number of this limiter. Adding `clock_offset` seconds to the time of an event gives the time on
+        the clock that all limiters of the set share.
+        """
         self._index = index
         self._clock_offset = clock_offset
         self._initial_fill = initial_fill
@@ -39,7 +43,8 @@
 
     def _update_split(self) -> reservations.QuotaSplit:
         plan, member_count = self._split_inputs
-        if plan is not self.plan or member_count != self.member_count:  # earlier reservations are of another quota
+        # Reservations made under another plan or set size belong to another quota, and are dropped.
+        if plan is not self.plan or member_count != self.member_count:
             self._split_inputs = (self.plan, self.member_count)
             self._current_split = reservations.split_quota(self.plan.rate, self.plan.burst, self.member_count)
             self._pool = reservations.ReservationPool(self._current_split, self.customer_id)
@@ -53,17 +58,17 @@
 
     @property
     def local_rate_memory(self) -> float:
-        """Seconds over which local demand is remembered, whatever the size of the set."""
+        """The time constant in seconds of the local demand's decay, which does not depend on the set's size here."""
         return DEMAND_MEMORY_SECONDS
 
     def join_set(self, first_limiter: int, set_size: int, limiter_count: int, started_at: float) -> None:
-        """Take the base slice of a set: filled as since the start; in another set it never grows.
+        """Take the base slice of a set, with the level that it has refilled to since the gateway started.
 
-        The bucket of a limiter that is alone begins at a fraction of its burst, as what an earlier incarnation spent
-        is not known.
+        When the set changes, the level of the slice never grows. If the limiter is alone in its set, the level begins
+        at a fraction of the burst, because the use of an earlier incarnation is not known.
         """
-        was_member_of_set = bool(self.members)
-        was_inside = self._index in self.members
+        has_joined_before = bool(self.members)
+        was_member = self._index in self.members
         previous_count = self.member_count
         self.set_changed = False
         self.member_count = min(max(1, set_size), limiter_count)
@@ -72,24 +77,25 @@
         )
         split = self._update_split()
         elapsed = max(0.0, self.refreshed_at - started_at)
-        if not was_member_of_set:
-            # A customer that was dropped requested nothing during the time-to-live; more is not known of it.
+        if not has_joined_before:
+            # The customer may have had a bucket that was dropped as idle. All that is known then is that the customer
+            # requested nothing during the time-to-live of an idle bucket, so the slice refills for that time at most.
             filled = self._initial_fill * split.base_burst if self.member_count == 1 else 0.0
             filled += split.base_rate * min(IDLE_BUCKET_TTL_SECONDS, elapsed)
             self.level = self._compute_base_fraction() * min(split.base_burst, filled)
-        elif not was_inside:
+        elif not was_member:
             self.level = min(self.level, 0.0)
         else:
             self.level = min(self.level, self.level * previous_count / self.member_count)
         ceiling = min(self.plan.ceiling_burst, self.plan.ceiling_rate * elapsed) / self.member_count
-        self.ceiling_level = min(self.ceiling_level, ceiling) if was_member_of_set else ceiling
+        self.ceiling_level = min(self.ceiling_level, ceiling) if has_joined_before else ceiling
 
     def compute_quota_fraction(self, local_rate: float) -> float:  # noqa: ARG002 (overrides)
-        """Return the fraction of the burst that a full base slice has."""
+        """Return the units of a full base slice as a fraction of the burst."""
         return self._update_split().base_burst * self._compute_base_fraction() / max(1e-9, self.plan.burst)
 
     def refresh(self, now: float) -> None:
-        """Refill for the time that has passed."""
+        """Refill the base slice and the ceiling, and decay the local demand, for the time since the last refresh."""
         elapsed = max(0.0, now - self.refreshed_at)
         self.refreshed_at = now
         self.local_rate *= exp(-elapsed / self.local_rate_memory)
@@ -103,12 +109,12 @@
             )
 
     def compute_missing_units(self, units: float) -> float:
-        """Return the units that are not there for a request, which would be admitted with them."""
+        """Return the units that the bucket lacks to admit a request of `units`, or 0 if it lacks none."""
         active = self._pool.count_active_units(self._compute_shared_time()) if self._update_split().pool_rate else 0.0
         return max(0.0, units - max(0.0, self.level) - active - 1e-9) if self.plan.rate > 0 else 0.0
 
     def can_admit(self, units: float, sample: float) -> bool:  # noqa: ARG002 (overrides)
-        """Return whether base and reservations, hard ceiling and concurrency cap admit a request."""
+        """Return whether the base and reservations, the hard ceiling and the concurrency cap all admit a request."""
         plan = self.plan
         max_in_flight = max(1, plan.max_concurrency // self.member_count) if plan.max_concurrency else inf
         if self.attempts_in_flight >= max_in_flight or (plan.ceiling_rate > 0 and units > self.ceiling_level):
@@ -116,7 +122,10 @@
         return self.compute_missing_units(units) <= 0.0
 
     def charge(self, units: float) -> None:
-        """Charge the base first, as it refills without a call; units settled below their charge go back to it."""
+        """Charge units to the base first, because it refills without a counter call, and then to the reservations.
+
+        Negative units, from a settlement below the charge, go back to the base.
+        """
         self.charged_units += units
         uncovered = units - max(0.0, min(units, self.level))
         used = (
@@ -127,11 +136,11 @@
         self.level -= units - used
 
     def needs_counter_update(self, now: float) -> bool:  # noqa: ARG002 (overrides)
-        """Return False: units are reserved when a request wants them."""
+        """Return False, because units are reserved only when a request needs them."""
         return False
 
     def build_reservation_call(self, missing: float) -> AddToCounter | None:
-        """Return the counter call that may bring what is missing, None where none can."""
+        """Return the counter call that may reserve the missing units, or None if no call can."""
         split = self._update_split()
         if not split.pool_rate:
             return None
@@ -146,7 +155,7 @@
         return reservations.build_window_name(self.customer_id, self.plan.rate, self.plan.burst, window)
 
     def on_counter_total(self, name: int, amount: float, total: float, now: float) -> None:
-        """Take in the total after a reservation."""
+        """Add the units that a call reserved, from the total in its reply."""
         moment = now + self._clock_offset
         self._update_split()
         self._pool.advance(moment)
@@ -155,7 +164,7 @@
                 self._pool.on_reserved(window, amount, total, moment)
 
     def on_counter_uncertain(self, name: int, amount: float) -> None:
-        """Do nothing: what the call may have reserved is used by no limiter, and expires soon."""
+        """Do nothing: no limiter uses the units that the call may have reserved, and they expire soon."""
 
     def on_counter_rejected(self, name: int, amount: float) -> None:
-        """Do nothing: nothing was reserved."""
+        """Do nothing, because the call reserved no units."""
--- a/thymeflow/quota/token_bucket.py
+++ b/thymeflow/quota/token_bucket.py
@@ -1,4 +1,4 @@
-"""One customer's token bucket at this limiter, with what is known of the customer at the others."""
+"""One customer's token bucket at this limiter, with the customer's estimated use at the other limiters."""
 
 from __future__ import annotations
 
@@ -9,21 +9,28 @@
 from thymeflow.quota import counter_encoding, probabilistic_admission
 from thymeflow.quota.counter_ledger import CounterLedger
 
-DEMAND_MEMORY_SECONDS = 1.5
-SMALL_SET_SIZE = 4.0  # limiters; in a larger set each sees fewer requests, and remembers demand for longer
-PRIOR_DEMAND_FRACTION = 0.1  # of the rate: least demand assumed of the set, so new customers split evenly
-REPORT_TTL_SECONDS = 2.0  # older reports are not used, and slices go back to even
-RESERVE_FRACTION = 0.4  # of the burst beyond a mean request: level of the complete set under excess demand
-MIN_USAGE_RATIO = 2.0  # of the quota: least usage assumed where only demand is reported and no level
-MIN_REMOTE_MEMORY_SECONDS = 5.0  # of reported demand; one second for each limiter of a large set
+DEMAND_MEMORY_SECONDS = 1.5  # Time constant of the decay of measured demand
+# In a set of more limiters, each limiter sees fewer requests and remembers demand for longer.
+SMALL_SET_SIZE = 4.0
+# Demand that is assumed in any set, as a fraction of the plan's rate. It splits the quota evenly for new customers.
+PRIOR_DEMAND_FRACTION = 0.1
+REPORT_TTL_SECONDS = 2.0  # Older reports are ignored, and slices return to an even split.
+# Level of the complete set under excess demand, as a fraction of the part of the burst above a mean request
+RESERVE_FRACTION = 0.4
+# Ratio of use to quota that is assumed, as a minimum, while reports include only the demand and not the set's level
+MIN_USAGE_RATIO = 2.0
+# Bounds on the time constant of reported demand, which is one second per limiter of the set
+MIN_REMOTE_MEMORY_SECONDS = 5.0
 MAX_REMOTE_MEMORY_SECONDS = 40.0
-MIN_UNREPORTED_FRACTION = 0.05  # of the burst: least unreported demand that justifies a counter call
-MIN_REPORTED_DEMAND_FRACTION = 0.3  # of the rate: least demand that justifies a counter call
-MIN_CALL_INTERVAL_SECONDS = 0.5  # between counter calls for one customer
+# A counter call is justified by this much unreported demand, as a fraction of the burst ...
+MIN_UNREPORTED_FRACTION = 0.05
+# ... or by this much demand of the set, as a fraction of the plan's rate.
+MIN_REPORTED_DEMAND_FRACTION = 0.3
+MIN_CALL_INTERVAL_SECONDS = 0.5  # Minimum time between counter calls for one customer
 
 
 class PeerReport(NamedTuple):
-    """The last gossip report of one peer about a customer."""
+    """The last gossip report of one peer about a customer. Amounts are in units since the peer created its bucket."""
 
     incarnation: int
     requested: float
@@ -32,76 +39,89 @@
 
 
 class TokenBucket:
-    """A customer's slice of its quota, filled by demand, and the estimated level of the complete set."""
+    """A customer's slice of its quota, which follows demand, and the estimated level of the complete set."""
 
     def __init__(self, plan: Plan, customer_id: int, now: float, started_at: float, initial_fill: float) -> None:
-        """`started_at` is when the gateway started; `initial_fill` the fraction of the burst assumed there then."""
+        """Create a bucket that has not joined a set yet.
+
+        `started_at` is the gateway's start time, and `initial_fill` the level assumed then, as a fraction of the burst.
+        """
         self.plan = plan
         self.customer_id = customer_id
         self.refreshed_at = now
         self.last_seen_at = now
-        self.local_rate = 0.0  # demand here, units a second
-        self.remote_rate = 0.0  # demand at the other limiters
-        self.requested_units = 0.0  # since this bucket was created
-        self.charged_units = 0.0
-        self.mean_cost = 0.0  # units of a mean request
-        self.reserve = 0.0
-        self.usage_ratio = MIN_USAGE_RATIO  # metered use over the quota
+        self.local_rate = 0.0  # Demand at this limiter in units per second
+        self.remote_rate = 0.0  # Demand at the other limiters in units per second
+        self.requested_units = 0.0  # Units requested since this bucket was created
+        self.charged_units = 0.0  # Units charged since this bucket was created
+        self.mean_cost = 0.0  # Running mean of the units per request
+        self.reserve = 0.0  # Level of the complete set under excess demand, in units
+        self.usage_ratio = MIN_USAGE_RATIO  # Metered use over the quota
         self.remote_rate_memory = DEMAND_MEMORY_SECONDS
         self.is_aggregator = False
         self.last_remote_report_at = -inf
         self.counter_called_at = -inf
         self.counter_ledger = CounterLedger(now)
-        self.predicted_remote_usage = 0.0  # charges of others, deducted before they are reported
-        self.last_customer_report_at = -inf  # when something was reported of this customer in particular
+        self.predicted_remote_usage = 0.0  # Units deducted for charges of other limiters before these report them
+        self.last_customer_report_at = -inf  # Time of the last report on this customer
         self.attempts_in_flight = 0
         self.peer_reports: dict[int, PeerReport] = {}
-        # A restart forgets what was spent: the level is a fraction of the burst, refilled since the start.
+        # The use before a restart is not known. The level begins as a fraction of the burst at the gateway's start, and
+        # is refilled for the time since then.
         fill = min(1.0, initial_fill + (now - started_at) * plan.rate / max(plan.burst, 1e-9))
         self.global_level = plan.burst * fill
         self.members: list[int] = []
         self.member_count = 1
         self.set_changed = False
-        self.level = 0.0
-        self.ceiling_level = 0.0
-        self.set_notified_at = -inf  # when the complete set was last notified
+        self.level = 0.0  # Level of this limiter's slice in units
+        self.ceiling_level = 0.0  # Level of this limiter's slice of the hard ceiling in units
+        self.set_notified_at = -inf  # Time of the last gossip message to all members of the set
 
     def join_set(self, first_limiter: int, set_size: int, limiter_count: int, started_at: float) -> None:
-        """Take the slice of a set that begins at a limiter; a slice never grows when its set changes."""
+        """Take the slice of the set of `set_size` limiters from `first_limiter` on.
+
+        When the set changes, the level of the slice never grows.
+        """
         previous_count = self.member_count if self.members else 0
         self.set_changed = False
         self.member_count = min(max(1, set_size), limiter_count)
         self.members = counter_encoding.compute_rendezvous_order(
             self.customer_id, first_limiter, self.member_count, limiter_count
         )
-        # In a set of another size the slice shrinks with the others' and never grows, so no units are created.
+        # In a larger set every member's slice shrinks. In a smaller set no slice grows, so that no units are created.
         shrinkage = min(1.0, previous_count / self.member_count)
         if previous_count:
             self.level = min(self.level, self.level * shrinkage)
         else:
             self.level = self.global_level / self.member_count
-        # A limiter of a large set seldom sees the customer: its next request depends on the last report.
+        # A limiter of a large set seldom sees the customer and decides its next request by an old report, so it has to
+        # remember reported demand for longer.
         if not self.is_aggregator:
             self.remote_rate_memory = min(MAX_REMOTE_MEMORY_SECONDS, max(MIN_REMOTE_MEMORY_SECONDS, self.member_count))
-        # The hard ceiling is safe alone: an even slice of rate and burst, empty at each start.
+        # The hard ceiling must hold without reports of other limiters, so each limiter has an even slice of its rate
+        # and burst, which is empty when the gateway starts.
         refilled = self.plan.ceiling_rate * (self.refreshed_at - started_at)
         even_slice = min(self.plan.ceiling_burst, refilled) / self.member_count
         self.ceiling_level = min(self.ceiling_level, self.ceiling_level * shrinkage) if previous_count else even_slice
 
     @property
     def local_rate_memory(self) -> float:
-        """Seconds over which local demand is remembered."""
+        """The time constant of the local demand's decay in seconds."""
         return DEMAND_MEMORY_SECONDS * max(1.0, self.member_count / SMALL_SET_SIZE)
 
     def has_recent_remote_reports(self) -> bool:
-        """Return whether the last report of any peer or the counter is recent enough to be used."""
+        """Return whether the last report of a peer or the counter, on any customer, is recent enough to be used."""
         return self.refreshed_at - self.last_remote_report_at <= REPORT_TTL_SECONDS
 
     def compute_quota_fraction(self, local_rate: float) -> float:
-        """Return this limiter's fraction of the quota by demand, the even one while no reports come."""
+        """Return this limiter's fraction of the quota: by demand, or an even split while no reports arrive.
+
+        Half of the difference to the even split is used while only other customers are reported.
+        """
         prior = PRIOR_DEMAND_FRACTION * self.plan.rate + 1e-9
         even = 1.0 / self.member_count
-        # Local demand rises before that of others is reported: each limiter would take the complete bucket.
+        # Local demand is known before the demand of other limiters is reported. A split by demand without recent
+        # reports would give each limiter the complete bucket.
         by_demand = even
         if self.has_recent_remote_reports():
             by_demand = (local_rate + prior / self.member_count) / (local_rate + self.remote_rate + prior)
@@ -110,14 +130,18 @@
         return 0.5 * (by_demand + even)
 
     def refresh(self, now: float) -> None:
-        """Refill for the time that has passed; a fraction that changes creates no units."""
+        """Refill the levels and decay the demand for the time since the last refresh.
+
+        A change of this limiter's fraction of the quota creates no units.
+        """
         elapsed = max(0.0, now - self.refreshed_at)
         rate_before = self.local_rate
         self.refreshed_at = now
         decay = exp(-elapsed / self.local_rate_memory)
         self.local_rate = rate_before * decay
         self.remote_rate = self.remote_rate * exp(-elapsed / self.remote_rate_memory)
-        # What others admit beyond the quota is not known yet: they are assumed to share the rest equally.
+        # The units that other limiters admit beyond the quota are not known yet. The limiters are assumed to share the
+        # remaining units equally.
         self.reserve = RESERVE_FRACTION * max(self.mean_cost, self.plan.burst - self.mean_cost) + 1e-9
         self._refill_global_level(elapsed, rate_before)
         self._refill_slice(elapsed, rate_before, decay)
@@ -129,7 +153,7 @@
     def _refill_global_level(self, elapsed: float, rate_before: float) -> None:
         rate = self.plan.rate
         if self.is_aggregator:
-            # Charges of others are reported late: until then all that they request counts as charged.
+            # Charges of other limiters are reported late. Until then all their requested units count as charged.
             predicted = min(self.remote_rate * elapsed, max(0.0, self.global_level))
             self.predicted_remote_usage += predicted
             self.global_level = self.global_level + rate * elapsed - predicted
@@ -155,23 +179,26 @@
         self.level = min(self.level, self.plan.burst * self.compute_quota_fraction(self.local_rate))
 
     def has_small_slices(self) -> bool:
-        """Return whether an even slice is under a mean request, so that slices decide nothing."""
+        """Return whether an even slice is smaller than a mean request; requests are then admitted by sampling."""
         return self.member_count > SMALL_SET_SIZE and self.plan.burst < self.mean_cost * self.member_count
 
     def _admits_by_sampling(self, units: float, sample: float) -> bool:
-        # What was requested here before is known at once, and the others probably had as much each.
-        previous = max(0.0, self.local_rate - units / self.local_rate_memory)
-        demand = max(previous + self.remote_rate, previous * self.member_count)
-        has_gossip = self.has_recent_remote_reports()
+        # Earlier local demand is known at once, and each other limiter probably had as much.
+        previous_rate = max(0.0, self.local_rate - units / self.local_rate_memory)
+        demand = max(previous_rate + self.remote_rate, previous_rate * self.member_count)
+        has_reports = self.has_recent_remote_reports()
         is_current = self.refreshed_at <= self.last_customer_report_at
-        reserve = max(0.0, self.global_level - units) if has_gossip else 0.0
-        # Where use beyond the quota has no cost, units are lent that the set does not have.
-        is_covered = units <= self.global_level or (has_gossip and not self.plan.over_quota_cost)
+        reserve = max(0.0, self.global_level - units) if has_reports else 0.0
+        # If use over the quota has no cost, units are lent beyond the level of the set.
+        is_covered = units <= self.global_level or (has_reports and not self.plan.over_quota_cost)
         bias = 1.0 if is_current else probabilistic_admission.compute_demand_bias(self.plan.over_quota_cost)
         return is_covered and probabilistic_admission.is_sampled(sample, demand, self.plan.rate, reserve, bias)
 
     def can_admit(self, units: float, sample: float) -> bool:
-        """Return whether bucket, hard ceiling and concurrency cap admit a request; `sample` is from [0, 1)."""
+        """Return whether the bucket, the hard ceiling and the concurrency cap all admit a request.
+
+        `sample` is a random number from [0, 1), by which the limiters of a set lend units at random.
+        """
         plan = self.plan
         fraction = self.compute_quota_fraction(self.local_rate)
         max_in_flight = max(1, int(plan.max_concurrency * fraction)) if plan.max_concurrency else inf
@@ -182,15 +209,16 @@
         if self.has_small_slices():
             return self._admits_by_sampling(units, sample)
         if not self.has_recent_remote_reports():
-            # An even slice that is full admits one request; what it lacks becomes debt.
+            # A full even slice admits one request of any size. The missing units become debt.
             return min(units, plan.burst * fraction * 0.999) <= self.level
-        # Units of the set are lent by sampling, so that not all limiters lend the same ones at once.
+        # Units of the set are lent by sampling, because otherwise all limiters would lend the same units at once.
         lent = sample * self.usage_ratio * self.remote_rate / plan.rate * self.reserve
-        is_in_debt = self.usage_ratio > 1.0 and self.level <= 0.0  # no level is known but the debt here
+        # While only metered usage is reported, the local debt is the only known sign of an empty set.
+        is_in_debt = self.usage_ratio > 1.0 and self.level <= 0.0
         return lent <= self.global_level - units and not is_in_debt
 
     def needs_counter_update(self, now: float) -> bool:
-        """Return whether a counter call would report enough to justify its cost."""
+        """Return whether a counter call for this customer would report enough units to justify its cost."""
         unreported = self.requested_units - self.counter_ledger.reported_units
         demand = self.local_rate + self.remote_rate
         is_worthwhile = (
@@ -200,7 +228,7 @@
         return now - self.counter_called_at >= MIN_CALL_INTERVAL_SECONDS and is_worthwhile
 
     def on_counter_total(self, name: int, amount: float, total: float, now: float) -> None:
-        """Take in the total of a counter call that added our `amount`."""
+        """Update remote demand and the set's level from the total of a counter call that added `amount`."""
         requested, charged, seconds = self.counter_ledger.read_total(name, total, amount, now, self.customer_id)
         self.remote_rate = (requested + self.remote_rate * DEMAND_MEMORY_SECONDS) / (seconds + DEMAND_MEMORY_SECONDS)
         self.charge_remote(charged - self.predicted_remote_usage)
@@ -209,19 +237,19 @@
         self.predicted_remote_usage = 0.0
 
     def on_counter_rejected(self, name: int, amount: float) -> None:
-        """Report the amount again with the next call, as nothing was added."""
+        """Count the amount as unreported, because the counter did not add it; the next call reports it again."""
         self.counter_ledger.retract(name, amount)
 
     def on_counter_uncertain(self, name: int, amount: float) -> None:
-        """Note that the amount was probably added: the units are ours and not those of others."""
+        """Record that the amount was probably added, so that the next total's increase is not taken for remote use."""
         self.counter_ledger.mark_uncertain(name, amount)
 
     def charge_remote(self, units: float) -> None:
-        """Charge what others used, which is reported late: it makes no debt."""
+        """Deduct units that other limiters charged; the set's level doesn't fall below 0, as these reports are late."""
         self.global_level = min(self.plan.burst, max(min(self.global_level, 0.0), self.global_level - units))
 
     def charge(self, units: float) -> None:
-        """Charge declared units, or settle them with a difference; an overrun becomes debt."""
+        """Charge declared units, or the difference at their settlement; an overrun becomes debt."""
         self.level -= units
         self.charged_units += units
         self.global_level = min(self.plan.burst, self.global_level - units)
