--- a/thymeflow/gossip/__init__.py
+++ b/thymeflow/gossip/__init__.py
@@ -1,1 +1,1 @@
-"""Messages in which gateways share demand and levels: codec, publisher and aggregation."""
+"""Gossip, the messages in which gateways share demand and levels: codec, publisher and aggregator."""
--- a/thymeflow/gossip/aggregator.py
+++ b/thymeflow/gossip/aggregator.py
@@ -1,4 +1,4 @@
-"""Gossip that a gateway receives: reports of peers are aggregated, aggregates of others are applied."""
+"""Processes gossip that a gateway receives: aggregates the reports of peers, and applies the aggregates of others."""
 
 from __future__ import annotations
 
@@ -15,13 +15,13 @@
     TokenBucket,
 )
 
-SEQUENCE_HALF = 0x8000  # sequence numbers wrap: a difference under this is newer
-MAX_FIRST_REPORT_RATIO = 2.0  # times the largest request: units of a first report that are accepted
-MAX_REPORT_RATIO = 10.0  # times the burst, or the largest request: units of a later report that are accepted
+SEQUENCE_HALF = 0x8000  # Sequence numbers wrap; a message is newer if its number is ahead by less than this.
+MAX_FIRST_REPORT_RATIO = 2.0
+MAX_REPORT_RATIO = 10.0
 
 
 class GossipAggregator:
-    """Validates messages and updates the buckets that they are about."""
+    """Validates gossip messages and updates the buckets of the customers in them."""
 
     def __init__(
         self, context: DecisionContext, buckets: TokenBuckets, registry: BackendRegistry, publisher: GossipPublisher
@@ -30,10 +30,10 @@
         self._buckets = buckets
         self._registry = registry
         self._publisher = publisher
-        self.peer_sequences: dict[int, tuple[int, int]] = {}  # incarnation and last sequence number, by peer
+        self.peer_sequences: dict[int, tuple[int, int]] = {}  # Incarnation and last sequence number, by peer
 
     def on_gossip(self, event: GossipReceived) -> None:
-        """Apply the message of a peer; one that is malformed, foreign or old changes nothing."""
+        """Apply a peer's message; ignore it if it is malformed, old or from a sender that is not in the fleet."""
         context = self._context
         sender = event.sender
         message = codec.decode(event.data)
@@ -47,10 +47,10 @@
                 self._apply_entry(sender, message.incarnation, entry)
 
     def _is_new(self, sender: int, message: codec.Message) -> bool:
-        incarnation, last = self.peer_sequences.get(sender, (-1, 0))
+        incarnation, last_sequence = self.peer_sequences.get(sender, (-1, 0))
         if not 0 <= sender < self._context.settings.limiter_count:
             return False
-        return incarnation != message.incarnation or 0 < (message.sequence - last) & 0xFFFF < SEQUENCE_HALF
+        return incarnation != message.incarnation or 0 < (message.sequence - last_sequence) & 0xFFFF < SEQUENCE_HALF
 
     def _apply_entry(self, sender: int, incarnation: int, entry: codec.Entry) -> None:
         context = self._context
@@ -60,18 +60,24 @@
         if not entry.is_aggregate:
             self._aggregate_report(bucket, sender, incarnation, entry)
         elif not bucket.is_aggregator and (not bucket.members or sender in bucket.members[:AGGREGATOR_COUNT]):
-            bucket.global_level = min(bucket.plan.burst, entry.first)
+            bucket.global_level = min(bucket.plan.burst, entry.requested_or_level)
             bucket.remote_rate_memory = MIN_REMOTE_MEMORY_SECONDS
             bucket.usage_ratio = 1.0
-            bucket.remote_rate = max(0.0, entry.second - bucket.local_rate)
+            bucket.remote_rate = max(0.0, entry.charged_or_demand - bucket.local_rate)
 
     def _aggregate_report(self, bucket: TokenBucket, sender: int, incarnation: int, entry: codec.Entry) -> None:
         max_units = self._context.settings.information.max_units
         previous = bucket.peer_reports.get(sender)
         is_first = previous is None or previous.incarnation != incarnation
-        units = codec.compute_increase(entry.first, 0.0 if previous is None or is_first else previous.requested)
-        charged = codec.compute_change(entry.second, 0.0 if previous is None or is_first else previous.charged)
-        bucket.peer_reports[sender] = PeerReport(incarnation, entry.first, entry.second, self._context.now)
+        units = codec.compute_increase(
+            entry.requested_or_level, 0.0 if previous is None or is_first else previous.requested
+        )
+        charged = codec.compute_change(
+            entry.charged_or_demand, 0.0 if previous is None or is_first else previous.charged
+        )
+        bucket.peer_reports[sender] = PeerReport(
+            incarnation, entry.requested_or_level, entry.charged_or_demand, self._context.now
+        )
         self._publisher.request_reply(bucket.customer_id, (sender,))
         max_accepted = (
             MAX_FIRST_REPORT_RATIO * max_units if is_first else MAX_REPORT_RATIO * max(bucket.plan.burst, max_units)
@@ -81,4 +87,4 @@
             bucket.remote_rate_memory = DEMAND_MEMORY_SECONDS
             bucket.usage_ratio = 1.0
             bucket.remote_rate += units / DEMAND_MEMORY_SECONDS
-            bucket.charge_remote(charged)  # beyond its quota a customer makes no debt elsewhere
+            bucket.charge_remote(charged)  # Use over the quota at one limiter creates no debt at the others.
--- a/thymeflow/gossip/codec.py
+++ b/thymeflow/gossip/codec.py
@@ -1,9 +1,9 @@
-"""The bytes of gossip messages between gateways: layout and validation, no decisions.
+"""Encodes, decodes and validates gossip messages between gateways. No decisions.
 
-A message is a header (version, the sender's incarnation, a sequence number, its pressure in hundredths) and entries.
-An entry names a customer and its plan and holds two amounts in quarters of a unit: either what the sender requested
-and charged so far, modulo 2**16, or, marked as an aggregate, the level and the demand that an aggregator found, at
-most 2**16 - 1.
+A message consists of a header and entries. The header contains the version, the sender's incarnation, a sequence number
+and the sender's pressure in hundredths. An entry names a customer and its plan, and contains two amounts in quarters of
+a unit. In a report these are the units that the sender has requested and charged so far, modulo 2**16. In an aggregate
+they are the level and the demand that an aggregator computed, limited to 2**16 - 1.
 """
 
 from __future__ import annotations
@@ -13,35 +13,38 @@
 from typing import NamedTuple
 
 VERSION = 3
-MAX_BYTES = 256  # the platform's limit
-AGGREGATE_FLAG = 128  # added to the plan's number in entries that hold an aggregate
+MAX_BYTES = 256  # The platform's limit on the size of a message
+AGGREGATE_FLAG = 128  # Added to the plan's number in the entry of an aggregate
 HEADER = struct.Struct(">BHHB")
 ENTRY = struct.Struct(">IBHH")
 MAX_ENTRIES = (MAX_BYTES - HEADER.size) // ENTRY.size
 STEPS_PER_UNIT = 4.0
 MAX_STEPS = 0xFFFF
-WRAP_UNITS = 16384.0  # units after which the amounts of a report wrap
+WRAP_UNITS = 16384.0  # The amounts of a report wrap to 0 after this many units.
 
 
 class Entry(NamedTuple):
-    """One customer's amounts, in units; those of a report wrap."""
+    """One customer's amounts in units: requested and charged in a report, level and demand per second in an aggregate.
+
+    The amounts of a report wrap.
+    """
 
     customer_id: int
     plan: int
     is_aggregate: bool
-    first: float
-    second: float
+    requested_or_level: float
+    charged_or_demand: float
 
     def encode(self) -> bytes:
-        """Return the entry's bytes."""
-        steps = [int(max(0.0, amount) * STEPS_PER_UNIT) for amount in (self.first, self.second)]
+        """Return the entry as bytes."""
+        steps = [int(max(0.0, amount) * STEPS_PER_UNIT) for amount in (self.requested_or_level, self.charged_or_demand)]
         first, second = (min(MAX_STEPS, n) if self.is_aggregate else n & MAX_STEPS for n in steps)
         plan = self.plan + (AGGREGATE_FLAG if self.is_aggregate else 0)
         return ENTRY.pack(self.customer_id, plan, first, second)
 
 
 class Message(NamedTuple):
-    """What a peer sent."""
+    """A gossip message of one peer."""
 
     incarnation: int
     sequence: int
@@ -50,40 +53,43 @@
 
 
 def encode(message: Message) -> bytes:
-    """Return the message's bytes; it holds no more than `MAX_ENTRIES` entries."""
+    """Return the message as bytes; it must have at most `MAX_ENTRIES` entries."""
     pressure = min(0xFF, int(message.pressure * 100.0))
     header = HEADER.pack(VERSION, message.incarnation, message.sequence & 0xFFFF, pressure)
     return header + b"".join(entry.encode() for entry in message.entries)
 
 
 def split_into_chunks(entries: Sequence[Entry]) -> list[tuple[Entry, ...]]:
-    """Split entries into chunks that fit a message; one empty chunk where there are none."""
+    """Split entries into chunks that each fit in a message; return one empty chunk if there are no entries."""
     return [tuple(entries[start : start + MAX_ENTRIES]) for start in range(0, max(1, len(entries)), MAX_ENTRIES)]
 
 
 def decode(data: bytes) -> Message | None:
-    """Return the message in some bytes, None where they are truncated or of another version."""
+    """Return the decoded message, or None if the data is truncated, too long or of another version."""
     if not HEADER.size <= len(data) <= MAX_BYTES or (len(data) - HEADER.size) % ENTRY.size or data[0] != VERSION:
         return None
     _, incarnation, sequence, pressure = HEADER.unpack_from(data)
     entries = tuple(
         Entry(
             customer_id,
-            kind % AGGREGATE_FLAG,
-            kind >= AGGREGATE_FLAG,
+            flagged_plan % AGGREGATE_FLAG,
+            flagged_plan >= AGGREGATE_FLAG,
             first / STEPS_PER_UNIT,
             second / STEPS_PER_UNIT,
         )
-        for customer_id, kind, first, second in ENTRY.iter_unpack(data[HEADER.size :])
+        for customer_id, flagged_plan, first, second in ENTRY.iter_unpack(data[HEADER.size :])
     )
     return Message(incarnation, sequence, min(1.0, pressure / 100.0), entries)
 
 
 def compute_increase(amount: float, previous: float) -> float:
-    """Return by how many units a wrapping amount rose."""
+    """Return the increase of a wrapping amount in units; the amount must not have fallen."""
     return (amount - previous) % WRAP_UNITS
 
 
 def compute_change(amount: float, previous: float) -> float:
-    """Return by how many units a wrapping amount changed, up or down."""
+    """Return the change of a wrapping amount in units, which is negative if the amount fell.
+
+    The amount must have changed by less than half of `WRAP_UNITS`.
+    """
     return (amount - previous + WRAP_UNITS / 2.0) % WRAP_UNITS - WRAP_UNITS / 2.0
--- a/thymeflow/gossip/publisher.py
+++ b/thymeflow/gossip/publisher.py
@@ -1,4 +1,4 @@
-"""Gossip that a gateway publishes: reports of its own demand, and replies with what it has aggregated."""
+"""Publishes a gateway's gossip: reports of its local demand, and replies with the aggregates that it computed."""
 
 from __future__ import annotations
 
@@ -13,23 +13,27 @@
 from thymeflow.quota.buckets import ReportQueue, TokenBuckets
 from thymeflow.quota.token_bucket import TokenBucket
 
-AGGREGATOR_COUNT = 2  # limiters of a customer's set that aggregate what the set requests and charges
-ACTIVE_SECONDS = 15.0  # peers that reported within this are notified each round
-SET_NOTIFICATION_SECONDS = 4.0  # between notifications of the complete set
-MIN_BUSY_DEMAND = 0.5  # of the rate, from which a reply changes what peers admit
-MAX_BUSY_LEVEL = 0.6  # of the burst, under which a reply changes what peers admit
-GOSSIP_FRACTION = 0.7  # of what peers can take in: all limiters together then fit into it
+AGGREGATOR_COUNT = 2  # Number of limiters in a customer's set that aggregate the set's requested and charged units
+ACTIVE_SECONDS = 15.0  # Peers that reported a customer within this time get its aggregate each round.
+SET_NOTIFICATION_SECONDS = 4.0  # Minimum time between notifications of the complete set
+# A reply can change the peers' admissions only for a busy customer, whose demand is above this fraction of the rate ...
+MIN_BUSY_DEMAND = 0.5
+# ... or whose level is below this fraction of the burst.
+MAX_BUSY_LEVEL = 0.6
+# A limiter sends messages at this fraction of the rate that a peer can receive. A peer receives about as many messages
+# as each limiter sends, so that it can receive the messages of all limiters together.
+GOSSIP_FRACTION = 0.7
 
 
 @dataclass(slots=True)
 class _Outbox:
-    """Entries to be sent, by peer."""
+    """Entries to send, by peer."""
 
     plans: tuple[Plan, ...]
     entries: dict[int, list[codec.Entry]] = field(default_factory=dict)
 
     def add(self, peer: int, bucket: TokenBucket, is_aggregate: bool, first: float, second: float) -> None:
-        """Add an entry for a peer, unless the bucket's plan is not in force any more."""
+        """Add an entry for a peer, unless the bucket's plan is no longer in force."""
         if bucket.plan in self.plans:
             plan_number = self.plans.index(bucket.plan)
             entry = codec.Entry(bucket.customer_id, plan_number, is_aggregate, first, second)
@@ -37,7 +41,7 @@
 
 
 class GossipPublisher:
-    """Sends reports when they are due, and aggregates once a round."""
+    """Sends reports when they are pending, and aggregates as replies and once a round."""
 
     def __init__(
         self, context: DecisionContext, buckets: TokenBuckets, reports: ReportQueue, registry: BackendRegistry
@@ -48,22 +52,26 @@
         self._registry = registry
         self._incarnation = context.rng.randrange(1 << 16)
         self._sequence = 0
-        self._allowance = 1.0  # messages
-        self._pending_replies: dict[int, dict[int, None]] = {}  # peers that get an aggregate, by customer
+        self._allowance = 1.0  # Number of messages that may be sent now
+        self._pending_replies: dict[int, dict[int, None]] = {}  # Peers that get an aggregate, by customer id
 
     def request_reply(self, customer_id: int, peers: Iterable[int]) -> None:
-        """Send peers the aggregate of a customer with the next messages."""
+        """Add the aggregate of a customer to the next messages to these peers."""
         self._pending_replies.setdefault(customer_id, {}).update(dict.fromkeys(peers))
 
     def publish(self, is_round: bool, elapsed_seconds: float) -> None:
-        """Send reports of local demand and, once a round, replies; both within the allowance."""
+        """Send reports of local demand and replies with aggregates.
+
+        Reports are always sent and may overdraw the allowance; replies are sent only while there is allowance. In a
+        round (`is_round`) all active peers get replies. `elapsed_seconds` is the time since the last call.
+        """
         context = self._context
-        capacity = context.settings.information.max_gossip_per_second
-        allowance = self._allowance + GOSSIP_FRACTION * capacity * elapsed_seconds
-        self._allowance = min(capacity, allowance)
+        max_per_second = context.settings.information.max_gossip_per_second
+        allowance = self._allowance + GOSSIP_FRACTION * max_per_second * elapsed_seconds
+        self._allowance = min(max_per_second, allowance)
         outbox = _Outbox(context.settings.plans)
         self._add_reports(outbox)
-        has_allowance = self._allowance > 0.0  # aggregates wait for the allowance, reports do not
+        has_allowance = self._allowance > 0.0  # Required for aggregates only; reports are always sent.
         if is_round and has_allowance:
             self._request_replies()
         if has_allowance:
@@ -71,7 +79,8 @@
         self._reports.clear_pending()
         self._pending_replies = {}
         if is_round:
-            # A limiter may conclude that no customer is busy only while it receives messages of some peers.
+            # A limiter may conclude that no customer is busy only while it receives messages from some peers. So each
+            # round sends at least an empty message to some peers.
             for _ in range(AGGREGATOR_COUNT):
                 outbox.entries.setdefault(context.rng.randrange(context.settings.limiter_count), [])
         outbox.entries.pop(context.settings.index, None)
@@ -95,7 +104,7 @@
             is_first_member = bucket.members[:1] == [index]
             is_notification_needed = is_first_member and now - bucket.set_notified_at >= SET_NOTIFICATION_SECONDS
             if is_notification_needed and bucket.local_rate + bucket.remote_rate > bucket.plan.rate:
-                # Members that have not seen the customer yet are notified as well.
+                # Members that have not seen the customer yet are notified too.
                 bucket.set_notified_at = now
                 peers = bucket.members
             self.request_reply(bucket.customer_id, peers)
--- a/thymeflow/health/__init__.py
+++ b/thymeflow/health/__init__.py
@@ -1,1 +1,1 @@
-"""What is known of the health of backends: statistics, ejection, slow start and pressure."""
+"""Health of backends: statistics, ejection, slow start and pressure."""
--- a/thymeflow/health/pressure.py
+++ b/thymeflow/health/pressure.py
@@ -1,39 +1,44 @@
-"""Concurrency limit, shedding and ejection times by the backends' pressure: stateless arithmetic, no decisions.
+"""Concurrency limit and shedding by the backends' pressure, and ejection times. Stateless arithmetic, no decisions.
 
-Pressure is the mean latency over the latency objective, 1 at most; `deficit` is the fraction by which a customer's
-bucket falls short of a full one.
+Pressure is the mean latency over the latency objective, at most 1. `deficit` is the missing part of a customer's bucket
+as a fraction of a full bucket.
 """
 
 from __future__ import annotations
 
 from math import sqrt
 
-PRESSURE_THRESHOLD = 0.4  # of the latency objective: mean latency from which the backends are under pressure
-SHEDDING_SLOPE = 4.0  # fraction shed for each latency objective that the latency exceeds the threshold by
-ATTEMPTS_PER_BACKEND = 4.0  # over all limiters: limit on attempts in flight, bursts aside
-LOW_PRESSURE_EXTRA = 1.0  # times the limit: how much more may be in flight while latency is far under the threshold
-MIN_EJECTION_SECONDS = 1.0  # the first ejection; each further failure doubles it
+PRESSURE_THRESHOLD = 0.4  # Backends are under pressure above this mean latency, as a fraction of the latency objective.
+SHEDDING_SLOPE = 4.0  # Increase of the shed fraction per unit of pressure above the threshold, at a deficit of 0.5
+ATTEMPTS_PER_BACKEND = 4.0  # Attempts in flight per warmed-up backend over all limiters, before the burst allowance
+LOW_PRESSURE_EXTRA = 1.0  # Extra attempts in flight at zero pressure, as a multiple of the limit
+MIN_EJECTION_SECONDS = 1.0  # Duration of the first ejection; each further failure doubles it.
 MAX_EJECTION_SECONDS = 8.0
-FULL_BUCKET_RESERVE = 0.4  # of the limit: reserved for customers with full buckets, so shedding follows quotas
+# Part of the limit that is reserved for customers with full buckets, so that shedding follows the quotas
+FULL_BUCKET_RESERVE = 0.4
 
 
 def compute_ejection_seconds(extra_failures: int, send_interval: float) -> float:
-    """Return for how long a backend is ejected after so many failures beyond those that eject it.
+    """Return the duration of an ejection in seconds.
 
-    `send_interval` is in seconds: where a backend is seldom used, one ejection lasts until it would be used again.
+    `extra_failures` is the number of consecutive failures beyond those that eject a backend. `send_interval` is the
+    time in seconds between attempts: an ejection of a rarely used backend lasts until its next attempt would be due.
     """
     return min(MAX_EJECTION_SECONDS, max(send_interval, MIN_EJECTION_SECONDS * 2.0**extra_failures))
 
 
 def compute_concurrency_limit(backends: float, deficit: float, pressure: float) -> float:
-    """Return the attempts that may be in flight to so many warmed-up backends; fewer with an emptier bucket."""
-    # A few slow requests among quick ones take much concurrency, which harms nobody while latency is low.
+    """Return the maximum number of attempts in flight to a number of warmed-up backends.
+
+    A customer with a larger deficit gets a lower limit.
+    """
+    # A few slow requests among quick ones need much concurrency, which does no harm while latency is low.
     extra = 1.0 + LOW_PRESSURE_EXTRA * max(0.0, 1.0 - pressure / PRESSURE_THRESHOLD)
     limit = ATTEMPTS_PER_BACKEND * backends * (1.0 - FULL_BUCKET_RESERVE * deficit) * extra
-    # A small limit is met in bursts: two standard deviations and one more are admitted.
+    # Bursts often reach a small limit, so the limit is raised by two standard deviations and one attempt.
     return limit + 2.0 * sqrt(limit) + 1.0
 
 
 def compute_shedding_fraction(deficit: float, pressure: float) -> float:
-    """Return the fraction of requests that is rejected."""
+    """Return the fraction of requests to reject; it can exceed 1."""
     return SHEDDING_SLOPE * max(0.0, pressure - PRESSURE_THRESHOLD) * (0.5 + deficit)
--- a/thymeflow/health/slow_start.py
+++ b/thymeflow/health/slow_start.py
@@ -1,4 +1,4 @@
-"""How much of its capacity a backend has since its start: stateless arithmetic after the rules, no decisions."""
+"""The capacity of a backend during its slow start, computed by the rules. Stateless arithmetic, no decisions."""
 
 from __future__ import annotations
 
@@ -7,32 +7,32 @@
 from thymeflow.decision.settings import Rules
 from thymeflow.decision.types import Backend, BackendState
 
-# Fraction of the overload multiple that is sent to a backend that is warming up, from none of its capacity to all: a
-# small budget is a few requests, and random selection may send half as many more.
+# Target load of a backend that is warming up, as a fraction of the overload multiple. It rises from INITIAL_LOAD
+# at no capacity to FINAL_LOAD at full capacity. Both are well below 1, because the load of a cold backend is a few
+# requests, and random selection may send half as many more.
 INITIAL_LOAD = 0.25
 FINAL_LOAD = 0.6
 
 
 def compute_capacity_fraction(age: float, rules: Rules) -> float:
-    """Return the fraction of its capacity that a backend has so many seconds after its start."""
+    """Return the fraction of its full capacity that a backend has `age` seconds after its start."""
     ramp = max(0.0, age) / max(1e-9, rules.slow_start_seconds)
     return min(1.0, rules.slow_start_fraction + (1.0 - rules.slow_start_fraction) * ramp)
 
 
 def compute_warmed_up_backends(endpoints: Iterable[Backend], now: float, rules: Rules) -> float:
-    """Return how many warmed-up backends the ready ones come to."""
+    """Return the capacity of the ready backends, as a number of warmed-up backends."""
+    # A start time of 0 means that the backend started long ago.
     return sum(
-        compute_capacity_fraction(now - endpoint.started, rules)
-        if endpoint.started > 0.0
-        else 1.0  # 0: started long ago
+        compute_capacity_fraction(now - endpoint.started, rules) if endpoint.started > 0.0 else 1.0
         for endpoint in endpoints
         if endpoint.state is BackendState.READY
     )
 
 
 def compute_target_loads(endpoints: Iterable[Backend], now: float, rules: Rules) -> dict[int, float]:
-    """Return the load for each backend that is warming up, by its id."""
-    # Few backends have a start time.
+    """Return the target load of each backend that is warming up, by its id."""
+    # Few backends have a start time, so the load is computed for these only.
     loads = [
         (endpoint.id, compute_target_load(now - endpoint.started, rules))
         for endpoint in endpoints
@@ -42,7 +42,10 @@
 
 
 def compute_target_load(age: float, rules: Rules) -> float:
-    """Return the load for a backend of this age as a fraction of a warmed-up one's; 0 once it is warmed up."""
+    """Return the target load of a backend `age` seconds after its start, or 0 if it is warmed up.
+
+    The load is a fraction of the load of a warmed-up backend.
+    """
     capacity = compute_capacity_fraction(age, rules)
     target = INITIAL_LOAD + (FINAL_LOAD - INITIAL_LOAD) * capacity
     return min(1.0, target * rules.overload_multiple * capacity) if capacity < 1.0 else 0.0
