--- a/tests/gossip/test_gossip_format.py
+++ b/tests/gossip/test_gossip_format.py
@@ -1,4 +1,4 @@
-"""The bytes of gossip between limiters, which two versions share."""
+"""The bytes of gossip messages: limiters of two versions exchange messages during a rolling restart."""
 
 from __future__ import annotations
 
@@ -6,13 +6,13 @@
 from thymeflow.gossip import codec
 
 
-def gossip(incarnation: int, sequence: int, pressure: float, *entries: codec.Entry) -> bytes:
+def encode_gossip(incarnation: int, sequence: int, pressure: float, *entries: codec.Entry) -> bytes:
     """Return a gossip message as bytes."""
     return codec.encode(codec.Message(incarnation, sequence, pressure, entries))
 
 
-def gossip_values(data: bytes) -> Json:
-    """Return the values of a gossip message in the order in which they are declared; None if it is rejected."""
+def decode_gossip_values(data: bytes) -> Json:
+    """Return the values of a gossip message in the order of its fields, or None if the message is rejected."""
     message = codec.decode(data)
     return None if message is None else [*message[:3], [list(entry) for entry in message[3]]]
 
@@ -23,13 +23,13 @@
         for number in range(codec.MAX_ENTRIES + 3)
     ]
     messages = [
-        gossip(0, 0, 0.0).hex(),
-        gossip(0xFFFF, 0x1FFFF, 7.0, codec.Entry(1, 127, True, -1.0, 1e9)).hex(),
+        encode_gossip(0, 0, 0.0).hex(),
+        encode_gossip(0xFFFF, 0x1FFFF, 7.0, codec.Entry(1, 127, True, -1.0, 1e9)).hex(),
         *(
-            gossip(513, 700 + number, 0.456, *chunk).hex()
+            encode_gossip(513, 700 + number, 0.456, *chunk).hex()
             for number, chunk in enumerate(codec.split_into_chunks(entries))
         ),
-        gossip(1, 2, 0.3, *codec.split_into_chunks([])[0]).hex(),
+        encode_gossip(1, 2, 0.3, *codec.split_into_chunks([])[0]).hex(),
     ]
     assert_as_recorded("gossip", messages)
 
@@ -37,7 +37,7 @@
 def test_gossip_has_the_same_values_when_it_is_unpacked() -> None:
     valid = [bytes.fromhex(text) for text in recorded("gossip")]
     invalid = [b"", valid[0][:-1], valid[1] + b"\0", b"\x02" + valid[0][1:], valid[2] + bytes(9)]
-    assert_as_recorded("gossip values", [gossip_values(data) for data in valid + invalid])
+    assert_as_recorded("gossip values", [decode_gossip_values(data) for data in valid + invalid])
     pairs = ((5.0, 2.0), (1.0, 16383.0))
     assert_as_recorded(
         "gossip differences", [[codec.compute_increase(*pair), codec.compute_change(*pair)] for pair in pairs]
--- a/tests/quota/test_counter_encoding_format.py
+++ b/tests/quota/test_counter_encoding_format.py
@@ -1,4 +1,4 @@
-"""The encoding of amounts in counters, which limiters of two versions share."""
+"""The encoding of counter amounts: limiters of two versions share the counter during a rolling restart."""
 
 from __future__ import annotations
 
@@ -9,17 +9,17 @@
 def test_counter_encoding_is_the_same_when_amounts_are_packed() -> None:
     results: list[Json] = []
     for customer, rate, burst in (("c", 10.0, 30.0), ("0xfeed", 0.01, 20.0), ("", 1e6, 1e9), ("é", 1e-12, 1e-12)):
-        number = counter_encoding.compute_customer_id(customer)
+        customer_id = counter_encoding.compute_customer_id(customer)
         for now in (0.0, 12345.678, 1764633600.25):
-            name = counter_encoding.build_counter_name(number, now, rate, burst)
+            name = counter_encoding.build_counter_name(customer_id, now, rate, burst)
             for requested, charged in ((0.0, 0.0), (3.0, 2.5), (1e12, 1e12), (-4.0, -7.0), (rate * 9.9, -burst)):
                 amount = counter_encoding.encode(name, requested, charged)
                 decoded = counter_encoding.decode(name, amount)
-                results.append([number, name, amount, *decoded, counter_encoding.is_reset(amount)])
+                results.append([customer_id, name, amount, *decoded, counter_encoding.is_reset(amount)])
             results.append(
                 [
-                    counter_encoding.compute_window_age(number, now),
-                    counter_encoding.compute_rendezvous_order(number, 2, 5, 24),
+                    counter_encoding.compute_window_age(customer_id, now),
+                    counter_encoding.compute_rendezvous_order(customer_id, 2, 5, 24),
                 ]
             )
     assert_as_recorded("counter encoding", results)
--- a/tests/quota/test_counter_reports.py
+++ b/tests/quota/test_counter_reports.py
@@ -1,4 +1,8 @@
-"""Counter calls and the metered usage: what is reported, at which rate, and what a reply changes."""
+"""Counter calls and metered usage: the amounts that a gateway reports, its call rate, and the effect of replies.
+
+The tests guard against remote demand that is over- or underestimated when calls fail, replies are late or the counter
+loses its totals, and against limiters that overload the counter.
+"""
 
 from __future__ import annotations
 
@@ -16,74 +20,75 @@
 from thymeflow.quota import counter_encoding
 from thymeflow.quota.counter_ledger import CounterLedger
 
-COUNTER = Information(max_units=4.0, counter=True, max_gossip_per_second=0.0)
+COUNTER_INFORMATION = Information(max_units=4.0, counter=True, max_gossip_per_second=0.0)
 
 
-def call(gateway: Gateway, now: float) -> AddToCounter:
-    """Return the one counter call of half a second."""
-    calls = [a for a in ticks(gateway, now, 0.5) if isinstance(a, AddToCounter)]
+def find_counter_call(gateway: Gateway, now: float) -> AddToCounter:
+    """Run half a second and return its only counter call."""
+    calls = [action for action in ticks(gateway, now, 0.5) if isinstance(action, AddToCounter)]
     assert len(calls) == 1
     return calls[0]
 
 
 def test_remote_demand_follows_the_counter_when_it_loses_its_totals_or_does_not_reply() -> None:
-    gateway = started(settings(information=COUNTER))
+    gateway = started(settings(information=COUNTER_INFORMATION))
     gateway.handle(10.0, request("r0", 4.0))
-    first = call(gateway, 10.0)
-    assert counter_encoding.decode(first.name, first.amount) == pytest.approx((4.0, 4.0), abs=0.5)
-    remote_amount = counter_encoding.encode(first.name, 200.0, 10.0)
-    gateway.handle(10.5, CounterReplied(first.name, Status.OK, first.amount + remote_amount))
+    first_call = find_counter_call(gateway, 10.0)
+    assert counter_encoding.decode(first_call.name, first_call.amount) == pytest.approx((4.0, 4.0), abs=0.5)
+    remote_amount = counter_encoding.encode(first_call.name, 200.0, 10.0)
+    gateway.handle(10.5, CounterReplied(first_call.name, Status.OK, first_call.amount + remote_amount))
     bucket = only_store(gateway)
-    assert (
-        199.0 / 12.0 <= bucket.remote_rate <= 200.0 / 1.5
-    )  # a name is in use for ten seconds: the first total gives a rate
+    # The first total of a name gives a rate, because a name is in use for 10 s only.
+    assert 199.0 / 12.0 <= bucket.remote_rate <= 200.0 / 1.5
     gateway.handle(10.6, request("r1", 4.0))
-    second = call(gateway, 10.6)
-    before = bucket.remote_rate
-    gateway.handle(11.1, CounterReplied(second.name, Status.TIMEOUT))
-    assert bucket.remote_rate <= before
+    second_call = find_counter_call(gateway, 10.6)
+    rate_before = bucket.remote_rate
+    gateway.handle(11.1, CounterReplied(second_call.name, Status.TIMEOUT))
+    assert bucket.remote_rate <= rate_before
     gateway.handle(11.2, request("r2", 4.0))
-    third = call(gateway, 11.2)
-    gateway.handle(11.7, CounterReplied(third.name, Status.OK, third.amount))  # it is back without its totals
-    assert 0.0 <= bucket.remote_rate <= before
+    third_call = find_counter_call(gateway, 11.2)
+    # The counter is up again and has lost its totals.
+    gateway.handle(11.7, CounterReplied(third_call.name, Status.OK, third_call.amount))
+    assert 0.0 <= bucket.remote_rate <= rate_before
 
 
 def test_counter_is_not_overloaded_when_hundreds_of_limiters_start() -> None:
     calls = 0
     for index in range(300):
-        gateway = started(settings(index=index, limiter_count=300, information=COUNTER))
+        gateway = started(settings(index=index, limiter_count=300, information=COUNTER_INFORMATION))
         for n in range(20):
             gateway.handle(10.0, request(f"r{n}", 4.0, customer=f"c{n}", set_size=300))
         calls += sum(isinstance(a, AddToCounter) for a in ticks(gateway, 10.0, 1.0))
-    assert calls <= 1500  # of 6,000 requests
+    assert calls <= 1500  # 6,000 requests were sent.
 
 
-def test_call_is_made_only_when_demand_matters_and_state_does_not_grow() -> None:
-    gateway = started(settings(information=COUNTER))
+def test_call_is_made_only_when_demand_justifies_it_and_state_does_not_grow() -> None:
+    gateway = started(settings(information=COUNTER_INFORMATION))
     for n in range(300):
-        gateway.handle(10.0 + n / 10.0, request(f"r{n}", 0.3, customer=f"c{n}"))  # a hundredth of the burst
+        # Each customer requests a hundredth of the burst, which is too little to justify a call.
+        gateway.handle(10.0 + n / 10.0, request(f"r{n}", 0.3, customer=f"c{n}"))
         assert not [a for a in ticks(gateway, 10.0 + n / 10.0, 0.1) if isinstance(a, AddToCounter)]
     assert max(len(gateway.buckets), len(gateway.reports.pending), len(gateway.reports.deferred)) <= 250
     gateway.handle(41.0, request("more", 4.0, customer="c299"))
-    more = call(gateway, 41.0)
-    assert counter_encoding.decode(more.name, more.amount)[0] == pytest.approx(4.3, abs=0.5)
+    counter_call = find_counter_call(gateway, 41.0)
+    assert counter_encoding.decode(counter_call.name, counter_call.amount)[0] == pytest.approx(4.3, abs=0.5)
 
 
 def test_amount_is_reported_again_and_calls_slow_down_when_the_counter_rejects() -> None:
-    gateway = started(settings(information=COUNTER))
+    gateway = started(settings(information=COUNTER_INFORMATION))
     gateway.handle(10.0, request("r0", 4.0))
-    first = call(gateway, 10.0)
+    first_call = find_counter_call(gateway, 10.0)
     rate = gateway.reporter.call_rate
-    gateway.handle(10.5, CounterReplied(first.name, Status.FULL))
+    gateway.handle(10.5, CounterReplied(first_call.name, Status.FULL))
     assert gateway.reporter.call_rate < rate
-    again = call(gateway, 10.6)
-    assert (again.name, again.amount) == (first.name, first.amount)
+    second_call = find_counter_call(gateway, 10.6)
+    assert (second_call.name, second_call.amount) == (first_call.name, first_call.amount)
 
 
 def test_total_is_used_and_calls_slow_down_when_the_reply_is_late() -> None:
-    gateway = started(settings(information=COUNTER))
+    gateway = started(settings(information=COUNTER_INFORMATION))
     gateway.handle(10.0, request("r0", 4.0))
-    counter_call = call(gateway, 10.0)
+    counter_call = find_counter_call(gateway, 10.0)
     rate = gateway.reporter.call_rate
     total = counter_call.amount + counter_encoding.encode(counter_call.name, 60.0, 30.0)
     gateway.handle(10.5, CounterReplied(counter_call.name, Status.OK, total, 0.3))
@@ -92,7 +97,7 @@
 
 
 def test_calls_continue_when_many_have_failed() -> None:
-    gateway = started(settings(information=COUNTER))
+    gateway = started(settings(information=COUNTER_INFORMATION))
     gateway.reporter.call_rate = 0.5
     gateway.reporter.call_credit = 0.5
     gateway.handle(10.0, request("r0", 4.0))
@@ -100,46 +105,45 @@
 
 
 def test_own_amount_is_not_taken_for_remote_demand_when_a_call_gets_no_reply() -> None:
-    gateway = started(settings(information=COUNTER))
+    gateway = started(settings(information=COUNTER_INFORMATION))
     total = 0.0
     for n, status in enumerate([Status.TIMEOUT, Status.OK]):
         gateway.handle(11.0 + n, request(f"r{n}", 4.0))
-        counter_call = call(gateway, 11.0 + n)
+        counter_call = find_counter_call(gateway, 11.0 + n)
         total += counter_call.amount
         gateway.handle(11.01 + n, CounterReplied(counter_call.name, status, total))
     assert only_store(gateway).remote_rate == 0.0
 
 
 def test_totals_do_not_count_as_lost_when_an_uncertain_call_was_not_added() -> None:
-    gateway = started(settings(information=COUNTER))
+    gateway = started(settings(information=COUNTER_INFORMATION))
     gateway.handle(10.5, request("r0", 4.0))
-    counter_call = call(gateway, 10.5)
-    total = counter_call.amount + counter_encoding.encode(
-        counter_call.name, 30.0, 20.0
-    )  # remote charges of 20, of a burst of 30
+    counter_call = find_counter_call(gateway, 10.5)
+    # Other limiters charged 20 units of a burst of 30.
+    total = counter_call.amount + counter_encoding.encode(counter_call.name, 30.0, 20.0)
     gateway.handle(11.0, CounterReplied(counter_call.name, Status.OK, total))
     bucket = only_store(gateway)
     for n, (status, added) in enumerate([(Status.TIMEOUT, False), (Status.OK, True)]):
         gateway.handle(11.1 + n, request(f"s{n}", 4.0))
-        counter_call = call(gateway, 11.1 + n)
-        before = bucket.global_level
+        counter_call = find_counter_call(gateway, 11.1 + n)
+        level_before = bucket.global_level
         total += counter_call.amount if added else 0.0
         gateway.handle(11.6 + n, CounterReplied(counter_call.name, status, total))
-    assert bucket.global_level >= before
+    assert bucket.global_level >= level_before
     assert bucket.remote_rate < 20.0
 
 
-def answer_calls(gateways: list[Gateway], totals: dict[int, float], now: float) -> None:
-    """Run half a second in which the counter replies to each call at once."""
+def reply_to_calls(gateways: list[Gateway], totals: dict[int, float], now: float) -> None:
+    """Run half a second in which the counter replies to each call without delay."""
     for gateway in gateways:
-        for counter_call in [a for a in ticks(gateway, now, 0.5) if isinstance(a, AddToCounter)]:
+        for counter_call in [action for action in ticks(gateway, now, 0.5) if isinstance(action, AddToCounter)]:
             totals[counter_call.name] = totals.get(counter_call.name, 0.0) + counter_call.amount
             gateway.handle(now + 0.5, CounterReplied(counter_call.name, Status.OK, totals[counter_call.name]))
 
 
 def test_set_forwards_the_quota_when_demand_is_twice_as_much() -> None:
-    # Demand at three gateways is twice the quota for half a minute: about the quota is forwarded.
-    gateways = [started(settings(index=n, information=COUNTER), seed=n) for n in range(3)]
+    # The demand at three gateways is twice the quota for 30 s. In the second half, about the quota is forwarded.
+    gateways = [started(settings(index=n, information=COUNTER_INFORMATION), seed=n) for n in range(3)]
     totals = dict[int, float]()
     sent = 0.0
     units = 2.0 / 3.0
@@ -150,14 +154,15 @@
             for send in sends(gateway.handle(now, request(f"r{step}.{n}", units))):
                 gateway.handle(now, ended(send.id, send, Status.OK, actual_units=units))
                 sent += units if step >= 30 else 0.0
-        answer_calls(gateways, totals, 10.0 + step * 0.5)
+        reply_to_calls(gateways, totals, 10.0 + step * 0.5)
     assert 0.85 * 15.0 * PLAN.rate <= sent <= 1.25 * 15.0 * PLAN.rate
 
 
-SHARES = st.tuples(st.floats(0.0, 2.0), st.floats(-0.1, 0.2))  # of a window's quota: requested, charged
+# Requested and charged units of a report, as fractions of the quota in a window
+REPORTED_FRACTIONS = st.tuples(st.floats(0.0, 2.0), st.floats(-0.1, 0.2))
 
 
-@given(st.lists(SHARES, min_size=1, max_size=7), st.floats(0.1, 50.0), st.floats(1.0, 100.0))
+@given(st.lists(REPORTED_FRACTIONS, min_size=1, max_size=7), st.floats(0.1, 50.0), st.floats(1.0, 100.0))
 def test_total_encodes_two_amounts_when_reports_are_added_up(
     reports: list[tuple[float, float]], rate: float, burst: float
 ) -> None:
@@ -167,36 +172,37 @@
     total = 0.0
     name = counter_encoding.build_counter_name(7, 100.0, rate, burst)
     ledger = CounterLedger(0.0)
-    for more, change in reports:
-        requested = requested + more * quota
-        charged = charged + change * quota
+    for requested_fraction, charged_fraction in reports:
+        requested = requested + requested_fraction * quota
+        charged = charged + charged_fraction * quota
         total += ledger.report(name, requested, charged)
-    assert abs(total) < 1e7  # a total is exact to seven digits
+    assert abs(total) < 1e7  # A total is exact to seven digits.
     assert counter_encoding.decode(name, total) == pytest.approx(
         (ledger.reported_units, ledger.reported_charges), abs=1e-6
     )
     assert -1e-6 <= requested - ledger.reported_units <= 2.0 * quota / 256
     assert abs(charged - ledger.reported_charges) <= quota / 1024
-    before = (
-        ledger.reported_units,
-        ledger.reported_charges,
-    )  # an unexpectedly large demand is not read as charges
-    answer_calls, charged_more = counter_encoding.decode(name, ledger.report(name, requested + 100.0 * quota, charged))
-    assert answer_calls <= 32.0 * quota
+    # An unexpectedly large demand must not be decoded as charges.
+    reported_before = (ledger.reported_units, ledger.reported_charges)
+    requested_more, charged_more = counter_encoding.decode(
+        name, ledger.report(name, requested + 100.0 * quota, charged)
+    )
+    assert requested_more <= 32.0 * quota
     assert abs(charged_more) <= quota / 512
-    assert before != (ledger.reported_units, ledger.reported_charges)
+    assert reported_before != (ledger.reported_units, ledger.reported_charges)
 
 
 def test_counter_total_is_used_when_metered_usage_is_older() -> None:
-    gateway = started(settings(information=COUNTER))
+    gateway = started(settings(information=COUNTER_INFORMATION))
     sent = sends(gateway.handle(11.0, request("r0", 4.0)))[0]
-    gateway.handle(11.5, CounterReplied(call(gateway, 11.0).name, Status.OK, 4.0))
-    gateway.handle(11.6, ended("r0", sent, Status.OK, actual_units=4.0, quota_usage=2.0))  # metered before that total
+    gateway.handle(11.5, CounterReplied(find_counter_call(gateway, 11.0).name, Status.OK, 4.0))
+    # The usage was metered before the counter's total was read.
+    gateway.handle(11.6, ended("r0", sent, Status.OK, actual_units=4.0, quota_usage=2.0))
     assert only_store(gateway).remote_rate < 1.0
 
 
 def test_reply_changes_nothing_when_it_is_invalid_or_unexpected() -> None:
-    gateway = started(settings(information=COUNTER))
+    gateway = started(settings(information=COUNTER_INFORMATION))
     gateway.handle(10.0, request("r0", 4.0))
     for total in (float("nan"), float("inf")):
         assert gateway.handle(10.1, CounterReplied(next(iter(gateway.buckets)), Status.OK, total)) == []
