--- a/thymeflow/gossip/codec.py
+++ b/thymeflow/gossip/codec.py
@@ -24,9 +24,10 @@
 
 
 class Entry(NamedTuple):
-    """One customer's amounts in units: requested and charged in a report, level and demand per second in an aggregate.
+    """One customer's amounts in a message.
 
-    The amounts of a report wrap.
+    A report contains the requested and charged units, which wrap. An aggregate contains the level of the set in units
+    and its demand in units per second.
     """
 
     customer_id: int
--- a/thymeflow/gossip/publisher.py
+++ b/thymeflow/gossip/publisher.py
@@ -16,9 +16,10 @@
 AGGREGATOR_COUNT = 2  # Number of limiters in a customer's set that aggregate the set's requested and charged units
 ACTIVE_SECONDS = 15.0  # Peers that reported a customer within this time get its aggregate each round.
 SET_NOTIFICATION_SECONDS = 4.0  # Minimum time between notifications of the complete set
-# A reply can change the peers' admissions only for a busy customer, whose demand is above this fraction of the rate ...
+# A customer is busy if its demand is above this fraction of the plan's rate. Replies are sent only for busy customers,
+# because the aggregate of any other customer would not change the requests that peers admit.
 MIN_BUSY_DEMAND = 0.5
-# ... or whose level is below this fraction of the burst.
+# A customer is also busy if the level of its set is below this fraction of the burst.
 MAX_BUSY_LEVEL = 0.6
 # A limiter sends messages at this fraction of the rate that a peer can receive. A peer receives about as many messages
 # as each limiter sends, so that it can receive the messages of all limiters together.
@@ -32,11 +33,13 @@
     plans: tuple[Plan, ...]
     entries: dict[int, list[codec.Entry]] = field(default_factory=dict)
 
-    def add(self, peer: int, bucket: TokenBucket, is_aggregate: bool, first: float, second: float) -> None:
+    def add(
+        self, peer: int, bucket: TokenBucket, is_aggregate: bool, requested_or_level: float, charged_or_demand: float
+    ) -> None:
         """Add an entry for a peer, unless the bucket's plan is no longer in force."""
         if bucket.plan in self.plans:
             plan_number = self.plans.index(bucket.plan)
-            entry = codec.Entry(bucket.customer_id, plan_number, is_aggregate, first, second)
+            entry = codec.Entry(bucket.customer_id, plan_number, is_aggregate, requested_or_level, charged_or_demand)
             self.entries.setdefault(peer, []).append(entry)
 
 
--- a/thymeflow/quota/buckets.py
+++ b/thymeflow/quota/buckets.py
@@ -120,10 +120,10 @@
         self.pending.pop(customer_id, None)
         self.deferred.pop(customer_id, None)
 
-    def begin_round(self, known: dict[int, TokenBucket]) -> None:
-        """Make deferred customers pending, and drop customers without a bucket among the `known` ones."""
+    def begin_round(self, known_buckets: dict[int, TokenBucket]) -> None:
+        """Make deferred customers pending, and drop customers that have no bucket in `known_buckets`."""
         updates = self.pending | self.deferred
-        self.pending = {customer_id: None for customer_id in updates if customer_id in known}
+        self.pending = {customer_id: None for customer_id in updates if customer_id in known_buckets}
         self.deferred = {}
 
     def clear_pending(self) -> None:
--- a/thymeflow/quota/counter_encoding.py
+++ b/thymeflow/quota/counter_encoding.py
@@ -16,10 +16,10 @@
 from math import frexp
 
 WINDOW_SECONDS = 10.0  # A counter name is in use for one window.
-# Requested units are encoded up to 16 times the units that the quota allows in a window.
+# Number of steps for requested units, which cover 16 times the units that the quota allows in a window
 REQUESTED_STEP_COUNT = 4096
-# Charged units are encoded up to twice the units that the quota allows in a window. REQUESTED_STEP_COUNT *
-# CHARGED_STEP_COUNT stays below 10^7, because a total is exact to seven digits only (PROTOCOL, counter).
+# Number of steps for charged units, which cover twice the units that the quota allows in a window. The product with
+# REQUESTED_STEP_COUNT stays below 10^7, because a total is exact to seven digits only (PROTOCOL, counter).
 CHARGED_STEP_COUNT = 2048
 REQUESTED_STEP_FRACTION = 16.0 / REQUESTED_STEP_COUNT  # Step size as a fraction of the scale
 CHARGED_STEP_FRACTION = 2.0 / CHARGED_STEP_COUNT  # Step size as a fraction of the scale
--- a/thymeflow/quota/token_bucket.py
+++ b/thymeflow/quota/token_bucket.py
@@ -22,9 +22,9 @@
 # Bounds on the time constant of reported demand, which is one second per limiter of the set
 MIN_REMOTE_MEMORY_SECONDS = 5.0
 MAX_REMOTE_MEMORY_SECONDS = 40.0
-# A counter call is justified by this much unreported demand, as a fraction of the burst ...
+# Minimum unreported demand that justifies a counter call, as a fraction of the burst
 MIN_UNREPORTED_FRACTION = 0.05
-# ... or by this much demand of the set, as a fraction of the plan's rate.
+# Minimum demand of the set that justifies a counter call, as a fraction of the plan's rate
 MIN_REPORTED_DEMAND_FRACTION = 0.3
 MIN_CALL_INTERVAL_SECONDS = 0.5  # Minimum time between counter calls for one customer
 
@@ -57,9 +57,11 @@
         self.mean_cost = 0.0  # Running mean of the units per request
         self.reserve = 0.0  # Level of the complete set under excess demand, in units
         self.usage_ratio = MIN_USAGE_RATIO  # Metered use over the quota
-        self.remote_rate_memory = DEMAND_MEMORY_SECONDS
-        self.is_aggregator = False
-        self.last_remote_report_at = -inf
+        self.remote_rate_memory = DEMAND_MEMORY_SECONDS  # Time constant of the remote demand's decay in s
+        self.is_aggregator = (
+            False  # Whether remote use is known from peers' reports or the counter, not from aggregates
+        )
+        self.last_remote_report_at = -inf  # Time of the last report of a peer or the counter, on any customer
         self.counter_called_at = -inf
         self.counter_ledger = CounterLedger(now)
         self.predicted_remote_usage = 0.0  # Units deducted for charges of other limiters before these report them
@@ -69,10 +71,10 @@
         # The use before a restart is not known. The level begins as a fraction of the burst at the gateway's start, and
         # is refilled for the time since then.
         fill = min(1.0, initial_fill + (now - started_at) * plan.rate / max(plan.burst, 1e-9))
-        self.global_level = plan.burst * fill
+        self.global_level = plan.burst * fill  # Estimated level of the complete set in units
         self.members: list[int] = []
         self.member_count = 1
-        self.set_changed = False
+        self.set_changed = False  # Whether the fleet's size changed since the slice was taken
         self.level = 0.0  # Level of this limiter's slice in units
         self.ceiling_level = 0.0  # Level of this limiter's slice of the hard ceiling in units
         self.set_notified_at = -inf  # Time of the last gossip message to all members of the set
@@ -116,7 +118,7 @@
     def compute_quota_fraction(self, local_rate: float) -> float:
         """Return this limiter's fraction of the quota: by demand, or an even split while no reports arrive.
 
-        Half of the difference to the even split is used while only other customers are reported.
+        While reports arrive only for other customers, the fraction is halfway between the two.
         """
         prior = PRIOR_DEMAND_FRACTION * self.plan.rate + 1e-9
         even = 1.0 / self.member_count
@@ -182,7 +184,7 @@
         """Return whether an even slice is smaller than a mean request; requests are then admitted by sampling."""
         return self.member_count > SMALL_SET_SIZE and self.plan.burst < self.mean_cost * self.member_count
 
-    def _admits_by_sampling(self, units: float, sample: float) -> bool:
+    def _is_admitted_by_sampling(self, units: float, sample: float) -> bool:
         # Earlier local demand is known at once, and each other limiter probably had as much.
         previous_rate = max(0.0, self.local_rate - units / self.local_rate_memory)
         demand = max(previous_rate + self.remote_rate, previous_rate * self.member_count)
@@ -207,7 +209,7 @@
         if plan.rate <= 0 or units <= self.level:
             return True
         if self.has_small_slices():
-            return self._admits_by_sampling(units, sample)
+            return self._is_admitted_by_sampling(units, sample)
         if not self.has_recent_remote_reports():
             # A full even slice admits one request of any size. The missing units become debt.
             return min(units, plan.burst * fraction * 0.999) <= self.level
