--- a/thymeflow/testkit/faults/fault_modes.py
+++ b/thymeflow/testkit/faults/fault_modes.py
@@ -75,7 +75,7 @@
 
 def overspend_quotas() -> None:
     """Let each limiter use the base fraction of a quota that is meant for all limiters together."""
-    patch.object(StrictTokenBucket, "_base_fraction", lambda _: 1.0).start()
+    patch.object(StrictTokenBucket, "_compute_base_fraction", lambda _: 1.0).start()
 
 
 FAULT_MODES: dict[str, Callable[[], None]] = {
