--- a/tests/leases/test_allocation_format.py
+++ b/tests/leases/test_allocation_format.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from tests.recorded_messages import ALLOCATION, Json, assert_as_recorded, rejection_text
-from thymeflow.leases.holder import allocation_from_message, message_of
+from thymeflow.leases.holder import allocation_from_message, allocation_to_message
 
 
 def allocation_values(message: Json) -> list[Json]:
@@ -23,7 +23,7 @@
     assert_as_recorded(
         "allocation",
         [
-            [allocation_values(message), message_of(allocation_from_message(message))]
+            [allocation_values(message), allocation_to_message(allocation_from_message(message))]
             for message in (ALLOCATION, of_two_resources)
         ],
     )
--- a/tests/leases/test_lease_issuer.py
+++ b/tests/leases/test_lease_issuer.py
@@ -18,7 +18,7 @@
 from thymeflow.decision.events import TimerFired
 from thymeflow.decision.settings import Information
 from thymeflow.leases import grant_file
-from thymeflow.leases.allocation import Allocation, allocation_from_message, message_of, report_from_message
+from thymeflow.leases.allocation import Allocation, allocation_from_message, allocation_to_message, report_from_message
 from thymeflow.leases.errors import MalformedAllocationError, OverAllocationError
 from thymeflow.leases.holder import LEASE_MARGIN_SECONDS, LeaseHolder
 from thymeflow.leases.holder_state import HOLDER_TRANSITIONS, HolderEvent, HolderState
@@ -83,7 +83,7 @@
     for state in HolderState:
         for event in HolderEvent:
             issuer = LeaseIssuer(1, 0.0)
-            issuer.record_of("a").state = state
+            issuer.get_or_create_record("a").state = state
             if (state, event) in HOLDER_TRANSITIONS:
                 assert issuer._move("a", event).state is HOLDER_TRANSITIONS[state, event]
             else:
@@ -137,13 +137,13 @@
 
 @pytest.mark.parametrize("demand", [None, 7, ["many"], [None], [10**400]])
 def test_report_is_rejected_when_its_demand_is_no_list_of_numbers(demand: object) -> None:
-    message = {**message_of(Allocation(1, 1)), "demand": demand}
+    message = {**allocation_to_message(Allocation(1, 1)), "demand": demand}
     with pytest.raises(MalformedAllocationError, match="demand is"):
         report_from_message(message)
 
 
 def test_report_has_its_allocation_and_demand_when_it_was_json() -> None:
-    message = {**message_of(Allocation(1, 2)), "demand": [1, 2.5]}
+    message = {**allocation_to_message(Allocation(1, 2)), "demand": [1, 2.5]}
     report = report_from_message(json.loads(json.dumps(message)))
     assert report.allocation == Allocation(1, 2)
     assert report.demand == (1.0, 2.5)
@@ -205,7 +205,7 @@
 
 def test_allocation_is_the_same_when_it_was_json() -> None:
     allocation = Allocation(2, 5, tuple(range(len(Resource))), tuple(range(1, len(Resource) + 1)), 5.5)
-    assert allocation_from_message(json.loads(json.dumps(message_of(allocation)))) == allocation
+    assert allocation_from_message(json.loads(json.dumps(allocation_to_message(allocation)))) == allocation
     of_earlier_version = {"era": 2, "number": 5, "base": [7, 8], "lease": [9, 1], "end": 5.5}
     earlier = allocation_from_message(of_earlier_version)
     assert earlier.base[:3] == (7, 8, 0)
--- a/tests/leases/traced_fleet.py
+++ b/tests/leases/traced_fleet.py
@@ -7,7 +7,7 @@
 from typing import Any
 
 from thymeflow.leases import grant_file
-from thymeflow.leases.allocation import Allocation, allocation_from_message, message_of
+from thymeflow.leases.allocation import Allocation, allocation_from_message, allocation_to_message
 from thymeflow.leases.errors import OverAllocationError
 from thymeflow.leases.holder import LeaseHolder
 from thymeflow.leases.holder_state import HolderState
@@ -84,7 +84,7 @@
 
     def message(self) -> Message:
         """Return what the member reports."""
-        return message_of(self.holders[-1].allocation)
+        return allocation_to_message(self.holders[-1].allocation)
 
     def in_force(self, now: float) -> list[int]:
         """Return the amounts that the member's processes may use, by resource."""
@@ -105,11 +105,11 @@
 
     def start_member(self, name: str, now: float) -> Message:
         """Return the allocation that a new process of that name starts with."""
-        if STATE_LABELS[self.issuer.record_of(name).state] in ("held", "asked"):
+        if STATE_LABELS[self.issuer.get_or_create_record(name).state] in ("held", "asked"):
             self.issuer.on_disconnected(name)
         allocation, _ = self.issuer.on_starting(name, now)
         self.write_file()
-        return message_of(allocation)
+        return allocation_to_message(allocation)
 
     def on_report(self, name: str, message: Message, demand: tuple[float, ...], now: float) -> None:
         """Handle a member's report."""
@@ -128,7 +128,7 @@
         output: list[tuple[str, Any]] = []
         for action in self.issuer.tick(now):
             if not isinstance(action, Write):
-                output.append((action.holder, message_of(action.allocation)))
+                output.append((action.holder, allocation_to_message(action.allocation)))
                 continue
             output.append(("write", action.version))
             if write == "fails":
@@ -136,7 +136,7 @@
             elif write == "done":
                 self.write_file()
                 sends = self.issuer.on_written(action.version)
-                output.extend((send.holder, message_of(send.allocation)) for send in sends)
+                output.extend((send.holder, allocation_to_message(send.allocation)) for send in sends)
         return output
 
     def write_file(self) -> None:
--- a/tests/outliers/test_outlier_coordinator.py
+++ b/tests/outliers/test_outlier_coordinator.py
@@ -78,7 +78,7 @@
         for n in range(5):
             coordinator.on_report(f"n{n}", {BAD}, set(), {}, now)
         coordinator.tick(now)
-        permits = [(n, v) for n in range(5) for v in coordinator.ejections_for(f"n{n}", now) if v.probe_permit]
+        permits = [(n, v) for n in range(5) for v in coordinator.build_ejections(f"n{n}", now) if v.probe_permit]
         assert len(permits) == 1
         assert not permits[0][1].is_admitted
         probing_members.append(f"n{permits[0][0]}")
@@ -90,7 +90,7 @@
     while coordinator.ejections and now < 60.0:
         for n in range(5):
             coordinator.on_report(f"n{n}", set(), set(), {}, now)
-        admitted_counts.append(sum(v.is_admitted for n in range(5) for v in coordinator.ejections_for(f"n{n}", now)))
+        admitted_counts.append(sum(v.is_admitted for n in range(5) for v in coordinator.build_ejections(f"n{n}", now)))
         coordinator.tick(now)
         now += RECOVERY_STEP_SECONDS
     assert admitted_counts[0] == 1
@@ -115,7 +115,9 @@
     assert coordinator.ejections[BAD].state is EjectionState.RECOVERING
     coordinator.on_report(record.probing_member, {BAD}, set(), {}, 0.4 + SETTLING_SECONDS)
     assert coordinator.ejections[BAD].state is EjectionState.EJECTED
-    assert not any(v.probe_permit for n in range(3) for v in coordinator.ejections_for(f"n{n}", 0.4 + SETTLING_SECONDS))
+    assert not any(
+        v.probe_permit for n in range(3) for v in coordinator.build_ejections(f"n{n}", 0.4 + SETTLING_SECONDS)
+    )
     coordinator.on_report(
         "n9", set(), set(), {record.permit: True, 0: True, 99: True}, 0.5
     )  # permits that were never issued
@@ -154,7 +156,7 @@
             permits = {
                 v.probe_permit
                 for n in range(4)
-                for v in coordinator.ejections_for(f"n{n}", now)
+                for v in coordinator.build_ejections(f"n{n}", now)
                 if v.key == key and v.probe_permit
             }
             assert len(permits) <= 1
@@ -207,7 +209,7 @@
     member = record.probing_member
     permit = record.permit
     assert permit
-    assert sum(bool(v.probe_permit) for n in range(4) for v in coordinator.ejections_for(f"n{n}", 0.1)) == 1
+    assert sum(bool(v.probe_permit) for n in range(4) for v in coordinator.build_ejections(f"n{n}", 0.1)) == 1
     now = 0.5
     coordinator.on_report(member, set(), {EjectionKey(3, "")}, {permit: True}, now)
     assert record.state is EjectionState.RECOVERING
--- a/tests/outliers/test_outlier_format.py
+++ b/tests/outliers/test_outlier_format.py
@@ -59,7 +59,7 @@
         [-1, "zone-a", 2, 0, True, True, 3],
         [0, "", 0, 0, False, True, 1.5],
     ]
-    written = [member.message_of(ejection) for ejection in member.ejections_from_message(messages)]
+    written = [member.ejection_to_row(ejection) for ejection in member.ejections_from_message(messages)]
     assert_as_recorded("ejections", [ejection_values(messages), written])
 
 
--- a/tests/outliers/test_outlier_member.py
+++ b/tests/outliers/test_outlier_member.py
@@ -21,9 +21,9 @@
 )
 from thymeflow.outliers.member import MemberEjections
 from thymeflow.outliers.messages import (
+    ejection_to_row,
     ejections_from_message,
     keys_from_message,
-    message_of,
     probes_from_message,
 )
 
@@ -71,7 +71,7 @@
 
     def receive(now: float, ejection: Ejection) -> None:
         leased = replace(ejection, ends_at=now + EJECTION_LEASE_SECONDS)
-        member.on_ejections(ejections_from_message([message_of(leased)]), now, now)
+        member.on_ejections(ejections_from_message([ejection_to_row(leased)]), now, now)
 
     receive(100.0, ejected)
     assert selected(100.1) == 0
--- a/tests/outliers/test_outlier_trace.py
+++ b/tests/outliers/test_outlier_trace.py
@@ -29,9 +29,9 @@
 from thymeflow.outliers.ejection import ZONE, EjectionKey, EjectionState
 from thymeflow.outliers.member import MemberEjections
 from thymeflow.outliers.messages import (
+    ejection_to_row,
     ejections_from_message,
     keys_from_message,
-    message_of,
     probes_from_message,
     zones_from_message,
 )
@@ -256,8 +256,8 @@
         self.trace.actions["threshold above 0"] += threshold > 0.0
         self.lines.append(json.dumps(["threshold", threshold, round(self.threshold.pressure, 9)]))
         for name in (*self.names, "stranger"):
-            ejections = self.coordinator.ejections_for(name, moment)
-            rows = json.loads(json.dumps([message_of(ejection) for ejection in ejections]))
+            ejections = self.coordinator.build_ejections(name, moment)
+            rows = json.loads(json.dumps([ejection_to_row(ejection) for ejection in ejections]))
             self.trace.actions["row"] += len(rows)
             self.trace.actions["probe permit"] += sum(row[3] > 0 for row in rows)
             self.lines.append(json.dumps([name, rows]))
--- a/tests/shedding/test_threshold.py
+++ b/tests/shedding/test_threshold.py
@@ -85,7 +85,7 @@
     with pytest.raises(ValueError, match="no figure from 0 to 1"):
         shedding.on_threshold(value, 0.0, 0.0)
     assert not threshold.reports
-    assert shedding.rejected_fraction(SAFE, PLAN, 1, 0.25) == 0.25
+    assert shedding.compute_rejected_fraction(SAFE, PLAN, 1, 0.25) == 0.25
 
 
 def test_order_goes_by_priority_weight_and_is_the_same_at_members_when_their_settings_are() -> None:
--- a/thymeflow/daemon/allocation.py
+++ b/thymeflow/daemon/allocation.py
@@ -7,7 +7,7 @@
 
 from thymeflow.core.dispatcher import RequestDispatcher
 from thymeflow.handover.control_socket import Message
-from thymeflow.leases.holder import Allocation, LeaseHolder, allocation_from_message, message_of
+from thymeflow.leases.holder import Allocation, LeaseHolder, allocation_from_message, allocation_to_message
 from thymeflow.leases.resources import TOTAL_POINTS, Resource
 from thymeflow.runtime import clock, log
 from thymeflow.runtime.log_kinds import LogKind
@@ -43,7 +43,7 @@
         self._update_demand(clock.now(), sum(dispatcher.response_counts.values()))
         now = clock.monotonic()
         return {
-            **message_of(self._holder.allocation),
+            **allocation_to_message(self._holder.allocation),
             "demand": [round(self._demand_per_second, 3)] * len(Resource),
             "in_force": {resource.value: self._holder.usable_amount(resource, now) for resource in Resource},
         }
@@ -69,7 +69,7 @@
 
     def hand_over(self) -> Message | None:
         """Return the allocation for the successor; from now on this process uses none of it."""
-        return None if self._holder is None else message_of(self._holder.hand_over())
+        return None if self._holder is None else allocation_to_message(self._holder.hand_over())
 
     def inherit(self, message: object) -> None:
         """Apply the allocation of the predecessor, which no longer uses it."""
--- a/thymeflow/daemon/member_bounds.py
+++ b/thymeflow/daemon/member_bounds.py
@@ -40,7 +40,7 @@
         fraction = self._allocation.fraction(resource, even_fraction)
         if self._load_shedder is None:
             return fraction
-        return self._load_shedder.limited_fraction(resource, fraction)
+        return self._load_shedder.compute_usable_fraction(resource, fraction)
 
     def limit_of(self, resource: str, even_fraction: float) -> float:
         """Return how much of a resource this member may use, infinity where the fleet does not limit it."""
@@ -53,7 +53,7 @@
         """Return the ready backends that a class may use by the fleet's ejections."""
         if self._ejections is None:
             return healthy
-        return self._ejections.eligible_backends(ready, healthy, class_name, now)
+        return self._ejections.select_eligible_backends(ready, healthy, class_name, now)
 
     def adjust_shedding(
         self, request_class: RequestClass, plan: Plan, customer_id: int, local_fraction: float
@@ -61,4 +61,4 @@
         """Return the fraction of such requests to shed by the fleet's admission threshold."""
         if self._load_shedder is None:
             return local_fraction
-        return self._load_shedder.rejected_fraction(request_class, plan, customer_id, local_fraction)
+        return self._load_shedder.compute_rejected_fraction(request_class, plan, customer_id, local_fraction)
--- a/thymeflow/fleet/lease_distributor.py
+++ b/thymeflow/fleet/lease_distributor.py
@@ -9,7 +9,7 @@
 from thymeflow.fleet.status_messages import JsonObject, lease_status
 from thymeflow.handover.control_socket import Message
 from thymeflow.leases import grant_file
-from thymeflow.leases.allocation import Allocation, message_of, report_from_message
+from thymeflow.leases.allocation import Allocation, allocation_to_message, report_from_message
 from thymeflow.leases.errors import MalformedAllocationError
 from thymeflow.leases.holder_state import HolderState
 from thymeflow.leases.issuer import LeaseIssuer, Write
@@ -56,14 +56,14 @@
 
     def on_starting(self, name: str) -> Message:
         """Return the allocation that a new process of a member starts with."""
-        if self._issuer.record_of(name).state not in (HolderState.ABSENT, HolderState.NOT_REPORTING):
+        if self._issuer.get_or_create_record(name).state not in (HolderState.ABSENT, HolderState.NOT_REPORTING):
             self._issuer.on_disconnected(name)
         allocation, _ = self._issuer.on_starting(name, clock.monotonic())
         if not self._write_grant_file():
             allocation = Allocation(
                 allocation.epoch, allocation.number
             )  # the process starts without any, and is granted some later
-        return message_of(allocation)
+        return allocation_to_message(allocation)
 
     def on_report(self, name: str, message: object) -> None:
         """Handle a member's report of its allocation; a malformed one changes nothing."""
--- a/thymeflow/fleet/member_messages.py
+++ b/thymeflow/fleet/member_messages.py
@@ -9,10 +9,9 @@
 from dataclasses import dataclass
 
 from thymeflow.handover.control_socket import Message
-from thymeflow.leases.allocation import Allocation
-from thymeflow.leases.allocation import message_of as message_of_allocation
+from thymeflow.leases.allocation import Allocation, allocation_to_message
 from thymeflow.outliers.ejection import Ejection
-from thymeflow.outliers.messages import message_of as message_of_ejection
+from thymeflow.outliers.messages import ejection_to_row
 
 SERVING_PHASE = "serving"  # the value of `phase` while a process serves
 UNKNOWN_PID = -1
@@ -57,12 +56,12 @@
 
 def grant_message(allocation: Allocation) -> Message:
     """Return the message that grants an allocation."""
-    return {"do": "part", "part": message_of_allocation(allocation)}
+    return {"do": "part", "part": allocation_to_message(allocation)}
 
 
 def ejections_message(ejections: list[Ejection]) -> Message:
     """Return the message that replaces all ejections of a member."""
-    return {"do": "verdicts", "verdicts": [message_of_ejection(ejection) for ejection in ejections]}
+    return {"do": "verdicts", "verdicts": [ejection_to_row(ejection) for ejection in ejections]}
 
 
 def threshold_message(threshold: float) -> Message:
--- a/thymeflow/fleet/member_processes.py
+++ b/thymeflow/fleet/member_processes.py
@@ -32,7 +32,7 @@
 from thymeflow.fleet.registry import ConfigurationTemplate, FleetNames, read_template, write_member
 from thymeflow.handover import control_client
 from thymeflow.handover.control_socket import Message
-from thymeflow.leases.allocation import EMPTY_ALLOCATION, message_of
+from thymeflow.leases.allocation import EMPTY_ALLOCATION, allocation_to_message
 from thymeflow.runtime import clock, log
 from thymeflow.runtime.log_kinds import LogKind
 from thymeflow.settings.sections import Fleet
@@ -200,7 +200,7 @@
 
     def _initial_allocation(self, action: StartProcess) -> Message:
         if action.is_replacement:
-            return message_of(EMPTY_ALLOCATION)
+            return allocation_to_message(EMPTY_ALLOCATION)
         return self._leases.on_starting(self._names.name(action.number))
 
     def _adopted_process(self, status: MemberStatus) -> AdoptedProcess | None:
--- a/thymeflow/fleet/outlier_service.py
+++ b/thymeflow/fleet/outlier_service.py
@@ -111,11 +111,11 @@
 
     def _send_ejections(self, name: str, now: float) -> None:
         # Compared without their ends, which move with every tick.
-        ejections = [replace(ejection, ends_at=0.0) for ejection in self._coordinator.ejections_for(name, now)]
+        ejections = [replace(ejection, ends_at=0.0) for ejection in self._coordinator.build_ejections(name, now)]
         sent = self._sent_ejections.get(name, _SentEjections(now))
         if ejections != sent.ejections or (ejections and now - sent.sent_at >= RENEWAL_SECONDS):
             self._sent_ejections[name] = _SentEjections(now, ejections)
-            self._send(name, ejections_message(self._coordinator.ejections_for(name, now)))
+            self._send(name, ejections_message(self._coordinator.build_ejections(name, now)))
 
     def _update_threshold(self, now: float) -> None:
         # Rounded as it was sent: one that rounds to 0 sheds nothing.
--- a/thymeflow/leases/allocation.py
+++ b/thymeflow/leases/allocation.py
@@ -70,7 +70,7 @@
     return AllocationReport(allocation, _demand_from_message(demand))
 
 
-def message_of(allocation: Allocation) -> dict[str, object]:
+def allocation_to_message(allocation: Allocation) -> dict[str, object]:
     """Return the message form of an allocation, which `allocation_from_message` parses."""
     return {
         "era": allocation.epoch,
--- a/thymeflow/leases/holder.py
+++ b/thymeflow/leases/holder.py
@@ -10,7 +10,7 @@
 from thymeflow.leases.allocation import EMPTY_ALLOCATION
 from thymeflow.leases.allocation import Allocation as Allocation
 from thymeflow.leases.allocation import allocation_from_message as allocation_from_message
-from thymeflow.leases.allocation import message_of as message_of
+from thymeflow.leases.allocation import allocation_to_message as allocation_to_message
 from thymeflow.leases.resources import RESOURCE_INDEXES, Resource
 
 LEASE_MARGIN_SECONDS = 0.25  # a lease is not used in its last moments: time from the decision to the kernel
--- a/thymeflow/leases/issuer.py
+++ b/thymeflow/leases/issuer.py
@@ -61,12 +61,12 @@
         self._sends_by_version: dict[int, list[Send]] = {}  # sends by the file version that must be written before
         self._first_grant_at = now  # before, leases of a lost grant file may be in force
 
-    def record_of(self, holder: HolderName) -> HolderRecord:
+    def get_or_create_record(self, holder: HolderName) -> HolderRecord:
         """Return the record of a holder, a new one if it is unknown."""
         return self.records.setdefault(holder, HolderRecord())
 
     def _move(self, holder: HolderName, event: HolderEvent) -> HolderRecord:
-        record = self.record_of(holder)
+        record = self.get_or_create_record(holder)
         record.state = HOLDER_TRANSITIONS[record.state, event]
         return record
 
@@ -114,7 +114,7 @@
         is_known = holder in self.records
         if allocation.epoch > self.epoch:
             self.epoch = allocation.epoch + 1  # a grant file was lost: new grants must be newer than those in use
-        was_reporting = self.record_of(holder).is_reporting()
+        was_reporting = self.get_or_create_record(holder).is_reporting()
         record = self._move(holder, HolderEvent.REPORT)
         if not was_reporting:
             record.last_acknowledged_at = now
@@ -166,7 +166,7 @@
         sends = self._issue_grants(now)
         if not sends:
             return []
-        if all(self._covered(send) for send in sends):
+        if all(self._is_covered_by_file(send) for send in sends):
             return list(sends)
         return [self._write(now, sends)]
 
@@ -256,7 +256,7 @@
 
     # The grant file.
 
-    def _covered(self, send: Send) -> bool:
+    def _is_covered_by_file(self, send: Send) -> bool:
         """Return whether the grant file as it was last written allows for a grant."""
         covered = self.durable_amounts.get(send.holder)
         if covered is None or send.allocation.ends_at > self.durable_until:
--- a/thymeflow/outliers/coordinator.py
+++ b/thymeflow/outliers/coordinator.py
@@ -177,7 +177,7 @@
         """Return whether a zone's ejection includes a backend; its failures are looked at once the zone is back."""
         return any(key.backend in self.zones.get(other.name, ()) for other in self.ejections if other.is_zone())
 
-    def ejections_for(self, member: str, now: float) -> list[Ejection]:
+    def build_ejections(self, member: str, now: float) -> list[Ejection]:
         """Return all ejections as a member is to apply them."""
         return [
             self._ejection(key, record, member, now + EJECTION_LEASE_SECONDS) for key, record in self.ejections.items()
--- a/thymeflow/outliers/member.py
+++ b/thymeflow/outliers/member.py
@@ -10,9 +10,9 @@
 from thymeflow.health.backend_stats import EJECTION_FAILURES, BackendStats
 from thymeflow.outliers.ejection import ZONE, Ejection, EjectionKey
 from thymeflow.outliers.messages import MAX_NAME_LENGTH, MAX_ROWS
+from thymeflow.outliers.messages import ejection_to_row as ejection_to_row
 from thymeflow.outliers.messages import ejections_from_message as ejections_from_message
 from thymeflow.outliers.messages import keys_from_message as keys_from_message
-from thymeflow.outliers.messages import message_of as message_of
 from thymeflow.outliers.messages import probes_from_message as probes_from_message
 from thymeflow.outliers.messages import zones_from_message as zones_from_message
 
@@ -71,7 +71,7 @@
             if ejection.is_admitted and (known is None or not known.ejection.is_admitted):
                 self._forget_failures(ejection.key)
 
-    def eligible_backends(
+    def select_eligible_backends(
         self, ready: list[BackendStats], healthy: list[BackendStats], class_name: str, now: float
     ) -> list[BackendStats]:
         """Return the ready backends that may be selected for a class; `healthy`: by the gateway's own evidence."""
--- a/thymeflow/outliers/messages.py
+++ b/thymeflow/outliers/messages.py
@@ -87,7 +87,7 @@
     return {int(permit): succeeded for permit, succeeded in results.items()}
 
 
-def message_of(ejection: Ejection) -> list[object]:
+def ejection_to_row(ejection: Ejection) -> list[object]:
     """Return the row of an ejection, which `ejections_from_message` parses."""
     return [
         *ejection.key,
--- a/thymeflow/shedding/load_shedder.py
+++ b/thymeflow/shedding/load_shedder.py
@@ -40,7 +40,7 @@
         self._expires_at = now + THRESHOLD_LEASE_SECONDS
         self._clock_offset = monotonic_now - now
 
-    def limited_fraction(self, resource: str, fraction: float) -> float:
+    def compute_usable_fraction(self, resource: str, fraction: float) -> float:
         """Return the fraction of a resource to use; of retries less, the more is shed, as retries add to the load.
 
         The one retry that every gateway may save up counts towards its fraction, or the sum would grow with the fleet.
@@ -50,7 +50,7 @@
         threshold = self._threshold if self._gateway.context.now < self._expires_at else 0.0
         return max(0.0, fraction * (1.0 - threshold) - 1.0 / SHARED_RETRY_BUDGET)
 
-    def rejected_fraction(
+    def compute_rejected_fraction(
         self, request_class: RequestClass, plan: Plan, customer_id: int, local_fraction: float
     ) -> float:
         """Return the fraction of such requests to reject; `local_fraction`: by the gateway's own pressure."""
--- a/thymeflow/testkit/lease_rules.py
+++ b/thymeflow/testkit/lease_rules.py
@@ -50,7 +50,7 @@
     issuer: LeaseIssuer, holder: str, allocation: Allocation, demand: tuple[float, ...], now: float
 ) -> None:
     """Take every report as an acknowledgement of the newest grant."""
-    number = issuer.record_of(holder).number
+    number = issuer.get_or_create_record(holder).number
     _on_report(issuer, holder, replace(allocation, epoch=issuer.epoch, number=number), demand, now)
 
 
@@ -96,7 +96,7 @@
     ),
     "a grant is written to the grant file before it is sent": Rule(
         LeaseIssuer,
-        "_covered",
+        "_is_covered_by_file",
         _always_covered,
         frozenset({"swap", "report", "die", "tick", "take", "start", "grant"}),
     ),
