--- a/tests/leases/test_lease_issuer.py
+++ b/tests/leases/test_lease_issuer.py
@@ -85,10 +85,10 @@
             issuer = LeaseIssuer(1, 0.0)
             issuer.get_or_create_record("a").state = state
             if (state, event) in HOLDER_TRANSITIONS:
-                assert issuer._move("a", event).state is HOLDER_TRANSITIONS[state, event]
+                assert issuer._apply_event("a", event).state is HOLDER_TRANSITIONS[state, event]
             else:
                 with pytest.raises(KeyError):
-                    issuer._move("a", event)
+                    issuer._apply_event("a", event)
 
 
 def test_sum_in_force_never_exceeds_the_total_in_all_states_of_the_lease_model() -> None:
--- a/tests/leases/test_lease_trace.py
+++ b/tests/leases/test_lease_trace.py
@@ -21,7 +21,7 @@
     new_ledger,
 )
 from tests.trace_digest import TraceDigest
-from thymeflow.leases.resources import base_amount, divide_by_demand
+from thymeflow.leases.resources import compute_base_amount, divide_by_demand
 
 
 @pytest.fixture
@@ -71,7 +71,7 @@
             for n in range(rng.randrange(7))
         }
         total = rng.choice((0, 1, 7, 400_000))
-        trace.add_step(json.dumps([divide_by_demand(total, demand), base_amount(len(demand))]))
+        trace.add_step(json.dumps([divide_by_demand(total, demand), compute_base_amount(len(demand))]))
     trace.check("lease-division")
 
 
--- a/thymeflow/leases/__init__.py
+++ b/thymeflow/leases/__init__.py
@@ -1,1 +1,1 @@
-"""Fleet-wide limits divided among limiters: base amounts and leases, redistributed as members come and go."""
+"""Division of the fleet's limits among its limiters: base amounts and leases, divided anew as members join or end."""
--- a/thymeflow/leases/allocation.py
+++ b/thymeflow/leases/allocation.py
@@ -1,4 +1,4 @@
-"""Allocations: what one holder was granted of each resource, and their message form."""
+"""Allocations: the amounts of each resource that one holder was granted, and their message form."""
 
 from __future__ import annotations
 
@@ -9,7 +9,8 @@
 from thymeflow.leases.resources import TOTAL_POINTS, Resource
 from thymeflow.runtime.value_checks import is_finite_number, is_integer, quote
 
-MIN_RESOURCE_COUNT = 2  # amounts in messages of the oldest version that is read; they are of the first resources
+# Number of amounts in messages of the oldest supported version; they are those of the first resources in `Resource`.
+MIN_RESOURCE_COUNT = 2
 
 
 @dataclass(frozen=True, slots=True)
@@ -23,7 +24,7 @@
     number: int = 0
     base: tuple[int, ...] = (0,) * len(Resource)
     lease: tuple[int, ...] = (0,) * len(Resource)
-    ends_at: float = 0.0  # end of the lease, s on the machine's monotonic clock
+    ends_at: float = 0.0  # the end of the lease, in seconds on the machine's monotonic clock
 
 
 EMPTY_ALLOCATION = Allocation()
@@ -31,7 +32,7 @@
 
 @dataclass(frozen=True, slots=True)
 class AllocationReport:
-    """What a holder reports: the allocation that it has, and its demand by resource."""
+    """A holder's report: the allocation that it uses, and its demand by resource."""
 
     allocation: Allocation
     demand: tuple[float, ...]
@@ -42,7 +43,7 @@
 
     :raises MalformedAllocationError: the message is malformed; the text names the value.
     """
-    # The keys and the error texts belong to the protocol between supervisor and members, and stay as they are.
+    # The keys and the error texts belong to the protocol between the supervisor and its members and must not change.
     if not isinstance(message, dict):
         text = "a part is a table"
         raise MalformedAllocationError(text)
@@ -61,7 +62,7 @@
 
 
 def report_from_message(message: object) -> AllocationReport:
-    """Parse the message form of a report: that of its allocation, with `demand` beside it.
+    """Parse the message form of a report: the keys of an allocation, and `demand` as a further key.
 
     :raises MalformedAllocationError: the message is malformed; the text names the value.
     """
@@ -71,7 +72,7 @@
 
 
 def allocation_to_message(allocation: Allocation) -> dict[str, object]:
-    """Return the message form of an allocation, which `allocation_from_message` parses."""
+    """Return the message form of an allocation; `allocation_from_message` parses it."""
     return {
         "era": allocation.epoch,
         "number": allocation.number,
@@ -86,7 +87,7 @@
         if isinstance(demand, Iterable):
             return tuple(float(amount) for amount in demand)
     except (TypeError, ValueError, OverflowError):
-        pass  # rejected below
+        pass  # the demand is rejected below
     text = f"demand is {quote(demand)}, not a list of numbers"
     raise MalformedAllocationError(text)
 
@@ -99,5 +100,5 @@
     ):
         text = f"{key} is {amounts!r}, not {len(Resource)} whole numbers from 0 to {TOTAL_POINTS}"
         raise MalformedAllocationError(text)
-    missing = [0] * (len(Resource) - len(amounts))  # an earlier version knows fewer resources
+    missing = [0] * (len(Resource) - len(amounts))  # an earlier version sends the amounts of fewer resources
     return (*amounts, *missing)
--- a/thymeflow/leases/errors.py
+++ b/thymeflow/leases/errors.py
@@ -1,4 +1,4 @@
-"""The exceptions of leases."""
+"""Exceptions of the leases package."""
 
 from __future__ import annotations
 
@@ -10,11 +10,11 @@
 
 
 class OverAllocationError(LeaseError):
-    """A grant would exceed what is free: a programming error of the issuer."""
+    """A grant would exceed the free amount of a resource: a programming error of the issuer."""
 
 
 class MalformedAllocationError(LeaseError, ValueError):
-    """A message is no allocation; the text gives the reason in one line."""
+    """A message cannot be parsed as an allocation; the text gives the reason in one line."""
 
 
 class GrantFileError(LeaseError):
--- a/thymeflow/leases/holder.py
+++ b/thymeflow/leases/holder.py
@@ -1,8 +1,8 @@
-"""A lease holder: one limiter's allocation, and how much of it may be used at a time. No I/O, no clock.
+"""A lease holder: one limiter's allocation, and the amounts of it that may be used now. No I/O, no clock.
 
-A base amount is valid until a newer grant replaces it; a leased amount has an end. The holder stops using a lease a
-margin before its end and checks the time at each use, so that a process that was stopped and continues finds its lease
-expired before it can send anything under it.
+A base amount is valid until a newer grant replaces it; a leased amount is valid until the lease ends. The holder stops
+using a lease a margin before its end and checks the time at each use. A process that was stopped and continues
+therefore finds its lease expired before it can send a request under it.
 """
 
 from __future__ import annotations
@@ -13,7 +13,7 @@
 from thymeflow.leases.allocation import allocation_to_message as allocation_to_message
 from thymeflow.leases.resources import RESOURCE_INDEXES, Resource
 
-LEASE_MARGIN_SECONDS = 0.25  # a lease is not used in its last moments: time from the decision to the kernel
+LEASE_MARGIN_SECONDS = 0.25  # use of a lease stops this long before its end: a decision takes time to reach the kernel
 
 
 class LeaseHolder:
@@ -21,10 +21,10 @@
 
     def __init__(self, allocation: Allocation = EMPTY_ALLOCATION) -> None:
         self.allocation = allocation
-        self.is_handed_over = False  # another process uses the allocation
+        self.is_handed_over = False  # true while another process uses the allocation
 
     def on_grant(self, allocation: Allocation) -> bool:
-        """Use an allocation if it is newer; return whether it was. Old and repeated ones change nothing."""
+        """Replace the allocation by this one if it is newer; return whether it was newer."""
         current = self.allocation
         if (allocation.epoch, allocation.number) <= (current.epoch, current.number):
             return False
@@ -32,7 +32,7 @@
         return True
 
     def usable_amount(self, resource: Resource, now: float) -> int:
-        """Return the points of a resource that may be used now; `now` is on the machine's monotonic clock."""
+        """Return the points of a resource that may be used; `now` is in seconds on the machine's monotonic clock."""
         if self.is_handed_over:
             return 0
         index = RESOURCE_INDEXES[resource]
@@ -41,10 +41,10 @@
         return self.allocation.base[index] + leased
 
     def hand_over(self) -> Allocation:
-        """Return the allocation for the next process of this limiter, and stop using it here."""
+        """Stop using the allocation and return it for the next process of this limiter."""
         self.is_handed_over = True
         return self.allocation
 
     def take_back(self) -> None:
-        """Use the allocation again, as the next process did not come up."""
+        """Use the allocation again, because the next process has failed to start."""
         self.is_handed_over = False
--- a/thymeflow/leases/holder_state.py
+++ b/thymeflow/leases/holder_state.py
@@ -1,4 +1,4 @@
-"""What the lease issuer knows of one holder: its state, the legal transitions and the record of its grants."""
+"""The lease issuer's view of one holder: its state, the valid transitions and the record of its grants."""
 
 from __future__ import annotations
 
@@ -11,23 +11,23 @@
 
 
 class HolderState(Enum):
-    """The state of a holder; the values are printed by status commands."""
+    """The state of a holder; status commands print the values."""
 
-    ABSENT = "absent"  # no process is known, and nothing is outstanding
-    NOT_REPORTING = "unheard"  # something may be outstanding, and the holder does not report
-    ACKNOWLEDGED = "held"  # it reports, and has acknowledged its newest grant
-    GRANT_PENDING = "asked"  # it reports, and has not yet acknowledged its newest grant
+    ABSENT = "absent"  # No process is known, and no grant is outstanding.
+    NOT_REPORTING = "unheard"  # Grants may be outstanding, and the holder does not report.
+    ACKNOWLEDGED = "held"  # The holder reports and has acknowledged its newest grant.
+    GRANT_PENDING = "asked"  # The holder reports and has not yet acknowledged its newest grant.
 
 
 class HolderEvent(Enum):
-    """What may happen to a holder."""
+    """An event that changes the state of a holder."""
 
-    STARTING = "starting"  # a process is being started under its name
-    REPORT = "speaks"  # a report arrived
-    GRANT = "grant"  # a grant was issued
-    ACK = "ack"  # a report acknowledged the newest grant
-    UNRESPONSIVE = "unresponsive"  # its connection ended, or no report arrived for a while
-    DEATH = "death"  # its process is known to have ended, from the kernel
+    STARTING = "starting"  # A process is being started under the holder's name.
+    REPORT = "speaks"  # A report of the holder arrived.
+    GRANT = "grant"  # A grant was issued to the holder.
+    ACK = "ack"  # A report acknowledged the newest grant.
+    UNRESPONSIVE = "unresponsive"  # The connection ended, or the last report has expired.
+    DEATH = "death"  # The kernel has reported that the process has ended.
 
 
 HOLDER_TRANSITIONS: TransitionTable[HolderState, HolderEvent, HolderState] = TransitionTable(
@@ -55,28 +55,28 @@
 
 @dataclass(slots=True)
 class HolderRecord:
-    """The record of one holder; times are in s on the machine's monotonic clock."""
+    """The record of one holder; times are in seconds on the machine's monotonic clock."""
 
     state: HolderState = HolderState.ABSENT
-    number: int = 0  # of its newest grant
-    base: list[int] = field(default_factory=lambda: [0] * len(Resource))  # points by resource
-    lease: list[int] = field(default_factory=lambda: [0] * len(Resource))
-    lease_ends_at: float = 0.0  # of its lease
+    number: int = 0  # the number of the newest grant
+    base: list[int] = field(default_factory=lambda: [0] * len(Resource))  # base amounts by resource, in points
+    lease: list[int] = field(default_factory=lambda: [0] * len(Resource))  # leased amounts by resource, in points
+    lease_ends_at: float = 0.0
     demand: tuple[float, ...] = (0.0,) * len(Resource)
-    reported: tuple[int, int] = (-1, -1)  # epoch and number of the allocation that it reported last
-    last_report_at: float = -inf  # when its last report arrived
-    last_acknowledged_at: float = -inf  # when it last acknowledged the newest grant, or began to report
+    reported: tuple[int, int] = (-1, -1)  # the epoch and number of the allocation in the last report
+    last_report_at: float = -inf
+    last_acknowledged_at: float = -inf  # the last acknowledgement of the newest grant, or the start of reporting
 
     def is_reporting(self) -> bool:
-        """Return whether reports of the holder arrive."""
+        """Return whether the issuer receives reports of the holder."""
         return self.state in (HolderState.ACKNOWLEDGED, HolderState.GRANT_PENDING)
 
     def clear_amounts(self) -> None:
-        """Set the amounts to nothing, with no lease."""
+        """Set the base amounts and the leased amounts to 0."""
         self.base = [0] * len(Resource)
         self.clear_lease()
 
     def clear_lease(self) -> None:
-        """Set the leased amounts to nothing."""
+        """Set the leased amounts to 0 and end the lease."""
         self.lease = [0] * len(Resource)
         self.lease_ends_at = 0.0
--- a/thymeflow/leases/resources.py
+++ b/thymeflow/leases/resources.py
@@ -1,7 +1,7 @@
-"""Resources that the fleet shares, and how the total of each is divided. Stateless arithmetic.
+"""The resources that the fleet shares, and the arithmetic that divides the total of each. No state.
 
-All amounts are points of one total, which the callers convert to concurrent attempts, retries or calls. One
-distribution therefore serves all limits that the settings may give, and a change of settings needs no new one.
+All amounts are points, and every resource has the same total. Callers convert points to concurrent attempts, retries or
+calls. A division in points is therefore valid for any limits in the settings, and stays valid when the settings change.
 """
 
 from __future__ import annotations
@@ -9,43 +9,47 @@
 from enum import Enum
 from math import isnan
 
-TOTAL_POINTS = 1_000_000  # points: the total of each resource
-BASE_POINTS = 600_000  # points for base amounts, which do not expire; docs/design/budgets.md
-LEASED_POINTS = TOTAL_POINTS - BASE_POINTS  # points for leases, which are divided by demand
-IDLE_DEMAND_FRACTION = 0.25  # of the mean demand: weight of a holder without demand, as it may need some at any moment
-MAX_DEMAND = 1e12  # larger figures count as this one, so that sums stay finite
+TOTAL_POINTS = 1_000_000  # the total of each resource
+BASE_POINTS = 600_000  # the points for base amounts, which do not expire; see docs/design/budgets.md
+LEASED_POINTS = TOTAL_POINTS - BASE_POINTS  # the points for leases, which are divided by demand
+# Smallest weight of a holder, as a fraction of the mean demand: an idle holder may have demand at any moment.
+IDLE_DEMAND_FRACTION = 0.25
+MAX_DEMAND = 1e12  # a larger demand counts as this value, so that sums stay finite
 
 
 class Resource(Enum):
     """A resource that is limited for the fleet; the values are used in messages and settings."""
 
-    CONCURRENCY = "places"  # attempts in flight: the capacity that is present, by the settings
-    RETRIES = "attempts"  # retries that may execute a request twice, up to what may be saved up
-    COUNTER_CALLS = "calls"  # counter calls per second, as [budgets] has it
-    HALF_OPEN_PROBES = "trials"  # attempts per second to each backend that has failed: [budgets]
-    CONNECTIONS = "connections"  # to each backend: [budgets]
+    CONCURRENCY = "places"  # Attempts in flight; the total follows from the number of backends.
+    RETRIES = "attempts"  # The saved-up budget of retries that may execute a request twice.
+    COUNTER_CALLS = "calls"  # Counter calls per second; the total is set in [budgets].
+    HALF_OPEN_PROBES = "trials"  # Attempts per second to each failed backend; the total is set in [budgets].
+    CONNECTIONS = "connections"  # Connections to each backend; the total is set in [budgets].
 
 
-RESOURCE_INDEXES = {resource: index for index, resource in enumerate(Resource)}  # of its amount in an allocation
+RESOURCE_INDEXES = {resource: index for index, resource in enumerate(Resource)}  # index of the amount in an allocation
 
 
-def base_amount(holders: int) -> int:
-    """Return the base amount of each of so many holders, in points."""
-    return BASE_POINTS // max(1, holders)
+def compute_base_amount(holder_count: int) -> int:
+    """Return the base amount of each holder, in points, when the base points are divided evenly."""
+    return BASE_POINTS // max(1, holder_count)
 
 
 def divide_by_demand(total: int, demand: dict[str, float]) -> dict[str, int]:
-    """Divide a total by demand; the sum is at most the total, and a holder without demand gets a small amount."""
+    """Return the amount of each holder when a total is divided in proportion to demand.
+
+    The sum is at most the total. A holder without demand gets a small amount.
+    """
     if not demand:
         return {}
-    usable = {holder: _usable_demand(amount) for holder, amount in demand.items()}
-    min_weight = IDLE_DEMAND_FRACTION * sum(usable.values()) / len(usable) or 1.0
-    weights = {holder: max(min_weight, amount) for holder, amount in usable.items()}
+    clamped = {holder: _clamp_demand(amount) for holder, amount in demand.items()}
+    min_weight = IDLE_DEMAND_FRACTION * sum(clamped.values()) / len(clamped) or 1.0
+    weights = {holder: max(min_weight, amount) for holder, amount in clamped.items()}
     weight_sum = sum(weights.values())
     return {holder: int(total * weight / weight_sum) for holder, weight in weights.items()}
 
 
-def _usable_demand(amount: float) -> float:
+def _clamp_demand(amount: float) -> float:
     if isnan(amount):
         return 0.0
     return max(0.0, min(MAX_DEMAND, amount))
