--- a/tests/outliers/test_outlier_coordinator.py
+++ b/tests/outliers/test_outlier_coordinator.py
@@ -44,9 +44,9 @@
             coordinator.ejections[BAD] = record
             if (state, event) not in TRANSITIONS:
                 with pytest.raises(KeyError):
-                    coordinator._move(BAD, record, event, 0.0)
+                    coordinator._apply_event(BAD, record, event, 0.0)
             else:
-                coordinator._move(BAD, record, event, 0.0)
+                coordinator._apply_event(BAD, record, event, 0.0)
                 assert TRANSITIONS[state, event] is (record.state if BAD in coordinator.ejections else None)
 
 
--- a/tests/shedding/test_threshold.py
+++ b/tests/shedding/test_threshold.py
@@ -93,14 +93,17 @@
     other = PriorityOrder(replace(SITE, index=2, zone="b"))
     kinds = [(SAFE, PLAN), (DEAR, PLAN), (SAFE, RICH), (DEAR, RICH)]  # of priority weight 1, 3, 4, 12
     for customer in range(300):
-        ranks = [one.rank(cls, plan, customer, 50.0) for cls, plan in kinds]
+        ranks = [one.compute_rank(cls, plan, customer, 50.0) for cls, plan in kinds]
         assert ranks == sorted(ranks)
         assert ranks[0] >= 0.0
         assert ranks[-1] < 1.0
-        assert ranks == [other.rank(cls, plan, customer, 50.0) for cls, plan in kinds]
-    moved = sum(one.rank(SAFE, PLAN, n, 50.0) != one.rank(SAFE, PLAN, n, 50.0 + ROTATION_SECONDS) for n in range(300))
+        assert ranks == [other.compute_rank(cls, plan, customer, 50.0) for cls, plan in kinds]
+    moved = sum(
+        one.compute_rank(SAFE, PLAN, n, 50.0) != one.compute_rank(SAFE, PLAN, n, 50.0 + ROTATION_SECONDS)
+        for n in range(300)
+    )
     assert moved == 300, "the same customers are shed for ever"
-    at_once = sum(one.rank(SAFE, PLAN, n, 50.0) != one.rank(SAFE, PLAN, n, 50.1) for n in range(300))
+    at_once = sum(one.compute_rank(SAFE, PLAN, n, 50.0) != one.compute_rank(SAFE, PLAN, n, 50.1) for n in range(300))
     assert at_once < 15, "all change their ranks at once"
 
 
--- a/thymeflow/outliers/__init__.py
+++ b/thymeflow/outliers/__init__.py
@@ -1,1 +1,1 @@
-"""Outlier detection by the fleet as one: reports of all members decide, and one member probes for all."""
+"""Fleet-wide outlier detection: the reports of all members decide, and one member at a time probes for the fleet."""
--- a/thymeflow/outliers/ejection.py
+++ b/thymeflow/outliers/ejection.py
@@ -1,4 +1,4 @@
-"""Ejections: what they concern, their states with the legal transitions, and what members receive of them."""
+"""Ejections: their keys, their states with the valid transitions, and the form in which members receive them."""
 
 from __future__ import annotations
 
@@ -9,38 +9,38 @@
 
 from thymeflow.runtime.transitions import TransitionTable
 
-ZONE = -1  # in place of a backend's number in a key: the ejection is of a zone; also in messages
+ZONE = -1  # replaces the backend's number in the key of a zone's ejection; messages contain the same value
 
 
 class EjectionKey(NamedTuple):
-    """What an ejection concerns: a backend for a request class ("" for all classes), or a zone."""
+    """The target of an ejection: a backend for a request class ("" for all classes), or a zone."""
 
-    backend: int  # or ZONE
-    name: str  # of the request class, or of the zone
+    backend: int  # the number of the backend, or ZONE
+    name: str  # the name of the request class, or of the zone
 
     def is_zone(self) -> bool:
-        """Return whether a zone is concerned."""
+        """Return whether the target is a zone."""
         return self.backend == ZONE
 
 
 class EjectionState(Enum):
-    """The state of an ejection; the values are printed by status commands."""
+    """The state of an ejection; status commands print the values."""
 
-    EJECTED = "condemned"  # ejected everywhere; one member probes for all
-    RECOVERING = "returning"  # a probe succeeded: some members send requests again, more with each step
-    RECOVERED = "cleared"  # all members send requests again, and forget failures of before
+    EJECTED = "condemned"  # All members eject the target; one member at a time may probe it.
+    RECOVERING = "returning"  # A probe succeeded: some members send requests again, and more do with each step.
+    RECOVERED = "cleared"  # All members send requests again and forget the failures before the recovery.
 
 
 class EjectionEvent(Enum):
-    """What may happen to an ejection."""
+    """An event that changes the state of an ejection."""
 
-    SUCCESS = "success"  # a probe succeeded
-    FAILURE = "failure"  # a probe failed, or a member ejected it again while it recovers
-    STEP = "step"  # the time for more members to send requests again
-    DONE = "done"  # the recovery, or the time after it, is complete
+    SUCCESS = "success"  # A probe succeeded.
+    FAILURE = "failure"  # A probe failed, or a member ejected the target again during the recovery.
+    STEP = "step"  # A recovery step is due: more members may send requests.
+    DONE = "done"  # The recovery, or the period after it, is complete.
 
 
-# None: the ejection is removed.
+# The next state by state and event; None removes the ejection.
 TRANSITIONS: TransitionTable[EjectionState, EjectionEvent, EjectionState | None] = TransitionTable(
     {
         (EjectionState.EJECTED, EjectionEvent.SUCCESS): EjectionState.RECOVERING,
@@ -56,29 +56,29 @@
 
 @dataclass(frozen=True, slots=True)
 class Ejection:
-    """What one member is to do about an ejected backend, class or zone until `ends_at`."""
+    """An ejection as the coordinator sends it to one member; the member applies it until `ends_at`."""
 
     key: EjectionKey
-    number: int  # of the ejection; grows
-    probe_permit: int  # the number of this member's permit for a half-open probe, 0 without one
-    is_admitted: bool  # the key recovers, and this member may send requests again
-    is_recovered: bool  # the key has recovered: forget its failures
-    ends_at: float  # s on the machine's monotonic clock
+    number: int  # the number of the ejection; each new ejection has a higher one
+    probe_permit: int  # the number of this member's permit for a half-open probe, or 0 if it has none
+    is_admitted: bool  # whether this member may send requests to the target again
+    is_recovered: bool  # whether the target has recovered, so that the member forgets its failures
+    ends_at: float  # seconds on the machine's monotonic clock
 
 
 @dataclass(slots=True)
 class EjectionRecord:
-    """What the coordinator knows of one ejection; times are in s on the machine's monotonic clock."""
+    """The coordinator's record of one ejection; times are in seconds on the machine's monotonic clock."""
 
     number: int
     ejected_at: float
     state: EjectionState = EjectionState.EJECTED
-    reported_by: dict[str, str] = field(default_factory=dict)  # the members whose reports led to it
-    permit: int = 0  # the number of the permit for the next half-open probe, 0 while there is none
+    reported_by: dict[str, str] = field(default_factory=dict)  # the members whose reports caused the ejection
+    permit: int = 0  # the number of the permit for the next half-open probe, or 0 while there is none
     probing_member: str = ""  # the member that has the permit
-    next_step_at: float = -inf  # when the next permit is issued or the next recovery step taken
-    admitted_count: int = 0  # how many members may send requests again
-    admitted_at: dict[str, float] = field(default_factory=dict)  # by member that may send requests again
-    permit_holders: dict[int, str] = field(default_factory=dict)  # members by number of the latest permits
-    failed_probes: int = 0  # in a row
-    last_permits: dict[str, int] = field(default_factory=dict)  # number of the last permit by member
+    next_step_at: float = -inf  # the time of the next permit or of the next recovery step
+    admitted_count: int = 0  # the number of members that may send requests again
+    admitted_at: dict[str, float] = field(default_factory=dict)  # time of admission, by admitted member
+    permit_holders: dict[int, str] = field(default_factory=dict)  # member, by number of a recent permit
+    failed_probes: int = 0  # consecutive failed probes
+    last_permits: dict[str, int] = field(default_factory=dict)  # number of the last permit, by member
--- a/thymeflow/outliers/errors.py
+++ b/thymeflow/outliers/errors.py
@@ -1,4 +1,4 @@
-"""The exceptions of outlier detection."""
+"""Exceptions of the outliers package."""
 
 from __future__ import annotations
 
--- a/thymeflow/outliers/member.py
+++ b/thymeflow/outliers/member.py
@@ -1,4 +1,4 @@
-"""A member's side of outlier detection: its reports, and which backends it may select. No I/O, no clock."""
+"""A member's part of outlier detection: its reports, and the backends that it may select. No I/O, no clock."""
 
 from __future__ import annotations
 
@@ -16,24 +16,24 @@
 from thymeflow.outliers.messages import probes_from_message as probes_from_message
 from thymeflow.outliers.messages import zones_from_message as zones_from_message
 
-RESPONSE_TTL_SECONDS = 2.0  # for so long a successful response counts as evidence for a backend
-PROBE_TIMEOUT_SECONDS = 10.0  # how long the end of a half-open probe is waited for
-MAX_PROBE_RESULTS = 64  # in a report: those of the latest permits
+RESPONSE_TTL_SECONDS = 2.0  # a successful response shows for this long that the backend works
+PROBE_TIMEOUT_SECONDS = 10.0  # a half-open probe that has not ended by then gets no result
+MAX_PROBE_RESULTS = 64  # a report contains the results of this many latest permits
 PRESSURE_DECIMALS = 3
 
-KeyRow = list[int | str]  # a key in a message
+KeyRow = list[int | str]  # the message form of a key: backend and request class
 
 
 @dataclass(slots=True)
 class ActiveEjection:
-    """An ejection as it applies here; times are in s on the gateway's clock."""
+    """An ejection that this member applies; times are in seconds on the gateway's clock."""
 
     ejection: Ejection
-    received_at: float  # when its probe permit arrived
+    received_at: float  # the time at which its current probe permit arrived
     expires_at: float
 
     def has_permit(self) -> bool:
-        """Return whether this member may probe."""
+        """Return whether this member has a permit for a half-open probe."""
         return bool(self.ejection.probe_permit)
 
 
@@ -42,22 +42,23 @@
     """A permitted half-open probe whose result is not known yet."""
 
     key: EjectionKey
-    permitted_at: float  # s on the gateway's clock
+    permitted_at: float  # seconds on the gateway's clock
 
 
 class MemberEjections:
-    """The fleet's ejections at one gateway, and what the gateway reports for them."""
+    """The fleet's ejections as one gateway applies them, and the gateway's reports to the coordinator."""
 
     def __init__(self, gateway: Gateway) -> None:
         self._gateway = gateway
         self._active: dict[EjectionKey, ActiveEjection] = {}
-        self._open_probes: dict[int, OpenProbe] = {}  # by permit
-        self._probe_results: dict[int, bool] = {}  # by permit: whether the probe succeeded
+        self._open_probes: dict[int, OpenProbe] = {}  # keyed by the number of the permit
+        self._probe_results: dict[int, bool] = {}  # whether the probe succeeded, by number of its permit
 
     def on_ejections(self, ejections: list[Ejection], now: float, monotonic_now: float) -> None:
         """Replace all ejections by these.
 
-        `now` is the time on the gateway's clock, `monotonic_now` the same moment on the clock of the ejections' ends.
+        `now` is the time on the gateway's clock; `monotonic_now` is the same moment on the machine's monotonic clock,
+        which `Ejection.ends_at` refers to.
         """
         self._update_probes(now)
         previous = self._active
@@ -74,10 +75,13 @@
     def select_eligible_backends(
         self, ready: list[BackendStats], healthy: list[BackendStats], class_name: str, now: float
     ) -> list[BackendStats]:
-        """Return the ready backends that may be selected for a class; `healthy`: by the gateway's own evidence."""
+        """Return the ready backends that may be selected for a request class.
+
+        `healthy` are the ready backends that the gateway itself does not eject.
+        """
         if not self._active:
             return healthy
-        to_probe = self._backend_to_probe(ready, class_name, now)
+        to_probe = self._select_backend_to_probe(ready, class_name, now)
         if to_probe is not None:
             return [to_probe]
         healthy_ids = {backend.endpoint.id for backend in healthy}
@@ -89,32 +93,32 @@
 
     def report(self, now: float) -> dict[str, object]:
         """Return the report of this member in its message form."""
-        # The keys belong to the protocol between members and the coordinator's process.
+        # The keys belong to the protocol between the members and the coordinator's process.
         return {
-            "against": self._ejecting_rows(now)[:MAX_ROWS],
-            "good": self._responding_rows(now)[:MAX_ROWS],
-            "trials": self._probe_results_message(now),
+            "against": self._build_ejecting_rows(now)[:MAX_ROWS],
+            "good": self._build_responding_rows(now)[:MAX_ROWS],
+            "trials": self._build_probe_results_message(now),
             "servers": len(self._gateway.backends),
-            "zones": self._zones_message(),
+            "zones": self._build_zones_message(),
             "pressure": round(self._gateway.registry.pressure, PRESSURE_DECIMALS),
         }
 
     # Ejections.
 
     def _forget_failures(self, key: EjectionKey) -> None:
-        for backend in self._concerned_backends(key):
+        for backend in self._find_concerned_backends(key):
             names = list(backend.failures) if key.is_zone() else [key.name]
             for name in names:
                 backend.failures.pop(name, None)
 
-    def _concerned_backends(self, key: EjectionKey) -> list[BackendStats]:
+    def _find_concerned_backends(self, key: EjectionKey) -> list[BackendStats]:
         backends = self._gateway.backends
         if key.is_zone():
             return [backend for backend in backends.values() if backend.endpoint.zone == key.name]
         return [backends[key.backend]] if key.backend in backends else []
 
-    def _ejections_of(self, backend: BackendStats, class_name: str, now: float) -> list[ActiveEjection]:
-        """Return the ejections that concern a class at a backend and have not expired."""
+    def _find_active_ejections(self, backend: BackendStats, class_name: str, now: float) -> list[ActiveEjection]:
+        """Return the ejections that apply to a request class at a backend and have not expired."""
         keys = (
             EjectionKey(ZONE, backend.endpoint.zone),
             EjectionKey(backend.endpoint.id, ""),
@@ -124,17 +128,21 @@
         return [active for active in candidates if now < active.expires_at]
 
     def _is_probe_available(self, active: ActiveEjection) -> bool:
-        """Return whether there is a permit that is not used; any request sent there since it arrived uses it."""
+        """Return whether this member has an unused probe permit.
+
+        Any request that was sent to the ejected target since the permit arrived has used it.
+        """
         return active.has_permit() and all(
-            backend.last_sent_at < active.received_at for backend in self._concerned_backends(active.ejection.key)
+            backend.last_sent_at < active.received_at for backend in self._find_concerned_backends(active.ejection.key)
         )
 
-    def _backend_to_probe(self, ready: list[BackendStats], class_name: str, now: float) -> BackendStats | None:
-        """Return a backend which the next request of a class is to probe.
+    def _select_backend_to_probe(self, ready: list[BackendStats], class_name: str, now: float) -> BackendStats | None:
+        """Return the backend that the next request of a class has to probe, or None.
 
-        All members wait for this probe, and in a large fleet each sends a class to a backend seldom, so the next
-        request that may be retried at any backend is the probe. One with an idempotency key may have to stay in its
-        group for a retry, which a probe would prevent; and a backend in slow start is selected by other rules.
+        All members wait for the result of this probe, and in a large fleet a member seldom sends a request of a class
+        to a given backend. Therefore the next request that may be retried at any backend is the probe. A request with
+        an idempotency key is not used, because a retry may have to stay in its group, which a probe would prevent. A
+        backend in slow start is skipped, because other rules select it.
         """
         request_class = self._gateway.context.classes.get(class_name)
         if request_class is None or request_class.idempotency is not Idempotency.IDEMPOTENT:
@@ -142,19 +150,21 @@
         for backend in ready:
             if backend.endpoint.started:
                 continue
-            if any(self._is_probe_available(active) for active in self._ejections_of(backend, class_name, now)):
+            if any(
+                self._is_probe_available(active) for active in self._find_active_ejections(backend, class_name, now)
+            ):
                 return backend
         return None
 
     def _is_eligible(self, backend: BackendStats, class_name: str, is_healthy: bool, now: float) -> bool:
-        ejections = self._ejections_of(backend, class_name, now)
+        ejections = self._find_active_ejections(backend, class_name, now)
         if not ejections:
             return is_healthy
         return all(active.ejection.is_admitted or self._is_probe_available(active) for active in ejections)
 
     # Reports.
 
-    def _ejecting_rows(self, now: float) -> list[KeyRow]:
+    def _build_ejecting_rows(self, now: float) -> list[KeyRow]:
         return [
             [backend.endpoint.id, name]
             for backend in self._gateway.backends.values()
@@ -162,7 +172,7 @@
             if count >= EJECTION_FAILURES and ends_at > now
         ]
 
-    def _responding_rows(self, now: float) -> list[KeyRow]:
+    def _build_responding_rows(self, now: float) -> list[KeyRow]:
         return [
             [backend.endpoint.id, name]
             for backend in self._gateway.backends.values()
@@ -170,19 +180,19 @@
             if now - responded_at <= RESPONSE_TTL_SECONDS and name not in backend.failures
         ]
 
-    def _zones_message(self) -> dict[str, list[int]]:
+    def _build_zones_message(self) -> dict[str, list[int]]:
         zones: dict[str, list[int]] = {}
         for backend in self._gateway.backends.values():
             zones.setdefault(backend.endpoint.zone[:MAX_NAME_LENGTH], []).append(backend.endpoint.id)
         is_small = sum(len(backends) for backends in zones.values()) <= MAX_ROWS
         return zones if is_small else {}
 
-    def _probe_results_message(self, now: float) -> dict[str, bool]:
+    def _build_probe_results_message(self, now: float) -> dict[str, bool]:
         self._update_probes(now)
         return {str(permit): succeeded for permit, succeeded in self._probe_results.items()}
 
     def _update_probes(self, now: float) -> None:
-        """Move the probes that have ended from the open ones to the results."""
+        """Move each open probe that has ended to the results."""
         for key, active in self._active.items():
             if active.has_permit():
                 self._open_probes[active.ejection.probe_permit] = OpenProbe(key, active.received_at)
@@ -192,7 +202,7 @@
         self._probe_results = {permit: self._probe_results[permit] for permit in latest}
 
     def _update_probe(self, permit: int, probe: OpenProbe, now: float) -> None:
-        backends = self._concerned_backends(probe.key)
+        backends = self._find_concerned_backends(probe.key)
         if not backends or now - probe.permitted_at > PROBE_TIMEOUT_SECONDS:
             del self._open_probes[permit]
             return
@@ -204,7 +214,7 @@
 
     @staticmethod
     def _has_responded(backend: BackendStats, probe: OpenProbe) -> bool:
-        """Return whether a backend has responded since a probe was permitted, and has not failed."""
+        """Return whether a backend has responded successfully, and has not failed, since a probe was permitted."""
         name = "" if probe.key.is_zone() else probe.key.name
         responded_at = backend.last_response_at.get(name, -inf)
         return responded_at >= probe.permitted_at and name not in backend.failures
--- a/thymeflow/outliers/messages.py
+++ b/thymeflow/outliers/messages.py
@@ -1,6 +1,6 @@
 """The message forms of members' reports and of ejections, between the members and the coordinator's process.
 
-The forms and the error texts belong to that protocol, and stay as they are.
+The forms and the error texts belong to that protocol and must not change.
 """
 
 from __future__ import annotations
@@ -11,23 +11,30 @@
 from thymeflow.outliers.errors import MalformedOutlierMessageError
 from thymeflow.runtime.value_checks import is_finite_number, is_fraction, is_integer, quote
 
-MAX_ROWS = 512  # of one list in a message
-MAX_NAME_LENGTH = 64  # characters of a class or a zone; more are cut off
-MAX_QUOTED_ROW_CHARACTERS = 60  # of a malformed ejection in an error text
-EJECTION_TYPES = [int, str, int, int, bool, bool]  # of the first values of an ejection's row; the last is a time
+MAX_ROWS = 512  # longest list in a message
+MAX_NAME_LENGTH = 64  # characters; the name of a class or zone is cut off after them
+MAX_QUOTED_ROW_CHARACTERS = 60  # an error text quotes a malformed ejection up to this length
+EJECTION_TYPES = [
+    int,
+    str,
+    int,
+    int,
+    bool,
+    bool,
+]  # the types of an ejection's values in its row, without the final time
 TIME_DECIMALS = 3
 
 
 @dataclass(frozen=True, slots=True)
 class OutlierReport:
-    """What a member reports of the backends."""
+    """A member's report about the backends."""
 
-    ejecting: set[EjectionKey]
-    responding: set[EjectionKey]
-    probe_results: dict[int, bool]  # by permit: whether the probe succeeded
-    backend_count: int  # in the member's endpoint list
-    zones: dict[str, frozenset[int]]  # backends by zone, in the same list
-    pressure: float | None  # None: the member's version does not report it
+    ejecting: set[EjectionKey]  # keys that the member itself ejects
+    responding: set[EjectionKey]  # keys with recent successful responses
+    probe_results: dict[int, bool]  # whether the probe succeeded, by number of its permit
+    backend_count: int  # the number of backends in the member's endpoint list
+    zones: dict[str, frozenset[int]]  # backends by zone, in the same endpoint list
+    pressure: float | None  # None if the member's version does not report the pressure
 
 
 def report_from_message(message: object) -> OutlierReport:
@@ -38,18 +45,19 @@
     if not isinstance(message, dict):
         text = f"{quote(message)} is no report"
         raise MalformedOutlierMessageError(text)
+    # The previous version reports neither zones nor pressure.
     return OutlierReport(
         ejecting=keys_from_message(message.get("against")),
         responding=keys_from_message(message.get("good")),
         probe_results=probes_from_message(message.get("trials")),
         backend_count=_backend_count_from_message(message.get("servers")),
-        zones=zones_from_message(message.get("zones", {})),  # the previous version reports neither these
-        pressure=_pressure_from_message(message["pressure"]) if "pressure" in message else None,  # nor this
+        zones=zones_from_message(message.get("zones", {})),
+        pressure=_pressure_from_message(message["pressure"]) if "pressure" in message else None,
     )
 
 
 def keys_from_message(rows: object) -> set[EjectionKey]:
-    """Parse the keys of backends, or of classes at them, in a report.
+    """Parse a list of keys of a report; each names a backend and a request class.
 
     :raises MalformedOutlierMessageError: the message is malformed; the text quotes the value.
     """
@@ -60,7 +68,7 @@
 
 
 def zones_from_message(zones: object) -> dict[str, frozenset[int]]:
-    """Parse the backends by zone in a report.
+    """Parse the zones of a report; return the backends by zone.
 
     :raises MalformedOutlierMessageError: the message is malformed; the text quotes the value.
     """
@@ -75,7 +83,7 @@
 
 
 def probes_from_message(results: object) -> dict[int, bool]:
-    """Parse the results of half-open probes in a report: by permit, whether the probe succeeded.
+    """Parse the results of half-open probes in a report; return whether the probe succeeded, by number of its permit.
 
     :raises MalformedOutlierMessageError: the message is malformed; the text quotes the value.
     """
@@ -88,7 +96,7 @@
 
 
 def ejection_to_row(ejection: Ejection) -> list[object]:
-    """Return the row of an ejection, which `ejections_from_message` parses."""
+    """Return the message form of an ejection, a row; `ejections_from_message` parses a list of rows."""
     return [
         *ejection.key,
         ejection.number,
@@ -100,7 +108,7 @@
 
 
 def ejections_from_message(rows: object) -> list[Ejection]:
-    """Parse the rows of ejections.
+    """Parse a list of rows, each the message form of an ejection.
 
     :raises MalformedOutlierMessageError: the message is malformed; the text quotes the value.
     """
@@ -153,5 +161,5 @@
     ):
         text = f"{quote(row, MAX_QUOTED_ROW_CHARACTERS)} is no verdict"
         raise MalformedOutlierMessageError(text)
-    backend, name, number, permit, is_allowed, is_cleared, ends_at = row
-    return Ejection(EjectionKey(backend, name), number, permit, is_allowed, is_cleared, float(ends_at))
+    backend, name, number, permit, is_admitted, is_recovered, ends_at = row
+    return Ejection(EjectionKey(backend, name), number, permit, is_admitted, is_recovered, float(ends_at))
--- a/thymeflow/outliers/quorum.py
+++ b/thymeflow/outliers/quorum.py
@@ -1,4 +1,4 @@
-"""Aggregation of members' reports: how many of them eject a backend, a class at it or a zone, and how many do not."""
+"""Aggregation of members' reports: counts the members that eject a key and the members to which it responds."""
 
 from __future__ import annotations
 
@@ -6,39 +6,40 @@
 
 from thymeflow.outliers.ejection import ZONE, EjectionKey
 
-MIN_EJECTING_MEMBERS = 2  # a single member may be the one that is cut off
-MAJORITY = 0.5  # more than this fraction of the members that report of a key have to eject it
-REPORT_TTL_SECONDS = 2.0  # how long a report is valid: four report intervals
-MIN_FAILED_ZONE_FRACTION = 0.5  # of a zone's backends, ejected by majorities, for the zone to have failed
-MIN_FAILED_ZONE_BACKENDS = 2  # and at least so many
+MIN_EJECTING_MEMBERS = 2  # a single member may itself be cut off from the backend
+MAJORITY = 0.5  # a key is ejected by more than this fraction of the members that report on it
+REPORT_TTL_SECONDS = 2.0  # a report is valid for four report intervals
+# A zone has failed if majorities eject at least this fraction of its backends, and at least this number of them.
+MIN_FAILED_ZONE_FRACTION = 0.5
+MIN_FAILED_ZONE_BACKENDS = 2
 
 
 @dataclass(frozen=True, slots=True)
 class MemberReport:
     """The last report of a member."""
 
-    received_at: float  # s on the machine's monotonic clock
-    ejecting: frozenset[EjectionKey] = frozenset()
-    responding: frozenset[EjectionKey] = frozenset()  # had successful responses a moment ago
+    received_at: float  # seconds on the machine's monotonic clock
+    ejecting: frozenset[EjectionKey] = frozenset()  # keys that the member itself ejects
+    responding: frozenset[EjectionKey] = frozenset()  # keys with recent successful responses
 
     def is_valid(self, now: float) -> bool:
-        """Return whether the report is not too old to count."""
+        """Return whether the report has not expired."""
         return now - self.received_at <= REPORT_TTL_SECONDS
 
 
 @dataclass(slots=True)
 class Votes:
-    """The members that eject a key, and the number of those for which it responds."""
+    """The members that eject a key, and the number of members to which the key responds."""
 
     ejecting: list[str] = field(default_factory=list)
     responding_count: int = 0
 
     def is_majority(self) -> bool:
-        """Return whether most members that report of the key eject it."""
+        """Return whether most members that report on the key eject it."""
         return len(self.ejecting) > MAJORITY * (len(self.ejecting) + self.responding_count)
 
     def is_quorum(self) -> bool:
-        """Return whether the votes suffice to eject the key for the fleet."""
+        """Return whether the votes suffice to eject the key for the whole fleet."""
         return len(self.ejecting) >= MIN_EJECTING_MEMBERS and self.is_majority()
 
 
@@ -59,9 +60,9 @@
 
 
 def count_zone_votes(votes: VotesByKey, zones: dict[str, frozenset[int]]) -> VotesByKey:
-    """Return the votes on each zone that has failed, in the order of their names.
+    """Return the votes on each failed zone, in the order of the zones' names.
 
-    A single zone is never ejected, as there is no other one to send requests to.
+    The only zone of a fleet is never ejected, because no other zone could get its requests.
     """
     zone_votes: VotesByKey = {}
     if len(zones) <= 1:
@@ -76,5 +77,5 @@
 
 
 def is_zone_failed(failed_count: int, backend_count: int) -> bool:
-    """Return whether so many failed backends of a zone count as a failure of the zone."""
+    """Return whether a zone with this number of failed backends has failed itself."""
     return failed_count >= max(MIN_FAILED_ZONE_BACKENDS, MIN_FAILED_ZONE_FRACTION * backend_count)
--- a/thymeflow/shedding/__init__.py
+++ b/thymeflow/shedding/__init__.py
@@ -1,1 +1,1 @@
-"""Load shedding by the fleet as one: a common admission threshold, and a common order of requests."""
+"""Fleet-wide load shedding: all members use the same admission threshold and the same ranking of requests."""
--- a/thymeflow/shedding/errors.py
+++ b/thymeflow/shedding/errors.py
@@ -1,4 +1,4 @@
-"""The exceptions of load shedding."""
+"""Exceptions of the shedding package."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 class InvalidFractionError(SheddingError, ValueError):
-    """A reported pressure or threshold is no number from 0 to 1; the text names and quotes it."""
+    """A pressure or threshold in a message is not a number from 0 to 1; the text names the key and quotes the value."""
 
     def __init__(self, name: str, value: object) -> None:
         super().__init__(f"{name} is {quote(value)}, no figure from 0 to 1")
--- a/thymeflow/shedding/load_shedder.py
+++ b/thymeflow/shedding/load_shedder.py
@@ -1,4 +1,4 @@
-"""A member's side of load shedding: by the fleet's threshold while that is valid, else by the member's own pressure."""
+"""A member's load shedding: by the fleet's threshold while it is valid, otherwise by the member's own pressure."""
 
 from __future__ import annotations
 
@@ -11,39 +11,42 @@
 from thymeflow.shedding.errors import InvalidFractionError
 from thymeflow.shedding.priority import PriorityOrder
 
-THRESHOLD_LEASE_SECONDS = 3.0  # how long a threshold is valid; then each member sheds by its own pressure
-RETRY_RESOURCE = "attempts"  # the name of retries in `FleetBounds.fraction_of`
+THRESHOLD_LEASE_SECONDS = 3.0  # a threshold expires after this time; the member then sheds by its own pressure
+RETRY_RESOURCE = "attempts"  # the name of the retry budget in `FleetBounds.fraction_of`
 SHARED_RETRY_BUDGET = MAX_FLEET_RETRY_BUDGET  # retries that all gateways together may save up
 
 
 class LoadShedder:
-    """Decides for one gateway which requests are shed."""
+    """Decides which requests one gateway sheds."""
 
     def __init__(self, gateway: Gateway) -> None:
         self._gateway = gateway
         self._settings = gateway.settings
-        self._order = PriorityOrder(gateway.settings)
+        self._priority_order = PriorityOrder(gateway.settings)
         self._threshold = 0.0
-        self._expires_at = -inf  # s on the gateway's clock
-        self._clock_offset = 0.0  # s: from the gateway's clock to the one that all members share
+        self._expires_at = -inf  # seconds on the gateway's clock
+        self._clock_offset = 0.0  # seconds from the gateway's clock to the monotonic clock that all members share
 
-    def on_threshold(self, level: object, now: float, monotonic_now: float) -> None:
-        """Use the fleet's threshold for the length of a lease.
+    def on_threshold(self, threshold: object, now: float, monotonic_now: float) -> None:
+        """Use a new fleet threshold for `THRESHOLD_LEASE_SECONDS`.
 
-        `now` is the time on the gateway's clock, `monotonic_now` the same moment on the clock that all members share.
+        `now` is the time on the gateway's clock; `monotonic_now` is the same moment on the monotonic clock that all
+        members share.
 
-        :raises InvalidFractionError: a ValueError, where the threshold is no number from 0 to 1.
+        :raises InvalidFractionError: a ValueError; the threshold is not a number from 0 to 1.
         """
-        if not is_fraction(level):
-            raise InvalidFractionError(name="level", value=level)
-        self._threshold = float(level)
+        if not is_fraction(threshold):
+            raise InvalidFractionError(name="level", value=threshold)
+        self._threshold = float(threshold)
         self._expires_at = now + THRESHOLD_LEASE_SECONDS
         self._clock_offset = monotonic_now - now
 
     def compute_usable_fraction(self, resource: str, fraction: float) -> float:
-        """Return the fraction of a resource to use; of retries less, the more is shed, as retries add to the load.
+        """Return the fraction of a resource that the gateway may use.
 
-        The one retry that every gateway may save up counts towards its fraction, or the sum would grow with the fleet.
+        For retries, the fraction is reduced in proportion to the threshold, because retries add to the load. Every
+        gateway may save up one retry in any case; that retry is subtracted, as the sum would otherwise grow with the
+        number of gateways.
         """
         if resource != RETRY_RESOURCE:
             return fraction
@@ -53,12 +56,15 @@
     def compute_rejected_fraction(
         self, request_class: RequestClass, plan: Plan, customer_id: int, local_fraction: float
     ) -> float:
-        """Return the fraction of such requests to reject; `local_fraction`: by the gateway's own pressure."""
+        """Return the fraction of these requests to reject: 0 or 1 by the fleet's threshold while it is valid.
+
+        After that it is `local_fraction`, which follows from the gateway's own pressure.
+        """
         now = self._gateway.context.now
         if now >= self._expires_at:
             return local_fraction
         if self._settings is not self._gateway.settings:  # the priority weights may have changed
             self._settings = self._gateway.settings
-            self._order = PriorityOrder(self._gateway.settings)
-        rank = self._order.rank(request_class, plan, customer_id, now + self._clock_offset)
+            self._priority_order = PriorityOrder(self._gateway.settings)
+        rank = self._priority_order.compute_rank(request_class, plan, customer_id, now + self._clock_offset)
         return float(rank < self._threshold)
--- a/thymeflow/shedding/priority.py
+++ b/thymeflow/shedding/priority.py
@@ -1,4 +1,4 @@
-"""The order in which requests are shed, the same at all members with the same settings. No I/O, no clock."""
+"""The ranking by which requests are shed; members with the same settings rank in the same way. No I/O, no clock."""
 
 from __future__ import annotations
 
@@ -9,14 +9,14 @@
 
 from thymeflow.decision.settings import GatewaySettings, Plan, RequestClass
 
-ROTATION_SECONDS = 10.0  # after which the order of customers of the same priority weight changes
-ROTATION_PHASES = 1000  # customers change their ranks at so many different moments of a rotation
+ROTATION_SECONDS = 10.0  # each customer's rank among those with the same priority weight changes after this time
+ROTATION_PHASES = 1000  # the rank changes of all customers are spread over this many moments of a rotation
 HASH_BYTES = 4
 HASH_RANGE = 1 << 8 * HASH_BYTES
 
 
 class PriorityOrder:
-    """Orders requests by the priority weight of the class times the price of the plan, then by customer."""
+    """Ranks requests by the priority weight of the class times the price of the plan, then by customer."""
 
     def __init__(self, settings: GatewaySettings) -> None:
         weights = {
@@ -24,13 +24,17 @@
         }
         self._weights = sorted(weights)
 
-    def rank(self, request_class: RequestClass, plan: Plan, customer: int, moment: float) -> float:
-        """Return the rank of a request, from 0, shed first, to 1; `moment` is in s on a clock that members share."""
+    def compute_rank(self, request_class: RequestClass, plan: Plan, customer_id: int, now: float) -> float:
+        """Return the rank of a request, from 0 to 1; a request with a lower rank is shed earlier.
+
+        `now` is in seconds on a clock that all members share.
+        """
         band_count = max(1, len(self._weights))
         weight_index = bisect_left(self._weights, request_class.priority_weight * plan.price)
         band = min(band_count - 1, weight_index)
-        phase = customer % ROTATION_PHASES / float(ROTATION_PHASES)  # not all customers change their ranks at once
-        rotation = floor(moment / ROTATION_SECONDS + phase)
-        digest = hashlib.blake2b(struct.pack("<QQ", customer, rotation), digest_size=HASH_BYTES).digest()
+        # The phase spreads the rank changes of customers over the rotation.
+        phase = customer_id % ROTATION_PHASES / float(ROTATION_PHASES)
+        rotation = floor(now / ROTATION_SECONDS + phase)
+        digest = hashlib.blake2b(struct.pack("<QQ", customer_id, rotation), digest_size=HASH_BYTES).digest()
         rank_in_band = int.from_bytes(digest, "little") / HASH_RANGE
         return (band + rank_in_band) / band_count
