--- a/tests/leases/lease_run.py
+++ b/tests/leases/lease_run.py
@@ -1,9 +1,9 @@
-"""A seeded run of a lease issuer with its members in virtual time, traced.
+"""A seeded and traced run of a lease issuer with its members in virtual time.
 
-Members join, die, become unresponsive, are stopped, hand over to a successor and change their demand; messages between
-them and the issuer are late, lost or duplicated; the issuer dies around the write of its grant file, or cannot write
-it, and the next one continues from the file, which may be damaged. Traced are all messages as they are sent, the grant
-file as it is stored, and the amounts in force.
+Members join, end, become unresponsive, are stopped, hand over to a successor and change their demand. Messages between
+members and the issuer are late, lost or duplicated. The issuer dies shortly before or after the write of its grant
+file, or cannot write it; the next issuer continues from the file, which may be damaged. The trace contains all messages
+as they are sent, the grant file as it is stored, and the amounts in force.
 """
 
 from __future__ import annotations
@@ -23,8 +23,8 @@
 STEPS = 1500
 
 
-def file_content(path: Path) -> Any:
-    """Return the content of the grant file without the identifier of the boot."""
+def read_grant_file(path: Path) -> Any:
+    """Return the grant file's JSON without the boot identifier; None if the file is missing, "damaged" if it is."""
     if not path.exists():
         return None
     try:
@@ -36,7 +36,7 @@
 
 
 class LeaseRun:
-    """One seeded run of a fleet; what happens is sampled at each step."""
+    """One seeded run of a fleet; each step samples the next event."""
 
     def __init__(self, seed: int, path: Path) -> None:
         self.rng = random.Random(seed)
@@ -50,7 +50,7 @@
         self.lines: list[str] = []
 
     def run(self) -> TraceDigest:
-        """Run all steps; return the trace."""
+        """Run all steps and return the trace."""
         choices: dict[str, tuple[float, Callable[[], None]]] = {
             "tick": (30, self.tick),
             "report": (60, self.report),
@@ -85,12 +85,12 @@
         self.lines.append(json.dumps([event, *values]))
 
     def observe(self) -> None:
-        """Add all that is in force to the trace."""
+        """Add the time, the amounts in force and the issuer's state to the trace."""
         in_force = {name: member.in_force(self.now) for name, member in self.members.items()}
         self.lines.append(json.dumps([f"{self.now:.6f}", in_force, self.issuer and self.issuer.view(self.now)]))
 
     def choose_member(self, is_running: bool) -> str | None:
-        """Return a member that runs, or one that does not; None where there is none."""
+        """Return a random member that runs, or one that does not run; None if there is no such member."""
         names = [name for name, member in self.members.items() if bool(member.holders) is is_running]
         return self.rng.choice(names) if names else None
 
@@ -132,7 +132,7 @@
         name = self.rng.choice(("x0", "x1", "m0"))
         demand = self.rng.choice(((), (nan,) * RESOURCE_COUNT, (inf,) * RESOURCE_COUNT, (2.0,) * RESOURCE_COUNT))
         self.trace_event("claim", name, message, [str(amount) for amount in demand])
-        # NaN and inf stay in the record, so that the distribution has to handle them.
+        # The issuer stores NaN and infinite demand, so its division has to handle such values in later ticks.
         self.issuer.on_report(name, message, demand, self.now)
 
     # The issuer.
@@ -145,18 +145,18 @@
             self.trace.actions["write" if name == "write" else "grant"] += 1
             self.lines.append(json.dumps([name, message]))
             if name == "write":
-                self.lines.append(json.dumps([write, file_content(self.path)]))
+                self.lines.append(json.dumps([write, read_grant_file(self.path)]))
             else:
                 self.send_to_member(name, message)
 
     def kill_issuer(self) -> None:
         if self.issuer is None:
             return
-        dies = self.rng.choice(("between", "before the write", "after the write"))
-        if dies != "between":
+        moment_of_death = self.rng.choice(("between", "before the write", "after the write"))
+        if moment_of_death != "between":
             actions = self.issuer.tick(self.now, "left")
-            self.lines.append(json.dumps([dies, actions]))
-            if dies == "after the write" and any(name == "write" for name, _ in actions):
+            self.lines.append(json.dumps([moment_of_death, actions]))
+            if moment_of_death == "after the write" and any(name == "write" for name, _ in actions):
                 self.issuer.write_file()
         self.issuer = None
         damage = self.rng.random()
@@ -169,7 +169,7 @@
         has_members = any(member.holders for member in self.members.values())
         self.issuer = Issuer(self.path, self.now, has_members)
         self.issuer.set_size(len(NAMES))
-        self.trace_event("take_over", has_members, self.issuer.is_faulty, file_content(self.path))
+        self.trace_event("take_over", has_members, self.issuer.is_faulty, read_grant_file(self.path))
         for name, member in self.members.items():
             if not member.holders:
                 self.issuer.on_death(name)
@@ -188,7 +188,7 @@
         message = self.issuer.start_member(name, self.now)
         self.members[name].start(message)
         self.members[name].is_stopped = False
-        self.trace_event("started", name, message, file_content(self.path))
+        self.trace_event("started", name, message, read_grant_file(self.path))
 
     def kill_member(self) -> None:
         name = self.choose_member(is_running=True)
--- a/tests/leases/support.py
+++ b/tests/leases/support.py
@@ -1,4 +1,4 @@
-"""Allocations of a fleet of processes as tests see them, and a proxy that delays its messages."""
+"""Access to the allocations in a fleet of processes, and a proxy that delays messages of its control sockets."""
 
 from __future__ import annotations
 
@@ -19,8 +19,8 @@
 from thymeflow.leases.resources import TOTAL_POINTS, Resource
 
 
-def amounts_in_force(fleet: RunningFleet) -> dict[str, dict[str, int]]:
-    """Return the points that each member reports as usable now, by resource."""
+def fetch_amounts_in_force(fleet: RunningFleet) -> dict[str, dict[str, int]]:
+    """Return the points that each member reports as usable, by member and resource."""
     members = fleet.status()["members"]
     return {member["name"]: member["told"]["part"]["in_force"] for member in members if member["told"].get("part")}
 
@@ -28,13 +28,14 @@
 def wait_until(
     fleet: RunningFleet, is_reached: Callable[[dict[str, float]], bool], has_grant_file: bool = True
 ) -> dict[str, dict[str, int]]:
-    """Wait until the fractions in force are as wanted; check each time that the grant file is within the total.
+    """Wait until `is_reached` accepts the fractions of the concurrency in force, by member; return all amounts.
 
-    Members report at different moments, so the sum of their amounts is not checked.
+    Each check also asserts that the amounts in the grant file do not exceed the total. The sum of the amounts that
+    members report is not checked, because members report at different moments.
     """
     end = time.monotonic() + PATIENCE
     while True:
-        amounts = amounts_in_force(fleet)
+        amounts = fetch_amounts_in_force(fleet)
         rows = (
             grant_file.unpack((fleet.state / "fleet.grants").read_bytes(), "n").rows.values() if has_grant_file else ()
         )
@@ -47,23 +48,22 @@
 
 
 class ControlSocketProxy(threading.Thread):
-    """A proxy on a member's control socket for new connections; it can delay the messages of one direction."""
+    """A proxy for new connections to a member's control socket; it can delay the messages of one direction."""
 
     def __init__(self, state: Path, name: str) -> None:
         super().__init__(daemon=True)
         path = state / f"{name}.sock"
         proxy_path = state / f"{name}-proxy"
-        self.real = state / os.readlink(path)
-        self.delayed = set[str]()  # directions, "up" from the member and "down" to it
+        self.real_path = state / os.readlink(path)
+        self.delayed = set[str]()  # delayed directions: "up" from the member, "down" to the member
         self._is_closed = False
         self._listener = socket.socket(socket.AF_UNIX)
         self._listener.bind(str(proxy_path))
         self._listener.listen()
         (state / "link").symlink_to(proxy_path.name)
         os.replace(state / "link", path)
-        self._directions: dict[
-            socket.socket, tuple[socket.socket, str, bytearray]
-        ] = {}  # peer, direction and delayed data
+        # By socket: the socket to which its data goes, the direction, and the data that was not forwarded yet.
+        self._directions: dict[socket.socket, tuple[socket.socket, str, bytearray]] = {}
 
     def run(self) -> None:
         """Forward messages until the proxy is stopped."""
@@ -72,7 +72,7 @@
             if self._listener in ready:
                 caller = self._listener.accept()[0]
                 member = socket.socket(socket.AF_UNIX)
-                member.connect(str(self.real))
+                member.connect(str(self.real_path))
                 self._directions[caller] = (member, "down", bytearray())
                 self._directions[member] = (caller, "up", bytearray())
             for end, (other, direction, delayed) in list(self._directions.items()):
@@ -102,8 +102,8 @@
             end.close()
 
 
-def reported_allocation(fleet: RunningFleet, number: int, path: Path | None = None) -> dict[str, Any]:
-    """Return the allocation in a member's status at its own control socket."""
+def fetch_reported_allocation(fleet: RunningFleet, number: int, path: Path | None = None) -> dict[str, Any]:
+    """Return the allocation in the status that a member returns on its own control socket."""
     with socket.socket(socket.AF_UNIX) as connection:
         connection.settimeout(PATIENCE)
         connection.connect(str(path or fleet.state / f"n{number}.sock"))
--- a/tests/leases/test_allocation_format.py
+++ b/tests/leases/test_allocation_format.py
@@ -1,4 +1,8 @@
-"""The form of allocations in messages, which two versions share."""
+"""The message form of allocations.
+
+Supervisor and members may run different versions of the program. If the form or an error text changed, a member of
+another version would reject valid grants or report other errors.
+"""
 
 from __future__ import annotations
 
@@ -7,7 +11,7 @@
 
 
 def allocation_values(message: Json) -> list[Json]:
-    """Return the values of an allocation in declared order."""
+    """Return the values of an allocation in the order of its fields."""
     allocation = allocation_from_message(message)
     return [
         allocation.epoch,
@@ -19,12 +23,12 @@
 
 
 def test_allocation_has_the_same_form_when_it_is_read_and_written() -> None:
-    of_two_resources = {**ALLOCATION, "base": [1, 2], "lease": [3, 4], "end": 7}
+    allocation_of_two_resources = {**ALLOCATION, "base": [1, 2], "lease": [3, 4], "end": 7}
     assert_as_recorded(
         "allocation",
         [
             [allocation_values(message), allocation_to_message(allocation_from_message(message))]
-            for message in (ALLOCATION, of_two_resources)
+            for message in (ALLOCATION, allocation_of_two_resources)
         ],
     )
 
--- a/tests/leases/test_grant_file_format.py
+++ b/tests/leases/test_grant_file_format.py
@@ -1,4 +1,7 @@
-"""Grant files that an earlier version wrote: each is read to the same values, and written again to the same bytes."""
+"""Grant files of earlier versions are read to the recorded values and written again as the recorded bytes.
+
+If a grant were lost after an upgrade, the next issuer would grant its points a second time.
+"""
 
 from __future__ import annotations
 
@@ -13,7 +16,7 @@
 
 
 def use_recorded_boot(monkeypatch: pytest.MonkeyPatch, folder: Path) -> None:
-    """Let the machine's boot be the one that the grant files name."""
+    """Replace the machine's boot identifier by the one in the recorded grant files."""
     boot_id = folder / "boot_id"
     boot_id.write_text("0a1b2c3d-0000-4000-8000-00000000beef\n")
     monkeypatch.setattr(grant_file, "BOOT_ID_PATH", boot_id)
--- a/tests/leases/test_lease_fleet.py
+++ b/tests/leases/test_lease_fleet.py
@@ -1,4 +1,7 @@
-"""Leases in fleets of processes whose members and supervisors are stopped, killed and cut off."""
+"""Leases in fleets of processes whose members and supervisors are stopped, killed or cut off.
+
+The tests guard against two failures: the grants of a fleet exceed the total, and points stay unused after the fault.
+"""
 
 from __future__ import annotations
 
@@ -12,16 +15,18 @@
 import pytest
 
 from tests.fleet.support import RunningFleet, cli
-from tests.leases.support import ControlSocketProxy, reported_allocation, wait_until
+from tests.leases.support import ControlSocketProxy, fetch_reported_allocation, wait_until
 from tests.limiter import PATIENCE, Limiter
 from thymeflow.leases.resources import BASE_POINTS, LEASED_POINTS, TOTAL_POINTS
 
 
-def test_survivors_share_all_and_a_returning_member_is_granted_again_when_members_stop_or_die(tmp_path: Path) -> None:
+def test_survivors_share_the_total_and_a_returning_member_is_granted_again_when_members_stop_or_die(
+    tmp_path: Path,
+) -> None:
     with Limiter(tmp_path) as limiter, RunningFleet(tmp_path, limiter) as fleet:
         wait_until(fleet, lambda amounts: len(amounts) == 3 and sum(amounts.values()) > 0.95)
         stopped = psutil.Process(fleet.ready(3)["members"][0]["pid"])
-        stopped.send_signal(signal.SIGSTOP)  # its lease expires, its base amount remains
+        stopped.send_signal(signal.SIGSTOP)  # its lease expires, and it keeps its base amount
         wait_until(fleet, lambda amounts: amounts["n1"] + amounts["n2"] > 0.75)
         stopped.send_signal(signal.SIGCONT)
         wait_until(fleet, lambda amounts: min(amounts.values()) > 0.2)
@@ -35,7 +40,7 @@
         assert "n2" in budgets.stdout
 
 
-def test_bases_stay_and_the_next_supervisor_divides_when_a_supervisor_is_killed(tmp_path: Path) -> None:
+def test_next_supervisor_divides_the_total_when_a_supervisor_is_killed(tmp_path: Path) -> None:
     with Limiter(tmp_path) as limiter, RunningFleet(tmp_path, limiter) as fleet:
         wait_until(fleet, lambda amounts: len(amounts) == 3 and sum(amounts.values()) > 0.95)
         epoch = fleet.request(do="budgets")["era"]
@@ -45,7 +50,7 @@
         fleet.ready(3)
         assert fleet.request(do="budgets")["era"] == epoch + 1
         wait_until(fleet, lambda amounts: len(amounts) == 3 and sum(amounts.values()) > 0.95)
-        assert fleet.request(do="upgrade")["ok"]  # each allocation is handed over, and never used twice
+        assert fleet.request(do="upgrade")["ok"]  # allocations are handed over to new processes
         wait_until(fleet, lambda amounts: len(amounts) == 3 and sum(amounts.values()) > 0.95)
         assert fleet.request(do="scale", count=5)["ok"]
         wait_until(
@@ -55,7 +60,7 @@
         wait_until(fleet, lambda amounts: len(amounts) == 2 and sum(amounts.values()) > 0.95)
 
 
-def test_nothing_is_granted_before_all_leases_expired_when_the_grant_file_is_lost(tmp_path: Path) -> None:
+def test_only_leases_are_granted_when_the_grant_file_is_lost(tmp_path: Path) -> None:
     with Limiter(tmp_path) as limiter, RunningFleet(tmp_path, limiter) as fleet:
         wait_until(fleet, lambda amounts: len(amounts) == 3 and sum(amounts.values()) > 0.95)
         fleet.process.kill()
@@ -67,9 +72,8 @@
         wait_until(
             fleet, lambda amounts: 0.3 < sum(amounts.values()) <= LEASED_POINTS / TOTAL_POINTS, has_grant_file=False
         )
-        wait_until(
-            fleet, lambda amounts: 0.3 < sum(amounts.values()) <= LEASED_POINTS / TOTAL_POINTS
-        )  # and there is a grant file again
+        # The default of `wait_until` now also requires a valid grant file.
+        wait_until(fleet, lambda amounts: 0.3 < sum(amounts.values()) <= LEASED_POINTS / TOTAL_POINTS)
 
 
 def test_only_the_lease_is_lost_when_messages_of_one_direction_are_delayed(tmp_path: Path) -> None:
@@ -78,19 +82,19 @@
         with ControlSocketProxy(fleet.state, "n0") as proxy:
             fleet.process.kill()
             fleet.process.communicate()
-            fleet.process = fleet.up()  # it connects to n0 through the proxy
+            fleet.process = fleet.up()  # the new supervisor connects to n0 through the proxy
             fleet.ready(3)
             wait_until(fleet, lambda amounts: len(amounts) == 3 and min(amounts.values()) > 0.2)
             for direction in ("up", "down"):
                 proxy.delayed.add(direction)
                 wait_until(fleet, lambda amounts: amounts["n1"] + amounts["n2"] > 0.75)
-                report = reported_allocation(fleet, 0, proxy.real)
+                report = fetch_reported_allocation(fleet, 0, proxy.real_path)
                 assert 0 < report["in_force"]["places"] <= report["base"][0], report
-                proxy.delayed.clear()  # the delayed messages arrive now
+                proxy.delayed.clear()  # the proxy forwards the delayed messages
                 wait_until(fleet, lambda amounts: len(amounts) == 3 and min(amounts.values()) > 0.2)
 
 
-def test_members_keep_their_bases_when_the_supervisor_is_stopped_and_continues(
+def test_members_keep_their_base_amounts_when_the_supervisor_is_stopped_and_continues(
     tmp_path: Path,
 ) -> None:
     with Limiter(tmp_path) as limiter, RunningFleet(tmp_path, limiter) as fleet:
@@ -98,12 +102,12 @@
         fleet.process.send_signal(signal.SIGSTOP)
         end = time.monotonic() + PATIENCE
         while any(
-            (report := reported_allocation(fleet, number))["in_force"]["places"] > report["base"][0]
+            (report := fetch_reported_allocation(fleet, number))["in_force"]["places"] > report["base"][0]
             for number in range(3)
         ):
             assert time.monotonic() < end
             time.sleep(0.05)
-        assert all(0 < reported_allocation(fleet, n)["in_force"]["places"] <= BASE_POINTS for n in range(3))
+        assert all(0 < fetch_reported_allocation(fleet, n)["in_force"]["places"] <= BASE_POINTS for n in range(3))
         fleet.process.send_signal(signal.SIGCONT)
         wait_until(fleet, lambda amounts: len(amounts) == 3 and sum(amounts.values()) > 0.95)
 
@@ -126,7 +130,7 @@
                 assert report["era"] == 1, report
 
 
-# A supervisor that kills itself when it has come to a step for the given time.
+# The program of a supervisor that kills itself when it reaches a step for the `count`-th time.
 DYING_SUPERVISOR = """
 import os, signal, sys
 from thymeflow.fleet.lease_distributor import LeaseDistributor
@@ -175,7 +179,7 @@
         ("after a start is written", 2),
     ],
 )
-def test_next_supervisor_keeps_the_sum_when_one_is_killed_at_a_step_of_a_grant(
+def test_sum_stays_within_the_total_and_is_divided_again_when_a_supervisor_is_killed_at_a_step_of_a_grant(
     tmp_path: Path, step: str, count: int
 ) -> None:
     program = ("-c", DYING_SUPERVISOR.format(step=step, count=count))
--- a/tests/leases/test_lease_issuer.py
+++ b/tests/leases/test_lease_issuer.py
@@ -1,4 +1,8 @@
-"""The lease ledger, the issuer and its model, holders, and the grant file."""
+"""The lease ledger, the issuer and its model, lease holders, and the grant file.
+
+The tests guard against grants that exceed the total: a grant that was lost or delayed must still count, a
+damaged grant file must not free any points, and a malformed message must change nothing.
+"""
 
 from __future__ import annotations
 
@@ -41,7 +45,7 @@
 def test_ledger_never_exceeds_its_total_when_grants_are_lost_acknowledged_or_expire(
     steps: list[tuple[str, str, int]],
 ) -> None:
-    # The model: every grant that was sent may have arrived, or not, unless it is known.
+    # The model: any grant of a holder may be in force until a newer one is acknowledged, it expires or the holder ends.
     ledger = Ledger(10)
     now = 0.0
     sent = dict[str, list[tuple[int, int, float]]]()
@@ -70,7 +74,7 @@
     st.dictionaries(st.text(max_size=3), st.floats(allow_nan=True, allow_infinity=True), max_size=30),
     st.integers(0, TOTAL_POINTS),
 )
-def test_distribution_has_every_holder_and_never_exceeds_the_total_when_demand_is_odd(
+def test_division_has_every_holder_and_never_exceeds_the_total_when_demand_is_arbitrary(
     demand: dict[str, float], total: int
 ) -> None:
     amounts = divide_by_demand(total, demand)
@@ -79,7 +83,7 @@
     assert all(amount >= 0 for amount in amounts.values())
 
 
-def test_every_event_that_is_not_in_the_table_raises() -> None:
+def test_event_raises_key_error_when_the_transition_table_has_no_entry_for_it() -> None:
     for state in HolderState:
         for event in HolderEvent:
             issuer = LeaseIssuer(1, 0.0)
@@ -91,7 +95,7 @@
                     issuer._apply_event("a", event)
 
 
-def test_sum_in_force_never_exceeds_the_total_in_all_states_of_the_lease_model() -> None:
+def test_sum_in_force_never_exceeds_the_total_when_all_states_of_the_lease_model_are_explored() -> None:
     running = explore(LeaseModel.all_running(), 4)
     assert not running.violation, running
     assert running.state_count > 1000, running
@@ -149,8 +153,8 @@
     assert report.demand == (1.0, 2.5)
 
 
-def issuer_with_holders(names: str) -> LeaseIssuer:
-    """Return an issuer whose holders have all that there is."""
+def build_issuer_with_holders(names: str) -> LeaseIssuer:
+    """Return an issuer that has granted more than 99 % of the total to holders with these one-letter names."""
     issuer = LeaseIssuer(3, 0.0)
     issuer.resize(len(names))
     allocations = {name: issuer.on_starting(name, 0.0)[0] for name in names}
@@ -165,7 +169,7 @@
 
 
 def test_grant_file_is_not_used_when_it_is_cut_or_changed_at_any_byte(tmp_path: Path) -> None:
-    issuer = issuer_with_holders("ab")
+    issuer = build_issuer_with_holders("ab")
     path = tmp_path / "fleet.grants"
     grant_file.write(path, issuer, "f")
     content = path.read_bytes()
@@ -187,14 +191,14 @@
 
 
 def test_grant_file_is_not_used_when_its_amounts_exceed_the_total(tmp_path: Path) -> None:
-    issuer = issuer_with_holders("ab")
+    issuer = build_issuer_with_holders("ab")
     issuer.durable_amounts["a"] = (BASE_POINTS,) * len(Resource) + (LEASED_POINTS,) * len(Resource)
     grant_file.write(tmp_path / "t", issuer, "f")
     assert "add up to" in grant_file.read(tmp_path / "t", "f", 0.0, members_running=True)[1]
 
 
 def test_nothing_is_sent_when_the_grant_file_cannot_be_written() -> None:
-    issuer = issuer_with_holders("ab")
+    issuer = build_issuer_with_holders("ab")
     issuer.on_death("b")
     issuer.on_report("a", Allocation(3, issuer.records["a"].number), ONES, 0.1)
     (action,) = issuer.tick(0.1)
@@ -206,10 +210,10 @@
 def test_allocation_is_the_same_when_it_was_json() -> None:
     allocation = Allocation(2, 5, tuple(range(len(Resource))), tuple(range(1, len(Resource) + 1)), 5.5)
     assert allocation_from_message(json.loads(json.dumps(allocation_to_message(allocation)))) == allocation
-    of_earlier_version = {"era": 2, "number": 5, "base": [7, 8], "lease": [9, 1], "end": 5.5}
-    earlier = allocation_from_message(of_earlier_version)
-    assert earlier.base[:3] == (7, 8, 0)
-    assert earlier.lease[:3] == (9, 1, 0)
+    earlier_message = {"era": 2, "number": 5, "base": [7, 8], "lease": [9, 1], "end": 5.5}
+    earlier_allocation = allocation_from_message(earlier_message)
+    assert earlier_allocation.base[:3] == (7, 8, 0)
+    assert earlier_allocation.lease[:3] == (9, 1, 0)
 
 
 def test_missing_resources_are_0_when_an_earlier_version_wrote_the_grant_file() -> None:
@@ -230,27 +234,27 @@
     gateway.set_fleet_bounds(MemberBounds(allocation, limits))
     for _ in range(50):
         gateway.handle(100.0, TimerFired(next(t for t, (kind, _) in gateway.timers.items() if kind is TimerKind.TICK)))
-    assert gateway.reporter.call_credit == 2.0  # a tenth of 20 a second, saved up for a second
+    assert gateway.reporter.call_credit == 2.0  # a tenth of 20 calls per second, saved up for one second
     backends = [sends(gateway.handle(100.0, request(f"r{n}", 0.1)))[0].backend for n in range(12)]
     assert max(backends.count(n) for n in backends) == 3  # a tenth of 30 connections to each backend
     assert not sends(gateway.handle(100.0, request("more", 0.1)))
     backend = gateway.backends[backends[0]]
     for _ in range(2):
         backend.record_failure("", 100.0)
-    assert backend.failures[""][1] == 110.0  # a tenth of one half-open probe a second
-    allocation.by_resource = dict.fromkeys(limits, 0.0)  # the lease has expired, and nothing was granted since
+    assert backend.failures[""][1] == 110.0  # a tenth of one half-open probe per second: one in 10 s
+    allocation.by_resource = dict.fromkeys(limits, 0.0)  # the lease has expired, and no newer grant has arrived
     assert not sends(gateway.handle(101.0, request("none", 0.1)))
 
 
 def test_total_is_not_exceeded_when_a_holder_reports_more_than_it_was_granted() -> None:
-    issuer = issuer_with_holders("ab")
+    issuer = build_issuer_with_holders("ab")
     everything = (TOTAL_POINTS,) * len(Resource)
     reported = Allocation(9, 9, everything, everything, 50.0)
     issuer.on_report("stranger", reported, (float("inf"), float("nan")), 0.0)
-    assert issuer.epoch > 9  # or the holder would ignore all later grants
+    assert issuer.epoch > 9  # otherwise the holder would ignore all later grants
     for ledger in (*issuer.base, *issuer.leased):
         assert sum(ledger.outstanding(name, 0.0) for name in ("a", "b", "stranger")) <= ledger.total
-    known = issuer.records["a"].number
-    issuer.on_report("a", Allocation(issuer.epoch, known + 99, everything, everything, 50.0), ONES, 0.0)
+    granted_number = issuer.records["a"].number
+    issuer.on_report("a", Allocation(issuer.epoch, granted_number + 99, everything, everything, 50.0), ONES, 0.0)
     for ledger in (*issuer.base, *issuer.leased):
         assert ledger.free(0.0) >= 0
--- a/tests/leases/test_lease_trace.py
+++ b/tests/leases/test_lease_trace.py
@@ -1,4 +1,7 @@
-"""The lease issuer, its holders, ledger and grant file, compared with the digests of recorded seeded runs."""
+"""The lease issuer, its holders, ledger and grant file, compared with the digests of recorded seeded runs.
+
+A digest differs if a change of the code changes a grant, a message, the grant file or the division of a total.
+"""
 
 from __future__ import annotations
 
@@ -26,7 +29,7 @@
 
 @pytest.fixture
 def lease_run(tmp_path: Path) -> TraceDigest:
-    """Run a fleet of five; return the trace."""
+    """Return the trace of a seeded run with five members."""
     return LeaseRun(21, tmp_path / "fleet.grants").run()
 
 
@@ -36,7 +39,7 @@
     lease_run.check("leases")
 
 
-def test_ledger_sums_match_the_recorded_trace_when_grants_are_acknowledged_end_or_are_too_large() -> None:
+def test_ledger_sums_match_the_recorded_trace_when_grants_are_acknowledged_expire_or_are_too_large() -> None:
     rng = random.Random(22)
     trace = TraceDigest()
     now = START_SECONDS
@@ -51,9 +54,13 @@
         end = inf if rng.random() < 0.1 else now + rng.choice((0.5, 2.0, 2.0, 4.0))
 
         def step(
-            label: str = label, holder: str = holder, of: int = step_number, amount: int = amount, end: float = end
+            label: str = label,
+            holder: str = holder,
+            grant_number: int = step_number,
+            amount: int = amount,
+            end: float = end,
         ) -> None:
-            steps[label](holder, of, amount, end, now)  # noqa: B023 - called at once
+            steps[label](holder, grant_number, amount, end, now)  # noqa: B023 - the function is called before `now` changes
 
         is_rejected_step = is_over_total(step)
         trace.events[f"{label} too large" if is_rejected_step else label] += 1
@@ -61,13 +68,13 @@
     trace.check("lease-ledger")
 
 
-def test_divided_amounts_match_the_recorded_trace_when_demand_is_odd_or_absent() -> None:
+def test_divided_amounts_match_the_recorded_trace_when_demand_is_extreme_or_absent() -> None:
     rng = random.Random(23)
     trace = TraceDigest()
-    odd = (0.0, -1.0, inf, -inf, nan, 1e300, 1e-9)
+    extreme_demands = (0.0, -1.0, inf, -inf, nan, 1e300, 1e-9)
     for _ in range(400):
         demand = {
-            f"m{n}": rng.choice(odd) if rng.random() < 0.2 else rng.choice((0.0, 1.0, 100.0)) * rng.random()
+            f"m{n}": rng.choice(extreme_demands) if rng.random() < 0.2 else rng.choice((0.0, 1.0, 100.0)) * rng.random()
             for n in range(rng.randrange(7))
         }
         total = rng.choice((0, 1, 7, 400_000))
@@ -75,7 +82,7 @@
     trace.check("lease-division")
 
 
-def test_the_same_allocations_are_rejected_when_their_message_form_is_corrupt() -> None:
+def test_allocations_are_rejected_as_recorded_when_their_message_form_is_corrupt() -> None:
     good: Message = {"era": 1, "number": 2, "base": [3] * RESOURCE_COUNT, "lease": [4] * RESOURCE_COUNT, "end": 5.0}
     corrupt: list[Any] = [None, [], 7, {}]
     for name in good:
--- a/tests/leases/traced_fleet.py
+++ b/tests/leases/traced_fleet.py
@@ -1,4 +1,4 @@
-"""Lease issuer, holders and ledger as the traces see them: the only module of these that names the code under test."""
+"""Adapters of the lease traces for issuer, holders and ledger; only this module names their classes and methods."""
 
 from __future__ import annotations
 
@@ -28,12 +28,12 @@
 
 
 def new_ledger(total: int) -> Ledger:
-    """Return a ledger of this total."""
+    """Return an empty ledger with this total."""
     return Ledger(total)
 
 
 def ledger_steps(ledger: Ledger) -> dict[str, Callable[[str, int, int, float, float], None]]:
-    """Return what may happen to a ledger, by label; each takes holder, number, amount, end and the time."""
+    """Return the changes of a ledger by label; each takes a holder, a number, an amount, an end and the time."""
     return {
         "grant": lambda holder, number, amount, end, now: ledger.grant(holder, number, amount, end, now),
         "acknowledge": lambda holder, number, amount, end, now: ledger.acknowledge(holder, number),
@@ -42,12 +42,12 @@
 
 
 def ledger_view(ledger: Ledger, holders: str, now: float) -> list[Any]:
-    """Return what is free, and for each holder what is outstanding and its newest grant."""
+    """Return the free amount, and the outstanding amount and the newest grant of each holder."""
     return [ledger.free(now), [[ledger.outstanding(h, now), ledger.newest_amount(h)] for h in holders]]
 
 
 def is_over_total(call: Callable[[], None]) -> bool:
-    """Return whether the ledger rejects a step as exceeding its total."""
+    """Return whether the ledger rejects a change because it would exceed the total."""
     try:
         call()
     except OverAllocationError:
@@ -56,7 +56,7 @@
 
 
 class Member:
-    """A member's processes, the newest last; each has an allocation."""
+    """The processes of a member, newest last, each as the holder of an allocation."""
 
     def __init__(self) -> None:
         self.holders: list[LeaseHolder] = []
@@ -64,26 +64,26 @@
         self.demand = [1.0] * RESOURCE_COUNT
 
     def start(self, message: Message) -> None:
-        """Start a process with this allocation."""
+        """Replace all processes by one that starts with this allocation."""
         self.holders = [LeaseHolder(allocation_from_message(message))]
 
     def hand_over(self) -> None:
-        """Start a successor, which inherits the allocation."""
+        """Start a successor process, which inherits the allocation."""
         self.holders.append(LeaseHolder(self.holders[-1].hand_over()))
 
     def hand_back(self) -> None:
-        """End the successor; its predecessor uses the allocation again, under a number of its own."""
+        """End the successor; its predecessor continues with an empty allocation of the same epoch and number."""
         self.holders.pop()
         last = self.holders[-1]
         last.allocation = Allocation(last.allocation.epoch, last.allocation.number)
         last.take_back()
 
     def on_grant(self, message: Message) -> bool:
-        """Handle a grant; return whether it is used."""
+        """Handle a grant and return whether the member uses it."""
         return self.holders[-1].on_grant(allocation_from_message(message))
 
     def message(self) -> Message:
-        """Return what the member reports."""
+        """Return the allocation of the newest process in its message form."""
         return allocation_to_message(self.holders[-1].allocation)
 
     def in_force(self, now: float) -> list[int]:
@@ -100,11 +100,11 @@
         self.is_faulty = bool(error)
 
     def set_size(self, size: int) -> None:
-        """Set how many members the fleet is to have."""
+        """Set the configured number of members."""
         self.issuer.resize(size)
 
     def start_member(self, name: str, now: float) -> Message:
-        """Return the allocation that a new process of that name starts with."""
+        """Return the allocation with which a new process of this name starts."""
         if STATE_LABELS[self.issuer.get_or_create_record(name).state] in ("held", "asked"):
             self.issuer.on_disconnected(name)
         allocation, _ = self.issuer.on_starting(name, now)
@@ -124,7 +124,10 @@
         self.issuer.on_death(name)
 
     def tick(self, now: float, write: str) -> list[tuple[str, Any]]:
-        """Return grants to send, and versions to write, which are written, fail, or are not written."""
+        """Run one tick and return its grants and its versions of the grant file.
+
+        `write` is the result of writing the file: "done", "fails", or "left" if the issuer dies before the write.
+        """
         output: list[tuple[str, Any]] = []
         for action in self.issuer.tick(now):
             if not isinstance(action, Write):
@@ -144,7 +147,7 @@
         self.path.write_bytes(grant_file.pack(self.issuer, FLEET))
 
     def view(self, now: float) -> list[Any]:
-        """Return the records, and what is outstanding and free of each resource."""
+        """Return the epoch, the records, and the outstanding and free amounts of each ledger."""
         ledgers = (*self.issuer.base, *self.issuer.leased)
         rows = [
             [
@@ -164,7 +167,7 @@
 
 
 def is_rejected(message: Any) -> bool:
-    """Return whether an allocation's message form is rejected."""
+    """Return whether a message is rejected as the form of an allocation."""
     try:
         allocation_from_message(message)
     except ValueError:
--- a/tests/outliers/support.py
+++ b/tests/outliers/support.py
@@ -1,4 +1,4 @@
-"""Backends that fail on request, and clients of all members of a fleet."""
+"""Backends that fail as a test requires, and clients of all members of a fleet."""
 
 from __future__ import annotations
 
@@ -15,19 +15,19 @@
 
 
 class RespondingBackends(threading.Thread):
-    """Responds for the backends of a limiter; those in `failing` respond with errors."""
+    """Responds for all backends of a limiter; the backends in `failing` respond with errors."""
 
     def __init__(self, limiter: Limiter) -> None:
         super().__init__(daemon=True)
-        self.failing = set[int]()  # backends that respond with errors
-        self.attempt_counts = [0] * len(limiter.backends)  # by backend
+        self.failing = set[int]()  # indexes of the backends that respond with errors
+        self.attempt_counts = [0] * len(limiter.backends)  # attempts received, by backend
         self._limiter = limiter
         self._is_closed = False
-        self.response_seconds = 0.0  # of work for each attempt, one after the other
-        self.failing_class = b""  # of the requests that fail; empty: all
-        self.other_class_attempts = 0  # of other classes, at failing backends
-        self.closes_connections = False  # failing backends close the connection without a response
-        self.closed_to = dict[int, set[int]]()  # backends that close the connections of a process, by its id
+        self.response_seconds = 0.0  # the time that each attempt takes; attempts are handled one after the other
+        self.failing_class = b""  # text in the commands that fail; empty: all commands fail
+        self.other_class_attempts = 0  # attempts at failing backends that do not fail
+        self.closes_connections = False  # whether failing backends close the connection without a response
+        self.closed_to = dict[int, set[int]]()  # backends that close connections of a process, by its process id
 
     def run(self) -> None:
         peers = dict[int, tuple[Peer, int]]()
@@ -47,11 +47,11 @@
                     continue
                 peer, number = peers[ready]
                 try:
-                    terms = peer.read_command()[3]
+                    command_text = peer.read_command()[3]
                 except (OSError, ValueError, IndexError):
                     peers.pop(ready)[0].close()
                     continue
-                is_failing_class = self.failing_class in terms
+                is_failing_class = self.failing_class in command_text
                 self.other_class_attempts += number in self.failing and not is_failing_class
                 self.attempt_counts[number] += 1
                 time.sleep(self.response_seconds)
@@ -76,19 +76,19 @@
 
     def __init__(self, limiter: Limiter, members: list[dict[str, Any]]) -> None:
         self.clients = list[Peer]()
-        self.number = 0  # of the last request
+        self.request_number = 0  # the number of the last request
         for member in members:
             limiter.port = int(member["listen"].rpartition(":")[2])
             self.clients.append(limiter.connect())
 
     def request_of_each(self, cls: str = "look", customers: int = 1) -> list[bytes]:
-        """Send a request to each member, one by one; return the first line of each response."""
+        """Send a request to each member in turn; return the first line of each response."""
         lines = list[bytes]()
-        for first, client in enumerate(self.clients):
-            self.number += 1
-            line = request_line(self.number, cls).replace(b"first=0", b"first=%d" % first)
+        for member_index, client in enumerate(self.clients):
+            self.request_number += 1
+            line = request_line(self.request_number, cls).replace(b"first=0", b"first=%d" % member_index)
             if customers > 1:
-                line = line.replace(b"00000000b4d65521", b"%016x" % (1 + self.number % customers))
+                line = line.replace(b"00000000b4d65521", b"%016x" % (1 + self.request_number % customers))
             client.send(line)
             lines.append(client.line())
             assert lines[-1].startswith((b"$5", b"-BUSY", b"-ERR")), lines
--- a/tests/outliers/test_outlier_fleet.py
+++ b/tests/outliers/test_outlier_fleet.py
@@ -1,4 +1,8 @@
-"""Outlier detection in fleets of processes."""
+"""Outlier detection in fleets of processes.
+
+The tests guard against a failing backend, class or zone that is not ejected or not used again after its recovery, and
+against ejections that go further than the failure.
+"""
 
 from __future__ import annotations
 
@@ -11,7 +15,7 @@
 from tests.outliers.support import MemberClients, RespondingBackends
 
 
-def test_fleet_ejects_a_backend_and_returns_to_it_when_it_fails_and_recovers(tmp_path: Path) -> None:
+def test_fleet_ejects_a_backend_and_uses_it_again_when_it_fails_and_recovers(tmp_path: Path) -> None:
     with (
         Limiter(tmp_path, backend_count=4) as limiter,
         RunningFleet(tmp_path, limiter) as fleet,
@@ -39,13 +43,13 @@
         assert row.split()[2] == "ejected"
         assert ejection["words"][0] in row
         backends.failing = set()
-        before = backends.attempt_counts[0]
+        previous_count = backends.attempt_counts[0]
         wait_until("")
-        assert backends.attempt_counts[0] > before
+        assert backends.attempt_counts[0] > previous_count
         assert "backend 00000001 for look is ejected by all members" in (tmp_path / "log").read_text()
 
 
-def test_fleet_ejects_a_backend_for_one_class_only_when_it_fails_that_class(tmp_path: Path) -> None:
+def test_fleet_ejects_a_backend_for_one_class_only_when_requests_of_that_class_fail(tmp_path: Path) -> None:
     classes = [
         {"name": name, "on-time": 3000.0, "deadline": 3000.0, "effect": "retryable"} for name in ("look", "peek")
     ]
@@ -55,20 +59,20 @@
         RespondingBackends(limiter) as backends,
     ):
         clients = MemberClients(limiter, fleet.ready(3)["members"])
-        other_class_attempts = 0  # since the class was ejected
+        other_class_attempts = 0  # attempts of the other class since the ejection
         backends.failing = {0}
         backends.failing_class = b"c=look,"
-        # As in the tests beside this one, each wait has its own bound: for the ejection, and for attempts after it.
+        # The wait for the ejection and the wait for attempts after it have a time limit each.
         end = time.monotonic() + PATIENCE
         is_ejected = False
         while other_class_attempts < 20:
             assert time.monotonic() < end, json.dumps(fleet.request(do="overload")) + repr(backends.attempt_counts)
             clients.request_of_each("look")
             assert not any(line.startswith(b"-ERR") for line in clients.request_of_each("peek")), (
-                "a class that does not fail was rejected"
+                "a request of a class that does not fail was rejected"
             )
             ejections = [(row["server"], row["class"]) for row in fleet.request(do="overload")["cases"]]
-            assert set(ejections) <= {(1, "look")}, "ejected for a class that does not fail"
+            assert set(ejections) <= {(1, "look")}, "the backend is ejected for a class that does not fail"
             if ejections and not is_ejected:
                 is_ejected = True
                 end = time.monotonic() + PATIENCE
@@ -77,7 +81,7 @@
             other_class_attempts = backends.other_class_attempts
 
 
-def test_fleet_ejects_a_zone_and_returns_to_it_when_it_fails_and_recovers(tmp_path: Path) -> None:
+def test_fleet_ejects_a_zone_and_uses_it_again_when_it_fails_and_recovers(tmp_path: Path) -> None:
     with Limiter(tmp_path, backend_count=8, azs=["east", "west"]) as limiter:
         for entry in limiter.config["known"]["instances"][:4]:
             entry["zone"] = "west"
@@ -85,9 +89,9 @@
         with RunningFleet(tmp_path, limiter) as fleet, RespondingBackends(limiter) as backends:
             clients = MemberClients(limiter, fleet.ready(3)["members"])
 
-            def wait_until(wanted: set[tuple[str, str]]) -> None:
+            def wait_until(expected_ejections: set[tuple[str, str]]) -> None:
                 end = time.monotonic() + PATIENCE
-                while {(c["zone"], c["state"]) for c in fleet.request(do="overload")["cases"]} != wanted:
+                while {(c["zone"], c["state"]) for c in fleet.request(do="overload")["cases"]} != expected_ejections:
                     assert time.monotonic() < end, json.dumps(fleet.request(do="overload")) + repr(
                         backends.attempt_counts
                     )
@@ -97,9 +101,9 @@
             backends.closes_connections = True
             wait_until({("west", "condemned")})
             backends.failing = set()
-            before = sum(backends.attempt_counts[:4])
+            previous_count = sum(backends.attempt_counts[:4])
             wait_until(set())
-            assert sum(backends.attempt_counts[:4]) > before
+            assert sum(backends.attempt_counts[:4]) > previous_count
             assert "zone west is ejected by all members" in (tmp_path / "log").read_text()
 
 
@@ -115,15 +119,19 @@
 
         def check_all_members() -> None:
             assert not any(line.startswith(b"-ERR") for line in clients.request_of_each()[1:]), (
-                "a member that is not cut off failed"
+                "a request failed at a member that is not cut off"
+            )
+            assert fleet.request(do="overload")["cases"] == [], (
+                "a backend was ejected by the reports of a single member"
             )
-            assert fleet.request(do="overload")["cases"] == [], "ejected by the report of one member"
 
         end = time.monotonic() + PATIENCE
         while {row[0] for row in limiter.request_control(do="status")["evidence"]["against"]} != {1, 2}:
             assert time.monotonic() < end, limiter.request_control(do="status")["evidence"]
             check_all_members()
-        before = list(backends.attempt_counts)
-        while min(now - then for now, then in zip(backends.attempt_counts, before, strict=True)) < 5:
+        previous_counts = list(backends.attempt_counts)
+        while (
+            min(count - previous for count, previous in zip(backends.attempt_counts, previous_counts, strict=True)) < 5
+        ):
             assert time.monotonic() < end, backends.attempt_counts
             check_all_members()
--- a/tests/outliers/test_outlier_format.py
+++ b/tests/outliers/test_outlier_format.py
@@ -1,4 +1,8 @@
-"""The form of ejections, reports and admission thresholds in messages, which two versions share."""
+"""The message forms of ejections, outlier reports and admission thresholds.
+
+Supervisor and members may run different versions of the program. If a form or an error text changed, a process of
+another version would reject valid messages or report other errors.
+"""
 
 from __future__ import annotations
 
@@ -15,7 +19,7 @@
 
 
 def ejection_values(messages: Json) -> list[list[Json]]:
-    """Return the values of ejections as a member reads them."""
+    """Return the values of the ejections that a member parses from a message."""
     return [
         [
             *ejection.key,
@@ -29,8 +33,8 @@
     ]
 
 
-def reports_of_a_failed_backend() -> list[Json]:
-    """Return a member's reports once one backend has failed, and once it has answered a half-open probe."""
+def collect_reports_of_a_failed_backend() -> list[Json]:
+    """Return a member's report after a backend has failed, and its report after a successful half-open probe."""
     gateway = Gateway(settings(), 1)
     gateway.handle(0.0, EndpointsChanged(EndpointListKind.CACHED, fleet()))
     reporter = member.MemberEjections(gateway)
@@ -80,4 +84,4 @@
 
 
 def test_report_has_the_same_form_when_a_backend_has_failed() -> None:
-    assert_as_recorded("evidence", reports_of_a_failed_backend())
+    assert_as_recorded("evidence", collect_reports_of_a_failed_backend())
--- a/tests/outliers/test_outlier_member.py
+++ b/tests/outliers/test_outlier_member.py
@@ -1,4 +1,8 @@
-"""A member's side of outlier detection: which backends its gateway selects, and the message forms."""
+"""A member's side of outlier detection: the backends that its gateway selects, and the message forms.
+
+The tests guard against a member that sends more than one request to an ejected backend for each permit, and against
+ejections that apply after they have expired.
+"""
 
 from __future__ import annotations
 
@@ -47,7 +51,7 @@
     member.on_ejections([ejected], 0.0, 100.0)
     assert not set(selected(0.1)) & set(failed_zone)
     member.on_ejections([replace(ejected, probe_permit=5)], 0.2, 100.2)
-    assert sum(number in failed_zone for number in selected(0.3)) == 1, "a zone's permit is one request"
+    assert sum(number in failed_zone for number in selected(0.3)) == 1, "a permit for a zone allows one request"
     member.on_ejections([replace(ejected, is_admitted=True)], 0.4, 100.4)
     assert "" not in gateway.backends[failed_zone[0]].failures
     assert set(selected(0.5)) >= set(failed_zone)
@@ -57,7 +61,8 @@
     gateway = started(settings(), now=100.0)
     member = MemberEjections(gateway)
     backend = gateway.backends[2]
-    gateway.set_fleet_bounds(member_bounds(member, fraction=1e6))  # concurrency is not limited here
+    # The fraction is so large that concurrency is not limited.
+    gateway.set_fleet_bounds(member_bounds(member, fraction=1e6))
 
     def selected(now: float, count: int = 40) -> int:
         selected_count = 0
@@ -85,9 +90,9 @@
     assert isinstance(report["against"], list)
     assert [2, ""] in report["against"]
     receive(101.0, replace(ejected, probe_permit=5))
-    assert selected(101.1) == 0  # the same permit again
+    assert selected(101.1) == 0  # the member has used this permit already
     receive(101.5, replace(ejected, probe_permit=6))
-    assert selected(101.6) == 1  # though the member's own ejection lasts
+    assert selected(101.6) == 1  # the new permit overrides the member's own ejection
     receive(102.0, admitted)
     assert selected(102.1) > 0
     backend.failures[""] = FailureStreak(3, 110.0)
--- a/tests/outliers/test_outlier_messages.py
+++ b/tests/outliers/test_outlier_messages.py
@@ -1,4 +1,4 @@
-"""The message form of members' reports of backends."""
+"""The message form of outlier reports: complete, from an earlier version, and malformed."""
 
 from __future__ import annotations
 
--- a/tests/outliers/test_outlier_trace.py
+++ b/tests/outliers/test_outlier_trace.py
@@ -1,9 +1,9 @@
 """The outlier coordinator, its members and the admission threshold, compared with digests of recorded seeded runs.
 
-Members start, become unresponsive and end; backends fail for all requests, for one class, or as a zone, or are slow,
-and recover. Each member is a gateway with the adapters of this fleet; what they report goes to the coordinator and the
-threshold as JSON, and what these decide is sent back as JSON. Traced are the reports, the ejections as rows, each state
-change, the threshold, and which requests are sent to which backend.
+Members start, become unresponsive and end. Backends fail for all requests, for one class or as a zone, or are slow, and
+recover. Each member is a gateway with the adapters of a fleet. Its reports are sent as JSON to the coordinator and the
+threshold, and their decisions are sent back as JSON. The trace contains the reports, the ejections as rows, each state
+change, the threshold, and the backend of each attempt. A digest differs if a change of the code changes any of these.
 """
 
 from __future__ import annotations
@@ -44,7 +44,7 @@
 BACKEND_COUNT = 8
 STEPS = 1200
 STEP_SECONDS = (0.05, 0.1, 0.1, 0.2)
-WALL_OFFSET_SECONDS = 5000.0
+MONOTONIC_OFFSET_SECONDS = 5000.0
 FAULTS = ("error", "read", "slow")
 
 
@@ -61,7 +61,7 @@
 
 
 class Member:
-    """A gateway with the adapters of a fleet."""
+    """A gateway with a fleet's adapters for ejections and load shedding."""
 
     def __init__(self, name: str, now: float) -> None:
         self.name = name
@@ -75,13 +75,13 @@
         self.is_unresponsive = False
 
     def report(self, now: float) -> dict[str, Any]:
-        """Return what the member reports, as it arrives."""
+        """Return the member's report after it was written as JSON and read again."""
         report: dict[str, Any] = json.loads(json.dumps(self.ejections.report(now)))
         return report
 
 
 class OutlierRun:
-    """One seeded run of a fleet; what happens is sampled at each step."""
+    """One seeded run of a fleet; each step samples faults, changes of members and requests."""
 
     def __init__(self, seed: int, names: tuple[str, ...]) -> None:
         self.names = names
@@ -98,7 +98,7 @@
         self.lines: list[str] = []
 
     def run(self) -> TraceDigest:
-        """Run all steps; return the trace."""
+        """Run all steps and return the trace."""
         for step in range(STEPS):
             self.now = round(self.now + self.rng.choice(STEP_SECONDS), 6)
             self.lines = [f"{self.now:.6f}"]
@@ -220,17 +220,17 @@
                 report["against"] += recovering
                 self.trace_event("relapse report", name, recovering)
             if self.rng.random() < 0.05:
-                odd = [[self.rng.randrange(1, 12), self.rng.choice(("", *CLASSES))] for _ in range(5)]
-                report["against"] += odd
-                report["good"] += odd[:2]
-                self.trace_event("odd report", name, odd)
-            moment = self.now + WALL_OFFSET_SECONDS
+                random_rows = [[self.rng.randrange(1, 12), self.rng.choice(("", *CLASSES))] for _ in range(5)]
+                report["against"] += random_rows
+                report["good"] += random_rows[:2]
+                self.trace_event("odd report", name, random_rows)
+            monotonic_now = self.now + MONOTONIC_OFFSET_SECONDS
             self.coordinator.on_endpoint_list(name, report["servers"], zones_from_message(report["zones"]))
             probe_results = probes_from_message(report["trials"])
             ejecting = keys_from_message(report["against"])
             responding = keys_from_message(report["good"])
-            self.coordinator.on_report(name, ejecting, responding, probe_results, moment)
-            self.threshold.on_report(name, report["pressure"], moment)
+            self.coordinator.on_report(name, ejecting, responding, probe_results, monotonic_now)
+            self.threshold.on_report(name, report["pressure"], monotonic_now)
 
     def recovering_backends(self) -> list[list[Any]]:
         return [
@@ -240,9 +240,9 @@
         ]
 
     def decide(self) -> None:
-        moment = self.now + WALL_OFFSET_SECONDS
+        monotonic_now = self.now + MONOTONIC_OFFSET_SECONDS
         previous = self.states
-        for key in self.coordinator.tick(moment):
+        for key in self.coordinator.tick(monotonic_now):
             self.trace.actions["opened"] += 1
             self.trace.actions["opened zone"] += key[0] == ZONE
             self.lines.append(json.dumps(["opened", key]))
@@ -251,19 +251,19 @@
             if previous.get(key) != self.states.get(key):
                 self.trace.actions[f"{previous.get(key)} to {self.states.get(key)}"] += 1
         self.lines.append(json.dumps(["invalid", self.coordinator.invalid_reports]))
-        self.threshold.tick(moment)
+        self.threshold.tick(monotonic_now)
         threshold = round(self.threshold.value, 9)
         self.trace.actions["threshold above 0"] += threshold > 0.0
         self.lines.append(json.dumps(["threshold", threshold, round(self.threshold.pressure, 9)]))
         for name in (*self.names, "stranger"):
-            ejections = self.coordinator.build_ejections(name, moment)
+            ejections = self.coordinator.build_ejections(name, monotonic_now)
             rows = json.loads(json.dumps([ejection_to_row(ejection) for ejection in ejections]))
             self.trace.actions["row"] += len(rows)
             self.trace.actions["probe permit"] += sum(row[3] > 0 for row in rows)
             self.lines.append(json.dumps([name, rows]))
             if name in self.members and self.rng.random() < 0.9:
-                self.members[name].ejections.on_ejections(ejections_from_message(rows), self.now, moment)
-                self.members[name].shedder.on_threshold(round(self.threshold.value, 3), self.now, moment)
+                self.members[name].ejections.on_ejections(ejections_from_message(rows), self.now, monotonic_now)
+                self.members[name].shedder.on_threshold(round(self.threshold.value, 3), self.now, monotonic_now)
 
 
 @pytest.mark.parametrize(
--- a/tests/shedding/test_threshold.py
+++ b/tests/shedding/test_threshold.py
@@ -1,4 +1,8 @@
-"""The admission threshold, a member's load shedding, and a fleet of processes whose backends slow down."""
+"""The admission threshold, a member's load shedding, and a fleet of processes whose backends slow down.
+
+The tests guard against a threshold that single members can move, that oscillates or that stays up after an overload,
+and against members that shed different requests by the same threshold.
+"""
 
 from __future__ import annotations
 
@@ -36,16 +40,12 @@
     AdmissionThreshold,
 )
 
-RICH = replace(PLAN, name="rich", price=4.0)
-
-
-DEAR = replace(SAFE, name="dear", priority_weight=3.0)
-
-
-SITE = settings(plans=(PLAN, RICH), classes=(SAFE, DEAR))
+EXPENSIVE_PLAN = replace(PLAN, name="rich", price=4.0)
+IMPORTANT_CLASS = replace(SAFE, name="dear", priority_weight=3.0)
+GATEWAY_SETTINGS = settings(plans=(PLAN, EXPENSIVE_PLAN), classes=(SAFE, IMPORTANT_CLASS))
 
 
-def test_threshold_follows_the_median_when_some_members_report_wrong_figures() -> None:
+def test_threshold_follows_the_median_when_some_members_report_wrong_values() -> None:
     for wrong, correct in ((1.0, 0.1), (0.0, 0.9)):
         threshold = AdmissionThreshold()
         for tick in range(40):
@@ -71,53 +71,63 @@
         now += TICK_INTERVAL_SECONDS
         previous = threshold.value
     assert threshold.value == 0.0
-    threshold.on_report("n1", 1.0, now)  # has expired at the next tick
+    threshold.on_report("n1", 1.0, now)  # this report has expired at the next tick
     assert threshold.tick(now + REPORT_TTL_SECONDS + 0.1) == 0.0
 
 
 @pytest.mark.parametrize("value", [None, True, "0.5", nan, inf, -0.1, 1.1, [0.5]])
-def test_figures_are_rejected_and_change_nothing_when_they_are_no_fractions(value: Any) -> None:
+def test_values_are_rejected_and_change_nothing_when_they_are_no_fractions(value: Any) -> None:
     threshold = AdmissionThreshold()
-    gateway = Gateway(SITE, 1)
+    gateway = Gateway(GATEWAY_SETTINGS, 1)
     with pytest.raises(ValueError, match="no figure from 0 to 1"):
         threshold.on_report("n0", value, 0.0)
-    shedding = LoadShedder(gateway)
+    shedder = LoadShedder(gateway)
     with pytest.raises(ValueError, match="no figure from 0 to 1"):
-        shedding.on_threshold(value, 0.0, 0.0)
+        shedder.on_threshold(value, 0.0, 0.0)
     assert not threshold.reports
-    assert shedding.compute_rejected_fraction(SAFE, PLAN, 1, 0.25) == 0.25
-
-
-def test_order_goes_by_priority_weight_and_is_the_same_at_members_when_their_settings_are() -> None:
-    one = PriorityOrder(SITE)
-    other = PriorityOrder(replace(SITE, index=2, zone="b"))
-    kinds = [(SAFE, PLAN), (DEAR, PLAN), (SAFE, RICH), (DEAR, RICH)]  # of priority weight 1, 3, 4, 12
+    assert shedder.compute_rejected_fraction(SAFE, PLAN, 1, 0.25) == 0.25
+
+
+def test_ranks_follow_priority_weight_and_are_equal_at_all_members_when_the_settings_are_equal() -> None:
+    first_order = PriorityOrder(GATEWAY_SETTINGS)
+    second_order = PriorityOrder(replace(GATEWAY_SETTINGS, index=2, zone="b"))
+    # The priority weights are 1, 3, 4 and 12.
+    classes_and_plans = [
+        (SAFE, PLAN),
+        (IMPORTANT_CLASS, PLAN),
+        (SAFE, EXPENSIVE_PLAN),
+        (IMPORTANT_CLASS, EXPENSIVE_PLAN),
+    ]
     for customer in range(300):
-        ranks = [one.compute_rank(cls, plan, customer, 50.0) for cls, plan in kinds]
+        ranks = [first_order.compute_rank(cls, plan, customer, 50.0) for cls, plan in classes_and_plans]
         assert ranks == sorted(ranks)
         assert ranks[0] >= 0.0
         assert ranks[-1] < 1.0
-        assert ranks == [other.compute_rank(cls, plan, customer, 50.0) for cls, plan in kinds]
-    moved = sum(
-        one.compute_rank(SAFE, PLAN, n, 50.0) != one.compute_rank(SAFE, PLAN, n, 50.0 + ROTATION_SECONDS)
+        assert ranks == [second_order.compute_rank(cls, plan, customer, 50.0) for cls, plan in classes_and_plans]
+    changed_count = sum(
+        first_order.compute_rank(SAFE, PLAN, n, 50.0)
+        != first_order.compute_rank(SAFE, PLAN, n, 50.0 + ROTATION_SECONDS)
+        for n in range(300)
+    )
+    assert changed_count == 300, "some customers keep their rank after a rotation"
+    simultaneous_count = sum(
+        first_order.compute_rank(SAFE, PLAN, n, 50.0) != first_order.compute_rank(SAFE, PLAN, n, 50.1)
         for n in range(300)
     )
-    assert moved == 300, "the same customers are shed for ever"
-    at_once = sum(one.compute_rank(SAFE, PLAN, n, 50.0) != one.compute_rank(SAFE, PLAN, n, 50.1) for n in range(300))
-    assert at_once < 15, "all change their ranks at once"
+    assert simultaneous_count < 15, "too many customers change their ranks at the same time"
 
 
 def test_members_reject_the_same_requests_until_the_threshold_expires_when_they_have_the_same_one() -> None:
-    free = tuple(replace(p, rate=0.0) for p in SITE.plans)
-    members = [Gateway(replace(SITE, plans=free, index=n), n) for n in range(3)]
+    unlimited_plans = tuple(replace(p, rate=0.0) for p in GATEWAY_SETTINGS.plans)
+    members = [Gateway(replace(GATEWAY_SETTINGS, plans=unlimited_plans, index=n), n) for n in range(3)]
     for member in members:
         member.handle(0.0, EndpointsChanged(EndpointListKind.CACHED, fleet()))
         shedder = LoadShedder(member)
         shedder.on_threshold(0.15, 0.0, 100.0)
         member.set_fleet_bounds(member_bounds(load_shedder=shedder))
 
-    def is_admitted(member: Gateway, now: float, plan: str, customer: int) -> bool:
-        event = request(f"{now}-{plan}-{customer}", 1.0, plan=plan, customer=str(customer))
+    def is_admitted(member: Gateway, now: float, plan_name: str, customer: int) -> bool:
+        event = request(f"{now}-{plan_name}-{customer}", 1.0, plan=plan_name, customer=str(customer))
         actions = member.handle(now, event)
         for sent in sends(actions):
             member.handle(
@@ -128,19 +138,19 @@
     for customer in range(100):
         assert len({is_admitted(member, 1.0, "plain", customer) for member in members}) == 1
         assert all(is_admitted(member, 1.0, "rich", customer + 1000) for member in members), (
-            "rejected before requests of a lower priority weight"
+            "a request was rejected although its priority weight is higher than that of admitted requests"
         )
     assert 0 < sum(is_admitted(members[0], 1.0, "plain", n) for n in range(100)) < 60
     assert all(is_admitted(member, THRESHOLD_LEASE_SECONDS + 0.1, "plain", n) for n in range(100) for member in members)
 
 
 def test_retry_budget_is_smaller_when_the_threshold_is_higher() -> None:
-    member = Gateway(SITE, 1)
-    shedding = LoadShedder(member)
-    member.set_fleet_bounds(member_bounds(load_shedder=shedding, fraction=0.25))
+    member = Gateway(GATEWAY_SETTINGS, 1)
+    shedder = LoadShedder(member)
+    member.set_fleet_bounds(member_bounds(load_shedder=shedder, fraction=0.25))
     assert member.retries.max_budget() == pytest.approx(0.25 * MAX_FLEET_RETRY_BUDGET)
     assert member.context.fraction_of("places") == 0.25
-    shedding.on_threshold(0.8, 0.0, 0.0)
+    shedder.on_threshold(0.8, 0.0, 0.0)
     assert member.retries.max_budget() == pytest.approx(max(1.0, 0.05 * MAX_FLEET_RETRY_BUDGET))
     member.context.now = THRESHOLD_LEASE_SECONDS + 0.1
     assert member.retries.max_budget() == pytest.approx(0.25 * MAX_FLEET_RETRY_BUDGET)
@@ -152,13 +162,13 @@
     served = 0.0
     capacity = 0.0
     recovery_seconds = inf
-    for tick in range(400):  # a queue in front of 100 requests a second, and a latency objective of 1 s
+    for tick in range(400):  # a queue before a backend that serves 100 requests per second; latency objective 1 s
         now = tick * TICK_INTERVAL_SECONDS
         load = 200.0 if tick < 200 else 60.0
         arrived = load * (1.0 - threshold.value) * TICK_INTERVAL_SECONDS
         done = min(queue + arrived, 100.0 * TICK_INTERVAL_SECONDS)
         queue = min(150.0, queue + arrived - done)
-        for n in range(12):  # one reports a wrong figure, one is cut off
+        for n in range(12):  # member 0 reports a wrong value, member 1 is cut off
             threshold.on_report(f"n{n}", (0.0, 1.0)[n] if n < 2 else min(1.0, queue / 100.0 + 0.05), now)
         threshold.tick(now)
         if 40 <= tick < 200:
@@ -201,9 +211,8 @@
 
         def wait_until(is_reached: Callable[[Message], bool]) -> None:
             nonlocal rejected_count
-            end = (
-                time.monotonic() + 3.0 * PATIENCE
-            )  # it rises within 4 s and falls within 16 s, unless the machine is overloaded
+            # The threshold rises within 4 s and falls within 16 s, unless the machine is overloaded.
+            end = time.monotonic() + 3.0 * PATIENCE
             while not is_reached(status := members.request(do="overload")):
                 assert time.monotonic() < end, json.dumps(status)
                 rejected_count += sum(line.startswith(b"-BUSY") for line in clients.request_of_each(customers=50))
--- a/thymeflow/leases/issuer.py
+++ b/thymeflow/leases/issuer.py
@@ -31,14 +31,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Write:
-    """Asks the caller to write the grant file, then to call `on_written` or `on_write_failed` with this version."""
+    """The action to write the grant file and then call `on_written` or `on_write_failed` with this version."""
 
     version: int
 
 
 @dataclass(frozen=True, slots=True)
 class Send:
-    """Asks the caller to send an allocation to a holder."""
+    """The action to send an allocation to a holder."""
 
     holder: HolderName
     allocation: Allocation
@@ -60,7 +60,7 @@
         self._fleet_size = 1
         self._file_version = 0
         self._sends_by_version: dict[int, list[Send]] = {}  # keyed by the file version that must be written first
-        self._first_grant_at = now  # until this time leases of a lost grant file may be in force
+        self._first_grant_at = now  # leases of a lost grant file may be in force until this time
 
     def get_or_create_record(self, holder: HolderName) -> HolderRecord:
         """Return the record of a holder; create an empty one if the holder is unknown."""
@@ -270,7 +270,7 @@
         return all(amount <= maximum for amount, maximum in zip(amounts, covered, strict=True))
 
     def _prepare_write(self, now: float, sends: list[Send]) -> Write:
-        # The file holds the largest amounts that can be in force, so that a reduction needs no write.
+        # The file contains the largest amounts that can be in force, so that a reduction needs no write.
         self._file_version += 1
         self.durable_until = now + COVERED_PERIOD_SECONDS
         self.durable_amounts = {
--- a/thymeflow/outliers/coordinator.py
+++ b/thymeflow/outliers/coordinator.py
@@ -38,7 +38,7 @@
 MAX_PROBE_INTERVAL_SECONDS = 4.0  # the interval between probes doubles with each failed probe up to this limit
 RECOVERY_STEP_SECONDS = 0.5  # during recovery, the number of members that send requests doubles after each step
 # A member's report of an ejection contradicts a recovery only this long after the member was admitted: two report
-# intervals and the transmission. An earlier report may tell of a failure from before the recovery.
+# intervals and the transmission. An earlier report may refer to a failure before the recovery.
 SETTLING_SECONDS = 1.2
 # After a recovery, members forget older failures for this long, and reports of ejecting the key are not counted.
 AFTER_RECOVERY_SECONDS = 2.0
@@ -50,7 +50,7 @@
     """The ejections of one fleet."""
 
     def __init__(self, probes_per_second: float) -> None:
-        """`probes_per_second`: the most half-open probes of one ejection per second in the whole fleet."""
+        """`probes_per_second`: the most half-open probes of one ejection per second, for all members together."""
         self.probe_interval = 1.0 / probes_per_second  # seconds
         self.reports: dict[str, MemberReport] = {}
         self.ejections: dict[EjectionKey, EjectionRecord] = {}
@@ -58,7 +58,7 @@
         self.backend_count = 0  # the number of backends in the endpoint list that most members have
         self.zones: dict[str, frozenset[int]] = {}  # backends by zone, in the same endpoint list
         self._endpoint_lists: dict[str, tuple[int, ZoneRows]] = {}  # number of backends and zones, by member
-        self._ignored_until: dict[EjectionKey, float] = {}  # until this time, reports of ejecting the key are ignored
+        self._ignored_until: dict[EjectionKey, float] = {}  # the time until which reports of ejecting a key are ignored
         self._last_number = 0
         self._last_permit = 0
 
--- a/thymeflow/outliers/member.py
+++ b/thymeflow/outliers/member.py
@@ -1,4 +1,4 @@
-"""A member's part of outlier detection: its reports, and the backends that it may select. No I/O, no clock."""
+"""A member's side of outlier detection: its reports, and the backends that it may select. No I/O, no clock."""
 
 from __future__ import annotations
 
--- a/thymeflow/outliers/quorum.py
+++ b/thymeflow/outliers/quorum.py
@@ -39,7 +39,7 @@
         return len(self.ejecting) > MAJORITY * (len(self.ejecting) + self.responding_count)
 
     def is_quorum(self) -> bool:
-        """Return whether the votes suffice to eject the key for the whole fleet."""
+        """Return whether the votes suffice to eject the key for the fleet."""
         return len(self.ejecting) >= MIN_EJECTING_MEMBERS and self.is_majority()
 
 
