--- a/tests/decision/support.py
+++ b/tests/decision/support.py
@@ -8,7 +8,7 @@
 from thymeflow.decision.gateway import Gateway
 
 
-def ticks(gateway: Gateway, start: float, seconds: float) -> list[Action]:
+def fire_ticks(gateway: Gateway, start: float, seconds: float) -> list[Action]:
     """Fire the upkeep timer for a while and collect what is done."""
     done: list[Action] = []
     for step in range(int(seconds * 10)):
--- a/tests/decision/test_retries.py
+++ b/tests/decision/test_retries.py
@@ -11,7 +11,7 @@
 
 
 def test_retry_budget_of_a_fleet_is_bounded_when_it_is_large() -> None:
-    assert sum(Gateway(settings(index=n, limiter_count=300), n).retries.max_budget() for n in range(300)) < 400
+    assert sum(Gateway(settings(index=n, limiter_count=300), n).retries.compute_max_budget() for n in range(300)) < 400
 
 
 def test_no_backend_is_ejected_and_retries_stay_few_when_all_are_slow() -> None:
--- a/tests/gossip/test_gossip.py
+++ b/tests/gossip/test_gossip.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from tests.decision.support import ticks
+from tests.decision.support import fire_ticks
 from tests.helpers import PLAN, ended, only_store, request, sends, settings, started
 from thymeflow.decision.actions import SendGossip
 from thymeflow.decision.context import TimerKind
@@ -159,7 +159,7 @@
             gateway.handle(10.0 + n, ended(f"r{n}", out[0], Status.OK, actual_units=1.0))
         for token in [t for t, (kind, _) in gateway.timers.items() if kind is TimerKind.DEADLINE]:
             gateway.handle(10.0 + n, TimerFired(token))
-    ticks(gateway, 400.0, 0.5)
+    fire_ticks(gateway, 400.0, 0.5)
     assert not gateway.pending
     assert not gateway.buckets
     assert len(gateway.timers) <= 2
--- a/tests/quota/test_counter_reports.py
+++ b/tests/quota/test_counter_reports.py
@@ -6,7 +6,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from tests.decision.support import ticks
+from tests.decision.support import fire_ticks
 from tests.helpers import PLAN, ended, only_store, request, sends, settings, started
 from thymeflow.decision.actions import AddToCounter
 from thymeflow.decision.events import CounterReplied
@@ -21,7 +21,7 @@
 
 def call(gateway: Gateway, now: float) -> AddToCounter:
     """Return the one counter call of half a second."""
-    calls = [a for a in ticks(gateway, now, 0.5) if isinstance(a, AddToCounter)]
+    calls = [a for a in fire_ticks(gateway, now, 0.5) if isinstance(a, AddToCounter)]
     assert len(calls) == 1
     return calls[0]
 
@@ -54,7 +54,7 @@
         gateway = started(settings(index=index, limiter_count=300, information=COUNTER))
         for n in range(20):
             gateway.handle(10.0, request(f"r{n}", 4.0, customer=f"c{n}", set_size=300))
-        calls += sum(isinstance(a, AddToCounter) for a in ticks(gateway, 10.0, 1.0))
+        calls += sum(isinstance(a, AddToCounter) for a in fire_ticks(gateway, 10.0, 1.0))
     assert calls <= 1500  # of 6,000 requests
 
 
@@ -62,7 +62,7 @@
     gateway = started(settings(information=COUNTER))
     for n in range(300):
         gateway.handle(10.0 + n / 10.0, request(f"r{n}", 0.3, customer=f"c{n}"))  # a hundredth of the burst
-        assert not [a for a in ticks(gateway, 10.0 + n / 10.0, 0.1) if isinstance(a, AddToCounter)]
+        assert not [a for a in fire_ticks(gateway, 10.0 + n / 10.0, 0.1) if isinstance(a, AddToCounter)]
     assert max(len(gateway.buckets), len(gateway.reports.pending), len(gateway.reports.deferred)) <= 250
     gateway.handle(41.0, request("more", 4.0, customer="c299"))
     more = call(gateway, 41.0)
@@ -96,7 +96,7 @@
     gateway.reporter.call_rate = 0.5
     gateway.reporter.call_credit = 0.5
     gateway.handle(10.0, request("r0", 4.0))
-    assert [a for a in ticks(gateway, 10.0, 4.0) if isinstance(a, AddToCounter)]
+    assert [a for a in fire_ticks(gateway, 10.0, 4.0) if isinstance(a, AddToCounter)]
 
 
 def test_own_amount_is_not_taken_for_remote_demand_when_a_call_gets_no_reply() -> None:
@@ -132,7 +132,7 @@
 def answer_calls(gateways: list[Gateway], totals: dict[int, float], now: float) -> None:
     """Run half a second in which the counter replies to each call at once."""
     for gateway in gateways:
-        for counter_call in [a for a in ticks(gateway, now, 0.5) if isinstance(a, AddToCounter)]:
+        for counter_call in [a for a in fire_ticks(gateway, now, 0.5) if isinstance(a, AddToCounter)]:
             totals[counter_call.name] = totals.get(counter_call.name, 0.0) + counter_call.amount
             gateway.handle(now + 0.5, CounterReplied(counter_call.name, Status.OK, totals[counter_call.name]))
 
--- a/tests/shedding/test_threshold.py
+++ b/tests/shedding/test_threshold.py
@@ -135,12 +135,12 @@
     member = Gateway(SITE, 1)
     shedding = LoadShedder(member)
     member.set_fleet_bounds(member_bounds(load_shedder=shedding, fraction=0.25))
-    assert member.retries.max_budget() == pytest.approx(0.25 * MAX_FLEET_RETRY_BUDGET)
-    assert member.context.fraction_of("places") == 0.25
+    assert member.retries.compute_max_budget() == pytest.approx(0.25 * MAX_FLEET_RETRY_BUDGET)
+    assert member.context.get_resource_fraction("places") == 0.25
     shedding.on_threshold(0.8, 0.0, 0.0)
-    assert member.retries.max_budget() == pytest.approx(max(1.0, 0.05 * MAX_FLEET_RETRY_BUDGET))
+    assert member.retries.compute_max_budget() == pytest.approx(max(1.0, 0.05 * MAX_FLEET_RETRY_BUDGET))
     member.context.now = THRESHOLD_LEASE_SECONDS + 0.1
-    assert member.retries.max_budget() == pytest.approx(0.25 * MAX_FLEET_RETRY_BUDGET)
+    assert member.retries.compute_max_budget() == pytest.approx(0.25 * MAX_FLEET_RETRY_BUDGET)
 
 
 def test_backend_stays_at_its_capacity_and_recovers_when_it_is_overloaded_twofold() -> None:
--- a/thymeflow/daemon/member_bounds.py
+++ b/thymeflow/daemon/member_bounds.py
@@ -35,17 +35,17 @@
         self._ejections = ejections
         self._load_shedder = load_shedder
 
-    def fraction_of(self, resource: str, even_fraction: float) -> float:
+    def get_resource_fraction(self, resource: str, even_fraction: float) -> float:
         """Return the allocated fraction of a resource; of retries less, the more is shed."""
         fraction = self._allocation.fraction(resource, even_fraction)
         if self._load_shedder is None:
             return fraction
         return self._load_shedder.limited_fraction(resource, fraction)
 
-    def limit_of(self, resource: str, even_fraction: float) -> float:
+    def get_resource_limit(self, resource: str, even_fraction: float) -> float:
         """Return how much of a resource this member may use, infinity where the fleet does not limit it."""
         limit = self._limits.get(resource)
-        return inf if limit is None else limit * self.fraction_of(resource, even_fraction)
+        return inf if limit is None else limit * self.get_resource_fraction(resource, even_fraction)
 
     def filter_backends(
         self, ready: list[BackendStats], healthy: list[BackendStats], class_name: str, now: float
--- a/thymeflow/decision/admission.py
+++ b/thymeflow/decision/admission.py
@@ -111,7 +111,7 @@
         registry = self._registry
         full_level = max(pending.request.units, bucket.plan.burst * bucket.quota_fraction(bucket.local_rate))
         deficit = 1.0 - min(1.0, max(0.0, bucket.level / full_level)) if bucket.plan.rate else 0.0
-        backends = registry.warmed_up_backends * context.fraction_of(FleetResource.CONCURRENCY)
+        backends = registry.warmed_up_backends * context.get_resource_fraction(FleetResource.CONCURRENCY)
         if registry.in_flight >= pressure.concurrency_limit(backends, deficit, registry.pressure):
             return RejectionReason.CONCURRENCY
         sample = context.rng.random()
--- a/thymeflow/decision/balancing.py
+++ b/thymeflow/decision/balancing.py
@@ -50,7 +50,7 @@
         backends = self._registry.backends.values()
         ready = [backend for backend in backends if backend.endpoint.state is BackendState.READY]
         # Each attempt in flight occupies one connection.
-        max_connections = self._context.limit_of(FleetResource.CONNECTIONS)
+        max_connections = self._context.get_resource_limit(FleetResource.CONNECTIONS)
         if max_connections == inf:
             return ready
         return [backend for backend in ready if backend.in_flight + 1 <= max_connections]
--- a/thymeflow/decision/context.py
+++ b/thymeflow/decision/context.py
@@ -53,17 +53,17 @@
         """Apply the bounds of a fleet from now on."""
         self.fleet_bounds = fleet_bounds
 
-    def fraction_of(self, resource: str) -> float:
+    def get_resource_fraction(self, resource: str) -> float:
         """Return the fraction of a resource of the fleet that may be used here."""
-        return self.fleet_bounds.fraction_of(resource, self.even_fraction)
+        return self.fleet_bounds.get_resource_fraction(resource, self.even_fraction)
 
-    def limit_of(self, resource: str) -> float:
+    def get_resource_limit(self, resource: str) -> float:
         """Return how much of a resource may be used here, infinity where the fleet does not limit it."""
-        return self.fleet_bounds.limit_of(resource, self.even_fraction)
+        return self.fleet_bounds.get_resource_limit(resource, self.even_fraction)
 
     def probe_interval_seconds(self) -> float:
         """Return the seconds between half-open probes of one backend."""
-        return 1.0 / max(1e-9, self.limit_of(FleetResource.HALF_OPEN_PROBES))
+        return 1.0 / max(1e-9, self.get_resource_limit(FleetResource.HALF_OPEN_PROBES))
 
     def begin_event(self, now: float) -> list[Action]:
         """Set the time of the next event; return the list that collects its actions."""
--- a/thymeflow/decision/fleet_bounds.py
+++ b/thymeflow/decision/fleet_bounds.py
@@ -23,10 +23,10 @@
 class FleetBounds(Protocol):
     """What the fleet permits here. Each method is given what the limiter would use without a fleet."""
 
-    def fraction_of(self, resource: str, even_fraction: float) -> float:
+    def get_resource_fraction(self, resource: str, even_fraction: float) -> float:
         """Return the fraction of a resource of the fleet that may be used here."""
 
-    def limit_of(self, resource: str, even_fraction: float) -> float:
+    def get_resource_limit(self, resource: str, even_fraction: float) -> float:
         """Return how much of a resource may be used here, infinity where the fleet does not limit it."""
 
     def filter_backends(
@@ -43,12 +43,12 @@
 class LocalBounds:
     """Bounds of a limiter without a fleet: its even fraction, and its own statistics."""
 
-    def fraction_of(self, resource: str, even_fraction: float) -> float:
+    def get_resource_fraction(self, resource: str, even_fraction: float) -> float:
         """Return the even fraction."""
         del resource
         return even_fraction
 
-    def limit_of(self, resource: str, even_fraction: float) -> float:
+    def get_resource_limit(self, resource: str, even_fraction: float) -> float:
         """Return infinity."""
         del resource, even_fraction
         return inf
--- a/thymeflow/decision/retries.py
+++ b/thymeflow/decision/retries.py
@@ -20,15 +20,15 @@
         self._context = context
         self._balancer = balancer
         self._requests = requests
-        self.budget = self.max_budget()  # retries of requests that may have been executed
+        self.budget = self.compute_max_budget()  # retries of requests that may have been executed
 
-    def max_budget(self) -> float:
+    def compute_max_budget(self) -> float:
         """Return how many retries may be saved up."""
-        return 1.0 + MAX_FLEET_RETRY_BUDGET * self._context.fraction_of(FleetResource.RETRIES)
+        return 1.0 + MAX_FLEET_RETRY_BUDGET * self._context.get_resource_fraction(FleetResource.RETRIES)
 
     def earn(self) -> None:
         """Add what an admitted request earns to the budget."""
-        self.budget = min(self.max_budget(), self.budget + RETRY_BUDGET_PER_REQUEST)
+        self.budget = min(self.compute_max_budget(), self.budget + RETRY_BUDGET_PER_REQUEST)
 
     def retry(self, pending: RequestState) -> bool:
         """Start one more attempt if rules, time and budget allow it; return whether one was started."""
--- a/thymeflow/quota/counter_reporter.py
+++ b/thymeflow/quota/counter_reporter.py
@@ -66,7 +66,7 @@
     def send_pending(self, elapsed_seconds: float) -> None:
         """Report pending customers, those with the most unreported demand over their rate first."""
         # One call may always be saved up: with a credit under one call, there would never be another.
-        rate = min(self.call_rate, self._context.limit_of(FleetResource.COUNTER_CALLS))
+        rate = min(self.call_rate, self._context.get_resource_limit(FleetResource.COUNTER_CALLS))
         self.call_credit = min(max(1.0, rate), self.call_credit + rate * elapsed_seconds)
         now = self._context.now
         buckets = map(self._buckets.by_customer.get, self.reports.pending)
--- a/thymeflow/shedding/load_shedder.py
+++ b/thymeflow/shedding/load_shedder.py
@@ -12,7 +12,7 @@
 from thymeflow.shedding.priority import PriorityOrder
 
 THRESHOLD_LEASE_SECONDS = 3.0  # how long a threshold is valid; then each member sheds by its own pressure
-RETRY_RESOURCE = "attempts"  # the name of retries in `FleetBounds.fraction_of`
+RETRY_RESOURCE = "attempts"  # the name of retries in `FleetBounds.get_resource_fraction`
 SHARED_RETRY_BUDGET = MAX_FLEET_RETRY_BUDGET  # retries that all gateways together may save up
 
 
--- a/thymeflow/snapshot/restore.py
+++ b/thymeflow/snapshot/restore.py
@@ -239,7 +239,7 @@
         gateway.buckets[record.number] = bucket
     gateway.registry.pressure = min(1.0, max(0.0, snapshot.pressure))
     gateway.registry.mean_latency_ratio = max(MIN_MEAN_LATENCY_RATIO, snapshot.usual)
-    gateway.retries.budget = min(gateway.retries.max_budget(), max(0.0, snapshot.budget))
+    gateway.retries.budget = min(gateway.retries.compute_max_budget(), max(0.0, snapshot.budget))
     min_call_rate = gateway.reporter.call_rate * MIN_CALL_RATE_FACTOR
     max_call_rate = gateway.reporter.call_rate * MAX_CALL_RATE_FACTOR
     gateway.reporter.call_rate = min(max(min_call_rate, snapshot.call_rate), max_call_rate)
