--- a/thymeflow/decision/__init__.py
+++ b/thymeflow/decision/__init__.py
@@ -1,1 +1,1 @@
-"""The decisions of a gateway, after HIP-185: admission, balancing and retries, without I/O and without a clock."""
+"""Decisions of a gateway according to HIP-185: admission, balancing and retries. No I/O, no clock."""
--- a/thymeflow/decision/actions.py
+++ b/thymeflow/decision/actions.py
@@ -1,4 +1,4 @@
-"""Actions that a gateway returns, to be carried out in order. Times are in s."""
+"""Actions that a gateway returns. The caller carries them out in order. Times are in seconds."""
 
 from __future__ import annotations
 
@@ -9,7 +9,10 @@
 
 
 class StartAttempt(NamedTuple):
-    """Start an attempt unless `start_within` has passed; a `timeout` of 0 is the client's own."""
+    """Start an attempt at a backend, unless more than `start_within` seconds have passed by then.
+
+    A `timeout` of 0 means that the attempt has no time-out but the client's.
+    """
 
     id: str
     backend: int
@@ -18,7 +21,10 @@
 
 
 class RejectRequest(NamedTuple):
-    """Final response: rejected without effect, so that a retry is harmless; `retry_after` is in s, 0: no advice."""
+    """Final response: the request is rejected and had no effect, so the client can retry it safely.
+
+    `retry_after` is the advised delay in seconds; 0 means no advice.
+    """
 
     id: str
     reason: RejectionReason
@@ -26,46 +32,46 @@
 
 
 class FailRequest(NamedTuple):
-    """Final response: failed, and possibly executed."""
+    """Final response: the request failed, and a backend may have executed it."""
 
     id: str
 
 
 class CancelAttempt(NamedTuple):
-    """Stop waiting for one attempt."""
+    """Cancel one attempt; its response is no longer needed."""
 
     id: str
     attempt: int
 
 
 class SetTimer(NamedTuple):
-    """Request a TimerFired after a delay."""
+    """Request a `TimerFired` event with this token after a delay."""
 
     token: int
     delay: float
 
 
 class CheckHealth(NamedTuple):
-    """Check a backend."""
+    """Send a health check to a backend."""
 
     backend: int
 
 
 class CloseIdleConnections(NamedTuple):
-    """Close idle connections to a backend."""
+    """Close the idle connections to a backend."""
 
     backend: int
 
 
 class SendGossip(NamedTuple):
-    """Send bytes to a peer gateway, or to all of them (-1)."""
+    """Send a gossip message to one peer gateway; peer -1 means all peers."""
 
     peer: int
     data: bytes
 
 
 class AddToCounter(NamedTuple):
-    """Add to a named number on the shared counter."""
+    """Add an amount to a named total at the shared counter; `ttl` is the lifetime of a new total."""
 
     name: int
     amount: float
@@ -73,7 +79,7 @@
 
 
 class SubscribeEndpoints(NamedTuple):
-    """Subscribe to changes of the endpoint list, or unsubscribe."""
+    """Subscribe to changes of the endpoint list; `on=False` unsubscribes."""
 
     on: bool = True
 
@@ -83,7 +89,7 @@
 
 
 class WriteLog(NamedTuple):
-    """Write a line to the log."""
+    """Write one line to the log."""
 
     text: str
 
--- a/thymeflow/decision/admission.py
+++ b/thymeflow/decision/admission.py
@@ -1,4 +1,4 @@
-"""Decides whether a request is admitted, and how long a rejected one should wait."""
+"""Decides whether a request is admitted, and after how many seconds a client should retry a rejected request."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
 
 class AdmissionPolicy:
-    """Admits requests by quota, concurrency and pressure, or rejects them."""
+    """Admits or rejects requests by quota, concurrency and backend pressure."""
 
     def __init__(
         self,
@@ -41,63 +41,63 @@
         self._requests = requests
         self._retries = retries
 
-    def plan_of(self, event: RequestReceived) -> Plan | None:
-        """Return the plan of a request, None where it is not known or the units are invalid."""
+    def find_plan(self, event: RequestReceived) -> Plan | None:
+        """Return the plan of a request, or None if the plan is unknown or the units are invalid."""
         has_valid_units = isfinite(event.units) and event.units > 0
         return self._context.plans.get(event.plan) if has_valid_units else None
 
-    def receive(self, event: RequestReceived) -> RequestState | None:
-        """Count the demand of a request; None where it is invalid and therefore rejected.
+    def register_request(self, event: RequestReceived) -> RequestState | None:
+        """Count the demand of a request and return its state; reject an invalid request and return None.
 
-        :raises InvalidSettingError: if its remaining time is not finite.
+        :raises InvalidSettingError: if the remaining time of the request is not finite.
         """
         context = self._context
-        plan = self.plan_of(event)
+        plan = self.find_plan(event)
         if plan is None or event.remaining <= RETRY_MARGIN_SECONDS:
             context.emit(RejectRequest(event.id, RejectionReason.INVALID))
             return None
         bucket = self._buckets.get_for(event, plan)
         request_class = context.classes.get(event.class_name)
-        if request_class is None or not isfinite(
-            event.remaining
-        ):  # an unknown class counts as not idempotent
+        # A request of an unknown class is treated as not idempotent.
+        if request_class is None or not isfinite(event.remaining):
             request_class = RequestClass(event.class_name, event.remaining, event.remaining)
-        deadline = context.now + min(event.remaining, self._useful_seconds(request_class))
+        deadline = context.now + min(event.remaining, self._compute_useful_seconds(request_class))
         pending = RequestState(event, request_class, bucket, deadline, context.limits.max_attempts)
-        if not event.is_retry:  # a client's retry is the same demand again, not more of it
+        if not event.is_retry:  # A client's retry repeats demand that is already counted.
             bucket.local_rate += event.units / bucket.local_rate_memory
             bucket.requested_units += event.units
         return pending
 
     @staticmethod
-    def _useful_seconds(request_class: RequestClass) -> float:
-        # A response past its objective may have no value: its capacity is better given to another request.
+    def _compute_useful_seconds(request_class: RequestClass) -> float:
+        # If a response after the latency objective has no value, its capacity is better used by another request.
         has_late_value = request_class.late_weight > 0.0 or bool(request_class.latency_objective_stretch)
         if has_late_value or request_class.is_streamed:
             return inf
         return request_class.latency_objective
 
     def admit(self, pending: RequestState, is_within_quota: bool) -> None:
-        """Charge a request and start its first attempt, or reject it."""
+        """Charge a request and start its first attempt, or reject the request."""
         event = pending.request
         bucket = pending.bucket
-        reason = self._rejection_reason(pending, bucket) if is_within_quota else RejectionReason.QUOTA
+        reason = self._find_rejection_reason(pending, bucket) if is_within_quota else RejectionReason.QUOTA
         backend = None if reason else self._balancer.select_backend(pending)
         if backend is None:
             self._reports.deferred[bucket.customer_id] = None
-            advice = self._retry_after_seconds(bucket, event.units)
+            advice = self._compute_retry_after(bucket, event.units)
             rejection = RejectRequest(event.id, reason or RejectionReason.NO_BACKEND, advice)
             self._context.emit(rejection)
             return
         self._reports.pending[bucket.customer_id] = None
         bucket.requested_units += event.units if event.is_retry else 0.0
         bucket.charge(event.units)
-        bucket.ceiling_level -= event.units  # the hard ceiling counts declared units, and is not settled
-        self._retries.earn()
+        # The hard ceiling counts declared units and is not settled with the actual units.
+        bucket.ceiling_level -= event.units
+        self._retries.credit_admitted_request()
         self._requests.open(pending, backend)
 
-    def _retry_after_seconds(self, bucket: TokenBucket, units: float) -> float:
-        """Return the seconds until the bucket covers the units, 0 where no advice may be given."""
+    def _compute_retry_after(self, bucket: TokenBucket, units: float) -> float:
+        """Return the seconds until the bucket covers the units, or 0 if the settings permit no retry-after advice."""
         limits = self._context.limits
         if not limits.retry_after:
             return 0.0
@@ -105,8 +105,11 @@
         refill_seconds = (units - bucket.level) / refill_rate
         return min(max(MIN_RETRY_AFTER_SECONDS, refill_seconds), limits.max_retry_after)
 
-    def _rejection_reason(self, pending: RequestState, bucket: TokenBucket) -> RejectionReason | None:
-        """Return why a request within its quota is rejected, if it is; full buckets come first."""
+    def _find_rejection_reason(self, pending: RequestState, bucket: TokenBucket) -> RejectionReason | None:
+        """Return the reason for which a request within its quota is rejected, or None if it is admitted.
+
+        Customers with fuller buckets are rejected less often.
+        """
         context = self._context
         registry = self._registry
         full_level = max(pending.request.units, bucket.plan.burst * bucket.quota_fraction(bucket.local_rate))
--- a/thymeflow/decision/balancing.py
+++ b/thymeflow/decision/balancing.py
@@ -1,4 +1,4 @@
-"""Decides which backend an attempt goes to."""
+"""Selects the backend of an attempt."""
 
 from __future__ import annotations
 
@@ -13,32 +13,40 @@
 from thymeflow.health.backend_registry import BackendRegistry
 from thymeflow.health.backend_stats import BackendStats
 
-MAX_EJECTED_FRACTION = 0.7  # of the backends; beyond it none is ejected, as the cause lies elsewhere
+# Greatest fraction of the ready backends that may be ejected. If more of them fail, no ejection applies, because the
+# cause is then outside the backends.
+MAX_EJECTED_FRACTION = 0.7
 
 
 class LoadBalancer:
-    """Selects backends: by health, idempotency scope, slow start, then least expected wait."""
+    """Selects backends by health, idempotency scope and slow start, and then by the least expected wait."""
 
     def __init__(self, context: DecisionContext, registry: BackendRegistry) -> None:
         self._context = context
         self._registry = registry
 
     def select_backend(self, pending: RequestState) -> BackendStats | None:
-        """Return the permitted backend with the least expected wait, None where there is none."""
+        """Return the backend for the next attempt of a request, or None if no backend is permitted.
+
+        Backends in slow start are selected at random with their share of the load; otherwise the permitted backend
+        with the least expected wait is selected.
+        """
         settings = self._context.settings
         rng = self._context.rng
-        ready = self._ready_backends()
-        candidates = self._healthy_backends(ready, pending.request_class.name)
-        candidates = self._in_idempotency_scope(candidates, pending)
+        ready = self._find_ready_backends()
+        candidates = self._find_healthy_backends(ready, pending.request_class.name)
+        candidates = self._filter_by_idempotency_scope(candidates, pending)
         endpoints = [backend.endpoint for backend in candidates]
         warming_up = slow_start.target_loads(endpoints, self._context.now, settings.rules)
-        # Slow start, sampled for each request: budgets that hundreds of gateways save up are spent in step.
+        # Slow start is sampled for each request. With a saved-up budget per gateway, hundreds of gateways would spend
+        # their budgets on a new backend at the same time.
         load = 0.0 if pending.attempts else sum(warming_up.values())
         if load and rng.random() * (max(1.0, len(ready) - len(warming_up)) + load) < load:
             return self._registry.backends[rng.choices(list(warming_up), list(warming_up.values()))[0]]
         tried = {backend.endpoint.id for backend, _ in pending.attempts}
         candidates = [b for b in candidates if b.endpoint.id not in tried and b.endpoint.id not in warming_up]
-        # With few attempts in flight queue lengths say little, and equal ranks herd: rank a weighted sample.
+        # With few attempts in flight, the expected waits hardly differ, and all gateways would select the same backend.
+        # The gateway therefore compares only a weighted random sample of the backends.
         sample_size = 2 + self._registry.in_flight
         if sample_size < len(candidates):
             weights = [max(0.01, backend.endpoint.weight) for backend in candidates]
@@ -46,7 +54,7 @@
         zone = settings.zone
         return min(candidates, key=lambda b: (b.expected_wait(zone), rng.random()), default=None)
 
-    def _ready_backends(self) -> list[BackendStats]:
+    def _find_ready_backends(self) -> list[BackendStats]:
         backends = self._registry.backends.values()
         ready = [backend for backend in backends if backend.endpoint.state is BackendState.READY]
         # Each attempt in flight occupies one connection.
@@ -55,15 +63,17 @@
             return ready
         return [backend for backend in ready if backend.in_flight + 1 <= max_connections]
 
-    def _healthy_backends(self, ready: list[BackendStats], class_name: str) -> list[BackendStats]:
+    def _find_healthy_backends(self, ready: list[BackendStats], class_name: str) -> list[BackendStats]:
         now = self._context.now
         healthy = [backend for backend in ready if backend.is_healthy(class_name, now)]
         healthy = self._context.fleet_bounds.filter_backends(ready, healthy, class_name, now)
         return healthy if len(healthy) >= (1.0 - MAX_EJECTED_FRACTION) * len(ready) else ready
 
     @staticmethod
-    def _in_idempotency_scope(candidates: list[BackendStats], pending: RequestState) -> list[BackendStats]:
-        executed = pending.possibly_executed()
+    def _filter_by_idempotency_scope(
+        candidates: list[BackendStats], pending: RequestState
+    ) -> list[BackendStats]:
+        executed = pending.find_possibly_executed_attempts()
         scope = pending.request_class.idempotency_scope
         has_key = pending.request_class.idempotency is Idempotency.WITH_KEY
         if not executed or not has_key or scope is IdempotencyScope.ALL:
--- a/thymeflow/decision/counter_first_admission.py
+++ b/thymeflow/decision/counter_first_admission.py
@@ -1,11 +1,11 @@
-"""Large sets: the counter is called before a request is admitted on old totals. No I/O, no clock.
-
-Where an even slice of a quota is under one request, a limiter of 200 sees a customer once in many seconds.
-What the counter replies after a request was forwarded is too old for the next one; received before, it
-decides the request. So the call that each such request costs is made first, with the request's units charged
-in it in advance, and the request waits for the reply: for the counter's time-out at most, after which it is
-decided by the estimate. Requests that the estimate alone rejects, and all for which no call may be made, are
-decided at once.
+"""Quota admission for large sets: calls the counter before it admits a request by an outdated total. No I/O, no clock.
+
+If an even slice of a quota is smaller than one request, each limiter in a set of 200 receives a request of the same
+customer only once in many seconds. A counter reply that arrives after the request was forwarded is too old for that
+customer's next request, but a reply that arrives before can decide the request itself. The gateway therefore makes
+the counter call of such a request first and includes the units of the request in it. The request waits for the reply,
+but no longer than the counter's time-out; after the time-out, the local estimate decides. A request that the estimate
+alone rejects, or for which no call may be made, is decided at once.
 """
 
 from __future__ import annotations
@@ -24,23 +24,24 @@
 from thymeflow.quota.counter_reporter import CALL_RATE_GROWTH, CounterReporter
 from thymeflow.quota.token_bucket import MIN_CALL_INTERVAL_SECONDS, MIN_UNREPORTED_FRACTION, TokenBucket
 
-CURRENT_SECONDS = 1.0  # in which the counter's reply on a customer counts as current
-MIN_REMAINING_SECONDS = 0.5  # that a request must have left, for the counter to be waited for
-RESERVED_CALL_FRACTION = 0.9  # of a second's calls: reserved for requests, so that other reports wait
-# Growth of the rate of calls for each reply until the first late one: the counter's capacity is not known,
-# and at 5% a reply a set that starts would reach it after most of a minute.
+REPLY_CURRENT_SECONDS = 1.0  # For this long, the counter's last reply about a customer counts as current.
+MIN_REMAINING_SECONDS = 0.5  # A request with less time left does not wait for the counter.
+# Fraction of the calls of one second that is reserved for requests, so that other reports wait.
+RESERVED_CALL_FRACTION = 0.9
+# Factor by which each counter reply raises the call rate until the first late reply. The counter's capacity is not
+# known in advance; with a growth of 5% for each reply, a new set would reach it only after most of a minute.
 INITIAL_CALL_RATE_GROWTH = 1.3
 
 
 class WaitingRequest(NamedTuple):
-    """A request that waits for the counter, with its random sample."""
+    """A request that waits for the counter, with the random sample for its admission."""
 
     pending: RequestState
     sample: float
 
 
 class CounterFirstAdmission:
-    """Decides after the counter's reply where slices of the quota decide nothing."""
+    """Decides a request after the counter's reply if slices of the quota are smaller than a request."""
 
     def __init__(
         self,
@@ -54,18 +55,18 @@
         self._admission = admission
         self._reporter = reporter
         reporter.set_call_rate_growth(INITIAL_CALL_RATE_GROWTH)
-        self._waiting: dict[int, list[WaitingRequest]] = {}  # by customer id
+        self._waiting: dict[int, list[WaitingRequest]] = {}  # Waiting requests by customer id.
 
     def on_request(self, event: RequestReceived) -> None:
         """Admit or reject a request, or let it wait for the counter's reply."""
-        pending = self._admission.receive(event)
+        pending = self._admission.register_request(event)
         if pending is not None:
             sample = self._context.rng.random()
-            if not self._waits_for_counter(pending, sample):
+            if not self._try_wait_for_counter(pending, sample):
                 self._admission.admit(pending, pending.bucket.can_admit(event.units, sample))
 
-    def _waits_for_counter(self, pending: RequestState, sample: float) -> bool:
-        """Let a request wait for the counter's reply, where it is needed and a call may be made."""
+    def _try_wait_for_counter(self, pending: RequestState, sample: float) -> bool:
+        """Let a request wait for the counter if a reply is needed and possible; return whether the request waits."""
         context = self._context
         reporter = self._reporter
         bucket = pending.bucket
@@ -74,12 +75,13 @@
         if not bucket.has_small_slices() or not has_time or reporter.is_unresponsive():
             return False
         waiting = self._waiting.get(bucket.customer_id)
-        if waiting is not None:  # one reply serves both
+        if waiting is not None:  # The reply to the earlier request's call decides this request too.
             waiting.append(WaitingRequest(pending, sample))
             return True
         if not self._is_call_needed(bucket, pending.request.units, sample):
             return False
-        bucket.charge(pending.request.units)  # in advance, so that others know of it from now on
+        # The report includes the units of this request, so that the other limiters know of them from now on.
+        bucket.charge(pending.request.units)
         reporter.report(bucket)
         bucket.charge(-pending.request.units)
         self._waiting[bucket.customer_id] = [WaitingRequest(pending, sample)]
@@ -90,27 +92,27 @@
     def _is_call_needed(self, bucket: TokenBucket, units: float, sample: float) -> bool:
         now = self._context.now
         if now - bucket.counter_called_at < MIN_CALL_INTERVAL_SECONDS:
-            # That call may be in flight, and a total after two of them cannot be attributed.
+            # The last call may still be in flight. With two calls in flight, a total could not be attributed to a call.
             return False
-        if now - bucket.last_update_at < CURRENT_SECONDS or self._reporter.call_credit < 1.0:
+        if now - bucket.last_update_at < REPLY_CURRENT_SECONDS or self._reporter.call_credit < 1.0:
             return False
         is_known = bucket.last_update_at > -inf
         return not is_known or bucket.can_admit(units, sample)
 
     def on_counter_replied(self, event: CounterReplied) -> None:
-        """Decide on the requests that waited for this reply."""
+        """Decide the requests that waited for this reply."""
         customer_id = self._reporter.customer_of(event.name)
         counter_timeout = self._context.settings.information.counter_timeout
         if event.status is not Status.OK or event.latency > counter_timeout:
             self._reporter.set_call_rate_growth(CALL_RATE_GROWTH)
         self._reporter.on_reply(event)
-        self._decide_waiting(customer_id)
+        self._decide_waiting_requests(customer_id)
 
     def on_counter_timeout(self, customer_id: int) -> None:
-        """Decide by the estimate on the requests of a customer that have waited for long enough."""
-        self._decide_waiting(customer_id)
+        """Decide a customer's waiting requests by the local estimate, because the counter has not replied in time."""
+        self._decide_waiting_requests(customer_id)
 
-    def _decide_waiting(self, customer_id: int) -> None:
+    def _decide_waiting_requests(self, customer_id: int) -> None:
         waiting = self._waiting.pop(customer_id, [])
         for pending, sample in waiting:
             if pending.deadline - self._context.now <= RETRY_MARGIN_SECONDS:
@@ -122,10 +124,11 @@
             bucket = waiting[0].pending.bucket
             unreported = abs(bucket.charged_units - bucket.counter_ledger.reported_charges)
             if unreported < MIN_UNREPORTED_FRACTION * bucket.plan.burst:
-                self._reporter.reports.pending.pop(customer_id, None)  # all is reported already
+                # The early call has already reported the units of these requests.
+                self._reporter.reports.pending.pop(customer_id, None)
 
     def on_client_disconnected(self, request_id: str) -> None:
-        """Forget a request that waits for the counter."""
+        """Remove a request from the requests that wait for the counter."""
         remaining = {
             customer_id: [waiting for waiting in requests if waiting.pending.request.id != request_id]
             for customer_id, requests in self._waiting.items()
--- a/thymeflow/decision/events.py
+++ b/thymeflow/decision/events.py
@@ -1,4 +1,4 @@
-"""Events that a gateway handles, each in the order in which it happened. Times are in s."""
+"""Events that a gateway handles in the order in which they happened. Times are in seconds."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 class EndpointsChanged(NamedTuple):
-    """The endpoint list changed, or could not be fetched."""
+    """The endpoint list changed or could not be fetched."""
 
     kind: EndpointListKind
     backends: tuple[Backend, ...] = ()
@@ -17,7 +17,7 @@
 
 
 class RequestReceived(NamedTuple):
-    """A client's request, which gets exactly one final response within `remaining` seconds."""
+    """A client's request. It gets exactly one final response within `remaining` seconds."""
 
     id: str
     class_name: str
@@ -32,7 +32,7 @@
 
 
 class ResponseStarted(NamedTuple):
-    """The response of a streamed class has begun: from now on it goes to the client as it comes."""
+    """The response to a request of a streamed class has begun and is forwarded to the client while it arrives."""
 
     id: str
     attempt: int
@@ -41,13 +41,13 @@
 
 
 class RequestBodyStarted(NamedTuple):
-    """A body too long to be buffered is sent with this attempt, so that there can be no retry."""
+    """A request body that is too long to be buffered is being sent, so that the request cannot be retried."""
 
     id: str
 
 
 class AttemptEnded(NamedTuple):
-    """The result of one attempt. `quota_usage` is the metered use over the quota (1.0 is all of it)."""
+    """The result of one attempt. `quota_usage` is the metered usage divided by the quota: 1.0 is the full quota."""
 
     id: str
     attempt: int
@@ -61,19 +61,19 @@
 
 
 class ClientDisconnected(NamedTuple):
-    """The client has disconnected; no response is owed."""
+    """The client has disconnected, so that the request needs no response."""
 
     id: str
 
 
 class TimerFired(NamedTuple):
-    """A timer set earlier has come due."""
+    """The delay of an earlier `SetTimer` action has passed."""
 
     token: int
 
 
 class HealthCheckEnded(NamedTuple):
-    """The result of a health check."""
+    """The result of one health check."""
 
     backend: int
     status: Status
@@ -82,7 +82,7 @@
 
 
 class GossipReceived(NamedTuple):
-    """Bytes from a peer gateway: untrusted, possibly late, possibly from before its restart."""
+    """A gossip message from a peer gateway: untrusted, and possibly late or from before the peer's restart."""
 
     sender: int
     data: bytes
@@ -98,7 +98,7 @@
 
 
 class SettingsChanged(NamedTuple):
-    """Other settings are in force from now on; open requests keep those under which they were admitted."""
+    """New settings are in force from now on; open requests keep the settings under which they were admitted."""
 
     settings: GatewaySettings
 
--- a/thymeflow/decision/factory.py
+++ b/thymeflow/decision/factory.py
@@ -1,4 +1,4 @@
-"""Creates the gateway for a set of limiters, with the strategy of quota admission that suits it."""
+"""Creates a gateway with the quota admission strategy for the size of its set."""
 
 from __future__ import annotations
 
@@ -11,9 +11,9 @@
 def create_gateway(
     settings: GatewaySettings, seed: int, initial_fill: float = INITIAL_FILL_FRACTION
 ) -> Gateway:
-    """Create the gateway for a set of this size; `initial_fill` is the fraction of the burst in new buckets."""
+    """Create a gateway; `initial_fill` is the fraction of the burst that new buckets contain."""
     if settings.limiter_count > SMALL_SET_SIZE and settings.information.counter:
-        # Loaded only where it is used: small sets use their slices.
+        # This module is imported only for large sets with a counter; small sets decide by their slices.
         from thymeflow.decision.counter_first_admission import CounterFirstAdmission
 
         return Gateway(settings, seed, initial_fill, CounterFirstAdmission)
--- a/thymeflow/decision/fleet_bounds.py
+++ b/thymeflow/decision/fleet_bounds.py
@@ -1,4 +1,4 @@
-"""How a fleet bounds the decisions of one limiter, and the default for a limiter without a fleet."""
+"""Bounds that a fleet sets for the decisions of one limiter, and the default for a limiter without a fleet."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 class FleetResource(StrEnum):
-    """A resource that the limiters of a fleet share; the values are the names in messages between processes."""
+    """A resource that the limiters of a fleet share. Messages between processes contain the values as names."""
 
     CONCURRENCY = "places"
     RETRIES = "attempts"
@@ -21,27 +21,36 @@
 
 
 class FleetBounds(Protocol):
-    """What the fleet permits here. Each method is given what the limiter would use without a fleet."""
+    """Bounds of a fleet for one limiter.
+
+    Each method receives the value that the limiter would use without a fleet.
+    """
 
     def get_resource_fraction(self, resource: str, even_fraction: float) -> float:
-        """Return the fraction of a resource of the fleet that may be used here."""
+        """Return the fraction of a fleet resource that this limiter may use."""
 
     def get_resource_limit(self, resource: str, even_fraction: float) -> float:
-        """Return how much of a resource may be used here, infinity where the fleet does not limit it."""
+        """Return the amount of a fleet resource that this limiter may use, or infinity if the fleet sets no limit."""
 
     def filter_backends(
         self, ready: list[BackendStats], healthy: list[BackendStats], class_name: str, now: float
     ) -> list[BackendStats]:
-        """Return the ready backends that a class may use; `healthy`: by the limiter's own statistics."""
+        """Return the ready backends that a request class may use.
+
+        :param healthy: the backends that are healthy according to the limiter's own statistics.
+        """
 
     def adjust_shedding(
         self, request_class: RequestClass, plan: Plan, customer_id: int, local_fraction: float
     ) -> float:
-        """Return the fraction of such requests to shed; `local_fraction`: by the limiter's own pressure."""
+        """Return the fraction of the customer's requests of this class to shed.
+
+        :param local_fraction: the fraction according to the limiter's own backend pressure.
+        """
 
 
 class LocalBounds:
-    """Bounds of a limiter without a fleet: its even fraction, and its own statistics."""
+    """Bounds of a limiter without a fleet: the even fraction of each resource, and the limiter's own statistics."""
 
     def get_resource_fraction(self, resource: str, even_fraction: float) -> float:
         """Return the even fraction."""
@@ -49,20 +58,20 @@
         return even_fraction
 
     def get_resource_limit(self, resource: str, even_fraction: float) -> float:
-        """Return infinity."""
+        """Return infinity, because no fleet sets a limit."""
         del resource, even_fraction
         return inf
 
     def filter_backends(
         self, ready: list[BackendStats], healthy: list[BackendStats], class_name: str, now: float
     ) -> list[BackendStats]:
-        """Return the healthy backends."""
+        """Return the backends that are healthy according to the limiter's own statistics."""
         del ready, class_name, now
         return healthy
 
     def adjust_shedding(
         self, request_class: RequestClass, plan: Plan, customer_id: int, local_fraction: float
     ) -> float:
-        """Return the limiter's own fraction."""
+        """Return the fraction according to the limiter's own backend pressure."""
         del request_class, plan, customer_id
         return local_fraction
--- a/thymeflow/decision/gateway.py
+++ b/thymeflow/decision/gateway.py
@@ -1,4 +1,4 @@
-"""Dispatches events to the decisions (HIP-185): events in, actions out, without I/O and without a clock."""
+"""Passes events to the deciding components (HIP-185) and returns their actions. No I/O, no clock."""
 
 from __future__ import annotations
 
@@ -43,12 +43,12 @@
 from thymeflow.quota.counter_reporter import CounterReporter
 from thymeflow.quota.token_bucket import TokenBucket
 
-TICK_INTERVAL_SECONDS = 0.1  # well under the memory of demand
-ROUND_INTERVAL_SECONDS = 0.5  # between rounds of gossip
+TICK_INTERVAL_SECONDS = 0.1  # Much shorter than the time for which demand is remembered.
+ROUND_INTERVAL_SECONDS = 0.5  # Interval between gossip rounds.
 
 
 class Gateway:
-    """One gateway: hand it every event in order, and carry out the actions that it returns."""
+    """One gateway. The caller passes it every event in order, and carries out the actions that it returns."""
 
     def __init__(
         self,
@@ -58,11 +58,14 @@
         create_quota_admission: QuotaAdmissionFactory = ImmediateAdmission,
         create_bucket: BucketFactory = create_token_bucket,
     ) -> None:
-        """`initial_fill`: fraction of the burst in new buckets; 0 for a limiter that joins a running set."""
+        """Create a gateway that has received no event yet.
+
+        :param initial_fill: fraction of the burst that new buckets contain; 0 for a limiter that joins a running set.
+        """
         context = DecisionContext(settings, seed)
         self.context = context
         self.timers = context.timers
-        self.registry = BackendRegistry(context.probe_interval_seconds)
+        self.registry = BackendRegistry(context.compute_probe_interval)
         self.token_buckets = TokenBuckets(context, create_bucket, initial_fill)
         self.reports = ReportQueue()
         self.reporter = CounterReporter(context, self.token_buckets, self.reports)
@@ -84,9 +87,9 @@
         )
         self.quota_admission = create_quota_admission(context, admission, self.token_buckets, self.reporter)
         self._last_round_at = -inf
-        self._handlers = self._handlers_by_event(self.quota_admission)
+        self._handlers = self._build_handlers(self.quota_admission)
 
-    def _handlers_by_event(self, quota_admission: QuotaAdmission) -> dict[type, Callable[..., None]]:
+    def _build_handlers(self, quota_admission: QuotaAdmission) -> dict[type, Callable[..., None]]:
         return {
             RequestReceived: quota_admission.on_request,
             AttemptEnded: self._on_attempt_ended,
@@ -102,25 +105,25 @@
 
     @property
     def settings(self) -> GatewaySettings:
-        """The settings in force."""
+        """Settings in force."""
         return self.context.settings
 
     @property
     def backends(self) -> dict[int, BackendStats]:
-        """The backends of the endpoint list, by id."""
+        """Backends of the endpoint list by id."""
         return self.registry.backends
 
     @property
     def buckets(self) -> dict[int, TokenBucket]:
-        """The token buckets of customers, by customer id."""
+        """Token buckets by customer id."""
         return self.token_buckets.by_customer
 
     def set_fleet_bounds(self, fleet_bounds: FleetBounds) -> None:
-        """Apply the bounds of a fleet from now on."""
+        """Replace the fleet bounds that apply to all later decisions."""
         self.context.set_fleet_bounds(fleet_bounds)
 
     def handle(self, now: float, event: Event) -> list[Action]:
-        """Decide on one event; `now` is in seconds and never goes back."""
+        """Handle one event and return the actions decided; `now` is in seconds and never decreases."""
         actions = self.context.begin_event(now)
         if self.context.started_at == -inf:
             self._start()
@@ -132,7 +135,7 @@
     def _start(self) -> None:
         context = self.context
         context.started_at = context.now
-        # Gateways that start together must not send gossip in step.
+        # A random first delay, so that gateways that start together do not send gossip at the same time.
         context.set_timer(TICK_INTERVAL_SECONDS * context.rng.random(), TimerKind.TICK)
         if context.settings.discovery is DiscoveryMode.POLL:
             context.emit(SubscribeEndpoints())
@@ -144,29 +147,30 @@
         self.registry.apply_endpoints(event, context.now, context.settings.rules)
 
     def _on_settings_changed(self, event: SettingsChanged) -> None:
-        # Open requests keep the rules under which they were admitted.
+        # Open requests keep the settings under which they were admitted.
         set_changed = event.settings.limiter_count != self.context.settings.limiter_count
         self.context.apply_settings(event.settings)
         self.token_buckets.apply_plans(set_changed)
 
     def _on_attempt_ended(self, event: AttemptEnded) -> None:
-        """Learn from an attempt's result, settle its units, and retry or finish its request."""
+        """Record the result of an attempt, settle its units, and retry or finish the request."""
         pending = self.pending.get(event.id)
-        if pending is None or event.attempt not in pending.in_flight():
+        if pending is None or event.attempt not in pending.find_attempts_in_flight():
             return
         attempt = pending.attempts[event.attempt]
         pending.results[event.attempt] = event.status
-        if not pending.response_started:  # else its capacity was given back as its response began
+        # The capacity of an attempt whose response has begun was released when the response began.
+        if not pending.response_started:
             self.registry.release(attempt.backend)
         pending.bucket.attempts_in_flight -= 1
         self._outcomes.record(pending, attempt, event)
         if event.request_answered or pending.is_answered:
             self._requests.finish(pending)
-        elif not pending.in_flight() and not self.retries.retry(pending):
+        elif not pending.find_attempts_in_flight() and not self.retries.start_retry(pending):
             self._requests.finish_unanswered(pending)
 
     def _on_response_started(self, event: ResponseStarted) -> None:
-        """Give back the backend's capacity: a client that reads slowly takes none of it."""
+        """Release the backend's capacity, because a client that reads slowly does not occupy the backend."""
         pending = self.pending.get(event.id)
         if pending is not None:
             pending.is_streaming = True
@@ -174,13 +178,13 @@
             self.registry.release(pending.attempts[event.attempt].backend)
 
     def _on_request_body_started(self, event: RequestBodyStarted) -> None:
-        """Note that a long body goes into the present attempt, so that there can be no other."""
+        """Mark a request as streaming: its body is not buffered and cannot be sent with another attempt."""
         pending = self.pending.get(event.id)
         if pending is not None:
             pending.is_streaming = True
 
     def _on_client_disconnected(self, event: ClientDisconnected) -> None:
-        """End the request; no response is owed."""
+        """Finish the request of a client that has disconnected; it needs no response."""
         self.quota_admission.on_client_disconnected(event.id)
         pending = self.pending.get(event.id)
         if pending is not None:
@@ -188,7 +192,7 @@
             self._requests.finish(pending)
 
     def _on_timer(self, event: TimerFired) -> None:
-        """Serve a timer by the purpose that it was set for."""
+        """Handle a timer according to its purpose."""
         timer = self.timers.pop(event.token, None)
         if timer is None:
             return
@@ -205,7 +209,7 @@
             self.quota_admission.on_counter_timeout(int(timer.subject))
 
     def _on_tick(self) -> None:
-        """Drop idle customers, let the pressure decay, and report what is due."""
+        """Decay the pressure, drop the buckets of idle customers, and send due reports to peers or the counter."""
         context = self.context
         context.set_timer(TICK_INTERVAL_SECONDS, TimerKind.TICK)
         is_round = context.now - self._last_round_at >= ROUND_INTERVAL_SECONDS
--- a/thymeflow/decision/open_requests.py
+++ b/thymeflow/decision/open_requests.py
@@ -1,4 +1,4 @@
-"""Admitted requests until they have their final response and their last attempt has ended."""
+"""Admitted requests that still need a final response or whose last attempt has not ended."""
 
 from __future__ import annotations
 
@@ -12,13 +12,14 @@
 from thymeflow.health.backend_registry import BackendRegistry
 from thymeflow.health.backend_stats import ALL_CLASSES, EJECTION_FAILURES, BackendStats, FailureStreak
 
-HALF_OPEN_TIMEOUT_FRACTION = 0.5  # of the latency objective: how long a failing backend is waited for
+HALF_OPEN_TIMEOUT_FRACTION = 0.5  # Time-out of a half-open probe as a fraction of the latency objective.
 MIN_RETRY_AFTER_SECONDS = 0.1
-RETRY_MARGIN_SECONDS = 0.02  # attempts stop this long before an idempotency window or the client's time ends
+# No attempt starts within this time before the end of the idempotency window or of the client's deadline.
+RETRY_MARGIN_SECONDS = 0.02
 
 
 class OpenRequests:
-    """Open requests by id: starts their attempts, and gives the final response where no attempt does."""
+    """Starts the attempts of open requests, and sends a final response to requests that no attempt has answered."""
 
     def __init__(self, context: DecisionContext, registry: BackendRegistry) -> None:
         self._context = context
@@ -26,7 +27,7 @@
         self.by_id: dict[str, RequestState] = {}
 
     def open(self, pending: RequestState, backend: BackendStats) -> None:
-        """Start the first attempt of an admitted request, and the time to its deadline."""
+        """Set the deadline timer of an admitted request, and start its first attempt."""
         context = self._context
         request_id = pending.request.id
         self.by_id[request_id] = pending
@@ -35,7 +36,7 @@
         self.start_attempt(pending, backend)
 
     def start_attempt(self, pending: RequestState, backend: BackendStats, start_within: float = inf) -> None:
-        """Start an attempt; one at a failing backend is a half-open probe with a time-out of its own."""
+        """Start an attempt; an attempt at a failing backend is a half-open probe with a shorter time-out."""
         now = self._context.now
         pending.attempts.append(AttemptRecord(backend, now))
         self._registry.begin_attempt(backend, now)
@@ -46,7 +47,7 @@
         self._context.emit(StartAttempt(pending.request.id, backend.endpoint.id, timeout, start_within))
 
     def _begin_half_open_probe(self, pending: RequestState, backend: BackendStats) -> float:
-        # One probe at a time, cut short while there is time for another backend.
+        # Only one probe runs at a time. Its short time-out leaves time for an attempt at another backend.
         now = self._context.now
         request_class = pending.request_class
         timeout = HALF_OPEN_TIMEOUT_FRACTION * min(request_class.latency_objective, pending.deadline - now)
@@ -57,11 +58,12 @@
         return timeout
 
     def finish_unanswered(self, pending: RequestState) -> None:
-        """Give the final response to a request that no attempt has answered, and finish it."""
+        """Send the final response to a request that no attempt has answered, and finish the request."""
         request_id = pending.request.id
         is_idempotent = pending.request_class.idempotency is Idempotency.IDEMPOTENT
-        if not pending.possibly_executed() or is_idempotent:
-            # Its units are charged, and backends failed it and not its quota: it may come back soon.
+        if not pending.find_possibly_executed_attempts() or is_idempotent:
+            # The units of the request are charged, and backends were the cause rather than the quota, so the client
+            # may retry soon.
             advice = MIN_RETRY_AFTER_SECONDS if self._context.limits.retry_after else 0.0
             self._context.emit(RejectRequest(request_id, RejectionReason.ATTEMPTS, advice))
         else:
@@ -69,8 +71,8 @@
         self.finish(pending)
 
     def finish(self, pending: RequestState) -> None:
-        """Finish a request that is answered or whose client has left; what is in flight is cancelled."""
-        in_flight = pending.in_flight()
+        """Finish a request that is answered or whose client has disconnected; cancel its attempts in flight."""
+        in_flight = pending.find_attempts_in_flight()
         request_id = pending.request.id
         if not pending.is_answered and self._context.limits.cancel and not pending.is_streaming:
             for number in in_flight:
--- a/thymeflow/decision/outcomes.py
+++ b/thymeflow/decision/outcomes.py
@@ -1,4 +1,4 @@
-"""What the result of an attempt means for backend statistics, pressure, and the units of its customer."""
+"""Applies the results of attempts to backend statistics, pressure and the units of customers."""
 
 from __future__ import annotations
 
@@ -12,11 +12,12 @@
 from thymeflow.quota.buckets import ReportQueue, TokenBuckets
 from thymeflow.quota.token_bucket import MIN_USAGE_RATIO, REPORT_TTL_SECONDS, TokenBucket
 
-MIN_CHARGE_FRACTION = 0.8  # of the declared units: least charge beyond the quota under pressure (HIP-185)
+# Least charge as a fraction of the declared units, for a customer over its quota under pressure (HIP-185).
+MIN_CHARGE_FRACTION = 0.8
 
 
 class AttemptOutcomes:
-    """Records results of attempts, and settles the units of requests."""
+    """Records the results of attempts, and settles the units of requests."""
 
     def __init__(
         self, context: DecisionContext, registry: BackendRegistry, buckets: TokenBuckets, reports: ReportQueue
@@ -27,7 +28,7 @@
         self._reports = reports
 
     def record(self, pending: RequestState, attempt: AttemptRecord, event: AttemptEnded) -> None:
-        """Record the end of an attempt."""
+        """Record the result of an attempt that has ended."""
         now = self._context.now
         backend = attempt.backend
         class_name = pending.request_class.name
@@ -50,15 +51,15 @@
             self._record_usage(pending.bucket, event.quota_usage)
 
     def record_deadline(self, pending: RequestState) -> None:
-        """Record that attempts in flight got no response to the end: the same evidence as a time-out."""
+        """Record that attempts in flight have no response at the deadline, which counts like a time-out."""
         now = self._context.now
-        for number in pending.in_flight():
+        for number in pending.find_attempts_in_flight():
             backend, sent_at = pending.attempts[number]
             backend.record_no_response(pending.request_class.name, sent_at, now)
             self._registry.observe_latency(1.0, now)
 
     def _settle(self, pending: RequestState, actual_units: float) -> None:
-        # The first good response settles the declared units.
+        # The first successful response replaces the declared units by the actual units.
         bucket = pending.bucket
         bucket.refresh(self._context.now)
         is_over_quota = bucket.local_rate + bucket.remote_rate > bucket.plan.rate
@@ -69,20 +70,21 @@
             self._reports.deferred[bucket.customer_id] = None
 
     def _record_usage(self, bucket: TokenBucket, quota_usage: float) -> None:
-        # What was used over the quota was requested.
+        # All metered usage was requested, so the metered rate is a lower bound of the demand at all limiters.
         now = self._context.now
         self._buckets.record_remote_report(bucket)
         bucket.usage_ratio = max(MIN_USAGE_RATIO, quota_usage)
         ledger = bucket.counter_ledger
         has_recent_total = ledger.counter_name >= 0 and now - ledger.read_at <= REPORT_TTL_SECONDS
-        if not has_recent_total:  # else the counter's total is newer
+        if not has_recent_total:  # A recent counter total is newer than the metered usage.
             bucket.remote_rate = max(bucket.remote_rate, quota_usage * bucket.plan.rate - bucket.local_rate)
 
 
 def _record_failure(
     backend: BackendStats, class_name: str, status: Status, sent_at: float, now: float
 ) -> None:
-    if status is Status.ERROR:  # a backend that fails quickly would look the least busy of all
+    # Errors count as failures, because a backend that fails quickly would otherwise seem the least busy backend.
+    if status is Status.ERROR:
         backend.record_failure(class_name, now)
     elif status is Status.CONNECT_FAILED:
         backend.record_failure(ALL_CLASSES, now)
--- a/thymeflow/decision/quota_admission.py
+++ b/thymeflow/decision/quota_admission.py
@@ -1,4 +1,4 @@
-"""When a request is checked against its quota: here at once, or in other strategies after a counter reply."""
+"""Interface of quota admission strategies, and the strategy that decides each request immediately."""
 
 from __future__ import annotations
 
@@ -13,19 +13,19 @@
 
 
 class QuotaAdmission(Protocol):
-    """Keeps requests waiting until it is known whether their quota covers them."""
+    """Decides each request by its quota: immediately, or after a counter reply."""
 
     def on_request(self, event: RequestReceived) -> None:
         """Admit or reject a request, or let it wait for the counter."""
 
     def on_counter_replied(self, event: CounterReplied) -> None:
-        """Decide on the requests that waited for this reply."""
+        """Update the quota by a counter reply, and decide the requests that waited for it."""
 
     def on_counter_timeout(self, customer_id: int) -> None:
-        """Decide on the requests of a customer that have waited for long enough."""
+        """Decide the waiting requests of a customer, because the counter has not replied in time."""
 
     def on_client_disconnected(self, request_id: str) -> None:
-        """Forget a request that waits for the counter."""
+        """Remove a request from the requests that wait for the counter."""
 
 
 QuotaAdmissionFactory = Callable[
@@ -34,7 +34,7 @@
 
 
 class ImmediateAdmission:
-    """Decides at once, by what is known of the customer's quota here."""
+    """Decides each request immediately by the customer's local token bucket."""
 
     def __init__(
         self,
@@ -50,17 +50,17 @@
 
     def on_request(self, event: RequestReceived) -> None:
         """Admit or reject a request."""
-        pending = self._admission.receive(event)
+        pending = self._admission.register_request(event)
         if pending is not None:
             sample = self._rng.random()
             self._admission.admit(pending, pending.bucket.can_admit(event.units, sample))
 
     def on_counter_replied(self, event: CounterReplied) -> None:
-        """Update what is known of the quota."""
+        """Update the customer's bucket by a counter reply."""
         self._reporter.on_reply(event)
 
     def on_counter_timeout(self, customer_id: int) -> None:
-        """Do nothing, as no request waits."""
+        """Do nothing, because no request waits for the counter."""
 
     def on_client_disconnected(self, request_id: str) -> None:
-        """Do nothing, as no request waits."""
+        """Do nothing, because no request waits for the counter."""
--- a/thymeflow/decision/reserved_admission.py
+++ b/thymeflow/decision/reserved_admission.py
@@ -1,8 +1,8 @@
-"""Units by base and reservations, in place of slices by demand and estimates. No I/O, no clock.
+"""Quota admission by base slices and reservations instead of demand-based slices and estimates. No I/O, no clock.
 
-Over all limiters together, never more of a quota is admitted than one true bucket would admit: see
-`quota.reservations`. The price is a counter call for most requests that the base does not cover: they wait
-for its reply.
+All limiters together never admit more units of a quota than a single token bucket would admit (see
+`quota.reservations`). The cost is a counter call for most requests that the base slice does not cover, and these
+requests wait for the reply.
 """
 
 from __future__ import annotations
@@ -21,20 +21,20 @@
 from thymeflow.quota.counter_reporter import CounterReporter
 from thymeflow.quota.strict import StrictTokenBucket
 
-MAX_RESERVATIONS = 2  # that a request waits for: one of each window that may have units left
-MIN_REMAINING_SECONDS = 0.5  # that a request must have left, for the counter to be waited for
+MAX_RESERVATIONS = 2  # Reservations that a request waits for: one in each window that may have units left.
+MIN_REMAINING_SECONDS = 0.5  # A request with less time left does not wait for the counter.
 
 
 class WaitingRequest(NamedTuple):
     """A request that waits for the counter."""
 
     waiting_since: float
-    reservation_count: int  # that it has waited for, this one included
+    reservation_count: int  # Reservations that the request has waited for, including the current one.
     request: RequestReceived
 
 
 class ReservedAdmission:
-    """Decides after the counter's reply where a request lacks units that a reservation may bring."""
+    """Decides a request after the counter's reply if a reservation may provide its missing units."""
 
     def __init__(
         self,
@@ -47,23 +47,23 @@
         self._admission = admission
         self._buckets = buckets
         self._reporter = reporter
-        self.waiting: dict[int, list[WaitingRequest]] = {}  # by customer id
+        self.waiting: dict[int, list[WaitingRequest]] = {}  # Waiting requests by customer id.
 
     def on_request(self, event: RequestReceived) -> None:
         """Admit or reject a request, or let it wait for the counter's reply."""
-        plan = self._admission.plan_of(event)
-        if plan is None or not self._waits_for_reservation(event, plan, 0):
+        plan = self._admission.find_plan(event)
+        if plan is None or not self._try_wait_for_reservation(event, plan, 0):
             self._decide(event)
 
     def _decide(self, event: RequestReceived) -> None:
-        pending = self._admission.receive(event)
+        pending = self._admission.register_request(event)
         if pending is not None:
             sample = self._context.rng.random()
             self._admission.admit(pending, pending.bucket.can_admit(event.units, sample))
-        # Units are reserved when a request wants them: there is nothing to report.
+        # Units are reserved when a request needs them, so there is no usage to report.
         self._reporter.reports.discard(counter_encoding.customer_id(event.customer))
 
-    def _waits_for_reservation(self, event: RequestReceived, plan: Plan, reservation_count: int) -> bool:
+    def _try_wait_for_reservation(self, event: RequestReceived, plan: Plan, reservation_count: int) -> bool:
         customer_id = counter_encoding.customer_id(event.customer)
         bucket = self._buckets.get(customer_id, plan)
         if not isinstance(bucket, StrictTokenBucket) or reservation_count >= MAX_RESERVATIONS:
@@ -76,13 +76,13 @@
             return False
         waiting = self.waiting.get(customer_id)
         if waiting is None:
-            if not self._reserve(bucket, missing):
+            if not self._start_reservation(bucket, missing):
                 return False
             waiting = self.waiting[customer_id] = []
         waiting.append(WaitingRequest(now, reservation_count + 1, event))
         return True
 
-    def _reserve(self, bucket: StrictTokenBucket, missing: float) -> bool:
+    def _start_reservation(self, bucket: StrictTokenBucket, missing: float) -> bool:
         if not self._context.settings.information.counter or self._reporter.call_credit < 1.0:
             return False
         call = bucket.reservation_call(missing)
@@ -92,7 +92,7 @@
         return True
 
     def on_counter_replied(self, event: CounterReplied) -> None:
-        """Admit the requests that waited for this reply, let them wait once more, or reject them."""
+        """Decide the requests that waited for this reply, or let them wait for another reservation."""
         customer_id = self._reporter.customer_of(event.name)
         self._reporter.on_reply(event)
         now = self._context.now
@@ -104,16 +104,16 @@
             waits_again = (
                 has_time
                 and plan is not None
-                and self._waits_for_reservation(request, plan, waiting.reservation_count)
+                and self._try_wait_for_reservation(request, plan, waiting.reservation_count)
             )
             if not waits_again:
                 self._decide(request)
 
     def on_counter_timeout(self, customer_id: int) -> None:
-        """Do nothing: the counter client ends each call, and requests wait for that."""
+        """Do nothing, because the counter client ends every call and requests wait for the end of the call."""
 
     def on_client_disconnected(self, request_id: str) -> None:
-        """Forget a request that waits for the counter, whose reply is still waited for."""
+        """Remove a request from the waiting requests; the counter call in flight continues."""
         self.waiting = {
             customer_id: [waiting for waiting in requests if waiting.request.id != request_id]
             for customer_id, requests in self.waiting.items()
@@ -134,9 +134,9 @@
     initial_fill: float = INITIAL_FILL_FRACTION,
     clock_offset: float = 0.0,
 ) -> Gateway:
-    """Create a gateway whose customers' units are bounded over the complete fleet.
+    """Create a gateway that bounds the units of each customer over all limiters together.
 
-    `clock_offset`: seconds from the clock of events to the one that all limiters of the set share.
+    :param clock_offset: seconds to add to the time of events to get the time that all limiters of the set share.
     """
     create_bucket = partial(_create_bucket, clock_offset)
     return Gateway(settings, seed, initial_fill, ReservedAdmission, create_bucket)
--- a/thymeflow/decision/retries.py
+++ b/thymeflow/decision/retries.py
@@ -1,4 +1,4 @@
-"""Decides whether a failed request is tried again."""
+"""Decides whether a failed request is retried."""
 
 from __future__ import annotations
 
@@ -9,30 +9,31 @@
 from thymeflow.decision.request_state import RequestState
 from thymeflow.decision.settings import Idempotency
 
-RETRY_BUDGET_PER_REQUEST = 0.1  # retries that may run twice, earned by each admitted request
-MAX_FLEET_RETRY_BUDGET = 30.0  # retries saved up by all limiters together
+# Retries of possibly executed requests that each admitted request adds to the budget.
+RETRY_BUDGET_PER_REQUEST = 0.1
+MAX_FLEET_RETRY_BUDGET = 30.0  # Retries that all limiters together may save up.
 
 
 class RetryPolicy:
-    """Retries within a budget, so that they never multiply the load of backends that fail."""
+    """Limits retries by a budget, so that retries never multiply the load of failing backends."""
 
     def __init__(self, context: DecisionContext, balancer: LoadBalancer, requests: OpenRequests) -> None:
         self._context = context
         self._balancer = balancer
         self._requests = requests
-        self.budget = self.compute_max_budget()  # retries of requests that may have been executed
+        self.budget = self.compute_max_budget()  # Available retries of possibly executed requests.
 
     def compute_max_budget(self) -> float:
-        """Return how many retries may be saved up."""
+        """Return the number of retries that this limiter may save up."""
         return 1.0 + MAX_FLEET_RETRY_BUDGET * self._context.get_resource_fraction(FleetResource.RETRIES)
 
-    def earn(self) -> None:
-        """Add what an admitted request earns to the budget."""
+    def credit_admitted_request(self) -> None:
+        """Add the share of one admitted request to the retry budget."""
         self.budget = min(self.compute_max_budget(), self.budget + RETRY_BUDGET_PER_REQUEST)
 
-    def retry(self, pending: RequestState) -> bool:
-        """Start one more attempt if rules, time and budget allow it; return whether one was started."""
-        executed = pending.possibly_executed()
+    def start_retry(self, pending: RequestState) -> bool:
+        """Start another attempt if settings, time and budget permit it; return whether an attempt was started."""
+        executed = pending.find_possibly_executed_attempts()
         idempotency = pending.request_class.idempotency
         end = pending.deadline
         if executed and idempotency is Idempotency.WITH_KEY:
@@ -48,6 +49,7 @@
         if backend is None:
             return False
         self.budget -= float(bool(executed))
-        start_within = end - RETRY_MARGIN_SECONDS - now  # a retry counts when it arrives
+        # The window and the deadline apply to the time at which the retry arrives at the backend.
+        start_within = end - RETRY_MARGIN_SECONDS - now
         self._requests.start_attempt(pending, backend, start_within)
         return True
--- a/thymeflow/decision/settings.py
+++ b/thymeflow/decision/settings.py
@@ -1,7 +1,7 @@
 """Settings of a gateway, validated when they are created.
 
-Times are seconds and quotas are units. Each class checks its own values, so that a gateway never starts with
-values that are invalid.
+Times are in seconds and quotas in units. Each class checks its own values, so that a gateway never starts with
+invalid values.
 """
 
 from __future__ import annotations
@@ -14,7 +14,7 @@
 
 
 class Idempotency(Enum):
-    """What a second execution of a request would do."""
+    """Whether backends may execute a request more than once."""
 
     IDEMPOTENT = "safe"
     WITH_KEY = "keyed"
@@ -22,7 +22,7 @@
 
 
 class IdempotencyScope(Enum):
-    """Which backends recognize a repeated idempotency key."""
+    """Backends that recognize a repeated idempotency key."""
 
     ALL = "all"
     ZONE = "zone"
@@ -30,26 +30,26 @@
 
 
 class DiscoveryMode(Enum):
-    """Whether changes of the endpoint list are pushed or polled."""
+    """How changes of the endpoint list reach the gateway."""
 
     PUSH = "push"
     POLL = "ask"
 
 
 class LoadReportMode(Enum):
-    """Where backends report their load."""
+    """Messages in which backends report their load."""
 
     RESPONSES = "answers"
     HEALTH_CHECKS = "probes"
     NONE = "none"
 
 
-# Names of settings in error messages, where they differ from ours: operators search for these texts.
+# Names that error messages use instead of the names in the code, because operators search for these texts.
 _REPORTED_NAMES = {"GatewaySettings": "Settings", "limiter_count": "gateways", "timer_resolution": "tick"}
 
 
 class InvalidSettingError(ThymeflowError, ValueError):
-    """A setting is invalid; `name` is the name of its field."""
+    """A setting is invalid; `name` is the name of the field in the code, and `value` its invalid value."""
 
     def __init__(self, owner: str, name: str, value: object) -> None:
         reported = f"{_REPORTED_NAMES.get(owner, owner)}.{_REPORTED_NAMES.get(name, name)}"
@@ -58,31 +58,31 @@
         self.value = value
 
 
-def _check(ok: bool, owner: str, name: str, value: object) -> None:
+def _check_setting(ok: bool, owner: str, name: str, value: object) -> None:
     if not ok:
         raise InvalidSettingError(owner, name, value)
 
 
 def _is_number(value: object) -> bool:
-    # bool is a subclass of int.
+    # A bool is not a number here, although bool is a subclass of int.
     return isinstance(value, (int, float)) and not isinstance(value, bool) and isfinite(value)
 
 
-def _not_negative(owner: object, *names: str) -> None:
+def _check_not_negative(owner: object, *names: str) -> None:
     for name in names:
         value = getattr(owner, name)
-        _check(_is_number(value) and value >= 0, type(owner).__name__, name, value)
+        _check_setting(_is_number(value) and value >= 0, type(owner).__name__, name, value)
 
 
-def _positive(owner: object, *names: str) -> None:
+def _check_positive(owner: object, *names: str) -> None:
     for name in names:
         value = getattr(owner, name)
-        _check(_is_number(value) and value > 0, type(owner).__name__, name, value)
+        _check_setting(_is_number(value) and value > 0, type(owner).__name__, name, value)
 
 
 @dataclass(frozen=True, slots=True)
 class RequestClass:
-    """One class of request."""
+    """A class of requests with its objectives and its idempotency."""
 
     name: str
     latency_objective: float
@@ -96,8 +96,8 @@
     latency_objective_stretch: float = 0.0
 
     def __post_init__(self) -> None:
-        _positive(self, "deadline")
-        _not_negative(
+        _check_positive(self, "deadline")
+        _check_not_negative(
             self,
             "latency_objective",
             "priority_weight",
@@ -109,7 +109,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Plan:
-    """Quotas of each customer of a plan, over all limiters together; a rate of 0 is no quota."""
+    """Quota of each customer with this plan, over all limiters together. A rate of 0 means no quota."""
 
     name: str
     rate: float = 0.0
@@ -123,7 +123,7 @@
     ceiling_slack: float = 0.0
 
     def __post_init__(self) -> None:
-        _not_negative(
+        _check_not_negative(
             self,
             "rate",
             "burst",
@@ -139,7 +139,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Rules:
-    """The platform's rules."""
+    """Rules of the platform for draining, overload, slow start and response times."""
 
     drain_grace: float = 0.0
     overload_multiple: float = 1.0
@@ -150,7 +150,7 @@
     max_poll_interval: float = 10.0
 
     def __post_init__(self) -> None:
-        _not_negative(
+        _check_not_negative(
             self,
             "drain_grace",
             "overload_multiple",
@@ -164,7 +164,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Limits:
-    """What the deployment permits."""
+    """Features and bounds that the deployment permits."""
 
     cancel: bool = False
     health_checks: bool = False
@@ -179,7 +179,7 @@
     streams_per_connection: int = 1
 
     def __post_init__(self) -> None:
-        _not_negative(
+        _check_not_negative(
             self,
             "max_retry_after",
             "max_concurrent_requests",
@@ -187,13 +187,13 @@
             "connection_idle",
             "streams_per_connection",
         )
-        _positive(self, "max_attempts")
-        _check(self.max_attempts >= 1, "Limits", "max_attempts", self.max_attempts)
+        _check_positive(self, "max_attempts")
+        _check_setting(self.max_attempts >= 1, "Limits", "max_attempts", self.max_attempts)
 
 
 @dataclass(frozen=True, slots=True)
 class Prices:
-    """Points deducted from the result, each times its fraction or rate."""
+    """Points deducted from the result. Each price is multiplied by its measured fraction or rate."""
 
     cross_zone: float = 0.0
     waste: float = 0.0
@@ -203,12 +203,12 @@
     counter: float = 0.0
 
     def __post_init__(self) -> None:
-        _not_negative(self, "cross_zone", "waste", "late_fail", "gossip", "health_check", "counter")
+        _check_not_negative(self, "cross_zone", "waste", "late_fail", "gossip", "health_check", "counter")
 
 
 @dataclass(frozen=True, slots=True)
 class Information:
-    """How limiters learn of each other's usage."""
+    """Sources from which limiters learn about each other's usage."""
 
     counter: bool = False
     counter_timeout: float = 0.05
@@ -218,7 +218,7 @@
     settles_units: bool = False
 
     def __post_init__(self) -> None:
-        _not_negative(self, "counter_timeout", "meter_period", "max_units", "max_gossip_per_second")
+        _check_not_negative(self, "counter_timeout", "meter_period", "max_units", "max_gossip_per_second")
 
 
 @dataclass(frozen=True, slots=True)
@@ -241,18 +241,18 @@
     timer_resolution: float = 0.001
 
     def __post_init__(self) -> None:
-        _positive(self, "limiter_count")
-        _not_negative(self, "index")
-        _check(self.limiter_count >= 1, "GatewaySettings", "limiter_count", self.limiter_count)
-        _check(0 <= self.index < self.limiter_count, "GatewaySettings", "index", self.index)
-        _check(len(self.zones) > 0, "GatewaySettings", "zones", self.zones)
-        _check(
+        _check_positive(self, "limiter_count")
+        _check_not_negative(self, "index")
+        _check_setting(self.limiter_count >= 1, "GatewaySettings", "limiter_count", self.limiter_count)
+        _check_setting(0 <= self.index < self.limiter_count, "GatewaySettings", "index", self.index)
+        _check_setting(len(self.zones) > 0, "GatewaySettings", "zones", self.zones)
+        _check_setting(
             len({c.name for c in self.classes}) == len(self.classes),
             "GatewaySettings",
             "classes",
             "repeated name",
         )
-        _check(
+        _check_setting(
             len({p.name for p in self.plans}) == len(self.plans), "GatewaySettings", "plans", "repeated name"
         )
-        _not_negative(self, "timer_resolution")
+        _check_not_negative(self, "timer_resolution")
--- a/thymeflow/decision/types.py
+++ b/thymeflow/decision/types.py
@@ -1,7 +1,7 @@
 """Values that events and actions share: endpoint states, the status of a call, load reports.
 
-These are named tuples: a frozen dataclass takes six times as long to define and half as long again to create, and
-there are many of them.
+The records are named tuples, because a frozen dataclass takes six times as long to define and 1.5 times as long to
+create, and a gateway creates many of them.
 """
 
 from __future__ import annotations
@@ -11,7 +11,7 @@
 
 
 class BackendState(IntEnum):
-    """State of a backend as discovery reports it."""
+    """State of a backend according to discovery."""
 
     GONE = 0
     READY = 1
@@ -19,7 +19,7 @@
 
 
 class EndpointListKind(IntEnum):
-    """How a watch event relates to the present endpoint list."""
+    """Kind of a change to the endpoint list."""
 
     DELTA = 0
     FULL = 1
@@ -28,7 +28,11 @@
 
 
 class Status(IntEnum):
-    """How an attempt, a health check or a counter call ended."""
+    """Result of an attempt, a health check or a counter call.
+
+    `MOOT` means that an attempt was not sent, because its request was answered or had no time or attempts left.
+    The attempt counters in the log are named after the members, in lower case.
+    """
 
     OK = 1
     ERROR = 2
@@ -40,11 +44,12 @@
     MOOT = 8
 
 
-NOT_EXECUTED = (Status.FULL, Status.CONNECT_FAILED, Status.MOOT)  # as the platform's wire defines them
+# Results that exclude an execution by the backend, as the platform's wire protocol defines.
+NOT_EXECUTED = (Status.FULL, Status.CONNECT_FAILED, Status.MOOT)
 
 
 class RejectionReason(StrEnum):
-    """Why a request was rejected; operators find the values in the log, and in docs/on-call.md."""
+    """Reason for which a request was rejected; the log and docs/on-call.md contain the values."""
 
     QUOTA = "quota"
     CONCURRENCY = "concurrency"
@@ -56,7 +61,7 @@
 
 
 class Backend(NamedTuple):
-    """A backend as discovery lists it; `started` is 0 when it started long ago."""
+    """A backend in the endpoint list; `started` is its start time, or 0 if it started long ago."""
 
     id: int
     zone: str
@@ -68,7 +73,7 @@
 
 
 class LoadReport(NamedTuple):
-    """A backend's own report of its load; values that it does not report are None."""
+    """Load that a backend reports about itself; a value that it does not report is None."""
 
     inflight: float | None = None
     queued: float | None = None
