--- a/tests/decision/support.py
+++ b/tests/decision/support.py
@@ -1,4 +1,4 @@
-"""Drivers of gateways in virtual time, which several packages' tests use."""
+"""Helpers that drive gateways in virtual time, for the tests of several packages."""
 
 from __future__ import annotations
 
@@ -9,9 +9,9 @@
 
 
 def fire_ticks(gateway: Gateway, start: float, seconds: float) -> list[Action]:
-    """Fire the upkeep timer for a while and collect what is done."""
-    done: list[Action] = []
-    for step in range(int(seconds * 10)):
+    """Fire the tick timer every 0.1 s for some seconds, and return all actions."""
+    actions: list[Action] = []
+    for tick in range(int(seconds * 10)):
         tokens = [t for t, (kind, _) in gateway.timers.items() if kind is TimerKind.TICK]
-        done += gateway.handle(start + step * 0.1, TimerFired(tokens[0]))
-    return done
+        actions += gateway.handle(start + tick * 0.1, TimerFired(tokens[0]))
+    return actions
--- a/tests/decision/test_admission.py
+++ b/tests/decision/test_admission.py
@@ -39,12 +39,12 @@
 
 
 def test_more_requests_may_be_in_flight_when_responses_are_quick() -> None:
-    def out(pressure: float) -> int:
+    def count_admitted(pressure: float) -> int:
         gateway = started()
         gateway.registry.pressure = pressure
         return sum(bool(sends(gateway.handle(100.0, request(f"r{n}", customer=f"c{n}")))) for n in range(60))
 
-    assert out(0.0) > 1.5 * out(0.4)
+    assert count_admitted(0.0) > 1.5 * count_admitted(0.4)
 
 
 @pytest.mark.parametrize("remaining", [nan, inf])
--- a/tests/decision/test_balancing.py
+++ b/tests/decision/test_balancing.py
@@ -21,7 +21,7 @@
     gateways = [started(settings(index=n, limiter_count=count), seed=n) for n in range(count)]
     for gateway in gateways:
         gateway.handle(100.0, EndpointsChanged(EndpointListKind.DELTA, (Backend(9, "a", started=100.0),)))
-    received = []
+    received_at = []
     total = 0
     rng = random.Random(count)
     for n in range(3000):
@@ -29,21 +29,22 @@
         gateway = rng.choice(gateways)
         for send in sends(gateway.handle(now, request(f"r{n}", customer=f"c{n}"))):
             total += 1
-            received += [now] if send.backend == 9 else []
+            received_at += [now] if send.backend == 9 else []
             gateway.handle(now, ended(f"r{n}", send, Status.OK, actual_units=1.0))
     assert total > 2500
     requests_per_backend_second = total / 12.0 / 5.0
-    for start in received:
-        window = [t for t in received if start <= t < start + RULES.overload_seconds]
-        now_share = RULES.slow_start_fraction + (1 - RULES.slow_start_fraction) * min(
+    for start in received_at:
+        attempts_in_window = [t for t in received_at if start <= t < start + RULES.overload_seconds]
+        capacity_fraction = RULES.slow_start_fraction + (1 - RULES.slow_start_fraction) * min(
             1.0, (start - 100.0) / RULES.slow_start_seconds
         )
         if start + RULES.overload_seconds < 100.0 + RULES.slow_start_seconds:
             assert (
-                len(window)
-                <= RULES.overload_multiple * now_share * requests_per_backend_second * RULES.overload_seconds + 1
+                len(attempts_in_window)
+                <= RULES.overload_multiple * capacity_fraction * requests_per_backend_second * RULES.overload_seconds
+                + 1
             )
-    assert received
+    assert received_at
 
 
 def test_new_backend_gets_no_burst_when_hundreds_of_gateways_were_idle() -> None:
@@ -51,20 +52,20 @@
     gateways = [started(settings(index=n, limiter_count=200), seed=n) for n in range(200)]
     for gateway in gateways:  # a backend restarts, and there is no request for some time
         gateway.handle(100.0, EndpointsChanged(EndpointListKind.DELTA, (Backend(9, "a", started=100.0),)))
-    got = [s.backend for n, g in enumerate(gateways) for s in sends(g.handle(104.0, request(f"r{n}")))]
-    assert got.count(9) < len(got) / 5.0
+    backend_ids = [s.backend for n, g in enumerate(gateways) for s in sends(g.handle(104.0, request(f"r{n}")))]
+    assert backend_ids.count(9) < len(backend_ids) / 5.0
 
 
 def test_load_is_spread_when_gateways_have_few_requests_in_flight() -> None:
     """With nothing out all lines look alike; the same heaviest backend must not be everybody's choice."""
     endpoints = tuple(Backend(n, "a", weight=1.0 + n / 100.0) for n in range(1, 21))
-    got: list[int] = []
+    backend_ids: list[int] = []
     for n in range(300):
         gateway = Gateway(settings(index=n, limiter_count=300), n)
         gateway.handle(0.0, EndpointsChanged(EndpointListKind.CACHED, endpoints))
-        got += [s.backend for s in sends(gateway.handle(50.0, request(f"r{n}")))]
-    assert len(got) == 300
-    assert max(got.count(n) for n in range(1, 21)) < 3 * 300 / 20
+        backend_ids += [s.backend for s in sends(gateway.handle(50.0, request(f"r{n}")))]
+    assert len(backend_ids) == 300
+    assert max(backend_ids.count(n) for n in range(1, 21)) < 3 * 300 / 20
 
 
 def test_one_failure_ejects_a_backend_when_it_is_rarely_used() -> None:
@@ -84,16 +85,16 @@
     assert sum(sent) < 40  # in slow start: a fraction of the requests only
 
 
-def is_avoided(gateway: Gateway, backend: int, class_name: str, now: float) -> bool:
+def is_never_selected(gateway: Gateway, backend: int, class_name: str, now: float) -> bool:
     """Return whether none of many requests of a class at one moment goes to a backend."""
-    got = [
+    backend_ids = [
         s.backend
         for n in range(60)
         for s in sends(
             gateway.handle(now, request(f"q{class_name}{n}", class_name=class_name, customer=f"{class_name}{n}"))
         )
     ]
-    return bool(got) and backend not in got
+    return bool(backend_ids) and backend not in backend_ids
 
 
 def run_requests(gateway: Gateway, backend: int, status: Status, class_name: str, start: float) -> None:
@@ -101,20 +102,22 @@
     for n in range(120):
         now = start + n * 0.05
         name = f"p{n}"
-        cls = ("read", "book")[n % 2]
-        more = sends(gateway.handle(now, request(name, class_name=cls, customer=f"p{n}")))
+        request_class = ("read", "book")[n % 2]
+        attempts = sends(gateway.handle(now, request(name, class_name=request_class, customer=f"p{n}")))
         for attempt in range(3):
-            if more:
-                ill = more[0].backend == backend and cls == class_name
-                more = sends(gateway.handle(now + 0.02, ended(name, more[0], status if ill else Status.OK, attempt)))
+            if attempts:
+                has_failure = attempts[0].backend == backend and request_class == class_name
+                attempts = sends(
+                    gateway.handle(now + 0.02, ended(name, attempts[0], status if has_failure else Status.OK, attempt))
+                )
 
 
 @pytest.mark.parametrize("status", [Status.ERROR, Status.TIMEOUT])
 def test_class_is_sent_to_other_backends_when_it_fails_at_one(status: Status) -> None:
     gateway = started(settings(limiter_count=1))
     run_requests(gateway, 1, status, "book", 100.0)
-    assert is_avoided(gateway, 1, "book", 106.05)
-    assert not is_avoided(gateway, 1, "read", 106.05)  # what it serves well goes there as before
+    assert is_never_selected(gateway, 1, "book", 106.05)
+    assert not is_never_selected(gateway, 1, "read", 106.05)  # what it serves well goes there as before
 
 
 def test_backend_is_not_ejected_when_it_responds_to_other_requests() -> None:
@@ -131,6 +134,6 @@
     gateway = started()
     gateway.registry.backends = {1: gateway.backends[1], **gateway.backends}
     gateway.backends[1].failures[""] = FailureStreak(2, 99.0)  # its ejection is over
-    got = [s for n in range(40) for s in sends(gateway.handle(100.0, request(f"r{n}", customer=f"c{n}")))]
-    assert [s.timeout < SAFE.latency_objective for s in got if s.backend == 1 and s.timeout] == [True]
-    assert sum(s.backend == 1 for s in got) == 1
+    sent_attempts = [s for n in range(40) for s in sends(gateway.handle(100.0, request(f"r{n}", customer=f"c{n}")))]
+    assert [s.timeout < SAFE.latency_objective for s in sent_attempts if s.backend == 1 and s.timeout] == [True]
+    assert sum(s.backend == 1 for s in sent_attempts) == 1
--- a/tests/decision/test_delivery_rules.py
+++ b/tests/decision/test_delivery_rules.py
@@ -34,7 +34,7 @@
 from thymeflow.decision.types import Backend, BackendState, EndpointListKind, Status
 
 NOT_EXECUTED = {Status.FULL, Status.CONNECT_FAILED, Status.MOOT}
-KINDS = {
+IDEMPOTENCY_BY_CLASS = {
     "read": Idempotency.IDEMPOTENT,
     "book": Idempotency.WITH_KEY,
     "sign": Idempotency.NOT_IDEMPOTENT,
@@ -52,7 +52,7 @@
     sent: list[tuple[int, float]] = field(default_factory=list)  # backend and time of each attempt
     ended: dict[int, Status] = field(default_factory=dict)  # by number of the attempt
 
-    def possibly_executed(self) -> list[int]:
+    def find_possibly_executed(self) -> list[int]:
         """Return the numbers of the attempts that may have been executed."""
         return [n for n in range(len(self.sent)) if self.ended.get(n) not in NOT_EXECUTED]
 
@@ -66,15 +66,15 @@
         self.config = settings()
         self.gateway = Gateway(self.config, seed)
         self.queue: list[tuple[float, int, Event]] = []
-        self.count = 0
+        self.event_count = 0
         self.requests: dict[str, CheckedRequest] = {}
         self.state: dict[int, Backend] = {b.id: b for b in fleet()}
         self.slow_start_attempts: dict[int, list[float]] = {}
-        self.feed(EndpointsChanged(EndpointListKind.CACHED, fleet()))
+        self.handle_event(EndpointsChanged(EndpointListKind.CACHED, fleet()))
 
     def schedule(self, delay: float, event: Event) -> None:
-        self.count += 1
-        heapq.heappush(self.queue, (self.now + delay, self.count, event))
+        self.event_count += 1
+        heapq.heappush(self.queue, (self.now + delay, self.event_count, event))
 
     def run(self, until: float) -> None:
         while self.queue and self.queue[0][0] <= until:
@@ -94,12 +94,12 @@
                 )
                 checked.ended[event.attempt] = event.status
                 checked.is_answered = checked.is_answered or event.status is Status.OK
-            self.feed(event)
+            self.handle_event(event)
         self.now = until
 
-    def feed(self, event: Event) -> None:
+    def handle_event(self, event: Event) -> None:
         if isinstance(event, RequestReceived):
-            self.requests[event.id] = CheckedRequest(self.now + event.remaining, KINDS[event.class_name])
+            self.requests[event.id] = CheckedRequest(self.now + event.remaining, IDEMPOTENCY_BY_CLASS[event.class_name])
         for action in self.gateway.handle(self.now, event):
             self.check(action)
 
@@ -108,32 +108,32 @@
             case SetTimer(token, delay):
                 self.schedule(delay, TimerFired(token))
             case StartAttempt(name, backend):
-                self.check_send(self.requests[name], name, backend)
+                self.check_attempt(self.requests[name], name, backend)
             case RejectRequest(name) | FailRequest(name):
                 checked = self.requests[name]
                 assert not checked.is_answered, "two answers"
                 assert self.now <= checked.deadline + RULES.response_grace, "late answer"
                 checked.is_answered = True
-                executed = checked.possibly_executed()
+                executed = checked.find_possibly_executed()
                 if isinstance(action, RejectRequest) and executed:
                     assert checked.idempotency is Idempotency.IDEMPOTENT, "rejected although it may have been executed"
             case CancelAttempt(name, attempt):
                 self.schedule(0.0, AttemptEnded(name, attempt, 0, Status.CANCELLED))
 
-    def check_send(self, checked: CheckedRequest, name: str, backend: int) -> None:
+    def check_attempt(self, checked: CheckedRequest, name: str, backend: int) -> None:
         assert not checked.is_answered, "sent after the answer"
         endpoint = self.state[backend]
         assert endpoint.state is BackendState.READY, "sent to a backend that drains or is gone"
         assert len(checked.sent) < self.config.limits.max_attempts
-        out = [n for n in range(len(checked.sent)) if n not in checked.ended]
-        assert not out, "two attempts in flight"
-        executed = checked.possibly_executed()
+        attempts_in_flight = [n for n in range(len(checked.sent)) if n not in checked.ended]
+        assert not attempts_in_flight, "two attempts in flight"
+        executed = checked.find_possibly_executed()
         if executed:
             assert checked.idempotency is not Idempotency.NOT_IDEMPOTENT, "an unsafe request sent twice"
             if checked.idempotency is Idempotency.WITH_KEY:
-                first, when = checked.sent[executed[0]]
-                assert self.state[first].zone == endpoint.zone, "a key sent to another zone"
-                assert self.now <= when + KEYED.idempotency_window, "a key sent after its window"
+                first_backend, sent_at = checked.sent[executed[0]]
+                assert self.state[first_backend].zone == endpoint.zone, "a key sent to another zone"
+                assert self.now <= sent_at + KEYED.idempotency_window, "a key sent after its window"
         if endpoint.started > 0 and self.now < endpoint.started + RULES.slow_start_seconds:
             self.slow_start_attempts.setdefault(backend, []).append(self.now)
         checked.sent.append((backend, self.now))
@@ -143,12 +143,12 @@
             AttemptEnded(name, len(checked.sent) - 1, backend, status, 0.1),
         )
 
-    def relist(self) -> None:
+    def change_endpoint(self) -> None:
         number = self.rng.choice(sorted(self.state))
         state = self.rng.choice(list(BackendState))
-        began = self.now if state is BackendState.READY else self.state[number].started
-        self.state[number] = Backend(number, self.state[number].zone, state, number % 2, started=began)
-        self.feed(EndpointsChanged(EndpointListKind.DELTA, (self.state[number],)))
+        started_at = self.now if state is BackendState.READY else self.state[number].started
+        self.state[number] = Backend(number, self.state[number].zone, state, number % 2, started=started_at)
+        self.handle_event(EndpointsChanged(EndpointListKind.DELTA, (self.state[number],)))
 
 
 @hypothesis_settings(derandomize=True, max_examples=60, deadline=None)
@@ -158,24 +158,24 @@
     for n in range(120):
         checker.run(checker.now + checker.rng.expovariate(20.0))
         if checker.rng.random() < 0.1:
-            checker.relist()
-        checker.feed(
+            checker.change_endpoint()
+        checker.handle_event(
             request(
                 f"r{n}",
                 checker.rng.choice([0.5, 1.0, 4.0]),
                 customer=f"c{n % 9}",
-                class_name=checker.rng.choice(list(KINDS)),
+                class_name=checker.rng.choice(list(IDEMPOTENCY_BY_CLASS)),
                 is_retry=checker.rng.random() < 0.3,
                 remaining=checker.rng.choice([0.001, 0.3, 2.0, 4.0]),
             )
         )
-        for strange in (
+        for unknown in (
             ClientDisconnected("nobody"),
             TimerFired(10**9),
             ResponseStarted("nobody", 0, 1),
             AttemptEnded("nobody", 0, 1, Status.OK),
         ):
-            assert checker.gateway.handle(checker.now, strange) == []
+            assert checker.gateway.handle(checker.now, unknown) == []
     checker.run(checker.now + 20.0)
     assert all(checked.is_answered for checked in checker.requests.values()), "a request without an answer"
     assert not checker.gateway.pending
@@ -202,8 +202,8 @@
     empty = Gateway(settings(), 1)
     assert any(isinstance(a, RejectRequest) for a in empty.handle(0.0, request("r1")))
     gateway = started()
-    for bad in (request("r2", float("nan")), request("r3", -1.0), request("r4", plan="none")):
-        assert [type(a) for a in gateway.handle(100.0, bad)] == [RejectRequest]
+    for invalid in (request("r2", float("nan")), request("r3", -1.0), request("r4", plan="none")):
+        assert [type(a) for a in gateway.handle(100.0, invalid)] == [RejectRequest]
 
 
 def test_stream_has_no_deadline_when_its_response_has_begun() -> None:
--- a/tests/decision/test_gateway_settings.py
+++ b/tests/decision/test_gateway_settings.py
@@ -11,7 +11,7 @@
 
 
 @pytest.mark.parametrize(
-    ("changes", "named"),
+    ("changes", "reported_name"),
     [
         ({"zones": ()}, "zones"),
         ({"index": 3}, "index"),
@@ -19,8 +19,8 @@
         ({"timer_resolution": -1.0}, "tick"),
     ],
 )
-def test_settings_are_rejected_when_a_value_is_invalid(changes: dict[str, Any], named: str) -> None:
-    with pytest.raises(ValueError, match=named):
+def test_settings_are_rejected_when_a_value_is_invalid(changes: dict[str, Any], reported_name: str) -> None:
+    with pytest.raises(ValueError, match=reported_name):
         settings(**changes)
 
 
--- a/tests/decision/test_gateway_trace.py
+++ b/tests/decision/test_gateway_trace.py
@@ -12,8 +12,8 @@
 
 import pytest
 
-from tests.decision.trace_sites import site, site_with_counter
-from tests.decision.trace_surroundings import Surroundings
+from tests.decision.trace_environment import SimulatedEnvironment
+from tests.decision.trace_sites import build_counter_site, build_site
 from tests.fleet_bounds import fixed_bounds
 from tests.trace_digest import TraceDigest
 from thymeflow import simulator
@@ -30,29 +30,29 @@
     assert simulator.main(cast(TextIO, lines), out) == 0
 
 
-def plain_gateway(settings: GatewaySettings, seed: int) -> Gateway:
+def create_bounded_gateway(settings: GatewaySettings, seed: int) -> Gateway:
     """A gateway whose retries, concurrency, calls, probes and connections are bounded over the set."""
     gateway = Gateway(settings, seed, 0.25)
     gateway.set_fleet_bounds(fixed_bounds(0.4, {"calls": 30.0, "trials": 4.0, "connections": 12.0}))
     return gateway
 
 
-def strict_gateway(settings: GatewaySettings, seed: int) -> Gateway:
+def create_strict_gateway(settings: GatewaySettings, seed: int) -> Gateway:
     """A gateway of the strict form, as the run line creates it for units by reservation."""
     return create_reserving_gateway(settings, seed, clock_offset=1000.25)
 
 
-def changed_settings(settings: GatewaySettings) -> Event:
+def build_settings_change(settings: GatewaySettings) -> Event:
     """The event that puts other settings in force."""
     return SettingsChanged(settings)
 
 
-def body_begun(rid: str) -> Event:
+def build_body_start(request_id: str) -> Event:
     """The event of a request body that is forwarded without being buffered."""
-    return RequestBodyStarted(rid)
+    return RequestBodyStarted(request_id)
 
 
-def exact_line(action: Action) -> str:
+def format_exact_line(action: Action) -> str:
     """The wire's line, with what it leaves out of an attempt: within how many seconds it may begin."""
     line = simulator.line_for(action)
     return f"{line} within={action.start_within:.6f}" if isinstance(action, StartAttempt) else line
@@ -65,25 +65,25 @@
         """Hand an event to its instance."""
         gateway = self.gateways.get(self.instance)
         if gateway is not None:
-            self.write([exact_line(action) for action in gateway.handle(self.now, event)])
+            self.write([format_exact_line(action) for action in gateway.handle(self.now, event)])
 
 
-def run_directly(make: Callable[[GatewaySettings, int], Gateway]) -> Callable[[Iterator[str], TextIO], None]:
+def build_direct_runner(create: Callable[[GatewaySettings, int], Gateway]) -> Callable[[Iterator[str], TextIO], None]:
     """Feed lines to an adapter whose gateways are made here; two events that its wire lacks are handed in as well."""
 
     def run(lines: Iterator[str], out: TextIO) -> None:
         adapter = ExactAdapter(out)
         for line in lines:
-            kind, _, rest = line.rstrip("\n").partition(" ")
+            kind, _, arguments = line.rstrip("\n").partition(" ")
             if kind == "born":
-                fields = simulator.fields_of(kind, rest)
+                fields = simulator.fields_of(kind, arguments)
                 settings = settings_from(json.loads(fields["settings"]))
-                adapter.gateways[adapter.instance] = make(settings, int(fields["salt"]))
+                adapter.gateways[adapter.instance] = create(settings, int(fields["salt"]))
             elif kind == "body":
-                adapter.handle_event(body_begun(simulator.fields_of(kind, rest)["rid"]))
+                adapter.handle_event(build_body_start(simulator.fields_of(kind, arguments)["rid"]))
             elif kind == "settings_changed":
-                info = json.loads(simulator.fields_of(kind, rest)["settings"])
-                adapter.handle_event(changed_settings(settings_from(info)))
+                info = json.loads(simulator.fields_of(kind, arguments)["settings"])
+                adapter.handle_event(build_settings_change(settings_from(info)))
             else:
                 adapter.handle_line(line.rstrip("\n"))
 
@@ -91,38 +91,42 @@
 
 
 @pytest.fixture
-def gossiping() -> TraceDigest:
+def gossip_trace() -> TraceDigest:
     """Four gateways that report to each other by gossip."""
-    return Surroundings(11, [site(n, 4) for n in range(4)], 30.0).run(run_adapter)
+    return SimulatedEnvironment(11, [build_site(n, 4) for n in range(4)], 30.0).run(run_adapter)
 
 
-def test_actions_match_the_recorded_trace_when_gateways_gossip(gossiping: TraceDigest) -> None:
-    gossiping.check("gateway-gossip")
+def test_actions_match_the_recorded_trace_when_gateways_gossip(gossip_trace: TraceDigest) -> None:
+    gossip_trace.check("gateway-gossip")
 
 
 def test_actions_match_the_recorded_trace_when_a_small_set_has_a_counter() -> None:
-    trace = Surroundings(12, [site_with_counter(n, 3) for n in range(3)], 30.0).run(run_adapter)
+    trace = SimulatedEnvironment(12, [build_counter_site(n, 3) for n in range(3)], 30.0).run(run_adapter)
     trace.check("gateway-counter")
 
 
 def test_actions_match_the_recorded_trace_when_a_large_set_calls_the_counter_first() -> None:
-    surroundings = Surroundings(13, [site_with_counter(n, 6) for n in range(6)], 60.0)
-    surroundings.add_scarce_customers(8)
-    trace = surroundings.run(run_adapter)
+    environment = SimulatedEnvironment(13, [build_counter_site(n, 6) for n in range(6)], 60.0)
+    environment.add_scarce_customers(8)
+    trace = environment.run(run_adapter)
     trace.check("gateway-asking")
 
 
 def test_actions_match_the_recorded_trace_when_fleet_limits_bound_gateways_and_settings_change() -> None:
-    trace = Surroundings(14, [site(n, 4) for n in range(3)], 30.0, direct=True).run(run_directly(plain_gateway))
+    trace = SimulatedEnvironment(14, [build_site(n, 4) for n in range(3)], 30.0, has_direct_events=True).run(
+        build_direct_runner(create_bounded_gateway)
+    )
     trace.check("gateway-bounded")
 
 
 def test_actions_match_the_recorded_trace_when_units_are_reserved_at_the_counter() -> None:
-    instances = [site_with_counter(n, 4) for n in range(3)]
-    trace = Surroundings(15, instances, 30.0, direct=True).run(run_directly(strict_gateway))
+    instances = [build_counter_site(n, 4) for n in range(3)]
+    trace = SimulatedEnvironment(15, instances, 30.0, has_direct_events=True).run(
+        build_direct_runner(create_strict_gateway)
+    )
     trace.check("gateway-strict")
 
 
-def test_every_kind_of_event_and_of_action_occurs_when_gateways_gossip(gossiping: TraceDigest) -> None:
-    assert {"head_received", "attempt_end", "left", "reminder", "probe_done", "message"} <= gossiping.events.keys()
-    assert {"issue", "bounce", "error", "call_off", "arm", "share", "subscribe"} <= gossiping.actions.keys()
+def test_every_kind_of_event_and_of_action_occurs_when_gateways_gossip(gossip_trace: TraceDigest) -> None:
+    assert {"head_received", "attempt_end", "left", "reminder", "probe_done", "message"} <= gossip_trace.events.keys()
+    assert {"issue", "bounce", "error", "call_off", "arm", "share", "subscribe"} <= gossip_trace.actions.keys()
--- a/tests/decision/test_large_fleet.py
+++ b/tests/decision/test_large_fleet.py
@@ -13,10 +13,10 @@
 from thymeflow.decision.types import Backend, BackendState, EndpointListKind, Status
 from thymeflow.quota.token_bucket import TokenBucket
 
-SMALL = Plan("plain", rate=2.0, burst=16.0, over_quota_cost=0.6)
+SMALL_PLAN = Plan("plain", rate=2.0, burst=16.0, over_quota_cost=0.6)
 
 
-def member(local_rate: float, remote_rate: float, plan: Plan = SMALL) -> TokenBucket:
+def create_bucket(local_rate: float, remote_rate: float, plan: Plan = SMALL_PLAN) -> TokenBucket:
     """Return a bucket in a set of 40 that knows of remote demand; rates are in units a second."""
     bucket = TokenBucket(plan, 1, 100.0, 0.0, 0.5)
     bucket.mean_cost = 2.0
@@ -35,14 +35,14 @@
 
 
 def test_new_customer_is_admitted_when_nothing_has_been_reported() -> None:
-    config = settings(limiter_count=40, plans=(SMALL,))
+    config = settings(limiter_count=40, plans=(SMALL_PLAN,))
     gateways = [started(config, seed=n) for n in range(40)]
-    first = [sends(g.handle(0.05, request("a", 2.0, set_size=40))) for g in gateways[:4]]
-    assert all(first), "a customer that requested half of its burst was rejected"
+    attempts = [sends(g.handle(0.05, request("a", 2.0, set_size=40))) for g in gateways[:4]]
+    assert all(attempts), "a customer that requested half of its burst was rejected"
 
 
 def test_each_limiter_admits_its_slice_of_the_rate_when_nothing_is_reported() -> None:
-    config = settings(limiter_count=40, plans=(SMALL,))
+    config = settings(limiter_count=40, plans=(SMALL_PLAN,))
     units = 0.0
     for number in range(40):  # each gets demand of the complete rate for 20 s, and no report
         gateway = started(config, seed=number)
@@ -51,43 +51,46 @@
 
 
 def test_gateway_lends_no_units_when_it_joins_a_running_set() -> None:
-    gateway = started(settings(limiter_count=40, plans=(SMALL,)))
+    gateway = started(settings(limiter_count=40, plans=(SMALL_PLAN,)))
     gateway.token_buckets.initial_fill = 0.0
     assert not sends(gateway.handle(0.0, request("a", 2.0, set_size=40)))
     assert sends(gateway.handle(8.1, request("b", 2.0, set_size=40)))
 
 
 def test_admitted_fraction_falls_with_demand_when_the_set_is_over_quota() -> None:
-    shares = [admitted_fraction(member(0.05, demand)) for demand in (0.6, 4.0, 8.0, 16.0)]
-    assert shares[0] == 1.0
-    assert shares[1] > 1.6 * shares[2] > 2.5 * shares[3]
-    assert 16.0 * shares[3] <= 2.0, "the set sends on more than the rate"
+    admitted_fractions = [admitted_fraction(create_bucket(0.05, demand)) for demand in (0.6, 4.0, 8.0, 16.0)]
+    assert admitted_fractions[0] == 1.0
+    assert admitted_fractions[1] > 1.6 * admitted_fractions[2] > 2.5 * admitted_fractions[3]
+    assert 16.0 * admitted_fractions[3] <= 2.0, "the set sends on more than the rate"
 
 
 def test_local_demand_is_taken_for_that_of_the_set_when_the_counter_has_not_reported() -> None:
-    earlier_rate = 6.0 / member(0.0, 0.0).local_rate_memory
-    assert admitted_fraction(member(earlier_rate + 2.0 / member(0.0, 0.0).local_rate_memory, 0.0)) < 0.2
-    assert admitted_fraction(member(2.0 / member(0.0, 0.0).local_rate_memory, 0.0)) == 1.0
+    earlier_rate = 6.0 / create_bucket(0.0, 0.0).local_rate_memory
+    assert admitted_fraction(create_bucket(earlier_rate + 2.0 / create_bucket(0.0, 0.0).local_rate_memory, 0.0)) < 0.2
+    assert admitted_fraction(create_bucket(2.0 / create_bucket(0.0, 0.0).local_rate_memory, 0.0)) == 1.0
 
 
 def test_fewer_requests_are_admitted_when_use_over_quota_has_a_higher_cost() -> None:
-    shares = [admitted_fraction(member(0.05, 8.0, replace(SMALL, over_quota_cost=cost))) for cost in (0.0, 0.5, 1.2)]
-    assert shares[0] > shares[1] > shares[2] > 0.0
+    admitted_fractions = [
+        admitted_fraction(create_bucket(0.05, 8.0, replace(SMALL_PLAN, over_quota_cost=cost)))
+        for cost in (0.0, 0.5, 1.2)
+    ]
+    assert admitted_fractions[0] > admitted_fractions[1] > admitted_fractions[2] > 0.0
 
 
 def test_missing_units_are_lent_only_when_use_over_quota_has_no_cost() -> None:
-    for cost, lent in ((0.6, 0.0), (0.0, 0.5)):
-        bucket = member(0.05, 1.0, replace(SMALL, over_quota_cost=cost))
+    for cost, max_fraction in ((0.6, 0.0), (0.0, 0.5)):
+        bucket = create_bucket(0.05, 1.0, replace(SMALL_PLAN, over_quota_cost=cost))
         bucket.global_level = 1.0  # of the two units that a request needs
-        assert (admitted_fraction(bucket) > lent) == (lent > 0.0)
+        assert (admitted_fraction(bucket) > max_fraction) == (max_fraction > 0.0)
 
 
 def test_slow_start_is_kept_by_forty_limiters_when_most_backends_are_replaced() -> None:
     rng = random.Random(5)
     rules = Rules(overload_multiple=2.5, overload_seconds=3.0, slow_start_fraction=0.17, slow_start_seconds=18.0)
     cores = 3.0
-    work = 0.22
-    config = settings(limiter_count=40, rules=rules, plans=(replace(SMALL, rate=0.0),))
+    attempt_core_seconds = 0.22
+    config = settings(limiter_count=40, rules=rules, plans=(replace(SMALL_PLAN, rate=0.0),))
     gateways = [Gateway(config, n) for n in range(40)]
     sent: dict[int, list[float]] = {}
     for gateway in gateways:
@@ -96,10 +99,10 @@
     for step in range(450 * 12):  # 450 requests a second, each answered at once
         now = 1000.0 + step / 450.0
         while replacements and 1000.0 + replacements[0][0] <= now:
-            replaced = replacements.pop(0)[1]
-            gone = Backend(replaced + 1, "ab"[replaced % 2], BackendState.GONE)
+            replaced_index = replacements.pop(0)[1]
+            removed = Backend(replaced_index + 1, "ab"[replaced_index % 2], BackendState.GONE)
             change = EndpointsChanged(
-                EndpointListKind.DELTA, (gone, Backend(100 + replaced, "ab"[replaced % 2], started=now))
+                EndpointListKind.DELTA, (removed, Backend(100 + replaced_index, "ab"[replaced_index % 2], started=now))
             )
             for gateway in gateways:
                 gateway.handle(now, change)
@@ -109,21 +112,23 @@
             if send.backend >= 100:
                 sent.setdefault(send.backend, []).append(now)
     assert len(sent) == 36, "a new backend got no attempt"
-    for number, times in sent.items():
+    for number, sent_times in sent.items():
         started_at = 1000.0 + 7.0 * (number - 100) / 36
-        for when in times:  # the window that begins with this attempt, at the least capacity by the rules
-            capacity_fraction = 0.17 + 0.83 * (when - started_at) / 18.0
-            load = work * sum(when <= t < when + 3.0 for t in times)
-            assert load <= 2.5 * capacity_fraction * cores * 3.0, f"{number} may fall over"
-    late = sum(len([t for t in times if t > 1010.0]) for times in sent.values()) / 36
-    assert late >= 11.0, "backends that are half warmed up are left idle"  # of 15 if all were warmed up
+        for window_start in sent_times:  # the window that begins with this attempt, at the least capacity by the rules
+            capacity_fraction = 0.17 + 0.83 * (window_start - started_at) / 18.0
+            load_core_seconds = attempt_core_seconds * sum(window_start <= t < window_start + 3.0 for t in sent_times)
+            assert load_core_seconds <= 2.5 * capacity_fraction * cores * 3.0, f"{number} may fall over"
+    late_attempts_per_backend = sum(len([t for t in sent_times if t > 1010.0]) for sent_times in sent.values()) / 36
+    assert late_attempts_per_backend >= 11.0, (
+        "backends that are half warmed up are left idle"
+    )  # of 15 if all were warmed up
 
 
 def test_warmed_up_backend_is_not_overloaded_when_nearly_all_others_warm_up() -> None:
-    gateway = started(settings(limiter_count=1, plans=(replace(SMALL, rate=0.0),)), 100.0)
+    gateway = started(settings(limiter_count=1, plans=(replace(SMALL_PLAN, rate=0.0),)), 100.0)
     sent = Counter[int]()
-    young = [Backend(n, "a", started=94.0) for n in range(2, 25)]  # 23 beside the one that is warmed up
-    gateway.handle(100.0, EndpointsChanged(EndpointListKind.FULL, (*fleet(1), *young)))
+    starting_backends = [Backend(n, "a", started=94.0) for n in range(2, 25)]  # 23 beside the one that is warmed up
+    gateway.handle(100.0, EndpointsChanged(EndpointListKind.FULL, (*fleet(1), *starting_backends)))
     for n in range(600):
         for send in sends(gateway.handle(100.0 + n / 600.0, request(f"r{n}", 0.01, customer=str(n)))):
             sent[send.backend] += 1
@@ -133,23 +138,27 @@
 
 
 def test_concurrency_follows_the_present_capacity_when_backends_drain_or_warm_up() -> None:
-    def out(now: float, gateway: Gateway) -> int:
+    def count_admitted(now: float, gateway: Gateway) -> int:
         count = 0
         while sends(gateway.handle(now, request(f"{now}-{count}", 0.01, customer=str(count), set_size=1))):
             count += 1
         return count
 
-    def restarted(state: BackendState, age: float) -> Gateway:
+    def create_restarted_gateway(state: BackendState, age: float) -> Gateway:
         gateway = started(settings(limiter_count=1), 100.0)
-        news = [b._replace(state=state, started=100.0 - age) for b in fleet()[1:]]
-        gateway.handle(100.0, EndpointsChanged(EndpointListKind.DELTA, tuple(news)))
+        endpoints = [b._replace(state=state, started=100.0 - age) for b in fleet()[1:]]
+        gateway.handle(100.0, EndpointsChanged(EndpointListKind.DELTA, tuple(endpoints)))
         return gateway
 
-    all_warmed_up = out(100.0, started(settings(limiter_count=1), 100.0))
-    just_started, warmer = (out(100.0, restarted(BackendState.READY, age)) for age in (0.1, 8.0))
-    assert out(100.0, restarted(BackendState.DRAINING, 50.0)) < 0.6 * all_warmed_up, "what drains carries nothing new"
-    assert just_started < 0.7 * all_warmed_up
-    assert just_started < warmer < all_warmed_up
-    late = restarted(BackendState.READY, 0.1)
-    late.handle(120.0, TimerFired(1))  # the next tick
-    assert out(120.0, late) >= all_warmed_up
+    admitted_warmed_up = count_admitted(100.0, started(settings(limiter_count=1), 100.0))
+    admitted_just_started, admitted_warming_up = (
+        count_admitted(100.0, create_restarted_gateway(BackendState.READY, age)) for age in (0.1, 8.0)
+    )
+    assert count_admitted(100.0, create_restarted_gateway(BackendState.DRAINING, 50.0)) < 0.6 * admitted_warmed_up, (
+        "what drains carries nothing new"
+    )
+    assert admitted_just_started < 0.7 * admitted_warmed_up
+    assert admitted_just_started < admitted_warming_up < admitted_warmed_up
+    restarted_gateway = create_restarted_gateway(BackendState.READY, 0.1)
+    restarted_gateway.handle(120.0, TimerFired(1))  # the next tick
+    assert count_admitted(120.0, restarted_gateway) >= admitted_warmed_up
--- a/tests/decision/test_retries.py
+++ b/tests/decision/test_retries.py
@@ -16,20 +16,20 @@
 
 def test_no_backend_is_ejected_and_retries_stay_few_when_all_are_slow() -> None:
     gateway = started()
-    sent = 0
+    attempt_count = 0
     for n in range(200):
         now = 100.0 + n * 0.05
         for send in sends(gateway.handle(now, request(f"r{n}", customer=f"c{n}"))):
-            sent += 1
+            attempt_count += 1
             attempt = 0
-            more = [send]
-            while more:
-                more = sends(gateway.handle(now + 0.01, ended(f"r{n}", more[0], Status.TIMEOUT, attempt)))
+            attempts = [send]
+            while attempts:
+                attempts = sends(gateway.handle(now + 0.01, ended(f"r{n}", attempts[0], Status.TIMEOUT, attempt)))
                 attempt = attempt + 1
-                sent = sent + len(more)
-    assert sent <= 200 * 1.1 + 12  # the retry budget
-    assert gateway.balancer.select_backend(gateway.pending.get("x") or _job(gateway)) is not None
+                attempt_count = attempt_count + len(attempts)
+    assert attempt_count <= 200 * 1.1 + 12  # the retry budget
+    assert gateway.balancer.select_backend(gateway.pending.get("x") or _build_probe_state(gateway)) is not None
 
 
-def _job(gateway: Gateway) -> Any:
+def _build_probe_state(gateway: Gateway) -> Any:
     return RequestState(request("probe"), SAFE, next(iter(gateway.buckets.values())), 200.0)
--- a/tests/decision/test_settings_change.py
+++ b/tests/decision/test_settings_change.py
@@ -14,7 +14,7 @@
 
 from tests.helpers import KEYED, PLAN, SAFE, UNSAFE, ended, only_store, request, sends, settings, started
 from tests.limiter import PATIENCE, Limiter, Peer
-from tests.limiter import request as asked
+from tests.limiter import request as wire_request
 from tests.network_support import SERVED_REPLY
 from thymeflow.decision.events import SettingsChanged
 from thymeflow.decision.settings import Idempotency
@@ -55,7 +55,7 @@
     assert bucket.level <= 1.0, "a smaller burst applies at once"
 
 
-def changed(limiter: Limiter, change: Any) -> str:
+def reload_config(limiter: Limiter, change: Any) -> str:
     """Write the configuration with a change, send SIGHUP, and return the log line that follows."""
     config = copy.deepcopy(limiter.config)
     text = change(config)
@@ -64,7 +64,7 @@
     return limiter.log("reload:")
 
 
-def setting(section: str, key: str, value: object) -> Any:
+def build_setting_change(section: str, key: str, value: object) -> Any:
     def change(config: Any) -> None:
         target = config["settings"][section]
         (target[0] if isinstance(target, list) else target)[key] = value
@@ -72,7 +72,7 @@
     return change
 
 
-def without(*path: Any) -> Any:
+def build_key_removal(*path: Any) -> Any:
     def change(config: Any) -> None:
         for key in path[:-1]:
             config = config[key]
@@ -81,23 +81,23 @@
     return change
 
 
-BAD: list[tuple[str, Any]] = [
+INVALID_CONFIGS: list[tuple[str, Any]] = [
     ("", lambda c: ""),
     ("", lambda c: json.dumps(c)[:400]),
     ("no JSON object", lambda c: "[]"),
-    ("counter", without("counter")),
+    ("counter", build_key_removal("counter")),
     ("settings.classes[]", lambda c: c["settings"].update(classes=[])),
-    ("settings.caps", without("settings", "caps")),
-    ("effect", without("settings", "classes", 1, "effect")),
-    ("seed", without("seed")),
+    ("settings.caps", build_key_removal("settings", "caps")),
+    ("effect", build_key_removal("settings", "classes", 1, "effect")),
+    ("seed", build_key_removal("seed")),
 ]
 
 
 INVALID_VALUES: list[object] = [0, -1, float("nan"), float("inf"), "3", True, None, []]
 
 
-BAD += [
-    (key, setting(section, key, value))
+INVALID_CONFIGS += [
+    (key, build_setting_change(section, key, value))
     for section, key in (("classes", "deadline"), ("caps", "max-attempts"))
     for value in INVALID_VALUES
 ]
@@ -107,10 +107,10 @@
     with Limiter(tmp_path) as limiter:
         client = limiter.connect()
         server = None
-        for number, (named, change) in enumerate(BAD, 1):
-            line = changed(limiter, change)
+        for number, (expected_text, change) in enumerate(INVALID_CONFIGS, 1):
+            line = reload_config(limiter, change)
             assert "the old settings stay" in line
-            assert named in line
+            assert expected_text in line
             assert "config.json" in line
             server = limiter.serve_request(client, number, server)
         limiter.path.write_text("")
@@ -122,14 +122,14 @@
 def test_open_requests_end_by_their_own_rules_when_classes_change(tmp_path: Path) -> None:
     with Limiter(tmp_path, backend_count=2) as limiter:
 
-        def passed_on() -> Peer:
+        def accept_forwarded() -> Peer:
             ready = select.select([listener.sock for listener in limiter.backends], [], [], PATIENCE)[0]
             return Peer(ready[0].accept()[0])
 
         client = limiter.connect()
         other = limiter.connect()
-        client.send(asked(1))
-        server = passed_on()
+        client.send(wire_request(1))
+        server = accept_forwarded()
         server.read_command()
 
         def change(config: Any) -> None:
@@ -137,19 +137,19 @@
             config["settings"]["classes"] = [keyed_class, {**look, "name": "sign", "effect": "fragile"}]
             config["settings"]["caps"]["max-attempts"] = 1
 
-        line = changed(limiter, change)
+        line = reload_config(limiter, change)
         assert "discovery at" in line
         assert "classes added: sign; classes dropped: look; attempts: 3 to 1" in limiter.log("settings taken")
-        other.send(asked(2))
+        other.send(wire_request(2))
         assert other.line() == b"-ERR unknown class"
-        other.send(asked(3, "book").replace(b"c=book", b"c=sign"))
-        second = passed_on()
+        other.send(wire_request(3, "book").replace(b"c=book", b"c=sign"))
+        second = accept_forwarded()
         second.read_command()
         second.send(b"-ERR failed\r\n")
         assert other.line() == b"-ERR failed"  # it may have been executed, and may not be repeated
         second.close()
         server.close()  # the old request keeps its rules: it is retried
-        again = passed_on()
+        again = accept_forwarded()
         again.read_command()
         again.send(SERVED_REPLY)
         assert client.read_bulk() == b"value"
--- a/tests/decision/trace_sites.py
+++ b/tests/decision/trace_sites.py
@@ -1,4 +1,4 @@
-"""Settings of the gateways in recorded runs, in the JSON of the simulator's wire."""
+"""Settings of the gateways in recorded runs, in the JSON format of the simulator's protocol."""
 
 from __future__ import annotations
 
@@ -7,11 +7,11 @@
 COUNTER_TIMEOUT = 0.03
 
 
-def site(index: int, gateways: int, **changes: Any) -> dict[str, Any]:
-    """Settings of one gateway in the wire's JSON."""
+def build_site(index: int, gateway_count: int, **changes: Any) -> dict[str, Any]:
+    """Return the settings of one gateway in the JSON format of the protocol."""
     base: dict[str, Any] = {
         "index": index,
-        "balancers": gateways,
+        "balancers": gateway_count,
         "zone": "ab"[index % 2],
         "azs": ["a", "b"],
         "step": 0.002,
@@ -46,8 +46,8 @@
     return {**base, **changes}
 
 
-def site_with_counter(index: int, gateways: int, **changes: Any) -> dict[str, Any]:
-    """Settings of a gateway that has a counter and no gossip."""
-    base = site(index, gateways)
+def build_counter_site(index: int, gateway_count: int, **changes: Any) -> dict[str, Any]:
+    """Return the settings of a gateway that has a counter and no gossip."""
+    base = build_site(index, gateway_count)
     information = {**base["family-info"], "may-count": True, "counter-timeout": COUNTER_TIMEOUT}
     return {**base, "caps": {**base["caps"], "may-tell": False}, "family-info": information, **changes}
