--- a/tests/decision/test_admission.py
+++ b/tests/decision/test_admission.py
@@ -1,4 +1,4 @@
-"""Admission by concurrency and pressure, and the time for which a request is of use."""
+"""Admission by concurrency and backend pressure, and the end of a request at its latency objective."""
 
 from __future__ import annotations
 
@@ -20,7 +20,10 @@
 
 
 def test_gateway_admits_again_when_it_rejected_everything_under_pressure() -> None:
-    """Pressure follows latency: a gateway that rejects everything gets no response, and must still recover."""
+    """Pressure is measured from response latencies, so a gateway that rejects all requests gets no new measurement.
+
+    Without a decay of the pressure, such a gateway would never admit a request again.
+    """
     gateway = started()
     gateway.registry.pressure = 1.0
     for n in range(300):
@@ -35,7 +38,7 @@
     timer = next(a for a in actions if isinstance(a, SetTimer))
     assert timer.delay <= SAFE.latency_objective
     kinds = [type(a) for a in gateway.handle(100.0 + timer.delay, TimerFired(timer.token))]
-    assert kinds == [RejectRequest, CancelAttempt]  # answered at once, and the place is free
+    assert kinds == [RejectRequest, CancelAttempt]  # The client is answered at once, and the attempt is cancelled.
 
 
 def test_more_requests_may_be_in_flight_when_responses_are_quick() -> None:
@@ -49,7 +52,7 @@
 
 @pytest.mark.parametrize("remaining", [nan, inf])
 @pytest.mark.parametrize("class_name", ["read", "unknown"])
-def test_request_is_an_error_when_its_remaining_time_is_not_finite(class_name: str, remaining: float) -> None:
+def test_invalid_setting_is_reported_when_the_remaining_time_is_not_finite(class_name: str, remaining: float) -> None:
     gateway = started()
     with pytest.raises(InvalidSettingError, match=r"RequestClass\.deadline"):
         gateway.handle(100.0, request("r1", class_name=class_name, remaining=remaining))
--- a/tests/decision/test_balancing.py
+++ b/tests/decision/test_balancing.py
@@ -1,4 +1,4 @@
-"""Which backend an attempt goes to: slow start, health, half-open probes."""
+"""Selection of backends by slow start, health and half-open probes."""
 
 from __future__ import annotations
 
@@ -17,7 +17,11 @@
 
 @pytest.mark.parametrize("count", [1, 3, 100])
 def test_new_backend_gets_less_than_its_load_limit_when_it_warms_up(count: int) -> None:
-    """At most `fall_multiple` x present capacity within any fall time, sent by all gateways together."""
+    """A backend fails if it gets too many requests while it warms up.
+
+    All gateways together may send it at most `overload_multiple` times its present capacity in any window of
+    `overload_seconds`.
+    """
     gateways = [started(settings(index=n, limiter_count=count), seed=n) for n in range(count)]
     for gateway in gateways:
         gateway.handle(100.0, EndpointsChanged(EndpointListKind.DELTA, (Backend(9, "a", started=100.0),)))
@@ -48,16 +52,23 @@
 
 
 def test_new_backend_gets_no_burst_when_hundreds_of_gateways_were_idle() -> None:
-    """Budgets that hundreds of gateways fill in step are spent in step: 4 times what it could do, once."""
+    """A new backend once got 4 times the load that it could handle.
+
+    Each of hundreds of gateways had saved up a slow-start budget for it while idle, and all spent their budgets at
+    the same time.
+    """
     gateways = [started(settings(index=n, limiter_count=200), seed=n) for n in range(200)]
-    for gateway in gateways:  # a backend restarts, and there is no request for some time
+    for gateway in gateways:  # A backend restarts, and the next 4 s bring no request.
         gateway.handle(100.0, EndpointsChanged(EndpointListKind.DELTA, (Backend(9, "a", started=100.0),)))
     backend_ids = [s.backend for n, g in enumerate(gateways) for s in sends(g.handle(104.0, request(f"r{n}")))]
     assert backend_ids.count(9) < len(backend_ids) / 5.0
 
 
 def test_load_is_spread_when_gateways_have_few_requests_in_flight() -> None:
-    """With nothing out all lines look alike; the same heaviest backend must not be everybody's choice."""
+    """Without attempts in flight, the expected waits of all backends are equal.
+
+    The gateways must not all select the same backend, the one with the highest weight.
+    """
     endpoints = tuple(Backend(n, "a", weight=1.0 + n / 100.0) for n in range(1, 21))
     backend_ids: list[int] = []
     for n in range(300):
@@ -82,11 +93,11 @@
     assert set(gateway.backends) == {1}
     assert gateway.backends[1].is_healthy("read", 100.0)
     sent = [bool(sends(gateway.handle(100.0, request(f"r{n}", customer=f"c{n}")))) for n in range(100)]
-    assert sum(sent) < 40  # in slow start: a fraction of the requests only
+    assert sum(sent) < 40  # In slow start, the backend gets only a fraction of the requests.
 
 
 def is_never_selected(gateway: Gateway, backend: int, class_name: str, now: float) -> bool:
-    """Return whether none of many requests of a class at one moment goes to a backend."""
+    """Return whether a backend gets none of 60 simultaneous requests of a class."""
     backend_ids = [
         s.backend
         for n in range(60)
@@ -98,7 +109,7 @@
 
 
 def run_requests(gateway: Gateway, backend: int, status: Status, class_name: str, start: float) -> None:
-    """Run many requests that succeed; those of the class at the backend end with the status instead."""
+    """Run 120 requests that succeed, except that requests of the class at the backend end with the given status."""
     for n in range(120):
         now = start + n * 0.05
         name = f"p{n}"
@@ -117,7 +128,7 @@
     gateway = started(settings(limiter_count=1))
     run_requests(gateway, 1, status, "book", 100.0)
     assert is_never_selected(gateway, 1, "book", 106.05)
-    assert not is_never_selected(gateway, 1, "read", 106.05)  # what it serves well goes there as before
+    assert not is_never_selected(gateway, 1, "read", 106.05)  # The class without failures still uses the backend.
 
 
 def test_backend_is_not_ejected_when_it_responds_to_other_requests() -> None:
@@ -133,7 +144,7 @@
 def test_one_short_probe_is_sent_when_an_ejection_has_ended() -> None:
     gateway = started()
     gateway.registry.backends = {1: gateway.backends[1], **gateway.backends}
-    gateway.backends[1].failures[""] = FailureStreak(2, 99.0)  # its ejection is over
+    gateway.backends[1].failures[""] = FailureStreak(2, 99.0)  # The ejection ended at 99 s.
     sent_attempts = [s for n in range(40) for s in sends(gateway.handle(100.0, request(f"r{n}", customer=f"c{n}")))]
     assert [s.timeout < SAFE.latency_objective for s in sent_attempts if s.backend == 1 and s.timeout] == [True]
     assert sum(s.backend == 1 for s in sent_attempts) == 1
--- a/tests/decision/test_counter_first_admission.py
+++ b/tests/decision/test_counter_first_admission.py
@@ -1,4 +1,7 @@
-"""Large sets call the counter before they admit on old reports: gateways in virtual time, one real process."""
+"""Limiters of large sets call the counter before they admit requests by outdated totals.
+
+Most tests run gateways in virtual time; one test runs a real limiter process.
+"""
 
 from __future__ import annotations
 
@@ -78,7 +81,9 @@
         actions = gateway.handle(10.002, build_reply(call, total))
         assert bool(sends(actions)) is let_in
         assert bool(find_rejections(actions)) is not let_in
-        assert not find_calls(gateway.handle(10.1, build_request("b"))), "a total that is current is read again"
+        assert not find_calls(gateway.handle(10.1, build_request("b"))), (
+            "the counter is called again although its total is current"
+        )
 
 
 def test_estimate_decides_and_no_request_waits_for_a_while_when_the_counter_does_not_reply() -> None:
@@ -87,7 +92,9 @@
     (call,) = find_calls(actions)
     (timer,) = [a for a in actions if isinstance(a, SetTimer) and a.delay <= COUNTER.counter_timeout]
     assert sends(gateway.handle(10.03, TimerFired(timer.token)))
-    assert not find_calls(gateway.handle(10.1, build_request("again"))), "a second call of a name without a reply yet"
+    assert not find_calls(gateway.handle(10.1, build_request("again"))), (
+        "a second call of a counter name whose first call has no reply yet"
+    )
     gateway.handle(10.4, CounterReplied(call.name, Status.TIMEOUT, inf, 0.4))
     assert sends(gateway.handle(10.5, build_request("b", customer="other")))
     assert find_calls(gateway.handle(10.4 + PAUSE_AFTER_LOST_CALL_SECONDS + 0.1, build_request("c", customer="third")))
@@ -120,9 +127,9 @@
 
 
 def run_demand(create: Any, demand: float, seconds: float = 30.0) -> tuple[float, float]:
-    """Return the units forwarded and the calls for each request; `demand` is in units a second, at all limiters."""
+    """Return the forwarded units and the calls per request, for a demand in units per second at all limiters."""
     rng = random.Random(5)
-    sequence_numbers = count()
+    sequence = count()
     gateways: list[Gateway] = [create(n) for n in range(LARGE_SET_SIZE)]
     totals = dict[int, float]()
     queue = list[tuple[float, int, int, Event]]()
@@ -133,10 +140,7 @@
     while arrival_at < 20.0 + seconds:
         arrival_at += rng.expovariate(demand / 2.0)
         number += 1
-        heapq.heappush(
-            queue,
-            (arrival_at, next(sequence_numbers), rng.randrange(LARGE_SET_SIZE), build_request(f"r{number}")),
-        )
+        heapq.heappush(queue, (arrival_at, next(sequence), rng.randrange(LARGE_SET_SIZE), build_request(f"r{number}")))
     while queue:
         now, _, index, event = heapq.heappop(queue)
         for action in gateways[index].handle(now, event):
@@ -145,7 +149,7 @@
                 ended = AttemptEnded(
                     action.id, 0, action.backend, Status.OK, 0.1, request_answered=True, actual_units=2.0
                 )
-                heapq.heappush(queue, (now + 0.1, next(sequence_numbers), index, ended))
+                heapq.heappush(queue, (now + 0.1, next(sequence), index, ended))
             elif isinstance(action, AddToCounter):
                 call_count += 1
                 totals[action.name] = totals.get(action.name, 0.0) + action.amount
@@ -153,13 +157,13 @@
                     queue,
                     (
                         now + 0.002,
-                        next(sequence_numbers),
+                        next(sequence),
                         index,
                         CounterReplied(action.name, Status.OK, totals[action.name], 0.002),
                     ),
                 )
             elif isinstance(action, SetTimer) and now < 20.0 + seconds:
-                heapq.heappush(queue, (now + action.delay, next(sequence_numbers), index, TimerFired(action.token)))
+                heapq.heappush(queue, (now + action.delay, next(sequence), index, TimerFired(action.token)))
     return forwarded_units, call_count / number
 
 
@@ -206,5 +210,5 @@
             assert server.read_command()[2] == b"%016x" % number
             server.send(b"*3\r\n$5\r\nvalue\r\n$-1\r\n$-1\r\n")
             assert client.read_bulk() == b"value"
-            if number == 1:  # of another customer, and the counter does not reply
+            if number == 1:  # The next request is from another customer, and the counter does not reply.
                 send_request(2, b"00000000b4d65522")
--- a/tests/decision/test_delivery_rules.py
+++ b/tests/decision/test_delivery_rules.py
@@ -1,4 +1,4 @@
-"""The rules of delivery as properties: generated events go to a gateway, and a checker reads its actions."""
+"""Property tests of the delivery rules: a gateway handles random events, and a checker verifies its actions."""
 
 from __future__ import annotations
 
@@ -44,21 +44,21 @@
 
 @dataclass
 class CheckedRequest:
-    """What is known of one request."""
+    """State of one request from the point of view of the checker."""
 
     deadline: float
     idempotency: Idempotency
     is_answered: bool = False
-    sent: list[tuple[int, float]] = field(default_factory=list)  # backend and time of each attempt
-    ended: dict[int, Status] = field(default_factory=dict)  # by number of the attempt
+    sent: list[tuple[int, float]] = field(default_factory=list)  # Backend and start time of each attempt.
+    ended: dict[int, Status] = field(default_factory=dict)  # Results by attempt number.
 
     def find_possibly_executed(self) -> list[int]:
-        """Return the numbers of the attempts that may have been executed."""
+        """Return the numbers of the attempts that a backend may have executed."""
         return [n for n in range(len(self.sent)) if self.ended.get(n) not in NOT_EXECUTED]
 
 
 class Checker:
-    """Ends the attempts of a gateway at random, and checks the first four rules of delivery."""
+    """Ends the attempts of a gateway with random results, and checks the first four delivery rules."""
 
     def __init__(self, seed: int) -> None:
         self.rng = random.Random(seed)
@@ -111,8 +111,8 @@
                 self.check_attempt(self.requests[name], name, backend)
             case RejectRequest(name) | FailRequest(name):
                 checked = self.requests[name]
-                assert not checked.is_answered, "two answers"
-                assert self.now <= checked.deadline + RULES.response_grace, "late answer"
+                assert not checked.is_answered, "the request got two final responses"
+                assert self.now <= checked.deadline + RULES.response_grace, "the final response was late"
                 checked.is_answered = True
                 executed = checked.find_possibly_executed()
                 if isinstance(action, RejectRequest) and executed:
@@ -121,19 +121,19 @@
                 self.schedule(0.0, AttemptEnded(name, attempt, 0, Status.CANCELLED))
 
     def check_attempt(self, checked: CheckedRequest, name: str, backend: int) -> None:
-        assert not checked.is_answered, "sent after the answer"
+        assert not checked.is_answered, "an attempt was started after the final response"
         endpoint = self.state[backend]
-        assert endpoint.state is BackendState.READY, "sent to a backend that drains or is gone"
+        assert endpoint.state is BackendState.READY, "an attempt was sent to a backend that is draining or gone"
         assert len(checked.sent) < self.config.limits.max_attempts
         attempts_in_flight = [n for n in range(len(checked.sent)) if n not in checked.ended]
-        assert not attempts_in_flight, "two attempts in flight"
+        assert not attempts_in_flight, "the request has two attempts in flight"
         executed = checked.find_possibly_executed()
         if executed:
-            assert checked.idempotency is not Idempotency.NOT_IDEMPOTENT, "an unsafe request sent twice"
+            assert checked.idempotency is not Idempotency.NOT_IDEMPOTENT, "an unsafe request was retried"
             if checked.idempotency is Idempotency.WITH_KEY:
                 first_backend, sent_at = checked.sent[executed[0]]
-                assert self.state[first_backend].zone == endpoint.zone, "a key sent to another zone"
-                assert self.now <= sent_at + KEYED.idempotency_window, "a key sent after its window"
+                assert self.state[first_backend].zone == endpoint.zone, "an idempotency key was sent to another zone"
+                assert self.now <= sent_at + KEYED.idempotency_window, "an idempotency key was sent after its window"
         if endpoint.started > 0 and self.now < endpoint.started + RULES.slow_start_seconds:
             self.slow_start_attempts.setdefault(backend, []).append(self.now)
         checked.sent.append((backend, self.now))
@@ -177,7 +177,7 @@
         ):
             assert checker.gateway.handle(checker.now, unknown) == []
     checker.run(checker.now + 20.0)
-    assert all(checked.is_answered for checked in checker.requests.values()), "a request without an answer"
+    assert all(checked.is_answered for checked in checker.requests.values()), "a request has no final response"
     assert not checker.gateway.pending
     assert checker.gateway.registry.in_flight == 0
 
@@ -190,7 +190,7 @@
     assert FailRequest("r1") in gateway.handle(100.0 + timer.delay, TimerFired(timer.token))
 
 
-def test_endpoint_list_is_kept_and_requested_again_when_discovery_fails() -> None:
+def test_endpoint_list_is_retained_and_requested_again_when_discovery_fails() -> None:
     gateway = Gateway(settings(discovery=DiscoveryMode.POLL), 1)
     assert SubscribeEndpoints(True) in gateway.handle(0.0, EndpointsChanged(EndpointListKind.CACHED, fleet()))
     timer = next(a for a in gateway.handle(1.0, EndpointsChanged(EndpointListKind.FAILED)) if isinstance(a, SetTimer))
--- a/tests/decision/test_gateway_settings.py
+++ b/tests/decision/test_gateway_settings.py
@@ -1,4 +1,4 @@
-"""Settings of a gateway are checked when they are created."""
+"""Validation of gateway settings when they are created."""
 
 from __future__ import annotations
 
--- a/tests/decision/test_gateway_trace.py
+++ b/tests/decision/test_gateway_trace.py
@@ -1,8 +1,10 @@
-"""The quota decisions of several gateways, compared with digests of seeded runs over the simulator adapter's text wire.
+"""Compares the decisions of several gateways with digests of recorded seeded runs.
 
-A run hosts a few gateways in one adapter and plays their surroundings in virtual time: clients that retry and leave,
-backends that warm up, drain, fail and go, endpoint lists that come complete and as deltas, gossip between the gateways
-that is late or lost, and a shared counter that answers, times out or is full. The adapter's replies are the trace."""
+A run hosts several gateways in one simulator adapter and simulates their environment in virtual time: clients that
+retry and disconnect, backends that warm up, drain, fail and disappear, full and incremental endpoint lists, late and
+lost gossip between the gateways, and a shared counter that replies, times out or is full. The trace consists of the
+replies of the adapter in its text protocol.
+"""
 
 from __future__ import annotations
 
@@ -26,50 +28,50 @@
 
 
 def run_adapter(lines: Iterator[str], out: TextIO) -> None:
-    """Feed lines to the adapter as its standard input."""
+    """Run the adapter with the lines as its standard input."""
     assert simulator.main(cast(TextIO, lines), out) == 0
 
 
 def create_bounded_gateway(settings: GatewaySettings, seed: int) -> Gateway:
-    """A gateway whose retries, concurrency, calls, probes and connections are bounded over the set."""
+    """Create a gateway with fleet bounds for retries, concurrency, counter calls, probes and connections."""
     gateway = Gateway(settings, seed, 0.25)
     gateway.set_fleet_bounds(fixed_bounds(0.4, {"calls": 30.0, "trials": 4.0, "connections": 12.0}))
     return gateway
 
 
 def create_strict_gateway(settings: GatewaySettings, seed: int) -> Gateway:
-    """A gateway of the strict form, as the run line creates it for units by reservation."""
+    """Create a gateway that reserves units at the counter, as the run line creates it."""
     return create_reserving_gateway(settings, seed, clock_offset=1000.25)
 
 
 def build_settings_change(settings: GatewaySettings) -> Event:
-    """The event that puts other settings in force."""
+    """Build the event that puts new settings in force."""
     return SettingsChanged(settings)
 
 
 def build_body_start(request_id: str) -> Event:
-    """The event of a request body that is forwarded without being buffered."""
+    """Build the event of a request body that is forwarded without being buffered."""
     return RequestBodyStarted(request_id)
 
 
 def format_exact_line(action: Action) -> str:
-    """The wire's line, with what it leaves out of an attempt: within how many seconds it may begin."""
+    """Return the protocol's line for an action, and add the `start_within` of an attempt, which the protocol omits."""
     line = simulator.line_for(action)
     return f"{line} within={action.start_within:.6f}" if isinstance(action, StartAttempt) else line
 
 
 class ExactAdapter(simulator.SimulatorAdapter):
-    """An adapter that writes down attempts with all of their terms."""
+    """An adapter whose output includes all fields of attempts."""
 
     def handle_event(self, event: Event) -> None:
-        """Hand an event to its instance."""
+        """Pass an event to the gateway of the current instance."""
         gateway = self.gateways.get(self.instance)
         if gateway is not None:
             self.write([format_exact_line(action) for action in gateway.handle(self.now, event)])
 
 
 def build_direct_runner(create: Callable[[GatewaySettings, int], Gateway]) -> Callable[[Iterator[str], TextIO], None]:
-    """Feed lines to an adapter whose gateways are made here; two events that its wire lacks are handed in as well."""
+    """Build a runner of an adapter with custom gateways, which also accepts two events that the protocol lacks."""
 
     def run(lines: Iterator[str], out: TextIO) -> None:
         adapter = ExactAdapter(out)
@@ -92,7 +94,7 @@
 
 @pytest.fixture
 def gossip_trace() -> TraceDigest:
-    """Four gateways that report to each other by gossip."""
+    """Return the trace of four gateways that report to each other by gossip."""
     return SimulatedEnvironment(11, [build_site(n, 4) for n in range(4)], 30.0).run(run_adapter)
 
 
@@ -113,7 +115,7 @@
 
 
 def test_actions_match_the_recorded_trace_when_fleet_limits_bound_gateways_and_settings_change() -> None:
-    trace = SimulatedEnvironment(14, [build_site(n, 4) for n in range(3)], 30.0, has_direct_events=True).run(
+    trace = SimulatedEnvironment(14, [build_site(n, 4) for n in range(3)], 30.0, is_direct=True).run(
         build_direct_runner(create_bounded_gateway)
     )
     trace.check("gateway-bounded")
@@ -121,9 +123,7 @@
 
 def test_actions_match_the_recorded_trace_when_units_are_reserved_at_the_counter() -> None:
     instances = [build_counter_site(n, 4) for n in range(3)]
-    trace = SimulatedEnvironment(15, instances, 30.0, has_direct_events=True).run(
-        build_direct_runner(create_strict_gateway)
-    )
+    trace = SimulatedEnvironment(15, instances, 30.0, is_direct=True).run(build_direct_runner(create_strict_gateway))
     trace.check("gateway-strict")
 
 
--- a/tests/decision/test_large_fleet.py
+++ b/tests/decision/test_large_fleet.py
@@ -1,4 +1,4 @@
-"""Many limiters and backends, with few requests at each limiter: gateways under a virtual clock, no sockets."""
+"""Many limiters and backends with few requests at each limiter: gateways in virtual time, without sockets."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 def create_bucket(local_rate: float, remote_rate: float, plan: Plan = SMALL_PLAN) -> TokenBucket:
-    """Return a bucket in a set of 40 that knows of remote demand; rates are in units a second."""
+    """Return a bucket of a set of 40 limiters with known remote demand; rates are in units per second."""
     bucket = TokenBucket(plan, 1, 100.0, 0.0, 0.5)
     bucket.mean_cost = 2.0
     bucket.join_set(0, 40, 40, 0.0)
@@ -30,7 +30,7 @@
 
 
 def admitted_fraction(bucket: TokenBucket, units: float = 2.0) -> float:
-    """Return the fraction of requests that the bucket admits."""
+    """Return the fraction of 200 evenly spaced samples for which the bucket admits a request."""
     return sum(bucket.can_admit(units, n / 200.0) for n in range(200)) / 200.0
 
 
@@ -44,10 +44,12 @@
 def test_each_limiter_admits_its_slice_of_the_rate_when_nothing_is_reported() -> None:
     config = settings(limiter_count=40, plans=(SMALL_PLAN,))
     units = 0.0
-    for number in range(40):  # each gets demand of the complete rate for 20 s, and no report
+    for number in range(40):  # Each limiter gets the full rate as demand for 20 s, and no report.
         gateway = started(config, seed=number)
         units += sum(2.0 * len(sends(gateway.handle(20.0 + n, request(f"r{n}", 2.0, set_size=40)))) for n in range(20))
-    assert units <= 16.0 + 40 * 2.0 + 2.0 * 20 * 1.5, "more than the burst, one lent by each, and the rate"
+    assert units <= 16.0 + 40 * 2.0 + 2.0 * 20 * 1.5, (
+        "the set forwarded more than the burst, one lent request per limiter, and the rate"
+    )
 
 
 def test_gateway_lends_no_units_when_it_joins_a_running_set() -> None:
@@ -61,10 +63,10 @@
     admitted_fractions = [admitted_fraction(create_bucket(0.05, demand)) for demand in (0.6, 4.0, 8.0, 16.0)]
     assert admitted_fractions[0] == 1.0
     assert admitted_fractions[1] > 1.6 * admitted_fractions[2] > 2.5 * admitted_fractions[3]
-    assert 16.0 * admitted_fractions[3] <= 2.0, "the set sends on more than the rate"
+    assert 16.0 * admitted_fractions[3] <= 2.0, "the set forwards more than the rate"
 
 
-def test_local_demand_is_taken_for_that_of_the_set_when_the_counter_has_not_reported() -> None:
+def test_set_demand_is_estimated_from_local_demand_when_the_counter_has_not_reported() -> None:
     earlier_rate = 6.0 / create_bucket(0.0, 0.0).local_rate_memory
     assert admitted_fraction(create_bucket(earlier_rate + 2.0 / create_bucket(0.0, 0.0).local_rate_memory, 0.0)) < 0.2
     assert admitted_fraction(create_bucket(2.0 / create_bucket(0.0, 0.0).local_rate_memory, 0.0)) == 1.0
@@ -81,11 +83,11 @@
 def test_missing_units_are_lent_only_when_use_over_quota_has_no_cost() -> None:
     for cost, max_fraction in ((0.6, 0.0), (0.0, 0.5)):
         bucket = create_bucket(0.05, 1.0, replace(SMALL_PLAN, over_quota_cost=cost))
-        bucket.global_level = 1.0  # of the two units that a request needs
+        bucket.global_level = 1.0  # A request needs two units.
         assert (admitted_fraction(bucket) > max_fraction) == (max_fraction > 0.0)
 
 
-def test_slow_start_is_kept_by_forty_limiters_when_most_backends_are_replaced() -> None:
+def test_slow_start_limits_hold_for_forty_limiters_when_most_backends_are_replaced() -> None:
     rng = random.Random(5)
     rules = Rules(overload_multiple=2.5, overload_seconds=3.0, slow_start_fraction=0.17, slow_start_seconds=18.0)
     cores = 3.0
@@ -96,7 +98,7 @@
     for gateway in gateways:
         gateway.handle(1000.0, EndpointsChanged(EndpointListKind.CACHED, fleet(60)))
     replacements = [(7.0 * n / 36, n) for n in range(36)]
-    for step in range(450 * 12):  # 450 requests a second, each answered at once
+    for step in range(450 * 12):  # 450 requests per second, each answered immediately.
         now = 1000.0 + step / 450.0
         while replacements and 1000.0 + replacements[0][0] <= now:
             replaced_index = replacements.pop(0)[1]
@@ -114,20 +116,19 @@
     assert len(sent) == 36, "a new backend got no attempt"
     for number, sent_times in sent.items():
         started_at = 1000.0 + 7.0 * (number - 100) / 36
-        for window_start in sent_times:  # the window that begins with this attempt, at the least capacity by the rules
+        for window_start in sent_times:  # The rules give the least capacity of the window at its start.
             capacity_fraction = 0.17 + 0.83 * (window_start - started_at) / 18.0
             load_core_seconds = attempt_core_seconds * sum(window_start <= t < window_start + 3.0 for t in sent_times)
-            assert load_core_seconds <= 2.5 * capacity_fraction * cores * 3.0, f"{number} may fall over"
+            assert load_core_seconds <= 2.5 * capacity_fraction * cores * 3.0, f"{number} may fail under its load"
     late_attempts_per_backend = sum(len([t for t in sent_times if t > 1010.0]) for sent_times in sent.values()) / 36
-    assert late_attempts_per_backend >= 11.0, (
-        "backends that are half warmed up are left idle"
-    )  # of 15 if all were warmed up
+    # Backends that were all warmed up would get 15 attempts each.
+    assert late_attempts_per_backend >= 11.0, "backends that are half warmed up are left idle"
 
 
 def test_warmed_up_backend_is_not_overloaded_when_nearly_all_others_warm_up() -> None:
     gateway = started(settings(limiter_count=1, plans=(replace(SMALL_PLAN, rate=0.0),)), 100.0)
     sent = Counter[int]()
-    starting_backends = [Backend(n, "a", started=94.0) for n in range(2, 25)]  # 23 beside the one that is warmed up
+    starting_backends = [Backend(n, "a", started=94.0) for n in range(2, 25)]  # 23 starting backends, 1 warmed up.
     gateway.handle(100.0, EndpointsChanged(EndpointListKind.FULL, (*fleet(1), *starting_backends)))
     for n in range(600):
         for send in sends(gateway.handle(100.0 + n / 600.0, request(f"r{n}", 0.01, customer=str(n)))):
@@ -155,10 +156,10 @@
         count_admitted(100.0, create_restarted_gateway(BackendState.READY, age)) for age in (0.1, 8.0)
     )
     assert count_admitted(100.0, create_restarted_gateway(BackendState.DRAINING, 50.0)) < 0.6 * admitted_warmed_up, (
-        "what drains carries nothing new"
+        "draining backends count as capacity"
     )
     assert admitted_just_started < 0.7 * admitted_warmed_up
     assert admitted_just_started < admitted_warming_up < admitted_warmed_up
     restarted_gateway = create_restarted_gateway(BackendState.READY, 0.1)
-    restarted_gateway.handle(120.0, TimerFired(1))  # the next tick
+    restarted_gateway.handle(120.0, TimerFired(1))  # The next tick.
     assert count_admitted(120.0, restarted_gateway) >= admitted_warmed_up
--- a/tests/decision/test_reserved_admission.py
+++ b/tests/decision/test_reserved_admission.py
@@ -1,4 +1,4 @@
-"""Units by base and reservations: all limiters together never admit more than one reference bucket."""
+"""Base slices and reservations: all limiters together never admit more units than one reference bucket."""
 
 from __future__ import annotations
 
@@ -39,7 +39,7 @@
 
 
 class ReferenceBucket:
-    """A token bucket that records how far below empty it was brought."""
+    """A token bucket that may become negative and records its lowest level."""
 
     def __init__(self, rate: float, depth: float, now: float) -> None:
         self.rate = rate
@@ -76,7 +76,7 @@
         pool = pools[limiter_index]
         if operation == "use":
             reference.charge(pool.use(amount, now), now)
-        elif operation in ("time", "sleep"):  # meanwhile no reply arrives, and reservations stay as they are
+        elif operation in ("time", "sleep"):  # No reply arrives, and the reservations do not change.
             now += amount if operation == "sleep" else amount / 20.0
         elif reservation := pool.plan_reservation(amount, amount, now):
             totals[reservation.window] = totals.get(reservation.window, 0.0) + reservation.units
@@ -103,7 +103,7 @@
 
 
 class ReservingSet:
-    """Gateways with reservations, a counter and backends under a virtual clock, beside a reference bucket."""
+    """Gateways with reservations, a counter, backends and a reference bucket, in virtual time."""
 
     def __init__(self, gateway_count: int, seed: int, lost_fraction: float = 0.0, reply_seconds: float = 0.02) -> None:
         self.rng = random.Random(seed)
@@ -121,7 +121,7 @@
         self.calls = 0
 
     def start_gateway(self, index: int) -> Gateway:
-        """Return a gateway that started long ago."""
+        """Return a gateway whose first event is at 0 s, long before the present time."""
         config = settings(index=index, limiter_count=self.gateway_count, plans=(PLAN,), information=COUNTER)
         gateway = create_reserving_gateway(config, index)
         self.handle(gateway, EndpointsChanged(EndpointListKind.FULL, fleet(50)), 0.0)
@@ -131,7 +131,7 @@
         heapq.heappush(self.queue, (scheduled_at, next(self.sequence_numbers), callback))
 
     def handle(self, gateway: Gateway, event: Event, now: float | None = None) -> None:
-        """Hand over an event, and carry out the actions."""
+        """Pass an event to a gateway, and carry out the actions that it returns."""
         for action in gateway.handle(self.now if now is None else now, event):
             match action:
                 case SetTimer(token, delay):
@@ -153,9 +153,8 @@
         self.calls += 1
         total, expires_at = self.totals.get(call.name, (0.0, self.now + call.ttl))
         is_reply_lost = not self.is_counter_up or self.rng.random() < self.lost_fraction
-        if self.is_counter_up and (
-            not is_reply_lost or self.rng.random() < 0.5
-        ):  # some calls without a reply are added all the same
+        # The counter executes half of the calls whose reply is lost.
+        if self.is_counter_up and (not is_reply_lost or self.rng.random() < 0.5):
             total = total if expires_at > self.now else 0.0
             self.totals[call.name] = (total + call.amount, expires_at if expires_at > self.now else self.now + call.ttl)
         reply = CounterReplied(
@@ -176,7 +175,12 @@
         return sum(float(name.split()[1]) for name, a in self.final_actions.items() if isinstance(a, StartAttempt))
 
     def run_demand(self, demand: float, seconds: float) -> float:
-        """Run demand of so many times the quota, mostly at one gateway that changes; return the units forwarded."""
+        """Run requests for some seconds and return the forwarded units.
+
+        Most requests go to one gateway, which changes every 7 s.
+
+        :param demand: requested units as a multiple of the quota.
+        """
         demand_started_at = self.now
         number = 0
         ids = list[str]()
@@ -190,7 +194,7 @@
             number += 1
             self.handle(self.gateways[gateway_index], request(ids[-1], units, set_size=self.gateway_count))
         self.run(self.now + 1.0)
-        assert all(n in self.final_actions for n in ids)  # each is decided on, once
+        assert all(n in self.final_actions for n in ids)  # Each request gets exactly one decision.
         return self.sum_forwarded_units() - units_before
 
 
@@ -208,7 +212,7 @@
     assert reserving_set.reference.lowest_level > -1e-6
 
 
-def test_base_is_left_and_few_requests_wait_when_the_counter_is_down() -> None:
+def test_base_slices_remain_and_few_requests_wait_when_the_counter_is_down() -> None:
     reserving_set = ReservingSet(3, 7)
     reserving_set.run_demand(3.0, 10.0)
     reserving_set.is_counter_up = False
@@ -257,7 +261,7 @@
     assert not any(name in reserving_set.final_actions for name in disconnected_ids)
     assert not first.quota_admission.waiting
     reserving_set.is_counter_up = False
-    reserving_set.handle(reserving_set.gateways[2], request("b 1.0", 1.0, set_size=2))  # its set is 0 and 1
+    reserving_set.handle(reserving_set.gateways[2], request("b 1.0", 1.0, set_size=2))  # The set is limiters 0 and 1.
     reserving_set.run(202.0)
     assert isinstance(reserving_set.final_actions["b 1.0"], RejectRequest)
 
--- a/tests/decision/test_retries.py
+++ b/tests/decision/test_retries.py
@@ -1,4 +1,4 @@
-"""Retries stay within their budget."""
+"""Limits on retries by the retry budget."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
                 attempts = sends(gateway.handle(now + 0.01, ended(f"r{n}", attempts[0], Status.TIMEOUT, attempt)))
                 attempt = attempt + 1
                 attempt_count = attempt_count + len(attempts)
-    assert attempt_count <= 200 * 1.1 + 12  # the retry budget
+    assert attempt_count <= 200 * 1.1 + 12  # The requests plus the retry budget.
     assert gateway.balancer.select_backend(gateway.pending.get("x") or _build_probe_state(gateway)) is not None
 
 
--- a/tests/decision/test_settings_change.py
+++ b/tests/decision/test_settings_change.py
@@ -1,4 +1,4 @@
-"""Settings that change while the program runs: open requests keep their rules, new ones follow the new rules."""
+"""Changes of settings while the program runs: open requests keep the old rules, new requests use the new rules."""
 
 from __future__ import annotations
 
@@ -44,7 +44,7 @@
     bucket = only_store(gateway)
     level = bucket.level
     faster = replace(PLAN, rate=2.0 * PLAN.rate, burst=10.0 * PLAN.burst)
-    for _ in range(20):  # however often they are applied
+    for _ in range(20):  # Repeated changes have no further effect on the level.
         gateway.handle(0.1, SettingsChanged(settings(limiter_count=1, plans=(faster,))))
     assert bucket.level == level
     assert bucket.plan is faster
@@ -56,7 +56,7 @@
 
 
 def reload_config(limiter: Limiter, change: Any) -> str:
-    """Write the configuration with a change, send SIGHUP, and return the log line that follows."""
+    """Write the changed configuration, send SIGHUP, and return the log line about the reload."""
     config = copy.deepcopy(limiter.config)
     text = change(config)
     limiter.path.write_text(text if isinstance(text, str) else json.dumps(config))
@@ -103,7 +103,7 @@
 ]
 
 
-def test_settings_stay_and_one_line_names_the_fault_when_the_file_is_invalid(tmp_path: Path) -> None:
+def test_settings_stay_in_force_and_one_line_names_the_fault_when_the_file_is_invalid(tmp_path: Path) -> None:
     with Limiter(tmp_path) as limiter:
         client = limiter.connect()
         server = None
@@ -119,7 +119,7 @@
         limiter.serve_request(client, 100, server)
 
 
-def test_open_requests_end_by_their_own_rules_when_classes_change(tmp_path: Path) -> None:
+def test_open_requests_keep_their_rules_when_classes_change(tmp_path: Path) -> None:
     with Limiter(tmp_path, backend_count=2) as limiter:
 
         def accept_forwarded() -> Peer:
@@ -146,13 +146,13 @@
         second = accept_forwarded()
         second.read_command()
         second.send(b"-ERR failed\r\n")
-        assert other.line() == b"-ERR failed"  # it may have been executed, and may not be repeated
+        assert other.line() == b"-ERR failed"  # The request may have been executed and must not be retried.
         second.close()
-        server.close()  # the old request keeps its rules: it is retried
+        server.close()  # The old request keeps its rules and is retried.
         again = accept_forwarded()
         again.read_command()
         again.send(SERVED_REPLY)
         assert client.read_bulk() == b"value"
         limiter.terminate()
-        limiter.process.send_signal(signal.SIGHUP)  # while draining
+        limiter.process.send_signal(signal.SIGHUP)  # The limiter is draining.
         assert limiter.process.wait(PATIENCE) == 0
--- a/tests/decision/trace_environment.py
+++ b/tests/decision/trace_environment.py
@@ -36,13 +36,11 @@
 class SimulatedEnvironment:
     """Generates events for the gateways in virtual time, and carries out their actions."""
 
-    def __init__(
-        self, seed: int, instances: list[dict[str, Any]], rate: float, has_direct_events: bool = False
-    ) -> None:
+    def __init__(self, seed: int, instances: list[dict[str, Any]], rate: float, is_direct: bool = False) -> None:
         self.rng = random.Random(seed)
         self.instances = instances
         self.rate = rate
-        self.has_direct_events = has_direct_events
+        self.is_direct = is_direct
         self.trace = TraceDigest()
         self.out = io.StringIO()
         self.now = START_SECONDS
@@ -62,10 +60,8 @@
 
     def add_scarce_customers(self, count: int) -> None:
         """Add customers with a small quota whose set consists of all gateways."""
-        instance_count = len(self.instances)
-        self.customers = [
-            (f"s:{n}", "scarce", instance_count, n % instance_count) for n in range(count)
-        ] + self.customers
+        full_size = len(self.instances)
+        self.customers = [(f"s:{n}", "scarce", full_size, n % full_size) for n in range(count)] + self.customers
 
     def run(self, runner: Callable[[Iterator[str], TextIO], None]) -> TraceDigest:
         """Run the simulation until its end and return the trace."""
@@ -171,7 +167,7 @@
         self.schedule(delay, instance, f"incoming rid={request_id} " + " ".join(f"{k}={v}" for k, v in fields.items()))
         if self.rng.random() < 0.05:
             self.schedule(delay + self.rng.choice((0.005, 0.3)), instance, f"left rid={request_id}")
-        if self.has_direct_events and self.rng.random() < 0.05:
+        if self.is_direct and self.rng.random() < 0.05:
             self.schedule(delay + self.rng.uniform(0.0, 0.1), instance, f"body rid={request_id}")
 
     def on_bounce(self, instance: int, fields: Fields) -> None:
@@ -247,17 +243,13 @@
 
     def build_membership_lines(self, kind: int, numbers: list[int] | None = None) -> list[str]:
         """Return the lines of an endpoint list with these endpoints, or with all endpoints that are not gone."""
-        listed = (
-            [self.endpoints[n] for n in numbers]
-            if numbers
-            else [endpoint for endpoint in self.endpoints.values() if endpoint[3]]
-        )
+        shown = [self.endpoints[n] for n in numbers] if numbers else [e for e in self.endpoints.values() if e[3]]
         page = next(self.page_numbers)
         if kind == FAILED:
             return [f"membership page={page} how={kind}"]
         rows = [
             f"backend backend={number} az={zone} group={cell} lifecycle={state} started-at={started:.3f} rating=1"
-            for number, zone, cell, state, started in listed
+            for number, zone, cell, state, started in shown
         ]
         return [
             f"table page={page} nodes-list={len(rows)}",
@@ -299,7 +291,7 @@
             self.schedule(0.0, 0, "message sender=99 data=0300010001000000000100000000")
             self.schedule(0.0, 0, "probe_done backend=2 reason=1 spent=0.01")
             self.schedule(0.0, 0, "reminder cookie=1")
-        if self.has_direct_events and second in (11, 22):
+        if self.is_direct and second in (11, 22):
             self.change_settings(0.5 if second == 11 else 1.5)
         return []
 
@@ -316,19 +308,15 @@
 
     def change_settings(self, factor: float) -> None:
         """Put changed settings in force: quotas are multiplied by the factor, and the last plan is removed."""
-        for instance, old_settings in enumerate(self.instances):
+        for instance, current in enumerate(self.instances):
             plans = [
                 {**plan, "refill": plan["refill"] * factor, "most-at-once": plan["most-at-once"] * factor}
-                for plan in old_settings["tiers-of-service"]
+                for plan in current["tiers-of-service"]
             ]
-            new_settings = {
-                **old_settings,
-                "tiers-of-service": plans[:-1],
-                "balancers": old_settings["balancers"] + (factor > 1.0),
-            }
-            self.instances[instance] = new_settings
+            changed = {**current, "tiers-of-service": plans[:-1], "balancers": current["balancers"] + (factor > 1.0)}
+            self.instances[instance] = changed
             if instance in self.running:
-                self.schedule(0.0, instance, f"settings_changed settings={json.dumps(new_settings)}")
+                self.schedule(0.0, instance, f"settings_changed settings={json.dumps(changed)}")
 
     # Timers, peers and the counter.
 
