--- a/thymeflow/decision/reserved_admission.py
+++ b/thymeflow/decision/reserved_admission.py
@@ -28,7 +28,7 @@
 class WaitingRequest(NamedTuple):
     """A request that waits for the counter."""
 
-    waiting_since: float
+    wait_started_at: float
     reservation_count: int  # Reservations that the request has waited for, including the current one.
     request: RequestReceived
 
@@ -53,9 +53,9 @@
         """Admit or reject a request, or let it wait for the counter's reply."""
         plan = self._admission.find_plan(event)
         if plan is None or not self._try_wait_for_reservation(event, plan, 0):
-            self._decide(event)
+            self._decide_request(event)
 
-    def _decide(self, event: RequestReceived) -> None:
+    def _decide_request(self, event: RequestReceived) -> None:
         pending = self._admission.register_request(event)
         if pending is not None:
             sample = self._context.rng.random()
@@ -97,7 +97,7 @@
         self._reporter.on_reply(event)
         now = self._context.now
         for waiting in self.waiting.pop(customer_id, []):
-            remaining = waiting.request.remaining - (now - waiting.waiting_since)
+            remaining = waiting.request.remaining - (now - waiting.wait_started_at)
             request = waiting.request._replace(remaining=remaining)
             plan = self._context.plans.get(request.plan)
             has_time = remaining > RETRY_MARGIN_SECONDS
@@ -107,7 +107,7 @@
                 and self._try_wait_for_reservation(request, plan, waiting.reservation_count)
             )
             if not waits_again:
-                self._decide(request)
+                self._decide_request(request)
 
     def on_counter_timeout(self, customer_id: int) -> None:
         """Do nothing, because the counter client ends every call and requests wait for the end of the call."""
