--- a/tests/decision/test_large_fleet.py
+++ b/tests/decision/test_large_fleet.py
@@ -81,10 +81,10 @@
 
 
 def test_missing_units_are_lent_only_when_use_over_quota_has_no_cost() -> None:
-    for cost, max_fraction in ((0.6, 0.0), (0.0, 0.5)):
+    for cost, fraction_bound in ((0.6, 0.0), (0.0, 0.5)):
         bucket = create_bucket(0.05, 1.0, replace(SMALL_PLAN, over_quota_cost=cost))
         bucket.global_level = 1.0  # A request needs two units.
-        assert (admitted_fraction(bucket) > max_fraction) == (max_fraction > 0.0)
+        assert (admitted_fraction(bucket) > fraction_bound) == (fraction_bound > 0.0)
 
 
 def test_slow_start_limits_hold_for_forty_limiters_when_most_backends_are_replaced() -> None:
