--- a/thymeflow/decision/admission.py
+++ b/thymeflow/decision/admission.py
@@ -1,4 +1,4 @@
-"""Decides whether a request is admitted, and after how many seconds a client should retry a rejected request."""
+"""Decides whether a request is admitted, and when a client should retry a rejected request."""
 
 from __future__ import annotations
 
@@ -70,7 +70,7 @@
 
     @staticmethod
     def _compute_useful_seconds(request_class: RequestClass) -> float:
-        # If a response after the latency objective has no value, its capacity is better used by another request.
+        # If a response after the latency objective has no value, another request can use its capacity better.
         has_late_value = request_class.late_weight > 0.0 or bool(request_class.latency_objective_stretch)
         if has_late_value or request_class.is_streamed:
             return inf
@@ -97,7 +97,7 @@
         self._requests.open(pending, backend)
 
     def _compute_retry_after(self, bucket: TokenBucket, units: float) -> float:
-        """Return the seconds until the bucket covers the units, or 0 if the settings permit no retry-after advice."""
+        """Return the seconds until the bucket covers the units, or 0 if the settings permit no advice."""
         limits = self._context.limits
         if not limits.retry_after:
             return 0.0
--- a/thymeflow/decision/balancing.py
+++ b/thymeflow/decision/balancing.py
@@ -13,8 +13,8 @@
 from thymeflow.health.backend_registry import BackendRegistry
 from thymeflow.health.backend_stats import BackendStats
 
-# Greatest fraction of the ready backends that may be ejected. If more of them fail, no ejection applies, because the
-# cause is then outside the backends.
+# Greatest fraction of the ready backends that may be ejected. If more of them fail, no ejection applies,
+# because the cause is then outside the backends.
 MAX_EJECTED_FRACTION = 0.7
 
 
@@ -28,8 +28,8 @@
     def select_backend(self, pending: RequestState) -> BackendStats | None:
         """Return the backend for the next attempt of a request, or None if no backend is permitted.
 
-        Backends in slow start are selected at random with their share of the load; otherwise the permitted backend
-        with the least expected wait is selected.
+        Backends in slow start are selected at random with their share of the load; otherwise the permitted
+        backend with the least expected wait is selected.
         """
         settings = self._context.settings
         rng = self._context.rng
@@ -38,15 +38,15 @@
         candidates = self._filter_by_idempotency_scope(candidates, pending)
         endpoints = [backend.endpoint for backend in candidates]
         warming_up = slow_start.target_loads(endpoints, self._context.now, settings.rules)
-        # Slow start is sampled for each request. With a saved-up budget per gateway, hundreds of gateways would spend
-        # their budgets on a new backend at the same time.
+        # Slow start is sampled for each request. With a saved-up budget per gateway, hundreds of gateways
+        # would spend their budgets on a new backend at the same time.
         load = 0.0 if pending.attempts else sum(warming_up.values())
         if load and rng.random() * (max(1.0, len(ready) - len(warming_up)) + load) < load:
             return self._registry.backends[rng.choices(list(warming_up), list(warming_up.values()))[0]]
         tried = {backend.endpoint.id for backend, _ in pending.attempts}
         candidates = [b for b in candidates if b.endpoint.id not in tried and b.endpoint.id not in warming_up]
-        # With few attempts in flight, the expected waits hardly differ, and all gateways would select the same backend.
-        # The gateway therefore compares only a weighted random sample of the backends.
+        # With few attempts in flight, the expected waits hardly differ, and all gateways would select the
+        # same backend. The gateway therefore compares only a weighted random sample of the backends.
         sample_size = 2 + self._registry.in_flight
         if sample_size < len(candidates):
             weights = [max(0.01, backend.endpoint.weight) for backend in candidates]
--- a/thymeflow/decision/counter_first_admission.py
+++ b/thymeflow/decision/counter_first_admission.py
@@ -1,11 +1,12 @@
-"""Quota admission for large sets: calls the counter before it admits a request by an outdated total. No I/O, no clock.
-
-If an even slice of a quota is smaller than one request, each limiter in a set of 200 receives a request of the same
-customer only once in many seconds. A counter reply that arrives after the request was forwarded is too old for that
-customer's next request, but a reply that arrives before can decide the request itself. The gateway therefore makes
-the counter call of such a request first and includes the units of the request in it. The request waits for the reply,
-but no longer than the counter's time-out; after the time-out, the local estimate decides. A request that the estimate
-alone rejects, or for which no call may be made, is decided at once.
+"""Quota admission for large sets: calls the counter before admission by an outdated total. No I/O, no clock.
+
+If an even slice of a quota is smaller than one request, each limiter in a set of 200 receives a request of
+the same customer only once in many seconds. A counter reply that arrives after the request was forwarded is
+too old for that customer's next request, but a reply that arrives before can decide the request itself. The
+gateway therefore makes the counter call of such a request first and includes the units of the request in
+it. The request waits for the reply, but no longer than the counter's time-out; after the time-out, the
+local estimate decides. A request that the estimate alone rejects, or for which no call may be made, is
+decided at once.
 """
 
 from __future__ import annotations
@@ -28,8 +29,9 @@
 MIN_REMAINING_SECONDS = 0.5  # A request with less time left does not wait for the counter.
 # Fraction of the calls of one second that is reserved for requests, so that other reports wait.
 RESERVED_CALL_FRACTION = 0.9
-# Factor by which each counter reply raises the call rate until the first late reply. The counter's capacity is not
-# known in advance; with a growth of 5% for each reply, a new set would reach it only after most of a minute.
+# Factor by which each counter reply raises the call rate until the first late reply. The counter's capacity
+# is not known in advance; with a growth of 5% for each reply, a new set would reach it only after most of a
+# minute.
 INITIAL_CALL_RATE_GROWTH = 1.3
 
 
@@ -66,7 +68,7 @@
                 self._admission.admit(pending, pending.bucket.can_admit(event.units, sample))
 
     def _try_wait_for_counter(self, pending: RequestState, sample: float) -> bool:
-        """Let a request wait for the counter if a reply is needed and possible; return whether the request waits."""
+        """Let a request wait for the counter if a reply is needed and possible; return whether it waits."""
         context = self._context
         reporter = self._reporter
         bucket = pending.bucket
@@ -92,7 +94,8 @@
     def _is_call_needed(self, bucket: TokenBucket, units: float, sample: float) -> bool:
         now = self._context.now
         if now - bucket.counter_called_at < MIN_CALL_INTERVAL_SECONDS:
-            # The last call may still be in flight. With two calls in flight, a total could not be attributed to a call.
+            # The last call may still be in flight. With two calls in flight, a total could not be attributed
+            # to one of them.
             return False
         if now - bucket.last_update_at < REPLY_CURRENT_SECONDS or self._reporter.call_credit < 1.0:
             return False
@@ -109,7 +112,7 @@
         self._decide_waiting_requests(customer_id)
 
     def on_counter_timeout(self, customer_id: int) -> None:
-        """Decide a customer's waiting requests by the local estimate, because the counter has not replied in time."""
+        """Decide a customer's waiting requests by the local estimate, as no reply came in time."""
         self._decide_waiting_requests(customer_id)
 
     def _decide_waiting_requests(self, customer_id: int) -> None:
--- a/thymeflow/decision/gateway.py
+++ b/thymeflow/decision/gateway.py
@@ -60,7 +60,7 @@
     ) -> None:
         """Create a gateway that has received no event yet.
 
-        :param initial_fill: fraction of the burst that new buckets contain; 0 for a limiter that joins a running set.
+        :param initial_fill: fraction of the burst in new buckets; 0 for a limiter that joins a running set.
         """
         context = DecisionContext(settings, seed)
         self.context = context
@@ -209,7 +209,7 @@
             self.quota_admission.on_counter_timeout(int(timer.subject))
 
     def _on_tick(self) -> None:
-        """Decay the pressure, drop the buckets of idle customers, and send due reports to peers or the counter."""
+        """Decay the pressure, drop buckets of idle customers, and send reports to peers or the counter."""
         context = self.context
         context.set_timer(TICK_INTERVAL_SECONDS, TimerKind.TICK)
         is_round = context.now - self._last_round_at >= ROUND_INTERVAL_SECONDS
--- a/thymeflow/decision/open_requests.py
+++ b/thymeflow/decision/open_requests.py
@@ -19,7 +19,7 @@
 
 
 class OpenRequests:
-    """Starts the attempts of open requests, and sends a final response to requests that no attempt has answered."""
+    """Starts the attempts of open requests, and sends the final response if no attempt has answered."""
 
     def __init__(self, context: DecisionContext, registry: BackendRegistry) -> None:
         self._context = context
@@ -62,8 +62,8 @@
         request_id = pending.request.id
         is_idempotent = pending.request_class.idempotency is Idempotency.IDEMPOTENT
         if not pending.find_possibly_executed_attempts() or is_idempotent:
-            # The units of the request are charged, and backends were the cause rather than the quota, so the client
-            # may retry soon.
+            # The units of the request are charged, and backends were the cause rather than the quota, so the
+            # client may retry soon.
             advice = MIN_RETRY_AFTER_SECONDS if self._context.limits.retry_after else 0.0
             self._context.emit(RejectRequest(request_id, RejectionReason.ATTEMPTS, advice))
         else:
@@ -71,7 +71,7 @@
         self.finish(pending)
 
     def finish(self, pending: RequestState) -> None:
-        """Finish a request that is answered or whose client has disconnected; cancel its attempts in flight."""
+        """Finish an answered request or one whose client has disconnected; cancel its attempts in flight."""
         in_flight = pending.find_attempts_in_flight()
         request_id = pending.request.id
         if not pending.is_answered and self._context.limits.cancel and not pending.is_streaming:
--- a/thymeflow/decision/reserved_admission.py
+++ b/thymeflow/decision/reserved_admission.py
@@ -1,8 +1,8 @@
-"""Quota admission by base slices and reservations instead of demand-based slices and estimates. No I/O, no clock.
+"""Quota admission by base slices and reservations, not by demand and estimates. No I/O, no clock.
 
 All limiters together never admit more units of a quota than a single token bucket would admit (see
-`quota.reservations`). The cost is a counter call for most requests that the base slice does not cover, and these
-requests wait for the reply.
+`quota.reservations`). The cost is a counter call for most requests that the base slice does not cover, and
+these requests wait for the reply.
 """
 
 from __future__ import annotations
@@ -110,7 +110,7 @@
                 self._decide_request(request)
 
     def on_counter_timeout(self, customer_id: int) -> None:
-        """Do nothing, because the counter client ends every call and requests wait for the end of the call."""
+        """Do nothing, because the counter client ends every call and requests wait for that end."""
 
     def on_client_disconnected(self, request_id: str) -> None:
         """Remove a request from the waiting requests; the counter call in flight continues."""
@@ -136,7 +136,7 @@
 ) -> Gateway:
     """Create a gateway that bounds the units of each customer over all limiters together.
 
-    :param clock_offset: seconds to add to the time of events to get the time that all limiters of the set share.
+    :param clock_offset: seconds to add to the time of events to get the time that all limiters share.
     """
     create_bucket = partial(_create_bucket, clock_offset)
     return Gateway(settings, seed, initial_fill, ReservedAdmission, create_bucket)
--- a/thymeflow/decision/retries.py
+++ b/thymeflow/decision/retries.py
@@ -32,7 +32,7 @@
         self.budget = min(self.compute_max_budget(), self.budget + RETRY_BUDGET_PER_REQUEST)
 
     def start_retry(self, pending: RequestState) -> bool:
-        """Start another attempt if settings, time and budget permit it; return whether an attempt was started."""
+        """Start another attempt if settings, time and budget permit it; return whether it was started."""
         executed = pending.find_possibly_executed_attempts()
         idempotency = pending.request_class.idempotency
         end = pending.deadline
