--- a/tests/quota/test_counter_reports.py
+++ b/tests/quota/test_counter_reports.py
@@ -10,7 +10,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from tests.decision.support import ticks
+from tests.decision.support import fire_ticks
 from tests.helpers import PLAN, ended, only_store, request, sends, settings, started
 from thymeflow.decision.actions import AddToCounter
 from thymeflow.decision.events import CounterReplied
@@ -25,7 +25,7 @@
 
 def find_counter_call(gateway: Gateway, now: float) -> AddToCounter:
     """Run half a second and return its only counter call."""
-    calls = [action for action in ticks(gateway, now, 0.5) if isinstance(action, AddToCounter)]
+    calls = [action for action in fire_ticks(gateway, now, 0.5) if isinstance(action, AddToCounter)]
     assert len(calls) == 1
     return calls[0]
 
@@ -58,7 +58,7 @@
         gateway = started(settings(index=index, limiter_count=300, information=COUNTER_INFORMATION))
         for n in range(20):
             gateway.handle(10.0, request(f"r{n}", 4.0, customer=f"c{n}", set_size=300))
-        calls += sum(isinstance(a, AddToCounter) for a in ticks(gateway, 10.0, 1.0))
+        calls += sum(isinstance(a, AddToCounter) for a in fire_ticks(gateway, 10.0, 1.0))
     assert calls <= 1500  # 6,000 requests were sent.
 
 
@@ -67,7 +67,7 @@
     for n in range(300):
         # Each customer requests a hundredth of the burst, which is too little to justify a call.
         gateway.handle(10.0 + n / 10.0, request(f"r{n}", 0.3, customer=f"c{n}"))
-        assert not [a for a in ticks(gateway, 10.0 + n / 10.0, 0.1) if isinstance(a, AddToCounter)]
+        assert not [a for a in fire_ticks(gateway, 10.0 + n / 10.0, 0.1) if isinstance(a, AddToCounter)]
     assert max(len(gateway.buckets), len(gateway.reports.pending), len(gateway.reports.deferred)) <= 250
     gateway.handle(41.0, request("more", 4.0, customer="c299"))
     counter_call = find_counter_call(gateway, 41.0)
@@ -101,7 +101,7 @@
     gateway.reporter.call_rate = 0.5
     gateway.reporter.call_credit = 0.5
     gateway.handle(10.0, request("r0", 4.0))
-    assert [a for a in ticks(gateway, 10.0, 4.0) if isinstance(a, AddToCounter)]
+    assert [a for a in fire_ticks(gateway, 10.0, 4.0) if isinstance(a, AddToCounter)]
 
 
 def test_own_amount_is_not_taken_for_remote_demand_when_a_call_gets_no_reply() -> None:
@@ -136,7 +136,7 @@
 def reply_to_calls(gateways: list[Gateway], totals: dict[int, float], now: float) -> None:
     """Run half a second in which the counter replies to each call without delay."""
     for gateway in gateways:
-        for counter_call in [action for action in ticks(gateway, now, 0.5) if isinstance(action, AddToCounter)]:
+        for counter_call in [action for action in fire_ticks(gateway, now, 0.5) if isinstance(action, AddToCounter)]:
             totals[counter_call.name] = totals.get(counter_call.name, 0.0) + counter_call.amount
             gateway.handle(now + 0.5, CounterReplied(counter_call.name, Status.OK, totals[counter_call.name]))
 
