--- a/tests/cli/test_configuration_texts.py
+++ b/tests/cli/test_configuration_texts.py
@@ -17,7 +17,7 @@
 from tests.limiter import ROOT, SETTINGS
 from thymeflow.cli import thymeflow as main
 from thymeflow.platform import configuration
-from thymeflow.platform.settings import settings_from
+from thymeflow.platform.settings import parse_platform_settings
 
 DATA = Path(__file__).resolve().parents[1] / "data" / "before-rename"
 GOOD: dict[str, Any] = {
@@ -155,7 +155,7 @@
 @pytest.mark.parametrize("name", PLATFORM)
 def test_start_fails_with_the_recorded_text_when_the_platform_file_is_invalid(name: str) -> None:
     try:
-        found = str(configuration.from_source(json.loads(PLATFORM[name]), "platform.json", {}).listen)
+        found = str(configuration.parse_configuration(json.loads(PLATFORM[name]), "platform.json", {}).listen)
     except (configuration.ConfigurationError, json.JSONDecodeError) as fault:
         found = str(fault)
     same("start", name, found)
@@ -207,7 +207,7 @@
 @pytest.mark.parametrize("key", ["classes", "tiers-of-service"])
 def test_missing_key_is_reported_with_its_place_when_a_later_entry_lacks_it(key: str) -> None:
     with pytest.raises(ValueError) as caught:
-        settings_from({**SETTINGS, key: [SETTINGS[key][0], {}]})
+        parse_platform_settings({**SETTINGS, key: [SETTINGS[key][0], {}]})
     same("place", key, str(caught.value))
 
 
--- a/tests/core/test_dispatcher.py
+++ b/tests/core/test_dispatcher.py
@@ -20,7 +20,7 @@
 from thymeflow.decision.actions import Action, AddToCounter
 from thymeflow.decision.events import Event
 from thymeflow.decision.gateway import Gateway
-from thymeflow.platform.settings import settings_from
+from thymeflow.platform.settings import parse_platform_settings
 from thymeflow.quota.token_bucket import MIN_CALL_INTERVAL_SECONDS
 from thymeflow.runtime import clock
 from thymeflow.transport.commands import CallReader
@@ -45,9 +45,9 @@
 def test_request_gets_one_response_when_the_gateway_fails(world: InMemoryNetwork, raises: bool) -> None:
     backends, _ = make_backend_connections(world)
     gateway: Any = Odd(raises)
-    core = RequestDispatcher(settings_from(SETTINGS), gateway, world.deadlines, 10**6, backends, None, None)
+    core = RequestDispatcher(parse_platform_settings(SETTINGS), gateway, world.deadlines, 10**6, backends, None, None)
     answers: list[Response] = []
-    call, received = CallReader(settings_from(SETTINGS)).read(parse_command(request(1, wait=500)))
+    call, received = CallReader(parse_platform_settings(SETTINGS)).read(parse_command(request(1, wait=500)))
     core.submit(IncomingRequest(received, clock.now() + 0.5, call, 100)).addCallback(answers.append)
     world.reactor.advance(0.52)
     assert [answer.kind for answer in answers] == [ResponseKind.FAILED]
@@ -65,7 +65,7 @@
 
 
 def test_counter_call_ends_before_the_next_of_its_name_when_its_reply_is_late(world: InMemoryNetwork) -> None:
-    settings = settings_from(SETTINGS)
+    settings = parse_platform_settings(SETTINGS)
     counter = Slow()
     backends, _ = make_backend_connections(world)
     core = RequestDispatcher(settings, Gateway(settings, 1), world.deadlines, 10**6, backends, counter, None)
--- a/tests/decision/test_gateway_trace.py
+++ b/tests/decision/test_gateway_trace.py
@@ -22,7 +22,7 @@
 from thymeflow.decision.gateway import Gateway
 from thymeflow.decision.reserved_admission import create_reserving_gateway
 from thymeflow.decision.settings import GatewaySettings
-from thymeflow.platform.settings import settings_from
+from thymeflow.platform.settings import parse_platform_settings
 
 
 def run_adapter(lines: Iterator[str], out: TextIO) -> None:
@@ -54,7 +54,7 @@
 
 def exact_line(action: Action) -> str:
     """The wire's line, with what it leaves out of an attempt: within how many seconds it may begin."""
-    line = simulator.line_for(action)
+    line = simulator.format_action(action)
     return f"{line} within={action.start_within:.6f}" if isinstance(action, StartAttempt) else line
 
 
@@ -76,14 +76,14 @@
         for line in lines:
             kind, _, rest = line.rstrip("\n").partition(" ")
             if kind == "born":
-                fields = simulator.fields_of(kind, rest)
-                settings = settings_from(json.loads(fields["settings"]))
+                fields = simulator.parse_fields(kind, rest)
+                settings = parse_platform_settings(json.loads(fields["settings"]))
                 adapter.gateways[adapter.instance] = make(settings, int(fields["salt"]))
             elif kind == "body":
-                adapter.handle_event(body_begun(simulator.fields_of(kind, rest)["rid"]))
+                adapter.handle_event(body_begun(simulator.parse_fields(kind, rest)["rid"]))
             elif kind == "settings_changed":
-                info = json.loads(simulator.fields_of(kind, rest)["settings"])
-                adapter.handle_event(changed_settings(settings_from(info)))
+                info = json.loads(simulator.parse_fields(kind, rest)["settings"])
+                adapter.handle_event(changed_settings(parse_platform_settings(info)))
             else:
                 adapter.handle_line(line.rstrip("\n"))
 
--- a/tests/discovery/test_watch.py
+++ b/tests/discovery/test_watch.py
@@ -25,7 +25,7 @@
     PUSHED_FIRST_MESSAGE_TIMEOUT,
     PUSHED_IDLE_TIMEOUT,
 )
-from thymeflow.platform.endpoints import Address, EndpointUpdate, endpoint_update
+from thymeflow.platform.endpoints import Address, EndpointUpdate, parse_endpoint_update
 from thymeflow.runtime import log
 
 
@@ -98,7 +98,7 @@
 
 def test_other_entries_are_kept_when_a_lifecycle_is_unknown_and_counts_as_draining() -> None:
     message = build_message(43, build_entry(1, "resting"), build_entry(2, "leaving"), build_entry(3))
-    update = endpoint_update(json.loads(message))
+    update = parse_endpoint_update(json.loads(message))
     assert [backend.state for backend in update.change.backends] == [
         BackendState.DRAINING,
         BackendState.DRAINING,
--- a/tests/fleet/test_stored_files.py
+++ b/tests/fleet/test_stored_files.py
@@ -40,5 +40,5 @@
 
 
 def test_member_configuration_has_the_same_values_when_a_member_reads_it() -> None:
-    content = configuration.from_source(json.loads(stored("web2.json")), "web2.json", {})
+    content = configuration.parse_configuration(json.loads(stored("web2.json")), "web2.json", {})
     assert plain(content) == recorded_value("web2.json")
--- a/tests/network_support.py
+++ b/tests/network_support.py
@@ -14,9 +14,9 @@
 from thymeflow.core.types import AttemptResult, AttemptSpec
 from thymeflow.decision.settings import Limits
 from thymeflow.limiter.assembly import Limiter
-from thymeflow.platform.configuration import Configuration, from_source
-from thymeflow.platform.endpoints import EndpointUpdate, endpoint_update
-from thymeflow.platform.settings import settings_from
+from thymeflow.platform.configuration import Configuration, parse_configuration
+from thymeflow.platform.endpoints import EndpointUpdate, parse_endpoint_update
+from thymeflow.platform.settings import parse_platform_settings
 from thymeflow.runtime import clock
 from thymeflow.transport import resp
 from thymeflow.transport.commands import CallReader
@@ -138,7 +138,7 @@
         "settings": SETTINGS,
         **changes,
     }
-    return from_source(source, "c.json", {})
+    return parse_configuration(source, "c.json", {})
 
 
 def make_limiter(world: InMemoryNetwork, sockets: int) -> Limiter:
@@ -155,7 +155,7 @@
 
 def make_attempt_spec() -> AttemptSpec:
     """Return an attempt at backend 1 with three seconds left."""
-    call, _ = CallReader(settings_from(SETTINGS)).read(parse_command(request(1)))
+    call, _ = CallReader(parse_platform_settings(SETTINGS)).read(parse_command(request(1)))
     return AttemptSpec(1, call, clock.now() + 3.0)
 
 
@@ -174,4 +174,4 @@
 def one_backend_update(lifecycle: str, reset: bool = False) -> EndpointUpdate:
     """Return an endpoint list of one backend in that state."""
     entry = {"instanceId": "s-00000001", "hostPort": "127.0.0.1:9", "lifecycle": lifecycle}
-    return endpoint_update({"generation": 1, "reset": reset, "instances": [entry]})
+    return parse_endpoint_update({"generation": 1, "reset": reset, "instances": [entry]})
--- a/tests/platform/test_endpoints.py
+++ b/tests/platform/test_endpoints.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from thymeflow.platform.endpoints import endpoint_update
+from thymeflow.platform.endpoints import parse_endpoint_update
 
 
 @pytest.mark.parametrize(
@@ -25,4 +25,4 @@
 def test_endpoint_entry_is_rejected_when_it_is_invalid(change: dict[str, Any]) -> None:
     good = {"instanceId": "s-00000001", "hostPort": "127.0.0.1:9", "lifecycle": "active"}
     with pytest.raises((ValueError, KeyError, TypeError)):
-        endpoint_update({"generation": 1, "instances": [{**good, **change}]})
+        parse_endpoint_update({"generation": 1, "instances": [{**good, **change}]})
--- a/tests/run_line/test_bad_input.py
+++ b/tests/run_line/test_bad_input.py
@@ -12,8 +12,8 @@
 from tests.limiter import SETTINGS, Limiter, Peer, command, is_connection_refused, request
 from tests.network_support import parse_command
 from thymeflow.decision.settings import Idempotency
-from thymeflow.platform.configuration import ConfigurationError, from_source
-from thymeflow.platform.settings import settings_from
+from thymeflow.platform.configuration import ConfigurationError, parse_configuration
+from thymeflow.platform.settings import parse_platform_settings
 from thymeflow.transport.commands import CallError, CallReader
 
 GOOD = b"*3\r\n$5\r\nvalue\r\n$-1\r\n$-1\r\n"
@@ -122,7 +122,7 @@
 
 @pytest.mark.parametrize("name", ["d", "c", "k", "units", "first", "PING", "SVC.QUERY", "busy", "OK", "-ERR", "d=5"])
 def test_requests_are_served_when_classes_and_plans_are_named_like_protocol_words(name: str) -> None:
-    settings = settings_from(
+    settings = parse_platform_settings(
         {
             **SETTINGS,
             "classes": [{"name": name, "on-time": 3.0, "deadline": 3.0, "effect": "retryable"}],
@@ -136,7 +136,7 @@
 
 
 def test_class_is_not_idempotent_when_its_effect_is_unknown_and_rejected_when_it_is_not_listed() -> None:
-    settings = settings_from(
+    settings = parse_platform_settings(
         {**SETTINGS, "classes": [{"name": "look", "on-time": 3.0, "deadline": 3.0, "effect": "wondrous"}]}
     )
     assert settings.classes[0].idempotency is Idempotency.NOT_IDEMPOTENT
@@ -151,7 +151,7 @@
 def test_missing_key_is_named_with_its_place_when_a_class_or_plan_lacks_it(section: str, key: str) -> None:
     missing_key = {name: value for name, value in SETTINGS[section][0].items() if name != key}
     with pytest.raises(ValueError, match=rf"settings\.{section}\[0\]: {key} is missing"):
-        settings_from({**SETTINGS, section: [missing_key]})
+        parse_platform_settings({**SETTINGS, section: [missing_key]})
 
 
 @pytest.mark.parametrize("section", ["rules", "caps", "family-info"])
@@ -164,7 +164,7 @@
         "settings": {**SETTINGS, section: value},
     }
     with pytest.raises(ConfigurationError):
-        from_source(source, "c.json", {})
+        parse_configuration(source, "c.json", {})
 
 
 @pytest.mark.parametrize("text", ["", "{", "[]", "null", '{"settings": {}}', "\x00"])
--- a/tests/run_line/test_start.py
+++ b/tests/run_line/test_start.py
@@ -22,7 +22,7 @@
 from thymeflow.frontend.listener import bind_listener, start_listening
 from thymeflow.limiter.assembly import Limiter as Assembled
 from thymeflow.limiter.phases import Phase
-from thymeflow.platform.configuration import from_source
+from thymeflow.platform.configuration import parse_configuration
 from thymeflow.platform.endpoints import Address
 from thymeflow.runtime import clock
 from thymeflow.transport.connections import WriteTrackingConnection, dial
@@ -195,7 +195,7 @@
             "instances": [{"instanceId": "s-00000001", "hostPort": "127.0.0.1:7", "lifecycle": "active"}],
         },
     }
-    limiter = Assembled(from_source(source, "c.json", {}), world.reactor)
+    limiter = Assembled(parse_configuration(source, "c.json", {}), world.reactor)
     world.reactor.adoptStreamPort = lambda descriptor, family, factory: Port()
     limiter.start()
     discovery_dial = next(n for n, dialled in enumerate(world.reactor.tcpClients) if dialled[1] == 8)
@@ -220,7 +220,7 @@
 ) -> None:
     monkeypatch.setattr(clock, "STARTED_AT", clock.now() - 3.0)
     source = {"listen": "127.0.0.1:0", "discovery": "127.0.0.1:8", "counter": "127.0.0.1:9", "settings": SETTINGS}
-    limiter = Assembled(from_source(source, "c.json", {}), world.reactor)
+    limiter = Assembled(parse_configuration(source, "c.json", {}), world.reactor)
     world.reactor.adoptStreamPort = lambda descriptor, family, factory: Port()
     limiter.listen(start_listening(bind_listener("127.0.0.1", 0)), waited=True)
     world.reactor.advance(0.5)
--- a/thymeflow/cli/platform_check.py
+++ b/thymeflow/cli/platform_check.py
@@ -42,7 +42,7 @@
             faults.append(Fault(path, 0, "", check.key, why, check.mend))
     if not faults:
         try:
-            configuration.from_source(source, path, os.environ)
+            configuration.parse_configuration(source, path, os.environ)
         except configuration.ConfigurationError as error:
             why = str(error).removeprefix(f"{path}: ")
             faults.append(Fault(path, 0, "", "", why, "mend what it names"))
@@ -66,17 +66,19 @@
 
 def _key_checks() -> list[_KeyCheck]:
     from thymeflow.platform import endpoints
-    from thymeflow.platform.settings import settings_from
+    from thymeflow.platform.settings import parse_platform_settings
 
     return [
         _KeyCheck("listen", lambda value: endpoints.address(value, 0), "write host:port"),
         _KeyCheck("discovery", endpoints.address, "write host:port"),
         _KeyCheck("counter", endpoints.address, "write host:port"),
         _KeyCheck(
-            "known", lambda value: endpoints.endpoint_update(value, cached=True), "write a list in discovery's form"
+            "known",
+            lambda value: endpoints.parse_endpoint_update(value, cached=True),
+            "write a list in discovery's form",
         ),
         _KeyCheck("seed", lambda value: int(str(value), 16), "write a hexadecimal number"),
-        _KeyCheck("settings", settings_from, "compare it with deploy/example.json"),
+        _KeyCheck("settings", parse_platform_settings, "compare it with deploy/example.json"),
     ]
 
 
--- a/thymeflow/discovery/endpoint_stream.py
+++ b/thymeflow/discovery/endpoint_stream.py
@@ -9,7 +9,7 @@
 from twisted.python.failure import Failure
 
 from thymeflow.discovery.http import HttpError, ResponseParser
-from thymeflow.platform.endpoints import Address, EndpointUpdate, endpoint_update
+from thymeflow.platform.endpoints import Address, EndpointUpdate, parse_endpoint_update
 from thymeflow.runtime import clock, log
 from thymeflow.runtime.log_kinds import LogKind
 from thymeflow.transport.connections import WriteTrackingConnection
@@ -79,7 +79,7 @@
     if not message:
         return None
     try:
-        return endpoint_update(json.loads(message))
+        return parse_endpoint_update(json.loads(message))
     except MESSAGE_ERRORS as error:
         log.emit_rate_limited(LogKind.DISCOVERY, f"unreadable message: {error!r}")
         return None
--- a/thymeflow/fleet/registry.py
+++ b/thymeflow/fleet/registry.py
@@ -16,7 +16,7 @@
 
 from thymeflow.fleet.errors import RegistryError
 from thymeflow.handover.control_socket import Message
-from thymeflow.platform.configuration import ConfigurationError, from_source
+from thymeflow.platform.configuration import ConfigurationError, parse_configuration
 from thymeflow.platform.endpoints import Address, address
 from thymeflow.snapshot import atomic_file
 
@@ -79,7 +79,7 @@
     if not isinstance(source, dict) or not isinstance(source.get("settings"), dict):
         text = f"{path}: not a JSON object with an object under the key 'settings'"
         raise ConfigurationError(text)
-    from_source(build_member_configuration(source, "n0", "127.0.0.1:0", 0, 1), str(path), {})
+    parse_configuration(build_member_configuration(source, "n0", "127.0.0.1:0", 0, 1), str(path), {})
     return source
 
 
--- a/thymeflow/platform/configuration.py
+++ b/thymeflow/platform/configuration.py
@@ -10,8 +10,8 @@
 
 from thymeflow.decision.settings import GatewaySettings
 from thymeflow.errors import ThymeflowError
-from thymeflow.platform.endpoints import Address, EndpointUpdate, address, endpoint_update
-from thymeflow.platform.settings import JsonObject, settings_from
+from thymeflow.platform.endpoints import Address, EndpointUpdate, address, parse_endpoint_update
+from thymeflow.platform.settings import JsonObject, parse_platform_settings
 
 RESERVED_SOCKETS = 40  # descriptors for standard streams, the reactor, the counter and discovery
 MIN_SOCKETS = 64
@@ -104,10 +104,10 @@
     except (OSError, ValueError) as fault:
         message = f"{path}: {fault}"
         raise ConfigurationError(message) from None
-    return from_source(source, path, environment)
+    return parse_configuration(source, path, environment)
 
 
-def from_source(source: object, path: str, environment: Mapping[str, str]) -> Configuration:
+def parse_configuration(source: object, path: str, environment: Mapping[str, str]) -> Configuration:
     """Return the configuration in a JSON value that was read from `path`; ConfigurationError says what is wrong."""
     if not isinstance(source, dict):
         message = f"{path}: no JSON object"
@@ -128,7 +128,7 @@
     if sockets < MIN_SOCKETS:
         message = f"limits.sockets: {sockets} is under {MIN_SOCKETS}"
         raise ValueError(message)
-    settings = settings_from(source["settings"])
+    settings = parse_platform_settings(source["settings"])
     if settings.information.counter and not source.get("counter"):
         message = "counter is missing, though the settings allow calls"
         raise ValueError(message)
@@ -142,7 +142,7 @@
         seed=int(str(source.get("seed", "0")), 16),
         sockets=sockets,
         memory=int(float(limits.get("memory_mb", DEFAULT_MEMORY_MB)) * 2**20),
-        endpoints=endpoint_update(source.get("known") or no_endpoints, cached=True),
+        endpoints=parse_endpoint_update(source.get("known") or no_endpoints, cached=True),
         settings=settings,
         management=address(management, 0) if management else None,
         keys=frozenset(keys_of(source)),
--- a/thymeflow/platform/endpoints.py
+++ b/thymeflow/platform/endpoints.py
@@ -81,7 +81,7 @@
     )
 
 
-def endpoint_update(message: Any, cached: bool = False) -> EndpointUpdate:  # noqa: ANN401 (parsed JSON)
+def parse_endpoint_update(message: Any, cached: bool = False) -> EndpointUpdate:  # noqa: ANN401 (parsed JSON)
     """Return the update in a message of discovery's form; `cached` says that it may be old.
 
     :raises ValueError, KeyError, TypeError: where the message is not of that form.
--- a/thymeflow/platform/settings.py
+++ b/thymeflow/platform/settings.py
@@ -139,7 +139,7 @@
     return _section(Plan, f"tiers-of-service[{number}]", source, PLAN_KEYS)
 
 
-def settings_from(source: JsonObject) -> GatewaySettings:
+def parse_platform_settings(source: JsonObject) -> GatewaySettings:
     """Translate the settings object; keys that are absent take our defaults.
 
     :raises ValueError: where a value makes no sense; the text names key and value.
--- a/thymeflow/simulator.py
+++ b/thymeflow/simulator.py
@@ -43,7 +43,7 @@
 from thymeflow.decision.gateway import Gateway
 from thymeflow.decision.types import Backend, BackendState, EndpointListKind, LoadReport, Status
 from thymeflow.errors import ThymeflowError
-from thymeflow.platform.settings import JsonObject, settings_from
+from thymeflow.platform.settings import JsonObject, parse_platform_settings
 
 Fields = dict[str, str]
 
@@ -169,12 +169,12 @@
 }
 
 
-def line_for(action: Action) -> str:
+def format_action(action: Action) -> str:
     """Translate one action."""
     return ACTION_LINES[type(action)](action)
 
 
-def fields_of(kind: str, rest: str) -> Fields:
+def parse_fields(kind: str, rest: str) -> Fields:
     """Split name=value pairs; a text field runs to the end of the line."""
     fields: Fields = {}
     while rest:
@@ -224,7 +224,7 @@
         if kind == "end":
             self._end_batch()
             return
-        fields = fields_of(kind, rest)
+        fields = parse_fields(kind, rest)
         handler = self._line_handlers.get(kind)
         if handler is not None:
             handler(fields)
@@ -235,7 +235,7 @@
         if kind != "backend":
             message = "a backend line was due"
             raise MalformedLineError(message)
-        self._entries.append(backend_from(fields_of(kind, rest)))
+        self._entries.append(backend_from(parse_fields(kind, rest)))
         self._missing_entries -= 1
         if not self._missing_entries:
             self._tables[self._table] = tuple(self._entries)
@@ -274,7 +274,7 @@
 
     def _create_gateway(self, source: JsonObject, seed: int) -> None:
         self.gateways.pop(self.instance, None)
-        self.gateways[self.instance] = create_gateway(settings_from(source), seed)
+        self.gateways[self.instance] = create_gateway(parse_platform_settings(source), seed)
 
     def _on_membership(self, fields: Fields) -> None:
         kind = EndpointListKind(int(fields["how"]))
@@ -285,7 +285,7 @@
         """Hand an event to its instance and write down what it does."""
         gateway = self.gateways.get(self.instance)
         if gateway is not None:
-            self._report_faults(lambda: self.write([line_for(a) for a in gateway.handle(self.now, event)]))
+            self._report_faults(lambda: self.write([format_action(a) for a in gateway.handle(self.now, event)]))
 
     def _report_faults(self, work: Callable[[], None]) -> None:
         # An exception of the decisions is reported as the wire's own fault action.
