--- a/tests/daemon/test_message_formats.py
+++ b/tests/daemon/test_message_formats.py
@@ -41,9 +41,11 @@
     responses = []
     for phase in phases.Phase:
         for command in phases.OperatorCommand:
-            for takes_clients in (True, False):
-                next_phase, is_accepted, reason = phases.apply_command(phase, command, takes_clients)
-                responses.append([phase.value, command.value, takes_clients, next_phase.value, is_accepted, reason])
+            for is_accepting_clients in (True, False):
+                next_phase, is_accepted, reason = phases.apply_command(phase, command, is_accepting_clients)
+                responses.append(
+                    [phase.value, command.value, is_accepting_clients, next_phase.value, is_accepted, reason]
+                )
     invalid = [management.answer(line, lambda _: (True, "")) for line in (b"", b"reload", b"\xff", b"READYZ")]
     valid = management.answer(b" readyz\r", lambda command: (False, command.value))
     assert_as_recorded("operators' calls", [responses, invalid, valid])
--- a/tests/frontend/test_limits.py
+++ b/tests/frontend/test_limits.py
@@ -41,9 +41,9 @@
         )
 
     alone = budgets()
-    limiter.limit_beside_predecessor(open_connections)
+    limiter.share_limits_with_predecessor(open_connections)
     both = budgets()
     assert both[0] + both[1] + open_connections <= sum(alone[:2]) or both[0] + both[1] == MIN_CONNECTIONS
     assert all(2 * part <= whole + 1 for part, whole in zip(both[2:], alone[2:], strict=True))
-    limiter.limit_beside_predecessor(None)
+    limiter.share_limits_with_predecessor(None)
     assert budgets() == alone
--- a/tests/handover/test_handover_trace.py
+++ b/tests/handover/test_handover_trace.py
@@ -84,7 +84,11 @@
     answers = {}
     for phase in Phase:
         for command in OperatorCommand:
-            for takes_clients in (False, True):
-                next_phase, is_accepted, reason = apply_command(phase, command, takes_clients)
-                answers[f"{phase.value} / {command.value} / {takes_clients}"] = [next_phase.value, is_accepted, reason]
+            for is_accepting_clients in (False, True):
+                next_phase, is_accepted, reason = apply_command(phase, command, is_accepting_clients)
+                answers[f"{phase.value} / {command.value} / {is_accepting_clients}"] = [
+                    next_phase.value,
+                    is_accepted,
+                    reason,
+                ]
     assert answers == RECORDED["phases"]
--- a/tests/run_line/test_endpoint_wiring.py
+++ b/tests/run_line/test_endpoint_wiring.py
@@ -163,7 +163,7 @@
 def test_endpoint_updates_are_passed_on_when_discovery_sends_them(world: InMemoryNetwork) -> None:
     limiter = build_limiter(world)
     versions: list[int] = []
-    limiter.on_endpoints = lambda update: versions.append(update.change.version)
+    limiter.on_endpoints_applied = lambda update: versions.append(update.change.version)
     limiter.connect(inf)
     receive_first_list(world).dataReceived(build_chunk(build_message(7, build_entry(2))))
     assert versions == [7]
--- a/tests/run_line/test_lifecycle_wiring.py
+++ b/tests/run_line/test_lifecycle_wiring.py
@@ -109,9 +109,9 @@
 def test_limiter_serves_when_its_first_backend_is_known_after_it_listens(world: InMemoryNetwork) -> None:
     limiter = Limiter(make_configuration(), world.reactor)
     limiter.lifecycle.on_listening(FakePort())
-    assert not limiter.lifecycle.takes_clients()
+    assert not limiter.lifecycle.is_accepting_clients()
     limiter.on_endpoints_changed(one_backend_update("active", reset=True))
-    assert limiter.lifecycle.takes_clients()
+    assert limiter.lifecycle.is_accepting_clients()
 
 
 def test_phases_are_passed_on_in_order_when_the_limiter_starts_and_stops(
@@ -138,11 +138,11 @@
     client.dataReceived(request(1))
     limiter.lifecycle.terminate()
     world.reactor.pump([0.05] * int(linger / 0.05 - 1))
-    assert limiter.lifecycle.takes_clients()
+    assert limiter.lifecycle.is_accepting_clients()
     assert port.stopped_count == 0
     assert limiter.frontend.buildProtocol(None) is not None
     world.reactor.pump([0.05] * 2)
-    assert not limiter.lifecycle.takes_clients()
+    assert not limiter.lifecycle.is_accepting_clients()
     assert port.stopped_count == 1
     assert limiter.frontend.buildProtocol(None) is None
 
--- a/tests/run_line/test_start.py
+++ b/tests/run_line/test_start.py
@@ -211,7 +211,7 @@
         reading.dataReceived(b"1\r\n\n\r\n")
     else:
         world.reactor.advance(0.05)
-    assert limiter.lifecycle.takes_clients()
+    assert limiter.lifecycle.is_accepting_clients()
     assert limiter.lifecycle.phase is Phase.SERVING
 
 
--- a/thymeflow/daemon/instance.py
+++ b/thymeflow/daemon/instance.py
@@ -122,7 +122,7 @@
         gateway = self._build_gateway(initial)
         self._connect_to_fleet(gateway)
         self.limiter = Limiter(initial, self.reactor, gateway, self._load, self.settings.daemon.drain_linger)
-        self.limiter.on_endpoints = self.snapshots.on_endpoint_update
+        self.limiter.on_endpoints_applied = self.snapshots.on_endpoint_update
         self.limiter.on_endpoints_available = on_endpoints_known
         self.snapshots.on_endpoint_update(initial.endpoints)
         if snapshot is not None:
--- a/thymeflow/frontend/frontend.py
+++ b/thymeflow/frontend/frontend.py
@@ -30,7 +30,7 @@
 class FrontendOwner(Protocol):
     """What the frontend needs of the limiter that it belongs to."""
 
-    def takes_clients(self) -> bool:
+    def is_accepting_clients(self) -> bool:
         """Return whether clients are accepted now, so that PING is answered with PONG."""
 
     def describe_state(self) -> str:
@@ -98,7 +98,7 @@
 
     def is_ready(self) -> bool:
         """Return whether PING is answered with PONG."""
-        return self._owner.takes_clients()
+        return self._owner.is_accepting_clients()
 
     def describe_state(self) -> str:
         """Return why it is not."""
--- a/thymeflow/handover/receiver.py
+++ b/thymeflow/handover/receiver.py
@@ -69,7 +69,7 @@
         self.step(ReceiverEvent.TIMED_OUT)
 
     def _on_disconnected(self) -> None:
-        self._participant.limiter.limit_beside_predecessor(None)
+        self._participant.limiter.share_limits_with_predecessor(None)
         self.step(ReceiverEvent.DISCONNECTED)
 
     def is_serving(self) -> bool:
@@ -118,7 +118,7 @@
     def _on_message(self, message: Message) -> None:
         received = messages.parse_sender_message(message)
         if received.open_connections is not None:
-            self._participant.limiter.limit_beside_predecessor(received.open_connections)
+            self._participant.limiter.share_limits_with_predecessor(received.open_connections)
         if received.allocation is not None:
             self._allocation = received.allocation
         if received.event is not None:
--- a/thymeflow/handover/upgradable_limiter.py
+++ b/thymeflow/handover/upgradable_limiter.py
@@ -46,7 +46,7 @@
         self.snapshots = SnapshotStore(initial.name, self.incarnation, initial.endpoints)
         self.snapshots.set_gateway(self.limiter.gateway)
         self.snapshots.on_endpoint_update(initial.endpoints)
-        self.limiter.on_endpoints = self.snapshots.on_endpoint_update
+        self.limiter.on_endpoints_applied = self.snapshots.on_endpoint_update
         self.limiter.on_endpoints_available = self._on_endpoints_ready
         self._path = _socket_path(initial.name)
         self._control: ControlServer | None = None
--- a/thymeflow/limiter/assembly.py
+++ b/thymeflow/limiter/assembly.py
@@ -109,7 +109,7 @@
             self.reload.now,
             linger,
         )
-        self.on_endpoints: Callable[[endpoints.EndpointUpdate], None] = lambda _: None  # for a copy of the list
+        self.on_endpoints_applied: Callable[[endpoints.EndpointUpdate], None] = lambda _: None  # for a copy of the list
         self.on_endpoints_available: Callable[[], None] = lambda: None  # for components that wait for the list
         self.on_endpoints_changed(initial.endpoints)
 
@@ -150,9 +150,9 @@
 
     # The methods of `frontend.FrontendOwner`.
 
-    def takes_clients(self) -> bool:
+    def is_accepting_clients(self) -> bool:
         """Return whether clients are accepted now."""
-        return self.lifecycle.takes_clients()
+        return self.lifecycle.is_accepting_clients()
 
     def describe_state(self) -> str:
         """Return why clients are not accepted."""
@@ -167,7 +167,7 @@
     def on_endpoints_changed(self, update: endpoints.EndpointUpdate) -> None:
         """Apply a change of the endpoint list."""
         self.dispatcher.apply_endpoints(update.change, lambda: self.backends.apply_update(update))
-        self.on_endpoints(update)
+        self.on_endpoints_applied(update)
         if update.addresses:
             self.lifecycle.on_endpoints_known()
 
@@ -217,7 +217,7 @@
             self.counter.connect()
         self.discovery.start(by)
 
-    def limit_beside_predecessor(self, descriptor_count: int | None) -> None:
+    def share_limits_with_predecessor(self, descriptor_count: int | None) -> None:
         """Share the limits with an earlier process that has so many descriptors open; None: it has ended."""
         budgets = self._budgets(descriptor_count)
         self.frontend.set_limits(budgets.client_connections, budgets.response_bytes, budgets.unfinished_input_bytes)
--- a/thymeflow/limiter/lifecycle.py
+++ b/thymeflow/limiter/lifecycle.py
@@ -52,7 +52,7 @@
         self._is_lingering = False  # got a termination signal, and the balancer may not have noticed yet
         self._evacuation_count = 0  # a delayed step of an earlier evacuation is ignored
 
-    def takes_clients(self) -> bool:
+    def is_accepting_clients(self) -> bool:
         """Return whether clients are accepted now: what `PING` and `readyz` both answer."""
         return self.phase in (Phase.SERVING, Phase.HANDED_OVER) or (self.phase is Phase.DRAINING and self._is_lingering)
 
@@ -66,7 +66,7 @@
 
     def on_command(self, command: OperatorCommand) -> tuple[bool, str]:
         """Carry out an operator's command; return whether it was accepted, and the reason as text."""
-        phase, is_accepted, reason = phases.apply_command(self.phase, command, self.takes_clients())
+        phase, is_accepted, reason = phases.apply_command(self.phase, command, self.is_accepting_clients())
         if command is not OperatorCommand.READY:
             log.emit(LogKind.CALL, f"{command.value}: {'yes' if is_accepted else 'no'}, {reason}")
         if phase is not self.phase:
@@ -149,7 +149,7 @@
         # Connections that wait in the queue would be reset with it.
         accepted_before = -1
         max_accepted = self._frontend.accepted_count + BACKLOG
-        while self.takes_clients() and accepted_before < self._frontend.accepted_count < max_accepted:
+        while self.is_accepting_clients() and accepted_before < self._frontend.accepted_count < max_accepted:
             accepted_before = self._frontend.accepted_count
             self.port.doRead()  # accepts some of them at a time
 
--- a/thymeflow/limiter/phases.py
+++ b/thymeflow/limiter/phases.py
@@ -57,9 +57,9 @@
 }
 
 
-def apply_command(phase: Phase, command: OperatorCommand, takes_clients: bool) -> Transition:
-    """Return the effect of a command in a phase; `takes_clients`: whether clients are accepted now."""
+def apply_command(phase: Phase, command: OperatorCommand, is_accepting_clients: bool) -> Transition:
+    """Return the effect of a command in a phase; `is_accepting_clients`: whether clients are accepted now."""
     if command is OperatorCommand.READY:
-        return Transition(phase, takes_clients, REASONS[phase])
+        return Transition(phase, is_accepting_clients, REASONS[phase])
     rejection = Transition(phase, False, REASONS[phase])
     return TRANSITIONS.get((phase, command), rejection)
