--- a/tests/counter/test_client.py
+++ b/tests/counter/test_client.py
@@ -8,7 +8,7 @@
     InMemoryNetwork,
     world,
 )
-from thymeflow.counter.client import DEAD_PEER_TIMEOUT, STALL, CallPipeline, CounterResult
+from thymeflow.counter.client import DEAD_PEER_TIMEOUT, REPLY_STALL_TIMEOUT, CallPipeline, CounterResult
 from thymeflow.decision.types import Status
 from thymeflow.platform.endpoints import Address
 from thymeflow.runtime import clock
@@ -61,7 +61,7 @@
         line.call(b"one", clock.now() + 0.03).addCallback(results.append)
         wire.dataReceived(part)
         world.reactor.pump([0.03] * round(gap / 0.03))
-    assert wire.closed == (gap > STALL)
+    assert wire.closed == (gap > REPLY_STALL_TIMEOUT)
     assert len(results) == 4
     if not wire.closed:
         wire.message(b"9")  # the second call's: the line is in step
--- a/tests/run_line/test_limiter_wiring.py
+++ b/tests/run_line/test_limiter_wiring.py
@@ -182,7 +182,7 @@
     known_dials = len(world.reactor.tcpClients)
     limiter.lifecycle.reload_settings()
     assert len(world.reactor.tcpClients) == known_dials
-    assert limiter.reload.last
+    assert limiter.reloader.last_result
 
 
 def test_settings_are_applied_when_a_reload_changes_them(world: InMemoryNetwork, log_lines: list[str]) -> None:
@@ -205,4 +205,4 @@
     limiter = build_reloadable(world, make_configuration)
     limiter.lifecycle.phase = Phase.STOPPED
     limiter.lifecycle.reload_settings()
-    assert limiter.reload.last == ""
+    assert limiter.reloader.last_result == ""
--- a/tests/run_line/test_start.py
+++ b/tests/run_line/test_start.py
@@ -222,7 +222,7 @@
     source = {"listen": "127.0.0.1:0", "discovery": "127.0.0.1:8", "counter": "127.0.0.1:9", "settings": SETTINGS}
     limiter = Assembled(parse_configuration(source, "c.json", {}), world.reactor)
     world.reactor.adoptStreamPort = lambda descriptor, family, factory: Port()
-    limiter.listen(start_listening(bind_listener("127.0.0.1", 0)), waited=True)
+    limiter.listen(start_listening(bind_listener("127.0.0.1", 0)), was_listening=True)
     world.reactor.advance(0.5)
     assert limiter.deadlines.earliest_arrival(clock.now()) == clock.now()  # nothing is read yet
     limiter.discovery.is_ready = True
@@ -273,9 +273,9 @@
     world.reactor.advance(0.0)
     assert not given_up
     for _ in range(clock.SETTLING_TURNS + 2):
-        world.reactor.advance(clock.STALL / 2)
+        world.reactor.advance(clock.STALL_THRESHOLD / 2)
     assert len(given_up) == 1
-    assert given_up[0] >= begun + 3.0 + clock.STALL
+    assert given_up[0] >= begun + 3.0 + clock.STALL_THRESHOLD
 
 
 @pytest.mark.parametrize("pushed", [True, False])
--- a/thymeflow/counter/client.py
+++ b/thymeflow/counter/client.py
@@ -20,7 +20,7 @@
 from thymeflow.transport.connections import RespConnection, dial
 
 CONNECTIONS = 3  # the counter may be split over as many partitions
-STALL = 0.3  # s: without a byte of a reply that has begun; some are written in pieces
+REPLY_STALL_TIMEOUT = 0.3  # s: without a byte of a reply that has begun; some are written in pieces
 DEAD_PEER_TIMEOUT = 1.0  # s: without a reply while calls wait; the host is gone without closing its connections
 MAX_PENDING_CALLS = 512  # on one connection
 CONNECT_TIMEOUT = 0.25  # s
@@ -70,8 +70,8 @@
         self._line.on_reply(value)
 
     def is_stalled(self) -> bool:
-        """Return whether a reply has arrived incompletely, and for `STALL` seconds no more of it."""
-        return self._parser.buffered_bytes() > 0 and clock.now() - self._last_received_at > STALL
+        """Return whether a reply has arrived incompletely, and for `REPLY_STALL_TIMEOUT` seconds no more of it."""
+        return self._parser.buffered_bytes() > 0 and clock.now() - self._last_received_at > REPLY_STALL_TIMEOUT
 
     def on_malformed(self, fault: str) -> None:
         """Close the connection, as replies can no longer be assigned to calls."""
--- a/thymeflow/daemon/service.py
+++ b/thymeflow/daemon/service.py
@@ -138,7 +138,7 @@
         address = self.instance.configuration.listen
         try:
             listening = activation_sockets[0] if activation_sockets else bind_listener(address.host, address.port)
-            self.instance.limiter.listen(listening, waited=bool(activation_sockets))
+            self.instance.limiter.listen(listening, was_listening=bool(activation_sockets))
         except OSError as error:
             message = f"{address}: {error.strerror}"
             raise StartError(message, CANNOT_LISTEN) from None
@@ -193,8 +193,8 @@
             return False
         instance.notifier.notify(reloading=1, monotonic_usec=int(clock.monotonic() * 1e6))
         settings_error = self._reload_settings()
-        is_reloaded = instance.limiter.reload.now()
-        self.last_reload = " | ".join(filter(None, (instance.limiter.reload.last, settings_error)))
+        is_reloaded = instance.limiter.reloader.reload_configuration()
+        self.last_reload = " | ".join(filter(None, (instance.limiter.reloader.last_result, settings_error)))
         instance.notifier.notify(ready=1)
         self._requests.update_watchers()
         return is_reloaded and not settings_error
--- a/thymeflow/discovery/watch.py
+++ b/thymeflow/discovery/watch.py
@@ -28,7 +28,7 @@
 from thymeflow.discovery.timeouts import PUSHED_IDLE_TIMEOUT as PUSHED_IDLE_TIMEOUT
 from thymeflow.platform.endpoints import Address, EndpointUpdate
 from thymeflow.runtime import clock, log
-from thymeflow.runtime.clock import STALL
+from thymeflow.runtime.clock import STALL_THRESHOLD
 from thymeflow.runtime.log_kinds import LogKind
 from thymeflow.transport.connections import dial, has_unread_bytes
 
@@ -87,7 +87,7 @@
         if self.is_ready:
             return
         if self._deadlines.is_stalled(now):  # the message may be what waits to be read
-            self._deadlines.schedule(now + STALL, self._on_first_message_overdue)
+            self._deadlines.schedule(now + STALL_THRESHOLD, self._on_first_message_overdue)
             return
         log.emit(
             LogKind.DISCOVERY,
--- a/thymeflow/frontend/client_connection.py
+++ b/thymeflow/frontend/client_connection.py
@@ -109,7 +109,7 @@
         now = self._last_activity_at = clock.now()
         # What comes first on a connection may have come as early as that did, where that was a moment ago: a stall
         # since then is known. What comes slowly or after a rest has its time from its last byte on.
-        is_first = not self._has_sent_command and not was_incomplete and now - self._idle_since < clock.STALL
+        is_first = not self._has_sent_command and not was_incomplete and now - self._idle_since < clock.STALL_THRESHOLD
         self._arrived_at = min(owner.deadlines.earliest_arrival(now), self._arrived_at if is_first else inf)
         if parsed or not was_incomplete:
             self._command_started_at = now
--- a/thymeflow/limiter/assembly.py
+++ b/thymeflow/limiter/assembly.py
@@ -18,7 +18,7 @@
 from thymeflow.limiter.lifecycle import TERMINATION_LINGER, Lifecycle
 from thymeflow.limiter.management import MAX_CALLERS, ManagementServer
 from thymeflow.limiter.phases import Phase
-from thymeflow.limiter.reload import Reload
+from thymeflow.limiter.reload import ConfigurationReloader
 from thymeflow.platform import configuration, endpoints
 from thymeflow.quota.buckets import INITIAL_FILL_FRACTION
 from thymeflow.runtime import clock, log
@@ -99,14 +99,14 @@
         )
         self.dispatcher = self._build_dispatcher(budgets)
         self.frontend = self._build_frontend(budgets)
-        self.reload = Reload(initial, self.discovery, self.counter, self.apply_settings, load)
+        self.reloader = ConfigurationReloader(initial, self.discovery, self.counter, self.apply_settings, load)
         self.lifecycle = Lifecycle(
             self.deadlines,
             self.dispatcher,
             self.frontend,
             longest_deadline_of(settings),
             reactor.stop,
-            self.reload.now,
+            self.reloader.reload_configuration,
             linger,
         )
         self.on_endpoints_applied: Callable[[endpoints.EndpointUpdate], None] = lambda _: None  # for a copy of the list
@@ -248,15 +248,15 @@
         else:
             self.lifecycle.resume()
 
-    def listen(self, listener: socket.socket, waited: bool = False) -> None:
+    def listen(self, listener: socket.socket, was_listening: bool = False) -> None:
         """Listen at a socket that was made elsewhere, and is ours from now on, once the endpoint list is known.
 
         The kernel queues requests for a process that listens, and their time runs. So nothing may come before the
         start is done, which takes a second on a slow machine, and before we know where to send it.
-        `waited`: the socket listened before this process began, and what comes first may have waited since then.
+        `was_listening`: the socket listened before this process began, and what comes first may have waited since then.
         """
         self._listener = listener
-        self._has_queue = waited
+        self._has_queue = was_listening
         self._open_listener()
 
     def _open_listener(self) -> None:
--- a/thymeflow/limiter/reload.py
+++ b/thymeflow/limiter/reload.py
@@ -40,7 +40,7 @@
     return "; ".join(differences) or "other values than before"
 
 
-class Reload:
+class ConfigurationReloader:
     """The configuration that was read last, and the components that are notified of a change."""
 
     def __init__(
@@ -56,21 +56,21 @@
         self._counter = counter
         self._apply_settings = apply_settings
         self._load = load
-        self.last = ""  # the result of the last reload, as text
+        self.last_result = ""  # the result of the last reload, as text
 
-    def now(self) -> bool:
+    def reload_configuration(self) -> bool:
         """Read the file again and return whether it could be used; otherwise nothing changes."""
         try:
             reloaded = self._load()
             configuration.check_reload(reloaded, self._current)
         except configuration.ConfigurationError as error:
-            self.last = f"the old settings stay: {error}"
-            log.emit(LogKind.RELOAD, self.last)
+            self.last_result = f"the old settings stay: {error}"
+            log.emit(LogKind.RELOAD, self.last_result)
             return False
         previous = self._current
         self._current = reloaded
-        self.last = f"discovery at {reloaded.discovery}, counter at {reloaded.counter or 'none'}"
-        log.emit(LogKind.RELOAD, self.last)
+        self.last_result = f"discovery at {reloaded.discovery}, counter at {reloaded.counter or 'none'}"
+        log.emit(LogKind.RELOAD, self.last_result)
         if reloaded.discovery != previous.discovery:
             self._discovery.set_address(reloaded.discovery)
         if self._counter is not None and reloaded.counter is not None and reloaded.counter != previous.counter:
--- a/thymeflow/runtime/clock.py
+++ b/thymeflow/runtime/clock.py
@@ -17,7 +17,9 @@
 
 _OFFSET = time.time() - time.monotonic()
 _MAX_CANCELLED = 256  # cancelled deadlines that stay in the heap before they are removed together
-STALL = 0.1  # s: without a turn, after which what waits to be read may make endpoint lists and leases out of date
+STALL_THRESHOLD = (
+    0.1  # s: without a turn, after which what waits to be read may make endpoint lists and leases out of date
+)
 SETTLING_TURNS = 8  # turns after a stall: connections that waited are accepted some at a time, and read a turn later
 
 STARTED_AT = time.time()  # Unix time in seconds at which this process started, after the interpreter's own start
@@ -70,7 +72,7 @@
 class Deadlines:
     """A heap of deadlines behind a single timer of the reactor, which is reset as the first deadline changes.
 
-    `on_stall` is called with the seconds for which the reactor was blocked, where that was over `STALL`.
+    `on_stall` is called with the seconds for which the reactor was blocked, where that was over `STALL_THRESHOLD`.
     """
 
     def __init__(self, reactor: TimerReactor, on_stall: Callable[[float], None] = _ignore_stall) -> None:
@@ -123,7 +125,7 @@
 
     def is_stalled(self, moment: float) -> bool:
         """Return whether the reactor was blocked for so long that lists and leases must be read before a send."""
-        return moment - self.earliest_arrival(moment) > STALL
+        return moment - self.earliest_arrival(moment) > STALL_THRESHOLD
 
     def mark_waiting(self, since: float) -> None:
         """Record that what is read in the next turns may have waited since then."""
@@ -162,7 +164,7 @@
             # A deadline that a callback sets for the present waits for the next turn, so that sockets are served.
             fired_at = now()
             head = self._head()
-            if head is not None and fired_at - head[0] > STALL:
+            if head is not None and fired_at - head[0] > STALL_THRESHOLD:
                 self._on_stall(fired_at - head[0])
                 self.mark_waiting(head[0])
             while self._heap and self._heap[0][0] <= fired_at:
--- a/thymeflow/transport/connections.py
+++ b/thymeflow/transport/connections.py
@@ -191,7 +191,7 @@
         nonlocal timeout_call
         now = clock.now()
         if deadlines.is_stalled(now):
-            timeout_call = deadlines.schedule(now + clock.STALL, give_up)
+            timeout_call = deadlines.schedule(now + clock.STALL_THRESHOLD, give_up)
         else:
             connector.stopConnecting()
 
