--- a/thymeflow/counter/client.py
+++ b/thymeflow/counter/client.py
@@ -1,7 +1,7 @@
-"""The counter's client: a few lasting connections, on each of which calls are pipelined and replies come in order.
+"""The counter's client: a few persistent connections, each with pipelined calls whose replies arrive in order.
 
-A name always takes the same connection, so that its replies come in the order of its calls. A call that is abandoned
-keeps its position: its reply still arrives, and must not be taken for that of the next call.
+All calls for a name use the same connection, so that their replies arrive in the order of the calls. An abandoned call
+keeps its position in the pipeline, because its reply still arrives and must not be assigned to the next call.
 """
 
 from __future__ import annotations
@@ -19,23 +19,25 @@
 from thymeflow.transport import resp
 from thymeflow.transport.connections import RespConnection, dial
 
-CONNECTIONS = 3  # the counter may be split over as many partitions
-REPLY_STALL_TIMEOUT = 0.3  # s: without a byte of a reply that has begun; some are written in pieces
-DEAD_PEER_TIMEOUT = 1.0  # s: without a reply while calls wait; the host is gone without closing its connections
-MAX_PENDING_CALLS = 512  # on one connection
-CONNECT_TIMEOUT = 0.25  # s
-RECONNECT_WAIT = 0.2  # s: between a failed connect and the next
-MOVE_TIMEOUT = 2.0  # s: for the calls in flight when the counter's address changes
+CONNECTION_COUNT = 3  # The counter may be split into as many partitions.
+# Seconds without a further byte of an incomplete reply. The counter writes some replies in pieces.
+REPLY_STALL_TIMEOUT = 0.3
+# Seconds without a reply while calls are pending. A host can fail without closing its connections.
+DEAD_PEER_TIMEOUT = 1.0
+MAX_PENDING_CALLS = 512  # per connection
+CONNECT_TIMEOUT = 0.25  # seconds
+RECONNECT_WAIT = 0.2  # seconds between a failed connect and the next attempt
+MOVE_TIMEOUT = 2.0  # seconds for the calls in flight after the counter's address has changed
 MIN_TTL_MS = 1
 
-MAX_TOTAL = 1e15  # larger sums are malformed: no sum of credible amounts is larger
+MAX_TOTAL = 1e15  # A larger total is malformed: no sum of plausible amounts reaches it.
 _TOTAL = re.compile(rb"-?[0-9]{1,18}(\.[0-9]{1,18})?([eE][+-]?[0-9]{1,2})?")
 
-CounterResult = tuple[Status, float]  # the status and the new total; a plain tuple, as each call builds one
+CounterResult = tuple[Status, float]  # The status and the new total. A plain tuple, because each call builds one.
 
 
 class PendingCall:
-    """One call, until its reply has arrived; its result may have been reported before."""
+    """One call whose reply has not arrived; its result may already have been reported, as a timeout."""
 
     __slots__ = ("data", "is_reported", "result_deferred", "started_at", "timeout_call")
 
@@ -50,42 +52,42 @@
 class CounterConnection(RespConnection):
     """One connection to the counter."""
 
-    def __init__(self, line: CallPipeline) -> None:
+    def __init__(self, pipeline: CallPipeline) -> None:
         super().__init__()
-        self._line = line
+        self._pipeline = pipeline
         self._last_received_at = 0.0
 
     def resumeProducing(self) -> None:
-        """Report that all that was written has gone to the kernel."""
+        """Tell the pipeline that the kernel has accepted all written bytes."""
         super().resumeProducing()
-        self._line.on_flushed()
+        self._pipeline.on_flushed()
 
     def dataReceived(self, data: bytes) -> None:
-        """Read replies, or a fragment of one."""
+        """Parse received bytes, which may contain several replies or a part of one."""
         self._last_received_at = clock.now()
         super().dataReceived(data)
 
     def message(self, value: resp.Value) -> None:
-        """Report the reply to the oldest call."""
-        self._line.on_reply(value)
+        """Pass a reply to the pipeline, which assigns it to the oldest call."""
+        self._pipeline.on_reply(value)
 
     def is_stalled(self) -> bool:
-        """Return whether a reply has arrived incompletely, and for `REPLY_STALL_TIMEOUT` seconds no more of it."""
+        """Return whether a reply is incomplete and no byte has arrived for `REPLY_STALL_TIMEOUT` seconds."""
         return self._parser.buffered_bytes() > 0 and clock.now() - self._last_received_at > REPLY_STALL_TIMEOUT
 
     def on_malformed(self, fault: str) -> None:
-        """Close the connection, as replies can no longer be assigned to calls."""
-        log.emit_rate_limited(LogKind.COUNTER_REPLY_MALFORMED, fault)
+        """Close the connection, because its replies can no longer be assigned to calls."""
+        log.emit_rate_limited(LogKind.COUNTER_REPLY_MALFORMED, f"{fault}; the counter connection is closed")
         self.hang_up()
         self.on_lost()
 
     def on_lost(self) -> None:
-        """Report that the connection has ended."""
-        self._line.on_connection_lost()
+        """Tell the pipeline that the connection has ended."""
+        self._pipeline.on_connection_lost()
 
 
 class CallPipeline:
-    """The calls of one connection in their order: those written, and those that wait until it is up."""
+    """The pending calls of one connection in order: the written ones, and those that wait for the connect."""
 
     def __init__(self, reactor: object, deadlines: clock.Deadlines, address: Address) -> None:
         self._reactor = reactor
@@ -95,13 +97,13 @@
         self._is_dialing = False
         self._reconnect_at = 0.0
         self._last_reply_at = 0.0
-        self._is_retired = False  # the counter has another address: no new calls, and none is awaited for long
+        self._is_retired = False  # The counter's address has changed; no new calls are sent here.
         self.written: deque[PendingCall] = deque()
-        self._flushed_calls = 0  # how many of the written ones have gone to the kernel
+        self._flushed_calls = 0  # number of written calls that the kernel has accepted
         self._unwritten: deque[PendingCall] = deque()
 
     def call(self, data: bytes, deadline: float) -> Deferred[CounterResult]:
-        """Send a call; the result is due by the deadline, and is never a failure."""
+        """Send a call and return its result as a Deferred, which fires by the deadline and never with a failure."""
         now = clock.now()
         result_deferred: Deferred[CounterResult] = Deferred()
         call = PendingCall(data, now, result_deferred)
@@ -110,7 +112,7 @@
         if self._connection is None and not self._is_dialing:
             self._report(call, (Status.CONNECT_FAILED, 0.0))
         elif len(self.written) + len(self._unwritten) >= MAX_PENDING_CALLS:
-            self._report(call, (Status.FULL, 0.0))  # nothing was added, as when the counter rejects a call
+            self._report(call, (Status.FULL, 0.0))  # Nothing was added, as after a rejection by the counter.
         else:
             call.timeout_call = self._deadlines.schedule(deadline, lambda _: self._on_deadline(call))
             if self._connection is None:
@@ -120,7 +122,7 @@
         return result_deferred
 
     def connect(self) -> None:
-        """Open the connection, unless that failed a moment ago."""
+        """Open the connection unless it exists, is being opened, or failed to open less than `RECONNECT_WAIT` ago."""
         now = clock.now()
         if self._is_dialing or self._connection is not None or now < self._reconnect_at or self._is_retired:
             return
@@ -130,7 +132,7 @@
         connected.addCallbacks(self._on_connected, self._on_connect_failed)
 
     def retire(self) -> None:
-        """Complete the calls in flight, up to a timeout, and close the connection."""
+        """Close the connection once its calls are complete, at the latest after `MOVE_TIMEOUT`."""
         self._is_retired = True
         self._deadlines.schedule(clock.now() + MOVE_TIMEOUT, self._close)
         self._close_if_retired()
@@ -159,7 +161,10 @@
         self._is_dialing = False
         self._reconnect_at = clock.now() + RECONNECT_WAIT
         log.emit_rate_limited(
-            LogKind.COUNTER_DOWN, f"{self._address}: {failure.getErrorMessage()}", address=self._address
+            LogKind.COUNTER_DOWN,
+            f"connect to the counter at {self._address} failed, next attempt in {RECONNECT_WAIT:g} s at the earliest: "
+            f"{failure.getErrorMessage()}",
+            address=self._address,
         )
         self._fail_unwritten()
 
@@ -175,24 +180,25 @@
             self.on_flushed()
 
     def on_flushed(self) -> None:
-        """Take note that all that was written has gone to the kernel."""
+        """Record that the kernel has accepted all written calls."""
         self._flushed_calls = len(self.written)
 
     def _on_deadline(self, call: PendingCall) -> None:
         now = clock.now()
-        if call in self._unwritten:  # nothing was added
+        if call in self._unwritten:  # The counter cannot have added its amount.
             self._unwritten.remove(call)
             self._report(call, (Status.CONNECT_FAILED, 0.0))
             return
         self._report(call, (Status.TIMEOUT, 0.0))
         if self._connection is not None and self._connection.is_stalled():
-            self._connection.on_malformed("a reply has begun and is incomplete")
+            self._connection.on_malformed(f"incomplete reply: no further byte for {REPLY_STALL_TIMEOUT:g} s")
             return
         oldest = self.written[0] if self.written else call
         if self._connection is not None and now - max(self._last_reply_at, oldest.started_at) > DEAD_PEER_TIMEOUT:
             log.emit_rate_limited(
                 LogKind.COUNTER_UNRESPONSIVE,
-                f"{self._address}: no reply for {DEAD_PEER_TIMEOUT:g} s, connecting again",
+                f"no reply from the counter at {self._address} for {DEAD_PEER_TIMEOUT:g} s; the connection is closed, "
+                "and the next call opens another one",
                 address=self._address,
                 waiting=len(self.written),
             )
@@ -200,13 +206,13 @@
             self.on_connection_lost()
 
     def on_reply(self, value: resp.Value) -> None:
-        """End the oldest call, whether or not its result is still awaited."""
+        """Remove the oldest call, and report its result unless that was reported before."""
         self._last_reply_at = clock.now()
         result = self._parse_result(value) if self.written else None
         if result is None:
-            # Replies can no longer be assigned to calls; all that were flushed may have been added.
+            # Replies can no longer be assigned to calls. The counter may have added the amounts of all flushed calls.
             if self._connection is not None:
-                self._connection.on_malformed(f"no valid reply: {str(value)[:60]}")
+                self._connection.on_malformed(f"invalid reply: {str(value)[:60]}")
             return
         call = self.written.popleft()
         self._flushed_calls = max(0, self._flushed_calls - 1)
@@ -217,7 +223,7 @@
     def _parse_result(value: resp.Value) -> CounterResult | None:
         if isinstance(value, resp.ErrorReply):
             if value.startswith(b"ERR"):
-                log.emit_rate_limited(LogKind.COUNTER_ERROR, repr(bytes(value)[:80]))
+                log.emit_rate_limited(LogKind.COUNTER_ERROR, f"the counter rejected a call: {bytes(value)[:80]!r}")
             return (Status.FULL, 0.0) if value.split()[:1] in ([b"BUSY"], [b"ERR"]) else None
         if not isinstance(value, bytes) or isinstance(value, resp.SimpleString) or not _TOTAL.fullmatch(value):
             return None
@@ -225,7 +231,10 @@
         return (Status.OK, total) if abs(total) <= MAX_TOTAL else None
 
     def on_connection_lost(self) -> None:
-        """End all calls: those that were flushed may have been added, the others were not."""
+        """Report the result of all pending calls.
+
+        Flushed calls get TIMEOUT, because the counter may have added their amounts; the other calls get CONNECT_FAILED.
+        """
         self._connection = None
         written = list(self.written)
         flushed_calls = self._flushed_calls
@@ -244,33 +253,33 @@
 
 
 class CounterClient:
-    """The shared counter, over a few connections."""
+    """The client of the shared counter, with `CONNECTION_COUNT` connections."""
 
     def __init__(self, reactor: object, deadlines: clock.Deadlines, address: Address) -> None:
         self._reactor = reactor
         self._deadlines = deadlines
-        self._lines = self._build_lines(address)
+        self._pipelines = self._build_pipelines(address)
 
-    def _build_lines(self, address: Address) -> list[CallPipeline]:
-        return [CallPipeline(self._reactor, self._deadlines, address) for _ in range(CONNECTIONS)]
+    def _build_pipelines(self, address: Address) -> list[CallPipeline]:
+        return [CallPipeline(self._reactor, self._deadlines, address) for _ in range(CONNECTION_COUNT)]
 
     def connect(self) -> None:
-        """Open the connections before the first calls need them."""
-        for line in self._lines:
-            line.connect()
+        """Open the connections before the first call, so that it need not wait for a connect."""
+        for pipeline in self._pipelines:
+            pipeline.connect()
 
     def set_address(self, address: Address) -> None:
-        """Send new calls to another address; those in flight end where they were sent."""
-        old_lines = self._lines
-        self._lines = self._build_lines(address)
+        """Send new calls to another address; calls in flight are completed at the old one."""
+        old_pipelines = self._pipelines
+        self._pipelines = self._build_pipelines(address)
         self.connect()
-        for line in old_lines:
-            line.retire()
+        for pipeline in old_pipelines:
+            pipeline.retire()
 
     def add(self, name: int, amount: float, ttl: float, deadline: float) -> Deferred[CounterResult]:
-        """Add to a named number that expires after `ttl` seconds; the result is a status and the total.
+        """Add an amount to a named number that expires after `ttl` seconds, and return the status and the new total.
 
-        The result comes by the deadline, and is never a failure.
+        The returned Deferred fires by the deadline and never with a failure.
         """
         data = resp.command(b"INCRTTL", b"%d" % name, b"%.6f" % amount, b"%d" % max(MIN_TTL_MS, round(ttl * 1000.0)))
-        return self._lines[name % CONNECTIONS].call(data, deadline)
+        return self._pipelines[name % CONNECTION_COUNT].call(data, deadline)
--- a/thymeflow/discovery/backoff.py
+++ b/thymeflow/discovery/backoff.py
@@ -1,4 +1,4 @@
-"""Backoff between attempts to watch discovery."""
+"""Backoff between attempts to open a watch on discovery."""
 
 from __future__ import annotations
 
@@ -6,25 +6,26 @@
 
 from thymeflow.discovery.timeouts import CONNECT_TIMEOUT, FIRST_LIST_TIMEOUT, POLLED_IDLE_TIMEOUT
 
-INITIAL_BACKOFF = 0.3  # s: the longest first wait, where lists are pushed or the set is small
-BACKOFF_PER_LIMITER = 0.025  # s: over this, times the set's size, first attempts at a crowded service are spread
-MAX_BACKOFF = (
-    POLLED_IDLE_TIMEOUT - CONNECT_TIMEOUT - FIRST_LIST_TIMEOUT
-)  # s: with the connect and its first message, within the silence
-BACKOFF_FACTOR = 4.0  # growth of the bound with each failure: a crowded service also works for clients that left
+INITIAL_BACKOFF = 0.3  # Longest first wait in seconds, where lists are pushed or the set is small.
+# Seconds per limiter of the set: the first attempts of a large set are spread over this many seconds times its size.
+BACKOFF_PER_LIMITER = 0.025
+# Longest wait in seconds: the wait, the connect and the first message together take no longer than the idle timeout.
+MAX_BACKOFF = POLLED_IDLE_TIMEOUT - CONNECT_TIMEOUT - FIRST_LIST_TIMEOUT
+# Growth of the bound with each failure. It is large because an overloaded service also serves clients that have left.
+BACKOFF_FACTOR = 4.0
 
 
 class Backoff:
-    """Exponential backoff with jitter, bounded so that each change is received before it counts as notified."""
+    """Exponential backoff with jitter; its bound lets a limiter receive each change before it counts as notified."""
 
     def __init__(self, limiters: int, seed: int, pushed: bool) -> None:
         self._rng = random.Random(seed)
         self._is_pushed = pushed
-        self._bound = 0.0  # s: of the next wait
+        self._bound = 0.0  # upper bound of the next wait, in seconds
         self.resize(limiters)
 
     def resize(self, limiters: int) -> None:
-        """Adapt the bounds to another number of limiters in the set."""
+        """Compute the bounds for another number of limiters in the set."""
         self._initial_bound = (
             INITIAL_BACKOFF
             if self._is_pushed
@@ -34,22 +35,25 @@
         self._bound = max(self._initial_bound, min(self._max_bound, self._bound))
 
     def next_wait(self) -> float:
-        """Return the seconds to wait now, and raise the bound; a wait is at least half of a raised bound."""
+        """Return a random wait in seconds up to the bound, then raise the bound.
+
+        Once the bound is above its initial value, the wait is at least half of it.
+        """
         bound = self._bound
         self._bound = min(self._max_bound, BACKOFF_FACTOR * bound)
         min_wait = 0.0 if bound <= self._initial_bound else 0.5 * bound
         return min_wait + (bound - min_wait) * self._rng.random()
 
     def next_wait_after_idle(self) -> float:
-        """Return the seconds to wait where a watch became idle, which shows no overload of discovery.
+        """Return a random wait in seconds after a watch has become idle, which is no sign of an overload of discovery.
 
-        What an idle watch misses counts as notified 6 s after its last byte, and one grace period later no request may
-        go to a backend that is draining. The spread of a large set would take five of the seconds that are left. One
-        attempt of each limiter at the same moment is what a service of any size is built for; the attempts after it
-        are spread if it rejects some.
+        A change that an idle watch has missed counts as notified 6 s after the watch's last byte. One grace period
+        later, no request may go to a backend that the change marks as draining. Spreading the attempts of a large set
+        would take five of the remaining seconds. Any discovery service is built for one attempt of each limiter at the
+        same time; if it rejects some, the later attempts are spread.
         """
         return INITIAL_BACKOFF * self._rng.random()
 
     def reset(self) -> None:
-        """Start again from the initial bound, as a watch has been served."""
+        """Set the bound to its initial value, because discovery has served a watch."""
         self._bound = self._initial_bound
--- a/thymeflow/discovery/complete_list.py
+++ b/thymeflow/discovery/complete_list.py
@@ -1,4 +1,4 @@
-"""A request for the complete endpoint list, beside the watch."""
+"""A request for the complete endpoint list, in addition to the watch."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 class CompleteListRequest:
-    """One request, from the connect to the end of its response or its timeout."""
+    """One request for the complete list, from the connect to the end of the response or the timeout."""
 
     def __init__(
         self, deadlines: clock.Deadlines, address: Address, apply_update: Callable[[EndpointUpdate], None]
@@ -26,18 +26,20 @@
         self._timeout_call = clock.NOT_SCHEDULED
 
     def build_stream(self) -> EndpointStream:
-        """Return the connection's protocol."""
+        """Return the protocol of the connection, which sends the request and parses the response."""
         return EndpointStream("/api/targets", self._address, self._on_message, self._on_ended)
 
     def on_connected(self, stream: EndpointStream) -> None:
-        """Start the timeout."""
+        """Set the timeout of the response."""
         self._timeout_call = self._deadlines.schedule(
-            clock.now() + POLLED_IDLE_TIMEOUT, lambda _: stream.end("no complete list in time")
+            clock.now() + POLLED_IDLE_TIMEOUT, lambda _: stream.end("timeout of the complete list")
         )
 
     def on_connect_failed(self, _: Failure) -> None:
-        """Log the failure."""
-        log.emit_rate_limited(LogKind.DISCOVERY, f"no list from {self._address}")
+        """Log that the request could not be sent."""
+        log.emit_rate_limited(
+            LogKind.DISCOVERY, f"complete endpoint list not requested: connect to discovery at {self._address} failed"
+        )
 
     def _on_message(self, _: EndpointStream, message: bytes) -> None:
         update = parse_message(message)
@@ -54,7 +56,7 @@
     address: Address,
     apply_update: Callable[[EndpointUpdate], None],
 ) -> None:
-    """Request the complete list once and apply it; a failure changes nothing."""
+    """Request the complete list once and apply it; after a failure, the known list stays in force."""
     request = CompleteListRequest(deadlines, address, apply_update)
     connected = dial(reactor, deadlines, address, clock.now() + CONNECT_TIMEOUT, request.build_stream)
     connected.addCallbacks(request.on_connected, request.on_connect_failed)
--- a/thymeflow/discovery/endpoint_stream.py
+++ b/thymeflow/discovery/endpoint_stream.py
@@ -1,4 +1,4 @@
-"""One HTTP/1.1 request to discovery, and the messages that its response brings."""
+"""One HTTP/1.1 request to discovery, and the messages in its response."""
 
 from __future__ import annotations
 
@@ -14,6 +14,7 @@
 from thymeflow.runtime.log_kinds import LogKind
 from thymeflow.transport.connections import WriteTrackingConnection
 
+# Exceptions that parsing a malformed message can raise.
 MESSAGE_ERRORS = (
     ValueError,
     KeyError,
@@ -21,11 +22,11 @@
     AttributeError,
     OverflowError,
     RecursionError,
-)  # raised for a message
+)
 
 
 class EndpointStream(WriteTrackingConnection):
-    """One GET request and the messages in its response."""
+    """A connection with one GET request, which passes on each message of the response."""
 
     def __init__(
         self,
@@ -40,7 +41,7 @@
         self._on_ended = on_ended
         self._body = ResponseParser()
         self._is_ended = False
-        self.last_received_at = 0.0  # when some of the body arrived last
+        self.last_received_at = 0.0  # time of the last byte of the body
 
     def connectionMade(self) -> None:
         """Send the request."""
@@ -48,7 +49,7 @@
         self.write(f"GET {self._path} HTTP/1.1\r\nHost: {self._host}\r\nAccept: application/json\r\n\r\n".encode())
 
     def dataReceived(self, data: bytes) -> None:
-        """Report the messages that are complete."""
+        """Pass on the messages that are complete, and close the connection after the response."""
         try:
             messages = self._body.feed(data)
         except HttpError as fault:
@@ -60,14 +61,14 @@
             if not self._is_ended:
                 self._on_message(self, message)
         if self._body.done:
-            self.end("the response has ended")
+            self.end("discovery ended the response")
 
     def connectionLost(self, reason: Failure = connectionDone) -> None:  # noqa: ARG002 - the signature is Twisted's
-        """Report that the other end closed or reset the connection."""
-        self.end("the connection has ended")
+        """Report that discovery has closed or reset the connection."""
+        self.end("discovery closed or reset the connection")
 
     def end(self, reason: str) -> None:
-        """Close the connection and report that, once."""
+        """Close the connection and report the reason; further calls do nothing."""
         if not self._is_ended:
             self._is_ended = True
             self.transport.abortConnection()
@@ -81,5 +82,5 @@
     try:
         return parse_endpoint_update(json.loads(message))
     except MESSAGE_ERRORS as error:
-        log.emit_rate_limited(LogKind.DISCOVERY, f"unreadable message: {error!r}")
+        log.emit_rate_limited(LogKind.DISCOVERY, f"a message from discovery is malformed and not applied: {error!r}")
         return None
--- a/thymeflow/discovery/http.py
+++ b/thymeflow/discovery/http.py
@@ -1,7 +1,7 @@
-"""HTTP/1.1 responses and the JSON objects in their bodies, without I/O: all that discovery's protocol needs.
+"""Parsers for HTTP/1.1 responses and for the JSON objects in their bodies, as far as discovery uses them. No I/O.
 
-A message is a JSON object and not a line: it may be indented, may arrive in any pieces, and is complete with its last
-brace. Between two objects there is white space; a line end there is an empty line, the sender's heartbeat.
+A message is a JSON object, not a line: it may be indented, may arrive in pieces of any size, and ends with its closing
+brace. White space separates two objects. A line end in it is an empty line, which discovery sends as a heartbeat.
 """
 
 from __future__ import annotations
@@ -10,11 +10,11 @@
 
 from thymeflow.errors import ThymeflowError
 
-MAX_HEAD_BYTES = 8 * 1024  # of a response's status line and header fields
-MAX_CHUNK_HEAD_BYTES = 1024  # of a chunk's size and extensions
-MAX_MESSAGE_BYTES = 4 * 2**20  # of one message: a list of thousands of endpoints
-UNTIL_CLOSE = -1  # in place of a body's length: the body ends with the connection
-# A complete string with any brackets in it, or a bracket; a lone quotation mark begins a string that is incomplete.
+MAX_HEAD_BYTES = 8 * 1024  # limit of the status line and the header fields together
+MAX_CHUNK_HEAD_BYTES = 1024  # limit of a chunk's size and extensions
+MAX_MESSAGE_BYTES = 4 * 2**20  # limit of one message; a list of thousands of endpoints fits in
+UNTIL_CLOSE = -1  # stands for the length of a body that ends with the connection
+# Matches a complete string with any brackets in it, or a bracket. A quotation mark alone begins an incomplete string.
 _TOKEN = re.compile(rb'"[^"\\]*(?:\\.[^"\\]*)*"|["{}\[\]]', re.DOTALL)
 _WHITE_SPACE = b" \t\r\n"
 _CHUNK_SIZE = re.compile(rb"[0-9a-fA-F]{1,8}")
@@ -25,21 +25,21 @@
 
 
 class HttpError(DiscoveryError):
-    """The response can't be read, or its status is not 200."""
+    """The response is malformed, or its status is not 200."""
 
 
 class JsonObjectSplitter:
-    """Splits a stream of bytes into JSON objects; it finds where they end, and doesn't parse them."""
+    """Splits a stream of bytes into JSON objects by their brackets, without parsing them."""
 
     def __init__(self) -> None:
         self._buffer = bytearray()
-        self._scanned = 0  # bytes of the buffer that were searched
-        self._depth = 0  # brackets that are open there
+        self._scanned = 0  # number of bytes of the buffer that were searched for brackets
+        self._depth = 0  # number of open brackets in the searched bytes
 
     def feed(self, data: bytes) -> list[bytes]:
-        """Return the objects that these bytes complete, and b"" for each run of white space with an empty line.
+        """Return the objects that these bytes complete, and b"" for each run of white space with a line end.
 
-        :raises HttpError: where something else than an object begins, or an object is too long.
+        :raises HttpError: if a value that is not an object begins, or an object exceeds `MAX_MESSAGE_BYTES`.
         """
         found: list[bytes] = []
         self._buffer += data
@@ -49,7 +49,7 @@
             end = self._find_end()
             if end < 0:
                 if len(self._buffer) > MAX_MESSAGE_BYTES:
-                    fault = "message too long"
+                    fault = f"a message exceeds {MAX_MESSAGE_BYTES} bytes"
                     raise HttpError(fault)
                 break
             found.append(bytes(self._buffer[:end]))
@@ -58,19 +58,19 @@
         return found
 
     def _skip_white_space(self, found: list[bytes]) -> bool:
-        # Returns whether an object begins behind it.
-        rest = self._buffer.lstrip(_WHITE_SPACE)
-        if b"\n" in self._buffer[: len(self._buffer) - len(rest)]:
+        # Returns whether an object begins after the white space.
+        remaining = self._buffer.lstrip(_WHITE_SPACE)
+        if b"\n" in self._buffer[: len(self._buffer) - len(remaining)]:
             found.append(b"")
-        if rest and rest[:1] != b"{":
-            fault = "no JSON object"
+        if remaining and remaining[:1] != b"{":
+            fault = "the body has a value that is not a JSON object"
             raise HttpError(fault)
-        self._buffer = rest
+        self._buffer = remaining
         self._scanned = 0
-        return bool(rest)
+        return bool(remaining)
 
     def _find_end(self) -> int:
-        # Returns the index behind the object's last brace, or -1 if that has not arrived.
+        # Returns the index after the object's closing brace, or -1 if the brace has not arrived.
         for match in _TOKEN.finditer(self._buffer, self._scanned):
             token = match[0]
             if token == b'"':
@@ -85,22 +85,22 @@
 
 
 class ResponseParser:
-    """Parses one response, and returns the messages in its body as they arrive."""
+    """Parses one response incrementally, and returns the messages in its body as they become complete."""
 
     def __init__(self) -> None:
         self._buffer = bytearray()
         self._is_head_read = False
-        self._remaining = 0  # bytes of the current chunk or of the body, or UNTIL_CLOSE
+        self._remaining = 0  # bytes left of the current chunk or of the body, or UNTIL_CLOSE
         self._is_chunked = False
-        self._is_after_chunk = False  # the line end that closes a chunk is expected
+        self._is_after_chunk = False  # the line end after a chunk's data is expected
         self._splitter = JsonObjectSplitter()
-        self.begun = False  # some of the body has arrived
-        self.done = False  # all of it has arrived
+        self.begun = False  # a part of the body has arrived
+        self.done = False  # the whole body has arrived
 
     def feed(self, data: bytes) -> list[bytes]:
-        """Return the messages that these bytes complete, see `JsonObjectSplitter.feed`.
+        """Return the messages that these bytes complete, in the form of `JsonObjectSplitter.feed`.
 
-        :raises HttpError: where the bytes are not a response with status 200.
+        :raises HttpError: if the bytes are not a valid response with status 200.
         """
         self._buffer += data
         found: list[bytes] = []
@@ -109,7 +109,7 @@
         return found
 
     def _advance(self, found: list[bytes]) -> bool:
-        # Each step returns whether another one may be possible with the bytes in the buffer.
+        # Parses the next element; returns whether the bytes in the buffer may contain another one.
         if not self._is_head_read:
             return self._read_head()
         if self._remaining:
@@ -123,7 +123,7 @@
         end = self._buffer.find(b"\r\n\r\n")
         if end < 0:
             if len(self._buffer) > MAX_HEAD_BYTES:
-                fault = "head too long"
+                fault = f"the response's head exceeds {MAX_HEAD_BYTES} bytes"
                 raise HttpError(fault)
             return False
         status_line, *fields = bytes(self._buffer[:end]).split(b"\r\n")
@@ -134,15 +134,15 @@
         return True
 
     def _read_framing(self, fields: list[bytes]) -> None:
-        named = {
+        values = {
             name.strip().lower(): value.strip().lower()
             for name, _, value in (field.partition(b":") for field in fields)
         }
-        self._is_chunked = named.get(b"transfer-encoding", b"").endswith(b"chunked")
-        length = named.get(b"content-length")
+        self._is_chunked = values.get(b"transfer-encoding", b"").endswith(b"chunked")
+        length = values.get(b"content-length")
         if not self._is_chunked:
             if length is not None and not length.isdigit():
-                fault = "bad length"
+                fault = f"invalid Content-Length {length[:16]!r}"
                 raise HttpError(fault)
             self._remaining = UNTIL_CLOSE if length is None else int(length)
 
@@ -150,7 +150,7 @@
         end = self._buffer.find(b"\r\n")
         if end < 0:
             if len(self._buffer) > MAX_CHUNK_HEAD_BYTES:
-                fault = "chunk head too long"
+                fault = f"a chunk's size and extensions exceed {MAX_CHUNK_HEAD_BYTES} bytes"
                 raise HttpError(fault)
             return False
         text = bytes(self._buffer[:end]).partition(b";")[0].strip()
@@ -159,7 +159,7 @@
             self._is_after_chunk = False
             return True
         if self._is_after_chunk or not _CHUNK_SIZE.fullmatch(text):
-            fault = "bad chunk"
+            fault = f"invalid chunk size {text[:16]!r}, or no line end after a chunk"
             raise HttpError(fault)
         self._remaining = int(text, 16)
         del self._buffer[: end + 2]
@@ -182,8 +182,8 @@
 def _check_status(status_line: bytes) -> None:
     tokens = status_line.split(b" ", 2)
     if not tokens[0].startswith(b"HTTP/1.") or len(tokens) < 2:
-        fault = "no HTTP/1 answer"
+        fault = "the response is not HTTP/1"
         raise HttpError(fault)
     if tokens[1] != b"200":
-        fault = f"status {tokens[1][:16].decode('ascii', 'replace')}"
+        fault = f"HTTP status {tokens[1][:16].decode('ascii', 'replace')}"
         raise HttpError(fault)
--- a/thymeflow/discovery/watch.py
+++ b/thymeflow/discovery/watch.py
@@ -1,12 +1,13 @@
 """The watch on discovery: an HTTP/1.1 response that does not end, with a JSON object for each change.
 
-The known endpoint list stays in force while discovery sends nothing. A watch that breaks starts again from the last
-version, so no change is missed or requested twice. There is one idle timeout, counted from the last byte that
-discovery sent: a new watch that receives nothing does not extend it.
-
-Where lists are pushed, discovery is an agent on this machine, and its changes count as notified whether or not we are
-connected: we connect again at once. Where they are polled, it is one service for the whole set, and what breaks one
-watch breaks most of them: each limiter connects again after a backoff of its own, early enough for each change.
+The known endpoint list stays in force while discovery sends nothing. A broken watch is opened again from the last
+version, so that no change is missed or requested twice. The idle timeout is counted from the last byte that discovery
+has sent; opening another stream does not extend it.
+
+Where lists are pushed, discovery is an agent on this machine. Its changes count as notified even while no watch is
+connected, so the limiter connects again at once. Where lists are polled, discovery is one service for the whole set,
+and a fault that breaks one watch breaks most of them. Each limiter then connects again after a random backoff, which
+is short enough to receive each change before it counts as notified.
 """
 
 from __future__ import annotations
@@ -32,22 +33,23 @@
 from thymeflow.runtime.log_kinds import LogKind
 from thymeflow.transport.connections import dial, has_unread_bytes
 
-MAX_STREAMS = 3  # open or being opened, of which all but the first to receive a message are closed
-MAX_READS = 64  # of a socket at a time, so that a sender of very much does not block the reactor
+# Limit of open and opening streams. When one of them receives a message, the other ones are closed.
+MAX_STREAMS = 3
+MAX_READS = 64  # Limit of consecutive reads of a socket, so that a fast sender does not block the reactor.
 
 
 class EndpointObserver(Protocol):
-    """Receives what the watch learns."""
+    """The interface by which the watch passes on changes of the endpoint list."""
 
     def on_endpoints_changed(self, update: EndpointUpdate) -> None:
         """Apply a change of the endpoint list."""
 
     def on_endpoints_ready(self) -> None:
-        """Take note, once, that the list is as complete as it gets."""
+        """Handle, once, the first message or the end of the time to wait for it; the known list is used from now on."""
 
 
 class EndpointWatcher:
-    """The endpoint list as discovery reports it: each change is passed to the observer."""
+    """Watches discovery, and passes each change of the endpoint list to the observer."""
 
     def __init__(
         self,
@@ -69,29 +71,29 @@
         self._first_message_timeout = PUSHED_FIRST_MESSAGE_TIMEOUT if pushed else POLLED_FIRST_MESSAGE_TIMEOUT
         self._version = version
         self._observer = observer
-        self.is_ready = False  # a first message was received, or none is to be had: the list is as good as it gets
-        self._current: EndpointStream | None = None  # the one that received a message last, and is not idle
-        self._open: list[EndpointStream] = []  # all that are open, the oldest first
-        self._dialing = 0
-        self._epoch = 0  # counts the addresses; what comes from an earlier one is ignored
+        self.is_ready = False  # the first message was received, or the time to wait for it is over
+        self._current: EndpointStream | None = None  # the stream that received the last message, unless it is idle
+        self._open: list[EndpointStream] = []  # all open streams, the oldest first
+        self._dialing_count = 0
+        self._epoch = 0  # number of address changes; events of streams to an earlier address are ignored
         self._is_retry_scheduled = False
-        self._idle_timeout_call = clock.NOT_SCHEDULED  # the deadline by which a message has to be received
+        self._idle_timeout_call = clock.NOT_SCHEDULED  # the deadline of the next message
 
-    def start(self, by: float) -> None:
-        """Begin to watch, for good; at the time `by` the known list counts if no message was received."""
-        self._deadlines.schedule(by, self._on_first_message_overdue)
+    def start(self, first_message_deadline: float) -> None:
+        """Start the watch; without a message by the deadline (Unix seconds), the known list is used."""
+        self._deadlines.schedule(first_message_deadline, self._on_first_message_overdue)
         self._open_stream(0)
 
     def _on_first_message_overdue(self, _: int) -> None:
         now = clock.now()
         if self.is_ready:
             return
-        if self._deadlines.is_stalled(now):  # the message may be what waits to be read
+        if self._deadlines.is_stalled(now):  # The message may have arrived and wait to be read.
             self._deadlines.schedule(now + STALL_THRESHOLD, self._on_first_message_overdue)
             return
         log.emit(
             LogKind.DISCOVERY,
-            f"no message from {self._address}: the known endpoint list is used",
+            f"no message from discovery at {self._address} in time; the known endpoint list is used",
             version=self._version,
         )
         self._set_ready()
@@ -102,27 +104,30 @@
             self._observer.on_endpoints_ready()
 
     def read_pending(self) -> None:
-        """Read what waits at the sockets, as after a stall: it counts as notified, and applies to what is sent next."""
+        """Read the bytes that wait at the sockets, as after a stall.
+
+        They count as notified, so they must be applied before the next request is sent.
+        """
         for stream in list(self._open):
             for _ in range(MAX_READS):
                 if not has_unread_bytes(stream.transport) or stream.transport.doRead() is not None:
-                    break  # all is read; or the connection has ended, which the reactor finds too
+                    break  # All bytes are read, or the connection has ended, which the reactor also detects.
 
     def set_limiter_count(self, limiters: int) -> None:
-        """Adapt the backoff to another number of limiters in the set."""
+        """Compute the bounds of the backoff for another number of limiters in the set."""
         self._backoff.resize(limiters)
 
     def set_address(self, address: Address) -> None:
-        """Watch at another address from now on; the list and its version stay."""
+        """Watch discovery at another address from now on, and keep the list and its version."""
         old_streams = self._open
         self._open = []
         self._current = None
         self._address = address
         self._epoch += 1
-        self._dialing = 0
+        self._dialing_count = 0
         self._backoff.reset()
         for stream in old_streams:
-            stream.end("moved")
+            stream.end("the address of discovery has changed")
         self._open_stream(self._epoch)
 
     def _set_idle_deadline(self, deadline: float) -> None:
@@ -133,12 +138,12 @@
         if epoch != self._epoch:
             return
         self._is_retry_scheduled = False
-        while self._open and len(self._open) + self._dialing >= MAX_STREAMS:
-            self._open.pop(0).end("it received nothing")
+        while self._open and len(self._open) + self._dialing_count >= MAX_STREAMS:
+            self._open.pop(0).end("it received no message, and a newer stream replaces it")
         self._set_idle_deadline(clock.now() + self._first_message_timeout)
-        if self._dialing >= MAX_STREAMS:
+        if self._dialing_count >= MAX_STREAMS:
             return
-        self._dialing += 1
+        self._dialing_count += 1
         path = f"/api/targets?stream=1&index={self._version}"
 
         def on_ended(stream: EndpointStream, reason: str) -> None:
@@ -155,17 +160,17 @@
         connected.addCallbacks(self._on_connected, self._on_connect_failed, callbackArgs=(epoch,), errbackArgs=(epoch,))
 
     def _on_connected(self, stream: EndpointStream, epoch: int) -> None:
-        if epoch != self._epoch:  # the address changed meanwhile
-            stream.end("moved")
+        if epoch != self._epoch:  # The address changed during the connect.
+            stream.end("the address of discovery has changed")
             return
-        self._dialing -= 1
+        self._dialing_count -= 1
         self._open.append(stream)
-        if self._current is not None:  # another stream received a message meanwhile
-            stream.end("there is another")
+        if self._current is not None:  # Another stream received a message during the connect.
+            stream.end("another stream received a message")
 
     def _on_connect_failed(self, failure: Failure, epoch: int) -> None:
         if epoch == self._epoch:
-            self._dialing -= 1
+            self._dialing_count -= 1
             self._on_broken(failure.getErrorMessage())
 
     def _on_ended(self, epoch: int, stream: EndpointStream, reason: str) -> None:
@@ -178,7 +183,10 @@
 
     def _on_broken(self, reason: str) -> None:
         log.emit_rate_limited(
-            LogKind.DISCOVERY, f"watch at {self._address} broke: {reason}", address=self._address, version=self._version
+            LogKind.DISCOVERY,
+            f"watch on discovery at {self._address} failed, the known endpoint list stays in force: {reason}",
+            address=self._address,
+            version=self._version,
         )
         if self._current is None:
             self._schedule_retry(self._backoff.next_wait())
@@ -189,7 +197,7 @@
             self._deadlines.schedule(clock.now() + wait, self._open_stream, self._epoch)
 
     def _on_idle(self, epoch: int) -> None:
-        # Nothing was received for as long as a watch may be idle: another stream is opened beside the open ones.
+        # No byte was received within the timeout, so another stream is opened in addition to the open ones.
         if epoch != self._epoch:
             return
         now = clock.now()
@@ -203,7 +211,8 @@
         if current is not None:
             log.emit_rate_limited(
                 LogKind.DISCOVERY,
-                f"watch at {self._address} received nothing for {self._idle_timeout:g} s",
+                f"watch on discovery at {self._address} received nothing for {self._idle_timeout:g} s; "
+                "another one will be opened",
                 address=self._address,
                 version=self._version,
             )
@@ -214,7 +223,7 @@
             self._schedule_retry(0.0 if self._is_pushed else self._backoff.next_wait())
 
     def _is_first_message_arriving(self, now: float) -> bool:
-        # A long list arrives in pieces.
+        # A long list arrives in several pieces.
         return any(stream.last_received_at + self._first_message_timeout > now for stream in self._open)
 
     def _on_message(self, stream: EndpointStream, message: bytes) -> None:
@@ -223,8 +232,9 @@
             self._keep_only(stream)
         update = parse_message(message)
         if message and update is None:
-            # The list stays. What this message contained is requested again, from the version before it.
-            stream.end("unreadable message")
+            # The known list stays in force. The next stream starts from its version, so it repeats the changes of this
+            # message.
+            stream.end("a message is malformed")
             return
         if update is not None:
             self._apply(update)
@@ -236,13 +246,13 @@
         self._open = [stream]
         for other in streams:
             if other is not stream:
-                other.end("there is another")
+                other.end("another stream received a message")
         self._set_idle_deadline(stream.last_received_at + self._idle_timeout)
 
-    def _apply(self, change: EndpointUpdate) -> None:
-        version = change.change.version
+    def _apply(self, update: EndpointUpdate) -> None:
+        version = update.change.version
         if version < self._version:
-            # It is late, or from a replica that lags: newer changes were received already, and apply.
+            # The update is late or from a replica that lags; newer changes have been applied.
             log.emit_rate_limited(
                 LogKind.DISCOVERY,
                 f"ignored endpoint list version {version}: version {self._version} is in use",
@@ -250,8 +260,8 @@
             )
             return
         self._version = version
-        self._observer.on_endpoints_changed(change)
+        self._observer.on_endpoints_changed(update)
 
     def fetch_complete_list(self) -> None:
-        """Request the complete list once, beside the watch; a failure leaves list and watch as they are."""
+        """Request the complete list once, in addition to the watch; a failure changes neither list nor watch."""
         fetch_complete_list(self._reactor, self._deadlines, self._address, self._apply)
