--- a/tests/run_line/test_limiter_wiring.py
+++ b/tests/run_line/test_limiter_wiring.py
@@ -198,7 +198,7 @@
 def test_fixed_values_are_named_when_a_reload_changes_them(world: InMemoryNetwork, log_lines: list[str]) -> None:
     limiter = build_reloadable(world, lambda: replace(make_configuration(), memory=2**20, sockets=99))
     limiter.lifecycle.reload_settings()
-    assert "reload: sockets, memory differ and hold from the next start" in log_lines
+    assert "reload: changes of sockets, memory take effect at the next start" in log_lines
 
 
 def test_nothing_is_reloaded_when_the_limiter_has_stopped(world: InMemoryNetwork) -> None:
--- a/thymeflow/limiter/__init__.py
+++ b/thymeflow/limiter/__init__.py
@@ -1,1 +1,1 @@
-"""One limiter process: assembly, lifecycle, operators' commands and reload."""
+"""One limiter process: its assembly, lifecycle, operators' commands and reload of the configuration."""
--- a/thymeflow/limiter/assembly.py
+++ b/thymeflow/limiter/assembly.py
@@ -1,4 +1,4 @@
-"""Builds a limiter from its components. Nothing here decides, and nothing is connected before `start`."""
+"""Builds a limiter from its components. It makes no admission decisions, and connects nothing before `start`."""
 
 from __future__ import annotations
 
@@ -24,17 +24,20 @@
 from thymeflow.runtime import clock, log
 from thymeflow.runtime.log_kinds import LogKind
 
-CLIENT_FRACTION = 0.7  # of the descriptors: for clients; the rest is for backends
-REQUEST_MEMORY_FRACTION = 0.25  # of the memory limit: for requests in flight
-RESPONSE_MEMORY_FRACTION = 0.15  # of the memory limit: for responses that clients have not taken
-INPUT_MEMORY_FRACTION = 0.05  # of the memory limit: for commands that have begun and are incomplete
-PREDECESSOR_OTHER_DESCRIPTORS = 16  # of an earlier process, beside its connections
-MIN_CONNECTIONS = 24  # however many descriptors an earlier process still has
+# Fraction of the file descriptors for clients; the backends get the other descriptors.
+CLIENT_FRACTION = 0.7
+# Fractions of the memory limit for requests in flight, for responses that clients have not read, and for incomplete
+# commands.
+REQUEST_MEMORY_FRACTION = 0.25
+RESPONSE_MEMORY_FRACTION = 0.15
+INPUT_MEMORY_FRACTION = 0.05
+PREDECESSOR_OTHER_DESCRIPTORS = 16  # descriptors of a predecessor that are not counted as its connections
+MIN_CONNECTIONS = 24  # lower bound, even if a predecessor still has all descriptors open
 CANNOT_LISTEN = 3  # exit code: the address is invalid or in use
 
 
 class Budgets(NamedTuple):
-    """What this process may use: connections on each side, and bytes by purpose."""
+    """The limits of this process: connections to clients and to backends, and bytes by purpose."""
 
     client_connections: int
     backend_connections: int
@@ -43,24 +46,25 @@
     unfinished_input_bytes: int
 
 
-def longest_deadline_of(settings: GatewaySettings) -> float:
+def compute_longest_deadline(settings: GatewaySettings) -> float:
     """Return the longest deadline of any class, in seconds."""
     return max((request_class.deadline for request_class in settings.classes), default=0.0)
 
 
 def make_gateway(
-    given: configuration.Configuration, start: float = INITIAL_FILL_FRACTION, offset: float = 0.0
+    initial: configuration.Configuration, start: float = INITIAL_FILL_FRACTION, offset: float = 0.0
 ) -> Gateway:
     """Return the gateway of a configuration.
 
-    `offset`: from our clock to one that all limiters of the set share, in seconds.
+    `start`: the fraction of the burst that a new bucket contains.
+    `offset`: the seconds to add to this machine's clock to get the clock that all limiters of the set share.
     """
-    if given.units == configuration.UNITS_BY_RESERVATION and given.settings.information.counter:
-        # Loaded only where it is used.
+    if initial.units == configuration.UNITS_BY_RESERVATION and initial.settings.information.counter:
+        # Imported only where it is used, which shortens the start.
         from thymeflow.decision.reserved_admission import create_reserving_gateway
 
-        return create_reserving_gateway(given.settings, given.seed, start, offset)
-    return create_gateway(given.settings, given.seed, start)
+        return create_reserving_gateway(initial.settings, initial.seed, start, offset)
+    return create_gateway(initial.settings, initial.seed, start)
 
 
 def _log_stall(seconds: float) -> None:
@@ -72,7 +76,7 @@
 
 
 class Limiter:
-    """One limiter: made, started, then run by the reactor until its lifecycle ends."""
+    """One limiter: it is built, started, and then run by the reactor until its lifecycle ends."""
 
     def __init__(
         self,
@@ -88,9 +92,9 @@
         self.deadlines = clock.Deadlines(reactor, _log_stall)
         self._is_connected = False
         self.exit_code = 0
-        self._listener: socket.socket | None = None  # bound, and to be opened once the endpoint list is known
-        self._has_queue = False  # connections may wait at it already
-        budgets = self._budgets(None)
+        self._listener: socket.socket | None = None  # bound; it listens once the endpoint list is known
+        self._has_queue = False  # connections may already wait in the socket's queue
+        budgets = self._compute_budgets(None)
         self.gateway = gateway or make_gateway(initial)
         self.discovery = self._build_discovery()
         self.counter = None if initial.counter is None else CounterClient(reactor, self.deadlines, initial.counter)
@@ -104,13 +108,14 @@
             self.deadlines,
             self.dispatcher,
             self.frontend,
-            longest_deadline_of(settings),
+            compute_longest_deadline(settings),
             reactor.stop,
             self.reloader.reload_configuration,
             linger,
         )
-        self.on_endpoints_applied: Callable[[endpoints.EndpointUpdate], None] = lambda _: None  # for a copy of the list
-        self.on_endpoints_available: Callable[[], None] = lambda: None  # for components that wait for the list
+        # Callbacks: a snapshot keeps a copy of the endpoint list, and other components wait until a list is available.
+        self.on_endpoints_applied: Callable[[endpoints.EndpointUpdate], None] = lambda _: None
+        self.on_endpoints_available: Callable[[], None] = lambda: None
         self.on_endpoints_changed(initial.endpoints)
 
     def _build_dispatcher(self, budgets: Budgets) -> RequestDispatcher:
@@ -148,55 +153,55 @@
             initial.settings.discovery is DiscoveryMode.PUSH,
         )
 
-    # The methods of `frontend.FrontendOwner`.
+    # Implementation of `frontend.FrontendOwner`.
 
     def is_accepting_clients(self) -> bool:
         """Return whether clients are accepted now."""
         return self.lifecycle.is_accepting_clients()
 
     def describe_state(self) -> str:
-        """Return why clients are not accepted."""
+        """Return the phase as a sentence, which is the reason while clients are not accepted."""
         return self.lifecycle.describe_state()
 
     def on_client_lost(self) -> None:
-        """Continue a shutdown that waited for a client to leave."""
+        """Continue a shutdown that waits for the last client to disconnect."""
         self.lifecycle.on_client_lost()
 
-    # The methods of `watch.EndpointObserver`.
+    # Implementation of `watch.EndpointObserver`.
 
     def on_endpoints_changed(self, update: endpoints.EndpointUpdate) -> None:
-        """Apply a change of the endpoint list."""
+        """Apply a change of the endpoint list to the gateway and the connections."""
         self.dispatcher.apply_endpoints(update.change, lambda: self.backends.apply_update(update))
         self.on_endpoints_applied(update)
         if update.addresses:
             self.lifecycle.on_endpoints_known()
 
     def on_endpoints_ready(self) -> None:
-        """Accept clients from now on: the endpoint list is as complete as it gets."""
+        """Accept clients from now on: a list was received, or the known list is used after the timeout."""
         self._open_listener()
         self.on_endpoints_available()
 
     def apply_settings(self, settings: GatewaySettings) -> None:
-        """Apply other settings from now on; what is open keeps the rules that it was accepted under."""
+        """Apply changed settings to new requests; open requests keep the settings that they were accepted under."""
         self.frontend.apply_settings(settings)
         self.dispatcher.apply_settings(settings)
         self.backends.set_limits(settings.limits)
         self.discovery.set_limiter_count(settings.limiter_count)
-        self.lifecycle.raise_longest_deadline(longest_deadline_of(settings))
+        self.lifecycle.raise_longest_deadline(compute_longest_deadline(settings))
 
     def start(self) -> None:
         """Listen for operators, connect to counter and discovery, and listen for clients once endpoints are known.
 
-        :raises OSError: if the address is invalid or in use.
+        :raises OSError: if the listen address is invalid or in use.
         """
         self.listen_for_operators()
         self.listen(bind_listener(self.configuration.listen.host, self.configuration.listen.port))
         self.connect(clock.now() + FIRST_LIST_TIMEOUT)
 
     def listen_for_operators(self) -> None:
-        """Listen for operators, if the configuration has an address for them.
+        """Listen for operators' commands, if the configuration has a management address.
 
-        :raises CannotListenError: if the address is in use.
+        :raises CannotListenError: if the management address is in use.
         """
         address = self.configuration.management
         if address is not None:
@@ -206,30 +211,33 @@
                 backlog=MAX_CALLERS,
                 interface=address.host,
             )
-            log.emit(LogKind.CALLS, f"operators may call at {address.host}:{port.getHost().port}")
+            log.emit(LogKind.CALLS, f"listening for operators' commands at {address.host}:{port.getHost().port}")
 
-    def connect(self, by: float) -> None:
-        """Connect to counter and discovery, once; `by`: when to go on though discovery has not answered."""
+    def connect(self, first_message_deadline: float) -> None:
+        """Connect to counter and discovery; further calls do nothing.
+
+        Without a message of discovery by the deadline (Unix seconds), the limiter uses the known endpoint list.
+        """
         if self._is_connected:
             return
         self._is_connected = True
         if self.counter is not None:
             self.counter.connect()
-        self.discovery.start(by)
+        self.discovery.start(first_message_deadline)
 
-    def share_limits_with_predecessor(self, descriptor_count: int | None) -> None:
-        """Share the limits with an earlier process that has so many descriptors open; None: it has ended."""
-        budgets = self._budgets(descriptor_count)
+    def share_limits_with_predecessor(self, predecessor_descriptors: int | None) -> None:
+        """Leave a part of the limits to a predecessor with this number of open descriptors; None: it has ended."""
+        budgets = self._compute_budgets(predecessor_descriptors)
         self.frontend.set_limits(budgets.client_connections, budgets.response_bytes, budgets.unfinished_input_bytes)
         self.backends.set_max_connections(budgets.backend_connections)
         self.dispatcher.set_memory_limit(budgets.request_bytes)
 
-    def _budgets(self, predecessor_descriptors: int | None) -> Budgets:
+    def _compute_budgets(self, predecessor_descriptors: int | None) -> Budgets:
         connections = self.configuration.sockets - configuration.RESERVED_SOCKETS
         memory = self.configuration.memory
         if predecessor_descriptors is not None:
-            left = connections - predecessor_descriptors - PREDECESSOR_OTHER_DESCRIPTORS
-            connections = max(MIN_CONNECTIONS, left)
+            available = connections - predecessor_descriptors - PREDECESSOR_OTHER_DESCRIPTORS
+            connections = max(MIN_CONNECTIONS, available)
             memory //= 2
         client_connections = int(connections * CLIENT_FRACTION)
         return Budgets(
@@ -241,7 +249,7 @@
         )
 
     def on_handover_changed(self, is_handed_over: bool) -> None:
-        """Stop accepting, as a successor does, or accept again if it does not."""
+        """Stop accepting clients after a handover to a successor, or accept them again if the handover failed."""
         self.backends.set_resting(is_handed_over)
         if is_handed_over:
             self.lifecycle.on_handed_over()
@@ -249,11 +257,12 @@
             self.lifecycle.resume()
 
     def listen(self, listener: socket.socket, was_listening: bool = False) -> None:
-        """Listen at a socket that was made elsewhere, and is ours from now on, once the endpoint list is known.
+        """Take ownership of a socket that was created elsewhere, and listen on it once the endpoint list is known.
 
-        The kernel queues requests for a process that listens, and their time runs. So nothing may come before the
-        start is done, which takes a second on a slow machine, and before we know where to send it.
-        `was_listening`: the socket listened before this process began, and what comes first may have waited since then.
+        The kernel queues requests for a socket that listens, while their deadlines run. So the socket must not listen
+        before the start is complete, which takes a second on a slow machine, and before the backends are known.
+        `was_listening`: the socket listened before this process started, so its first requests may have waited since
+        then.
         """
         self._listener = listener
         self._has_queue = was_listening
@@ -268,12 +277,16 @@
             self.deadlines.mark_waiting(clock.STARTED_AT)
         try:
             start_listening(listener)
-        except OSError as error:  # another process listened in between, which had only bound it as we did
-            log.emit(LogKind.CANNOT_LISTEN, f"{self.configuration.listen}: {error.strerror}")
+        except OSError as error:  # Another process had bound the same address, and has listened on it first.
+            log.emit(
+                LogKind.CANNOT_LISTEN,
+                f"listening at {self.configuration.listen} failed, the process exits: {error.strerror}",
+            )
             self.exit_code = CANNOT_LISTEN
             self.reactor.callWhenRunning(self.reactor.stop)
             return
-        # A port that Twisted has made shuts its socket down when it closes, and with it any copy elsewhere.
+        # A port that Twisted has created itself shuts down its socket on closing, and with it the copies of the socket
+        # in other processes.
         port = self.reactor.adoptStreamPort(listener.fileno(), listener.family, self.frontend)
         listener.close()
         self.lifecycle.on_listening(port)
--- a/thymeflow/limiter/lifecycle.py
+++ b/thymeflow/limiter/lifecycle.py
@@ -1,4 +1,4 @@
-"""The phases from start to exit, as named states of one object."""
+"""The lifecycle of a limiter process: its phase from start to exit, and the steps of a shutdown."""
 
 from __future__ import annotations
 
@@ -13,17 +13,22 @@
 from thymeflow.runtime import clock, log
 from thymeflow.runtime.log_kinds import LogKind
 
-TERMINATION_LINGER = 0.7  # s after SIGTERM: clients still connect and are served, as they are not notified yet
-EVACUATION_DELAY = 0.5  # s after `evacuate`: the balancer polls every 0.1 s, and forwards for 0.2 s more
-# s: we may be killed TERMINATION_LINGER and the longest deadline after SIGTERM, or this if that is longer (PROTOCOL)
+# Seconds after SIGTERM in which clients still connect and are served, because they are not notified yet.
+TERMINATION_LINGER = 0.7
+# Seconds after `evacuate` until clients are drained. The balancer polls every 0.1 s, and forwards for 0.2 s more.
+EVACUATION_DELAY = 0.5
+# Upper bound in seconds of the longest deadline that is awaited after SIGTERM. PROTOCOL lets the process be killed
+# TERMINATION_LINGER plus the longest deadline, at most this, after SIGTERM.
 MAX_AWAITED_DEADLINE = 3.0
-TERMINATION_MARGIN = 0.2  # s: so long before that everything is answered that came after SIGTERM
-UNTAKEN_RESPONSE_GRACE = 1.0  # s past the longest deadline: a client that never takes its response is left behind
-STOP_CHECK_INTERVAL = 0.05  # s: between checks for attempts that were abandoned and have not ended
+# Seconds before that kill by which each request that came after SIGTERM is answered.
+TERMINATION_MARGIN = 0.2
+# Seconds past the longest deadline after which the process stops although a client has not read its response.
+UNTAKEN_RESPONSE_GRACE = 1.0
+STOP_CHECK_INTERVAL = 0.05  # seconds between two checks whether abandoned attempts have ended
 
 
 class Lifecycle:
-    """Goes from phase to phase; there are ways back from evacuated and from handed over."""
+    """Holds the phase and changes it; EVACUATED and HANDED_OVER can change back to SERVING."""
 
     def __init__(
         self,
@@ -43,32 +48,36 @@
         self._stop = stop
         self._reload = reload
         self._linger = linger
-        self.port: Any = None  # where it listens (Twisted's port), and that as text
-        self.listen_address = ""
+        self.port: Any = None  # Twisted's listening port
+        self.listen_address = ""  # host:port of that port
         self._has_endpoints = False
         self._is_closed = False
-        self.on_stopping: Callable[[], float] = lambda: 0.0  # sends final messages; returns the seconds they need
+        # A callback that sends final messages and returns the seconds that they need.
+        self.on_stopping: Callable[[], float] = lambda: 0.0
         self.on_phase: Callable[[Phase], None] = lambda _: None
-        self._is_lingering = False  # got a termination signal, and the balancer may not have noticed yet
-        self._evacuation_count = 0  # a delayed step of an earlier evacuation is ignored
+        self._is_lingering = False  # after a termination signal, until the balancer has surely noticed
+        self._evacuation_count = 0  # lets the delayed drain of an earlier evacuation be ignored
 
     def is_accepting_clients(self) -> bool:
-        """Return whether clients are accepted now: what `PING` and `readyz` both answer."""
+        """Return whether clients are accepted now, which is the answer to `PING` and to `readyz`."""
         return self.phase in (Phase.SERVING, Phase.HANDED_OVER) or (self.phase is Phase.DRAINING and self._is_lingering)
 
     def describe_state(self) -> str:
-        """Return the phase as a sentence: why clients are not accepted, where they are not."""
+        """Return the phase as a sentence, which is the reason while clients are not accepted."""
         return phases.REASONS[self.phase]
 
     def raise_longest_deadline(self, seconds: float) -> None:
-        """Take note of requests that may last for so many seconds; those accepted earlier keep their deadlines."""
+        """Raise the longest deadline to this number of seconds; requests accepted earlier keep their deadlines."""
         self._longest_deadline = max(self._longest_deadline, seconds)
 
     def on_command(self, command: OperatorCommand) -> tuple[bool, str]:
-        """Carry out an operator's command; return whether it was accepted, and the reason as text."""
+        """Execute an operator's command; return whether it was accepted, and the reason as text."""
         phase, is_accepted, reason = phases.apply_command(self.phase, command, self.is_accepting_clients())
         if command is not OperatorCommand.READY:
-            log.emit(LogKind.CALL, f"{command.value}: {'yes' if is_accepted else 'no'}, {reason}")
+            log.emit(
+                LogKind.CALL,
+                f"operator's command {command.value} {'accepted' if is_accepted else 'rejected'}: {reason}",
+            )
         if phase is not self.phase:
             self._enter(phase)
             self._evacuation_count += 1
@@ -78,8 +87,8 @@
                 self._frontend.resume()
         return is_accepted, reason
 
-    def _drain_evacuated(self, evacuation: int) -> None:
-        if self.phase is Phase.EVACUATED and evacuation == self._evacuation_count:
+    def _drain_evacuated(self, evacuation_number: int) -> None:
+        if self.phase is Phase.EVACUATED and evacuation_number == self._evacuation_count:
             self._frontend.drain()
 
     def _enter(self, phase: Phase) -> None:
@@ -88,12 +97,12 @@
         self.on_phase(phase)
 
     def on_endpoints_known(self) -> None:
-        """Note that an endpoint list with backends is known."""
+        """Serve clients, now that an endpoint list with backends is known, if the limiter also listens."""
         self._has_endpoints = True
         self._serve_if_ready()
 
     def on_listening(self, port: Any) -> None:  # noqa: ANN401  # Twisted's port interface has neither doRead nor fileno
-        """Note that clients can connect at this port of Twisted's."""
+        """Record Twisted's port at which clients connect, and serve them if backends are known."""
         self.port = port
         host = port.getHost()
         self.listen_address = f"{host.host}:{host.port}"
@@ -105,12 +114,12 @@
             self._enter(Phase.SERVING)
 
     def on_handed_over(self) -> None:
-        """Drain the clients, as a successor accepts; the socket stays open in case that one dies."""
+        """Drain the clients, because a successor accepts new ones; the socket stays open in case the successor dies."""
         self._enter(Phase.HANDED_OVER)
         self._frontend.close()
 
     def resume(self) -> None:
-        """Accept again, as the successor died or never accepted."""
+        """Accept clients again, because the successor died or never accepted any."""
         if self.phase in (Phase.HANDED_OVER, Phase.SERVING, Phase.EVACUATED):
             if self.phase is Phase.HANDED_OVER:
                 self._enter(Phase.SERVING)
@@ -118,7 +127,10 @@
             self.port.startReading()
 
     def terminate(self, linger: float | None = None) -> None:
-        """Shut down gracefully (SIGTERM or SIGINT); `linger` in seconds, where no balancer needs the time to notice."""
+        """Shut down gracefully (SIGTERM or SIGINT).
+
+        `linger`: the seconds to accept clients for, if no balancer needs the default time to notice the shutdown.
+        """
         if self.phase not in (Phase.DRAINING, Phase.STOPPED):
             self._is_lingering = self.phase is Phase.SERVING
             self._enter(Phase.DRAINING)
@@ -132,7 +144,10 @@
             )
 
     def reload_settings(self) -> None:
-        """Reload (SIGHUP): harmless in every phase; while draining, requests in flight still need their counter."""
+        """Reload the configuration (SIGHUP), in every phase but STOPPED.
+
+        Requests in flight need the counter at its present address even while the limiter drains.
+        """
         if self.phase is not Phase.STOPPED:
             self._reload()
 
@@ -146,22 +161,22 @@
         self._stop_if_idle()
 
     def _accept_queued(self) -> None:
-        # Connections that wait in the queue would be reset with it.
+        # Closing the listening socket resets the connections that wait in its queue, so they are accepted first.
         accepted_before = -1
         max_accepted = self._frontend.accepted_count + BACKLOG
         while self.is_accepting_clients() and accepted_before < self._frontend.accepted_count < max_accepted:
             accepted_before = self._frontend.accepted_count
-            self.port.doRead()  # accepts some of them at a time
+            self.port.doRead()  # accepts a limited number of connections per call
 
     def on_client_lost(self) -> None:
-        """Stop if that was the last client of a limiter that accepts no others."""
+        """Stop if no client is left and the limiter accepts no new ones."""
         self._stop_if_idle()
 
     def _stop_if_idle(self) -> None:
         if self._is_closed and not len(self._frontend.clients) and not self._dispatcher.open_count():
             self._complete_shutdown(0)
         elif self._is_closed and not len(self._frontend.clients):
-            # Attempts that were abandoned still end.
+            # Abandoned attempts are still open; check again until they have ended.
             self._deadlines.schedule(clock.now() + STOP_CHECK_INTERVAL, lambda _: self._stop_if_idle())
 
     def _complete_shutdown(self, _: int) -> None:
--- a/thymeflow/limiter/management.py
+++ b/thymeflow/limiter/management.py
@@ -1,7 +1,7 @@
-"""The operators' endpoint: one command line a connection, one line back that begins with 200 or 400.
+"""The management endpoint: an operator sends one command line per connection, and gets one line with 200 or 400.
 
-Callers may connect and send nothing, or never end their line. Each uses one of a few slots until its own deadline,
-and the one that has been idle for longest is closed for a new one: no caller waits for another.
+A caller may connect and send nothing, or never end its line. Each caller occupies one of a few slots until its own
+deadline. If all slots are occupied, a new caller replaces the one that was idle for longest, so that none has to wait.
 """
 
 from __future__ import annotations
@@ -19,21 +19,22 @@
 from thymeflow.runtime.slot_table import SlotTable
 
 MAX_LINE = 256  # bytes of a command line; the longest command has eight
-MAX_CALLERS = 16  # callers at a time, out of the spare descriptors of the configuration
-CALLER_TIMEOUT = 10.0  # s: from connecting to the end of the line, and again from the answer to the caller's close
+MAX_CALLERS = 16  # simultaneous callers; their descriptors are part of the reserved ones
+# Seconds from the connect to the end of the line, and again from the answer until the caller closes the connection.
+CALLER_TIMEOUT = 10.0
 MAX_ECHOED = 40  # bytes of an unknown command that the answer repeats
 
-Call = Callable[[OperatorCommand], tuple[bool, str]]
+CommandHandler = Callable[[OperatorCommand], tuple[bool, str]]
 
 
-def answer(line: bytes, call: Call) -> tuple[bool, str]:
-    """Return whether the command of one line is accepted, and the reason as text."""
+def answer(line: bytes, execute: CommandHandler) -> tuple[bool, str]:
+    """Execute the command in a line; return whether it was accepted, and the reason as text."""
     try:
         command = OperatorCommand(line.decode("ascii").strip())
-    except ValueError:  # also for bytes that are not ASCII
+    except ValueError:  # UnicodeDecodeError, for bytes that are not ASCII, is a ValueError.
         known = ", ".join(command.value for command in OperatorCommand)
         return False, f"{line[:MAX_ECHOED]!r} is no call; it may be one of: {known}"
-    return call(command)
+    return execute(command)
 
 
 class Caller(Protocol):
@@ -46,28 +47,28 @@
         self._buffer = b""
         self._is_answered = False
         self.handle = -1
-        self.active_at = clock.now()  # when it connected or was answered
+        self.active_at = clock.now()  # time of the connect or of the answer
 
     def connectionMade(self) -> None:
-        """Register, which sets a deadline; the answer will leave at once."""
+        """Disable Nagle's algorithm, so that the answer is sent at once, and register the caller."""
         self.transport.setTcpNoDelay(True)
         self.handle = self._management.register(self)
 
     def dataReceived(self, data: bytes) -> None:
-        """Answer the one line; what follows it is a fault, and what follows the answer is discarded."""
+        """Answer the line; reject bytes that follow it, and discard bytes that follow the answer."""
         if self._is_answered:
             return
         self._buffer += data
-        line, newline, rest = self._buffer.partition(b"\n")
+        line, newline, surplus = self._buffer.partition(b"\n")
         if len(line) > MAX_LINE:
             self.send(False, f"a call is one line of {MAX_LINE} bytes at most")
-        elif newline and rest.strip():
+        elif newline and surplus.strip():
             self.send(False, "a connection carries one call")
         elif newline:
-            self.send(*answer(line, self._management.call))
+            self.send(*answer(line, self._management.execute))
 
     def send(self, is_accepted: bool, reason: str) -> None:
-        """Answer, and let the caller close: a close with bytes unread would discard the answer."""
+        """Send the answer; the caller closes, because closing here with unread bytes would discard the answer."""
         self._is_answered = True
         self._buffer = b""
         self.active_at = clock.now()
@@ -82,33 +83,34 @@
 
 
 class ManagementServer(Factory):
-    """The listening side."""
+    """Accepts operators' connections, and closes them after their timeout."""
 
     noisy = False
 
-    def __init__(self, deadlines: clock.Deadlines, call: Call) -> None:
+    def __init__(self, deadlines: clock.Deadlines, execute: CommandHandler) -> None:
         self._deadlines = deadlines
-        self.call = call
+        self.execute = execute
         self.callers: SlotTable[Caller] = SlotTable(MAX_CALLERS)
 
     def buildProtocol(self, addr: IAddress | None) -> Caller:  # noqa: ARG002  # Twisted passes it
-        """Accept a caller; where no slot is free, close the one that has been idle for longest."""
+        """Accept a caller; if no slot is free, close the caller that was idle for longest."""
         if self.callers.is_full():
             oldest = min(self.callers.items(), key=lambda caller: caller.active_at)
             log.emit_rate_limited(
-                LogKind.CALLS, f"all {MAX_CALLERS} connections are in use; the one that was idle for longest was closed"
+                LogKind.CALLS,
+                f"all {MAX_CALLERS} management connections are in use; the one idle for longest was closed",
             )
             self._close(oldest.handle)
         return Caller(self)
 
     def register(self, caller: Caller) -> int:
-        """Return the caller's handle in the table, with its first deadline set."""
+        """Add a caller to the table, set its first deadline and return its handle."""
         handle = self.callers.add(caller)
         self._deadlines.schedule(clock.now() + CALLER_TIMEOUT, self._on_timeout, handle)
         return handle
 
     def expect_close(self, caller: Caller) -> None:
-        """Set the deadline by which an answered caller should have closed."""
+        """Set the deadline by which an answered caller has to close its connection."""
         self._deadlines.schedule(clock.now() + CALLER_TIMEOUT, self._on_timeout, caller.handle)
 
     def _on_timeout(self, handle: int) -> None:
--- a/thymeflow/limiter/phases.py
+++ b/thymeflow/limiter/phases.py
@@ -1,4 +1,4 @@
-"""The phases of a limiter's lifecycle, and the effect of operators' commands in each: one table, no I/O, no clock."""
+"""The phases of a limiter's lifecycle, and a table of the effect of operators' commands in each phase. No I/O."""
 
 from __future__ import annotations
 
@@ -9,13 +9,17 @@
 
 
 class Phase(Enum):
-    """Where the process is in its lifecycle."""
+    """A phase of the process's lifecycle."""
 
-    STARTING = "starting"  # no endpoint list yet, or not listening
+    # The endpoint list is unknown, or the limiter doesn't listen yet.
+    STARTING = "starting"
     SERVING = "serving"
-    EVACUATED = "evacuated"  # turned its clients away on command; listens on, and serves again on command
-    HANDED_OVER = "handed over"  # a successor accepts at the address; serves again should that one die
-    DRAINING = "draining"  # got a termination signal; serves for a moment, then finishes what it took
+    # A command has turned the clients away. The limiter still listens, and serves again on command.
+    EVACUATED = "evacuated"
+    # A successor accepts clients at the address. The limiter serves again if the successor dies.
+    HANDED_OVER = "handed over"
+    # After a termination signal: the limiter accepts clients for a short time, then completes their requests.
+    DRAINING = "draining"
     STOPPED = "stopped"
 
 
@@ -35,7 +39,7 @@
     reason: str
 
 
-# What is not in the table changes nothing and is rejected, with the phase as the reason.
+# A command without an entry for the phase is rejected and changes nothing; the phase is the reason.
 TRANSITIONS: TransitionTable[Phase, OperatorCommand, Transition] = TransitionTable(
     {
         (Phase.SERVING, OperatorCommand.EVACUATE): Transition(Phase.EVACUATED, True, "user agents are sent away"),
@@ -58,7 +62,7 @@
 
 
 def apply_command(phase: Phase, command: OperatorCommand, is_accepting_clients: bool) -> Transition:
-    """Return the effect of a command in a phase; `is_accepting_clients`: whether clients are accepted now."""
+    """Return the effect of a command in a phase; `is_accepting_clients` is the answer to READY."""
     if command is OperatorCommand.READY:
         return Transition(phase, is_accepting_clients, REASONS[phase])
     rejection = Transition(phase, False, REASONS[phase])
--- a/thymeflow/limiter/reload.py
+++ b/thymeflow/limiter/reload.py
@@ -1,9 +1,9 @@
-"""SIGHUP: the configuration read again while the process runs, and applied completely or not at all.
+"""Reload of the configuration at SIGHUP: the file is read again, and applied completely or not at all.
 
-Discovery and the counter move to other addresses with nothing lost: the endpoint list and its version stay, and
-calls in flight end where they were sent. Settings apply to what is accepted from now on; what is open keeps those
-that it was accepted under. Addresses to listen on and the limits wait for the next start. A file with another name,
-or with none of the plans in force, is another limiter's and changes nothing.
+If discovery or the counter has another address, nothing is lost: the endpoint list and its version stay, and calls in
+flight are completed at the old address. Changed settings apply to new requests; open requests keep the settings that
+they were accepted under. Addresses to listen on and the limits change at the next start only. A file with another
+name, or with none of the plans in force, belongs to another limiter and is rejected.
 """
 
 from __future__ import annotations
@@ -21,7 +21,7 @@
 
 
 def describe_differences(old: GatewaySettings, new: GatewaySettings) -> str:
-    """Return what has changed of the settings, as text for the log."""
+    """Return the differences between two settings as text for the log."""
     before = {request_class.name: request_class for request_class in old.classes}
     after = {request_class.name: request_class for request_class in new.classes}
     changed = (name for name in before.keys() & after.keys() if before[name] != after[name])
@@ -37,11 +37,11 @@
     ):
         if old_value != new_value:
             differences.append(f"{name}: {old_value} to {new_value}")
-    return "; ".join(differences) or "other values than before"
+    return "; ".join(differences) or "other values changed"
 
 
 class ConfigurationReloader:
-    """The configuration that was read last, and the components that are notified of a change."""
+    """Holds the configuration that was read last, and applies a reloaded one to the components."""
 
     def __init__(
         self,
@@ -59,7 +59,7 @@
         self.last_result = ""  # the result of the last reload, as text
 
     def reload_configuration(self) -> bool:
-        """Read the file again and return whether it could be used; otherwise nothing changes."""
+        """Read the file again, apply it if it is valid, and return whether it is."""
         try:
             reloaded = self._load()
             configuration.check_reload(reloaded, self._current)
@@ -80,5 +80,5 @@
             self._apply_settings(reloaded.settings)
         changed = [name for name in FIXED_UNTIL_RESTART if getattr(reloaded, name) != getattr(previous, name)]
         if changed:
-            log.emit(LogKind.RELOAD, f"{', '.join(changed)} differ and hold from the next start")
+            log.emit(LogKind.RELOAD, f"changes of {', '.join(changed)} take effect at the next start")
         return True
