--- a/tests/daemon/test_message_formats.py
+++ b/tests/daemon/test_message_formats.py
@@ -46,8 +46,8 @@
                 responses.append(
                     [phase.value, command.value, is_accepting_clients, next_phase.value, is_accepted, reason]
                 )
-    invalid = [management.answer(line, lambda _: (True, "")) for line in (b"", b"reload", b"\xff", b"READYZ")]
-    valid = management.answer(b" readyz\r", lambda command: (False, command.value))
+    invalid = [management.execute_line(line, lambda _: (True, "")) for line in (b"", b"reload", b"\xff", b"READYZ")]
+    valid = management.execute_line(b" readyz\r", lambda command: (False, command.value))
     assert_as_recorded("operators' calls", [responses, invalid, valid])
 
 
--- a/thymeflow/limiter/management.py
+++ b/thymeflow/limiter/management.py
@@ -27,7 +27,7 @@
 CommandHandler = Callable[[OperatorCommand], tuple[bool, str]]
 
 
-def answer(line: bytes, execute: CommandHandler) -> tuple[bool, str]:
+def execute_line(line: bytes, execute: CommandHandler) -> tuple[bool, str]:
     """Execute the command in a line; return whether it was accepted, and the reason as text."""
     try:
         command = OperatorCommand(line.decode("ascii").strip())
@@ -65,7 +65,7 @@
         elif newline and surplus.strip():
             self.send(False, "a connection carries one call")
         elif newline:
-            self.send(*answer(line, self._management.execute))
+            self.send(*execute_line(line, self._management.execute))
 
     def send(self, is_accepted: bool, reason: str) -> None:
         """Send the answer; the caller closes, because closing here with unread bytes would discard the answer."""
