--- a/thymeflow/platform/__init__.py
+++ b/thymeflow/platform/__init__.py
@@ -1,1 +1,1 @@
-"""Formats of the platform: its configuration, its settings and its endpoint lists."""
+"""Parsers for the platform's formats: the configuration file, the settings and the endpoint lists."""
--- a/thymeflow/platform/configuration.py
+++ b/thymeflow/platform/configuration.py
@@ -1,4 +1,4 @@
-"""The platform's configuration file, decoded once into typed values."""
+"""Reads the platform's configuration file into typed values, and checks whether it may replace the one in force."""
 
 from __future__ import annotations
 
@@ -13,23 +13,24 @@
 from thymeflow.platform.endpoints import Address, EndpointUpdate, address, parse_endpoint_update
 from thymeflow.platform.settings import JsonObject, parse_platform_settings
 
-RESERVED_SOCKETS = 40  # descriptors for standard streams, the reactor, the counter and discovery
+# Descriptors for the standard streams, the reactor, the counter and discovery, which clients and backends do not get.
+RESERVED_SOCKETS = 40
 MIN_SOCKETS = 64
 DEFAULT_SOCKETS = 1024
 DEFAULT_MEMORY_MB = 192
 
-# Ways to divide customers' units, as the file names them: by demand and estimates, or strictly.
-UNITS_BY_DEMAND = "demand"
-UNITS_BY_RESERVATION = "tickets"
+# Values of the key `units`: how limiters share the units of a customer.
+UNITS_BY_DEMAND = "demand"  # by demand and estimates
+UNITS_BY_RESERVATION = "tickets"  # strictly, by reservations at the counter
 
 
 class ConfigurationError(ThymeflowError):
-    """The configuration cannot be used; the text says why in one line."""
+    """The configuration cannot be used; the text is one line with the file, the key and the reason."""
 
 
 @dataclass(frozen=True, slots=True)
 class Configuration:
-    """All that a limiter is given at its start."""
+    """The configuration of a limiter."""
 
     name: str
     listen: Address
@@ -40,44 +41,47 @@
     memory: int
     endpoints: EndpointUpdate
     settings: GatewaySettings
-    management: Address | None = None  # where operators call
-    keys: frozenset[str] = frozenset()  # of the file, see `keys_of`
-    path: str = ""  # of the file
-    allocation: object = None  # of the fleet's resources, where a supervisor leases them
-    units: str = UNITS_BY_DEMAND
+    management: Address | None = None  # the address for operators' commands
+    keys: frozenset[str] = frozenset()  # the key paths of the file, see `collect_key_paths`
+    path: str = ""  # the path of the file
+    allocation: object = None  # the first allocation of the fleet's resources, if a supervisor leases them
+    units: str = UNITS_BY_DEMAND  # or UNITS_BY_RESERVATION
 
 
-def one_of(key: str, value: object, choices: tuple[str, ...]) -> str:
-    """Return a value that has to be one of a few; ValueError names them."""
+def check_choice(key: str, value: object, choices: tuple[str, ...]) -> str:
+    """Return the value of a key if it is one of the choices.
+
+    :raises ValueError: if it is not; the text lists the choices.
+    """
     if value not in choices:
         message = f"{key}: {value!r} is none of {', '.join(choices)}"
         raise ValueError(message)
     return str(value)
 
 
-def keys_of(source: object, where: str = "") -> set[str]:
-    """Return the keys of the configuration by their paths; of a list, those that each of its items has.
+def collect_key_paths(source: object, where: str = "") -> set[str]:
+    """Return the paths of all keys in the configuration; a list contributes the keys that each of its items has.
 
-    The endpoint list is left out: whether it can be read shows when it is read.
+    The keys of the endpoint list are left out, because the list is checked when it is parsed.
     """
     if isinstance(source, list):
-        keys_of_items = [keys_of(item, where + "[]") for item in source]
-        return set.intersection(*keys_of_items) if keys_of_items else set()
+        item_keys = [collect_key_paths(item, where + "[]") for item in source]
+        return set.intersection(*item_keys) if item_keys else set()
     found: set[str] = set()
     if isinstance(source, dict):
         for key, value in source.items():
-            if key == "part" and not where:  # the first allocation; later ones come over the control socket
+            if key == "part" and not where:  # The first allocation; later ones arrive over the control socket.
                 continue
             path = f"{where}.{key}" if where else key
-            found |= {path} | (keys_of(value, path) if path != "known" else set())
+            found |= {path} | (collect_key_paths(value, path) if path != "known" else set())
     return found
 
 
 def check_reload(configuration: Configuration, previous: Configuration) -> None:
-    """Check that a file may replace the one in force.
+    """Check that a configuration may replace the one in force.
 
-    :raises ConfigurationError: where it lacks what the one in force has, as a file that was cut does, or where it is
-        another limiter's.
+    :raises ConfigurationError: if it lacks a key of the one in force, as a truncated file does, or belongs to another
+        limiter.
     """
     path = configuration.path
     missing = sorted(previous.keys - configuration.keys, key=lambda key: (key.count("."), key))
@@ -85,16 +89,19 @@
         message = f"{path}: {missing[0]} is missing, though the settings in force have it"
         raise ConfigurationError(message)
     if configuration.name != previous.name:
-        message = f"{path}: name: it is {configuration.name!r}'s, and this limiter is {previous.name!r}"
+        message = f"{path}: name: the file is for limiter {configuration.name!r}, and this limiter is {previous.name!r}"
         raise ConfigurationError(message)
     plans = {plan.name for plan in previous.settings.plans}
     if plans and plans.isdisjoint(plan.name for plan in configuration.settings.plans):
-        message = f"{path}: settings.tiers-of-service: none is a plan in force: another customer's file"
+        message = f"{path}: settings.tiers-of-service: no plan of the file is in force; the file is another customer's"
         raise ConfigurationError(message)
 
 
 def load(environment: Mapping[str, str] = os.environ) -> Configuration:
-    """Read the file that the environment names; ConfigurationError says what is wrong in one line."""
+    """Read the file that the variable BALANCER_CONFIG names.
+
+    :raises ConfigurationError: if the variable is not set, or the file cannot be read or is invalid.
+    """
     path = environment.get("BALANCER_CONFIG")
     if not path:
         message = "BALANCER_CONFIG is not set"
@@ -108,7 +115,10 @@
 
 
 def parse_configuration(source: object, path: str, environment: Mapping[str, str]) -> Configuration:
-    """Return the configuration in a JSON value that was read from `path`; ConfigurationError says what is wrong."""
+    """Return the configuration in a JSON value that was read from `path`.
+
+    :raises ConfigurationError: if the value is invalid.
+    """
     if not isinstance(source, dict):
         message = f"{path}: no JSON object"
         raise ConfigurationError(message)
@@ -145,8 +155,8 @@
         endpoints=parse_endpoint_update(source.get("known") or no_endpoints, cached=True),
         settings=settings,
         management=address(management, 0) if management else None,
-        keys=frozenset(keys_of(source)),
+        keys=frozenset(collect_key_paths(source)),
         path=path,
         allocation=source.get("part"),
-        units=one_of("units", source.get("units", UNITS_BY_DEMAND), (UNITS_BY_DEMAND, UNITS_BY_RESERVATION)),
+        units=check_choice("units", source.get("units", UNITS_BY_DEMAND), (UNITS_BY_DEMAND, UNITS_BY_RESERVATION)),
     )
--- a/thymeflow/platform/endpoints.py
+++ b/thymeflow/platform/endpoints.py
@@ -1,4 +1,4 @@
-"""Endpoint lists in the platform's form: addresses, backends and their states."""
+"""Parser for endpoint lists in the platform's format: addresses, backends and their states."""
 
 from __future__ import annotations
 
@@ -14,11 +14,11 @@
 
 BACKEND_STATES = {"active": BackendState.READY, "leaving": BackendState.DRAINING, "left": BackendState.GONE}
 PLAIN_ID = re.compile(r"s-[0-9a-f]{8}")
-DIGEST_FLAG = 1 << 32  # set in ids that are digests, so that they never equal a plain one
+DIGEST_FLAG = 1 << 32  # set in ids that are digests, so that they never equal a plain id
 
 
 class Address(NamedTuple):
-    """Where to connect or to listen."""
+    """A host and a port to connect to or to listen on."""
 
     host: str
     port: int
@@ -28,16 +28,16 @@
 
 
 class EndpointUpdate(NamedTuple):
-    """A change of the endpoint list: the event for the gateway, and where each backend listens."""
+    """A change of the endpoint list: the event for the gateway, and the address of each backend by its id."""
 
     change: EndpointsChanged
     addresses: dict[int, Address]
 
 
 def address(text: object, min_port: int = 1) -> Address:
-    """Return an address written host:port; a `min_port` of 0 lets the system choose a port to listen on.
+    """Return the address in a text host:port; with a `min_port` of 0, port 0 lets the system choose the port.
 
-    :raises ValueError: where the text is no address.
+    :raises ValueError: if the value is not such a text, or the port is out of range.
     """
     host, _, port = text.rpartition(":") if isinstance(text, str) else ("", "", "")
     if not host or not port.isascii() or not port.isdigit() or not min_port <= int(port) < 65536:
@@ -46,8 +46,11 @@
     return Address(host.strip("[]"), int(port))
 
 
-def backend_id(instance_id: object) -> int:
-    """Return the number by which the gateway knows a backend: its id's digits, or else a digest."""
+def compute_backend_id(instance_id: object) -> int:
+    """Return the number that identifies a backend in the gateway: the digits of a plain instance id, else a digest.
+
+    :raises ValueError: if the value is not a text or is empty.
+    """
     if not isinstance(instance_id, str) or not instance_id:
         message = f"{instance_id!r} is no instance id"
         raise ValueError(message)
@@ -56,22 +59,25 @@
     return DIGEST_FLAG | int.from_bytes(hashlib.blake2b(instance_id.encode(), digest_size=4).digest(), "big")
 
 
-def _backend(entry: dict[str, Any]) -> Backend:
-    number = backend_id(entry["instanceId"])
+def _parse_backend(entry: dict[str, Any]) -> Backend:
+    backend_id = compute_backend_id(entry["instanceId"])
     lifecycle = entry["lifecycle"]
     state = BACKEND_STATES.get(lifecycle, BackendState.DRAINING)
     if lifecycle not in BACKEND_STATES:
-        # A later discovery's state: whether the backend takes new requests is not known, so it gets none.
+        # A newer version of discovery may send other states. The backend gets no new requests, because it is unknown
+        # whether it accepts them.
         log.emit_rate_limited(
-            LogKind.DISCOVERY, f"{entry['instanceId']}: lifecycle {lifecycle!r} is unknown, nothing new goes there"
+            LogKind.DISCOVERY,
+            f"backend {entry['instanceId']} gets no new requests, because its lifecycle {lifecycle!r} is unknown",
         )
     weight = float(entry.get("weight", 1.0))
     started_at_ms = float(entry.get("startedAtMs", 0))
     if not (isfinite(weight) and weight >= 0.0 and isfinite(started_at_ms)):
-        message = "weight or startedAtMs is no number"  # NaN would spread through the scores
+        # A NaN would make every score that it enters a NaN.
+        message = f"weight {weight} is negative or not finite, or startedAtMs {started_at_ms} is not finite"
         raise ValueError(message)
     return Backend(
-        number,
+        backend_id,
         str(entry.get("zone", "")),
         state,
         int(entry.get("cell", 0)),
@@ -82,14 +88,14 @@
 
 
 def parse_endpoint_update(message: Any, cached: bool = False) -> EndpointUpdate:  # noqa: ANN401 (parsed JSON)
-    """Return the update in a message of discovery's form; `cached` says that it may be old.
+    """Return the update in a message of discovery; `cached` marks a list that may be old.
 
-    :raises ValueError, KeyError, TypeError: where the message is not of that form.
+    :raises ValueError, KeyError, TypeError: if the message is malformed.
     """
     backends: list[Backend] = []
     addresses: dict[int, Address] = {}
     for entry in message["instances"]:
-        backend = _backend(entry)
+        backend = _parse_backend(entry)
         backends.append(backend)
         if backend.state is not BackendState.GONE:
             addresses[backend.id] = address(entry["hostPort"])
--- a/thymeflow/platform/settings.py
+++ b/thymeflow/platform/settings.py
@@ -1,6 +1,6 @@
-"""The platform's settings object, translated to ours: the one place that knows its keys.
+"""Translates the platform's settings object to `GatewaySettings`; only this module knows the platform's keys.
 
-The simulator's instances and the real limiter both read it here, so that they cannot read the same object differently.
+The simulator and the limiter process both use it, so that they cannot interpret the same object differently.
 """
 
 from __future__ import annotations
@@ -44,7 +44,7 @@
     "off": LoadReportMode.NONE,
 }
 
-# Our names of fields, and the platform's keys.
+# The fields of each section, and the platform's keys for them.
 CLASS_KEYS = {
     "name": "name",
     "latency_objective": "on-time",
@@ -107,13 +107,16 @@
 }
 
 
-def _section(
-    section_type: type[SectionT], path: str, source: JsonObject, keys: Mapping[str, str], **more: object
+def _build_section(
+    section_type: type[SectionT], path: str, source: JsonObject, keys: Mapping[str, str], **extra_fields: object
 ) -> SectionT:
-    """Make one section of the settings; ValueError names key and value."""
+    """Build one section of the settings.
+
+    :raises ValueError: if a value is invalid or a required key is missing; the text names the key.
+    """
     try:
         values = {field: source[key] for field, key in keys.items() if key in source}
-        return section_type(**values, **more)
+        return section_type(**values, **extra_fields)
     except InvalidSettingError as fault:
         message = f"settings.{path}.{keys.get(fault.name, fault.name)}: {fault.value!r} makes no sense"
         raise ValueError(message) from None
@@ -124,8 +127,8 @@
         raise ValueError(message) from None
 
 
-def _request_class(number: int, source: JsonObject) -> RequestClass:
-    return _section(
+def _parse_request_class(number: int, source: JsonObject) -> RequestClass:
+    return _build_section(
         RequestClass,
         f"classes[{number}]",
         source,
@@ -135,23 +138,23 @@
     )
 
 
-def _plan(number: int, source: JsonObject) -> Plan:
-    return _section(Plan, f"tiers-of-service[{number}]", source, PLAN_KEYS)
+def _parse_plan(number: int, source: JsonObject) -> Plan:
+    return _build_section(Plan, f"tiers-of-service[{number}]", source, PLAN_KEYS)
 
 
 def parse_platform_settings(source: JsonObject) -> GatewaySettings:
-    """Translate the settings object; keys that are absent take our defaults.
+    """Translate the settings object; absent keys get the defaults of `GatewaySettings`.
 
-    :raises ValueError: where a value makes no sense; the text names key and value.
+    :raises ValueError: if a value is invalid or a required key is missing; the text names the key.
     """
-    classes = tuple(_request_class(n, item) for n, item in enumerate(source.get("classes", [])))
-    plans = tuple(_plan(n, item) for n, item in enumerate(source.get("tiers-of-service", [])))
-    rules = _section(Rules, "rules", source.get("rules", {}), RULE_KEYS)
-    limits = _section(Limits, "caps", source.get("caps", {}), LIMIT_KEYS)
+    classes = tuple(_parse_request_class(number, item) for number, item in enumerate(source.get("classes", [])))
+    plans = tuple(_parse_plan(number, item) for number, item in enumerate(source.get("tiers-of-service", [])))
+    rules = _build_section(Rules, "rules", source.get("rules", {}), RULE_KEYS)
+    limits = _build_section(Limits, "caps", source.get("caps", {}), LIMIT_KEYS)
     family = source.get("family-info", {})
     costs = {**source.get("costs", {}), "counter-price": family.get("counter-price", 0.0)}
-    prices = _section(Prices, "costs", costs, PRICE_KEYS)
-    information = _section(Information, "family-info", family, INFORMATION_KEYS)
+    prices = _build_section(Prices, "costs", costs, PRICE_KEYS)
+    information = _build_section(Information, "family-info", family, INFORMATION_KEYS)
     report = source.get("report", {})
     return GatewaySettings(
         index=source.get("index", 0),
--- a/thymeflow/runtime/__init__.py
+++ b/thymeflow/runtime/__init__.py
@@ -1,1 +1,1 @@
-"""Building blocks without a protocol: the clock, the deadlines, slot tables and log lines."""
+"""Basic components that no protocol defines: the clock, deadlines, slot tables, transition tables and log lines."""
--- a/thymeflow/runtime/clock.py
+++ b/thymeflow/runtime/clock.py
@@ -1,11 +1,11 @@
-"""The clock, and the one structure that holds all deadlines.
+"""The clock, and the heap of all deadlines.
 
-The time is the monotonic clock plus an offset fixed at the start, so it never steps and can still be compared with
-the start times that discovery reports. Deadlines are absolute times on it.
+The time is the monotonic clock plus an offset that is fixed at the start. So it never steps, and can still be compared
+with the start times that discovery reports. Deadlines are absolute times on this clock.
 
-A process does not always run on time: it is stopped, its core is taken, or one turn of the reactor serves a thousand
-connections. What it reads then has waited, and nothing in it shows for how long. The heap shows it: an overdue
-deadline shows since when the reactor has been blocked.
+A process does not always run on time: it may be stopped, lose its core, or serve a thousand connections in one turn of
+the reactor. The input that it reads afterwards has waited, and does not itself show for how long. The heap does: the
+earliest overdue deadline is the time since which the reactor has been blocked.
 """
 
 from __future__ import annotations
@@ -16,28 +16,30 @@
 from typing import Protocol
 
 _OFFSET = time.time() - time.monotonic()
-_MAX_CANCELLED = 256  # cancelled deadlines that stay in the heap before they are removed together
-STALL_THRESHOLD = (
-    0.1  # s: without a turn, after which what waits to be read may make endpoint lists and leases out of date
-)
-SETTLING_TURNS = 8  # turns after a stall: connections that waited are accepted some at a time, and read a turn later
+# Number of cancelled deadlines above which they are all removed, once they also make up half of the heap.
+_MAX_CANCELLED = 256
+# Seconds without a turn of the reactor, after which unread input may contain newer endpoint lists and leases.
+STALL_THRESHOLD = 0.1
+# Turns of the reactor after a stall in which input may still have waited: waiting connections are accepted a few at a
+# time, and read one turn later.
+SETTLING_TURNS = 8
 
-STARTED_AT = time.time()  # Unix time in seconds at which this process started, after the interpreter's own start
+STARTED_AT = time.time()  # Unix time in seconds at which this module was imported, after the interpreter's own start
 
 
 class ScheduledCall:
-    """A callback that `Deadlines` calls once; the handle by which it is cancelled."""
+    """A callback that `Deadlines` calls once, and the handle for cancelling it."""
 
     __slots__ = ("argument", "callback")
 
     def __init__(self, callback: Callable[[int], None] | None, argument: int = 0) -> None:
-        self.callback = callback  # None once it is cancelled or past
+        self.callback = callback  # None once it was cancelled or called
         self.argument = argument
 
 
-NOT_SCHEDULED = ScheduledCall(None)  # to cancel it does nothing
+NOT_SCHEDULED = ScheduledCall(None)  # Cancelling it does nothing.
 
-# Time, order of scheduling, call. Times compare first, then the order, so that the heap never compares calls.
+# The time, the order of scheduling and the call. The order is unique, so that the heap never compares calls.
 _HeapEntry = tuple[float, int, ScheduledCall]
 
 
@@ -45,34 +47,34 @@
     """The methods of Twisted's IDelayedCall that are used here."""
 
     def reset(self, delay: float, /) -> None:
-        """Call after this many seconds from now instead."""
+        """Change the time of the call to this many seconds from now."""
 
 
 class TimerReactor(Protocol):
     """The method of Twisted's IReactorTime that is used here."""
 
     def callLater(self, delay: float, callback: Callable[..., object], /, *arguments: object) -> DelayedCall:  # noqa: N802 - Twisted's name
-        """Call back after this many seconds."""
+        """Call the callback after this many seconds."""
 
 
 def now() -> float:
-    """Return the Unix time in seconds; it never goes back."""
+    """Return the Unix time in seconds, which never goes back."""
     return time.monotonic() + _OFFSET
 
 
 def monotonic() -> float:
-    """Return the seconds since a fixed moment before the start; service managers compare times on this clock."""
+    """Return the seconds of the monotonic clock, on which service managers compare times."""
     return time.monotonic()
 
 
 def _ignore_stall(_: float) -> None:
-    """Stand in for a callback that is not set."""
+    """Do nothing; the default of `on_stall`."""
 
 
 class Deadlines:
-    """A heap of deadlines behind a single timer of the reactor, which is reset as the first deadline changes.
+    """A heap of deadlines with a single timer of the reactor, which is set to the earliest deadline.
 
-    `on_stall` is called with the seconds for which the reactor was blocked, where that was over `STALL_THRESHOLD`.
+    `on_stall` is called with the seconds for which the reactor was blocked, if they exceed `STALL_THRESHOLD`.
     """
 
     def __init__(self, reactor: TimerReactor, on_stall: Callable[[float], None] = _ignore_stall) -> None:
@@ -83,12 +85,12 @@
         self._timer: DelayedCall | None = None
         self._timer_at = 0.0
         self._is_running = False
-        self._waiting_since: float | None = None  # since when what is read in this turn may have waited
+        self._waiting_since: float | None = None  # the time since which input read in this turn may have waited
         self._settling_turns = 0
         self._on_stall = on_stall
 
     def schedule(self, when: float, callback: Callable[[int], None], argument: int = 0) -> ScheduledCall:
-        """Call back with the argument at the time `when` (Unix seconds), and return what `cancel` takes."""
+        """Call the callback with the argument at the time `when` (Unix seconds), and return the handle for `cancel`."""
         self._order += 1
         call = ScheduledCall(callback, argument)
         heapq.heappush(self._heap, (when, self._order, call))
@@ -97,7 +99,7 @@
         return call
 
     def cancel(self, call: ScheduledCall) -> None:
-        """Cancel a deadline; one that is past or cancelled already is left as it is."""
+        """Cancel a deadline; nothing happens if its callback was called or it was cancelled before."""
         if call.callback is None:
             return
         call.callback = None
@@ -107,7 +109,7 @@
             heapq.heapify(self._heap)
             self._cancelled_count = 0
 
-    def _head(self) -> _HeapEntry | None:
+    def _find_first_entry(self) -> _HeapEntry | None:
         heap = self._heap
         while heap and heap[0][2].callback is None:
             heapq.heappop(heap)
@@ -115,20 +117,20 @@
         return heap[0] if heap else None
 
     def earliest_arrival(self, moment: float) -> float:
-        """Return the earliest time at which what is read at this moment can have arrived.
+        """Return the earliest time in Unix seconds at which input that is read at `moment` can have arrived.
 
-        That is the moment itself, except after stalls.
+        That is the moment itself, except during and after a stall.
         """
-        head = self._head()
-        arrived_at = moment if head is None else min(moment, head[0])
+        first = self._find_first_entry()
+        arrived_at = moment if first is None else min(moment, first[0])
         return arrived_at if self._waiting_since is None else min(arrived_at, self._waiting_since)
 
     def is_stalled(self, moment: float) -> bool:
-        """Return whether the reactor was blocked for so long that lists and leases must be read before a send."""
+        """Return whether the reactor was blocked so long that endpoint lists and leases must be read before a send."""
         return moment - self.earliest_arrival(moment) > STALL_THRESHOLD
 
     def mark_waiting(self, since: float) -> None:
-        """Record that what is read in the next turns may have waited since then."""
+        """Record that input that is read in the next `SETTLING_TURNS` turns may have waited since `since`."""
         is_settling = self._waiting_since is not None
         self._settling_turns = SETTLING_TURNS
         self._waiting_since = min(since, self._waiting_since) if self._waiting_since is not None else since
@@ -145,10 +147,10 @@
     def _arm(self) -> None:
         if self._is_running:
             return
-        head = self._head()
-        if head is None:
+        first = self._find_first_entry()
+        if first is None:
             return
-        when = head[0]
+        when = first[0]
         if self._timer is None:
             self._timer = self._reactor.callLater(max(0.0, when - now()), self._fire)
         elif when < self._timer_at:
@@ -161,12 +163,13 @@
         self._timer = None
         self._is_running = True
         try:
-            # A deadline that a callback sets for the present waits for the next turn, so that sockets are served.
+            # A deadline that a callback sets for the present time fires in the next turn, so that sockets are served
+            # before it.
             fired_at = now()
-            head = self._head()
-            if head is not None and fired_at - head[0] > STALL_THRESHOLD:
-                self._on_stall(fired_at - head[0])
-                self.mark_waiting(head[0])
+            first = self._find_first_entry()
+            if first is not None and fired_at - first[0] > STALL_THRESHOLD:
+                self._on_stall(fired_at - first[0])
+                self.mark_waiting(first[0])
             while self._heap and self._heap[0][0] <= fired_at:
                 _, _, call = heapq.heappop(self._heap)
                 callback = call.callback
--- a/thymeflow/runtime/log_kinds.py
+++ b/thymeflow/runtime/log_kinds.py
@@ -1,6 +1,6 @@
-"""The kinds of log lines. `docs/on-call.md` and `docs/fleet.md` explain each of them.
+"""The kinds of log lines, which `docs/on-call.md` and `docs/fleet.md` explain.
 
-Alarms hang on these texts: a changed one goes into the table of changed lines in `docs/on-call.md`.
+Operators' alarms match these texts, so a changed text is added to the table of changed lines in `docs/on-call.md`.
 """
 
 from __future__ import annotations
@@ -9,7 +9,7 @@
 
 
 class LogKind(StrEnum):
-    """What a log line is about; its text stands before the colon in the plain form."""
+    """The kind of a log line; its value precedes the colon in a plain line."""
 
     # Lifecycle
     START = "start"
--- a/thymeflow/runtime/slot_table.py
+++ b/thymeflow/runtime/slot_table.py
@@ -1,7 +1,7 @@
-"""Tables of numbered slots that are reused; a handle also contains the slot's generation.
+"""Tables of numbered slots that are reused; a handle contains the slot's number and its generation.
 
-Deadlines and callbacks outlive what they were set for. They hold handles instead of objects: the handle of an item
-that was removed finds nothing, even after its slot has been given to another item.
+Deadlines and callbacks can outlive the item that they were set for, so they hold a handle instead of the item. The
+handle of a removed item finds nothing, even if another item has the slot now.
 """
 
 from __future__ import annotations
@@ -10,7 +10,7 @@
 
 T = TypeVar("T")
 
-MAX_SLOTS = 1 << 20  # of a table; a handle is generation * MAX_SLOTS + slot
+MAX_SLOTS = 1 << 20  # limit of a table's size; a handle is generation * MAX_SLOTS + slot
 
 
 class SlotTable(Generic[T]):
@@ -24,20 +24,20 @@
         self._count = 0
 
     def set_limit(self, max_items: int) -> None:
-        """Set another bound; items over it stay until they are removed."""
+        """Set another limit; items beyond it stay until they are removed."""
         self._max_items = min(max_items, MAX_SLOTS)
 
     def __len__(self) -> int:
         return self._count
 
     def is_full(self) -> bool:
-        """Return whether no slot is left."""
+        """Return whether no slot is free."""
         return self._count >= self._max_items
 
     def add(self, item: T) -> int:
         """Put an item into a slot and return its handle.
 
-        :raises OverflowError: if the table is full, which callers check before.
+        :raises OverflowError: if the table is full; callers check `is_full` first.
         """
         if self.is_full():
             fault = "table is full"
@@ -53,7 +53,7 @@
         return self._generations[slot] * MAX_SLOTS + slot
 
     def get(self, handle: int) -> T | None:
-        """Return the item of a handle, or None once it was removed."""
+        """Return the item of a handle, or None if it was removed."""
         generation, slot = divmod(handle, MAX_SLOTS)
         is_current = slot < len(self._items) and self._generations[slot] == generation
         return self._items[slot] if is_current else None
--- a/thymeflow/runtime/transitions.py
+++ b/thymeflow/runtime/transitions.py
@@ -1,4 +1,4 @@
-"""Transition tables of state machines: the outcome of each event in each state, and an error for all other pairs."""
+"""Transition tables of state machines: the outcome of an event in a state, and an error for a pair without an entry."""
 
 from __future__ import annotations
 
@@ -20,15 +20,15 @@
         super().__init__(f"no transition for {event} in {state}")
 
     def __str__(self) -> str:
-        return str(self.args[0])  # a KeyError shows the repr
+        return str(self.args[0])  # KeyError would return the repr.
 
 
 class TransitionTable(Mapping[tuple[State, Event], Outcome]):
     """An immutable table of outcomes by state and event.
 
-    An outcome is the next state, or a record of the next state and what else follows. `table[state, event]` raises
-    IllegalTransitionError where there is no entry; `table.get((state, event), default)` serves machines that answer
-    such events otherwise.
+    An outcome is the next state, or a record of the next state and further effects. `table[state, event]` raises
+    IllegalTransitionError if there is no entry. `table.get((state, event), default)` is for state machines that handle
+    such events in another way.
     """
 
     def __init__(self, outcomes: Mapping[tuple[State, Event], Outcome]) -> None:
