--- a/tests/discovery/support.py
+++ b/tests/discovery/support.py
@@ -1,4 +1,4 @@
-"""Builders for the tests of discovery: messages as discovery sends them, and a watch over a reactor in memory."""
+"""Builders for the tests of discovery: messages in discovery's format, and a watch with an in-memory reactor."""
 
 from __future__ import annotations
 
@@ -15,19 +15,19 @@
 
 HEAD = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
 HEARTBEAT = b"1\r\n\n\r\n"  # a chunk with an empty line
-INITIAL_VERSION = 41  # of the list that the watch starts with
+INITIAL_VERSION = 41  # version of the endpoint list with which the watch starts
 ADDRESS = Address("127.0.0.1", 8)
 
 
 def build_entry(number: int = 1, lifecycle: str = "active") -> dict[str, Any]:
-    """Return a backend's entry, as discovery lists it."""
+    """Return the entry of a backend in discovery's format."""
     return {"instanceId": f"s-{number:08x}", "hostPort": f"127.0.0.1:{7000 + number}", "lifecycle": lifecycle}
 
 
 def build_message(
     generation: int, *entries: dict[str, Any], is_complete: bool = False, indent: int | None = None
 ) -> bytes:
-    """Return a message with these entries; a complete one resets the list."""
+    """Return a message with these entries; a complete one replaces the list."""
     message = {"generation": generation, "reset": is_complete, "instances": entries}
     return json.dumps(message, indent=indent).encode() + b"\n"
 
@@ -48,12 +48,12 @@
 
 
 def connect(world: InMemoryNetwork, number: int) -> Any:
-    """Complete the connect of that number and receive the response's head; `ends` counts how often it is closed."""
+    """Complete a connect and receive the response's head; return the stream, whose `ends` counts the closes."""
     stream = world.up(number)
     stream.ends = 0
 
     def on_abort() -> None:
-        """Count the end."""
+        """Count a close."""
         stream.ends += 1
 
     stream.transport.abortConnection = on_abort
@@ -62,7 +62,7 @@
 
 
 def wait_for_connect(world: InMemoryNetwork, known_connects: int, max_seconds: float = 9.0) -> float:
-    """Let time pass until there are more connects than those known; return the seconds until then."""
+    """Advance the clock until there is a connect after the known ones, at most `max_seconds`; return the seconds."""
     started_at = clock.now()
     while len(world.reactor.tcpClients) <= known_connects and clock.now() - started_at < max_seconds:
         world.reactor.advance(0.01)
--- a/tests/discovery/test_http.py
+++ b/tests/discovery/test_http.py
@@ -1,4 +1,4 @@
-"""Responses and the JSON objects in them, in every form and cut."""
+"""Parsers of HTTP responses and of the JSON objects in them: any layout, any split into pieces, malformed input."""
 
 from __future__ import annotations
 
@@ -32,7 +32,7 @@
     ),
     st.data(),
 )
-def test_objects_are_found_when_they_arrive_in_any_form_and_pieces(
+def test_objects_are_found_when_they_arrive_in_any_layout_and_in_pieces(
     objects: list[tuple[dict[str, Any], int | None, bytes]], data: st.DataObject
 ) -> None:
     body = b"".join(
@@ -45,13 +45,13 @@
         step = data.draw(st.integers(1, 40))
         found += splitter.feed(body[position : position + step])
         position += step
-    assert [json.loads(one) for one in found if one] == [value for value, _, _ in objects]
+    assert [json.loads(item) for item in found if item] == [value for value, _, _ in objects]
 
 
-@pytest.mark.parametrize("noise", [b"null\n", b"[]\n", b"}", b"]", b"7", b"x{}", b'"a"'])
-def test_splitter_raises_when_something_else_than_an_object_begins(noise: bytes) -> None:
+@pytest.mark.parametrize("malformed_data", [b"null\n", b"[]\n", b"}", b"]", b"7", b"x{}", b'"a"'])
+def test_splitter_raises_when_a_value_is_not_an_object(malformed_data: bytes) -> None:
     with pytest.raises(HttpError):
-        JsonObjectSplitter().feed(b"{}\n" + noise)
+        JsonObjectSplitter().feed(b"{}\n" + malformed_data)
 
 
 @pytest.mark.parametrize("size", [b"zz", b"-1", b"0x3", b"+3", b"1_0", b"", b"fffffffff", b"3\r\nabcd"])
@@ -72,4 +72,4 @@
     found = list[bytes]()
     for position in range(len(response)):
         found += body.feed(response[position : position + 1])
-    assert ([one for one in found if one], b"" in found, body.done) == ([b'{"a":1}', b"{}"], True, True)
+    assert ([item for item in found if item], b"" in found, body.done) == ([b'{"a":1}', b"{}"], True, True)
--- a/tests/discovery/test_watch.py
+++ b/tests/discovery/test_watch.py
@@ -1,4 +1,4 @@
-"""The watch on discovery: lists taken completely or not at all, one idle timeout, and changes of address."""
+"""The watch on discovery: lists are applied completely or not at all, one idle timeout, and changes of address."""
 
 from __future__ import annotations
 
@@ -30,11 +30,11 @@
 
 
 def versions(updates: list[EndpointUpdate]) -> list[int]:
-    """Return the versions of the updates."""
+    """Return the endpoint list versions of the updates."""
     return [update.change.version for update in updates]
 
 
-def test_indented_list_is_applied_when_complete_and_ignored_when_cut(world: InMemoryNetwork) -> None:
+def test_indented_list_is_applied_when_complete_and_ignored_when_truncated(world: InMemoryNetwork) -> None:
     updates: list[EndpointUpdate] = []
     start_discovery(world, updates.append)
     stream = connect(world, 0)
@@ -53,7 +53,7 @@
     assert updates[1].change.backends[0].state is BackendState.DRAINING
 
 
-def test_watch_goes_on_unchanged_when_a_generation_goes_back(
+def test_watch_and_list_stay_when_a_message_has_an_older_version(
     world: InMemoryNetwork, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     updates = list[EndpointUpdate]()
@@ -77,7 +77,7 @@
     ]
 
 
-def test_list_and_watch_are_left_when_a_fetched_list_is_late_or_malformed(world: InMemoryNetwork) -> None:
+def test_list_and_watch_stay_when_a_fetched_list_is_late_or_malformed(world: InMemoryNetwork) -> None:
     updates: list[EndpointUpdate] = []
     discovery = start_discovery(world, updates.append)
     stream = connect(world, 0)
@@ -96,7 +96,7 @@
     assert not stream.ends
 
 
-def test_other_entries_are_kept_when_a_lifecycle_is_unknown_and_counts_as_draining() -> None:
+def test_backend_counts_as_draining_and_other_entries_stay_when_its_lifecycle_is_unknown() -> None:
     message = build_message(43, build_entry(1, "resting"), build_entry(2, "leaving"), build_entry(3))
     update = parse_endpoint_update(json.loads(message))
     assert [backend.state for backend in update.change.backends] == [
@@ -114,22 +114,22 @@
     assert (
         wait_for_connect(world, 1) < (PUSHED_IDLE_TIMEOUT if pushed else POLLED_IDLE_TIMEOUT) + INITIAL_BACKOFF + 0.02
     )
-    second = connect(world, 1)  # connects, and then receives nothing either
+    second = connect(world, 1)  # This stream connects and receives nothing either.
     max_wait = PUSHED_FIRST_MESSAGE_TIMEOUT if pushed else POLLED_FIRST_MESSAGE_TIMEOUT + MAX_BACKOFF
     assert wait_for_connect(world, 2) <= max_wait + 0.02
     third = connect(world, 2)
-    second.dataReceived(HEARTBEAT)  # a slow response is a response
+    second.dataReceived(HEARTBEAT)  # The response is late but valid.
     assert (first.ends, second.ends, third.ends) == (1, 0, 1)
 
 
-def test_a_stream_is_open_as_discovery_returns_when_the_agent_was_idle_meanwhile(world: InMemoryNetwork) -> None:
+def test_first_stream_with_a_message_is_kept_when_the_agent_was_silent_before(world: InMemoryNetwork) -> None:
     discovery = start_discovery(world, lambda update: None)
     streams = [connect(world, 0)]
-    for _ in range(800):  # 8 s: never long without an attempt, never many at once
+    for _ in range(800):  # 8 s, with attempts at regular intervals and few at once
         world.reactor.advance(0.01)
         while len(streams) < len(world.reactor.tcpClients):
             streams.append(connect(world, len(streams)))
-    assert discovery.is_ready  # clients were admitted all the same
+    assert discovery.is_ready  # Clients were admitted by the known list.
     assert 8.0 / PUSHED_FIRST_MESSAGE_TIMEOUT - 2 <= len(streams) <= 8.0 / PUSHED_FIRST_MESSAGE_TIMEOUT + 2
     assert sum(not stream.ends for stream in streams) == 3
     streams[-2].dataReceived(HEARTBEAT)
@@ -156,7 +156,7 @@
         discovery._backoff.next_wait()
     discovery.set_address(Address("127.0.0.1", 9))
     assert old_stream.ends
-    assert world.reactor.tcpClients[1][1] == 9  # at once
+    assert world.reactor.tcpClients[1][1] == 9  # without a backoff
     assert discovery._backoff.next_wait() <= MAX_BACKOFF
     assert discovery._backoff._bound > discovery._backoff._initial_bound - 1e-9
     old_stream.dataReceived(build_chunk(build_message(50, build_entry(1))))
--- a/tests/discovery/test_watch_connection.py
+++ b/tests/discovery/test_watch_connection.py
@@ -1,4 +1,4 @@
-"""The connections of the watch on discovery."""
+"""The connections of the watch: a new one after missing heartbeats, and one for the complete list."""
 
 from __future__ import annotations
 
@@ -15,19 +15,19 @@
 __all__ = ["world"]
 
 
-def test_watch_is_dialed_again_when_it_is_silent_and_a_complete_list_can_be_requested(world: InMemoryNetwork) -> None:
+def test_watch_is_dialed_again_when_it_is_idle_and_a_complete_list_can_be_requested(world: InMemoryNetwork) -> None:
     updates: list[EndpointUpdate] = []
     observer = RecordingObserver(updates.append)
     watch = EndpointWatcher(world.reactor, world.deadlines, Address("127.0.0.1", 9), 41, observer, 3, 1)
     watch.start(clock.now() + 1.0)
-    reading = world.up(0)
-    reading.transport.abortConnection = lambda: None
-    reading.dataReceived(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n1\r\n\n\r\n")
-    for _ in range(5):  # empty lines keep it up
+    stream = world.up(0)
+    stream.transport.abortConnection = lambda: None
+    stream.dataReceived(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n1\r\n\n\r\n")
+    for _ in range(5):  # Empty lines keep the watch open.
         world.reactor.pump([0.5] * 4)
-        reading.dataReceived(b"1\r\n\n\r\n")
+        stream.dataReceived(b"1\r\n\n\r\n")
     assert len(world.reactor.tcpClients) == 1
-    world.reactor.pump([0.1] * 49)  # two of them have not come
+    world.reactor.pump([0.1] * 49)  # Two heartbeats are missing.
     assert len(world.reactor.tcpClients) == 2
     watch.fetch_complete_list()
     complete_list = world.up(2)
--- a/tests/platform/test_endpoints.py
+++ b/tests/platform/test_endpoints.py
@@ -1,4 +1,4 @@
-"""Endpoint lists in the platform's form."""
+"""Parser for endpoint lists: an entry with an invalid value is rejected."""
 
 from __future__ import annotations
 
@@ -23,6 +23,6 @@
     ],
 )
 def test_endpoint_entry_is_rejected_when_it_is_invalid(change: dict[str, Any]) -> None:
-    good = {"instanceId": "s-00000001", "hostPort": "127.0.0.1:9", "lifecycle": "active"}
+    valid_entry = {"instanceId": "s-00000001", "hostPort": "127.0.0.1:9", "lifecycle": "active"}
     with pytest.raises((ValueError, KeyError, TypeError)):
-        parse_endpoint_update({"generation": 1, "instances": [{**good, **change}]})
+        parse_endpoint_update({"generation": 1, "instances": [{**valid_entry, **change}]})
--- a/tests/runtime/test_clock_and_slots.py
+++ b/tests/runtime/test_clock_and_slots.py
@@ -1,4 +1,4 @@
-"""Deadlines and slot tables."""
+"""The order of deadlines and their single timer, and handles of slots that are used again."""
 
 from __future__ import annotations
 
--- a/tests/runtime/test_errors.py
+++ b/tests/runtime/test_errors.py
@@ -1,4 +1,4 @@
-"""The exceptions of all packages: one tree under ThymeflowError, and no name twice."""
+"""The exceptions of all packages: each derives from ThymeflowError, and no two have the same name."""
 
 from __future__ import annotations
 
@@ -9,10 +9,10 @@
 import thymeflow
 from thymeflow.errors import ThymeflowError
 
-PROGRAMS = ("thymeflow.__main__", "thymeflow.testkit.faults.fault_modes")  # importing them runs them
+PROGRAMS = ("thymeflow.__main__", "thymeflow.testkit.faults.fault_modes")  # Importing these modules runs them.
 
 
-def exception_classes() -> Iterator[type[BaseException]]:
+def iterate_exception_classes() -> Iterator[type[BaseException]]:
     """Yield each exception class that a module of thymeflow defines."""
     for info in pkgutil.walk_packages(thymeflow.__path__, "thymeflow."):
         if info.name in PROGRAMS:
@@ -23,8 +23,8 @@
                 yield value
 
 
-def test_every_exception_is_a_thymeflow_error_with_a_name_of_its_own() -> None:
-    classes = list(exception_classes())
+def test_every_exception_is_a_thymeflow_error_with_a_unique_name() -> None:
+    classes = list(iterate_exception_classes())
     assert len(classes) > 20
     assert [cls for cls in classes if not issubclass(cls, ThymeflowError)] == []
     assert [cls for cls in classes if not cls.__name__.endswith("Error")] == []
--- a/tests/runtime/test_transitions.py
+++ b/tests/runtime/test_transitions.py
@@ -52,7 +52,7 @@
     assert (GateState.OPEN, GateEvent.PULL) not in TABLE
 
 
-def test_table_keeps_its_entries_when_the_mapping_that_it_was_made_of_changes() -> None:
+def test_table_keeps_its_entries_when_the_mapping_passed_to_it_changes() -> None:
     entries = {(GateState.OPEN, GateEvent.PUSH): GateState.CLOSED}
     table = TransitionTable(entries)
     entries.clear()
--- a/tests/runtime/test_value_checks.py
+++ b/tests/runtime/test_value_checks.py
@@ -1,4 +1,4 @@
-"""Checks of values from JSON: what counts as an integer, a number, a fraction, and how a value is quoted."""
+"""Checks of values from JSON: which values count as an integer, a finite number or a fraction, and quoting."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
     ("value", "expected"),
     [(0, True), (-7, True), (TOO_LARGE_FOR_A_FLOAT, True), (True, False), (1.0, False), ("1", False)],
 )
-def test_only_an_int_that_is_no_bool_is_an_integer(value: object, expected: bool) -> None:
+def test_only_an_int_other_than_a_bool_is_an_integer(value: object, expected: bool) -> None:
     assert is_integer(value) is expected
 
 
@@ -45,6 +45,6 @@
     assert is_fraction(value) is expected
 
 
-def test_quoted_value_is_cut_off_when_it_is_long() -> None:
+def test_quoted_value_is_truncated_when_it_is_long() -> None:
     assert quote("x" * 50) == repr("x" * 40)
     assert quote([1, 2], max_characters=3) == "'[1,'"
--- a/tests/simulator/test_simulator.py
+++ b/tests/simulator/test_simulator.py
@@ -1,4 +1,4 @@
-"""The adapter's translation on small samples, and the size of the files that decide."""
+"""The simulator adapter on small samples, and the size limits of the policy files."""
 
 from __future__ import annotations
 
@@ -29,7 +29,7 @@
         "tiers-of-service": [{"name": "basic", "refill": 10.0, "most-at-once": 20.0}],
     }
 )
-BIRTH = f"""clock wall=5
+START_BATCH = f"""clock wall=5
 at i=4
 born salt=7 settings={SETTINGS}
 table page=0 nodes-list=1
@@ -45,9 +45,9 @@
     return simulator.main(io.StringIO(text), out), out.getvalue()
 
 
-def test_replies_match_byte_for_byte_when_a_short_run_is_played() -> None:
+def test_replies_match_byte_for_byte_when_a_short_run_is_sent() -> None:
     code, out = run_adapter(
-        BIRTH + f"clock wall=6\nat i=4\nodd thing=1\n{REQUEST} later=9\nend\n"
+        START_BATCH + f"clock wall=6\nat i=4\nodd thing=1\n{REQUEST} later=9\nend\n"
         "clock wall=6.25\nat i=4\nattempt_end rid=00000000000000ab round-no=0 backend=51 "
         "reason=1 spent=0.25 over=1 fleet-use=51 billed=2 metrics=active:3,other:1\nend\n"
         "clock wall=7\nend\n"
@@ -60,9 +60,9 @@
     )
 
 
-def test_rejection_has_retry_advice_and_instance_is_gone_when_it_was_halted() -> None:
-    big = REQUEST.replace("weight=3", "weight=8").replace("ab cls", "ac cls")
-    _, out = run_adapter(BIRTH + f"clock wall=6\nat i=4\n{REQUEST}\n{big}\nhalt\n{REQUEST}\nend\n")
+def test_rejection_has_a_retry_delay_and_a_halted_instance_does_not_reply() -> None:
+    large_request = REQUEST.replace("weight=3", "weight=8").replace("ab cls", "ac cls")
+    _, out = run_adapter(START_BATCH + f"clock wall=6\nat i=4\n{REQUEST}\n{large_request}\nhalt\n{REQUEST}\nend\n")
     assert "bounce rid=00000000000000ac not-before-for=" in out
     assert out.count("issue") == 1
 
@@ -80,7 +80,7 @@
     ],
 )
 def test_program_ends_with_one_message_when_a_line_is_malformed(line: str, capsys: pytest.CaptureFixture[str]) -> None:
-    code, out = run_adapter(BIRTH + f"clock wall=6\nat i=4\n{line}\nend\n")
+    code, out = run_adapter(START_BATCH + f"clock wall=6\nat i=4\n{line}\nend\n")
     assert code == 1
     assert out.count("ready") == 1
     message = capsys.readouterr().err
@@ -88,17 +88,17 @@
     assert line in message
 
 
-def test_fault_action_is_written_when_settings_are_invalid() -> None:
-    bad = SETTINGS.replace('"refill": 10.0', '"refill": -1.0')
-    _, out = run_adapter(f"clock wall=5\nat i=4\nborn salt=7 settings={bad}\nend\n")
+def test_exception_line_is_written_when_settings_are_invalid() -> None:
+    invalid_settings = SETTINGS.replace('"refill": 10.0', '"refill": -1.0')
+    _, out = run_adapter(f"clock wall=5\nat i=4\nborn salt=7 settings={invalid_settings}\nend\n")
     assert out.startswith("for i=4\nexception text=ValueError: settings.tiers-of-service[0].refill: -1.0")
 
 
 def test_actions_are_the_same_when_the_hash_seed_differs() -> None:
-    text = BIRTH
-    for n in range(40):
-        line = REQUEST.replace("u:1", f"u:{n % 5}").replace("ab cls", f"{n:02x} cls")
-        text += f"clock wall={6 + n / 10}\nat i=4\n{line}\nreminder cookie=1\nend\n"
+    text = START_BATCH
+    for number in range(40):
+        line = REQUEST.replace("u:1", f"u:{number % 5}").replace("ab cls", f"{number:02x} cls")
+        text += f"clock wall={6 + number / 10}\nat i=4\n{line}\nreminder cookie=1\nend\n"
     replies = {
         subprocess.run(
             [sys.executable, "-m", "thymeflow.simulator"],
@@ -114,7 +114,7 @@
     assert len(replies) == 1
 
 
-def test_policy_files_are_short_when_the_deploy_file_lists_them() -> None:
+def test_policy_files_are_within_their_size_limits_when_the_deploy_file_lists_them() -> None:
     deploy = tomllib.loads((ROOT / "deploy" / "balancer.toml").read_text())
     texts = [(ROOT / path).read_text() for path in deploy["policy"]]
     assert max(len(text.splitlines()) for text in texts) <= 250
