--- a/tests/run_line/test_bad_input.py
+++ b/tests/run_line/test_bad_input.py
@@ -1,4 +1,4 @@
-"""Whatever a peer gets wrong is one line in the log or one error answer: no stop, no lost request, no changed list."""
+"""Malformed input of a peer causes one log line or one error reply; the limiter loses no request and no list."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 from thymeflow.platform.settings import parse_platform_settings
 from thymeflow.transport.commands import CallError, CallReader
 
-GOOD = b"*3\r\n$5\r\nvalue\r\n$-1\r\n$-1\r\n"
+VALID_REPLY = b"*3\r\n$5\r\nvalue\r\n$-1\r\n$-1\r\n"
 
 
 def chunk(data: bytes) -> bytes:
@@ -32,16 +32,16 @@
         watch, _ = limiter.watch()
         client = limiter.connect()
         server = limiter.serve_request(client, 1)
-        leaves = limiter.entry(0, "leaving")
-        odd = {**limiter.entry(0), "hostPort": "nowhere"}
-        broken = [
-            chunk(message(90, leaves)[:-9]),
+        leaving_entry = limiter.entry(0, "leaving")
+        entry_without_port = {**limiter.entry(0), "hostPort": "nowhere"}
+        malformed_parts = [
+            chunk(message(90, leaving_entry)[:-9]),
             chunk(b"{}\n"),
             chunk(b"[]\n"),
             chunk(b"null\n"),
             chunk(b"\xff\xfe\n"),
-            chunk(message("x", leaves)),
-            chunk(message(90, odd)),
+            chunk(message("x", leaving_entry)),
+            chunk(message(90, entry_without_port)),
             chunk(b'{"generation":90,"instances":[7]}\n'),
             b"zz\r\n",
             b"-5\r\n",
@@ -49,17 +49,20 @@
             b"0\r\n\r\n",
             chunk(b'{"a":' * 30000 + b"1" + b"}" * 30000),
         ]
-        for number, bad in enumerate(broken):
-            watch.send(bad)
+        for number, malformed_part in enumerate(malformed_parts):
+            watch.send(malformed_part)
             if number == 0:
-                watch.close()  # cut in the middle
-            watch, request_line = limiter.watch()  # asked for again, from the version before it
-            assert b"index=41 " in request_line, bad
+                watch.close()  # The message is truncated.
+            watch, request_line = (
+                limiter.watch()
+            )  # The limiter opens another watch from the version before the message.
+            assert b"index=41 " in request_line, malformed_part
             limiter.serve_request(client, 100 + number, server)
-        watch.send(chunk(message(12, leaves, is_complete=True)) + chunk(message(13, leaves)))  # gone back
+        # Two messages with older versions are ignored.
+        watch.send(chunk(message(12, leaving_entry, is_complete=True)) + chunk(message(13, leaving_entry)))
         limiter.serve_request(client, 200, server)
-        watch.send(chunk(json.dumps(json.loads(message(42, leaves)), indent=2).encode()))
-        assert server.is_closed_by_peer()  # that one was taken
+        watch.send(chunk(json.dumps(json.loads(message(42, leaving_entry)), indent=2).encode()))
+        assert server.is_closed_by_peer()  # The valid message was applied.
 
 
 def test_no_backend_is_left_and_the_watch_goes_on_when_a_complete_list_is_empty(tmp_path: Path) -> None:
@@ -68,45 +71,45 @@
         client = limiter.connect()
         server = limiter.serve_request(client, 1)
         watch.send(chunk(message(42, is_complete=True)))
-        assert server.is_closed_by_peer()  # what it does not name is gone, though it answers
+        assert server.is_closed_by_peer()  # A backend that the complete list omits is gone, although it replies.
         client.send(request(2))
         assert client.line().startswith(b"-BUSY ")
         limiter.send_endpoint_change(watch, 43, limiter.entry(0))
         limiter.wait_for_reply(b"+PONG", command(b"PING"))
         client.send(request(3))
-        while not client.receives_nothing(0.2):  # until that list is read
+        while not client.receives_nothing(0.2):  # until the new list is read
             assert client.line().startswith(b"-BUSY ")
             client.send(request(3))
-        limiter.backends[0].serve(GOOD)
+        limiter.backends[0].serve(VALID_REPLY)
         assert client.read_bulk() == b"value"
 
 
-def slowly(peer: Peer, data: bytes) -> None:
-    for place in range(len(data)):
-        peer.send(data[place : place + 1])
+def send_bytewise(peer: Peer, data: bytes) -> None:
+    for position in range(len(data)):
+        peer.send(data[position : position + 1])
 
 
 def test_every_command_is_answered_when_bytes_come_one_at_a_time_or_all_at_once(tmp_path: Path) -> None:
     with Limiter(tmp_path) as limiter:
         client = limiter.connect()
-        slowly(client, request(1))
+        send_bytewise(client, request(1))
         server = limiter.backends[0].accept()
         server.read_command()
-        slowly(server, GOOD)
+        send_bytewise(server, VALID_REPLY)
         assert client.read_bulk() == b"value"
         client.send(command(b"PING") * 300 + request(2) + command(b"PING") * 300)
         assert server.read_command()[2] == b"%016x" % 2
         assert [client.line() for _ in range(300)] == [b"+PONG"] * 300
-        server.send(GOOD)
+        server.send(VALID_REPLY)
         assert client.read_bulk() == b"value"
         assert [client.line() for _ in range(300)] == [b"+PONG"] * 300
 
 
-def test_reply_is_given_to_no_request_when_it_comes_twice_or_after_the_close(tmp_path: Path) -> None:
+def test_reply_is_assigned_to_no_request_when_it_comes_twice_or_after_the_close(tmp_path: Path) -> None:
     with Limiter(tmp_path) as limiter:
         client = limiter.connect()
         server = limiter.serve_request(client, 1)
-        server.send(GOOD)  # once more, while nothing is asked
+        server.send(VALID_REPLY)  # a second reply, while no request is pending
         assert server.is_closed_by_peer()
         client.send(request(2, wait=300))
         second = limiter.backends[0].accept()
@@ -114,7 +117,7 @@
         assert client.line().startswith(b"-BUSY")
         assert second.is_closed_by_peer()
         with contextlib.suppress(OSError):
-            second.send(GOOD)
+            second.send(VALID_REPLY)
         client.send(request(3))
         limiter.backends[0].serve(b"*3\r\n$5\r\nthird\r\n$-1\r\n$-1\r\n")
         assert client.read_bulk() == b"third"
@@ -156,7 +159,7 @@
 
 @pytest.mark.parametrize("section", ["rules", "caps", "family-info"])
 @pytest.mark.parametrize("value", [7, None, True])
-def test_one_fault_is_reported_when_a_section_of_the_settings_is_no_object(section: str, value: object) -> None:
+def test_configuration_error_is_raised_when_a_section_of_the_settings_is_no_object(section: str, value: object) -> None:
     source = {
         "listen": "127.0.0.1:0",
         "discovery": "127.0.0.1:9",
@@ -168,7 +171,9 @@
 
 
 @pytest.mark.parametrize("text", ["", "{", "[]", "null", '{"settings": {}}', "\x00"])
-def test_limiter_does_not_listen_when_it_starts_with_a_malformed_list(tmp_path: Path, text: str) -> None:
+def test_limiter_exits_with_one_line_and_does_not_listen_when_its_configuration_is_malformed(
+    tmp_path: Path, text: str
+) -> None:
     with Limiter(tmp_path, is_list_sent=False) as limiter:
         limiter.process.kill()
         limiter.process.communicate()
--- a/tests/run_line/test_clients.py
+++ b/tests/run_line/test_clients.py
@@ -1,4 +1,4 @@
-"""Clients of the real program that send malformed bytes, nothing, or do not read."""
+"""Clients of the real program that send malformed bytes, send nothing, or do not read their responses."""
 
 from __future__ import annotations
 
@@ -66,7 +66,7 @@
 
 
 def test_error_line_arrives_when_more_malformed_bytes_follow(tmp_path: Path) -> None:
-    # A close with bytes unread resets the connection and takes the line away.
+    # A close with unread bytes would reset the connection, and the client would lose the error line.
     with Limiter(tmp_path) as limiter:
         client = limiter.connect()
         client.sock.sendall(b"*1\r\n$60000000\r\n" + b"x" * 2**17)
@@ -75,23 +75,23 @@
         client.receives_nothing(0.2)
         client.send(b"x")
         assert client.line().startswith(b"-ERR Protocol error")
-        assert client.file.read(1) == b""  # an orderly end
+        assert client.file.read(1) == b""  # the end of the stream, without a reset
 
 
-def test_connection_is_closed_when_it_sends_nothing_or_half_a_command_and_others_stay(tmp_path: Path) -> None:
+def test_connection_is_closed_when_it_sends_nothing_or_half_a_command_and_busy_ones_stay(tmp_path: Path) -> None:
     with Limiter(tmp_path) as limiter:
         ordinary_client = limiter.connect()
-        begun = time.monotonic()
+        started_at = time.monotonic()
         ordinary_client.send(request(1))
         server = limiter.backends[0].accept()
         server.read_command()
         idle_client = limiter.connect()
-        half = limiter.connect()
-        half.send(request(2)[:50])
-        assert half.line().startswith(b"-ERR Protocol error")
-        assert half.is_closed_by_peer()
+        incomplete_client = limiter.connect()
+        incomplete_client.send(request(2)[:50])
+        assert incomplete_client.line().startswith(b"-ERR Protocol error")
+        assert incomplete_client.is_closed_by_peer()
         assert idle_client.is_closed_by_peer()
-        assert time.monotonic() - begun > 2.0
+        assert time.monotonic() - started_at > 2.0
         server.send(SERVED_REPLY)
         assert ordinary_client.read_bulk() == b"value"
 
@@ -102,51 +102,51 @@
         ordinary_client.send(request(1))
         server = limiter.backends[0].accept()
         server.read_command()
-        idle = [limiter.connect() for _ in range(15)]  # all the room there is
-        for client in idle:
+        idle_clients = [limiter.connect() for _ in range(15)]  # all free client slots
+        for client in idle_clients:
             client.send(command(b"PING"))
             assert client.line() == b"+PONG"
         server.send(SERVED_REPLY)
         assert ordinary_client.read_bulk() == b"value"
-        late = limiter.connect()  # no wait for anybody's idle time to pass
-        late.send(command(b"PING"))
-        assert late.line() == b"+PONG"
-        assert idle[0].is_closed_by_peer()
+        late_client = limiter.connect()  # accepted before any idle timeout has passed
+        late_client.send(command(b"PING"))
+        assert late_client.line() == b"+PONG"
+        assert idle_clients[0].is_closed_by_peer()
         ordinary_client.send(command(b"PING"))
         assert ordinary_client.line() == b"+PONG"
 
 
 def test_idle_clients_are_closed_sooner_but_not_within_two_seconds_when_connections_are_scarce(tmp_path: Path) -> None:
     with Limiter(tmp_path, sockets=64) as limiter:
-        clients = [limiter.connect() for _ in range(8)]  # half of the room
+        clients = [limiter.connect() for _ in range(8)]  # half of the client slots
         clients[0].send(request(1))
         limiter.backends[0].serve(SERVED_REPLY)
         assert clients[0].read_bulk() == b"value"
-        answered = time.monotonic()
-        for client in clients[1:]:  # these stay, as each has something open
+        answered_at = time.monotonic()
+        for client in clients[1:]:  # These clients stay connected, because each has an open request.
             client.send(request(2 + clients.index(client)))
         assert clients[0].is_closed_by_peer()
-        assert 1.9 < time.monotonic() - answered < IDLE_TIMEOUT
+        assert 1.9 < time.monotonic() - answered_at < IDLE_TIMEOUT
 
 
 def test_client_is_not_read_from_when_it_does_not_read_its_responses(tmp_path: Path) -> None:
     with Limiter(tmp_path) as limiter:
         client = limiter.connect()
-        sent = 0
+        sent_bytes = 0
         client.sock.setblocking(False)
         echo = command(b"PING", b"x" * 60000)
-        while select.select([], [client.sock], [], 1.0)[1]:  # ends only if the limiter stops reading
-            sent += client.sock.send(echo[sent % len(echo) :])
-            assert sent < 64 * 2**20
+        while select.select([], [client.sock], [], 1.0)[1]:  # The loop ends only if the limiter stops reading.
+            sent_bytes += client.sock.send(echo[sent_bytes % len(echo) :])
+            assert sent_bytes < 64 * 2**20
         limiter.wait_for_reply(b"+PONG", command(b"PING"))
 
 
 def test_connection_is_closed_when_its_waiting_responses_exceed_the_bound(tmp_path: Path) -> None:
-    # Guards the memory limit: each of these answers is lawful, and all are held behind the first one.
+    # Guards the memory limit: each response is valid, but all wait in memory for the response to the first request.
     with Limiter(tmp_path, memory=1) as limiter:
         client = limiter.connect()
         client.send(b"".join(request(n) for n in (1, 2, 3, 4)))
-        servers = [limiter.backends[0].accept() for _ in range(4)]  # each pass has its own connection
+        servers = [limiter.backends[0].accept() for _ in range(4)]  # each attempt has its own connection
         for server in servers:
             if server.read_command()[2] != b"%016x" % 1:
                 server.send(b"*3\r\n$65536\r\n" + b"x" * 65536 + b"\r\n$-1\r\n$-1\r\n")
--- a/tests/run_line/test_endpoint_wiring.py
+++ b/tests/run_line/test_endpoint_wiring.py
@@ -1,4 +1,4 @@
-"""What the assembly connects to the counter and to discovery: each test fails if one connection is left out."""
+"""How the assembly connects the counter and discovery: each test fails if one connection is missing."""
 
 from __future__ import annotations
 
@@ -34,7 +34,7 @@
 from thymeflow.limiter.management import MAX_CALLERS
 from thymeflow.limiter.phases import Phase
 
-POLLED = "on_request"  # the platform's name for lists that are polled
+POLLED = "on_request"  # the platform's value for polled endpoint lists
 __all__ = ["log_lines", "world"]
 
 
@@ -80,13 +80,13 @@
 
 
 @pytest.mark.parametrize(("mode", "is_dialed_again"), [("pushed", True), (POLLED, False)])
-def test_silent_watch_is_dialed_anew_sooner_when_lists_are_pushed(
+def test_idle_watch_is_dialed_again_sooner_when_lists_are_pushed(
     world: InMemoryNetwork, mode: str, is_dialed_again: bool
 ) -> None:
     limiter = build_limiter(world, settings=changed_settings(discovery=mode))
     limiter.connect(inf)
     receive_first_list(world)
-    world.reactor.pump([0.1] * 50)  # over the idle timeout of pushed lists, and under that of polled ones
+    world.reactor.pump([0.1] * 50)  # longer than the idle timeout of pushed lists, shorter than that of polled ones
     assert (len(dials_to(world, DISCOVERY_PORT)) > 1) == is_dialed_again
 
 
@@ -98,14 +98,14 @@
     stream = receive_first_list(world)
     client = connect_client(world, limiter)
     client.dataReceived(request(1))
-    world.reactor.rightNow += 1.0  # no turn for a second
+    world.reactor.rightNow += 1.0  # a second without a turn of the reactor
     stream.transport.handle.unread = b"*"
 
-    def read() -> None:
+    def receive_update() -> None:
         stream.transport.handle.unread = b""
         stream.dataReceived(build_chunk(build_message(2, build_entry(1, "leaving"))))
 
-    stream.transport.doRead = read
+    stream.transport.doRead = receive_update
     backend = world.up(len(world.reactor.tcpClients) - 1)
     assert backend.transport.value() == b""
     assert backend.closed
@@ -117,7 +117,7 @@
     assert len(dials_to(world, 7001)) == 1
 
 
-def test_limiter_listens_by_the_known_list_when_discovery_sends_nothing(world: InMemoryNetwork) -> None:
+def test_limiter_listens_with_the_known_list_when_discovery_sends_nothing(world: InMemoryNetwork) -> None:
     limiter = build_limiter(world, mgmt="127.0.0.1:77")
     ports: list[FakePort] = []
 
@@ -157,7 +157,7 @@
     assert len(ports) == 1
     assert notified == [True]
     assert phase is Phase.SERVING
-    assert listener.fileno() == -1  # the port has a copy of its own
+    assert listener.fileno() == -1  # The port has its own copy of the socket.
 
 
 def test_endpoint_updates_are_passed_on_when_discovery_sends_them(world: InMemoryNetwork) -> None:
--- a/tests/run_line/test_lifecycle_wiring.py
+++ b/tests/run_line/test_lifecycle_wiring.py
@@ -1,4 +1,4 @@
-"""What the lifecycle connects: each test fails if one of its effects on the other parts is left out."""
+"""Effects of the lifecycle on the limiter's components: each test fails if one effect is missing."""
 
 from __future__ import annotations
 
@@ -25,13 +25,13 @@
 from thymeflow.limiter.phases import REASONS, OperatorCommand, Phase
 from thymeflow.runtime import log
 
-DEADLINE_SECONDS = 0.5  # of every class of these limiters
+DEADLINE_SECONDS = 0.5  # deadline of every request class
 LONGER_DEADLINE_SECONDS = 1.0
 __all__ = ["world"]
 
 
 def settings_with_deadline(seconds: float) -> dict[str, Any]:
-    """Return the platform's settings, with a deadline for every class and no cancelling of attempts."""
+    """Return the platform's settings with this deadline for every class, and without cancelling of attempts."""
     classes = [{**request_class, "deadline": seconds} for request_class in SETTINGS["classes"]]
     return {**SETTINGS, "classes": classes, "caps": {**SETTINGS["caps"], "cancel": False}}
 
@@ -45,7 +45,7 @@
 
 
 def build_serving_limiter(world: InMemoryNetwork, linger: float = TERMINATION_LINGER) -> tuple[Limiter, FakePort]:
-    """Return a limiter that accepts clients, and its port."""
+    """Return a limiter that accepts clients, and its listening port."""
     limiter = build_limiter(world, linger)
     port = FakePort()
     limiter.lifecycle.on_listening(port)
@@ -53,7 +53,7 @@
 
 
 def connect_client(world: InMemoryNetwork, limiter: Limiter) -> Any:
-    """Return a client's connection."""
+    """Connect a client and return its connection."""
     return world.connected(limiter.frontend.buildProtocol(None))
 
 
@@ -114,7 +114,7 @@
     assert limiter.lifecycle.is_accepting_clients()
 
 
-def test_phases_are_passed_on_in_order_when_the_limiter_starts_and_stops(
+def test_phases_are_reported_and_logged_in_order_when_the_limiter_starts_and_stops(
     world: InMemoryNetwork, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     limiter = build_limiter(world)
@@ -147,7 +147,7 @@
     assert limiter.frontend.buildProtocol(None) is None
 
 
-def test_process_stops_at_once_when_the_last_client_leaves_a_closed_limiter(world: InMemoryNetwork) -> None:
+def test_process_stops_at_once_when_the_last_client_of_a_closed_limiter_disconnects(world: InMemoryNetwork) -> None:
     limiter, _ = build_serving_limiter(world)
     client = connect_client(world, limiter)
     limiter.lifecycle.terminate(0.0)
@@ -158,7 +158,7 @@
     assert limiter.lifecycle.phase is Phase.STOPPED
 
 
-def test_process_stops_when_the_last_attempt_ends_after_its_client_has_left(world: InMemoryNetwork) -> None:
+def test_process_stops_when_the_last_attempt_ends_after_its_client_has_disconnected(world: InMemoryNetwork) -> None:
     limiter, _ = build_serving_limiter(world)
     client = connect_client(world, limiter)
     client.dataReceived(request(1))
@@ -174,7 +174,7 @@
 
 
 @pytest.mark.parametrize("deadline", [DEADLINE_SECONDS, LONGER_DEADLINE_SECONDS, 0.1])
-def test_process_stops_after_the_longest_deadline_when_a_client_never_takes_its_response(
+def test_process_stops_after_the_longest_deadline_when_a_client_never_reads_its_response(
     world: InMemoryNetwork, deadline: float
 ) -> None:
     limiter, _ = build_serving_limiter(world)
--- a/tests/run_line/test_limiter_wiring.py
+++ b/tests/run_line/test_limiter_wiring.py
@@ -1,4 +1,4 @@
-"""What the assembly connects for handovers, settings and reloads: each test fails if one connection is left out."""
+"""Effects of handovers, changed settings and reloads on the components: each test fails if one effect is missing."""
 
 from __future__ import annotations
 
@@ -37,8 +37,8 @@
 from thymeflow.limiter.phases import Phase
 from thymeflow.platform.configuration import Configuration
 
-LARGE_SET_SIZE = 200  # limiters, of which each waits longer before it connects to discovery again
-POLLED = "on_request"  # the platform's name for lists that are polled
+LARGE_SET_SIZE = 200  # number of limiters; in a large set, each waits longer before it connects to discovery again
+POLLED = "on_request"  # the platform's value for polled endpoint lists
 __all__ = ["log_lines", "world"]
 
 
@@ -103,10 +103,10 @@
     assert limiter.frontend.buildProtocol(None) is not None
 
 
-# --- other settings ----------------------------------------------------------------------------------------
+# --- changed settings --------------------------------------------------------------------------------------
 
 
-def test_backoff_of_the_watch_is_resized_when_the_number_of_limiters_changes(world: InMemoryNetwork) -> None:
+def test_backoff_of_the_watch_is_adapted_when_the_number_of_limiters_changes(world: InMemoryNetwork) -> None:
     small_set = changed_settings(discovery=POLLED)
     large_set = changed_settings(discovery=POLLED, balancers=LARGE_SET_SIZE)
     small = build_limiter(world, settings=small_set, seed="7", discovery="127.0.0.1:101")
@@ -119,7 +119,7 @@
     assert wait_of_next_watch(world, small) <= INITIAL_BACKOFF + 0.002
 
 
-def test_commands_are_read_by_the_new_classes_when_settings_change(world: InMemoryNetwork) -> None:
+def test_commands_are_parsed_with_the_new_classes_when_settings_change(world: InMemoryNetwork) -> None:
     limiter = build_limiter(world)
     client = connect_client(world, limiter)
     client.dataReceived(request(1).replace(b"c=look", b"c=news"))
@@ -130,7 +130,7 @@
     assert client.transport.value().endswith(b"$5\r\nvalue\r\n")
 
 
-def test_requests_are_bounded_by_the_new_number_when_settings_change(world: InMemoryNetwork) -> None:
+def test_open_requests_are_limited_to_the_new_number_when_settings_change(world: InMemoryNetwork) -> None:
     limiter = build_limiter(world)
     limiter.apply_settings(settings_with(caps={**SETTINGS["caps"], "open-cap": 1}))
     client = connect_client(world, limiter)
@@ -139,7 +139,7 @@
     assert limiter.dispatcher.open_count() == 1
 
 
-def test_connects_to_backends_end_by_the_new_timeout_when_settings_change(world: InMemoryNetwork) -> None:
+def test_connects_to_backends_end_after_the_new_timeout_when_settings_change(world: InMemoryNetwork) -> None:
     limiter = build_limiter(world)
     limiter.apply_settings(settings_with(caps={**SETTINGS["caps"], "dial-timeout": 0.5}))
     connect_client(world, limiter).dataReceived(request(1))
@@ -153,22 +153,22 @@
 
 
 def build_reloadable(world: InMemoryNetwork, load: Callable[[], Configuration]) -> Limiter:
-    """Return a connected limiter that reloads what `load` returns."""
+    """Return a connected limiter whose reload gets its configuration from `load`."""
     limiter = Limiter(make_configuration(), world.reactor, load=load)
     limiter.connect(inf)
     return limiter
 
 
-def test_counter_and_discovery_are_dialed_anew_when_a_reload_moves_them(world: InMemoryNetwork) -> None:
-    moved = make_configuration(discovery="127.0.0.1:18", counter="127.0.0.1:19")
-    build_reloadable(world, lambda: moved).lifecycle.reload_settings()
+def test_counter_and_discovery_are_dialed_again_when_a_reload_changes_their_addresses(world: InMemoryNetwork) -> None:
+    changed = make_configuration(discovery="127.0.0.1:18", counter="127.0.0.1:19")
+    build_reloadable(world, lambda: changed).lifecycle.reload_settings()
     assert len(dials_to(world, 18)) == 1
     assert len(dials_to(world, 19)) == 3
 
 
-def test_old_addresses_are_dialed_again_when_a_second_reload_moves_them_back(world: InMemoryNetwork) -> None:
-    moved = make_configuration(discovery="127.0.0.1:18", counter="127.0.0.1:19")
-    files = [moved, make_configuration()]
+def test_old_addresses_are_dialed_again_when_a_second_reload_restores_them(world: InMemoryNetwork) -> None:
+    changed = make_configuration(discovery="127.0.0.1:18", counter="127.0.0.1:19")
+    files = [changed, make_configuration()]
     limiter = build_reloadable(world, lambda: files.pop(0))
     limiter.lifecycle.reload_settings()
     known_dials = len(world.reactor.tcpClients)
@@ -177,7 +177,7 @@
     assert len([dial for dial in dials_to(world, COUNTER_PORT) if dial >= known_dials]) == 3
 
 
-def test_nothing_is_dialed_anew_when_a_reload_changes_no_address(world: InMemoryNetwork) -> None:
+def test_nothing_is_dialed_again_when_a_reload_changes_no_address(world: InMemoryNetwork) -> None:
     limiter = build_reloadable(world, make_configuration)
     known_dials = len(world.reactor.tcpClients)
     limiter.lifecycle.reload_settings()
@@ -195,7 +195,9 @@
     assert any(line.startswith("reload: settings taken: ") for line in log_lines)
 
 
-def test_fixed_values_are_named_when_a_reload_changes_them(world: InMemoryNetwork, log_lines: list[str]) -> None:
+def test_values_that_need_a_restart_are_logged_when_a_reload_changes_them(
+    world: InMemoryNetwork, log_lines: list[str]
+) -> None:
     limiter = build_reloadable(world, lambda: replace(make_configuration(), memory=2**20, sockets=99))
     limiter.lifecycle.reload_settings()
     assert "reload: changes of sockets, memory take effect at the next start" in log_lines
--- a/tests/run_line/test_requests.py
+++ b/tests/run_line/test_requests.py
@@ -1,4 +1,4 @@
-"""Requests through the real program on sockets: forwarded, answered, cancelled, rejected."""
+"""Requests through the real program on sockets: they are forwarded, answered, cancelled or rejected."""
 
 from __future__ import annotations
 
@@ -23,14 +23,14 @@
         verb, customer, name, terms, body = server.read_command()
         assert (verb, customer, name) == (b"SVC.SUBMIT", b"00000000b4d65521", b"%016x" % 1)
         assert body == b"\r\n$5\r\n"
-        before, _, rest = terms.partition(b"d=")
-        wait, _, after = rest.partition(b",")
+        before, _, deadline_and_after = terms.partition(b"d=")
+        deadline_ms, _, after = deadline_and_after.partition(b",")
         assert (before, after) == (b"c=book,t=basic,", b"k=5c0f6e1a2b3d4c59,units=1,spread=1,first=0,new=1")
-        assert 0 < int(wait) <= 20000
+        assert 0 < int(deadline_ms) <= 20000
         server.send(SERVED_REPLY)
         assert client.read_bulk() == b"value"
         client.send(request(2))
-        assert server.read_command()[2] == b"%016x" % 2  # the warm connection is used again
+        assert server.read_command()[2] == b"%016x" % 2  # The open connection is used again.
         server.send(b"*3\r\n$0\r\n\r\n$-1\r\n$-1\r\n")
         assert client.read_bulk() == b""
 
@@ -61,7 +61,7 @@
         ("book", b"*3\r\n$1\r\nv\r\n$8\r\nused=xyz\r\n$-1", b"$1"),
     ],
 )
-def test_client_gets_one_legal_response_whatever_the_backend_replies(
+def test_client_gets_one_valid_response_when_the_backend_sends_any_reply(
     tmp_path: Path, cls: str, reply: bytes, answer: bytes
 ) -> None:
     with Limiter(tmp_path) as limiter:
@@ -80,7 +80,7 @@
         server = limiter.backends[0].accept()
         server.read_command()
         server.close()
-        assert client.line() == b"-ERR failed"  # it may have run: no refusal
+        assert client.line() == b"-ERR failed"  # The request may have been executed, so it is not rejected as BUSY.
         assert limiter.backends[0].has_no_connection(0.3)
 
 
@@ -89,25 +89,27 @@
         limiter.backends[0].sock.close()
         client = limiter.connect()
         client.send(request(1, "book"))
-        assert client.line() == b"-BUSY 100"  # and when to come back
+        assert client.line() == b"-BUSY 100"  # a rejection with the retry delay in milliseconds
 
 
 def test_request_is_answered_by_its_deadline_and_its_attempt_ends_when_no_reply_comes(tmp_path: Path) -> None:
     with Limiter(tmp_path) as limiter:
         client = limiter.connect()
-        begun = time.monotonic()
+        started_at = time.monotonic()
         client.send(request(1, "book", wait=400))
         server = limiter.backends[0].accept()
         server.read_command()
         assert client.line() == b"-ERR failed"
-        assert time.monotonic() - begun > 0.3
+        assert time.monotonic() - started_at > 0.3
         assert server.is_closed_by_peer()
 
 
 def test_all_attempts_are_cancelled_when_their_client_disconnects(tmp_path: Path) -> None:
     with Limiter(tmp_path) as limiter:
         client = limiter.connect()
-        client.send(request(1, wait=3 * 10**6) + request(2, wait=3 * 10**6))  # no deadline ends them
+        client.send(
+            request(1, wait=3 * 10**6) + request(2, wait=3 * 10**6)
+        )  # deadlines that do not expire during the test
         servers = [limiter.backends[0].accept(), limiter.backends[0].accept()]
         for server in servers:
             server.read_command()
