--- a/tests/run_line/test_bad_input.py
+++ b/tests/run_line/test_bad_input.py
@@ -34,7 +34,7 @@
         server = limiter.serve_request(client, 1)
         leaving_entry = limiter.entry(0, "leaving")
         entry_without_port = {**limiter.entry(0), "hostPort": "nowhere"}
-        malformed_parts = [
+        malformed_inputs = [
             chunk(message(90, leaving_entry)[:-9]),
             chunk(b"{}\n"),
             chunk(b"[]\n"),
@@ -49,14 +49,14 @@
             b"0\r\n\r\n",
             chunk(b'{"a":' * 30000 + b"1" + b"}" * 30000),
         ]
-        for number, malformed_part in enumerate(malformed_parts):
-            watch.send(malformed_part)
+        for number, malformed_input in enumerate(malformed_inputs):
+            watch.send(malformed_input)
             if number == 0:
                 watch.close()  # The message is truncated.
             watch, request_line = (
                 limiter.watch()
             )  # The limiter opens another watch from the version before the message.
-            assert b"index=41 " in request_line, malformed_part
+            assert b"index=41 " in request_line, malformed_input
             limiter.serve_request(client, 100 + number, server)
         # Two messages with older versions are ignored.
         watch.send(chunk(message(12, leaving_entry, is_complete=True)) + chunk(message(13, leaving_entry)))
@@ -138,7 +138,7 @@
     assert parse_command(call.encode(77))[3] == text.replace(b"d=480", b"d=77")
 
 
-def test_class_is_not_idempotent_when_its_effect_is_unknown_and_rejected_when_it_is_not_listed() -> None:
+def test_class_is_not_idempotent_when_its_effect_is_unknown_and_an_unlisted_class_is_rejected() -> None:
     settings = parse_platform_settings(
         {**SETTINGS, "classes": [{"name": "look", "on-time": 3.0, "deadline": 3.0, "effect": "wondrous"}]}
     )
@@ -151,7 +151,7 @@
     ("section", "key"),
     [("classes", "on-time"), ("classes", "deadline"), ("classes", "name"), ("tiers-of-service", "name")],
 )
-def test_missing_key_is_named_with_its_place_when_a_class_or_plan_lacks_it(section: str, key: str) -> None:
+def test_error_names_the_missing_key_when_a_class_or_plan_is_incomplete(section: str, key: str) -> None:
     missing_key = {name: value for name, value in SETTINGS[section][0].items() if name != key}
     with pytest.raises(ValueError, match=rf"settings\.{section}\[0\]: {key} is missing"):
         parse_platform_settings({**SETTINGS, section: [missing_key]})
--- a/tests/run_line/test_lifecycle_wiring.py
+++ b/tests/run_line/test_lifecycle_wiring.py
@@ -20,7 +20,7 @@
     EVACUATION_DELAY,
     STOP_CHECK_INTERVAL,
     TERMINATION_LINGER,
-    UNTAKEN_RESPONSE_GRACE,
+    UNREAD_RESPONSE_GRACE,
 )
 from thymeflow.limiter.phases import REASONS, OperatorCommand, Phase
 from thymeflow.runtime import log
@@ -183,7 +183,7 @@
     client.dataReceived(command(b"PING"))
     limiter.apply_settings(make_configuration(settings=settings_with_deadline(deadline)).settings)
     limiter.lifecycle.terminate(0.0)
-    stop_after = max(deadline, DEADLINE_SECONDS) + UNTAKEN_RESPONSE_GRACE
+    stop_after = max(deadline, DEADLINE_SECONDS) + UNREAD_RESPONSE_GRACE
     world.reactor.pump([0.05] * round(stop_after / 0.05 - 1))
     assert not world.reactor.hasStopped
     world.reactor.pump([0.05] * 2)
--- a/tests/run_line/test_management.py
+++ b/tests/run_line/test_management.py
@@ -65,7 +65,7 @@
     assert limiter.call(b"readyz\r\n").startswith(b"200 ")
 
 
-def test_callers_are_served_when_others_are_connected_and_idle(limiter: Limiter) -> None:
+def test_caller_is_answered_when_idle_callers_occupy_all_slots(limiter: Limiter) -> None:
     idle_callers = [limiter.operator() for _ in range(MAX_CALLERS + 4)]
     started_at = time.monotonic()
     assert limiter.call(b"readyz\n").startswith(b"200 ")
--- a/tests/run_line/test_start.py
+++ b/tests/run_line/test_start.py
@@ -271,7 +271,7 @@
     world.reactor.rightNow += 3.0  # No turn for three seconds, so the connect was not even started.
     world.reactor.advance(0.0)
     assert not stopped_at
-    for _ in range(clock.SETTLING_TURNS + 2):
+    for _ in range(clock.RECOVERY_TURNS + 2):
         world.reactor.advance(clock.STALL_THRESHOLD / 2)
     assert len(stopped_at) == 1
     assert stopped_at[0] >= dialed_at + 3.0 + clock.STALL_THRESHOLD
--- a/thymeflow/discovery/backoff.py
+++ b/thymeflow/discovery/backoff.py
@@ -11,7 +11,8 @@
 BACKOFF_PER_LIMITER = 0.025
 # Longest wait in seconds: the wait, the connect and the first message together take no longer than the idle timeout.
 MAX_BACKOFF = POLLED_IDLE_TIMEOUT - CONNECT_TIMEOUT - FIRST_LIST_TIMEOUT
-# Growth of the bound with each failure. It is large because an overloaded service also serves clients that have left.
+# Growth of the bound with each failure. It is large because an overloaded service also spends work on clients that
+# have already left.
 BACKOFF_FACTOR = 4.0
 
 
--- a/thymeflow/discovery/watch.py
+++ b/thymeflow/discovery/watch.py
@@ -45,7 +45,7 @@
         """Apply a change of the endpoint list."""
 
     def on_endpoints_ready(self) -> None:
-        """Handle, once, the first message or the end of the time to wait for it; the known list is used from now on."""
+        """Start to use the list; called once, after the first message or at the deadline for it."""
 
 
 class EndpointWatcher:
@@ -71,7 +71,7 @@
         self._first_message_timeout = PUSHED_FIRST_MESSAGE_TIMEOUT if pushed else POLLED_FIRST_MESSAGE_TIMEOUT
         self._version = version
         self._observer = observer
-        self.is_ready = False  # the first message was received, or the time to wait for it is over
+        self.is_ready = False  # True once the first message was received or its deadline has passed.
         self._current: EndpointStream | None = None  # the stream that received the last message, unless it is idle
         self._open: list[EndpointStream] = []  # all open streams, the oldest first
         self._dialing_count = 0
@@ -232,8 +232,8 @@
             self._keep_only(stream)
         update = parse_message(message)
         if message and update is None:
-            # The known list stays in force. The next stream starts from its version, so it repeats the changes of this
-            # message.
+            # The known list stays in force. The next stream starts from its version, so that discovery repeats the
+            # changes of this message.
             stream.end("a message is malformed")
             return
         if update is not None:
--- a/thymeflow/limiter/lifecycle.py
+++ b/thymeflow/limiter/lifecycle.py
@@ -23,7 +23,7 @@
 # Seconds before that kill by which each request that came after SIGTERM is answered.
 TERMINATION_MARGIN = 0.2
 # Seconds past the longest deadline after which the process stops although a client has not read its response.
-UNTAKEN_RESPONSE_GRACE = 1.0
+UNREAD_RESPONSE_GRACE = 1.0
 STOP_CHECK_INTERVAL = 0.05  # seconds between two checks whether abandoned attempts have ended
 
 
@@ -55,7 +55,8 @@
         # A callback that sends final messages and returns the seconds that they need.
         self.on_stopping: Callable[[], float] = lambda: 0.0
         self.on_phase: Callable[[Phase], None] = lambda _: None
-        self._is_lingering = False  # after a termination signal, until the balancer has surely noticed
+        # True after a termination signal, while the balancer may not have noticed the shutdown.
+        self._is_lingering = False
         self._evacuation_count = 0  # lets the delayed drain of an earlier evacuation be ignored
 
     def is_accepting_clients(self) -> bool:
@@ -139,9 +140,7 @@
             self._frontend.set_exit_deadline(now + TERMINATION_LINGER + awaited - TERMINATION_MARGIN)
             close_at = now + (self._linger if linger is None else linger)
             self._deadlines.schedule(close_at, self._on_linger_over)
-            self._deadlines.schedule(
-                close_at + self._longest_deadline + UNTAKEN_RESPONSE_GRACE, self._complete_shutdown
-            )
+            self._deadlines.schedule(close_at + self._longest_deadline + UNREAD_RESPONSE_GRACE, self._complete_shutdown)
 
     def reload_settings(self) -> None:
         """Reload the configuration (SIGHUP), in every phase but STOPPED.
--- a/thymeflow/runtime/clock.py
+++ b/thymeflow/runtime/clock.py
@@ -22,7 +22,7 @@
 STALL_THRESHOLD = 0.1
 # Turns of the reactor after a stall in which input may still have waited: waiting connections are accepted a few at a
 # time, and read one turn later.
-SETTLING_TURNS = 8
+RECOVERY_TURNS = 8
 
 STARTED_AT = time.time()  # Unix time in seconds at which this module was imported, after the interpreter's own start
 
@@ -86,7 +86,7 @@
         self._timer_at = 0.0
         self._is_running = False
         self._waiting_since: float | None = None  # the time since which input read in this turn may have waited
-        self._settling_turns = 0
+        self._recovery_turns = 0
         self._on_stall = on_stall
 
     def schedule(self, when: float, callback: Callable[[int], None], argument: int = 0) -> ScheduledCall:
@@ -130,17 +130,17 @@
         return moment - self.earliest_arrival(moment) > STALL_THRESHOLD
 
     def mark_waiting(self, since: float) -> None:
-        """Record that input that is read in the next `SETTLING_TURNS` turns may have waited since `since`."""
-        is_settling = self._waiting_since is not None
-        self._settling_turns = SETTLING_TURNS
+        """Record that input that is read in the next `RECOVERY_TURNS` turns may have waited since `since`."""
+        is_recovering = self._waiting_since is not None
+        self._recovery_turns = RECOVERY_TURNS
         self._waiting_since = min(since, self._waiting_since) if self._waiting_since is not None else since
-        if not is_settling:
-            self.schedule(now(), self._settle)
+        if not is_recovering:
+            self.schedule(now(), self._count_recovery_turn)
 
-    def _settle(self, _: int) -> None:
-        self._settling_turns -= 1
-        if self._settling_turns:
-            self.schedule(now(), self._settle)  # in the next turn
+    def _count_recovery_turn(self, _: int) -> None:
+        self._recovery_turns -= 1
+        if self._recovery_turns:
+            self.schedule(now(), self._count_recovery_turn)  # in the next turn
         else:
             self._waiting_since = None
 
