--- a/tests/counter/test_client.py
+++ b/tests/counter/test_client.py
@@ -51,8 +51,8 @@
     assert results[1] == (Status.OK, 9.0)
 
 
-@pytest.mark.parametrize("gap_seconds", [0.2, 0.5])
-def test_reply_in_pieces_is_read_unless_the_next_piece_is_overdue(world: InMemoryNetwork, gap_seconds: float) -> None:
+@pytest.mark.parametrize("gap", [0.2, 0.5])
+def test_reply_in_pieces_is_read_unless_the_next_piece_is_overdue(world: InMemoryNetwork, gap: float) -> None:
     pipeline = CallPipeline(world.reactor, world.deadlines, Address("127.0.0.1", 9))
     results = list[CounterResult]()
     pipeline.connect()
@@ -60,8 +60,8 @@
     for piece in (b"$1", b"\r\n", b"7\r", b"\n"):
         pipeline.call(b"one", clock.now() + 0.03).addCallback(results.append)
         wire.dataReceived(piece)
-        world.reactor.pump([0.03] * round(gap_seconds / 0.03))
-    assert wire.closed == (gap_seconds > REPLY_STALL_TIMEOUT)
+        world.reactor.pump([0.03] * round(gap / 0.03))
+    assert wire.closed == (gap > REPLY_STALL_TIMEOUT)
     assert len(results) == 4
     if not wire.closed:
         wire.message(b"9")  # The reply to the second call: replies are still assigned in order.
--- a/tests/run_line/test_management.py
+++ b/tests/run_line/test_management.py
@@ -35,12 +35,12 @@
 
 @pytest.mark.parametrize(("phase", "operator_command"), list(itertools.product(Phase, OperatorCommand)))
 def test_every_command_has_an_outcome_in_every_phase(phase: Phase, operator_command: OperatorCommand) -> None:
-    next_phase, is_accepted, reason = apply_command(phase, operator_command, phase is Phase.SERVING)
+    next_phase, yes, reason = apply_command(phase, operator_command, phase is Phase.SERVING)
     assert reason
-    assert is_accepted or next_phase is phase, "a rejected command changed the phase"
+    assert yes or next_phase is phase, "a rejected command changed the phase"
     assert next_phase is phase or {phase, next_phase} == {Phase.SERVING, Phase.EVACUATED}
-    assert is_accepted == ((phase, operator_command) in TRANSITIONS) or operator_command is OperatorCommand.READY
-    assert apply_command(next_phase, operator_command, is_accepted)[:2] == (next_phase, is_accepted), (
+    assert yes == ((phase, operator_command) in TRANSITIONS) or operator_command is OperatorCommand.READY
+    assert apply_command(next_phase, operator_command, yes)[:2] == (next_phase, yes), (
         "a repeated command has another effect"
     )
 
--- a/tests/simulator/test_simulator.py
+++ b/tests/simulator/test_simulator.py
@@ -61,8 +61,8 @@
 
 
 def test_rejection_has_a_retry_delay_and_a_halted_instance_does_not_reply() -> None:
-    large_request = REQUEST.replace("weight=3", "weight=8").replace("ab cls", "ac cls")
-    _, out = run_adapter(START_BATCH + f"clock wall=6\nat i=4\n{REQUEST}\n{large_request}\nhalt\n{REQUEST}\nend\n")
+    big = REQUEST.replace("weight=3", "weight=8").replace("ab cls", "ac cls")
+    _, out = run_adapter(START_BATCH + f"clock wall=6\nat i=4\n{REQUEST}\n{big}\nhalt\n{REQUEST}\nend\n")
     assert "bounce rid=00000000000000ac not-before-for=" in out
     assert out.count("issue") == 1
 
--- a/thymeflow/limiter/assembly.py
+++ b/thymeflow/limiter/assembly.py
@@ -113,7 +113,7 @@
             self.reloader.reload_configuration,
             linger,
         )
-        # Callbacks for the snapshot, which keeps a copy of the list, and for components that wait until there is a list.
+        # Callbacks for the snapshot, which keeps a copy of the list, and for components that wait for a list.
         self.on_endpoints_applied: Callable[[endpoints.EndpointUpdate], None] = lambda _: None
         self.on_endpoints_available: Callable[[], None] = lambda: None
         self.on_endpoints_changed(initial.endpoints)
