--- a/tests/core/test_dispatcher.py
+++ b/tests/core/test_dispatcher.py
@@ -24,7 +24,7 @@
 from thymeflow.decision.actions import Action, AddToCounter
 from thymeflow.decision.events import Event
 from thymeflow.decision.gateway import Gateway
-from thymeflow.platform.settings import settings_from
+from thymeflow.platform.settings import parse_platform_settings
 from thymeflow.quota.token_bucket import MIN_CALL_INTERVAL_SECONDS
 from thymeflow.runtime import clock
 from thymeflow.transport.commands import CallReader
@@ -49,9 +49,11 @@
 def test_request_gets_one_response_when_the_gateway_fails(network: InMemoryNetwork, raises: bool) -> None:
     backends, _ = make_backend_connections(network)
     gateway: Any = FaultyGateway(raises)
-    dispatcher = RequestDispatcher(settings_from(SETTINGS), gateway, network.deadlines, 10**6, backends, None, None)
+    dispatcher = RequestDispatcher(
+        parse_platform_settings(SETTINGS), gateway, network.deadlines, 10**6, backends, None, None
+    )
     responses: list[Response] = []
-    call, request_event = CallReader(settings_from(SETTINGS)).read(parse_command(request(1, wait=500)))
+    call, request_event = CallReader(parse_platform_settings(SETTINGS)).read(parse_command(request(1, wait=500)))
     dispatcher.submit(IncomingRequest(request_event, clock.now() + 0.5, call, 100)).addCallback(responses.append)
     network.reactor.advance(0.52)
     assert [response.kind for response in responses] == [ResponseKind.FAILED]
@@ -69,7 +71,7 @@
 
 
 def test_counter_call_ends_before_the_next_of_its_name_when_its_reply_is_late(network: InMemoryNetwork) -> None:
-    settings = settings_from(SETTINGS)
+    settings = parse_platform_settings(SETTINGS)
     counter = SlowCounter()
     backends, _ = make_backend_connections(network)
     dispatcher = RequestDispatcher(settings, Gateway(settings, 1), network.deadlines, 10**6, backends, counter, None)
--- a/tests/decision/test_gateway_trace.py
+++ b/tests/decision/test_gateway_trace.py
@@ -24,7 +24,7 @@
 from thymeflow.decision.gateway import Gateway
 from thymeflow.decision.reserved_admission import create_reserving_gateway
 from thymeflow.decision.settings import GatewaySettings
-from thymeflow.platform.settings import settings_from
+from thymeflow.platform.settings import parse_platform_settings
 
 
 def run_adapter(lines: Iterator[str], out: TextIO) -> None:
@@ -56,7 +56,7 @@
 
 def format_exact_line(action: Action) -> str:
     """Return the protocol's line for an action, and add the `start_within` of an attempt, which the protocol omits."""
-    line = simulator.line_for(action)
+    line = simulator.format_action(action)
     return f"{line} within={action.start_within:.6f}" if isinstance(action, StartAttempt) else line
 
 
@@ -78,14 +78,14 @@
         for line in lines:
             kind, _, arguments = line.rstrip("\n").partition(" ")
             if kind == "born":
-                fields = simulator.fields_of(kind, arguments)
-                settings = settings_from(json.loads(fields["settings"]))
+                fields = simulator.parse_fields(kind, arguments)
+                settings = parse_platform_settings(json.loads(fields["settings"]))
                 adapter.gateways[adapter.instance] = create(settings, int(fields["salt"]))
             elif kind == "body":
-                adapter.handle_event(build_body_start(simulator.fields_of(kind, arguments)["rid"]))
+                adapter.handle_event(build_body_start(simulator.parse_fields(kind, arguments)["rid"]))
             elif kind == "settings_changed":
-                info = json.loads(simulator.fields_of(kind, arguments)["settings"])
-                adapter.handle_event(build_settings_change(settings_from(info)))
+                info = json.loads(simulator.parse_fields(kind, arguments)["settings"])
+                adapter.handle_event(build_settings_change(parse_platform_settings(info)))
             else:
                 adapter.handle_line(line.rstrip("\n"))
 
--- a/tests/discovery/test_watch_connection.py
+++ b/tests/discovery/test_watch_connection.py
@@ -1,4 +1,4 @@
-"""The connections of the watch on discovery."""
+"""The connections of the watch: a new one after missing heartbeats, and one for the complete list."""
 
 from __future__ import annotations
 
@@ -15,19 +15,19 @@
 __all__ = ["network"]
 
 
-def test_watch_is_dialed_again_when_it_is_silent_and_a_complete_list_can_be_requested(network: InMemoryNetwork) -> None:
+def test_watch_is_dialed_again_when_it_is_idle_and_a_complete_list_can_be_requested(network: InMemoryNetwork) -> None:
     updates: list[EndpointUpdate] = []
     observer = RecordingObserver(updates.append)
     watch = EndpointWatcher(network.reactor, network.deadlines, Address("127.0.0.1", 9), 41, observer, 3, 1)
     watch.start(clock.now() + 1.0)
-    reading = network.complete_dial(0)
-    reading.transport.abortConnection = lambda: None
-    reading.dataReceived(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n1\r\n\n\r\n")
-    for _ in range(5):  # empty lines keep it up
+    stream = network.complete_dial(0)
+    stream.transport.abortConnection = lambda: None
+    stream.dataReceived(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n1\r\n\n\r\n")
+    for _ in range(5):  # Empty lines keep the watch open.
         network.reactor.pump([0.5] * 4)
-        reading.dataReceived(b"1\r\n\n\r\n")
+        stream.dataReceived(b"1\r\n\n\r\n")
     assert len(network.reactor.tcpClients) == 1
-    network.reactor.pump([0.1] * 49)  # two of them have not come
+    network.reactor.pump([0.1] * 49)  # Two heartbeats are missing.
     assert len(network.reactor.tcpClients) == 2
     watch.fetch_complete_list()
     complete_list = network.complete_dial(2)
--- a/tests/run_line/test_lifecycle_wiring.py
+++ b/tests/run_line/test_lifecycle_wiring.py
@@ -1,4 +1,4 @@
-"""What the lifecycle connects: each test fails if one of its effects on the other parts is left out."""
+"""Effects of the lifecycle on the limiter's components: each test fails if one effect is missing."""
 
 from __future__ import annotations
 
@@ -20,18 +20,18 @@
     EVACUATION_DELAY,
     STOP_CHECK_INTERVAL,
     TERMINATION_LINGER,
-    UNTAKEN_RESPONSE_GRACE,
+    UNREAD_RESPONSE_GRACE,
 )
 from thymeflow.limiter.phases import REASONS, OperatorCommand, Phase
 from thymeflow.runtime import log
 
-DEADLINE_SECONDS = 0.5  # of every class of these limiters
+DEADLINE_SECONDS = 0.5  # deadline of every request class
 LONGER_DEADLINE_SECONDS = 1.0
 __all__ = ["network"]
 
 
 def settings_with_deadline(seconds: float) -> dict[str, Any]:
-    """Return the platform's settings, with a deadline for every class and no cancelling of attempts."""
+    """Return the platform's settings with this deadline for every class, and without cancelling of attempts."""
     classes = [{**request_class, "deadline": seconds} for request_class in SETTINGS["classes"]]
     return {**SETTINGS, "classes": classes, "caps": {**SETTINGS["caps"], "cancel": False}}
 
@@ -45,7 +45,7 @@
 
 
 def build_serving_limiter(network: InMemoryNetwork, linger: float = TERMINATION_LINGER) -> tuple[Limiter, FakePort]:
-    """Return a limiter that accepts clients, and its port."""
+    """Return a limiter that accepts clients, and its listening port."""
     limiter = build_limiter(network, linger)
     port = FakePort()
     limiter.lifecycle.on_listening(port)
@@ -53,7 +53,7 @@
 
 
 def connect_client(network: InMemoryNetwork, limiter: Limiter) -> Any:
-    """Return a client's connection."""
+    """Connect a client and return its connection."""
     return network.connect_protocol(limiter.frontend.buildProtocol(None))
 
 
@@ -109,12 +109,12 @@
 def test_limiter_serves_when_its_first_backend_is_known_after_it_listens(network: InMemoryNetwork) -> None:
     limiter = Limiter(make_configuration(), network.reactor)
     limiter.lifecycle.on_listening(FakePort())
-    assert not limiter.lifecycle.takes_clients()
+    assert not limiter.lifecycle.is_accepting_clients()
     limiter.on_endpoints_changed(make_backend_update("active", reset=True))
-    assert limiter.lifecycle.takes_clients()
+    assert limiter.lifecycle.is_accepting_clients()
 
 
-def test_phases_are_passed_on_in_order_when_the_limiter_starts_and_stops(
+def test_phases_are_reported_and_logged_in_order_when_the_limiter_starts_and_stops(
     network: InMemoryNetwork, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     limiter = build_limiter(network)
@@ -138,16 +138,16 @@
     client.dataReceived(request(1))
     limiter.lifecycle.terminate()
     network.reactor.pump([0.05] * int(linger / 0.05 - 1))
-    assert limiter.lifecycle.takes_clients()
+    assert limiter.lifecycle.is_accepting_clients()
     assert port.stopped_count == 0
     assert limiter.frontend.buildProtocol(None) is not None
     network.reactor.pump([0.05] * 2)
-    assert not limiter.lifecycle.takes_clients()
+    assert not limiter.lifecycle.is_accepting_clients()
     assert port.stopped_count == 1
     assert limiter.frontend.buildProtocol(None) is None
 
 
-def test_process_stops_at_once_when_the_last_client_leaves_a_closed_limiter(network: InMemoryNetwork) -> None:
+def test_process_stops_at_once_when_the_last_client_of_a_closed_limiter_disconnects(network: InMemoryNetwork) -> None:
     limiter, _ = build_serving_limiter(network)
     client = connect_client(network, limiter)
     limiter.lifecycle.terminate(0.0)
@@ -158,7 +158,7 @@
     assert limiter.lifecycle.phase is Phase.STOPPED
 
 
-def test_process_stops_when_the_last_attempt_ends_after_its_client_has_left(network: InMemoryNetwork) -> None:
+def test_process_stops_when_the_last_attempt_ends_after_its_client_has_disconnected(network: InMemoryNetwork) -> None:
     limiter, _ = build_serving_limiter(network)
     client = connect_client(network, limiter)
     client.dataReceived(request(1))
@@ -174,7 +174,7 @@
 
 
 @pytest.mark.parametrize("deadline", [DEADLINE_SECONDS, LONGER_DEADLINE_SECONDS, 0.1])
-def test_process_stops_after_the_longest_deadline_when_a_client_never_takes_its_response(
+def test_process_stops_after_the_longest_deadline_when_a_client_never_reads_its_response(
     network: InMemoryNetwork, deadline: float
 ) -> None:
     limiter, _ = build_serving_limiter(network)
@@ -183,7 +183,7 @@
     client.dataReceived(command(b"PING"))
     limiter.apply_settings(make_configuration(settings=settings_with_deadline(deadline)).settings)
     limiter.lifecycle.terminate(0.0)
-    stop_after = max(deadline, DEADLINE_SECONDS) + UNTAKEN_RESPONSE_GRACE
+    stop_after = max(deadline, DEADLINE_SECONDS) + UNREAD_RESPONSE_GRACE
     network.reactor.pump([0.05] * round(stop_after / 0.05 - 1))
     assert not network.reactor.hasStopped
     network.reactor.pump([0.05] * 2)
--- a/thymeflow/frontend/client_connection.py
+++ b/thymeflow/frontend/client_connection.py
@@ -110,7 +110,7 @@
         # The first command of a connection may have arrived as early as the connection itself, if that was accepted a
         # moment ago. Its time then includes a stall of this process since the connection arrived. The time of a command
         # that arrives in pieces or after a pause begins with its last byte.
-        is_first = not self._has_sent_command and not was_incomplete and now - self._idle_since < clock.STALL
+        is_first = not self._has_sent_command and not was_incomplete and now - self._idle_since < clock.STALL_THRESHOLD
         self._arrived_at = min(owner.deadlines.earliest_arrival(now), self._arrived_at if is_first else inf)
         if parsed or not was_incomplete:
             self._command_started_at = now
--- a/thymeflow/frontend/frontend.py
+++ b/thymeflow/frontend/frontend.py
@@ -32,7 +32,7 @@
 class FrontendOwner(Protocol):
     """The interface of the limiter that the frontend belongs to."""
 
-    def takes_clients(self) -> bool:
+    def is_accepting_clients(self) -> bool:
         """Return whether clients are accepted now, so that PING is answered with PONG."""
 
     def describe_state(self) -> str:
@@ -100,7 +100,7 @@
 
     def is_ready(self) -> bool:
         """Return whether PING is answered with PONG."""
-        return self._owner.takes_clients()
+        return self._owner.is_accepting_clients()
 
     def describe_state(self) -> str:
         """Return the reason for which clients are not accepted."""
--- a/thymeflow/transport/connections.py
+++ b/thymeflow/transport/connections.py
@@ -181,7 +181,8 @@
 
     The Deferred fails if the connection is refused or not made by `deadline` (a time of `clock.now`). If this process
     was stalled when the deadline passed, the peer may not be at fault: the reactor begins to connect in its next turn,
-    and learns of the connection in a later one. The deadline is then extended by `clock.STALL` for these turns.
+    and learns of the connection in a later one. The deadline is then extended by `clock.STALL_THRESHOLD` for these
+    turns.
     """
     connection_deferred: Deferred[ConnectionT] = Deferred()
     connector = reactor.connectTCP(
@@ -194,7 +195,7 @@
         nonlocal timeout_call
         now = clock.now()
         if deadlines.is_stalled(now):
-            timeout_call = deadlines.schedule(now + clock.STALL, on_timeout)
+            timeout_call = deadlines.schedule(now + clock.STALL_THRESHOLD, on_timeout)
         else:
             connector.stopConnecting()
 
