--- a/tests/settings/test_settings.py
+++ b/tests/settings/test_settings.py
@@ -31,7 +31,7 @@
 def test_duration_is_rejected_with_a_remedy_when_it_is_malformed(text: str) -> None:
     with pytest.raises(InvalidValueError) as caught:
         Duration(0.0, 3600.0).read(text)
-    assert "such as 500ms" in caught.value.mend
+    assert "such as 500ms" in caught.value.remedy
 
 
 @given(st.integers(0, 86400_000))
--- a/thymeflow/cli/platform_check.py
+++ b/thymeflow/cli/platform_check.py
@@ -19,7 +19,7 @@
 
     key: str
     check: Callable[..., object]
-    mend: str
+    remedy: str
 
 
 def find_platform_faults(path: str) -> list[Fault]:
@@ -39,7 +39,7 @@
             continue
         why = _check_value(check, source[check.key])
         if why is not None:
-            faults.append(Fault(path, 0, "", check.key, why, check.mend))
+            faults.append(Fault(path, 0, "", check.key, why, check.remedy))
     if not faults:
         try:
             configuration.from_source(source, path, os.environ)
--- a/thymeflow/fleet/control_requests.py
+++ b/thymeflow/fleet/control_requests.py
@@ -147,7 +147,7 @@
     try:
         return Count(1, MAX_MEMBERS).read(str(count))
     except InvalidValueError as error:
-        text = f"count: {error}; {error.mend}"
+        text = f"count: {error}; {error.remedy}"
         raise ValueError(text) from None
 
 
--- a/thymeflow/settings/errors.py
+++ b/thymeflow/settings/errors.py
@@ -40,8 +40,8 @@
 
 
 class InvalidValueError(SettingsReaderError, ValueError):
-    """The text is not a value of its kind; `mend` is what to write instead."""
+    """A text that is not a valid value of its kind; `remedy` is what to write instead."""
 
-    def __init__(self, why: str, mend: str) -> None:
+    def __init__(self, why: str, remedy: str) -> None:
         super().__init__(why)
-        self.mend = mend
+        self.remedy = remedy
--- a/thymeflow/settings/ini_file.py
+++ b/thymeflow/settings/ini_file.py
@@ -73,13 +73,13 @@
     if isinstance(error, configparser.DuplicateOptionError):
         return [Fault(name, error.lineno or 0, str(error.section), error.option, "is set twice", "keep one of the two")]
     if isinstance(error, configparser.DuplicateSectionError):
-        mend = "write its keys under one head"
-        return [Fault(name, error.lineno or 0, str(error.section), "", "stands twice", mend)]
+        remedy = "write its keys under one head"
+        return [Fault(name, error.lineno or 0, str(error.section), "", "stands twice", remedy)]
     if isinstance(error, configparser.MissingSectionHeaderError):
-        mend = "begin with a head such as [daemon]"
-        return [Fault(name, error.lineno, "", "", "a line stands before any section", mend)]
-    mend = "write key = value, or begin the line with # to leave it out"
-    return [Fault(name, number, "", "", f"{line.strip()!r} is no key = value", mend) for number, line in error.errors]
+        remedy = "begin with a head such as [daemon]"
+        return [Fault(name, error.lineno, "", "", "a line stands before any section", remedy)]
+    remedy = "write key = value, or begin the line with # to leave it out"
+    return [Fault(name, number, "", "", f"{line.strip()!r} is no key = value", remedy) for number, line in error.errors]
 
 
 def _find_line_numbers(text: str) -> dict[tuple[str, str], int]:
--- a/thymeflow/settings/reader.py
+++ b/thymeflow/settings/reader.py
@@ -55,8 +55,8 @@
         """Read every key of a file."""
         for section, keys in file.sections.items():
             if section not in self._kinds:
-                mend = suggest_name(section, self._kinds)
-                self._faults.append(Fault(file.name, file.line_of(section), section, "", "is no section", mend))
+                remedy = suggest_name(section, self._kinds)
+                self._faults.append(Fault(file.name, file.line_of(section), section, "", "is no section", remedy))
                 continue
             for key, text in keys.items():
                 self._add_key(file, section, key, text)
@@ -64,13 +64,13 @@
     def _add_key(self, file: IniFile, section: str, key: str, text: str) -> None:
         line = file.line_of(section, key)
         if key not in self._kinds[section]:
-            mend = suggest_name(key, self._kinds[section])
-            self._faults.append(Fault(file.name, line, section, key, "is no key here", mend))
+            remedy = suggest_name(key, self._kinds[section])
+            self._faults.append(Fault(file.name, line, section, key, "is no key here", remedy))
             return
         try:
             self._read_value(section, key, text)
         except InvalidValueError as error:
-            self._faults.append(Fault(file.name, line, section, key, str(error), error.mend))
+            self._faults.append(Fault(file.name, line, section, key, str(error), error.remedy))
 
     def add_environment(self, environment: Mapping[str, str]) -> None:
         """Read every variable with the prefix; its value overrides that of the file."""
@@ -79,14 +79,14 @@
         }
         for variable in sorted(name for name in environment if name.startswith(VARIABLE_PREFIX)):
             if variable not in settings_by_variable:
-                mend = suggest_name(variable, settings_by_variable)
-                self._faults.append(Fault("environment", 0, "", variable, "sets nothing", mend))
+                remedy = suggest_name(variable, settings_by_variable)
+                self._faults.append(Fault("environment", 0, "", variable, "sets nothing", remedy))
                 continue
             section, key = settings_by_variable[variable]
             try:
                 self._read_value(section, key, environment[variable])
             except InvalidValueError as error:
-                self._faults.append(Fault("environment", 0, section, variable, str(error), error.mend))
+                self._faults.append(Fault("environment", 0, section, variable, str(error), error.remedy))
 
     def _read_value(self, section: str, key: str, text: str) -> None:
         self._values[section][key] = self._kinds[section][key].read(text.strip())
--- a/thymeflow/settings/units.py
+++ b/thymeflow/settings/units.py
@@ -42,25 +42,25 @@
     unit: str
 
 
-def _read_amount(text: str, units: dict[str, float] | dict[str, int], mend: str) -> _Amount:
+def _read_amount(text: str, units: dict[str, float] | dict[str, int], remedy: str) -> _Amount:
     match = _AMOUNT.fullmatch(text)
     if match is None:
         cause = f"{text!r} is no amount with a unit"
-        raise InvalidValueError(cause, mend)
+        raise InvalidValueError(cause, remedy)
     digits, unit = match.groups()
     if not unit:
         cause = f"{text!r} has no unit"
-        raise InvalidValueError(cause, mend)
+        raise InvalidValueError(cause, remedy)
     if unit not in units:
         cause = f"{text!r} has the unknown unit {unit!r}"
-        raise InvalidValueError(cause, mend)
+        raise InvalidValueError(cause, remedy)
     return _Amount(float(digits), unit)
 
 
-def _check_range(text: str, value: float, minimum: float, maximum: float, mend: str) -> None:
+def _check_range(text: str, value: float, minimum: float, maximum: float, remedy: str) -> None:
     if not isfinite(value) or not minimum <= value <= maximum:
         cause = f"{text!r} is out of range"
-        raise InvalidValueError(cause, mend)
+        raise InvalidValueError(cause, remedy)
 
 
 @dataclass(frozen=True, slots=True)
@@ -72,10 +72,10 @@
 
     def read(self, text: str) -> float:
         """Return the seconds that a text stands for."""
-        mend = f"write a time from {self.show(self.minimum)} to {self.show(self.maximum)}, such as 500ms or 2s"
-        amount = _read_amount(text, UNITS_PER_SECOND, mend)
+        remedy = f"write a time from {self.show(self.minimum)} to {self.show(self.maximum)}, such as 500ms or 2s"
+        amount = _read_amount(text, UNITS_PER_SECOND, remedy)
         seconds = amount.number / UNITS_PER_SECOND[amount.unit]  # divided, 700ms is 0.7 to the last bit
-        _check_range(text, seconds, self.minimum, self.maximum, mend)
+        _check_range(text, seconds, self.minimum, self.maximum, remedy)
         return seconds
 
     def show(self, value: float) -> str:
@@ -96,10 +96,10 @@
 
     def read(self, text: str) -> int:
         """Return the bytes that a text stands for."""
-        mend = f"write a size from {self.show(self.minimum)} to {self.show(self.maximum)}, such as 64MB"
-        amount = _read_amount(text, BYTES_PER_UNIT, mend)
+        remedy = f"write a size from {self.show(self.minimum)} to {self.show(self.maximum)}, such as 64MB"
+        amount = _read_amount(text, BYTES_PER_UNIT, remedy)
         size = amount.number * BYTES_PER_UNIT[amount.unit]
-        _check_range(text, size, self.minimum, self.maximum, mend)
+        _check_range(text, size, self.minimum, self.maximum, remedy)
         return int(size)
 
     def show(self, value: int) -> str:
@@ -119,11 +119,11 @@
 
     def read(self, text: str) -> int:
         """Return the number that a text stands for."""
-        mend = f"write a whole number from {self.minimum} to {self.maximum}"
+        remedy = f"write a whole number from {self.minimum} to {self.maximum}"
         if not text.isascii() or not text.isdigit() or len(text) > MAX_COUNT_DIGITS:
             cause = f"{text!r} is no whole number"
-            raise InvalidValueError(cause, mend)
-        _check_range(text, int(text), self.minimum, self.maximum, mend)
+            raise InvalidValueError(cause, remedy)
+        _check_range(text, int(text), self.minimum, self.maximum, remedy)
         return int(text)
 
     def show(self, value: int) -> str:
