--- a/tests/settings/test_settings.py
+++ b/tests/settings/test_settings.py
@@ -11,7 +11,7 @@
 
 from tests.limiter import ROOT
 from thymeflow.settings import Settings, SettingsError, read_settings
-from thymeflow.settings.ini_file import MAX_BYTES
+from thymeflow.settings.ini_file import MAX_FILE_BYTES
 from thymeflow.settings.reader import format_settings, parse_settings
 from thymeflow.settings.units import Count, Duration, InvalidValueError, Size
 
@@ -90,7 +90,7 @@
 
 def test_file_is_rejected_when_it_cannot_be_read_as_settings(tmp_path: Path) -> None:
     (tmp_path / "latin").write_bytes(b"[log]\nfile = \xe9\n")
-    (tmp_path / "large").write_bytes(b"#" * (MAX_BYTES + 1))
+    (tmp_path / "large").write_bytes(b"#" * (MAX_FILE_BYTES + 1))
     for name, text in (("latin", ":2: is no UTF-8"), ("large", "holds"), ("none", "No such file"), (".", "directory")):
         with pytest.raises(SettingsError, match=text):
             read_settings(tmp_path / name, {})
--- a/thymeflow/settings/__init__.py
+++ b/thymeflow/settings/__init__.py
@@ -1,4 +1,4 @@
-"""The settings file: INI text read into frozen dataclasses, with units, and every fault reported at once."""
+"""The settings file: a reader of INI text into frozen dataclasses, which reports every fault of the text at once."""
 
 from thymeflow.settings.errors import Fault, SettingsError
 from thymeflow.settings.reader import read_settings
--- a/thymeflow/settings/errors.py
+++ b/thymeflow/settings/errors.py
@@ -9,9 +9,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Fault:
-    """One fault: where it is, what is wrong and what to write instead.
+    """One fault of a settings file, of the environment or of the platform's JSON.
 
-    Line 0 stands for the file itself or the environment. `thymeflow check --json` prints the fields under these names.
+    `why` is the cause, and `mend` is the text that tells the reader what to write instead. Line 0 stands for the whole
+    file or for the environment. `thymeflow check --json` prints the fields under these names.
     """
 
     file: str
@@ -32,7 +33,7 @@
 
 
 class SettingsError(SettingsReaderError):
-    """The settings cannot be used; `faults` has every reason."""
+    """The settings cannot be used; `faults` lists every cause."""
 
     def __init__(self, faults: list[Fault]) -> None:
         super().__init__("\n".join(map(str, faults)))
@@ -40,7 +41,7 @@
 
 
 class InvalidValueError(SettingsReaderError, ValueError):
-    """A text that is not a valid value of its kind; `remedy` is what to write instead."""
+    """A text is not a valid value of its kind; `remedy` tells the reader what to write instead."""
 
     def __init__(self, why: str, remedy: str) -> None:
         super().__init__(why)
--- a/thymeflow/settings/ini_file.py
+++ b/thymeflow/settings/ini_file.py
@@ -1,4 +1,4 @@
-"""The INI syntax of the settings file: text in, raw strings by section and key out, with their line numbers."""
+"""The INI syntax of the settings file: a parser that returns raw strings by section and key, and their line numbers."""
 
 from __future__ import annotations
 
@@ -8,9 +8,9 @@
 
 from thymeflow.settings.errors import Fault, SettingsError
 
-MAX_BYTES = 1 << 20  # of a settings file
+MAX_FILE_BYTES = 1 << 20  # Maximum size of a settings file
 
-RawSections = dict[str, dict[str, str]]  # section, key, text
+RawSections = dict[str, dict[str, str]]  # Unparsed values by section and key
 
 
 @dataclass(frozen=True, slots=True)
@@ -19,24 +19,25 @@
 
     name: str
     sections: RawSections
-    line_numbers: dict[tuple[str, str], int]  # by section and key; key "" is the section's header
+    # Line numbers by section and key; the key "" stands for the header of the section.
+    line_numbers: dict[tuple[str, str], int]
 
-    def line_of(self, section: str, key: str = "") -> int:
-        """Return the line of a key or of a section's header; 0 if it is not known."""
+    def find_line_number(self, section: str, key: str = "") -> int:
+        """Return the line number of a key or, without a key, of a section's header; 0 if it is unknown."""
         return self.line_numbers.get((section, key), 0)
 
 
 def read_text(path: Path) -> str:
     """Return the text of a settings file.
 
-    :raises SettingsError: if it cannot be read, is too large or is not UTF-8.
+    :raises SettingsError: if the file cannot be read, is larger than `MAX_FILE_BYTES` or is not UTF-8.
     """
     try:
         data = path.read_bytes()
     except OSError as error:
         why = f"cannot be read ({error.strerror})"
         raise SettingsError([Fault(str(path), 0, "", "", why, "name a file that is there and may be read")]) from None
-    if len(data) > MAX_BYTES:
+    if len(data) > MAX_FILE_BYTES:
         why = f"holds {len(data)} bytes"
         raise SettingsError([Fault(str(path), 0, "", "", why, "settings are shorter; name another file")])
     try:
@@ -47,9 +48,9 @@
 
 
 def parse_ini(text: str, name: str) -> IniFile:
-    """Parse the text of the file `name`.
+    """Parse the text of the settings file `name`.
 
-    :raises SettingsError: if its syntax is wrong.
+    :raises SettingsError: if the text is not valid INI.
     """
     parser = configparser.ConfigParser(
         interpolation=None,
@@ -62,12 +63,12 @@
     try:
         parser.read_string(text)
     except (configparser.DuplicateOptionError, configparser.DuplicateSectionError, configparser.ParsingError) as error:
-        raise SettingsError(_syntax_faults(error, name)) from None
+        raise SettingsError(_build_syntax_faults(error, name)) from None
     sections = {section: dict(parser[section]) for section in parser.sections()}
     return IniFile(name, sections, _find_line_numbers(text))
 
 
-def _syntax_faults(
+def _build_syntax_faults(
     error: configparser.DuplicateOptionError | configparser.DuplicateSectionError | configparser.ParsingError, name: str
 ) -> list[Fault]:
     if isinstance(error, configparser.DuplicateOptionError):
@@ -83,7 +84,7 @@
 
 
 def _find_line_numbers(text: str) -> dict[tuple[str, str], int]:
-    # configparser does not report line numbers, which every error message has.
+    # configparser does not return the line numbers of valid keys, and every error message of the reader has one.
     line_numbers: dict[tuple[str, str], int] = {}
     section = ""
     for number, line in enumerate(text.splitlines(), 1):
--- a/thymeflow/settings/reader.py
+++ b/thymeflow/settings/reader.py
@@ -1,7 +1,7 @@
-"""The reader of the settings: INI text and the environment in, frozen dataclasses out.
+"""The reader of the settings: it builds frozen dataclasses from INI text and the environment.
 
-Every fault of a file is reported, not only the first, each with file, line, section, key and what to write instead.
-No value is used of a file that has a fault.
+The reader reports every fault of a file, not only the first; each fault has the file, line, section and key, and a text
+that tells what to write instead. If there is any fault, the reader uses no value of the file.
 """
 
 from __future__ import annotations
@@ -22,49 +22,51 @@
     from _typeshed import DataclassInstance
 
 VARIABLE_PREFIX = "THYMEFLOW_"
-SIMILARITY_CUTOFF = 0.5  # of difflib: how alike a name is to one that is suggested for it
+SIMILARITY_CUTOFF = 0.5  # Minimum difflib similarity between an unknown name and a suggested one
 
-SectionClass = type["DataclassInstance"]  # one of `sections`
-KindsByKey = dict[str, ValueKind[object]]
+SectionClass = type["DataclassInstance"]  # One of the dataclasses in `sections`
+ValueKindsByKey = dict[str, ValueKind[object]]
 
 SECTIONS: dict[str, SectionClass] = dict(get_type_hints(Settings))
 
 
 def suggest_name(name: str, known: Iterable[str]) -> str:
-    """Return what to write instead of an unknown name: the known one that is most alike, or all of them."""
+    """Return a text that suggests the known name closest to `name`, or lists all known names if none is close."""
     names = sorted(known)
-    alike = difflib.get_close_matches(name, names, 1, SIMILARITY_CUTOFF)
-    return f"did you mean {alike[0]!r}?" if alike else f"known here: {', '.join(names)}"
+    matches = difflib.get_close_matches(name, names, 1, SIMILARITY_CUTOFF)
+    return f"did you mean {matches[0]!r}?" if matches else f"known here: {', '.join(names)}"
 
 
-def kinds_of(section: SectionClass) -> KindsByKey:
-    """Return the kind of value of each key of a section, keys as the file spells them."""
+def find_value_kinds(section: SectionClass) -> ValueKindsByKey:
+    """Return the value kind of each key of a section, by the spelling of the key in the file."""
     hints = get_type_hints(section, include_extras=True)
     return {field.name.replace("_", "-"): get_args(hints[field.name])[1] for field in fields(section)}
 
 
 class _SettingsBuilder:
-    """Collects the values of all sections, and every fault, from one source after another."""
+    """Collects the values and the faults of all sections from the file and the environment."""
 
     def __init__(self) -> None:
-        self._kinds = {name: kinds_of(section) for name, section in SECTIONS.items()}
+        self._value_kinds = {name: find_value_kinds(section) for name, section in SECTIONS.items()}
         self._values: dict[str, dict[str, object]] = {name: {} for name in SECTIONS}
         self._faults: list[Fault] = []
 
     def add_file(self, file: IniFile) -> None:
-        """Read every key of a file."""
+        """Read the value of every key of a file."""
         for section, keys in file.sections.items():
-            if section not in self._kinds:
-                remedy = suggest_name(section, self._kinds)
-                self._faults.append(Fault(file.name, file.line_of(section), section, "", "is no section", remedy))
+            if section not in self._value_kinds:
+                remedy = suggest_name(section, self._value_kinds)
+                self._faults.append(
+                    Fault(file.name, file.find_line_number(section), section, "", "is no section", remedy)
+                )
                 continue
             for key, text in keys.items():
                 self._add_key(file, section, key, text)
 
     def _add_key(self, file: IniFile, section: str, key: str, text: str) -> None:
-        line = file.line_of(section, key)
-        if key not in self._kinds[section]:
-            remedy = suggest_name(key, self._kinds[section])
+        line = file.find_line_number(section, key)
+        if key not in self._value_kinds[section]:
+            remedy = suggest_name(key, self._value_kinds[section])
             self._faults.append(Fault(file.name, line, section, key, "is no key here", remedy))
             return
         try:
@@ -73,9 +75,11 @@
             self._faults.append(Fault(file.name, line, section, key, str(error), error.remedy))
 
     def add_environment(self, environment: Mapping[str, str]) -> None:
-        """Read every variable with the prefix; its value overrides that of the file."""
+        """Read every variable whose name begins with `VARIABLE_PREFIX`; its value overrides the value in the file."""
         settings_by_variable = {
-            _variable_name(section, key): (section, key) for section in self._kinds for key in self._kinds[section]
+            _build_variable_name(section, key): (section, key)
+            for section in self._value_kinds
+            for key in self._value_kinds[section]
         }
         for variable in sorted(name for name in environment if name.startswith(VARIABLE_PREFIX)):
             if variable not in settings_by_variable:
@@ -89,12 +93,12 @@
                 self._faults.append(Fault("environment", 0, section, variable, str(error), error.remedy))
 
     def _read_value(self, section: str, key: str, text: str) -> None:
-        self._values[section][key] = self._kinds[section][key].read(text.strip())
+        self._values[section][key] = self._value_kinds[section][key].read(text.strip())
 
     def build(self) -> Settings:
-        """Return the settings, with defaults for what no source sets.
+        """Return the settings; a key that neither the file nor the environment sets has its default.
 
-        :raises SettingsError: with every fault.
+        :raises SettingsError: with every fault, if there is any.
         """
         if self._faults:
             raise SettingsError(self._faults)
@@ -106,14 +110,14 @@
         return settings
 
 
-def _variable_name(section: str, key: str) -> str:
+def _build_variable_name(section: str, key: str) -> str:
     return f"{VARIABLE_PREFIX}{section}_{key}".upper().replace("-", "_")
 
 
 def parse_settings(text: str, file: str, environment: Mapping[str, str]) -> Settings:
-    """Return the settings of a file's text, with those of the environment over them.
+    """Return the settings in the text of the file `file`; environment variables override them.
 
-    :raises SettingsError: with every fault.
+    :raises SettingsError: with every fault, if there is any.
     """
     builder = _SettingsBuilder()
     builder.add_file(parse_ini(text, file))
@@ -122,9 +126,9 @@
 
 
 def read_settings(path: str | Path | None, environment: Mapping[str, str] = os.environ) -> Settings:
-    """Return the settings of a file; without a path, the defaults with those of the environment over them.
+    """Return the settings of a file, or the defaults if there is no path; environment variables override both.
 
-    :raises SettingsError: with every fault.
+    :raises SettingsError: with every fault, if there is any.
     """
     if path is None:
         return parse_settings("", "no file", environment)
@@ -132,13 +136,13 @@
 
 
 def format_settings(settings: Settings) -> str:
-    """Return the text of a file that reads back as these settings."""
+    """Return the text of a settings file from which the reader builds equal settings."""
     sections = []
     for name, section in SECTIONS.items():
         values = getattr(settings, name)
         rows = [
             f"{key} = {kind.show(getattr(values, key.replace('-', '_')))}".rstrip()
-            for key, kind in kinds_of(section).items()
+            for key, kind in find_value_kinds(section).items()
         ]
         sections.append("\n".join([f"[{name}]", *rows]))
     return "\n\n".join(sections) + "\n"
