--- a/thymeflow/logs/shared_file.py
+++ b/thymeflow/logs/shared_file.py
@@ -1,8 +1,8 @@
-"""A log file that many processes append to, and that may be rotated while they do.
+"""A log file that many processes append to, and that another program may rotate at the same time.
 
-One line is one write to a descriptor opened for appending, which the kernel appends atomically (POSIX write with
-O_APPEND); its length is bounded, so that it stays one write. Before a line, and at most once a second, the path is
-checked: if it names another file by now, that one is opened.
+Each line is one write to a descriptor opened with O_APPEND, because the kernel appends such a write atomically (POSIX).
+The length of a line is bounded, so that one write is enough. Before a line is written, and at most once a second, the
+path is checked: if the path names another file than the open one, that file is opened instead.
 """
 
 from __future__ import annotations
@@ -20,9 +20,9 @@
 
 
 class SharedFile:
-    """The append end of a log file, or of standard error if there is no path.
+    """A writer that appends lines to a log file, or to standard error if there is no path.
 
-    :raises OSError: when made, if the file cannot be opened.
+    :raises OSError: by the constructor, if the file cannot be opened.
     """
 
     def __init__(self, path: Path | None, max_line_bytes: int, now: Callable[[], float]) -> None:
@@ -31,16 +31,16 @@
         self._now = now
         self._checked_at = -ROTATION_CHECK_INTERVAL_SECONDS
         self._descriptor = STANDARD_ERROR if path is None else _open_for_append(path)
-        self.dropped_lines = 0  # lines that could not be written, such as on a full disk
+        self.dropped_lines = 0  # Number of lines that could not be written, for example to a full disk
 
     def write(self, line: str) -> None:
-        """Append one line; it is cut to the maximum length, and a line end within it becomes a space."""
+        """Append one line; a longer line is cut to the maximum length, and each line end within it becomes a space."""
         data = self._truncate(line.replace("\n", " ").encode(errors="replace"))
         self._follow_rotation()
         try:
             os.write(self._descriptor, data + b"\n")
         except OSError:
-            self.dropped_lines += 1  # a log that cannot be written must not stop the program
+            self.dropped_lines += 1  # A failed write to the log must not stop the program
 
     def _truncate(self, data: bytes) -> bytes:
         if len(data) + 1 <= self._max_line_bytes:
@@ -55,7 +55,8 @@
             return
         self._checked_at = now
         opened = os.fstat(self._descriptor)
-        with contextlib.suppress(OSError):  # while the folder is missing, lines go to the old file
+        # If the folder is missing, the error is ignored, and lines continue to go to the old file.
+        with contextlib.suppress(OSError):
             if not _is_same_file(self._path, opened):
                 descriptor = _open_for_append(self._path)
                 os.close(self._descriptor)
@@ -73,9 +74,9 @@
 
 
 def _is_same_file(path: Path, opened: os.stat_result) -> bool:
-    """Return whether `path` names the opened file.
+    """Return whether `path` names the opened file; return False if `path` names no file.
 
-    :raises OSError: if the path cannot be examined, for a reason other than that the file is missing.
+    :raises OSError: if the path cannot be examined for another reason than a missing file.
     """
     try:
         named = os.stat(path)
--- a/thymeflow/logs/structured.py
+++ b/thymeflow/logs/structured.py
@@ -1,7 +1,9 @@
-"""Structured log lines with structlog: the writer is bound once, kind and typed fields come with each line.
+"""Structured log lines, written with structlog.
 
-Every line has `instance`, `life`, `pid` and `kind`, also those that Twisted or the standard library write. The names of
-these fields are a format: `life` is the incarnation, new at each start. `docs/on-call.md` shows the text form.
+The fields of the instance are bound to the logger once; each line adds its kind and typed fields. Every line has the
+fields `instance`, `life`, `pid` and `kind`, including lines from Twisted and from the standard library. The names of
+these fields are part of the log format. `life` is the incarnation, which is new at each start of an instance.
+`docs/on-call.md` shows the text form.
 """
 
 from __future__ import annotations
@@ -19,16 +21,17 @@
 from thymeflow.settings.sections import Log
 
 LEVELS = {"debug": logging.DEBUG, "info": logging.INFO, "warning": logging.WARNING, "error": logging.ERROR}
-HEAD_FIELDS = ("at", "level", "instance", "life", "pid", "kind", "text")  # a line's first fields, in this order
+LEADING_FIELDS = ("at", "level", "instance", "life", "pid", "kind", "text")  # First fields of a line, in this order
 JSON_SCALARS = (str, int, float, bool, type(None))
-MAX_VALUE_LENGTH = 1000  # characters of one value; only a trace may be longer, up to the maximum of a line
+# Maximum length of one value in characters. Only a trace may be longer, up to the maximum length of a line.
+MAX_VALUE_LENGTH = 1000
 TRACE_FIELD = "trace"
 
 Fields = dict[str, object]
 
 
 def add_timestamp(_: WrappedLogger, __: str, event: EventDict) -> EventDict:
-    """Add the time in UTC, to the millisecond."""
+    """Add the current time in UTC, with milliseconds."""
     now = clock.now()
     seconds = time.strftime("%Y-%m-%dT%H:%M:%S", time.gmtime(now))
     event["at"] = f"{seconds}.{int(now * 1000) % 1000:03d}Z"
@@ -36,7 +39,7 @@
 
 
 def limit_values(_: WrappedLogger, __: str, event: EventDict) -> EventDict:
-    """Convert values that JSON has no form for into text, and cut text to the maximum length."""
+    """Convert values that JSON cannot represent into text, and cut text to the maximum length."""
     for key, value in list(event.items()):
         scalar = value if isinstance(value, JSON_SCALARS) else str(value)
         if isinstance(scalar, str) and len(scalar) > MAX_VALUE_LENGTH and key != TRACE_FIELD:
@@ -46,30 +49,33 @@
 
 
 def order_fields(_: WrappedLogger, __: str, event: EventDict) -> EventDict:
-    """Put the head's fields first and the rest by name: people read lines too."""
-    head = {key: event.pop(key) for key in HEAD_FIELDS if key in event}
-    return {**head, **dict(sorted(event.items()))}
+    """Put the leading fields first and sort all other fields by name, so that lines are easy to read."""
+    leading = {key: event.pop(key) for key in LEADING_FIELDS if key in event}
+    return {**leading, **dict(sorted(event.items()))}
 
 
 def render_text(_: WrappedLogger, __: str, event: EventDict) -> str:
-    """Return the form of `docs/on-call.md`: time, writer, kind, text, and how many lines were suppressed before it."""
+    """Return the text form of a line, as in `docs/on-call.md`.
+
+    The form has the time, the instance, the kind, the text and the number of lines that were suppressed before it.
+    """
     skipped = event.get("skipped", 0)
-    more = f" ({skipped} more of this kind before)" if skipped else ""
+    suppressed = f" ({skipped} more of this kind before)" if skipped else ""
     trace = f" | {event[TRACE_FIELD]}" if TRACE_FIELD in event else ""
     kind = f"{event['kind']}: " if event.get("kind") else ""
     writer = f"{event['at']} {event['instance']} {event['life']} {event['pid']}"
-    return f"{writer} {kind}{event.get('text', '')}{more}{trace}"
+    return f"{writer} {kind}{event.get('text', '')}{suppressed}{trace}"
 
 
 class _LibraryHandler(logging.Handler):
-    """Passes lines of the standard library's logging, Twisted's errors among them, to the structured log."""
+    """A handler that passes log records of the standard library, including Twisted's errors, to the structured log."""
 
     def __init__(self, structured_log: StructuredLog) -> None:
         super().__init__()
         self._structured_log = structured_log
 
     def emit(self, record: logging.LogRecord) -> None:
-        """Write one record, with its trace if it has one."""
+        """Write one record as a log line, with the traceback of its exception if it has one."""
         fields: Fields = {"logger": record.name}
         if record.exc_info and record.exc_info[1] is not None:
             fields[TRACE_FIELD] = " | ".join(logging.Formatter().formatException(record.exc_info).splitlines())
@@ -78,7 +84,7 @@
 
 
 class StructuredLog:
-    """The log of this process: all its lines, in one form, in one file."""
+    """The log of this process, which writes all lines in one form to one file."""
 
     def __init__(self, settings: Log, instance: str, incarnation: str) -> None:
         path = Path(settings.file) if settings.file else None
@@ -94,28 +100,29 @@
         self._logger = logger.bind(instance=instance, life=incarnation, pid=os.getpid())
 
     def info(self, line: str) -> None:
-        """Append a rendered line; structlog calls this method by the name of its own."""
+        """Append a rendered line; `info` of the structlog logger calls the method of the same name here."""
         self.file.write(line)
 
     def write(self, kind: str, text: str, skipped: int, fields: Fields, level: int = logging.INFO) -> None:
-        """Write one line, if its level is high enough; fields with names of the head get a prefix.
+        """Write one line if its level is at least the log level.
 
-        `skipped`: how many lines of this kind were suppressed before it.
+        A field with the name of a leading field gets the prefix `field_`. `skipped` is the number of lines of this kind
+        that were suppressed before this line.
         """
         if level < self.level:
             return
-        extra = {f"field_{key}" if key in HEAD_FIELDS else key: value for key, value in fields.items()}
+        extra = {f"field_{key}" if key in LEADING_FIELDS else key: value for key, value in fields.items()}
         if skipped:
             extra["skipped"] = skipped
-        # structlog's own name for the text is `event`; ours is `text`, as `event` means another thing here.
+        # structlog names the text `event`. This log names it `text`, because `event` has another meaning here.
         self._logger.info(None, level=logging.getLevelName(level).lower(), kind=kind, text=text, **extra)
 
     def set_level(self, name: str) -> None:
-        """Write lines of this level and above from now on."""
+        """Set the log level: only lines of this level and above are written afterwards."""
         self.level = LEVELS[name]
 
     def install(self) -> None:
-        """Write every line of this process here, Twisted's errors and the standard library's included."""
+        """Send all log lines of this process to this log, including those of Twisted and of the standard library."""
         from twisted.python.log import PythonLoggingObserver
 
         root = logging.getLogger()
