--- a/thymeflow/cli/__init__.py
+++ b/thymeflow/cli/__init__.py
@@ -1,7 +1,7 @@
-"""The command line. Commands are thin: each parses, calls one function of a subsystem and prints.
+"""The command line. Each command parses its arguments, calls one function of a subsystem and prints the result.
 
-A command imports only what it needs: the group finds its commands by name. The docstrings of commands are their help
-texts.
+The command group imports a command only when it is used, so that each command loads only the modules it needs. The
+docstring of a command is its help text.
 """
 
 from __future__ import annotations
@@ -27,14 +27,14 @@
 
 
 class LazyGroup(click.Group):
-    """A group that imports a command when it is needed."""
+    """A command group that imports a command on its first use."""
 
     def list_commands(self, ctx: click.Context) -> list[str]:  # noqa: ARG002 - click's signature
         """Return the names of all commands."""
         return list(COMMANDS)
 
     def get_command(self, ctx: click.Context, cmd_name: str) -> click.Command | None:  # noqa: ARG002 - as above
-        """Return a command, or None if there is none of that name."""
+        """Return the command of that name, or None if there is none."""
         if cmd_name not in COMMANDS:
             return None
         module, _, name = COMMANDS[cmd_name].partition(":")
@@ -47,7 +47,7 @@
 def thymeflow() -> None:
     """Enforce the quotas of customers in front of a fleet of backends.
 
-    Without a command: one limiter as the platform starts it, from the JSON that BALANCER_CONFIG names.
+    Without a command, run one limiter as the platform starts it, with the JSON file that BALANCER_CONFIG names.
 
     Exit codes: 0 done; 1 requested and not done; 2 bad settings, configuration or usage; 3 cannot listen;
     4 another process owns the name; 5 handover failed; 6 no reply from the control socket.
@@ -55,6 +55,6 @@
 
 
 def run() -> int:
-    """Run the command line; return the exit code."""
+    """Run the command line and return its exit code."""
     result: object = thymeflow(standalone_mode=True)
     return result if isinstance(result, int) else 0
--- a/thymeflow/cli/budgets.py
+++ b/thymeflow/cli/budgets.py
@@ -1,4 +1,4 @@
-"""`thymeflow budgets`: how the fleet limits are allocated, and when the lease of each member expires."""
+"""`thymeflow budgets`: the allocation of the fleet limits, and the time until the lease of each member expires."""
 
 from __future__ import annotations
 
@@ -9,14 +9,14 @@
 from thymeflow.cli.control import FLEET_SOCKET, STATUS_TIMEOUT_SECONDS, send_request
 from thymeflow.cli.options import ControlOptions, control_options
 from thymeflow.cli.output import print_response
-from thymeflow.cli.terms import LEASE_STATES, RESOURCES, shown
+from thymeflow.cli.terms import LEASE_STATES, RESOURCES, get_display_term
 
 if TYPE_CHECKING:
     from thymeflow.handover.control_socket import Message
 
 
 def format_table(response: Message) -> str:
-    """Return the allocations as a table for people, amounts in percent of the fleet limits."""
+    """Return the allocations as a readable table, with amounts in percent of the fleet limits."""
     total = response["whole"]
     resources = list(response["free"])
     rows = [_format_summary(response, total), _format_header(resources)]
@@ -38,7 +38,9 @@
 
 
 def _format_header(resources: list[str]) -> str:
-    columns = " ".join(f"{f'{shown(resource, RESOURCES)}: base':>19} {'leased':>6}" for resource in resources)
+    columns = " ".join(
+        f"{f'{get_display_term(resource, RESOURCES)}: base':>19} {'leased':>6}" for resource in resources
+    )
     return f"{'name':8} {'state':13} {'last grant':>12} {'expires s':>9} {'demand/s':>8} {columns}"
 
 
@@ -50,7 +52,7 @@
         for resource in resources
     )
     demand = max(member["demand"])
-    state = shown(member["state"], LEASE_STATES)
+    state = get_display_term(member["state"], LEASE_STATES)
     return f"{name:8} {state:13} {grant:>12} {member['ends_in_s']:9.2f} {demand:8.1f} {columns}"
 
 
@@ -66,5 +68,5 @@
 @control_options
 def budgets(options: ControlOptions) -> None:
     """Show how the fleet limits are allocated to the members."""
-    response = send_request(options.socket_path(FLEET_SOCKET), {"do": "budgets"}, STATUS_TIMEOUT_SECONDS)
+    response = send_request(options.find_socket_path(FLEET_SOCKET), {"do": "budgets"}, STATUS_TIMEOUT_SECONDS)
     print_response(response, options.as_json, format_table(response) if response.get("ok") else "")
--- a/thymeflow/cli/check.py
+++ b/thymeflow/cli/check.py
@@ -1,4 +1,4 @@
-"""`thymeflow check`: every fault of the settings and of the platform's configuration, with its remedy."""
+"""`thymeflow check`: prints every fault of the settings and of the platform's configuration, with its remedy."""
 
 from __future__ import annotations
 
@@ -15,11 +15,11 @@
 from thymeflow.settings import Fault, Settings, SettingsError, read_settings
 from thymeflow.settings.reader import format_settings
 
-PORT_LIMIT = 65536  # ports are below it
+PORT_LIMIT = 65536  # Port numbers must be below this value
 
 
 def find_conflicts(settings: Settings) -> list[Fault]:
-    """Return the faults of combinations of values that are valid one by one."""
+    """Return the faults of combinations of values each of which is valid alone."""
     faults = []
     fleet = settings.fleet
     if fleet.longest_wait < fleet.wait:
--- a/thymeflow/cli/demo.py
+++ b/thymeflow/cli/demo.py
@@ -1,4 +1,4 @@
-"""`thymeflow demo`: three limiters with fake peers, for a first look."""
+"""`thymeflow demo`: a demonstration of three limiters with fake peers."""
 
 from __future__ import annotations
 
@@ -13,13 +13,13 @@
     type=click.FloatRange(4.0, 3600.0),
     default=20.0,
     show_default=True,
-    help="For about how long requests are sent.",
+    help="Approximate number of seconds for which requests are sent.",
 )
 def demo(seconds: float) -> None:
-    """Run three limiters with fakes of all that they need.
+    """Run a demonstration: three limiters with fakes of their peers.
 
-    Sends real requests of four plans over loopback, kills a backend and restarts it, and upgrades while serving. It
-    needs no settings and leaves no files. Ctrl-C ends it early, with the same summary.
+    The demo sends real requests of four plans over loopback, kills and restarts a backend, and upgrades a limiter while
+    it serves. It needs no settings and leaves no files. Ctrl-C ends it early, with the same summary.
     """
     from thymeflow.testkit.demo import run_demo
 
--- a/thymeflow/cli/faults.py
+++ b/thymeflow/cli/faults.py
@@ -1,4 +1,4 @@
-"""`thymeflow lab`: fault injection between real processes, with invariants checked."""
+"""`thymeflow lab`: fault injection between real processes, while invariant checkers observe them."""
 
 from __future__ import annotations
 
@@ -8,9 +8,10 @@
 
 import click
 
-from thymeflow.cli.output import BAD_SETTINGS, fail
+from thymeflow.cli.output import BAD_SETTINGS, exit_with_error
 
-# As in thymeflow.testkit.faults.fault_modes, which is not imported here: it loads the whole limiter.
+# The modes in thymeflow.testkit.faults.fault_modes. That module is not imported here, because it loads all modules of
+# the limiter.
 FAULT_MODES = (
     "ignore-endpoint-updates",
     "drop-responses",
@@ -31,7 +32,7 @@
     "--broken",
     type=click.Choice(FAULT_MODES),
     default=None,
-    help="Run limiters with a fault of their own, which an invariant checker has to report.",
+    help="Run limiters with a deliberate program fault, which an invariant checker must report.",
 )
 def run_schedule(file: str, broken: str | None) -> None:
     """Run the schedule in FILE once; exit code 1 if an invariant checker reports a violation."""
@@ -46,7 +47,7 @@
             click.echo(f"thymeflow: {file}: {reason}", err=True)
         sys.exit(BAD_SETTINGS)
     except (OSError, UnicodeDecodeError) as error:
-        fail(f"{file}: {error}", BAD_SETTINGS)
+        exit_with_error(f"{file}: {error}", BAD_SETTINGS)
     sys.exit(runner.run_schedule(schedule, click.echo, broken or ""))
 
 
@@ -61,7 +62,7 @@
 def generate_schedule(
     seed: int, faults: int, limiters: int, servers: int, seconds: float, line: str, units: str
 ) -> None:
-    """Print a schedule generated from a seed, for `play`."""
+    """Print a schedule for `play`, generated from a seed."""
     from thymeflow.testkit.faults.schedule import Schedule
     from thymeflow.testkit.faults.schedule_file import text_of
     from thymeflow.testkit.faults.schedule_generator import generate
--- a/thymeflow/cli/fleet.py
+++ b/thymeflow/cli/fleet.py
@@ -14,12 +14,12 @@
 from thymeflow.cli.options import (
     ControlOptions,
     control_options,
-    read_or_exit,
+    find_state_folder,
+    read_settings_or_exit,
     settings_option,
-    state_folder,
     state_option,
 )
-from thymeflow.cli.output import BAD_SETTINGS, fail, print_response, progress_printer
+from thymeflow.cli.output import BAD_SETTINGS, build_progress_printer, exit_with_error, print_response
 from thymeflow.settings import read_settings
 
 if TYPE_CHECKING:
@@ -28,7 +28,7 @@
 
 @click.group()
 def fleet() -> None:
-    """Run many instances as one: start, upgrade, scale and stop them."""
+    """Run many instances as one fleet: start, upgrade, scale and stop them."""
 
 
 @fleet.command()
@@ -42,11 +42,11 @@
 )
 @click.option("--program", default="", help="Command line of the members; default: this program.")
 def up(settings_path: str | None, state: str | None, platform: str | None, program: str) -> None:
-    """Start the fleet, or adopt the one that is running, and supervise it in the foreground."""
-    settings = read_or_exit(settings_path)
+    """Start the fleet, or adopt the running one, and supervise it in the foreground."""
+    settings = read_settings_or_exit(settings_path)
     platform_path = platform or settings.daemon.platform or os.environ.get("BALANCER_CONFIG", "")
     if not platform_path:
-        fail("no platform configuration: set [daemon] platform, or give --platform", BAD_SETTINGS)
+        exit_with_error("no platform configuration: set [daemon] platform, or give --platform", BAD_SETTINGS)
     from thymeflow.fleet.supervisor import SupervisorOptions, supervise
 
     absolute_settings_path = str(Path(settings_path).absolute()) if settings_path else ""
@@ -54,21 +54,21 @@
         lambda: read_settings(absolute_settings_path or None),
         absolute_settings_path,
         Path(platform_path).absolute(),
-        state_folder(settings, state).absolute(),
+        find_state_folder(settings, state).absolute(),
         program,
     )
     sys.exit(supervise(options))
 
 
 def _run_operation(options: ControlOptions, message: Message) -> None:
-    """Let the supervisor carry out an operation, and print its progress."""
-    path = options.socket_path(FLEET_SOCKET)
-    response = send_request(path, message, FLEET_TIMEOUT_SECONDS, progress_printer(time.monotonic()))
+    """Ask the supervisor for an operation, and print its progress and its result."""
+    path = options.find_socket_path(FLEET_SOCKET)
+    response = send_request(path, message, FLEET_TIMEOUT_SECONDS, build_progress_printer(time.monotonic()))
     print_response(response, options.as_json, "")
 
 
 def format_table(status: Message) -> str:
-    """Return a fleet's status as a table for people."""
+    """Return the status of a fleet as a readable table."""
     operation = f"; {status['working']}" if status["working"] else ""
     rows = [
         f"{status['ready']} of {status['wanted']} members are ready{operation}",
@@ -93,8 +93,8 @@
 @fleet.command()
 @control_options
 def status(options: ControlOptions) -> None:
-    """Show every member."""
-    response = send_request(options.socket_path(FLEET_SOCKET), {"do": "status"}, STATUS_TIMEOUT_SECONDS)
+    """Show the state of every member."""
+    response = send_request(options.find_socket_path(FLEET_SOCKET), {"do": "status"}, STATUS_TIMEOUT_SECONDS)
     print_response(response, options.as_json, format_table(response) if response.get("ok") else "")
 
 
@@ -109,34 +109,34 @@
 @fleet.command()
 @control_options
 def restart(options: ControlOptions) -> None:
-    """Stop and start members one by one, those in a crash loop included."""
+    """Stop and start all members one by one, including members in a crash loop."""
     _run_operation(options, {"do": "restart"})
 
 
 @fleet.command()
-@click.option("--program", default=None, help="Command line of the new program; default: the present one.")
+@click.option("--program", default=None, help="Command line of the new program; default: the current program.")
 @control_options
 def upgrade(options: ControlOptions, program: str | None) -> None:
-    """Replace members one by one, each by a successor that takes over its socket and its state."""
+    """Replace members one by one; each successor takes over the socket and the state of its predecessor."""
     _run_operation(options, {"do": "upgrade", **({"program": program} if program else {})})
 
 
 @fleet.command()
 @control_options
 def reload(options: ControlOptions) -> None:
-    """Let every member read the platform's configuration again."""
+    """Let every member reload the platform's configuration."""
     _run_operation(options, {"do": "reload"})
 
 
 @fleet.command()
 @control_options
 def down(options: ControlOptions) -> None:
-    """Shut down every member gracefully, then the supervisor."""
+    """Shut down every member gracefully, and then the supervisor."""
     _run_operation(options, {"do": "down"})
 
 
 @fleet.command()
 @control_options
 def leave(options: ControlOptions) -> None:
-    """End the supervisor alone; its members continue to serve, and the next `up` adopts them."""
+    """Stop the supervisor only; its members continue to serve, and the next `up` adopts them."""
     _run_operation(options, {"do": "leave"})
--- a/thymeflow/cli/instance.py
+++ b/thymeflow/cli/instance.py
@@ -1,4 +1,4 @@
-"""`thymeflow status`, `drain`, `reload` and `log-level`: one instance, over its control socket."""
+"""`thymeflow status`, `drain`, `reload` and `log-level`: requests to one instance over its control socket."""
 
 from __future__ import annotations
 
@@ -9,19 +9,21 @@
 from thymeflow.cli.control import STATUS_TIMEOUT_SECONDS, send_request
 from thymeflow.cli.options import ControlOptions, control_options
 from thymeflow.cli.output import print_response
-from thymeflow.cli.terms import RESPONSE_KINDS, SNAPSHOT_SOURCES, shown
+from thymeflow.cli.terms import RESPONSE_KINDS, SNAPSHOT_SOURCES, get_display_term
 
 if TYPE_CHECKING:
     from thymeflow.handover.control_socket import Message
 
 
 def _send_to_instance(name: str, options: ControlOptions, message: Message) -> Message:
-    return send_request(options.socket_path(name), message, STATUS_TIMEOUT_SECONDS)
+    return send_request(options.find_socket_path(name), message, STATUS_TIMEOUT_SECONDS)
 
 
 def format_status(status: Message) -> str:
-    """Return a status as lines for people."""
-    responses = ", ".join(f"{count} {shown(kind, RESPONSE_KINDS)}" for kind, count in status["answers"].items())
+    """Return the status of an instance as readable lines."""
+    responses = ", ".join(
+        f"{count} {get_display_term(kind, RESPONSE_KINDS)}" for kind, count in status["answers"].items()
+    )
     backends = status["servers"]
     lines = [
         f"{status['name']}  {status['phase']}{'' if status['healthy'] else ', not healthy'}  "
@@ -43,7 +45,7 @@
 
 def _format_snapshot(snapshot: Message) -> str:
     age = _format_age(snapshot["age_s"], "none yet", "{:.1f} s old")
-    source = shown(snapshot["remembered_from"], SNAPSHOT_SOURCES)
+    source = get_display_term(snapshot["remembered_from"], SNAPSHOT_SOURCES)
     return f"snapshot  {age}, {snapshot['bytes']} bytes, {snapshot['failed']} failed; restored from {source}"
 
 
--- a/thymeflow/cli/options.py
+++ b/thymeflow/cli/options.py
@@ -1,4 +1,4 @@
-"""Options that several commands share."""
+"""Command line options that several commands share."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 import click
 
-from thymeflow.cli.output import BAD_SETTINGS, fail
+from thymeflow.cli.output import BAD_SETTINGS, exit_with_error
 from thymeflow.settings import Settings, SettingsError, read_settings
 
 P = ParamSpec("P")
@@ -40,19 +40,19 @@
 
 @dataclass(frozen=True, slots=True)
 class ControlOptions:
-    """The options of a command that uses a control socket."""
+    """The options of a command that sends a request to a control socket."""
 
     settings_path: str | None
     state: str | None
     as_json: bool
 
-    def socket_path(self, name: str) -> Path:
-        """Return the path of the control socket `name`; exit if there is no state folder."""
-        return state_folder(read_or_exit(self.settings_path), self.state) / f"{name}.sock"
+    def find_socket_path(self, name: str) -> Path:
+        """Return the path of the control socket `name`; exit if neither settings nor options name a state folder."""
+        return find_state_folder(read_settings_or_exit(self.settings_path), self.state) / f"{name}.sock"
 
 
 def control_options(command: Callable[Concatenate[ControlOptions, P], None]) -> Callable[..., None]:
-    """Add --settings, --state and --json to a command, which receives them as one `ControlOptions`."""
+    """Add --settings, --state and --json to a command, which receives their values as one `ControlOptions`."""
 
     @settings_option
     @state_option
@@ -61,14 +61,14 @@
     def command_with_options(
         settings_path: str | None, state: str | None, as_json: bool, *args: P.args, **kwargs: P.kwargs
     ) -> None:
-        """Collect the shared options, and run the command."""
+        """Run the command with the values of the shared options."""
         command(ControlOptions(settings_path, state, as_json), *args, **kwargs)
 
     return command_with_options
 
 
-def read_or_exit(path: str | None) -> Settings:
-    """Return the settings; print every fault and exit if they cannot be used."""
+def read_settings_or_exit(path: str | None) -> Settings:
+    """Return the settings; if they cannot be used, print every fault and exit."""
     try:
         return read_settings(path)
     except SettingsError as error:
@@ -77,9 +77,9 @@
         sys.exit(BAD_SETTINGS)
 
 
-def state_folder(settings: Settings, state: str | None) -> Path:
-    """Return the folder of locks, control sockets and snapshots; exit if there is none."""
+def find_state_folder(settings: Settings, state: str | None) -> Path:
+    """Return the folder of locks, control sockets and snapshots; exit if neither settings nor options name one."""
     folder = state or settings.daemon.state
     if not folder:
-        fail("no state folder: set [daemon] state, or give --state", BAD_SETTINGS)
+        exit_with_error("no state folder: set [daemon] state, or give --state", BAD_SETTINGS)
     return Path(folder)
--- a/thymeflow/cli/output.py
+++ b/thymeflow/cli/output.py
@@ -1,4 +1,4 @@
-"""How commands print responses, and the exit codes of the commands."""
+"""Functions that print responses of control sockets, and the exit codes of the commands."""
 
 from __future__ import annotations
 
@@ -13,20 +13,23 @@
 if TYPE_CHECKING:
     from thymeflow.handover.control_socket import Message
 
-# Exit codes; see `thymeflow --help`.
+# Exit codes; `thymeflow --help` lists all of them.
 NOT_DONE = 1
 BAD_SETTINGS = 2
 NO_RESPONSE = 6
 
 
-def fail(cause: str, exit_code: int) -> NoReturn:
-    """Print one line on standard error, and exit."""
+def exit_with_error(cause: str, exit_code: int) -> NoReturn:
+    """Print one line on standard error and exit with a code."""
     click.echo(f"thymeflow: {cause}", err=True)
     sys.exit(exit_code)
 
 
 def print_response(response: Message, as_json: bool, text: str) -> NoReturn:
-    """Print a response of a control socket, and exit, with an exit code by whether the request succeeded."""
+    """Print a response of a control socket, and exit with 0 if the request succeeded, else with `NOT_DONE`.
+
+    `text` is printed for a successful request unless `as_json` is set; if it is empty, the response's `why` is printed.
+    """
     is_ok = bool(response.get("ok"))
     if as_json:
         click.echo(json.dumps(response))
@@ -37,10 +40,10 @@
     sys.exit(0 if is_ok else NOT_DONE)
 
 
-def progress_printer(started_at: float) -> Callable[[Message], None]:
-    """Return a function that prints messages that arrive before a response.
+def build_progress_printer(started_at: float) -> Callable[[Message], None]:
+    """Return a callback that prints messages that arrive before a response.
 
-    `started_at`: on the monotonic clock; each line has the seconds since then.
+    `started_at` is a time on the monotonic clock, in seconds; each line begins with the seconds since then.
     """
 
     def print_progress(message: Message) -> None:
--- a/thymeflow/cli/overload.py
+++ b/thymeflow/cli/overload.py
@@ -1,4 +1,4 @@
-"""`thymeflow overload`: which backends the fleet has ejected, by which reports, and which member probes them."""
+"""`thymeflow overload`: the ejected backends, the members that reported each of them, and the member that probes it."""
 
 from __future__ import annotations
 
@@ -9,14 +9,14 @@
 from thymeflow.cli.control import FLEET_SOCKET, STATUS_TIMEOUT_SECONDS, send_request
 from thymeflow.cli.options import ControlOptions, control_options
 from thymeflow.cli.output import print_response
-from thymeflow.cli.terms import EJECTION_STATES, shown
+from thymeflow.cli.terms import EJECTION_STATES, get_display_term
 
 if TYPE_CHECKING:
     from thymeflow.handover.control_socket import Message
 
 
 def format_table(response: Message) -> str:
-    """Return the ejections as a table for people."""
+    """Return the ejections as a readable table."""
     rows = [
         f"admission threshold {response['level']:.2f}; pressure of the backends {response['pressure']:.2f}",
         f"{len(response['members'])} members report; {response['left_out']} invalid reports were ignored; "
@@ -30,7 +30,7 @@
 def _format_ejection(ejection: Message) -> str:
     target = f"zone {ejection['zone']}" if ejection["zone"] else f"{ejection['server']:08x}"
     return (
-        f"{target:10} {ejection['class'] or 'all':14} {shown(ejection['state'], EJECTION_STATES):10} "
+        f"{target:10} {ejection['class'] or 'all':14} {get_display_term(ejection['state'], EJECTION_STATES):10} "
         f"{ejection['for_s']:8.1f} "
         f"{ejection['trial'] or '-':8} {ejection['let_in']:6}  {', '.join(ejection['words'])}"
     )
@@ -39,6 +39,6 @@
 @click.command()
 @control_options
 def overload(options: ControlOptions) -> None:
-    """Show the backends that the fleet has ejected, the members that reported them, and those that probe them."""
-    response = send_request(options.socket_path(FLEET_SOCKET), {"do": "overload"}, STATUS_TIMEOUT_SECONDS)
+    """Show the backends that the fleet has ejected, the members that reported them, and the member that probes each."""
+    response = send_request(options.find_socket_path(FLEET_SOCKET), {"do": "overload"}, STATUS_TIMEOUT_SECONDS)
     print_response(response, options.as_json, format_table(response) if response.get("ok") else "")
--- a/thymeflow/cli/platform_check.py
+++ b/thymeflow/cli/platform_check.py
@@ -1,4 +1,4 @@
-"""The check of the platform's JSON: every fault that can be found key by key."""
+"""The check of the platform's JSON, which checks each key on its own and so finds many faults in one run."""
 
 from __future__ import annotations
 
@@ -11,11 +11,11 @@
 from thymeflow.settings import Fault
 from thymeflow.settings.reader import suggest_name
 
-KEYS = ("name", "listen", "discovery", "seed", "limits", "counter", "known", "settings")
+PLATFORM_KEYS = ("name", "listen", "discovery", "seed", "limits", "counter", "known", "settings")
 
 
 class _KeyCheck(NamedTuple):
-    """How the value of one key is checked, and what to write instead of a bad one."""
+    """The check of one key: `check` raises if the value is invalid, and `remedy` tells what to write instead."""
 
     key: str
     check: Callable[..., object]
@@ -23,18 +23,21 @@
 
 
 def find_platform_faults(path: str) -> list[Fault]:
-    """Return all that is wrong with the platform's JSON, as far as it can be found key by key."""
+    """Return the faults of the platform's JSON.
+
+    If no key is faulty on its own, the whole configuration is parsed, and the error of that parser is returned.
+    """
     from thymeflow.platform import configuration
 
     source = _read_object(path)
     if isinstance(source, Fault):
         return [source]
     faults = [
-        Fault(path, 0, "", key, "is no key of the platform's", suggest_name(key, KEYS))
+        Fault(path, 0, "", key, "is no key of the platform's", suggest_name(key, PLATFORM_KEYS))
         for key in source
-        if key not in KEYS
+        if key not in PLATFORM_KEYS
     ]
-    for check in _key_checks():
+    for check in _build_key_checks():
         if source.get(check.key) is None:
             continue
         why = _check_value(check, source[check.key])
@@ -50,7 +53,7 @@
 
 
 def _read_object(path: str) -> dict[str, object] | Fault:
-    """Return the JSON object in a file, or why there is none."""
+    """Return the JSON object in a file, or the fault because of which the file has none."""
     try:
         source: object = json.loads(Path(path).read_text())
     except OSError as error:
@@ -64,7 +67,7 @@
     return source
 
 
-def _key_checks() -> list[_KeyCheck]:
+def _build_key_checks() -> list[_KeyCheck]:
     from thymeflow.platform import endpoints
     from thymeflow.platform.settings import settings_from
 
@@ -81,7 +84,7 @@
 
 
 def _check_value(check: _KeyCheck, value: object) -> str | None:
-    """Return why a value cannot be used, or None."""
+    """Return the cause for which a value is invalid, or None if it is valid."""
     try:
         check.check(value)
     except KeyError as error:
--- a/thymeflow/cli/serve.py
+++ b/thymeflow/cli/serve.py
@@ -1,4 +1,4 @@
-"""`thymeflow serve`: one limiter as a daemon."""
+"""`thymeflow serve`: runs one limiter as a daemon."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 import click
 
-from thymeflow.cli.options import platform_option, read_or_exit, settings_option
+from thymeflow.cli.options import platform_option, read_settings_or_exit, settings_option
 from thymeflow.settings import Settings, read_settings
 
 
@@ -26,15 +26,15 @@
     help="Take over socket, name and state from the running process of this name, which then drains.",
 )
 @click.option(
-    "--detach", is_flag=True, help="Run in a session of its own, so that it outlives the shell that started it."
+    "--detach", is_flag=True, help="Run in a new session, so that the process outlives the shell that started it."
 )
 def serve(
     settings_path: str | None, platform: str | None, state: str | None, joins: bool, take_over: bool, detach: bool
 ) -> None:
     """Run one limiter as a daemon, in the foreground."""
-    settings = read_or_exit(settings_path)
+    settings = read_settings_or_exit(settings_path)
     if detach:
-        with contextlib.suppress(OSError):  # it is a session leader already
+        with contextlib.suppress(OSError):  # The process is already a session leader
             os.setsid()
 
     from thymeflow.daemon import service
@@ -43,14 +43,14 @@
     platform_path = platform or settings.daemon.platform or os.environ.get("BALANCER_CONFIG", "")
     environment = {**os.environ, "BALANCER_CONFIG": platform_path}
     exit_code = service.serve(
-        _with_state(settings, state),
+        _override_state_folder(settings, state),
         lambda: configuration.load(environment),
         service.Options(joins, take_over),
-        lambda: _with_state(read_settings(settings_path), state),
+        lambda: _override_state_folder(read_settings(settings_path), state),
     )
     sys.exit(exit_code)
 
 
-def _with_state(settings: Settings, state: str | None) -> Settings:
-    """Return the settings with the state folder of the command line, if there is one."""
+def _override_state_folder(settings: Settings, state: str | None) -> Settings:
+    """Return the settings with their state folder replaced by that of the command line, if it names one."""
     return replace(settings, daemon=replace(settings.daemon, state=state)) if state else settings
--- a/thymeflow/cli/snapshot.py
+++ b/thymeflow/cli/snapshot.py
@@ -1,4 +1,4 @@
-"""`thymeflow snapshot show FILE` and `take NAME`."""
+"""`thymeflow snapshot`: `show FILE` prints a snapshot, and `take NAME` lets an instance write one."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 from thymeflow.cli.control import STATUS_TIMEOUT_SECONDS, send_request
 from thymeflow.cli.options import ControlOptions, control_options, json_option
-from thymeflow.cli.output import BAD_SETTINGS, fail, print_response
+from thymeflow.cli.output import BAD_SETTINGS, exit_with_error, print_response
 
 if TYPE_CHECKING:
     from thymeflow.snapshot.schema import Snapshot
@@ -29,7 +29,7 @@
     "--customers",
     type=click.IntRange(0, 100000),
     default=10,
-    help="How many customers to show, those with the emptiest buckets first.",
+    help="Number of customers to show; those with the lowest bucket levels come first.",
 )
 @json_option
 def show(file: str, customers: int, as_json: bool) -> None:
@@ -44,20 +44,20 @@
 
 
 def _read_snapshot(file: str) -> Snapshot:
-    """Return the snapshot in a file; exit if there is none that can be read."""
+    """Return the snapshot in a file; exit if the file has no valid snapshot."""
     from thymeflow.snapshot import atomic_file, schema
 
     try:
         data = atomic_file.read(Path(file))
         if data is None:
-            fail(f"{file}: there is no such file", BAD_SETTINGS)
+            exit_with_error(f"{file}: there is no such file", BAD_SETTINGS)
         return schema.unpack(data)
     except schema.SnapshotError as error:
-        fail(f"{file}: {error}", BAD_SETTINGS)
+        exit_with_error(f"{file}: {error}", BAD_SETTINGS)
 
 
 def format_snapshot(content: Snapshot, max_customers: int) -> str:
-    """Return a snapshot as lines for people, with the customers whose buckets are the emptiest."""
+    """Return a snapshot as readable lines, with the `max_customers` customers that have the lowest bucket levels."""
     age_seconds = time.time() - content.taken
     kind = "final" if content.final else "taken while running"
     lines = [
@@ -79,5 +79,5 @@
 @control_options
 def take(options: ControlOptions, name: str) -> None:
     """Let instance NAME write its snapshot now."""
-    response = send_request(options.socket_path(name), {"do": "snapshot"}, STATUS_TIMEOUT_SECONDS)
+    response = send_request(options.find_socket_path(name), {"do": "snapshot"}, STATUS_TIMEOUT_SECONDS)
     print_response(response, options.as_json, f"{response.get('path')}: {response.get('bytes')} bytes")
--- a/thymeflow/cli/terms.py
+++ b/thymeflow/cli/terms.py
@@ -1,6 +1,7 @@
-"""The terms that tables and texts show for values in the JSON of control sockets, whose spelling is a format.
+"""Display terms for values in the JSON of control sockets.
 
-A value that is not listed is shown as it is.
+The spelling of the JSON values is part of the format, so tables and texts show these terms for them instead. A value
+that is not listed is displayed unchanged.
 """
 
 from __future__ import annotations
@@ -18,6 +19,6 @@
 }
 
 
-def shown(value: str, terms: dict[str, str]) -> str:
-    """Return the term for a value."""
+def get_display_term(value: str, terms: dict[str, str]) -> str:
+    """Return the term to display for a value; a value without a term is returned unchanged."""
     return terms.get(value, value)
