--- a/.ci/known_red.py
+++ b/.ci/known_red.py
@@ -1,9 +1,9 @@
-"""Runs the test command without the tests in KNOWN-RED.txt.
+"""Runs the test command without the tests that KNOWN-RED.txt lists as known failures.
 
 Usage: python .ci/known_red.py PYTEST_ARGUMENTS
 
-An entry is one line, `test id | command and seed | what was seen | issue`. All entries are printed. The run fails, with
-a message, if an entry does not have this form, if it names no test, or if its test passes again.
+An entry is one line, `test id | command and seed | what was seen | issue`. The script prints all entries. The run fails
+with a message if an entry does not have this form, if no test has its id, or if its test passes again.
 """
 
 from __future__ import annotations
@@ -25,7 +25,7 @@
 
 
 class Entry(NamedTuple):
-    """A test that fails because of a known fault."""
+    """An entry of KNOWN-RED.txt: a test that fails because of a known fault."""
 
     test_id: str
     command: str
@@ -56,14 +56,14 @@
 
 
 def pytest_collection_modifyitems(config: pytest.Config, items: list[pytest.Item]) -> None:
-    """Leave out exactly the tests with these ids, as a plugin of pytest (`--deselect` would match a prefix)."""
+    """Leave out exactly the tests of the entries; a pytest hook, because `--deselect` would match prefixes of ids."""
     test_ids = {entry.test_id for entry in parse_entries(read_entries())}
     config.hook.pytest_deselected(items=[item for item in items if item.nodeid in test_ids])
     items[:] = [item for item in items if item.nodeid not in test_ids]
 
 
 def run_pytest(*arguments: str, is_quiet: bool = False) -> int:
-    """Run pytest in the current folder and return its exit code."""
+    """Run pytest in the current folder, with this file importable as a plugin, and return its exit code."""
     path = os.pathsep.join([str(Path(__file__).resolve().parent), os.environ.get("PYTHONPATH", "")])
     completed = subprocess.run(
         [sys.executable, "-m", "pytest", *arguments],
@@ -75,7 +75,10 @@
 
 
 def find_obsolete_entry(entries: list[Entry]) -> str:
-    """Return why an entry cannot stay: its test does not exist, passes again or cannot be run; "" if all can."""
+    """Return why the first obsolete entry must be removed or corrected, or "" if there is none.
+
+    An entry is obsolete if its test does not exist, passes again or cannot be run.
+    """
     for entry in entries:
         if run_pytest("-q", "--collect-only", entry.test_id, is_quiet=True) != pytest.ExitCode.OK:
             return f"{entry.test_id}: no such test"
@@ -88,7 +91,7 @@
 
 
 def main(arguments: list[str]) -> int:
-    """Check the entries, then run all other tests; return the exit code."""
+    """Check the entries, run all other tests, and return the exit code."""
     text = read_entries()
     try:
         entries = parse_entries(text)
--- a/tests/cli/test_configuration_texts.py
+++ b/tests/cli/test_configuration_texts.py
@@ -1,6 +1,7 @@
-"""Bad configurations: each has the same text and the same exit code as an earlier version gave it.
+"""Invalid configurations: each gives the error text and the exit code that an earlier version gave.
 
-The commands run in this process, with their output caught; what the platform's run line says is taken from a process.
+The tests guard against a change of a text or an exit code that operators' tools match. The commands run in this process
+and their output is captured; the run line of the platform runs in a process of its own.
 """
 
 from __future__ import annotations
@@ -31,67 +32,67 @@
 TIER = SETTINGS["tiers-of-service"][0]
 
 
-def changed(**parts: Any) -> str:
-    """The platform's JSON with some parts of it changed; those that are None are left out."""
-    return json.dumps({key: value for key, value in {**GOOD, **parts}.items() if value is not None})
+def build_platform_json(**replacements: Any) -> str:
+    """Return the platform's JSON with some values replaced; a key whose value is None is left out."""
+    return json.dumps({key: value for key, value in {**GOOD, **replacements}.items() if value is not None})
 
 
-def with_settings(**parts: Any) -> str:
-    """The platform's JSON with some of its settings changed."""
-    return changed(settings={**SETTINGS, **parts})
+def build_json_with_settings(**replacements: Any) -> str:
+    """Return the platform's JSON with some of its settings replaced."""
+    return build_platform_json(settings={**SETTINGS, **replacements})
 
 
-def with_server(**parts: Any) -> str:
-    """The platform's JSON with its one server changed."""
-    server = {**GOOD["known"]["instances"][0], **parts}
-    return changed(known={**GOOD["known"], "instances": [server]})
+def build_json_with_backend(**replacements: Any) -> str:
+    """Return the platform's JSON with some values of its only backend replaced."""
+    backend = {**GOOD["known"]["instances"][0], **replacements}
+    return build_platform_json(known={**GOOD["known"], "instances": [backend]})
 
 
 PLATFORM = {
-    "good": changed(),
+    "good": build_platform_json(),
     "empty": "",
     "cut": '{"listen": ',
     "list": "[]",
-    "unknown key": changed(listn="127.0.0.1:7000"),
-    "unknown keys and a bad seed": changed(seed="xyz", extra=1),
-    "listen without port": changed(listen="127.0.0.1"),
-    "listen port too high": changed(listen="127.0.0.1:65536"),
-    "discovery port 0": changed(discovery="127.0.0.1:0"),
-    "counter a number": changed(counter=9),
-    "counter left out": changed(counter=None),
-    "listen left out": changed(listen=None),
-    "settings left out": changed(settings=None),
-    "settings a list": changed(settings=[]),
-    "settings empty": changed(settings={}),
-    "few sockets": changed(limits={"sockets": 10}),
-    "sockets no number": changed(limits={"sockets": "many"}),
-    "limits a list": changed(limits=[]),
-    "memory infinite": '{"limits": {"memory_mb": 1e999}, ' + changed(limits=None)[1:],
-    "known a number": changed(known=7),
-    "known without generation": changed(known={"instances": []}),
-    "known generation a text": changed(known={"generation": "x", "instances": []}),
-    "server without port": with_server(hostPort="nowhere"),
-    "server without name": with_server(instanceId=""),
-    "server weight no number": with_server(weight="heavy"),
-    "server entry a number": changed(known={"generation": 1, "instances": [7]}),
-    "units unknown": changed(units="lots"),
-    "class without name": with_settings(classes=[{**CLASS, "name": None}]),
-    "class without deadline": with_settings(classes=[{k: v for k, v in CLASS.items() if k != "deadline"}]),
-    "class deadline 0": with_settings(classes=[{**CLASS, "deadline": 0}]),
-    "class deadline a text": with_settings(classes=[{**CLASS, "deadline": "long"}]),
-    "class twice": with_settings(classes=[CLASS, CLASS]),
-    "class a text": with_settings(classes=["look"]),
-    "tier negative": with_settings(**{"tiers-of-service": [{**TIER, "refill": -1.0}]}),
-    "tier without name": with_settings(**{"tiers-of-service": [{"refill": 1.0}]}),
-    "tier twice": with_settings(**{"tiers-of-service": [TIER, TIER]}),
-    "rules a number": with_settings(rules=7),
-    "rules negative": with_settings(rules={"drain-grace": -1.0}),
-    "caps null": with_settings(caps=None),
-    "no attempts": with_settings(caps={**SETTINGS["caps"], "max-attempts": 0}),
-    "index beyond the set": with_settings(index=3),
-    "set of none": with_settings(balancers=0),
-    "no zones": with_settings(azs=[]),
-    "step negative": with_settings(step=-0.002),
+    "unknown key": build_platform_json(listn="127.0.0.1:7000"),
+    "unknown keys and a bad seed": build_platform_json(seed="xyz", extra=1),
+    "listen without port": build_platform_json(listen="127.0.0.1"),
+    "listen port too high": build_platform_json(listen="127.0.0.1:65536"),
+    "discovery port 0": build_platform_json(discovery="127.0.0.1:0"),
+    "counter a number": build_platform_json(counter=9),
+    "counter left out": build_platform_json(counter=None),
+    "listen left out": build_platform_json(listen=None),
+    "settings left out": build_platform_json(settings=None),
+    "settings a list": build_platform_json(settings=[]),
+    "settings empty": build_platform_json(settings={}),
+    "few sockets": build_platform_json(limits={"sockets": 10}),
+    "sockets no number": build_platform_json(limits={"sockets": "many"}),
+    "limits a list": build_platform_json(limits=[]),
+    "memory infinite": '{"limits": {"memory_mb": 1e999}, ' + build_platform_json(limits=None)[1:],
+    "known a number": build_platform_json(known=7),
+    "known without generation": build_platform_json(known={"instances": []}),
+    "known generation a text": build_platform_json(known={"generation": "x", "instances": []}),
+    "server without port": build_json_with_backend(hostPort="nowhere"),
+    "server without name": build_json_with_backend(instanceId=""),
+    "server weight no number": build_json_with_backend(weight="heavy"),
+    "server entry a number": build_platform_json(known={"generation": 1, "instances": [7]}),
+    "units unknown": build_platform_json(units="lots"),
+    "class without name": build_json_with_settings(classes=[{**CLASS, "name": None}]),
+    "class without deadline": build_json_with_settings(classes=[{k: v for k, v in CLASS.items() if k != "deadline"}]),
+    "class deadline 0": build_json_with_settings(classes=[{**CLASS, "deadline": 0}]),
+    "class deadline a text": build_json_with_settings(classes=[{**CLASS, "deadline": "long"}]),
+    "class twice": build_json_with_settings(classes=[CLASS, CLASS]),
+    "class a text": build_json_with_settings(classes=["look"]),
+    "tier negative": build_json_with_settings(**{"tiers-of-service": [{**TIER, "refill": -1.0}]}),
+    "tier without name": build_json_with_settings(**{"tiers-of-service": [{"refill": 1.0}]}),
+    "tier twice": build_json_with_settings(**{"tiers-of-service": [TIER, TIER]}),
+    "rules a number": build_json_with_settings(rules=7),
+    "rules negative": build_json_with_settings(rules={"drain-grace": -1.0}),
+    "caps null": build_json_with_settings(caps=None),
+    "no attempts": build_json_with_settings(caps={**SETTINGS["caps"], "max-attempts": 0}),
+    "index beyond the set": build_json_with_settings(index=3),
+    "set of none": build_json_with_settings(balancers=0),
+    "no zones": build_json_with_settings(azs=[]),
+    "step negative": build_json_with_settings(step=-0.002),
 }
 INI = {
     "good": "[log]\nform = json\n",
@@ -122,25 +123,25 @@
 RUN_LINE = ["known generation a text", "cut", "settings a list", "counter left out", "few sockets", "units unknown"]
 
 
-def expected(kind: str, name: str) -> Any:
-    """The text and the exit code that the earlier version gave."""
+def read_recorded_result(kind: str, name: str) -> Any:
+    """Return the recorded result of the earlier version for a case."""
     return json.loads((DATA / "bad-configuration.json").read_text())[kind][name]
 
 
-def same(kind: str, name: str, found: Any) -> None:
-    """The text and the exit code are what the earlier version gave; else the present ones are printed."""
-    assert found == expected(kind, name), f"{kind} {name!r} is now {json.dumps(found)}"
+def assert_as_recorded(kind: str, name: str, found: Any) -> None:
+    """Check that a result equals the recorded one; the failure message has the present result."""
+    assert found == read_recorded_result(kind, name), f"{kind} {name!r} is now {json.dumps(found)}"
 
 
-def command(folder: Path, *words: str, **environment: str) -> list[Any]:
-    """Exit code, standard output and standard error of a command, without the path of its folder."""
-    clean = {"BALANCER_CONFIG": "", **environment}
-    result = CliRunner().invoke(main, list(words), env=clean, prog_name="thymeflow")
+def run_command(folder: Path, *arguments: str, **environment: str) -> list[Any]:
+    """Run a command; return its exit code, standard output and standard error, with the path of `folder` replaced."""
+    variables = {"BALANCER_CONFIG": "", **environment}
+    result = CliRunner().invoke(main, list(arguments), env=variables, prog_name="thymeflow")
     return [result.exit_code, *(text.replace(str(folder), "FOLDER") for text in (result.stdout, result.stderr))]
 
 
-def written(folder: Path, name: str, text: str) -> str:
-    """A file with that text: its path."""
+def write_file(folder: Path, name: str, text: str) -> str:
+    """Write a file with a text and return its path."""
     path = folder / name
     path.write_text(text)
     return str(path)
@@ -148,8 +149,8 @@
 
 @pytest.mark.parametrize("name", PLATFORM)
 def test_check_prints_the_recorded_text_and_code_when_the_platform_file_is_invalid(name: str, tmp_path: Path) -> None:
-    path = written(tmp_path, "platform.json", PLATFORM[name])
-    same("check platform", name, command(tmp_path, "check", "--platform", path))
+    path = write_file(tmp_path, "platform.json", PLATFORM[name])
+    assert_as_recorded("check platform", name, run_command(tmp_path, "check", "--platform", path))
 
 
 @pytest.mark.parametrize("name", PLATFORM)
@@ -158,63 +159,72 @@
         found = str(configuration.from_source(json.loads(PLATFORM[name]), "platform.json", {}).listen)
     except (configuration.ConfigurationError, json.JSONDecodeError) as fault:
         found = str(fault)
-    same("start", name, found)
+    assert_as_recorded("start", name, found)
 
 
 @pytest.mark.parametrize("name", INI)
 def test_check_prints_the_recorded_text_and_code_when_the_settings_file_is_invalid(name: str, tmp_path: Path) -> None:
-    same("check ini", name, command(tmp_path, "check", "--settings", written(tmp_path, "our.ini", INI[name])))
+    assert_as_recorded(
+        "check ini", name, run_command(tmp_path, "check", "--settings", write_file(tmp_path, "our.ini", INI[name]))
+    )
 
 
 def test_check_prints_the_recorded_json_when_json_is_requested(tmp_path: Path) -> None:
-    settings = written(tmp_path, "our.ini", INI["many at once"])
-    platform = written(tmp_path, "p.json", '{"seed": "x"}')
-    found = [command(tmp_path, "check", "--json", "--settings", settings, "--platform", platform)]
-    found.append(command(tmp_path, "check", "--json"))
-    same("check", "json", found)
+    # The JSON of a fault has a stable format, with the keys `why` for the cause and `mend` for the remedy.
+    settings = write_file(tmp_path, "our.ini", INI["many at once"])
+    platform = write_file(tmp_path, "p.json", '{"seed": "x"}')
+    found = [run_command(tmp_path, "check", "--json", "--settings", settings, "--platform", platform)]
+    found.append(run_command(tmp_path, "check", "--json"))
+    assert_as_recorded("check", "json", found)
 
 
 def test_check_prints_the_recorded_text_when_the_environment_is_invalid(tmp_path: Path) -> None:
-    same("check", "environment", command(tmp_path, "check", **ENVIRONMENT))
+    assert_as_recorded("check", "environment", run_command(tmp_path, "check", **ENVIRONMENT))
 
 
 def test_check_prints_the_recorded_text_when_a_file_cannot_be_read(tmp_path: Path) -> None:
     latin = tmp_path / "latin"
     latin.write_bytes(b"[log]\nfile = \xe9\n")
-    large = written(tmp_path, "large", "#" * ((1 << 20) + 1))
+    large = write_file(tmp_path, "large", "#" * ((1 << 20) + 1))
     paths = [str(tmp_path / "none"), str(latin), large]
-    found = [command(tmp_path, "check", "--settings", path) for path in paths]
-    found += [command(tmp_path, "check", "--platform", path) for path in paths[:2]]
-    found.append(command(tmp_path, "check", BALANCER_CONFIG=paths[0]))
-    same("check", "files", found)
+    found = [run_command(tmp_path, "check", "--settings", path) for path in paths]
+    found += [run_command(tmp_path, "check", "--platform", path) for path in paths[:2]]
+    found.append(run_command(tmp_path, "check", BALANCER_CONFIG=paths[0]))
+    assert_as_recorded("check", "files", found)
 
 
 def test_check_prints_the_recorded_settings_in_force_when_all_is_valid(tmp_path: Path) -> None:
-    same("check", "show", command(tmp_path, "check", "--show", "--settings", written(tmp_path, "our.ini", INI["good"])))
+    assert_as_recorded(
+        "check",
+        "show",
+        run_command(tmp_path, "check", "--show", "--settings", write_file(tmp_path, "our.ini", INI["good"])),
+    )
 
 
 def test_commands_fail_with_the_recorded_text_when_the_settings_are_invalid(tmp_path: Path) -> None:
-    bad = written(tmp_path, "our.ini", INI["many at once"])
+    settings_path = write_file(tmp_path, "our.ini", INI["many at once"])
     found = [
-        command(tmp_path, *words, "--settings", bad)
-        for words in (["serve"], ["status", "n0"], ["drain", "n0"], ["fleet", "status"], ["fleet", "up"])
+        run_command(tmp_path, *arguments, "--settings", settings_path)
+        for arguments in (["serve"], ["status", "n0"], ["drain", "n0"], ["fleet", "status"], ["fleet", "up"])
     ]
-    found += [command(tmp_path, "status", "n0"), command(tmp_path, "fleet", "up")]
-    found.append(command(tmp_path, "fly"))
-    same("check", "commands", found)
+    found += [run_command(tmp_path, "status", "n0"), run_command(tmp_path, "fleet", "up")]
+    found.append(run_command(tmp_path, "fly"))
+    assert_as_recorded("check", "commands", found)
 
 
 @pytest.mark.parametrize("key", ["classes", "tiers-of-service"])
-def test_missing_key_is_reported_with_its_place_when_a_later_entry_lacks_it(key: str) -> None:
+def test_missing_key_is_reported_with_its_position_when_a_second_entry_omits_it(key: str) -> None:
     with pytest.raises(ValueError) as caught:
         settings_from({**SETTINGS, key: [SETTINGS[key][0], {}]})
-    same("place", key, str(caught.value))
+    assert_as_recorded("place", key, str(caught.value))
 
 
 @pytest.mark.parametrize("name", RUN_LINE)
 def test_run_line_exits_with_the_recorded_text_and_code_when_its_file_is_invalid(name: str, tmp_path: Path) -> None:
-    path = written(tmp_path, "platform.json", PLATFORM[name])
-    done = subprocess.run(
+    path = write_file(tmp_path, "platform.json", PLATFORM[name])
+    completed = subprocess.run(
         [sys.executable, "-m", "thymeflow"], cwd=ROOT, text=True, capture_output=True, env={"BALANCER_CONFIG": path}
     )
-    same("run line", name, [done.returncode, done.stdout, done.stderr.replace(str(tmp_path), "FOLDER")])
+    assert_as_recorded(
+        "run line", name, [completed.returncode, completed.stdout, completed.stderr.replace(str(tmp_path), "FOLDER")]
+    )
--- a/tests/cli/test_tables.py
+++ b/tests/cli/test_tables.py
@@ -1,4 +1,7 @@
-"""What commands print for people: the field's terms for the recorded values that processes exchange."""
+"""The tables that commands print: they show terms of the field instead of the recorded values of messages.
+
+The tests guard against a table that shows the spelling of the message format, and against columns out of line.
+"""
 
 from __future__ import annotations
 
--- a/tests/logs/test_log_kinds.py
+++ b/tests/logs/test_log_kinds.py
@@ -1,4 +1,7 @@
-"""The operators' pages list every kind of log line, and no other."""
+"""The operators' pages list every kind of log line, and no other.
+
+The test guards against a kind that is added, renamed or removed in the code but not in the pages' tables.
+"""
 
 from __future__ import annotations
 
@@ -9,9 +12,9 @@
 
 DOCS = Path(__file__).resolve().parents[2] / "docs"
 PAGES = ("on-call.md", "fleet.md", "budgets.md", "overload.md")
-TABLE_HEAD = "| line | meaning | what to do |"
-# Lines that are not written with a kind: the start's message to the terminal, and faults with a trace.
-WITHOUT_KIND = {
+TABLE_HEADER = "| line | meaning | what to do |"
+# Beginnings of documented lines that have no kind: the message at the start, and faults with a traceback.
+PREFIXES_WITHOUT_KIND = {
     "thymeflow",
     "gateway fault on EVENT",
     "attempt fault",
@@ -20,18 +23,18 @@
 }
 
 
-def documented_kinds() -> set[str]:
-    """Return what stands before the colon of the first line in each row of the pages' tables of lines."""
+def find_documented_kinds() -> set[str]:
+    """Return the kinds in the pages' tables: in each row, the text before the colon of the first log line."""
     kinds: set[str] = set()
     for page in PAGES:
         is_table = False
         for row in (DOCS / page).read_text().splitlines():
-            is_table = row.startswith("|") and (is_table or row.startswith(TABLE_HEAD))
+            is_table = row.startswith("|") and (is_table or row.startswith(TABLE_HEADER))
             first_line = re.match(r"\| `([^`]+)`", row)
             if is_table and first_line:
                 kinds.add(first_line[1].split(":")[0])
-    return kinds - WITHOUT_KIND
+    return kinds - PREFIXES_WITHOUT_KIND
 
 
 def test_every_kind_of_log_line_is_documented_and_no_other() -> None:
-    assert documented_kinds() == {kind.value for kind in LogKind}
+    assert find_documented_kinds() == {kind.value for kind in LogKind}
--- a/tests/logs/test_logs.py
+++ b/tests/logs/test_logs.py
@@ -1,4 +1,8 @@
-"""Log files that many processes append to, and the structured lines in them."""
+"""Log files that many processes append to, and the structured lines in them.
+
+The tests guard against lines that are mixed up or lost when processes append at the same time, when the file is rotated
+or when the disk is full, and against a line without its writer, form or level.
+"""
 
 from __future__ import annotations
 
@@ -16,7 +20,7 @@
 LINE_COUNT = 400
 
 
-def _append(path: str, number: int) -> None:
+def _append_lines(path: str, number: int) -> None:
     shared_file = SharedFile(Path(path), 4096, clock.now)
     for line in range(LINE_COUNT):
         shared_file.write(json.dumps({"who": number, "line": line, "text": "x" * (line % 900)}))
@@ -25,9 +29,11 @@
 def test_lines_are_complete_when_many_processes_append(tmp_path: Path) -> None:
     path = tmp_path / "log"
     with multiprocessing.get_context("fork").Pool(6) as pool:
-        pool.starmap(_append, [(str(path), n) for n in range(6)])
-    seen = [json.loads(line) for line in path.read_text().splitlines()]
-    assert sorted((s["who"], s["line"]) for s in seen) == [(w, n) for w in range(6) for n in range(LINE_COUNT)]
+        pool.starmap(_append_lines, [(str(path), number) for number in range(6)])
+    lines = [json.loads(line) for line in path.read_text().splitlines()]
+    assert sorted((line["who"], line["line"]) for line in lines) == [
+        (writer, number) for writer in range(6) for number in range(LINE_COUNT)
+    ]
 
 
 def test_new_file_is_used_when_the_old_one_is_rotated(tmp_path: Path) -> None:
@@ -36,7 +42,7 @@
     shared_file = SharedFile(path, 4096, lambda: now[0])
     shared_file.write("one")
     path.rename(tmp_path / "log.1")
-    shared_file.write("two")  # within a second the old one still takes lines: nothing is lost
+    shared_file.write("two")  # Goes to the old file, so is not lost: the last check was less than a second ago
     now[0] = 2.0
     shared_file.write("three")
     assert (tmp_path / "log.1").read_text() == "one\ntwo\n"
@@ -65,7 +71,7 @@
     structured_log = StructuredLog(Log(form="json", file=str(path)), "n3", "cafe")
     structured_log.write("connect failed", "10.0.0.1:1: refused", 4, {"tries": 2, "pid": 7, "address": path})
     line = json.loads(path.read_text())
-    assert {k: line[k] for k in ("instance", "life", "kind", "text", "skipped", "tries", "field_pid")} == {
+    assert {key: line[key] for key in ("instance", "life", "kind", "text", "skipped", "tries", "field_pid")} == {
         "instance": "n3",
         "life": "cafe",
         "kind": "connect failed",
@@ -96,17 +102,17 @@
 def test_library_error_is_logged_and_lower_levels_are_not(tmp_path: Path) -> None:
     path = tmp_path / "log"
     structured_log = StructuredLog(Log(form="json", file=str(path), level="error"), "n3", "cafe")
-    before = logging.getLogger().handlers[:]
+    previous_handlers = logging.getLogger().handlers[:]
     try:
         structured_log.install()
         log.emit(LogKind.PHASE, "left out")
         try:
-            raise ValueError("broken\nin two")  # noqa: EM101, TRY301  # the record needs a traceback
+            raise ValueError("broken\nin two")  # noqa: EM101, TRY301 - the record needs a traceback
         except ValueError as fault:
-            logging.getLogger("thymeflow").error("gateway fault", exc_info=fault)  # noqa: TRY400  # as the dispatcher does
+            logging.getLogger("thymeflow").error("gateway fault", exc_info=fault)  # noqa: TRY400 - as the dispatcher does
     finally:
         log.set_sink(log.write_plain)
-        logging.getLogger().handlers[:] = before
+        logging.getLogger().handlers[:] = previous_handlers
     (text,) = path.read_text().splitlines()
     line = json.loads(text)
     assert (line["kind"], line["level"], line["text"]) == ("fault", "error", "gateway fault")
--- a/tests/settings/test_settings.py
+++ b/tests/settings/test_settings.py
@@ -1,4 +1,8 @@
-"""The settings: units, every fault at once, the environment over the file, and the annotated example."""
+"""The settings reader: units, reports of every fault, overrides by the environment, and the annotated example.
+
+The tests guard against a value that is read in the wrong unit, a fault that is reported without its line or remedy, and
+an example file whose values differ from the defaults.
+"""
 
 from __future__ import annotations
 
@@ -16,7 +20,7 @@
 from thymeflow.settings.units import Count, Duration, InvalidValueError, Size
 
 
-def fault_texts(text: str, **environment: str) -> list[str]:
+def read_fault_texts(text: str, **environment: str) -> list[str]:
     with pytest.raises(SettingsError) as caught:
         parse_settings(text, "f.ini", environment)
     return [str(fault) for fault in caught.value.faults]
@@ -51,7 +55,7 @@
 
 
 def test_every_fault_is_reported_with_its_location_and_remedy() -> None:
-    texts = fault_texts(
+    texts = read_fault_texts(
         "[deamon]\nx = 1\n[log]\nform = jsn\nfil = 3\n[snapshot]\nevery = 2   ; a comment\n",
         THYMEFLOW_LOG_FROM="x",
         THYMEFLOW_FLEET_INSTANCES="none",
@@ -76,7 +80,7 @@
     ],
 )
 def test_syntax_fault_is_reported_at_its_line(text: str, line: int, cause: str) -> None:
-    (fault_text,) = fault_texts(text)
+    (fault_text,) = read_fault_texts(text)
     assert fault_text.startswith(f"f.ini:{line}:")
     assert cause in fault_text
 
--- a/tests/test_known_red.py
+++ b/tests/test_known_red.py
@@ -1,4 +1,8 @@
-"""CI passes over the tests that KNOWN-RED.txt names, and over no other."""
+"""The test command of CI deselects the tests that KNOWN-RED.txt lists, and no other.
+
+The tests guard against a CI run that passes although a test fails that no entry names, for example because an entry
+matches a prefix of other ids, and against entries that stay after their test passes again.
+"""
 
 from __future__ import annotations
 
@@ -20,12 +24,12 @@
 def test_many(n): assert False
 """
 SUITE_WITH_ONE_FAILURE = SUITE[: SUITE.index("def test_red_too")]
-RED = "test_x.py::test_red | pytest -q test_x.py, seed 7 | the fault | 28\n"
-FOUR_RED = "".join(f"test_x.py::test_many[{n}] | pytest -q | the fault | 28\n" for n in range(4))
+RED_ENTRY = "test_x.py::test_red | pytest -q test_x.py, seed 7 | the fault | 28\n"
+FOUR_RED_ENTRIES = "".join(f"test_x.py::test_many[{n}] | pytest -q | the fault | 28\n" for n in range(4))
 
 
 class Run(NamedTuple):
-    """What the test command of CI printed, and its exit code."""
+    """The exit code and the output of a run of CI's test command."""
 
     exit_code: int
     output: str
@@ -46,14 +50,14 @@
 
 
 def test_known_red_test_is_deselected_and_printed_when_it_fails(tmp_path: Path) -> None:
-    run = run_ci(tmp_path, RED, SUITE_WITH_ONE_FAILURE)
+    run = run_ci(tmp_path, RED_ENTRY, SUITE_WITH_ONE_FAILURE)
     assert run.exit_code == 0
-    assert RED.strip() in run.output
+    assert RED_ENTRY.strip() in run.output
     assert "1 passed, 1 deselected" in run.output
 
 
 def test_any_number_of_entries_is_deselected_and_printed_when_each_fails(tmp_path: Path) -> None:
-    entries = FOUR_RED + RED + RED.replace("test_red", "test_red_too")
+    entries = FOUR_RED_ENTRIES + RED_ENTRY + RED_ENTRY.replace("test_red", "test_red_too")
     run = run_ci(tmp_path, entries)
     assert run.exit_code == 0
     assert "1 passed, 6 deselected" in run.output
@@ -68,13 +72,13 @@
 @pytest.mark.parametrize(
     ("entries", "reason"),
     [
-        (FOUR_RED, "2 failed"),
+        (FOUR_RED_ENTRIES, "2 failed"),
         ("test_x.py::test_nowhere | c | s | 28\n", "no such test"),
         ("test_x.py::test_good | c | s | 28\n", "passes again"),
         ("test_x.py::test_red | c | s\n", "line 1"),
         ("test_x.py | c | s | 28\n", "line 1"),
         ("::x | | s | 28\n", "line 1"),
-        (RED, "5 failed"),
+        (RED_ENTRY, "5 failed"),
     ],
 )
 def test_run_fails_when_an_entry_is_wrong_or_a_failing_test_has_none(tmp_path: Path, entries: str, reason: str) -> None:
