--- a/tests/settings/test_settings.py
+++ b/tests/settings/test_settings.py
@@ -1,4 +1,8 @@
-"""The settings: units, every fault at once, the environment over the file, and the annotated example."""
+"""The settings reader: units, reports of every fault, overrides by the environment, and the annotated example.
+
+The tests guard against a value that is read in the wrong unit, a fault that is reported without its line or remedy, and
+an example file whose values differ from the defaults.
+"""
 
 from __future__ import annotations
 
@@ -11,12 +15,12 @@
 
 from tests.limiter import ROOT
 from thymeflow.settings import Settings, SettingsError, read_settings
-from thymeflow.settings.ini_file import MAX_BYTES
+from thymeflow.settings.ini_file import MAX_FILE_BYTES
 from thymeflow.settings.reader import format_settings, parse_settings
 from thymeflow.settings.units import Count, Duration, InvalidValueError, Size
 
 
-def fault_texts(text: str, **environment: str) -> list[str]:
+def read_fault_texts(text: str, **environment: str) -> list[str]:
     with pytest.raises(SettingsError) as caught:
         parse_settings(text, "f.ini", environment)
     return [str(fault) for fault in caught.value.faults]
@@ -31,7 +35,7 @@
 def test_duration_is_rejected_with_a_remedy_when_it_is_malformed(text: str) -> None:
     with pytest.raises(InvalidValueError) as caught:
         Duration(0.0, 3600.0).read(text)
-    assert "such as 500ms" in caught.value.mend
+    assert "such as 500ms" in caught.value.remedy
 
 
 @given(st.integers(0, 86400_000))
@@ -51,7 +55,7 @@
 
 
 def test_every_fault_is_reported_with_its_location_and_remedy() -> None:
-    texts = fault_texts(
+    texts = read_fault_texts(
         "[deamon]\nx = 1\n[log]\nform = jsn\nfil = 3\n[snapshot]\nevery = 2   ; a comment\n",
         THYMEFLOW_LOG_FROM="x",
         THYMEFLOW_FLEET_INSTANCES="none",
@@ -76,7 +80,7 @@
     ],
 )
 def test_syntax_fault_is_reported_at_its_line(text: str, line: int, cause: str) -> None:
-    (fault_text,) = fault_texts(text)
+    (fault_text,) = read_fault_texts(text)
     assert fault_text.startswith(f"f.ini:{line}:")
     assert cause in fault_text
 
@@ -90,7 +94,7 @@
 
 def test_file_is_rejected_when_it_cannot_be_read_as_settings(tmp_path: Path) -> None:
     (tmp_path / "latin").write_bytes(b"[log]\nfile = \xe9\n")
-    (tmp_path / "large").write_bytes(b"#" * (MAX_BYTES + 1))
+    (tmp_path / "large").write_bytes(b"#" * (MAX_FILE_BYTES + 1))
     for name, text in (("latin", ":2: is no UTF-8"), ("large", "holds"), ("none", "No such file"), (".", "directory")):
         with pytest.raises(SettingsError, match=text):
             read_settings(tmp_path / name, {})
