--- a/tests/fleet/test_stored_files.py
+++ b/tests/fleet/test_stored_files.py
@@ -6,7 +6,7 @@
 from pathlib import Path
 
 from tests.recorded_messages import ALLOCATION
-from tests.stored_files import STORED_FOLDER, plain, recorded_value, stored
+from tests.stored_files import STORED_FOLDER, read_recorded_value, read_stored_file, to_plain_value
 from thymeflow.fleet import registry
 from thymeflow.platform import configuration
 
@@ -25,20 +25,20 @@
 def test_fleet_file_has_the_same_values_and_bytes_when_an_earlier_version_wrote_it(tmp_path: Path) -> None:
     content = registry.read_registry(STORED_FOLDER / "fleet.json")
     assert content is not None
-    assert plain(content) == recorded_value("fleet.json")
+    assert to_plain_value(content) == read_recorded_value("fleet.json")
     registry.write_registry(tmp_path / "fleet.json", content)
-    assert (tmp_path / "fleet.json").read_bytes() == stored("fleet.json")
+    assert (tmp_path / "fleet.json").read_bytes() == read_stored_file("fleet.json")
 
 
 def test_fleet_file_is_read_when_it_has_no_operation() -> None:
     content = registry.read_registry(STORED_FOLDER / "fleet-no-order.json")
-    assert plain(content) == recorded_value("fleet-no-order.json")
+    assert to_plain_value(content) == read_recorded_value("fleet-no-order.json")
 
 
 def test_member_configuration_has_the_same_bytes_when_the_supervisor_writes_it(tmp_path: Path) -> None:
-    assert write_member_with_masked_seed(tmp_path) == stored("web2.json")
+    assert write_member_with_masked_seed(tmp_path) == read_stored_file("web2.json")
 
 
 def test_member_configuration_has_the_same_values_when_a_member_reads_it() -> None:
-    content = configuration.from_source(json.loads(stored("web2.json")), "web2.json", {})
-    assert plain(content) == recorded_value("web2.json")
+    content = configuration.from_source(json.loads(read_stored_file("web2.json")), "web2.json", {})
+    assert to_plain_value(content) == read_recorded_value("web2.json")
--- a/tests/fleet_bounds.py
+++ b/tests/fleet_bounds.py
@@ -19,7 +19,7 @@
         self._fraction = fraction
         self.by_resource = dict(by_resource or {})
 
-    def fraction(self, resource: str, even_fraction: float) -> float:
+    def get_fraction(self, resource: str, even_fraction: float) -> float:
         """Return the member's fraction of a resource."""
         fraction = even_fraction if self._fraction is None else self._fraction
         return self.by_resource.get(resource, fraction)
--- a/tests/leases/test_grant_file_format.py
+++ b/tests/leases/test_grant_file_format.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from tests.stored_files import STORED_FOLDER, plain, recorded_value, stored
+from tests.stored_files import STORED_FOLDER, read_recorded_value, read_stored_file, to_plain_value
 from thymeflow.leases import grant_file
 
 GRANT_FILES = ["fleet-v2.grants", "fleet-v1.grants"]
@@ -21,7 +21,7 @@
 
 @pytest.mark.parametrize("name", GRANT_FILES)
 def test_grants_have_the_same_values_when_an_earlier_version_wrote_them(name: str) -> None:
-    assert plain(grant_file.unpack(stored(name), "web")) == recorded_value(name)
+    assert to_plain_value(grant_file.unpack(read_stored_file(name), "web")) == read_recorded_value(name)
 
 
 @pytest.mark.parametrize("name", GRANT_FILES)
@@ -32,7 +32,7 @@
     issuer, error = grant_file.read(STORED_FOLDER / name, "web", 500.0, True)
     grant_file.write(tmp_path / "fleet.grants", issuer, "web")
     assert error == ""
-    assert (tmp_path / "fleet.grants").read_bytes() == stored(f"{name}-rewritten")
+    assert (tmp_path / "fleet.grants").read_bytes() == read_stored_file(f"{name}-rewritten")
 
 
 def test_grants_of_an_earlier_boot_restore_only_the_epoch_when_they_are_read() -> None:
--- a/tests/stored_files.py
+++ b/tests/stored_files.py
@@ -16,28 +16,28 @@
 STORED_FOLDER = Path(__file__).resolve().parent / "data" / "before-rename"
 
 
-def stored(name: str) -> bytes:
+def read_stored_file(name: str) -> bytes:
     """Return a file of the earlier version."""
     return (STORED_FOLDER / name).read_bytes()
 
 
-def recorded_value(name: str) -> Any:
+def read_recorded_value(name: str) -> Any:
     """Return the values that the earlier version read from a file, or what else it derived from it."""
     return json.loads((STORED_FOLDER / "stored-values.json").read_text())[name]
 
 
-def plain(value: Any) -> Any:  # noqa: PLR0911  # one for each kind of value
+def to_plain_value(value: Any) -> Any:  # noqa: PLR0911  # one for each kind of value
     """Return a value without our names: records as lists in declared order, sets sorted, enums by value."""
     if is_dataclass(value):
-        return [plain(getattr(value, field.name)) for field in fields(value)]
+        return [to_plain_value(getattr(value, field.name)) for field in fields(value)]
     if hasattr(value, "__struct_fields__"):
-        return [plain(getattr(value, name)) for name in value.__struct_fields__]
+        return [to_plain_value(getattr(value, name)) for name in value.__struct_fields__]
     if isinstance(value, Enum):
         return value.value
     if isinstance(value, Mapping):
-        return [[str(key), plain(item)] for key, item in value.items()]
+        return [[str(key), to_plain_value(item)] for key, item in value.items()]
     if isinstance(value, frozenset | set):
-        return sorted(plain(item) for item in value)
+        return sorted(to_plain_value(item) for item in value)
     if isinstance(value, list | tuple):
-        return [plain(item) for item in value]
+        return [to_plain_value(item) for item in value]
     return value
--- a/thymeflow/daemon/allocation.py
+++ b/thymeflow/daemon/allocation.py
@@ -27,7 +27,7 @@
         self._last_response_count = 0
         self._last_report_at = clock.now()
 
-    def fraction(self, resource: str, even_fraction: float) -> float:
+    def get_fraction(self, resource: str, even_fraction: float) -> float:
         """Return which fraction of the fleet limit of `resource` may be used now, the even one without allocation."""
         if self._holder is None:
             return even_fraction
--- a/thymeflow/daemon/member_bounds.py
+++ b/thymeflow/daemon/member_bounds.py
@@ -15,7 +15,7 @@
 class FractionSource(Protocol):
     """Knows which fractions of the fleet's resources this member may use."""
 
-    def fraction(self, resource: str, even_fraction: float) -> float:
+    def get_fraction(self, resource: str, even_fraction: float) -> float:
         """Return the fraction of a resource; `even_fraction`: where nothing is allocated to this member."""
 
 
@@ -37,7 +37,7 @@
 
     def fraction_of(self, resource: str, even_fraction: float) -> float:
         """Return the allocated fraction of a resource; of retries less, the more is shed."""
-        fraction = self._allocation.fraction(resource, even_fraction)
+        fraction = self._allocation.get_fraction(resource, even_fraction)
         if self._load_shedder is None:
             return fraction
         return self._load_shedder.limited_fraction(resource, fraction)
--- a/thymeflow/daemon/service.py
+++ b/thymeflow/daemon/service.py
@@ -36,8 +36,8 @@
 class Options:
     """How a start differs from a plain one."""
 
-    joins: bool = False  # a running set, which uses every quota in full already: token buckets start empty
-    take_over: bool = False  # from a running process of the same name
+    is_joining: bool = False  # a running set, which uses every quota in full already: token buckets start empty
+    is_taking_over: bool = False  # from a running process of the same name
 
 
 class Service:
@@ -54,10 +54,10 @@
         self._options = options
         self._reactor = reactor
         self._read_settings = read_settings
-        self.instance = Instance(settings, load, options.joins, reactor)
+        self.instance = Instance(settings, load, options.is_joining, reactor)
         self.last_reload = ""  # the result of the last reload
         self._requests = ControlRequestHandler(self)
-        self._handover = DaemonHandover(self.instance, self._open_control, options.take_over)
+        self._handover = DaemonHandover(self.instance, self._open_control, options.is_taking_over)
 
     @property
     def sender(self) -> HandoverSender:
@@ -92,8 +92,8 @@
         log.emit(
             LogKind.START,
             f"incarnation {instance.incarnation} of {instance.name}, pid {os.getpid()}",
-            joins=self._options.joins,
-            take_over=self._options.take_over,
+            joins=self._options.is_joining,
+            take_over=self._options.is_taking_over,
         )
         if instance.notifier.error:
             log.emit(LogKind.NOTIFY, instance.notifier.error)
