--- a/tests/daemon/support.py
+++ b/tests/daemon/support.py
@@ -14,7 +14,7 @@
 from tests.control_session import ControlSession, connect_session
 from tests.limiter import PATIENCE, Limiter, request
 from thymeflow.platform.settings import settings_from
-from thymeflow.snapshot.schema import site_digest
+from thymeflow.snapshot.schema import compute_site_digest
 
 T = TypeVar("T")
 
@@ -93,7 +93,7 @@
 def request_handover(limiter: Limiter) -> ControlSession:
     """Return the session of a successor that the test plays, which can stop at any step of a handover."""
     session = connect_session(limiter.state / "n0.sock")
-    session.send(do="take", life="x", pid=1, site=site_digest(settings_from(limiter.config["settings"])))
+    session.send(do="take", life="x", pid=1, site=compute_site_digest(settings_from(limiter.config["settings"])))
     return session
 
 
--- a/tests/daemon/test_message_formats.py
+++ b/tests/daemon/test_message_formats.py
@@ -24,7 +24,7 @@
     allocation = MemberAllocation(ALLOCATION)
     monkeypatch.setattr(clock, "now", lambda: 102.0)
     dispatcher = cast("RequestDispatcher", SimpleNamespace(response_counts={"ok": 30, "busy": 11}))
-    report = allocation.report(dispatcher)
+    report = allocation.build_report(dispatcher)
     rejections = [
         allocation.on_grant({**ALLOCATION, "number": 8}),
         allocation.on_grant({}),
@@ -33,7 +33,7 @@
     rejection_of_newer = allocation.on_grant({**ALLOCATION, "number": 10})
     handed_over = allocation.hand_over()
     assert_as_recorded(
-        "allocation report", [report, rejection_of_newer, rejections, handed_over, allocation.report(dispatcher)]
+        "allocation report", [report, rejection_of_newer, rejections, handed_over, allocation.build_report(dispatcher)]
     )
 
 
--- a/tests/daemon/test_stored_files.py
+++ b/tests/daemon/test_stored_files.py
@@ -8,7 +8,7 @@
 
 import pytest
 
-from tests.snapshot.stored import RESTORED_AT, restarted_gateway, site_digest
+from tests.snapshot.stored import RESTORED_AT, compute_stored_site_digest, make_restarted_gateway
 from tests.stored_files import read_recorded_value, read_stored_file, to_plain_value
 from thymeflow.daemon import lock
 from thymeflow.daemon.snapshot_file import SnapshotFile
@@ -22,18 +22,18 @@
 ) -> None:
     monkeypatch.setattr(clock, "now", lambda: RESTORED_AT)
     (tmp_path / "n0.state").write_bytes(read_stored_file("snapshot-v2-final"))
-    known = restore.endpoint_update_of(schema.unpack(read_stored_file("snapshot-v2-final")))
+    known = restore.build_endpoint_update(schema.unpack(read_stored_file("snapshot-v2-final")))
     store = SnapshotStore("n0", "0b1c2d3e", known)
     snapshot_file = SnapshotFile(tmp_path / "n0.state", store)
-    store.set_gateway(restarted_gateway())
+    store.set_gateway(make_restarted_gateway())
     store.on_endpoint_update(known)
-    before = snapshot_file.status()
-    snapshot = snapshot_file.read_usable(site_digest(), 30.0)
+    before = snapshot_file.build_status_message()
+    snapshot = snapshot_file.read_usable(compute_stored_site_digest(), 30.0)
     assert snapshot is not None
     assert to_plain_value(snapshot) == read_recorded_value("snapshot-v2-final")
     store.restore(snapshot, SnapshotSource.FILE)
-    snapshot_file.write_last()
-    assert [before, snapshot_file.status()] == read_recorded_value("snapshot status")
+    snapshot_file.write_final()
+    assert [before, snapshot_file.build_status_message()] == read_recorded_value("snapshot status")
     assert (tmp_path / "n0.state").read_bytes() == read_stored_file("snapshot-v2-last")
 
 
--- a/tests/handover/test_handover_trace.py
+++ b/tests/handover/test_handover_trace.py
@@ -35,22 +35,22 @@
 Advance = Callable[[Any, Any], Any]
 
 
-def action_label(action: Any) -> str:
+def get_action_label(action: Any) -> str:
     """Return the name under which an action was recorded."""
     return RECORDED_ACTION_LABELS.get(action, str(action.value))
 
 
-def all_pairs(states: type[Enum], events: type[Enum], advance: Advance) -> dict[str, Any]:
+def list_transitions(states: type[Enum], events: type[Enum], advance: Advance) -> dict[str, Any]:
     """Return next state and actions for each pair of state and event."""
     rows: dict[str, Any] = {}
     for state in states:
         for event in events:
             next_state, actions = advance(state, event)
-            rows[f"{state.value} / {event.value}"] = [next_state.value, [action_label(a) for a in actions]]
+            rows[f"{state.value} / {event.value}"] = [next_state.value, [get_action_label(a) for a in actions]]
     return rows
 
 
-def digest_of_runs(events: type[Enum], advance: Advance, first: Enum) -> str:
+def compute_digest_of_runs(events: type[Enum], advance: Advance, first: Enum) -> str:
     """Return the digest of seeded runs of events."""
     lines: list[str] = []
     for seed in range(RUNS):
@@ -59,25 +59,28 @@
         for _ in range(STEPS):
             event = rng.choice(list(events))
             next_state, actions = advance(state, event)
-            lines.append(" ".join([state.value, event.value, next_state.value, *map(action_label, actions)]))
+            lines.append(" ".join([state.value, event.value, next_state.value, *map(get_action_label, actions)]))
             state = first if rng.random() < RESTART_PROBABILITY else next_state
     return hashlib.sha256("\n".join(lines).encode()).hexdigest()
 
 
 def test_sender_takes_the_recorded_steps_when_any_event_comes_in_any_state() -> None:
-    assert all_pairs(SenderState, SenderEvent, advance_sender) == RECORDED["sender"]
+    assert list_transitions(SenderState, SenderEvent, advance_sender) == RECORDED["sender"]
 
 
 def test_receiver_takes_the_recorded_steps_when_any_event_comes_in_any_state() -> None:
-    assert all_pairs(ReceiverState, ReceiverEvent, advance_receiver) == RECORDED["receiver"]
+    assert list_transitions(ReceiverState, ReceiverEvent, advance_receiver) == RECORDED["receiver"]
 
 
 def test_sender_acts_as_recorded_when_events_come_in_seeded_runs() -> None:
-    assert digest_of_runs(SenderEvent, advance_sender, SenderState.SERVING) == RECORDED["runs"]["sender"]
+    assert compute_digest_of_runs(SenderEvent, advance_sender, SenderState.SERVING) == RECORDED["runs"]["sender"]
 
 
 def test_receiver_acts_as_recorded_when_events_come_in_seeded_runs() -> None:
-    assert digest_of_runs(ReceiverEvent, advance_receiver, ReceiverState.REQUESTING) == RECORDED["runs"]["receiver"]
+    assert (
+        compute_digest_of_runs(ReceiverEvent, advance_receiver, ReceiverState.REQUESTING)
+        == RECORDED["runs"]["receiver"]
+    )
 
 
 def test_operators_are_answered_as_recorded_when_they_call_in_any_phase() -> None:
--- a/tests/handover/test_upgrade.py
+++ b/tests/handover/test_upgrade.py
@@ -88,7 +88,7 @@
     assert ping(limiter) == b"+PONG"
 
 
-def unresponsive_listener(path: Path) -> socket.socket:
+def open_unresponsive_listener(path: Path) -> socket.socket:
     listening_socket = socket.socket(socket.AF_UNIX)
     listening_socket.bind(str(path))
     listening_socket.listen()
@@ -103,7 +103,7 @@
         lambda path: path.symlink_to(path.name),
         lambda path: path.symlink_to("nowhere"),
         lambda path: os.mkfifo(path),
-        unresponsive_listener,
+        open_unresponsive_listener,
     ],
 )
 def test_next_copy_serves_when_something_else_is_at_the_socket_path(
--- a/tests/snapshot/stored.py
+++ b/tests/snapshot/stored.py
@@ -17,7 +17,7 @@
 WRITTEN_LIST_VERSION = 9
 
 
-def restarted_gateway() -> Gateway:
+def make_restarted_gateway() -> Gateway:
     """Return a gateway of the settings and endpoint list of the stored snapshots, before it restores one."""
     information = Information(counter=True, max_units=4.0, settles_units=True, max_gossip_per_second=100.0)
     gateway = Gateway(settings(classes=(SAFE, KEYED), information=information), 5)
@@ -25,12 +25,12 @@
     return gateway
 
 
-def site_digest() -> str:
+def compute_stored_site_digest() -> str:
     """Return the digest by which a snapshot identifies the plans and the index that it was taken under."""
-    return schema.site_digest(settings())
+    return schema.compute_site_digest(settings())
 
 
-def packed_snapshot(gateway: Gateway) -> bytes:
+def pack_gateway_snapshot(gateway: Gateway) -> bytes:
     """Return a gateway's snapshot as the content of its file."""
     snapshot = restore.take_snapshot(gateway, "n0", "0b1c2d3e", RESTORED_AT, False, WRITTEN_LIST_VERSION, ADDRESSES)
     return schema.pack(snapshot)
--- a/tests/snapshot/support.py
+++ b/tests/snapshot/support.py
@@ -52,14 +52,14 @@
     return restore.take_snapshot(gateway, "n0", "life", now, final, LIST_VERSION, ADDRESSES)
 
 
-def restored_gateway(snapshot: schema.Snapshot, now: float, **changes: Any) -> Gateway:
+def restore_new_gateway(snapshot: schema.Snapshot, now: float, **changes: Any) -> Gateway:
     """Return a new gateway that restored the snapshot."""
     gateway = make_gateway(**changes)
     restore.restore_gateway(gateway, snapshot, now)
     return gateway
 
 
-def only_bucket(gateway: Gateway) -> TokenBucket:
+def get_only_bucket(gateway: Gateway) -> TokenBucket:
     """Return the gateway's one bucket."""
     (bucket,) = gateway.buckets.values()
     return bucket
--- a/tests/snapshot/test_atomic_file.py
+++ b/tests/snapshot/test_atomic_file.py
@@ -17,7 +17,7 @@
 
 
 @contextmanager
-def limited_file_size() -> Iterator[None]:
+def limit_file_size() -> Iterator[None]:
     """Let writes beyond a limit fail, as on a disk that becomes full during a write."""
     limits_before = resource.getrlimit(resource.RLIMIT_FSIZE)
     handler_before = signal.signal(signal.SIGXFSZ, signal.SIG_IGN)
@@ -32,7 +32,7 @@
 def test_old_content_remains_when_a_write_fails_half_way(tmp_path: Path) -> None:
     path = tmp_path / "n0.state"
     atomic_file.write(path, b"first")
-    with limited_file_size(), pytest.raises(OSError):
+    with limit_file_size(), pytest.raises(OSError):
         atomic_file.write(path, b"x" * 5000)
     assert atomic_file.read(path) == b"first"
     assert os.listdir(tmp_path) == ["n0.state"]
--- a/tests/snapshot/test_restore.py
+++ b/tests/snapshot/test_restore.py
@@ -7,7 +7,7 @@
 from hypothesis import strategies as st
 
 from tests.helpers import PLAN, fleet, request, sends, settings
-from tests.snapshot.support import ADDRESSES, make_gateway, only_bucket, restored_gateway, spend, take_snapshot
+from tests.snapshot.support import ADDRESSES, get_only_bucket, make_gateway, restore_new_gateway, spend, take_snapshot
 from thymeflow.decision.events import EndpointsChanged, SettingsChanged
 from thymeflow.decision.gateway import Gateway
 from thymeflow.decision.settings import Information, Plan
@@ -35,8 +35,8 @@
     spend(gateway, 10.0, 3.0, 20.0)
     snapshot = take_snapshot(gateway, 13.0)
     assert schema.unpack(schema.pack(snapshot)) == snapshot
-    restored = only_bucket(restored_gateway(snapshot, 13.0))
-    original = only_bucket(gateway)
+    restored = get_only_bucket(restore_new_gateway(snapshot, 13.0))
+    original = get_only_bucket(gateway)
     for name in RESTORED_FIELDS:
         assert getattr(restored, name) == pytest.approx(getattr(original, name)), name
     assert restored.counter_ledger == original.counter_ledger
@@ -60,7 +60,7 @@
         forwarded_units += units
         snapshot = take_snapshot(gateway, now, final)
         now += pause_seconds
-        gateway = restored_gateway(snapshot, now, limiter_count=1, information=information)
+        gateway = restore_new_gateway(snapshot, now, limiter_count=1, information=information)
     units, now = spend(gateway, now, 4.0, 40.0, "last-")
     assert forwarded_units + units <= PLAN.burst + PLAN.rate * (now - started_at) + 1.0
 
@@ -69,9 +69,9 @@
     gateway = make_gateway()
     now = spend(gateway, 10.0, 1.0, 8.0).ended_at
     crash_snapshot = take_snapshot(gateway, now, final=False)
-    after_shutdown = only_bucket(restored_gateway(take_snapshot(gateway, now), now + 1.5))
-    after_crash = only_bucket(restored_gateway(crash_snapshot, now + 1.5))
-    local_rate = only_bucket(gateway).local_rate
+    after_shutdown = get_only_bucket(restore_new_gateway(take_snapshot(gateway, now), now + 1.5))
+    after_crash = get_only_bucket(restore_new_gateway(crash_snapshot, now + 1.5))
+    local_rate = get_only_bucket(gateway).local_rate
     assert after_crash.level == pytest.approx(max(after_shutdown.level - local_rate * 1.5, 0.0), abs=1e-6)
     assert after_crash.level < after_shutdown.level
     assert after_crash.ceiling_level <= 0.0
@@ -80,26 +80,26 @@
 def test_debt_and_smaller_burst_apply_when_restored() -> None:
     gateway = make_gateway()
     spend(gateway, 10.0, 0.5, 4.0)
-    bucket = only_bucket(gateway)
+    bucket = get_only_bucket(gateway)
     bucket.level = -3.0
-    restored = only_bucket(restored_gateway(take_snapshot(gateway, bucket.updated_at), bucket.updated_at))
+    restored = get_only_bucket(restore_new_gateway(take_snapshot(gateway, bucket.updated_at), bucket.updated_at))
     assert restored.level == pytest.approx(-3.0)
     bucket.level = 29.0
     bucket.global_level = 29.0
     snapshot = take_snapshot(gateway, bucket.updated_at)
     smaller_plan = (Plan("plain", rate=10.0, burst=6.0),)
-    restored = only_bucket(restored_gateway(snapshot, bucket.updated_at, plans=smaller_plan))
+    restored = get_only_bucket(restore_new_gateway(snapshot, bucket.updated_at, plans=smaller_plan))
     assert restored.level <= 6.0
     assert restored.global_level <= 6.0
     other_plan = (Plan("other", 1.0, 2.0),)
-    assert restored_gateway(snapshot, bucket.updated_at, plans=other_plan).buckets == {}
+    assert restore_new_gateway(snapshot, bucket.updated_at, plans=other_plan).buckets == {}
 
 
 def test_counter_call_is_uncertain_when_in_flight_at_the_snapshot() -> None:
     gateway = make_gateway()
     spend(gateway, 10.0, 0.5, 4.0)
-    gateway.reporter.calls[5] = CounterCall(only_bucket(gateway).customer_id, 3.0)
-    restored = only_bucket(restored_gateway(take_snapshot(gateway, 11.0), 11.0))
+    gateway.reporter.calls[5] = CounterCall(get_only_bucket(gateway).customer_id, 3.0)
+    restored = get_only_bucket(restore_new_gateway(take_snapshot(gateway, 11.0), 11.0))
     assert restored.counter_ledger.uncertain == (5, 3.0)
 
 
@@ -118,17 +118,17 @@
 
 def test_newer_endpoint_list_is_used_when_versions_differ() -> None:
     snapshot = take_snapshot(make_gateway(), 1.0)
-    same_version = restore.endpoint_update_of(take_snapshot(make_gateway(), 1.0))
-    assert restore.newest_endpoint_update(snapshot, same_version) is same_version
+    same_version = restore.build_endpoint_update(take_snapshot(make_gateway(), 1.0))
+    assert restore.select_newest_endpoint_update(snapshot, same_version) is same_version
     older_change = EndpointsChanged(EndpointListKind.CACHED, same_version.change.backends[:1], 3)
     older = type(same_version)(older_change, {1: ADDRESSES[1]})
-    assert len(restore.newest_endpoint_update(snapshot, older).change.backends) == 4
+    assert len(restore.select_newest_endpoint_update(snapshot, older).change.backends) == 4
 
 
 def test_bucket_shrinks_and_never_refills_when_the_set_size_changes() -> None:
     gateway = make_gateway()
     spend(gateway, 10.0, 0.5, 4.0)
-    bucket = only_bucket(gateway)
+    bucket = get_only_bucket(gateway)
     bucket.level = 6.0
     gateway.handle(10.6, SettingsChanged(settings(limiter_count=6)))
     gateway.handle(10.6, request("x", set_size=6))
--- a/tests/snapshot/test_schema.py
+++ b/tests/snapshot/test_schema.py
@@ -10,20 +10,20 @@
 import pytest
 
 from tests.helpers import settings
-from tests.snapshot.support import make_gateway, only_bucket, restored_gateway, spend, take_snapshot
+from tests.snapshot.support import get_only_bucket, make_gateway, restore_new_gateway, spend, take_snapshot
 from thymeflow.snapshot import schema
 
-SITE = schema.site_digest(settings())
+SITE = schema.compute_site_digest(settings())
 
 
-def snapshot_with_bucket() -> schema.Snapshot:
+def take_snapshot_with_bucket() -> schema.Snapshot:
     gateway = make_gateway()
     spend(gateway, 10.0, 0.3, 10.0)
     return take_snapshot(gateway, 11.0)
 
 
 def test_snapshot_is_rejected_when_cut_or_changed_at_any_byte() -> None:
-    data = schema.pack(snapshot_with_bucket())
+    data = schema.pack(take_snapshot_with_bucket())
     for end in range(len(data)):
         with pytest.raises(schema.SnapshotError):
             schema.unpack(data[:end])
@@ -50,14 +50,14 @@
 
 
 def test_error_names_the_value_when_it_is_out_of_range() -> None:
-    snapshot = snapshot_with_bucket()
+    snapshot = take_snapshot_with_bucket()
     out_of_range = replace(snapshot, stores=(replace(snapshot.stores[0], level=1e300),))
     with pytest.raises(schema.SnapshotError, match=r"stores\[0\].level"):
         schema.unpack(schema.pack(out_of_range))
 
 
 def test_error_names_the_version_when_it_is_unknown() -> None:
-    data = schema.pack(snapshot_with_bucket())
+    data = schema.pack(take_snapshot_with_bucket())
     unknown_version = data.replace(b"thymeflow-snapshot 2 ", b"thymeflow-snapshot 3 ", 1)
     with pytest.raises(schema.SnapshotError, match="version 3"):
         schema.unpack(unknown_version)
@@ -80,8 +80,8 @@
     gateway = make_gateway()
     spend(gateway, 10.0, 0.5, 10.0)
     snapshot = take_snapshot(gateway, 11.0)
-    from_version_1 = only_bucket(restored_gateway(schema.unpack(pack_as_version_1(snapshot)), 11.0))
-    from_version_2 = only_bucket(restored_gateway(snapshot, 11.0))
+    from_version_1 = get_only_bucket(restore_new_gateway(schema.unpack(pack_as_version_1(snapshot)), 11.0))
+    from_version_2 = get_only_bucket(restore_new_gateway(snapshot, 11.0))
     assert (from_version_1.level, from_version_1.charged_units) == pytest.approx(
         (from_version_2.level, from_version_2.charged_units)
     )
--- a/thymeflow/daemon/allocation.py
+++ b/thymeflow/daemon/allocation.py
@@ -22,7 +22,7 @@
     """The allocation of this process, if it has one."""
 
     def __init__(self, configured: object) -> None:
-        self._holder = None if configured is None else _configured_holder(configured)
+        self._holder = None if configured is None else _create_configured_holder(configured)
         self._demand_per_second = 0.0  # smoothed
         self._last_response_count = 0
         self._last_report_at = clock.now()
@@ -33,7 +33,7 @@
             return even_fraction
         return self._holder.usable_amount(Resource(resource), clock.monotonic()) / TOTAL_POINTS
 
-    def report(self, dispatcher: RequestDispatcher) -> Message | None:
+    def build_report(self, dispatcher: RequestDispatcher) -> Message | None:
         """Return the report to the lease issuer, or None if this process has no allocation to use.
 
         The keys are a format.
@@ -90,7 +90,7 @@
             self._holder.take_back()
 
 
-def _configured_holder(configured: object) -> LeaseHolder:
+def _create_configured_holder(configured: object) -> LeaseHolder:
     """Return a holder of the configured allocation, or an empty one if that cannot be read."""
     try:
         return LeaseHolder(allocation_from_message(configured))
--- a/thymeflow/daemon/control_messages.py
+++ b/thymeflow/daemon/control_messages.py
@@ -33,7 +33,7 @@
     """A request has no command that is known; the text lists those that are."""
 
 
-def command_from_message(message: Message) -> ControlCommand:
+def parse_command(message: Message) -> ControlCommand:
     """Return the command of a request.
 
     :raises UnknownCommandError: if it has none that is known.
@@ -47,7 +47,7 @@
         raise UnknownCommandError(text) from None
 
 
-def linger_seconds_from_message(message: Message) -> float | None:
+def parse_linger_seconds(message: Message) -> float | None:
     """Return the seconds for which new connections are still accepted, or None if the message does not set them.
 
     :raises InvalidRequestError: if it is not a number in range.
@@ -61,7 +61,7 @@
     return linger
 
 
-def log_level_from_message(message: Message) -> str:
+def parse_log_level(message: Message) -> str:
     """Return the log level.
 
     :raises InvalidRequestError: if it is none.
@@ -73,16 +73,16 @@
     return level
 
 
-def allocation_field(message: Message) -> object:
+def get_allocation_field(message: Message) -> object:
     """Return the allocation of the fleet limits, in the form that `thymeflow.leases` parses."""
     return message.get("part")
 
 
-def ejections_field(message: Message) -> object:
+def get_ejections_field(message: Message) -> object:
     """Return the ejections, in the form that `thymeflow.outliers` parses."""
     return message.get("verdicts")
 
 
-def admission_threshold_field(message: Message) -> object:
+def get_admission_threshold_field(message: Message) -> object:
     """Return the admission threshold, which `thymeflow.shedding` checks."""
     return message.get("level")
--- a/thymeflow/daemon/control_requests.py
+++ b/thymeflow/daemon/control_requests.py
@@ -9,7 +9,7 @@
 from thymeflow.daemon import control_messages
 from thymeflow.daemon.control_messages import ControlCommand
 from thymeflow.daemon.instance import Instance
-from thymeflow.daemon.status import message_of, status_of
+from thymeflow.daemon.status import build_status, status_to_message
 from thymeflow.handover.control_socket import ControlCaller, Message
 from thymeflow.handover.sender import HandoverSender
 from thymeflow.limiter import phases
@@ -43,8 +43,8 @@
     def __init__(self, service: ControllableService) -> None:
         self._service = service
         self._watchers: list[ControlCaller] = []
-        evacuate = partial(self._call_operator_action, phases.OperatorCommand.EVACUATE)
-        activate = partial(self._call_operator_action, phases.OperatorCommand.ACTIVATE)
+        evacuate = partial(self._apply_operator_command, phases.OperatorCommand.EVACUATE)
+        activate = partial(self._apply_operator_command, phases.OperatorCommand.ACTIVATE)
         self._handlers: dict[ControlCommand, Callable[[ControlCaller, Message], None]] = {
             ControlCommand.SEND_STATUS: self._send_status,
             ControlCommand.WATCH_STATUS: self._watch_status,
@@ -68,7 +68,7 @@
         if self._service.sender.handle(caller, message):
             return
         try:
-            command = control_messages.command_from_message(message)
+            command = control_messages.parse_command(message)
         except control_messages.UnknownCommandError as error:
             caller.send({"ok": False, "why": str(error)})
         else:
@@ -81,13 +81,15 @@
             for caller in list(self._watchers):
                 caller.send(update)
 
-    def tick(self, _: int = 0) -> None:
+    def update_watchers_at_interval(self, _: int = 0) -> None:
         """Send the status to callers that watch, now and at every interval."""
         self.update_watchers()
-        self._service.instance.limiter.deadlines.schedule(clock.now() + WATCH_INTERVAL_SECONDS, self.tick)
+        self._service.instance.limiter.deadlines.schedule(
+            clock.now() + WATCH_INTERVAL_SECONDS, self.update_watchers_at_interval
+        )
 
     def _status_message(self) -> Message:
-        return message_of(status_of(self._service.instance, self._service.sender.state))
+        return status_to_message(build_status(self._service.instance, self._service.sender.state))
 
     def _send_status(self, caller: ControlCaller, _: Message) -> None:
         caller.send({"ok": True, **self._status_message()})
@@ -98,11 +100,11 @@
         caller.send({"status": self._status_message()})
 
     def _drain(self, caller: ControlCaller, message: Message) -> None:
-        linger_seconds = control_messages.linger_seconds_from_message(message)
+        linger_seconds = control_messages.parse_linger_seconds(message)
         caller.send({"ok": True, "open": self._service.instance.limiter.dispatcher.open_count()})
         self._service.stop(linger_seconds)
 
-    def _call_operator_action(self, command: phases.OperatorCommand, caller: ControlCaller, _: Message) -> None:
+    def _apply_operator_command(self, command: phases.OperatorCommand, caller: ControlCaller, _: Message) -> None:
         is_done, why = self._service.instance.limiter.lifecycle.on_command(command)
         caller.send({"ok": is_done, "why": why})
 
@@ -111,7 +113,7 @@
         caller.send({"ok": is_reloaded, "why": self._service.last_reload})
 
     def _set_log_level(self, caller: ControlCaller, message: Message) -> None:
-        level = control_messages.log_level_from_message(message)
+        level = control_messages.parse_log_level(message)
         self._service.instance.log_handler.set_level(level)
         log.emit(LogKind.LEVEL, f"{level} from now on, until a reload")
         caller.send({"ok": True})
@@ -121,9 +123,11 @@
 
         def on_written(cause: str) -> None:
             """Respond when the write has ended; `cause` is empty if it succeeded."""
-            caller.send({"ok": not cause, "why": cause, "path": str(snapshot_file.path), **snapshot_file.status()})
+            caller.send(
+                {"ok": not cause, "why": cause, "path": str(snapshot_file.path), **snapshot_file.build_status_message()}
+            )
 
-        writing = snapshot_file.write_now()
+        writing = snapshot_file.start_write()
         if writing is None:
             caller.send({"ok": False, "why": "another write is in progress"})
         else:
@@ -131,7 +135,7 @@
 
     def _apply_allocation(self, _: ControlCaller, message: Message) -> None:
         # No response: the next status update reports the allocation in force to the watching supervisor.
-        self._service.instance.allocation.on_grant(control_messages.allocation_field(message))
+        self._service.instance.allocation.on_grant(control_messages.get_allocation_field(message))
         self.update_watchers()
 
     def _apply_ejections(self, _: ControlCaller, message: Message) -> None:
@@ -139,7 +143,7 @@
         if ejections is None:
             return
         try:
-            received = ejections_from_message(control_messages.ejections_field(message))
+            received = ejections_from_message(control_messages.get_ejections_field(message))
         except ValueError as error:
             log.emit_rate_limited(LogKind.OVERLOAD, f"ignored ejections that cannot be parsed: {error}")
         else:
@@ -149,7 +153,7 @@
         load_shedder = self._service.instance.load_shedder
         if load_shedder is None:
             return
-        threshold = control_messages.admission_threshold_field(message)
+        threshold = control_messages.get_admission_threshold_field(message)
         try:
             load_shedder.on_threshold(threshold, clock.now(), clock.monotonic())
         except ValueError as error:
--- a/thymeflow/daemon/handover.py
+++ b/thymeflow/daemon/handover.py
@@ -37,9 +37,9 @@
         self.sender = HandoverSender(self)
         self.receiver: HandoverReceiver | None = None
         if is_successor:
-            self.receiver = HandoverReceiver(self, instance.path("sock"))
+            self.receiver = HandoverReceiver(self, instance.get_file_path("sock"))
 
-    def owns_name(self) -> bool:
+    def is_name_owner(self) -> bool:
         """Return whether name and snapshot belong to this process, and not to a successor."""
         return self.sender.state not in DELEGATED_STATES and self._instance.lock is not None
 
@@ -63,7 +63,7 @@
         """Seconds that a step of a handover may take."""
         return self._instance.settings.daemon.hand_over
 
-    def descriptors(self) -> list[int]:
+    def get_descriptors(self) -> list[int]:
         """Return the descriptors of listening socket and lock."""
         assert self._instance.lock is not None
         return [self.limiter.lifecycle.port.fileno(), self._instance.lock.descriptor]
@@ -75,18 +75,18 @@
         """
         try:
             _check_count(descriptors)
-            listening = duplicate_listening_socket(descriptors[0])
+            listening_socket = duplicate_listening_socket(descriptors[0])
             self._instance.adopt_name(descriptors[1])
         except (BadDescriptorError, NameTakenError, OSError) as error:
             raise RejectedHandoverError(str(error)) from None
-        return listening
+        return listening_socket
 
-    def accept(self, listening: socket.socket) -> str:
+    def start_accepting(self, listening_socket: socket.socket) -> str:
         """Own the name and accept connections from now on; return why not, or an empty string."""
         cause = self._open_control()
         if not cause:
             self._instance.write_owner()
-            self.limiter.listen(listening)
+            self.limiter.listen(listening_socket)
         return cause
 
     def hand_over_allocation(self) -> Message | None:
--- a/thymeflow/daemon/instance.py
+++ b/thymeflow/daemon/instance.py
@@ -68,7 +68,7 @@
         self.notifier = Notifier(os.environ)
         self.folder = Path(settings.daemon.state or f".thymeflow-{self.name}")
         self.snapshots = SnapshotStore(self.name, self.incarnation, self.configuration.endpoints)
-        self.snapshot_file = SnapshotFile(self.path("state"), self.snapshots)
+        self.snapshot_file = SnapshotFile(self.get_file_path("state"), self.snapshots)
         self.allocation = MemberAllocation(self.configuration.allocation)
         self.ejections: MemberEjections | None = None
         self.load_shedder: LoadShedder | None = None
@@ -76,7 +76,7 @@
         self.control: ControlServer | None = None
         self.exit_code = 0
 
-    def path(self, suffix: str) -> Path:
+    def get_file_path(self, suffix: str) -> Path:
         """Return the path of a file of this instance: `lock`, `sock` or `state`."""
         return self.folder / f"{self.name}.{suffix}"
 
@@ -86,7 +86,7 @@
         :raises NameTakenError: if another process owns it.
         :raises OSError: if the lock file cannot be opened.
         """
-        self.lock = NameLock.acquire(self.path("lock"), self.incarnation)
+        self.lock = NameLock.acquire(self.get_file_path("lock"), self.incarnation)
 
     def adopt_name(self, descriptor: int) -> None:
         """Own the name by the predecessor's lock, an open descriptor.
@@ -94,7 +94,7 @@
         :raises NameTakenError: if the descriptor is not that of the lock file.
         :raises OSError: if there is no such file or descriptor.
         """
-        self.lock = NameLock.adopt(self.path("lock"), descriptor)
+        self.lock = NameLock.adopt(self.get_file_path("lock"), descriptor)
 
     def write_owner(self) -> None:
         """Write this process into the lock file as the owner of the name."""
@@ -118,7 +118,7 @@
         """Build the limiter, from the snapshot if there is one, and call back when its endpoints are known."""
         initial = self.configuration
         if snapshot is not None:
-            initial = replace(initial, endpoints=restore.newest_endpoint_update(snapshot, initial.endpoints))
+            initial = replace(initial, endpoints=restore.select_newest_endpoint_update(snapshot, initial.endpoints))
         gateway = self._build_gateway(initial)
         self._connect_to_fleet(gateway)
         self.limiter = Limiter(initial, self.reactor, gateway, self._load, self.settings.daemon.drain_linger)
@@ -142,9 +142,11 @@
             self.ejections = MemberEjections(gateway)
             self.load_shedder = LoadShedder(gateway)
         self.snapshots.set_gateway(gateway)
-        gateway.set_fleet_bounds(MemberBounds(self.allocation, self._fleet_limits(), self.ejections, self.load_shedder))
+        gateway.set_fleet_bounds(
+            MemberBounds(self.allocation, self._build_fleet_limits(), self.ejections, self.load_shedder)
+        )
 
-    def _fleet_limits(self) -> dict[str, float]:
+    def _build_fleet_limits(self) -> dict[str, float]:
         budgets = self.settings.budgets
         # The keys are names of `leases.resources`, which messages between processes carry.
         limits = {"calls": float(budgets.calls), "trials": float(budgets.trials)}
@@ -160,7 +162,7 @@
         self.control = ControlServer(
             self.reactor,
             self.limiter.deadlines,
-            self.path("sock"),
+            self.get_file_path("sock"),
             daemon.control_callers,
             daemon.control_patience,
             handler,
--- a/thymeflow/daemon/service.py
+++ b/thymeflow/daemon/service.py
@@ -117,14 +117,14 @@
         except NameTakenError as error:
             raise StartError(str(error), NAME_TAKEN) from None
         except OSError as error:
-            message = f"{instance.path('lock')}: {error.strerror}"
+            message = f"{instance.get_file_path('lock')}: {error.strerror}"
             raise StartError(message, NAME_TAKEN) from None
         return sockets
 
     def _read_snapshot(self) -> schema.Snapshot | None:
         instance = self.instance
         snapshot_settings = instance.settings.snapshot
-        site = schema.site_digest(instance.configuration.settings)
+        site = schema.compute_site_digest(instance.configuration.settings)
         return instance.snapshot_file.read_usable(site, snapshot_settings.fresh) if snapshot_settings.keep else None
 
     def _build_limiter(self, snapshot: schema.Snapshot | None) -> None:
@@ -154,7 +154,7 @@
     def run(self) -> int:
         """Serve until the end; return the exit code."""
         self._write_snapshot_at_interval(0)
-        self._requests.tick()
+        self._requests.update_watchers_at_interval()
         gc.collect()
         gc.freeze()
         self._reactor.run(installSignalHandlers=False)
@@ -215,17 +215,17 @@
         snapshot_settings = instance.settings.snapshot
         instance.limiter.deadlines.schedule(clock.now() + snapshot_settings.every, self._write_snapshot_at_interval)
         is_serving = instance.limiter.lifecycle.phase is Phase.SERVING
-        if snapshot_settings.keep and is_serving and self._handover.owns_name():
-            instance.snapshot_file.write_now()
+        if snapshot_settings.keep and is_serving and self._handover.is_name_owner():
+            instance.snapshot_file.start_write()
 
     def _finish(self) -> None:
         # After the reactor nothing more can be forwarded, so this snapshot is final.
         instance = self.instance
         if instance.control is not None:
             instance.control.close()
-        if self._handover.owns_name() and instance.lock is not None:
+        if self._handover.is_name_owner() and instance.lock is not None:
             if instance.settings.snapshot.keep:
-                instance.snapshot_file.write_last()
+                instance.snapshot_file.write_final()
             instance.lock.release()
         instance.log_handler.file.close()
 
--- a/thymeflow/daemon/snapshot_file.py
+++ b/thymeflow/daemon/snapshot_file.py
@@ -26,7 +26,7 @@
         self._written_bytes = 0
         self._failure_count = 0
 
-    def status(self) -> Message:
+    def build_status_message(self) -> Message:
         """Return what the instance status reports of snapshots; the keys are a format."""
         return {
             "at": self._written_at,
@@ -49,7 +49,7 @@
             return None
         return snapshot
 
-    def write_now(self) -> Deferred[str] | None:
+    def start_write(self) -> Deferred[str] | None:
         """Write in a thread; the Deferred fires with an empty string or the cause of a failure.
 
         Returns None while another write is in progress.
@@ -82,7 +82,7 @@
         self._written_bytes = len(data)
         return ""
 
-    def write_last(self) -> None:
+    def write_final(self) -> None:
         """Write the final snapshot at once; call it when no more requests can be forwarded."""
         try:
             self._write(self._store.take_snapshot(True))
--- a/thymeflow/daemon/status.py
+++ b/thymeflow/daemon/status.py
@@ -60,7 +60,7 @@
         return self.phase is Phase.SERVING and self.backends.ready > 0
 
 
-def status_of(instance: Instance, handover_state: SenderState) -> InstanceStatus:
+def build_status(instance: Instance, handover_state: SenderState) -> InstanceStatus:
     """Return the present state of an instance."""
     limiter = instance.limiter
     gateway = limiter.gateway
@@ -83,11 +83,11 @@
         customers=len(gateway.buckets),
         pressure=gateway.registry.pressure,
         seconds_since_gossip=now - last_gossip_at if last_gossip_at > 0 else None,
-        snapshot=instance.snapshot_file.status(),
+        snapshot=instance.snapshot_file.build_status_message(),
         handover_state=handover_state,
         dropped_log_lines=instance.log_handler.file.dropped_lines,
         outlier_report=None if instance.ejections is None else instance.ejections.report(now),
-        allocation_report=instance.allocation.report(limiter.dispatcher),
+        allocation_report=instance.allocation.build_report(limiter.dispatcher),
     )
 
 
@@ -98,7 +98,7 @@
     return BackendCounts(len(ready), len(backends) - len(ready), ejected)
 
 
-def message_of(status: InstanceStatus) -> Message:
+def status_to_message(status: InstanceStatus) -> Message:
     """Return a status as it is printed and sent."""
     since_gossip = status.seconds_since_gossip
     return {
--- a/thymeflow/handover/control_socket.py
+++ b/thymeflow/handover/control_socket.py
@@ -178,9 +178,9 @@
         """Return whether no complete line came within the timeout, or too much that was sent is unread."""
         if not self.is_persistent and clock.now() - self.last_message_at > timeout_seconds:
             return True
-        return self.unsent_bytes() > MAX_UNSENT_BYTES
+        return self.count_unsent_bytes() > MAX_UNSENT_BYTES
 
-    def unsent_bytes(self) -> int:
+    def count_unsent_bytes(self) -> int:
         """Return the number of bytes that the caller has not read yet."""
         transport = self.unix_transport
         return len(transport.dataBuffer) + sum(map(len, transport._tempDataBuffer))
--- a/thymeflow/handover/messages.py
+++ b/thymeflow/handover/messages.py
@@ -53,12 +53,12 @@
 # From the receiver to the sender.
 
 
-def request_message(incarnation: str, pid: int, site: str) -> Message:
+def build_request_message(incarnation: str, pid: int, site: str) -> Message:
     """Return the request for a handover."""
     return {"do": SenderEvent.REQUESTED.value, "life": incarnation, "pid": pid, "site": site}
 
 
-def step_message(event: SenderEvent) -> Message:
+def build_step_message(event: SenderEvent) -> Message:
     """Return the notification of a later step."""
     return {"do": event.value}
 
@@ -86,42 +86,42 @@
 # From the sender to the receiver.
 
 
-def descriptors_message(address: str, incarnation: str) -> Message:
+def build_descriptors_message(address: str, incarnation: str) -> Message:
     """Return the message that the descriptors of the listening socket and the lock go with."""
     return {"offer": address, "life": incarnation}
 
 
-def state_message(size_bytes: int, open_connections: int, allocation: Message | None) -> Message:
+def build_state_message(size_bytes: int, open_connections: int, allocation: Message | None) -> Message:
     """Return the message that the descriptor of the state goes with."""
     return {"state": size_bytes, "held": open_connections, "part": allocation}
 
 
-def permission_message() -> Message:
+def build_permission_message() -> Message:
     """Return the permission to accept connections."""
     return {"yours": True}
 
 
-def delegation_message() -> Message:
+def build_delegation_message() -> Message:
     """Return the confirmation of the delegation."""
     return {"draining": True}
 
 
-def open_connections_message(count: int) -> Message:
+def build_open_connections_message(count: int) -> Message:
     """Return the number of connections that the sender still has."""
     return {"held": count}
 
 
-def late_charges_message(units_by_customer: Mapping[int, float]) -> Message:
+def build_late_charges_message(units_by_customer: Mapping[int, float]) -> Message:
     """Return charges that were made after the state was taken."""
     return {"late": {str(customer_id): units for customer_id, units in units_by_customer.items()}}
 
 
-def last_message(customer_count: int) -> Message:
+def build_last_message(customer_count: int) -> Message:
     """Return the sender's last message, with the number of customers that late charges were sent of."""
     return {"bye": customer_count}
 
 
-def rejection_message(cause: str) -> Message:
+def build_rejection_message(cause: str) -> Message:
     """Return the rejection of a request or of a step."""
     return {"ok": False, "why": cause}
 
--- a/thymeflow/handover/participant.py
+++ b/thymeflow/handover/participant.py
@@ -38,7 +38,7 @@
     def requires_same_site(self) -> bool:
         """Whether plans and index have to be equal; otherwise only the state that still applies is restored."""
 
-    def descriptors(self) -> list[int]:
+    def get_descriptors(self) -> list[int]:
         """Return the descriptors that the sender passes, the listening socket first."""
 
     def adopt_descriptors(self, descriptors: list[int]) -> socket.socket:
@@ -47,7 +47,7 @@
         :raises RejectedHandoverError: if they cannot be used.
         """
 
-    def accept(self, listening: socket.socket) -> str:
+    def start_accepting(self, listening_socket: socket.socket) -> str:
         """Start to accept connections; return why it cannot, or an empty string."""
 
     def hand_over_allocation(self) -> Message | None:
--- a/thymeflow/handover/receiver.py
+++ b/thymeflow/handover/receiver.py
@@ -23,7 +23,7 @@
 from thymeflow.runtime import clock, log
 from thymeflow.runtime.log_kinds import LogKind
 from thymeflow.snapshot import schema
-from thymeflow.snapshot.late_charges import charge_late
+from thymeflow.snapshot.late_charges import apply_late_charges
 from thymeflow.snapshot.store import SnapshotSource
 
 MAX_DISCOVERY_WAIT_FRACTION = 0.5  # of a step's time limit: for the first reply of discovery
@@ -108,8 +108,8 @@
 
     def _send_request(self, session: control_client.ControlSession) -> None:
         log.emit(LogKind.HANDOVER, f"requested at {self._path}")
-        site = schema.site_digest(self._participant.limiter.configuration.settings)
-        session.send(messages.request_message(self._participant.incarnation, os.getpid(), site))
+        site = schema.compute_site_digest(self._participant.limiter.configuration.settings)
+        session.send(messages.build_request_message(self._participant.incarnation, os.getpid(), site))
 
     def _abort(self, cause: str) -> None:
         log.emit(LogKind.HANDOVER, cause)
@@ -124,18 +124,18 @@
         if received.event is not None:
             self.step(received.event)
         elif received.has_late_charges:
-            self._charge_late(received.late_charges)
+            self._apply_late_charges(received.late_charges)
         elif received.is_last and self._sender is not None:
             self._sender.close()
         elif received.rejection is not None:
             self._abort(f"rejected: {received.rejection}")
 
-    def _connection(self) -> ControlConnection:
+    def _get_connection(self) -> ControlConnection:
         assert self._sender is not None
         return self._sender
 
     def _start_up(self) -> None:
-        connection = self._connection()
+        connection = self._get_connection()
         try:
             self._listening_socket = self._participant.adopt_descriptors(connection.descriptors)
         except RejectedHandoverError as error:
@@ -147,17 +147,17 @@
         self._participant.limiter.connect(clock.now() + discovery_wait)
 
     def _send_ready(self) -> None:
-        self._connection().send(messages.step_message(SenderEvent.RECEIVER_READY))
+        self._get_connection().send(messages.build_step_message(SenderEvent.RECEIVER_READY))
 
     def _restore_state(self) -> None:
-        connection = self._connection()
+        connection = self._get_connection()
         try:
             snapshot = self._read_snapshot(connection)
         except (schema.SnapshotError, OSError) as error:
             self._abort(f"the state of the predecessor cannot be used: {error}")
             return
         self._participant.snapshots.restore(snapshot, SnapshotSource.HANDOVER)
-        connection.send(messages.step_message(SenderEvent.STATE_ACCEPTED))
+        connection.send(messages.build_step_message(SenderEvent.STATE_ACCEPTED))
 
     def _read_snapshot(self, connection: ControlConnection) -> schema.Snapshot:
         """Read and check the snapshot in the descriptor that came with it.
@@ -173,7 +173,7 @@
             snapshot = schema.unpack(file.read(schema.MAX_SNAPSHOT_BYTES + 1))
         participant = self._participant
         configuration = participant.limiter.configuration
-        site = schema.site_digest(configuration.settings) if participant.requires_same_site else snapshot.site
+        site = schema.compute_site_digest(configuration.settings) if participant.requires_same_site else snapshot.site
         schema.check_applicable(snapshot, site, configuration.name, clock.now(), participant.step_timeout)
         return snapshot
 
@@ -181,27 +181,27 @@
         assert self._listening_socket is not None
         if self._allocation is not None:
             self._participant.inherit_allocation(self._allocation)
-        cause = self._participant.accept(self._listening_socket)
+        cause = self._participant.start_accepting(self._listening_socket)
         if cause:
             log.emit(LogKind.HANDOVER, cause)
             self.state = ReceiverState.FAILED
-            self._connection().close()  # on which the sender accepts again
+            self._get_connection().close()  # on which the sender accepts again
             self._abandon()
             return
-        self._connection().send(messages.step_message(SenderEvent.RECEIVER_SERVING))
+        self._get_connection().send(messages.build_step_message(SenderEvent.RECEIVER_SERVING))
 
     def _complete(self) -> None:
         name = self._participant.limiter.configuration.name
         log.emit(LogKind.HANDOVER, f"done: this incarnation owns name, socket and state of {name}")
 
-    def _charge_late(self, value: object) -> None:
+    def _apply_late_charges(self, value: object) -> None:
         try:
             charges = messages.parse_late_charges(value)
         except (ValueError, TypeError, AttributeError):
             log.emit(LogKind.HANDOVER, "ignored late charges that cannot be parsed")
             return
         charges = {customer_id: units for customer_id, units in charges.items() if abs(units) < MAX_LATE_UNITS}
-        charged = charge_late(self._participant.limiter.gateway, charges)
+        charged = apply_late_charges(self._participant.limiter.gateway, charges)
         log.emit(LogKind.HANDOVER, f"{charged} of {len(charges)} customers charged for what came after the state")
 
     def _abandon(self) -> None:
--- a/thymeflow/handover/sender.py
+++ b/thymeflow/handover/sender.py
@@ -33,7 +33,7 @@
         return succeed((Status.FULL, 0.0))
 
 
-def _no_last_messages() -> float:
+def _send_no_last_messages() -> float:
     """Need no time before the process stops."""
     return 0.0
 
@@ -76,7 +76,7 @@
     def _on_request(self, caller: ControlCaller, request: messages.HandoverRequest) -> None:
         rejection = self._find_rejection(request)
         if rejection is not None:
-            caller.send(messages.rejection_message(rejection))
+            caller.send(messages.build_rejection_message(rejection))
             return
         self._receiver = caller
         caller.keep_open(self._on_disconnected)
@@ -90,7 +90,7 @@
         if phase not in (Phase.SERVING, Phase.EVACUATED):
             return f"it is {phase.value}"
         requires_same_site = self._participant.requires_same_site
-        if requires_same_site and request.site != schema.site_digest(limiter.gateway.settings):
+        if requires_same_site and request.site != schema.compute_site_digest(limiter.gateway.settings):
             return "plans or place in the set differ: restart it instead"
         if self.state is not SenderState.SERVING:
             return f"a hand-over is under way ({self.state.value})"
@@ -137,8 +137,8 @@
     def _send_descriptors(self) -> None:
         participant = self._participant
         address = participant.limiter.lifecycle.listen_address
-        message = messages.descriptors_message(address, participant.incarnation)
-        self._send(message, *participant.descriptors())
+        message = messages.build_descriptors_message(address, participant.incarnation)
+        self._send(message, *participant.get_descriptors())
 
     def _pause_listener(self) -> None:
         limiter = self._participant.limiter
@@ -152,7 +152,7 @@
         with os.fdopen(os.dup(self._state_descriptor), "wb") as file:
             file.write(state)
         self._is_allocation_handed_over = True
-        message = messages.state_message(
+        message = messages.build_state_message(
             len(state), count_open_connections(limiter), self._participant.hand_over_allocation()
         )
         self._send(message, self._state_descriptor)
@@ -165,10 +165,10 @@
     def _permit_accept(self) -> None:
         self._close_state_descriptor()
         self._is_accept_permitted = True
-        self._send(messages.permission_message())
+        self._send(messages.build_permission_message())
 
     def _confirm_delegation(self) -> None:
-        self._send(messages.delegation_message())
+        self._send(messages.build_delegation_message())
 
     def _delegate(self) -> None:
         log.emit(
@@ -182,7 +182,7 @@
     def _report_open_connections(self, _: int = 0) -> None:
         if self.state in DELEGATED_STATES and self._receiver is not None and not self._receiver.is_closed:
             limiter = self._participant.limiter
-            self._send(messages.open_connections_message(count_open_connections(limiter)))
+            self._send(messages.build_open_connections_message(count_open_connections(limiter)))
             next_at = clock.now() + CONNECTION_REPORT_INTERVAL_SECONDS
             limiter.deadlines.schedule(next_at, self._report_open_connections)
 
@@ -193,11 +193,11 @@
         """Send what was charged since the snapshot; return the seconds that the messages need to be sent."""
         if self._late_charges is None or self._receiver is None or self._receiver.is_closed:
             return 0.0
-        charges = list(self._late_charges.units().items())
+        charges = list(self._late_charges.compute_units().items())
         for start in range(0, len(charges), MAX_LATE_CHARGES_PER_MESSAGE):
             chunk = charges[start : start + MAX_LATE_CHARGES_PER_MESSAGE]
-            self._send(messages.late_charges_message(dict(chunk)))
-        self._send(messages.last_message(len(charges)))
+            self._send(messages.build_late_charges_message(dict(chunk)))
+        self._send(messages.build_last_message(len(charges)))
         return FLUSH_SECONDS
 
     def _resume(self) -> None:
@@ -208,7 +208,7 @@
             self._participant.on_rolled_back(self._is_accept_permitted)
         self._late_charges = None
         self._is_accept_permitted = False
-        limiter.lifecycle.on_stopping = _no_last_messages
+        limiter.lifecycle.on_stopping = _send_no_last_messages
         if limiter.counter is not None:
             limiter.dispatcher.counter = limiter.counter
         limiter.on_handover_changed(False)
@@ -221,4 +221,4 @@
             receiver.abort_silently()
 
     def _reject_input(self) -> None:
-        self._send(messages.rejection_message(f"out of turn while {self.state.value}"))
+        self._send(messages.build_rejection_message(f"out of turn while {self.state.value}"))
--- a/thymeflow/handover/upgradable_limiter.py
+++ b/thymeflow/handover/upgradable_limiter.py
@@ -48,7 +48,7 @@
         self.snapshots.on_endpoint_update(initial.endpoints)
         self.limiter.on_endpoints = self.snapshots.on_endpoint_update
         self.limiter.on_endpoints_available = self._on_endpoints_ready
-        self._path = _socket_path(initial.name)
+        self._path = _find_control_socket_path(initial.name)
         self._control: ControlServer | None = None
         self._is_ending = False
         self._sender = HandoverSender(self)
@@ -120,7 +120,7 @@
 
     # The methods of `participant.HandoverParticipant`.
 
-    def descriptors(self) -> list[int]:
+    def get_descriptors(self) -> list[int]:
         """Return the descriptor of the listening socket."""
         return [self.limiter.lifecycle.port.fileno()]
 
@@ -130,7 +130,7 @@
         :raises RejectedHandoverError: if it is not a listening socket, or listens at another address.
         """
         try:
-            listening_socket = _checked_listening_socket(descriptors)
+            listening_socket = _duplicate_listening_socket(descriptors)
         except (listening_sockets.BadDescriptorError, OSError) as error:
             raise RejectedHandoverError(str(error)) from None
         host, port = listening_socket.getsockname()[:2]
@@ -141,10 +141,10 @@
             raise RejectedHandoverError(message)
         return listening_socket
 
-    def accept(self, listening: socket.socket) -> str:
+    def start_accepting(self, listening_socket: socket.socket) -> str:
         """Start to accept connections; return an empty string, as this cannot fail."""
         self._open_control_socket()
-        self.limiter.listen(listening)
+        self.limiter.listen(listening_socket)
         return ""
 
     def hand_over_allocation(self) -> None:
@@ -177,14 +177,14 @@
         )
 
 
-def _socket_path(name: str) -> Path | None:
+def _find_control_socket_path(name: str) -> Path | None:
     folder = os.environ.get("TMPDIR")
     if not folder:
         return None
     return Path(folder) / f"{name.replace('/', '_')}.sock"
 
 
-def _checked_listening_socket(descriptors: list[int]) -> socket.socket:
+def _duplicate_listening_socket(descriptors: list[int]) -> socket.socket:
     if len(descriptors) != 1:
         message = f"{len(descriptors)} descriptors came with the offer, not 1"
         raise listening_sockets.BadDescriptorError(message)
--- a/thymeflow/snapshot/late_charges.py
+++ b/thymeflow/snapshot/late_charges.py
@@ -28,9 +28,9 @@
         for customer_id, local_rate in self._local_rates.items():
             if bucket := self._gateway.buckets.get(customer_id):
                 bucket.refresh(now)
-                spend(bucket, local_rate * elapsed_seconds)
+                spend_units(bucket, local_rate * elapsed_seconds)
 
-    def units(self) -> dict[int, float]:
+    def compute_units(self) -> dict[int, float]:
         """Return by customer the units charged since the snapshot, less what was settled below its charge."""
         charges = {
             customer_id: bucket.charged_units - self._charged_before.get(customer_id, 0.0)
@@ -39,7 +39,7 @@
         return {customer_id: units for customer_id, units in charges.items() if abs(units) > MIN_REPORTED_UNITS}
 
 
-def charge_late(gateway: Gateway, units: Mapping[int, float]) -> int:
+def apply_late_charges(gateway: Gateway, units: Mapping[int, float]) -> int:
     """Charge what the predecessor forwarded after its snapshot; return how many buckets that concerned."""
     charged_count = 0
     for customer_id, amount in units.items():
@@ -52,7 +52,7 @@
     return charged_count
 
 
-def spend(bucket: TokenBucket, units: float) -> None:
+def spend_units(bucket: TokenBucket, units: float) -> None:
     """Take units from a bucket, without going below empty."""
     bucket.level -= min(units, max(0.0, bucket.level))
     bucket.global_level -= min(units, max(0.0, bucket.global_level))
--- a/thymeflow/snapshot/restore.py
+++ b/thymeflow/snapshot/restore.py
@@ -31,8 +31,15 @@
 from thymeflow.quota.buckets import BucketStart
 from thymeflow.quota.counter_ledger import CounterLedger, UncertainAmount
 from thymeflow.quota.token_bucket import TokenBucket
-from thymeflow.snapshot.late_charges import spend
-from thymeflow.snapshot.schema import AccountRecord, HealthRecord, ServerRecord, Snapshot, StoreRecord, site_digest
+from thymeflow.snapshot.late_charges import spend_units
+from thymeflow.snapshot.schema import (
+    AccountRecord,
+    HealthRecord,
+    ServerRecord,
+    Snapshot,
+    StoreRecord,
+    compute_site_digest,
+)
 
 MAX_CONSECUTIVE_FAILURES = 64  # that are restored of a backend; with more, the backoff is at its maximum anyway
 MAX_EJECTION_SECONDS = 60.0  # from the restore on
@@ -50,7 +57,7 @@
     skipped: int
 
 
-def _account_record(ledger: CounterLedger) -> AccountRecord:
+def _build_account_record(ledger: CounterLedger) -> AccountRecord:
     return AccountRecord(
         read=ledger.read_at,
         told=ledger.reported_units,
@@ -61,13 +68,13 @@
     )
 
 
-def _counter_ledger(record: AccountRecord) -> CounterLedger:
+def _build_counter_ledger(record: AccountRecord) -> CounterLedger:
     return CounterLedger(
         record.read, record.told, record.spent, record.name, record.total, UncertainAmount(*record.unsure)
     )
 
 
-def _store_record(bucket: TokenBucket, counter_calls: Mapping[int, tuple[int, float]]) -> StoreRecord:
+def _build_store_record(bucket: TokenBucket, counter_calls: Mapping[int, tuple[int, float]]) -> StoreRecord:
     ledger = replace(bucket.counter_ledger)
     for counter_name, (customer_id, amount) in counter_calls.items():
         if customer_id == bucket.customer_id:  # the call is in flight and may have been added already
@@ -91,29 +98,29 @@
         members=tuple(bucket.members),
         gathers=bucket.is_aggregator,
         ahead=bucket.predicted_remote_usage,
-        account=_account_record(ledger),
+        account=_build_account_record(ledger),
     )
 
 
-def _ejection_end(ejected_until: float) -> float:
+def _encode_ejection_end(ejected_until: float) -> float:
     # The gateway has minus infinity for "never"; a snapshot has finite numbers only.
     return 0.0 if ejected_until == -inf else ejected_until
 
 
-def _health_record(stats: BackendStats) -> HealthRecord:
+def _build_health_record(stats: BackendStats) -> HealthRecord:
     return HealthRecord(
         id=stats.endpoint.id,
         started=stats.endpoint.started,
         pace=stats.relative_latency,
         gap=stats.send_interval,
         failures={
-            class_name: (min(failure_count, MAX_CONSECUTIVE_FAILURES), _ejection_end(ejected_until))
+            class_name: (min(failure_count, MAX_CONSECUTIVE_FAILURES), _encode_ejection_end(ejected_until))
             for class_name, (failure_count, ejected_until) in stats.failures.items()
         },
     )
 
 
-def _server_record(backend: Backend, address: Address) -> ServerRecord:
+def _build_server_record(backend: Backend, address: Address) -> ServerRecord:
     return ServerRecord(
         id=backend.id,
         host=address.host,
@@ -138,12 +145,12 @@
 ) -> Snapshot:
     """Return a snapshot of the gateway at `now`, with the endpoint list's version and the addresses of backends."""
     servers = tuple(
-        _server_record(stats.endpoint, addresses[stats.endpoint.id])
+        _build_server_record(stats.endpoint, addresses[stats.endpoint.id])
         for stats in gateway.backends.values()
         if stats.endpoint.id in addresses
     )
     return Snapshot(
-        site=site_digest(gateway.settings),
+        site=compute_site_digest(gateway.settings),
         name=name,
         life=incarnation,
         taken=now,
@@ -155,14 +162,14 @@
         call_rate=gateway.reporter.call_rate,
         version=version,
         servers=servers,
-        health=tuple(_health_record(stats) for stats in gateway.backends.values()),
+        health=tuple(_build_health_record(stats) for stats in gateway.backends.values()),
         stores=tuple(
-            _store_record(bucket, gateway.reporter.calls) for bucket in gateway.buckets.values() if bucket.members
+            _build_store_record(bucket, gateway.reporter.calls) for bucket in gateway.buckets.values() if bucket.members
         ),
     )
 
 
-def endpoint_update_of(snapshot: Snapshot) -> EndpointUpdate:
+def build_endpoint_update(snapshot: Snapshot) -> EndpointUpdate:
     """Return the snapshot's endpoint list, marked as cached since it may be old."""
     backends = tuple(
         Backend(
@@ -182,14 +189,14 @@
     )
 
 
-def newest_endpoint_update(snapshot: Snapshot, known: EndpointUpdate) -> EndpointUpdate:
+def select_newest_endpoint_update(snapshot: Snapshot, known: EndpointUpdate) -> EndpointUpdate:
     """Return the newer of the snapshot's endpoint list and a known one."""
     if snapshot.servers and snapshot.version > known.change.version:
-        return endpoint_update_of(snapshot)
+        return build_endpoint_update(snapshot)
     return known
 
 
-def _restored_bucket(record: StoreRecord, plan: Plan, snapshot: Snapshot, now: float, gateway: Gateway) -> TokenBucket:
+def _restore_bucket(record: StoreRecord, plan: Plan, snapshot: Snapshot, now: float, gateway: Gateway) -> TokenBucket:
     bucket = gateway.token_buckets.create(plan, record.number, BucketStart(now, now, 0.0))
     updated_at = min(record.at, now)  # a clock that was stepped back must not refill twice
     _restore_fields(bucket, record, plan, updated_at)
@@ -201,7 +208,7 @@
     if not snapshot.final:
         # It may have spent until just now: its demand is the best estimate, and what is not in the bucket cannot
         # have been spent. The ceiling is a hard limit, so nothing there is left to an estimate.
-        spend(bucket, local_rate * gap_seconds)
+        spend_units(bucket, local_rate * gap_seconds)
         bucket.ceiling_level = min(bucket.ceiling_level, 0.0)
     return bucket
 
@@ -214,7 +221,7 @@
     bucket.remote_rate = max(0.0, record.others)
     bucket.requested_units = record.asked
     bucket.charged_units = record.charged
-    bucket.counter_ledger = _counter_ledger(record.account)
+    bucket.counter_ledger = _build_counter_ledger(record.account)
     bucket.mean_cost = record.lump
     bucket.usage_ratio = record.excess
     bucket.remote_rate_memory = record.memory
@@ -234,7 +241,7 @@
         if plan is None or record.number in gateway.buckets:
             skipped += 1
             continue
-        bucket = _restored_bucket(record, plan, snapshot, now, gateway)
+        bucket = _restore_bucket(record, plan, snapshot, now, gateway)
         bucket.set_changed = snapshot.gateways != gateway.settings.limiter_count
         gateway.buckets[record.number] = bucket
     gateway.registry.pressure = min(1.0, max(0.0, snapshot.pressure))
@@ -265,11 +272,11 @@
     stats.send_interval = max(0.0, record.gap)
     stats.failures = {
         class_name: FailureStreak(
-            min(max(0, failure_count), MAX_CONSECUTIVE_FAILURES), _ejected_until(ejection_end, now)
+            min(max(0, failure_count), MAX_CONSECUTIVE_FAILURES), _decode_ejection_end(ejection_end, now)
         )
         for class_name, (failure_count, ejection_end) in record.failures.items()
     }
 
 
-def _ejected_until(ejection_end: float, now: float) -> float:
+def _decode_ejection_end(ejection_end: float, now: float) -> float:
     return min(ejection_end, now + MAX_EJECTION_SECONDS) or -inf
--- a/thymeflow/snapshot/schema.py
+++ b/thymeflow/snapshot/schema.py
@@ -121,13 +121,13 @@
     stores: tuple[StoreRecord, ...]
 
 
-class _Verbatim(str):
+class _UnquotedText(str):
     """Text that a `repr` of its container shows without quotes."""
 
     __repr__ = str.__str__
 
 
-def _plan_text(plan: Plan) -> _Verbatim:
+def _format_plan(plan: Plan) -> _UnquotedText:
     # The format that site digests have been made of since version 1; its names are not those of the code.
     values = {
         "name": plan.name,
@@ -141,12 +141,12 @@
         "ceiling_burst": plan.ceiling_burst,
         "ceiling_slack": plan.ceiling_slack,
     }
-    return _Verbatim(f"Plan({', '.join(f'{name}={value!r}' for name, value in values.items())})")
+    return _UnquotedText(f"Plan({', '.join(f'{name}={value!r}' for name, value in values.items())})")
 
 
-def site_digest(settings: GatewaySettings) -> str:
+def compute_site_digest(settings: GatewaySettings) -> str:
     """Return a digest of what gives a bucket its meaning: plans, zone and index, but not classes or set size."""
-    text = repr((tuple(_plan_text(plan) for plan in settings.plans), settings.zone, settings.index))
+    text = repr((tuple(_format_plan(plan) for plan in settings.plans), settings.zone, settings.index))
     return hashlib.blake2b(text.encode(), digest_size=SITE_DIGEST_BYTES).hexdigest()
 
 
@@ -160,19 +160,19 @@
     digest: str
 
 
-def _body_digest(body: bytes) -> str:
+def _compute_body_digest(body: bytes) -> str:
     return hashlib.blake2b(body, digest_size=BODY_DIGEST_BYTES).hexdigest()
 
 
-def _taken_text(taken: float) -> str:
+def _format_taken_time(taken: float) -> str:
     return f"{taken:.6f}"
 
 
 def pack(snapshot: Snapshot) -> bytes:
     """Return the snapshot as the bytes of a file."""
     body = json.dumps(asdict(snapshot), separators=(",", ":")).encode()
-    taken = _taken_text(snapshot.taken)
-    header = f"{MAGIC} {VERSION} {snapshot.site} {taken} {len(body)} {_body_digest(body)}\n"
+    taken = _format_taken_time(snapshot.taken)
+    header = f"{MAGIC} {VERSION} {snapshot.site} {taken} {len(body)} {_compute_body_digest(body)}\n"
     return header.encode() + body
 
 
@@ -188,7 +188,7 @@
     header = _parse_header(line, has_newline=bool(newline))
     _check_body(header, body)
     snapshot = _parse_body(header, body)
-    if header.site != snapshot.site or header.taken != _taken_text(snapshot.taken):
+    if header.site != snapshot.site or header.taken != _format_taken_time(snapshot.taken):
         message = "its header and its content differ"
         raise SnapshotError(message)
     return snapshot
@@ -214,7 +214,7 @@
     if len(body) != int(header.body_bytes):
         message = f"it was cut: it has {len(body)} of {header.body_bytes} bytes"
         raise SnapshotError(message)
-    if _body_digest(body) != header.digest:
+    if _compute_body_digest(body) != header.digest:
         message = "its checksum does not match its content"
         raise SnapshotError(message)
 
--- a/thymeflow/snapshot/store.py
+++ b/thymeflow/snapshot/store.py
@@ -33,7 +33,9 @@
         self._incarnation = incarnation
         self._addresses: dict[int, endpoints.Address] = {}
         self._gateway: Gateway | None = None
-        self._awaiting_endpoints: schema.Snapshot | None = None  # its health records wait for the endpoint list
+        self._snapshot_awaiting_endpoints: schema.Snapshot | None = (
+            None  # its health records wait for the endpoint list
+        )
 
     def set_gateway(self, gateway: Gateway) -> None:
         """Set the gateway whose state this is."""
@@ -43,7 +45,7 @@
         """Restore the gateway's state from a snapshot that came from `source`."""
         assert self._gateway is not None
         result = restore.restore_gateway(self._gateway, snapshot, clock.now())
-        self._awaiting_endpoints = snapshot
+        self._snapshot_awaiting_endpoints = snapshot
         self.source = source
         log.emit(
             LogKind.SNAPSHOT,
@@ -69,9 +71,9 @@
         self._restore_health()
 
     def _restore_health(self) -> None:
-        snapshot = self._awaiting_endpoints
+        snapshot = self._snapshot_awaiting_endpoints
         if snapshot is not None and self._gateway is not None and self._gateway.backends:
-            self._awaiting_endpoints = None
+            self._snapshot_awaiting_endpoints = None
             restore.restore_health(self._gateway, snapshot, clock.now())
 
     def take_snapshot(self, final: bool) -> schema.Snapshot:
--- a/thymeflow/snapshot/validation.py
+++ b/thymeflow/snapshot/validation.py
@@ -38,7 +38,7 @@
 
 
 @lru_cache(maxsize=MAX_CACHED_CLASSES)
-def _field_specs(cls: type[DataclassInstance]) -> dict[str, FieldSpec]:
+def _find_field_specs(cls: type[DataclassInstance]) -> dict[str, FieldSpec]:
     hints = get_type_hints(cls)
     return {
         field.name: FieldSpec(hints[field.name], field.default is MISSING and field.default_factory is MISSING)
@@ -81,7 +81,7 @@
 
 
 def _convert_fields(cls: type[DataclassInstance], value: dict[str, object], where: str) -> object:
-    specs = _field_specs(cls)
+    specs = _find_field_specs(cls)
     for name in value:
         if name not in specs:
             message = f"{where} has the unknown field {name[:MAX_QUOTED_LENGTH]!r}"
