--- a/tests/handover/test_upgrade.py
+++ b/tests/handover/test_upgrade.py
@@ -123,7 +123,7 @@
     limiter.process.send_signal(signal.SIGSTOP)
     successor = limiter.start_successor()
     assert successor.stderr is not None
-    while "handover: requested at" not in successor.stderr.readline():
+    while "handover: requested a handover at" not in successor.stderr.readline():
         pass
     successor.send_signal(signal.SIGTERM)
     assert successor.wait(PATIENCE) == 0
--- a/thymeflow/handover/control_client.py
+++ b/thymeflow/handover/control_client.py
@@ -1,4 +1,4 @@
-"""The client side of a control socket: a single request with its reply, or a session that stays open."""
+"""The client side of a control socket: one request with its reply, or a session that stays open."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
 
 
 class ControlSession(ControlConnection):
-    """An open connection to a control socket; messages and the end go to callbacks."""
+    """An open connection to a control socket; callbacks receive its messages and are notified of its end."""
 
     def __init__(
         self,
@@ -41,20 +41,20 @@
         self._connected = connected
 
     def connectionMade(self) -> None:
-        """Fire the Deferred of `open_session`."""
+        """Fire the Deferred that `open_session` returned."""
         self._connected.callback(self)
 
     def on_message(self, message: Message) -> None:
-        """Pass the message to the session's handler."""
+        """Pass the message to the session's message handler."""
         self._message_handler(message)
 
     def on_closed(self) -> None:
-        """Notify the session's handler."""
+        """Notify the session's close handler."""
         self._close_handler()
 
 
 class _SessionFactory(ClientFactory):
-    """Makes the one connection of a session."""
+    """Creates the single connection of a session."""
 
     noisy = False
 
@@ -63,11 +63,11 @@
         self._connected = connected
 
     def buildProtocol(self, addr: IAddress | None) -> ControlSession:  # noqa: ARG002 (Twisted's signature)
-        """Return the session."""
+        """Return the session as the protocol of the connection."""
         return self._session
 
     def clientConnectionFailed(self, connector: IConnector, reason: Failure) -> None:  # noqa: ARG002 (Twisted's signature)
-        """Fail the Deferred of `open_session`."""
+        """Fail the Deferred that `open_session` returned."""
         self._connected.errback(NoAnswerError(reason.getErrorMessage()))
 
 
@@ -77,7 +77,10 @@
     message_handler: Callable[[Message], None],
     close_handler: Callable[[], None] = _ignore_close,
 ) -> Deferred[ControlSession]:
-    """Open a session; the Deferred fails with NoAnswerError if no process listens at the path."""
+    """Open a session with the control socket at `path`.
+
+    The Deferred fires with the session; it fails with NoAnswerError if no process listens at the path.
+    """
     connected: Deferred[ControlSession] = Deferred()
     session = ControlSession(message_handler, close_handler, connected)
     reactor.connectUNIX(str(path), _SessionFactory(session, connected), timeout=CONNECT_TIMEOUT_SECONDS)
@@ -85,7 +88,7 @@
 
 
 class _Request:
-    """One request in flight, until its final reply, an error or the deadline."""
+    """One request in flight; it ends with the final reply, a connection error or the deadline."""
 
     def __init__(
         self,
@@ -104,7 +107,7 @@
         self._timer = deadlines.schedule(deadline, self._on_timeout)
 
     def on_connected(self, session: ControlSession) -> None:
-        """Send the request, unless it has ended already."""
+        """Send the request, or close the session if the request has ended already."""
         self._session = session
         if self.reply.called:
             session.close()
@@ -112,11 +115,11 @@
             session.send(self._message)
 
     def on_connect_failed(self, failure: Failure) -> None:
-        """Fail, as there is no connection."""
+        """Fail the request, because the connection could not be opened."""
         self._fail(failure.getErrorMessage())
 
     def on_message(self, message: Message) -> None:
-        """Deliver the final reply, which has `ok`; forward any other message."""
+        """Deliver the final reply, which has the key `ok`; pass any other message to `on_intermediate`."""
         if "ok" in message:
             self._finish()
             if not self.reply.called:
@@ -125,7 +128,7 @@
             self._on_intermediate(message)
 
     def on_closed(self) -> None:
-        """Fail, as the other end closed first."""
+        """Fail the request, because the server closed the connection before the final reply."""
         self._fail("the connection was closed before a reply")
 
     def _on_timeout(self, _: int) -> None:
@@ -150,10 +153,10 @@
     deadline: float,
     on_intermediate: Callable[[Message], None] = _ignore_message,
 ) -> Deferred[Message]:
-    """Send a request and return its final reply, the first message that has `ok`.
+    """Send a request and return a Deferred of its final reply, the first message that has the key `ok`.
 
-    Messages before it go to `on_intermediate`. `deadline` is a time in Unix seconds; the Deferred fails with
-    NoAnswerError if no final reply arrives before it.
+    Messages before the final reply go to `on_intermediate`. `deadline` is a time in Unix seconds; the Deferred fails
+    with NoAnswerError if no final reply arrives before that time.
     """
     request = _Request(deadlines, path, message, deadline, on_intermediate)
     connected = open_session(reactor, path, request.on_message, request.on_closed)
--- a/thymeflow/handover/control_socket.py
+++ b/thymeflow/handover/control_socket.py
@@ -1,7 +1,7 @@
-"""The control socket: JSON objects, one a line in each direction, on a Unix socket that only its owner may open.
+"""The control socket: a Unix socket that only its owner may open, with one JSON object per line in each direction.
 
 Every resource is bounded: the number of callers, the length of a line, the bytes that a caller has not read yet, and
-the time within which a line must be complete. A caller that hangs occupies one slot until then, and nothing else.
+the time within which a line must be complete. Until that time has passed, a caller that hangs occupies one slot only.
 """
 
 from __future__ import annotations
@@ -28,45 +28,45 @@
 from thymeflow.runtime.slot_table import SlotTable
 
 MAX_LINE_BYTES = 64 * 1024
-MAX_UNSENT_BYTES = 1 << 20  # a caller that leaves more than these unread, such as a hung watch, is disconnected
-MAX_DESCRIPTORS = 4  # received on one connection and not claimed yet
-MAX_PATH_BYTES = 100  # of a Unix socket's path; the kernel's limit is 107 (unix(7))
+MAX_UNSENT_BYTES = 1 << 20  # A caller with more unread bytes, such as a hung watcher, is disconnected.
+MAX_DESCRIPTORS = 4  # Unclaimed descriptors that one connection may have.
+MAX_PATH_BYTES = 100  # The kernel limits the path of a Unix socket to 107 bytes (unix(7)).
 OVERDUE_CHECKS_PER_TIMEOUT = 4.0
 SOCKET_MODE = 0o600
 PEER_CREDENTIALS_FORMAT = "3i"  # struct ucred: pid, uid, gid (unix(7))
-INVALID_REQUEST_PREFIX = "ValueError"  # of the reply to an invalid request: a format, not the name of a class
+INVALID_REQUEST_PREFIX = "ValueError"  # The first word of the reply: a format, not the name of the exception class.
 
-Message = dict[str, Any]  # a JSON object as it is read or written; the keys are the format of each command
+Message = dict[str, Any]  # A JSON object as it is read or written; each command defines its keys.
 MessageHandler = Callable[["ControlCaller", Message], None]
 
 
 def _do_nothing() -> None:
-    """Ignore the end of a connection."""
+    """Do nothing when the connection ends."""
 
 
 @implementer(IFileDescriptorReceiver)
 class ControlConnection(Protocol):
-    """One connection that carries JSON objects, a line each, and file descriptors beside them."""
+    """One connection that carries JSON objects, one per line, and the file descriptors sent with them."""
 
     def __init__(self) -> None:
         self._buffer = bytearray()
-        self.descriptors: list[int] = []  # received, in order; code that removes one has to close it
+        self.descriptors: list[int] = []  # Unclaimed, in order of arrival; code that removes one has to close it.
         self.is_closed = False
 
     @property
     def unix_transport(self) -> UnixTransport:
-        """The transport, as a type that declares what is used of it here."""
+        """The transport, as a type that declares the methods used here."""
         return cast("UnixTransport", self.transport)
 
     def is_same_user(self) -> bool:
-        """Return whether the other end runs as the same user (SO_PEERCRED, unix(7))."""
+        """Return whether the peer process runs as the same user as this process (SO_PEERCRED, unix(7))."""
         size = struct.calcsize(PEER_CREDENTIALS_FORMAT)
         credentials = self.unix_transport.getHandle().getsockopt(socket.SOL_SOCKET, socket.SO_PEERCRED, size)
         _, user_id, _ = struct.unpack(PEER_CREDENTIALS_FORMAT, credentials)
         return bool(user_id == os.geteuid())
 
     def send(self, message: Message, *descriptors: int) -> None:
-        """Write a message, unless the connection is closed; the descriptors go with its first bytes."""
+        """Write a message; its descriptors are sent with its first bytes. A closed connection ignores the call."""
         if self.is_closed:
             return
         for descriptor in descriptors:
@@ -74,7 +74,7 @@
         self.unix_transport.write(json.dumps(message, separators=(",", ":")).encode() + b"\n")
 
     def fileDescriptorReceived(self, descriptor: int) -> None:
-        """Keep a descriptor for the message that refers to it; close it at once if too many are unclaimed."""
+        """Keep a descriptor until the message that refers to it; close it at once if MAX_DESCRIPTORS are unclaimed."""
         if len(self.descriptors) >= MAX_DESCRIPTORS:
             os.close(descriptor)
         else:
@@ -82,7 +82,7 @@
             self.descriptors.append(descriptor)
 
     def dataReceived(self, data: bytes) -> None:
-        """Split the bytes into lines and handle each complete one."""
+        """Split the bytes into lines and handle each complete line."""
         *lines, remainder = (bytes(self._buffer) + data).split(b"\n")
         self._buffer = bytearray(remainder)
         for line in lines:
@@ -111,20 +111,20 @@
         raise NotImplementedError
 
     def reject(self, cause: str) -> None:
-        """Reply that the input cannot be processed, and close."""
+        """Reply with the cause for which the input cannot be processed, and close the connection."""
         self.send({"ok": False, "why": cause})
         self.close()
 
     def close(self) -> None:
-        """Close the connection once what was written has been sent."""
+        """Close the connection once all written bytes have been sent."""
         self.unix_transport.loseConnection()
 
     def abort(self) -> None:
-        """Close the connection at once, without sending what is still to be sent."""
+        """Close the connection at once and drop all unsent bytes."""
         self.unix_transport.abortConnection()
 
     def connectionLost(self, reason: Failure = connectionDone) -> None:  # noqa: ARG002 (Twisted's signature)
-        """Close the descriptors that were not claimed, and notify the subclass."""
+        """Close the unclaimed descriptors and call `on_closed`."""
         self.is_closed = True
         for descriptor in self.descriptors:
             os.close(descriptor)
@@ -136,18 +136,18 @@
 
 
 class ControlCaller(ControlConnection):
-    """A client of the control server."""
+    """The server's side of one caller's connection."""
 
     def __init__(self, server: ControlServer) -> None:
         super().__init__()
         self._server = server
         self.handle = -1
-        self.is_persistent = False  # it watches or takes over, and need not send another line
+        self.is_persistent = False  # True for a caller that watches or takes over, which need not send another line.
         self.last_message_at = clock.now()
         self._on_disconnected: Callable[[], None] = _do_nothing
 
     def connectionMade(self) -> None:
-        """Occupy a slot; reject the connection if none is free."""
+        """Occupy a caller slot, or reject the connection if no slot is free."""
         if self._server.callers.is_full():
             self.reject("the maximum number of callers is connected; try again in a moment")
             return
@@ -155,17 +155,17 @@
         self._server.schedule_overdue_check()
 
     def keep_open(self, on_disconnected: Callable[[], None]) -> None:
-        """Expect no further lines from now on; `on_disconnected` is called when the connection ends."""
+        """Exempt the caller from the line timeout; `on_disconnected` is called when the connection ends."""
         self.is_persistent = True
         self._on_disconnected = on_disconnected
 
     def abort_silently(self) -> None:
-        """Close the connection at once, without the callback of `keep_open`."""
+        """Close the connection at once, without the callback that was passed to `keep_open`."""
         self._on_disconnected = _do_nothing
         self.abort()
 
     def on_message(self, message: Message) -> None:
-        """Pass the message to the server's handler; a malformed one is answered and does not end the process."""
+        """Pass the message to the server's handler; a malformed message gets an error reply and raises nothing."""
         self.last_message_at = clock.now()
         try:
             self._server.handler(self, message)
@@ -175,18 +175,18 @@
             self.send({"ok": False, "why": f"{type(error).__name__}: {error}"})
 
     def is_overdue(self, timeout_seconds: float) -> bool:
-        """Return whether no complete line came within the timeout, or too much that was sent is unread."""
+        """Return whether no complete line arrived within the timeout, or more than MAX_UNSENT_BYTES are unread."""
         if not self.is_persistent and clock.now() - self.last_message_at > timeout_seconds:
             return True
         return self.count_unsent_bytes() > MAX_UNSENT_BYTES
 
     def count_unsent_bytes(self) -> int:
-        """Return the number of bytes that the caller has not read yet."""
+        """Return the number of written bytes that the caller has not read yet."""
         transport = self.unix_transport
         return len(transport.dataBuffer) + sum(map(len, transport._tempDataBuffer))
 
     def on_closed(self) -> None:
-        """Free the slot."""
+        """Free the caller slot and call the callback that was passed to `keep_open`."""
         self._server.callers.remove(self.handle)
         self._on_disconnected()
 
@@ -194,8 +194,8 @@
 class ControlServer(Factory):
     """The listening side of a control socket.
 
-    Each process listens at a path of its own; the public path is a symbolic link to it, so that the name moves
-    from one process to the next in one atomic step.
+    Each process listens at a path of its own. The public path is a symbolic link to that path, so that the public
+    path moves from one process to its successor in one atomic step.
     """
 
     noisy = False
@@ -226,8 +226,8 @@
     def listen(self) -> None:
         """Open the socket at this process's path, then let the public path point to it.
 
-        :raises ControlError: if the path is too long or cannot be listened at.
-        :raises OSError: if a file beside it cannot be written.
+        :raises ControlError: if the path is too long, or the socket cannot be opened there.
+        :raises OSError: if the symbolic link cannot be created in the same folder.
         """
         if len(os.fsencode(self._socket_path)) > MAX_PATH_BYTES:
             message = f"{self._socket_path} is longer than {MAX_PATH_BYTES} bytes; set a shorter [daemon] state"
@@ -237,20 +237,20 @@
             self._socket_path.unlink()
         try:
             self._port = self._reactor.listenUNIX(str(self._socket_path), self, mode=SOCKET_MODE)
-        except CannotListenError as error:  # not an OSError, though it wraps one
+        except CannotListenError as error:  # This class wraps an OSError but is no subclass of it.
             message = f"{self._socket_path}: {error.socketError}"
             raise ControlError(message) from None
         self.publish_link()
 
     def _remove_stale_socket(self) -> None:
-        # A killed process leaves its socket behind; the socket of a running one stays.
+        # A killed process leaves its socket file behind. The socket file of a running process must stay.
         with contextlib.suppress(OSError):
             previous_socket = self._path.with_name(os.readlink(self._path))
             if not is_listening(previous_socket):
                 previous_socket.unlink()
 
     def publish_link(self) -> None:
-        """Let the public path point to this process's socket, in one atomic step."""
+        """Let the public path point to this process's socket, by replacing the link in one atomic step."""
         link = self._path.with_name(f".{self._path.name}.{os.getpid()}")
         with contextlib.suppress(FileNotFoundError):
             link.unlink()
@@ -258,7 +258,7 @@
         os.replace(link, self._path)
 
     def close(self) -> None:
-        """Close the socket and all connections, and remove the public path if it still points here."""
+        """Close the socket and all connections, and remove the public path if it still points to this socket."""
         with contextlib.suppress(OSError):
             if os.readlink(self._path) == self._socket_path.name:
                 self._path.unlink()
@@ -269,12 +269,12 @@
             caller.close()
 
     def remove_socket_file(self) -> None:
-        """Remove this process's socket file after the reactor has stopped, in case `close` had no time to."""
+        """Remove this process's socket file after the reactor has stopped, in case `close` did not take effect."""
         with contextlib.suppress(OSError):
             self._socket_path.unlink()
 
     def schedule_overdue_check(self) -> None:
-        """Schedule the next check for callers that hang; no timer runs while there are no callers."""
+        """Schedule the next check for overdue callers; no timer runs while no caller is connected."""
         if not self._is_check_scheduled:
             self._is_check_scheduled = True
             interval = self._timeout_seconds / OVERDUE_CHECKS_PER_TIMEOUT
@@ -290,13 +290,13 @@
 
 
 def is_listening(path: Path) -> bool:
-    """Return whether a process listens at a Unix socket; never blocks."""
+    """Return whether a process listens at the Unix socket at `path`; never blocks."""
     with socket.socket(socket.AF_UNIX, socket.SOCK_STREAM) as connection:
         connection.setblocking(False)
         try:
             connection.connect(str(path))
         except BlockingIOError:
-            return True  # its queue is full, so there is a listener
+            return True  # The accept queue is full, so a process listens.
         except OSError:
             return False
     return True
--- a/thymeflow/handover/errors.py
+++ b/thymeflow/handover/errors.py
@@ -6,7 +6,7 @@
 
 
 class HandoverError(ThymeflowError):
-    """Base class of the exceptions of this package."""
+    """Base class of the handover package's exceptions."""
 
 
 class ControlError(HandoverError):
@@ -18,12 +18,12 @@
 
 
 class InvalidRequestError(HandoverError, ValueError):
-    """A value of a control request is out of its domain; the text names it and its domain."""
+    """A value of a control request is invalid; the text names the value and the valid ones."""
 
 
 class BadDescriptorError(HandoverError):
-    """A descriptor that was passed in is not a listening stream socket; the text identifies it."""
+    """A passed descriptor is not a listening stream socket; the text identifies the descriptor."""
 
 
 class RejectedHandoverError(HandoverError):
-    """The sender's descriptors cannot be used; the text gives the cause."""
+    """The receiver cannot use the sender's descriptors; the text gives the cause."""
--- a/thymeflow/handover/listening_sockets.py
+++ b/thymeflow/handover/listening_sockets.py
@@ -1,4 +1,4 @@
-"""Checks of listening sockets that another process passed in."""
+"""Checks of listening sockets that another process passed to this process."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 def duplicate_listening_socket(descriptor: int) -> socket.socket:
-    """Return a duplicate of a passed descriptor as a non-blocking socket that child processes do not inherit.
+    """Return a duplicate of a passed descriptor, as a non-blocking socket that child processes do not inherit.
 
     :raises BadDescriptorError: if the descriptor is not a listening TCP socket.
     """
@@ -34,5 +34,5 @@
         message = f"descriptor {descriptor} is a socket that does not listen for stream connections"
         raise BadDescriptorError(message)
     if family not in (socket.AF_INET, socket.AF_INET6):
-        message = f"descriptor {descriptor} is of the family {family.name}, not AF_INET or AF_INET6"
+        message = f"descriptor {descriptor} has the address family {family.name}, not AF_INET or AF_INET6"
         raise BadDescriptorError(message)
--- a/thymeflow/handover/messages.py
+++ b/thymeflow/handover/messages.py
@@ -1,7 +1,8 @@
-"""The messages of a handover: the one module that knows their keys, a format that two versions of the program share.
+"""The messages of a handover.
 
-A message from the sender is recognized by its key, one from the receiver by the command under `do`. The commands of
-requests and of the steps after them are the values of `state_machine.SenderEvent`.
+This is the only module that knows the keys of the messages, a format that two versions of the program share. The key
+of a message identifies the kind of the sender's messages; the command under the key `do` identifies the kind of the
+receiver's. These commands are the values of `state_machine.SenderEvent`.
 """
 
 from __future__ import annotations
@@ -12,7 +13,7 @@
 from thymeflow.handover.control_socket import Message
 from thymeflow.handover.state_machine import ReceiverEvent, SenderEvent
 
-# The key by which a message of the sender is recognized, in the order in which they are looked for.
+# The receiver's input by the key that identifies a message of the sender, in the order of the lookup.
 RECEIVER_EVENTS_BY_KEY = {
     "offer": ReceiverEvent.DESCRIPTORS_RECEIVED,
     "state": ReceiverEvent.STATE_RECEIVED,
@@ -25,12 +26,12 @@
 }
 MAX_LOGGED_INCARNATION_LENGTH = 20
 MAX_LOGGED_PID_LENGTH = 10
-MAX_REJECTION_LENGTH = 200  # characters of the sender's text that are logged
+MAX_REJECTION_LENGTH = 200  # Logged characters of the sender's rejection text.
 
 
 @dataclass(frozen=True, slots=True)
 class HandoverRequest:
-    """How a receiver identifies itself; the texts are cut to a length that can be logged."""
+    """The identity of a receiver; the texts are cut to the length that may be logged."""
 
     incarnation: str
     pid: str
@@ -39,10 +40,10 @@
 
 @dataclass(frozen=True, slots=True)
 class SenderMessage:
-    """A message of the sender, as the receiver reads it; what it does not have is None."""
+    """A message of the sender, as the receiver parses it; a value that the message does not have is None."""
 
     event: ReceiverEvent | None
-    open_connections: int | None  # of the sender
+    open_connections: int | None  # The number of the sender's open connections.
     allocation: object
     has_late_charges: bool
     late_charges: object
@@ -50,7 +51,7 @@
     rejection: str | None
 
 
-# From the receiver to the sender.
+# Messages from the receiver to the sender.
 
 
 def build_request_message(incarnation: str, pid: int, site: str) -> Message:
@@ -59,17 +60,17 @@
 
 
 def build_step_message(event: SenderEvent) -> Message:
-    """Return the notification of a later step."""
+    """Return the notification that the receiver has reached a step after its request."""
     return {"do": event.value}
 
 
 def is_request(message: Message) -> bool:
-    """Return whether a message requests a handover."""
+    """Return whether a message is a request for a handover."""
     return bool(message.get("do") == SenderEvent.REQUESTED.value)
 
 
 def parse_request(message: Message) -> HandoverRequest:
-    """Return the content of a request for a handover."""
+    """Return the values of a request for a handover."""
     return HandoverRequest(
         str(message.get("life"))[:MAX_LOGGED_INCARNATION_LENGTH],
         str(message.get("pid"))[:MAX_LOGGED_PID_LENGTH],
@@ -78,56 +79,56 @@
 
 
 def parse_step(message: Message) -> SenderEvent | None:
-    """Return the later step that a message notifies of, or None if it is another message."""
+    """Return the step that a message notifies of, or None if the message is no notification of a step."""
     command = message.get("do")
     return COMMANDS_AFTER_REQUEST.get(command) if isinstance(command, str) else None
 
 
-# From the sender to the receiver.
+# Messages from the sender to the receiver.
 
 
 def build_descriptors_message(address: str, incarnation: str) -> Message:
-    """Return the message that the descriptors of the listening socket and the lock go with."""
+    """Return the message that carries the descriptors of the listening socket and the lock."""
     return {"offer": address, "life": incarnation}
 
 
 def build_state_message(size_bytes: int, open_connections: int, allocation: Message | None) -> Message:
-    """Return the message that the descriptor of the state goes with."""
+    """Return the message that carries the descriptor of the state, which is `size_bytes` long."""
     return {"state": size_bytes, "held": open_connections, "part": allocation}
 
 
 def build_permission_message() -> Message:
-    """Return the permission to accept connections."""
+    """Return the message that permits the receiver to accept connections."""
     return {"yours": True}
 
 
 def build_delegation_message() -> Message:
-    """Return the confirmation of the delegation."""
+    """Return the message that confirms the delegation."""
     return {"draining": True}
 
 
 def build_open_connections_message(count: int) -> Message:
-    """Return the number of connections that the sender still has."""
+    """Return the message with the number of connections that the sender still has open."""
     return {"held": count}
 
 
 def build_late_charges_message(units_by_customer: Mapping[int, float]) -> Message:
-    """Return charges that were made after the state was taken."""
+    """Return the message with the units that each customer was charged after the snapshot."""
     return {"late": {str(customer_id): units for customer_id, units in units_by_customer.items()}}
 
 
 def build_last_message(customer_count: int) -> Message:
-    """Return the sender's last message, with the number of customers that late charges were sent of."""
+    """Return the sender's last message, with the number of customers that have late charges."""
     return {"bye": customer_count}
 
 
 def build_rejection_message(cause: str) -> Message:
-    """Return the rejection of a request or of a step."""
+    """Return the message that rejects a request or a step."""
     return {"ok": False, "why": cause}
 
 
 def parse_sender_message(message: Message) -> SenderMessage:
-    """Return the content of a message of the sender."""
+    """Return the values of a message of the sender."""
     open_connections = message.get("held")
     is_rejection = message.get("ok") is False
     return SenderMessage(
@@ -142,10 +143,10 @@
 
 
 def parse_late_charges(value: object) -> dict[int, float]:
-    """Return units by customer.
+    """Return the late charges of a message, in units by customer.
 
-    :raises ValueError: if a key or an amount is not a number.
-    :raises TypeError: if the value is not an object, or an amount has another type.
+    :raises ValueError: if a key is not an integer, or an amount is not a number.
+    :raises TypeError: if the value is not an object, or an amount is neither a number nor text.
     """
     if not isinstance(value, dict):
         message = "late charges are not an object"
--- a/thymeflow/handover/participant.py
+++ b/thymeflow/handover/participant.py
@@ -1,4 +1,4 @@
-"""What both sides of a handover require of the limiter process that they belong to."""
+"""The interface that both sides of a handover require of their limiter process."""
 
 from __future__ import annotations
 
@@ -12,7 +12,10 @@
 
 
 class HandoverParticipant(Protocol):
-    """A limiter process that can take over from another and be taken over: the daemon, or the platform's run."""
+    """A limiter process that can take over from another process and hand over to one.
+
+    The daemon and the platform's run implement this interface.
+    """
 
     @property
     def incarnation(self) -> str:
@@ -20,7 +23,7 @@
 
     @property
     def limiter(self) -> Limiter:
-        """The limiter that is handed over, or that takes over."""
+        """The limiter of this process."""
 
     @property
     def snapshots(self) -> SnapshotStore:
@@ -28,18 +31,21 @@
 
     @property
     def step_timeout(self) -> float:
-        """The time limit of one step of a handover, in seconds."""
+        """The time limit of one handover step, in seconds."""
 
     @property
     def rollback_window(self) -> float:
-        """The seconds for which the old process can still take over again once the new one accepts."""
+        """The time after the delegation within which the sender can roll back, in seconds."""
 
     @property
     def requires_same_site(self) -> bool:
-        """Whether plans and index have to be equal; otherwise only the state that still applies is restored."""
+        """Whether both processes need the same plans and index.
+
+        Otherwise the receiver restores only the state that applies to its own plans.
+        """
 
     def get_descriptors(self) -> list[int]:
-        """Return the descriptors that the sender passes, the listening socket first."""
+        """Return the descriptors that this process passes as the sender, the listening socket first."""
 
     def adopt_descriptors(self, descriptors: list[int]) -> socket.socket:
         """Take ownership of the passed descriptors and return the listening socket among them.
@@ -48,25 +54,25 @@
         """
 
     def start_accepting(self, listening_socket: socket.socket) -> str:
-        """Start to accept connections; return why it cannot, or an empty string."""
+        """Start to accept connections; return the cause of a failure, or an empty string."""
 
     def hand_over_allocation(self) -> Message | None:
         """Return the allocation of fleet limits as a message and stop using it; None if there is none."""
 
     def inherit_allocation(self, message: object) -> None:
-        """Use the allocation of the predecessor."""
+        """Use the allocation in a message of the predecessor, which no longer uses it."""
 
     def on_rolled_back(self, was_used: bool) -> None:
-        """Handle a rollback; `was_used` if the successor was permitted to use the allocation and may still run."""
+        """Handle a rollback; `was_used`: the successor was permitted to use the allocation and may still run."""
 
     def on_resumed(self) -> None:
-        """Handle the end of a rollback: this process accepts again."""
+        """Handle the end of a rollback, after which this process accepts connections again."""
 
     def abandon(self) -> None:
-        """Handle a failed handover in a receiver that has not accepted any connection."""
+        """Handle a failed handover in a receiver that has not accepted connections yet."""
 
     def retreat(self) -> None:
-        """Handle the loss of the sender in a receiver that accepts already."""
+        """Handle a failed handover in a receiver that accepts connections already."""
 
 
 def count_open_connections(limiter: Limiter) -> int:
--- a/thymeflow/handover/reactor_types.py
+++ b/thymeflow/handover/reactor_types.py
@@ -1,4 +1,4 @@
-"""What control sockets use of Twisted's reactor and transports, as types: Twisted's interfaces declare none."""
+"""Types for what control sockets use of Twisted's reactor and transports; Twisted's interfaces declare none."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 class ListeningPort(Protocol):
-    """A port that a reactor opened."""
+    """A listening port that a reactor opened."""
 
     def stopListening(self) -> object:
         """Close the port."""
@@ -34,19 +34,19 @@
 
     @property
     def _tempDataBuffer(self) -> list[bytes]:  # noqa: N802 (Twisted's name)
-        """The bytes to be sent after those of `dataBuffer`."""
+        """The bytes to be sent after the bytes of `dataBuffer`."""
 
     def getHandle(self) -> socket.socket:  # noqa: N802 (Twisted's name)
         """Return the connected socket."""
 
     def write(self, data: bytes) -> None:
-        """Send bytes after all that were written before."""
+        """Send bytes, after all bytes that were written before."""
 
     def sendFileDescriptor(self, descriptor: int) -> None:
-        """Send a descriptor beside the first of the bytes that are written next."""
+        """Send a descriptor together with the first byte that is written next."""
 
     def loseConnection(self) -> None:
-        """Close the connection once all bytes have been sent."""
+        """Close the connection once all written bytes have been sent."""
 
     def abortConnection(self) -> None:  # noqa: N802 (Twisted's name)
-        """Close the connection at once."""
+        """Close the connection at once and drop all unsent bytes."""
--- a/thymeflow/handover/receiver.py
+++ b/thymeflow/handover/receiver.py
@@ -26,12 +26,12 @@
 from thymeflow.snapshot.late_charges import apply_late_charges
 from thymeflow.snapshot.store import SnapshotSource
 
-MAX_DISCOVERY_WAIT_FRACTION = 0.5  # of a step's time limit: for the first reply of discovery
-MAX_LATE_UNITS = 1e9  # of one customer; larger late charges are ignored
+MAX_DISCOVERY_WAIT_FRACTION = 0.5  # Fraction of a step's time limit in which discovery has to send its first reply.
+MAX_LATE_UNITS = 1e9  # Late charges of a customer that reach this amount are ignored.
 
 
 class HandoverReceiver:
-    """Takes over listening socket and state from the process that has them, or leaves that process as it was."""
+    """Takes over the listening socket and the state of the sender; a failed handover leaves the sender as it was."""
 
     def __init__(self, participant: HandoverParticipant, path: Path) -> None:
         self._participant = participant
@@ -40,7 +40,8 @@
         self._sender: ControlConnection | None = None
         self._listening_socket: socket.socket | None = None
         self._step_timer = StepTimer(participant)
-        self._allocation: object = None  # arrives with the state, and is used from the same moment on
+        # The sender's allocation, which arrives with the state; this process uses it once it may accept connections.
+        self._allocation: object = None
         self._actions = {
             ReceiverAction.START_UP: self._start_up,
             ReceiverAction.SEND_READY: self._send_ready,
@@ -57,7 +58,7 @@
         reactor = self._participant.limiter.reactor
         try:
             connecting = control_client.open_session(reactor, self._path, self._on_message, self._on_disconnected)
-        except OSError as error:  # the system forbids Unix sockets
+        except OSError as error:  # The system forbids Unix sockets.
             self._abort(f"no predecessor to take over from: {error}")
             return
         connecting.addCallbacks(self._on_connected, self._on_connect_failed)
@@ -73,16 +74,16 @@
         self.step(ReceiverEvent.DISCONNECTED)
 
     def is_serving(self) -> bool:
-        """Return whether this process accepts, or starts without a handover: it ends like any other limiter."""
+        """Return whether this process accepts connections or starts without a handover: it shuts down gracefully."""
         return self.state in (ReceiverState.AWAITING_CONFIRMATION, ReceiverState.COMPLETED, ReceiverState.FAILED)
 
     def on_endpoints_known(self) -> None:
-        """Continue once the endpoint list has arrived, or is known to be unavailable."""
+        """Continue the start; called once the endpoint list has arrived, or discovery did not send it in time."""
         if self.state is ReceiverState.STARTING_UP:
             self.step(ReceiverEvent.STARTED_UP)
 
     def step(self, event: ReceiverEvent) -> None:
-        """Make the transition for an input, and carry out its actions."""
+        """Make the transition for an input and carry out the actions of the transition."""
         previous = self.state
         self.state, actions = advance_receiver(previous, event)
         if self.state in (ReceiverState.COMPLETED, ReceiverState.FAILED):
@@ -90,7 +91,7 @@
         elif previous is not self.state:
             self._restart_step_timer()
         if self.state is ReceiverState.FAILED and previous is not self.state:
-            log.emit(LogKind.HANDOVER, f"failed in state {previous.value!r} on {event.value!r}")
+            log.emit(LogKind.HANDOVER, f"failed in state {previous.value!r} on event {event.value!r}")
         for action in actions:
             self._actions[action]()
 
@@ -100,14 +101,14 @@
     def _on_connected(self, session: control_client.ControlSession) -> None:
         self._sender = session
         if not session.is_same_user():
-            self._abort(f"the process that listens at {self._path} runs as another user")
+            self._abort(f"no handover is requested: the process that listens at {self._path} runs as another user")
         elif self.state is ReceiverState.FAILED:
-            session.close()  # it took too long to connect
+            session.close()  # The connection was opened after the step's time limit.
         else:
             self._send_request(session)
 
     def _send_request(self, session: control_client.ControlSession) -> None:
-        log.emit(LogKind.HANDOVER, f"requested at {self._path}")
+        log.emit(LogKind.HANDOVER, f"requested a handover at {self._path}")
         site = schema.compute_site_digest(self._participant.limiter.configuration.settings)
         session.send(messages.build_request_message(self._participant.incarnation, os.getpid(), site))
 
@@ -128,7 +129,7 @@
         elif received.is_last and self._sender is not None:
             self._sender.close()
         elif received.rejection is not None:
-            self._abort(f"rejected: {received.rejection}")
+            self._abort(f"the predecessor rejected the handover: {received.rejection}")
 
     def _get_connection(self) -> ControlConnection:
         assert self._sender is not None
@@ -160,10 +161,10 @@
         connection.send(messages.build_step_message(SenderEvent.STATE_ACCEPTED))
 
     def _read_snapshot(self, connection: ControlConnection) -> schema.Snapshot:
-        """Read and check the snapshot in the descriptor that came with it.
+        """Return the snapshot in the descriptor that came with the state message.
 
-        :raises SnapshotError: if there is not exactly one descriptor, or its content cannot be used.
-        :raises OSError: if it cannot be read.
+        :raises SnapshotError: if there is not exactly one descriptor, or the snapshot cannot be used.
+        :raises OSError: if the descriptor cannot be read.
         """
         if len(connection.descriptors) != 1:
             message = f"{len(connection.descriptors)} descriptors came with the state, not 1"
@@ -185,7 +186,7 @@
         if cause:
             log.emit(LogKind.HANDOVER, cause)
             self.state = ReceiverState.FAILED
-            self._get_connection().close()  # on which the sender accepts again
+            self._get_connection().close()  # The sender rolls back and accepts again when the connection ends.
             self._abandon()
             return
         self._get_connection().send(messages.build_step_message(SenderEvent.RECEIVER_SERVING))
@@ -198,7 +199,7 @@
         try:
             charges = messages.parse_late_charges(value)
         except (ValueError, TypeError, AttributeError):
-            log.emit(LogKind.HANDOVER, "ignored late charges that cannot be parsed")
+            log.emit(LogKind.HANDOVER, "ignored late charges of the predecessor that cannot be parsed")
             return
         charges = {customer_id: units for customer_id, units in charges.items() if abs(units) < MAX_LATE_UNITS}
         charged = apply_late_charges(self._participant.limiter.gateway, charges)
--- a/thymeflow/handover/sender.py
+++ b/thymeflow/handover/sender.py
@@ -18,28 +18,28 @@
 from thymeflow.snapshot import schema
 from thymeflow.snapshot.late_charges import LateCharges
 
-MAX_LATE_CHARGES_PER_MESSAGE = 500  # customers
-FLUSH_SECONDS = 0.2  # for the last messages to be sent before the process ends
-CONNECTION_REPORT_INTERVAL_SECONDS = 0.2  # at which the receiver is notified of the connections that are still open
-DELEGATED_STATES = (SenderState.DELEGATED, SenderState.DRAINING)  # states in which the receiver is the active process
+MAX_LATE_CHARGES_PER_MESSAGE = 500  # The number of customers.
+FLUSH_SECONDS = 0.2  # The time that the last messages get to be sent before the process ends.
+CONNECTION_REPORT_INTERVAL_SECONDS = 0.2  # Interval between reports of the number of open connections.
+DELEGATED_STATES = (SenderState.DELEGATED, SenderState.DRAINING)  # The receiver is the active process.
 
 
 class RejectingCounter:
-    """A counter that adds nothing: once the state is handed over, the receiver reports the demand."""
+    """A counter that rejects every call, because the receiver reports the demand once it has the state."""
 
-    # The parameters are those of a counter's interface.
+    # A counter's interface requires these parameters.
     def add(self, name: int, amount: float, ttl: float, deadline: float) -> Deferred[tuple[Status, float]]:  # noqa: ARG002
-        """Reject the call, as a counter does that replies `-BUSY`."""
+        """Reject the call like a counter that replies `-BUSY`."""
         return succeed((Status.FULL, 0.0))
 
 
 def _send_no_last_messages() -> float:
-    """Need no time before the process stops."""
+    """Send no messages before the process stops; return the seconds that this takes, 0.0."""
     return 0.0
 
 
 class HandoverSender:
-    """Hands the listening socket and the state to a receiver, and rolls back where it fails."""
+    """Hands the listening socket and the state over to a receiver, and rolls back if the handover fails."""
 
     def __init__(self, participant: HandoverParticipant) -> None:
         self._participant = participant
@@ -63,7 +63,7 @@
         }
 
     def handle(self, caller: ControlCaller, message: Message) -> bool:
-        """Process a message if it belongs to a handover; return whether it does."""
+        """Process a message if it belongs to a handover; return whether it belongs to one."""
         if messages.is_request(message):
             self._on_request(caller, messages.parse_request(message))
             return True
@@ -80,11 +80,11 @@
             return
         self._receiver = caller
         caller.keep_open(self._on_disconnected)
-        log.emit(LogKind.HANDOVER, f"requested by incarnation {request.incarnation}, pid {request.pid}")
+        log.emit(LogKind.HANDOVER, f"incarnation {request.incarnation}, pid {request.pid}, requested a handover")
         self.step(SenderEvent.REQUESTED)
 
     def _find_rejection(self, request: messages.HandoverRequest) -> str | None:
-        # The texts are sent to the receiver, of any version, and are a format.
+        # These texts are a format, because receivers of any version get them.
         limiter = self._participant.limiter
         phase = limiter.lifecycle.phase
         if phase not in (Phase.SERVING, Phase.EVACUATED):
@@ -103,11 +103,11 @@
         self.step(SenderEvent.TIMED_OUT)
 
     def relinquish(self) -> None:
-        """Leave name and state to another process for good, without handing anything over."""
+        """Give up the name and the state to another process permanently, without handing anything over."""
         self.state = SenderState.DRAINING
 
     def step(self, event: SenderEvent) -> None:
-        """Make the transition for an input, and carry out its actions."""
+        """Make the transition for an input and carry out the actions of the transition."""
         previous = self.state
         self.state, actions = advance_sender(previous, event)
         if self.state is SenderState.SERVING:
@@ -115,7 +115,7 @@
             if previous is not self.state:
                 log.emit(
                     LogKind.HANDOVER,
-                    f"failed in state {previous.value!r} on {event.value!r}: this incarnation continues to serve",
+                    f"failed in state {previous.value!r} on event {event.value!r}: this incarnation continues to serve",
                 )
         elif previous is not self.state:
             self._step_timer.start(clock.now() + self._state_timeout(), self._on_timeout)
@@ -142,7 +142,7 @@
 
     def _pause_listener(self) -> None:
         limiter = self._participant.limiter
-        limiter.lifecycle.port.stopReading()  # new connections wait in the kernel's queue
+        limiter.lifecycle.port.stopReading()  # New connections wait in the kernel's accept queue.
         if limiter.counter is not None:
             limiter.dispatcher.counter = RejectingCounter()
         state = schema.pack(self._participant.snapshots.take_snapshot(True))
@@ -190,7 +190,7 @@
         self._participant.limiter.lifecycle.terminate(0.0)
 
     def _send_late_charges(self) -> float:
-        """Send what was charged since the snapshot; return the seconds that the messages need to be sent."""
+        """Send the charges since the snapshot; return the seconds to wait until the messages have been sent."""
         if self._late_charges is None or self._receiver is None or self._receiver.is_closed:
             return 0.0
         charges = list(self._late_charges.compute_units().items())
--- a/thymeflow/handover/state_machine.py
+++ b/thymeflow/handover/state_machine.py
@@ -2,15 +2,16 @@
 
     receiver  REQUESTED ->         sender  sends the descriptors of the listening socket and the lock
     receiver  RECEIVER_READY ->    sender  pauses its listener and sends its state
-    receiver  STATE_ACCEPTED ->    sender  permits the receiver to accept
-    receiver  RECEIVER_SERVING ->  sender  delegates: closes idle clients, and drains once it is shut down or the
-                                           rollback window has passed; at the end sends what it charged since the state
+    receiver  STATE_ACCEPTED ->    sender  permits the receiver to accept connections
+    receiver  RECEIVER_SERVING ->  sender  delegates: it closes idle clients, and drains once it is shut down or the
+                                           rollback window has passed; at the end it sends the charges that it made
+                                           after the snapshot
 
-Whatever fails, hangs or dies before the sender drains rolls everything back: the sender accepts again. The two never
-accept at the same time, and connections that arrive while neither does wait in the kernel's queue. An input that is
-not in a table changes nothing; the sender rejects it.
+A failure, hang or death of either side before the sender drains rolls the handover back: the sender accepts
+connections again. The two processes never accept at the same time; connections that arrive while neither process
+accepts wait in the kernel's accept queue. An input that is not in a table changes nothing, and the sender rejects it.
 
-The values of the enums are sent to the other process, printed in the status or logged; they are a format and stay.
+The values of the enums are sent to the other process, printed in the status or logged; this format must not change.
 """
 
 from __future__ import annotations
@@ -24,12 +25,12 @@
 class SenderState(Enum):
     """The state of the old process."""
 
-    SERVING = "whole"  # it serves, and no handover is under way
-    DESCRIPTORS_SENT = "offered"  # the receiver starts up with the descriptors; the sender serves
-    TRANSFERRING_STATE = "yielding"  # the listener is paused; the receiver reads the state
-    LISTENER_PAUSED = "yielded"  # the receiver is permitted to accept
-    DELEGATED = "handed"  # the receiver accepts; the sender closes idle clients, and could still take over again
-    DRAINING = "given"  # it drains
+    SERVING = "whole"  # The sender serves, and no handover is in progress.
+    DESCRIPTORS_SENT = "offered"  # The receiver starts up with the descriptors; the sender serves.
+    TRANSFERRING_STATE = "yielding"  # The listener is paused; the receiver reads the state.
+    LISTENER_PAUSED = "yielded"  # The receiver is permitted to accept connections.
+    DELEGATED = "handed"  # The receiver accepts; the sender closes idle clients, and can still roll back.
+    DRAINING = "given"  # The sender completes its open requests and cannot roll back.
 
 
 class SenderEvent(Enum):
@@ -40,20 +41,20 @@
     STATE_ACCEPTED = "took"
     RECEIVER_SERVING = "serving"
     DISCONNECTED = "broken"
-    TIMED_OUT = "late"  # a step took too long
-    SHUTDOWN_REQUESTED = "ending"  # the process has to shut down
+    TIMED_OUT = "late"  # The step's time limit or the rollback window has passed.
+    SHUTDOWN_REQUESTED = "ending"  # The process has to shut down.
 
 
 class SenderAction(Enum):
     """An action of the sender."""
 
     SEND_DESCRIPTORS = "offer"
-    PAUSE_LISTENER = "yield"  # and send the state
+    PAUSE_LISTENER = "yield"  # Pause the listener and send the state.
     PERMIT_ACCEPT = "grant"
-    DELEGATE = "hand"  # close idle clients, and confirm the delegation
+    DELEGATE = "hand"  # Close idle clients and confirm the delegation.
     CONFIRM_DELEGATION = "confirm"
     DRAIN = "drain"
-    RESUME = "resume"  # accept again
+    RESUME = "resume"  # Accept connections again.
     DISCONNECT_RECEIVER = "forget"
     REJECT_INPUT = "refuse"
 
@@ -102,16 +103,16 @@
         (SenderState.LISTENER_PAUSED, SenderEvent.TIMED_OUT): SenderTransition(
             SenderState.SERVING, (SenderAction.DISCONNECT_RECEIVER, SenderAction.RESUME)
         ),
-        # The receiver accepts by now, or is about to.
+        # The receiver may accept connections already or may be about to.
         (SenderState.LISTENER_PAUSED, SenderEvent.SHUTDOWN_REQUESTED): SenderTransition(SenderState.DRAINING),
-        # The receiver is dead, so no other process accepts.
+        # The receiver has died, so no other process accepts connections.
         (SenderState.DELEGATED, SenderEvent.DISCONNECTED): SenderTransition(
             SenderState.SERVING, (SenderAction.RESUME,)
         ),
-        # The receiver outlived the rollback window.
+        # The receiver has run for the complete rollback window.
         (SenderState.DELEGATED, SenderEvent.TIMED_OUT): SenderTransition(SenderState.DRAINING, (SenderAction.DRAIN,)),
         (SenderState.DELEGATED, SenderEvent.SHUTDOWN_REQUESTED): SenderTransition(SenderState.DRAINING),
-        # The sender began to shut down before this message arrived.
+        # The sender began to shut down before the receiver's message arrived.
         (SenderState.DRAINING, SenderEvent.RECEIVER_SERVING): SenderTransition(
             SenderState.DRAINING, (SenderAction.CONFIRM_DELEGATION,)
         ),
@@ -123,7 +124,7 @@
 
 
 def advance_sender(state: SenderState, event: SenderEvent) -> SenderTransition:
-    """Return the sender's transition; an input that is not in the table is rejected and keeps the state."""
+    """Return the sender's transition; an input that is not in the table keeps the state and is rejected."""
     rejection = SenderTransition(state, (SenderAction.REJECT_INPUT,))
     return SENDER_TRANSITIONS.get((state, event), rejection)
 
@@ -132,11 +133,11 @@
     """The state of the new process."""
 
     REQUESTING = "asking"
-    STARTING_UP = "loading"  # it has the descriptors, and starts up
-    AWAITING_STATE = "reading"  # it is ready, and waits for the state
-    AWAITING_PERMISSION = "claiming"  # it has restored the state, and waits for the permission to accept
-    AWAITING_CONFIRMATION = "proving"  # it accepts, and waits for the confirmation of the delegation
-    COMPLETED = "holding"  # it owns socket, state and name
+    STARTING_UP = "loading"  # The receiver has the descriptors and starts up.
+    AWAITING_STATE = "reading"  # The receiver is ready and waits for the state.
+    AWAITING_PERMISSION = "claiming"  # The receiver has restored the state and waits for the permission to accept.
+    AWAITING_CONFIRMATION = "proving"  # The receiver accepts and waits for the confirmation of the delegation.
+    COMPLETED = "holding"  # The receiver owns the listening socket, the state and the name.
     FAILED = "failed"
 
 
@@ -144,13 +145,13 @@
     """An input of the receiver."""
 
     DESCRIPTORS_RECEIVED = "offer"
-    STARTED_UP = "loaded"  # locally: the endpoint list is known, counter and discovery are connected
+    STARTED_UP = "loaded"  # A local input: counter and discovery are connected, and the endpoint list is known.
     STATE_RECEIVED = "state"
     ACCEPT_PERMITTED = "yours"
     DELEGATION_CONFIRMED = "draining"
     DISCONNECTED = "broken"
     TIMED_OUT = "late"
-    ABORTED = "unfit"  # locally: what the receiver was sent cannot be used, or it has to shut down
+    ABORTED = "unfit"  # A local input: a received message cannot be used, or the receiver has to shut down.
 
 
 class ReceiverAction(Enum):
@@ -158,11 +159,11 @@
 
     START_UP = "load"
     SEND_READY = "say ready"
-    RESTORE_STATE = "adopt state"  # and acknowledge it
-    START_ACCEPTING = "accept"  # and notify the sender
+    RESTORE_STATE = "adopt state"  # Restore the state and acknowledge it.
+    START_ACCEPTING = "accept"  # Start to accept connections and notify the sender.
     COMPLETE = "settle"
-    ABANDON = "quit"  # it never accepted: end at once
-    RETREAT = "retreat"  # it accepts already: shut down gracefully
+    ABANDON = "quit"  # The receiver never accepted connections: give the handover up at once.
+    RETREAT = "retreat"  # The receiver accepts connections already: shut down gracefully.
 
 
 class ReceiverTransition(NamedTuple):
@@ -200,9 +201,9 @@
         (ReceiverState.AWAITING_CONFIRMATION, ReceiverEvent.DISCONNECTED): ReceiverTransition(
             ReceiverState.FAILED, (ReceiverAction.RETREAT,)
         ),
-        # The sender may have delegated already, with its confirmation on the way: only the end of the connection shows
-        # that it has not, since earlier messages arrive before it. To retreat on a guess could leave no process that
-        # accepts.
+        # The sender may have delegated already while its confirmation is still in transit. Only the end of the
+        # connection shows that the sender has not delegated, because earlier messages arrive before the end. If the
+        # receiver retreated on a timeout, no process might be left that accepts connections.
         (ReceiverState.AWAITING_CONFIRMATION, ReceiverEvent.TIMED_OUT): ReceiverTransition(
             ReceiverState.AWAITING_CONFIRMATION
         ),
@@ -220,5 +221,5 @@
 
 
 def advance_receiver(state: ReceiverState, event: ReceiverEvent) -> ReceiverTransition:
-    """Return the receiver's transition; an input that is not in the table changes nothing."""
+    """Return the receiver's transition; an input that is not in the table keeps the state and has no actions."""
     return RECEIVER_TRANSITIONS.get((state, event), ReceiverTransition(state))
--- a/thymeflow/handover/upgradable_limiter.py
+++ b/thymeflow/handover/upgradable_limiter.py
@@ -1,7 +1,8 @@
-"""The platform's run with an operators' port: two copies side by side during an upgrade.
+"""The platform's run with an operators' port: two copies of the program run side by side during an upgrade.
 
-A copy finds its predecessor by a Unix socket in `$TMPDIR`, which an upgrade keeps. Where there is none, or its
-process does not reply as a predecessor would, this copy starts without a handover, at an address that is shared.
+A copy finds its predecessor by a Unix socket in the folder `$TMPDIR`, which stays the same during an upgrade. If there
+is no such socket, or its process does not reply as a predecessor does, the copy starts without a handover and listens
+at an address that several processes may share.
 """
 
 from __future__ import annotations
@@ -28,16 +29,16 @@
 from thymeflow.runtime.log_kinds import LogKind
 from thymeflow.snapshot.store import SnapshotStore
 
-MAX_CALLERS = 4  # at the control socket: a successor, and some that should not be there
-INCARNATION_BYTES = 4  # of the random identifier of one process
+MAX_CALLERS = 4  # Callers at the control socket: one successor, and a reserve for unexpected callers.
+INCARNATION_BYTES = 4  # The length of a process's random identifier.
 
 
 class UpgradableLimiter:
     """One copy of the limiter, from its start to its end."""
 
-    step_timeout = 1.5  # seconds, for a step of a handover; the complete start has 6 s
-    rollback_window = 30.0  # seconds for which the old copy can take over again; the platform ends it long before
-    requires_same_site = False  # a release may bring other plans: the state that still applies is restored
+    step_timeout = 1.5  # Seconds per handover step; the platform allows 6 s for the complete start.
+    rollback_window = 30.0  # Seconds in which the old copy can roll back; the platform ends it long before.
+    requires_same_site = False  # A release may change the plans; the state that still applies is restored.
 
     def __init__(self, initial: configuration.Configuration, reactor: UnixReactor) -> None:
         self.limiter = Limiter(initial, reactor)
@@ -55,7 +56,7 @@
         self._receiver: HandoverReceiver | None = None
 
     def start(self) -> None:
-        """Listen for operators; take over if there is a predecessor, else begin to serve."""
+        """Listen for operators, then request a handover if there is a predecessor, or begin to serve otherwise."""
         self.limiter.listen_for_operators()
         if self._path is not None and os.path.lexists(self._path):
             self._receiver = HandoverReceiver(self, self._path)
@@ -104,7 +105,7 @@
         )
         try:
             control.listen()
-        except (ControlError, OSError, ValueError) as error:  # where Unix sockets are forbidden, all else works
+        except (ControlError, OSError, ValueError) as error:  # Without Unix sockets everything else works.
             log.emit(LogKind.HANDOVER, f"no successor can take over from this incarnation: {error}")
             return
         self._control = control
@@ -118,16 +119,16 @@
         if not self._sender.handle(caller, message):
             caller.send({"ok": False, "why": "only a successor's requests are accepted at this socket"})
 
-    # The methods of `participant.HandoverParticipant`.
+    # The methods below implement `participant.HandoverParticipant`.
 
     def get_descriptors(self) -> list[int]:
         """Return the descriptor of the listening socket."""
         return [self.limiter.lifecycle.port.fileno()]
 
     def adopt_descriptors(self, descriptors: list[int]) -> socket.socket:
-        """Return the listening socket that was passed.
+        """Return the passed listening socket.
 
-        :raises RejectedHandoverError: if it is not a listening socket, or listens at another address.
+        :raises RejectedHandoverError: if the descriptor is no listening socket, or listens at another address.
         """
         try:
             listening_socket = _duplicate_listening_socket(descriptors)
@@ -142,27 +143,27 @@
         return listening_socket
 
     def start_accepting(self, listening_socket: socket.socket) -> str:
-        """Start to accept connections; return an empty string, as this cannot fail."""
+        """Start to accept connections; return an empty string, because this cannot fail."""
         self._open_control_socket()
         self.limiter.listen(listening_socket)
         return ""
 
     def hand_over_allocation(self) -> None:
-        """Return no allocation: the platform grants none."""
+        """Return None, because the platform grants no allocation."""
 
     def inherit_allocation(self, message: object) -> None:
-        """Ignore an allocation: the platform grants none."""
+        """Do nothing, because the platform grants no allocation."""
 
     def on_rolled_back(self, was_used: bool) -> None:
-        """Do nothing: there is no allocation to use again."""
+        """Do nothing, because there is no allocation to use again."""
 
     def on_resumed(self) -> None:
-        """Publish the path of this process's control socket to successors again."""
+        """Let the public path of the control socket point to this process again, so that successors find it."""
         if self._control is not None:
             self._control.publish_link()
 
     def abandon(self) -> None:
-        """Start without a handover, at the shared address, unless this process is shutting down."""
+        """Start without a handover at a shared address, or stop if this process is shutting down."""
         if self._is_ending:
             self.limiter.reactor.callWhenRunning(self.limiter.reactor.stop)
         else:
@@ -170,7 +171,7 @@
             self._start_without_predecessor()
 
     def retreat(self) -> None:
-        """Continue to serve: the old copy is gone, or serves as well."""
+        """Continue to serve, because the old copy has ended or serves at the same time."""
         log.emit(
             LogKind.HANDOVER,
             "the predecessor ended before it confirmed the delegation: this incarnation continues to serve",
