--- a/tests/daemon/test_snapshots.py
+++ b/tests/daemon/test_snapshots.py
@@ -34,9 +34,9 @@
 @pytest.mark.parametrize(
     ("corrupt", "why"),
     [
-        (lambda data: data[:-5], "it was cut"),
-        (lambda data: b"{}", "does not begin"),
-        (lambda data: data.replace(b'"final":true', b'"final":null'), "was cut|checksum"),
+        (lambda data: data[:-5], "the snapshot is truncated"),
+        (lambda data: b"{}", "the snapshot does not begin"),
+        (lambda data: data.replace(b'"final":true', b'"final":null'), "is truncated|checksum"),
     ],
 )
 def test_defaults_are_used_and_one_line_logged_when_the_snapshot_is_corrupt(
--- a/thymeflow/snapshot/__init__.py
+++ b/thymeflow/snapshot/__init__.py
@@ -1,1 +1,1 @@
-"""Snapshots of a limiter's state: the file, its schema, and how a later process restores it."""
+"""Snapshots of a limiter's state: their file, their schema, and their restoration by a later process."""
--- a/thymeflow/snapshot/atomic_file.py
+++ b/thymeflow/snapshot/atomic_file.py
@@ -1,8 +1,8 @@
-"""Files that are replaced atomically: a reader sees all of the old content or all of the new.
+"""Files that are replaced atomically: a reader sees the complete old content or the complete new content.
 
-The content goes to a temporary file beside the target, which is synchronized and then renamed over it. A failure on
-the way leaves the old file as it was. The caller decides what a write has to survive, since each fsync waits for the
-disk that all instances share.
+The content is written to a temporary file in the target's folder, which is synchronized and then renamed to the
+target's name. A failure before the rename leaves the old file as it was. The caller chooses the durability of each
+write, because each fsync waits for the disk that all instances share.
 """
 
 from __future__ import annotations
@@ -19,18 +19,19 @@
 
 
 class Durability(Enum):
-    """What a file survives once `write` has returned."""
+    """The event that a written file survives once `write` has returned."""
 
-    PROCESS = "process"  # the end of the process; after a power cut the file can be made again
-    CONTENT = "content"  # a power cut, after which the old content or the new one is complete
-    ALL = "all"  # a power cut, after which the new content is there
+    # The end of the process. After a power cut the file may be damaged, and its owner can write it again.
+    PROCESS = "process"
+    CONTENT = "content"  # A power cut, after which the file has the complete old or new content.
+    ALL = "all"  # A power cut, after which the file has the new content.
 
 
 def write(path: Path, data: bytes, durability: Durability = Durability.ALL) -> None:
-    """Replace the file's content.
+    """Replace the content of the file at `path`, which need not exist.
 
-    :raises OSError: if that failed; the old file is unchanged, except that a failed fsync of the folder leaves the
-        new file in place.
+    :raises OSError: if the write failed. The old file is unchanged then, unless only the fsync of the folder failed,
+        which leaves the new file in place.
     """
     temporary = path.with_name(f".{path.name}.{os.getpid()}")
     descriptor = os.open(temporary, os.O_WRONLY | os.O_CREAT | os.O_TRUNC | os.O_CLOEXEC, FILE_MODE)
@@ -66,9 +67,9 @@
 
 
 def read(path: Path) -> bytes | None:
-    """Return the file's content, at most one byte more than a snapshot may have; None if there is no file.
+    """Return the file's content, cut one byte after the maximum size of a snapshot; None if there is no file.
 
-    :raises SnapshotError: if it cannot be read.
+    :raises SnapshotError: if the file cannot be read.
     """
     try:
         with path.open("rb") as file:
@@ -76,5 +77,5 @@
     except FileNotFoundError:
         return None
     except OSError as error:
-        message = f"it cannot be read: {error.strerror}"
+        message = f"the file cannot be read: {error.strerror}"
         raise SnapshotError(message) from None
--- a/thymeflow/snapshot/errors.py
+++ b/thymeflow/snapshot/errors.py
@@ -1,4 +1,4 @@
-"""The exceptions of the snapshot package."""
+"""Exceptions of the snapshot package."""
 
 from __future__ import annotations
 
@@ -10,4 +10,4 @@
 
 
 class InvalidFieldError(SnapshotError):
-    """A value is not of the type that its field requires; the text names the field."""
+    """A field is missing, unknown, or has a value of the wrong type or out of range; the text names the field."""
--- a/thymeflow/snapshot/restore.py
+++ b/thymeflow/snapshot/restore.py
@@ -1,18 +1,19 @@
-"""Takes snapshots of a gateway and restores them; without I/O and without a clock.
+"""Takes snapshots of a gateway and restores them, without I/O and without a clock.
 
-A restart must not create units. What was spent stays spent, debt stays debt, and what may have been spent without
-being recorded counts as spent:
+A restart must not create units. Spent units stay spent, debt stays debt, and units that may have been spent without a
+record count as spent:
 
-- after a *final* snapshot, taken when nothing more could be forwarded, each bucket continues at its old level and
-  refills for the time that has passed;
-- after one of a running limiter, the customer may have continued to spend until the process died. Its bucket is charged
-  its own demand over the entire gap, but never below empty. The margin is what a customer that was idle at the
-  snapshot spent between it and the death: at most its share of the burst, once.
+- After a *final* snapshot, which is taken when no more requests can be forwarded, each bucket continues at its old
+  level and refills for the time that has passed.
+- After a snapshot of a running limiter, a customer may have continued to spend until the process died. The customer's
+  bucket is charged the customer's own demand for the entire gap, but never falls below empty. The remaining error is
+  the spending of a customer that was idle at the snapshot, between the snapshot and the death of the process: at most
+  the customer's share of the burst, once.
 
-A bucket's share is bounded by the burst of the current settings. In a set of another size it shrinks and never grows.
-The demand at other limiters is not restored: until the counter replies, the even share applies, as at any start.
+The burst of the current settings bounds a bucket's share. In a set of another size the share shrinks and never grows.
+The demand at other limiters is not restored: the even share applies until the counter replies, as at any start.
 
-This module translates between the field names of `schema`, which are a format, and those of the code.
+This module translates between the field names of `schema`, which are a format, and the field names of the code.
 """
 
 from __future__ import annotations
@@ -41,17 +42,18 @@
     compute_site_digest,
 )
 
-MAX_CONSECUTIVE_FAILURES = 64  # that are restored of a backend; with more, the backoff is at its maximum anyway
-MAX_EJECTION_SECONDS = 60.0  # from the restore on
+MAX_CONSECUTIVE_FAILURES = 64  # With more failures of a backend, its backoff is at the maximum anyway.
+MAX_EJECTION_SECONDS = 60.0  # The time after the restore for which a restored ejection may last.
 MIN_RELATIVE_LATENCY = 0.1
 MAX_RELATIVE_LATENCY = 10.0
 MIN_MEAN_LATENCY_RATIO = 1e-3
-MIN_CALL_RATE_FACTOR = 0.1  # of the new gateway's counter call rate
+# Bounds of the restored counter call rate, as multiples of the new gateway's call rate.
+MIN_CALL_RATE_FACTOR = 0.1
 MAX_CALL_RATE_FACTOR = 4.0
 
 
 class RestoreResult(NamedTuple):
-    """How many buckets of a snapshot were restored, and how many were skipped."""
+    """The numbers of a snapshot's buckets that were restored and that were skipped."""
 
     restored: int
     skipped: int
@@ -77,7 +79,7 @@
 def _build_store_record(bucket: TokenBucket, counter_calls: Mapping[int, tuple[int, float]]) -> StoreRecord:
     ledger = replace(bucket.counter_ledger)
     for counter_name, (customer_id, amount) in counter_calls.items():
-        if customer_id == bucket.customer_id:  # the call is in flight and may have been added already
+        if customer_id == bucket.customer_id:  # The counter may have added the amount of this call in flight.
             ledger.mark_uncertain(counter_name, amount)
     return StoreRecord(
         number=bucket.customer_id,
@@ -103,7 +105,7 @@
 
 
 def _encode_ejection_end(ejected_until: float) -> float:
-    # The gateway has minus infinity for "never"; a snapshot has finite numbers only.
+    # The gateway stores minus infinity for a backend that was never ejected; a snapshot has finite numbers only.
     return 0.0 if ejected_until == -inf else ejected_until
 
 
@@ -143,7 +145,7 @@
     version: int,
     addresses: Mapping[int, Address],
 ) -> Snapshot:
-    """Return a snapshot of the gateway at `now`, with the endpoint list's version and the addresses of backends."""
+    """Return a snapshot of the gateway at `now`; `version` and `addresses` are those of its endpoint list."""
     servers = tuple(
         _build_server_record(stats.endpoint, addresses[stats.endpoint.id])
         for stats in gateway.backends.values()
@@ -170,7 +172,7 @@
 
 
 def build_endpoint_update(snapshot: Snapshot) -> EndpointUpdate:
-    """Return the snapshot's endpoint list, marked as cached since it may be old."""
+    """Return the snapshot's endpoint list, marked as cached because it may be out of date."""
     backends = tuple(
         Backend(
             record.id,
@@ -190,7 +192,7 @@
 
 
 def select_newest_endpoint_update(snapshot: Snapshot, known: EndpointUpdate) -> EndpointUpdate:
-    """Return the newer of the snapshot's endpoint list and a known one."""
+    """Return the newer endpoint list: the snapshot's or the `known` one, which wins if the versions are equal."""
     if snapshot.servers and snapshot.version > known.change.version:
         return build_endpoint_update(snapshot)
     return known
@@ -198,7 +200,7 @@
 
 def _restore_bucket(record: StoreRecord, plan: Plan, snapshot: Snapshot, now: float, gateway: Gateway) -> TokenBucket:
     bucket = gateway.token_buckets.create(plan, record.number, BucketStart(now, now, 0.0))
-    updated_at = min(record.at, now)  # a clock that was stepped back must not refill twice
+    updated_at = min(record.at, now)  # If the clock was stepped back, the bucket must not be refilled twice.
     _restore_fields(bucket, record, plan, updated_at)
     bucket.last_seen_at = now
     bucket.counter_ledger.read_at = min(bucket.counter_ledger.read_at, now)
@@ -206,8 +208,9 @@
     gap_seconds = max(0.0, now - updated_at)
     bucket.refresh(now)
     if not snapshot.final:
-        # It may have spent until just now: its demand is the best estimate, and what is not in the bucket cannot
-        # have been spent. The ceiling is a hard limit, so nothing there is left to an estimate.
+        # The customer may have spent units until now. Its demand is the best estimate of these units, and it cannot
+        # have spent more than the bucket had. The ceiling is a hard limit that no estimate may exceed, so its level
+        # restarts at zero at most.
         spend_units(bucket, local_rate * gap_seconds)
         bucket.ceiling_level = min(bucket.ceiling_level, 0.0)
     return bucket
@@ -233,7 +236,7 @@
 
 
 def restore_gateway(gateway: Gateway, snapshot: Snapshot, now: float) -> RestoreResult:
-    """Restore a new gateway's state, except that of backends; buckets of unknown plans are skipped."""
+    """Restore the state of a new gateway, except the backends' health; buckets of unknown plans are skipped."""
     skipped = 0
     plans = gateway.context.plans
     for record in snapshot.stores:
@@ -254,9 +257,9 @@
 
 
 def restore_health(gateway: Gateway, snapshot: Snapshot, now: float) -> int:
-    """Restore the health of backends that have not restarted since; return how many there are.
+    """Restore the health of backends that have not restarted since the snapshot; return their number.
 
-    The endpoint list has to be known by then.
+    The gateway needs the endpoint list before this call.
     """
     restored = 0
     for record in snapshot.health:
--- a/thymeflow/snapshot/store.py
+++ b/thymeflow/snapshot/store.py
@@ -1,4 +1,4 @@
-"""The snapshots of one limiter process: taken from its gateway, and restored from an earlier process."""
+"""The snapshots of one limiter process: taken of its gateway, or restored from an earlier process."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 class SnapshotSource(Enum):
-    """Where a restored snapshot came from; the values are printed in the status, and are a format."""
+    """The origin of a restored snapshot; the status prints the values, which are a format."""
 
     NONE = "none"
     FILE = "file"
@@ -24,25 +24,24 @@
 
 
 class SnapshotStore:
-    """Takes snapshots of a gateway, and restores one that an earlier process took."""
+    """Takes snapshots of a gateway, and restores a snapshot that an earlier process took."""
 
     def __init__(self, name: str, incarnation: str, initial_endpoints: endpoints.EndpointUpdate) -> None:
         self.name = name
         self.source = SnapshotSource.NONE
-        self.version = initial_endpoints.change.version  # of the endpoint list
+        self.version = initial_endpoints.change.version  # The version of the endpoint list.
         self._incarnation = incarnation
         self._addresses: dict[int, endpoints.Address] = {}
         self._gateway: Gateway | None = None
-        self._snapshot_awaiting_endpoints: schema.Snapshot | None = (
-            None  # its health records wait for the endpoint list
-        )
+        # The restored snapshot until its health records can be restored, for which the endpoint list must be known.
+        self._snapshot_awaiting_endpoints: schema.Snapshot | None = None
 
     def set_gateway(self, gateway: Gateway) -> None:
-        """Set the gateway whose state this is."""
+        """Set the gateway whose state is taken and restored."""
         self._gateway = gateway
 
     def restore(self, snapshot: schema.Snapshot, source: SnapshotSource) -> None:
-        """Restore the gateway's state from a snapshot that came from `source`."""
+        """Restore the gateway's state from a snapshot; `source` is the snapshot's origin."""
         assert self._gateway is not None
         result = restore.restore_gateway(self._gateway, snapshot, clock.now())
         self._snapshot_awaiting_endpoints = snapshot
@@ -59,7 +58,7 @@
         self._restore_health()
 
     def on_endpoint_update(self, update: endpoints.EndpointUpdate) -> None:
-        """Store the addresses of an update of the endpoint list, as the gateway has none."""
+        """Store the addresses in an update of the endpoint list, because the gateway does not store them."""
         if update.change.kind is not EndpointListKind.DELTA:
             self._addresses.clear()
         for backend in update.change.backends:
@@ -77,7 +76,7 @@
             restore.restore_health(self._gateway, snapshot, clock.now())
 
     def take_snapshot(self, final: bool) -> schema.Snapshot:
-        """Return the state as it is now; `final` if nothing more can be forwarded."""
+        """Return a snapshot of the current state; `final`: no more requests can be forwarded."""
         assert self._gateway is not None
         return restore.take_snapshot(
             self._gateway, self.name, self._incarnation, clock.now(), final, self.version, self._addresses
--- a/thymeflow/snapshot/validation.py
+++ b/thymeflow/snapshot/validation.py
@@ -1,4 +1,4 @@
-"""Conversion of values read from JSON to frozen dataclasses: each of its type, with no field missing or unknown."""
+"""Conversion of values read from JSON to frozen dataclasses, with a check of each field's presence and type."""
 
 from __future__ import annotations
 
@@ -12,8 +12,8 @@
 if TYPE_CHECKING:
     from _typeshed import DataclassInstance
 
-MAX_MAGNITUDE = 1e15  # of any amount, time or total
-MAX_QUOTED_LENGTH = 40  # characters of a value that an error text quotes
+MAX_MAGNITUDE = 1e15  # The largest absolute value of an amount, time or total.
+MAX_QUOTED_LENGTH = 40  # Characters of a value that an error text quotes.
 MAX_CACHED_CLASSES = 32
 PLAIN_TYPES = (int, bool, str)
 
@@ -21,16 +21,16 @@
 
 
 class FieldSpec(NamedTuple):
-    """What a field of a record requires."""
+    """The type of a record's field, and whether a value is required."""
 
-    kind: object  # a type, or a generic alias as tuple[int, ...]
+    kind: object  # A type, or a generic alias such as tuple[int, ...].
     is_required: bool
 
 
 def convert_record(cls: type[Record], value: object, where: str) -> Record:
-    """Return the value, read from JSON, as an instance of a dataclass; `where` is its name in error texts.
+    """Return a value that was read from JSON as an instance of a dataclass; `where` names it in error texts.
 
-    :raises InvalidFieldError: if a value is not of its field's type, or a field is missing or unknown.
+    :raises InvalidFieldError: if a value has the wrong type or is out of range, or a field is missing or unknown.
     """
     record = _convert(cls, value, where)
     assert isinstance(record, cls)
@@ -74,7 +74,7 @@
 
 
 def _check_plain(kind: type, value: object, where: str) -> object:
-    if type(value) is not kind:  # exactly, as a bool is an int too
+    if type(value) is not kind:  # The exact type is compared, because a bool is an int too.
         message = f"{where} is {_quote(value)}, not of type {kind.__name__}"
         raise InvalidFieldError(message)
     return value
