--- a/thymeflow/daemon/activation.py
+++ b/thymeflow/daemon/activation.py
@@ -1,4 +1,4 @@
-"""Socket activation: listening sockets passed in by a service manager, by the protocol of sd_listen_fds(3)."""
+"""Socket activation: a service manager passes listening sockets by the protocol of sd_listen_fds(3)."""
 
 from __future__ import annotations
 
@@ -10,19 +10,19 @@
 
 FIRST_DESCRIPTOR = 3
 MAX_DESCRIPTORS = 16
-MAX_SHOWN_LENGTH = 20  # characters of an invalid value in an error text
+MAX_SHOWN_LENGTH = 20  # Characters of an invalid value that an error text shows.
 
 
 def take_activation_sockets(environment: MutableMapping[str, str], pid: int) -> list[socket.socket]:
-    """Return the sockets passed in to process `pid`, and remove the variables so that no child reads them.
+    """Return the sockets that were passed to process `pid`, and remove the variables so that no child reads them.
 
-    :raises BadDescriptorError: if the variables or a descriptor are not usable.
+    :raises BadDescriptorError: if the number of descriptors is invalid, or a descriptor is no listening socket.
     """
     intended_pid = environment.pop("LISTEN_PID", "")
     count = environment.pop("LISTEN_FDS", "")
     environment.pop("LISTEN_FDNAMES", None)
     if not count or intended_pid != str(pid):
-        return []  # none, or intended for an earlier process
+        return []  # No sockets were passed, or they were passed to an earlier process.
     if not count.isascii() or not count.isdigit() or not 1 <= int(count) <= MAX_DESCRIPTORS:
         message = f"LISTEN_FDS is {count[:MAX_SHOWN_LENGTH]!r}, not a number from 1 to {MAX_DESCRIPTORS}"
         raise BadDescriptorError(message)
@@ -34,7 +34,7 @@
 
 
 def _open_sockets(descriptors: range) -> list[socket.socket]:
-    """Return a socket for a duplicate of each descriptor; close all of them again if one is not usable."""
+    """Return a socket for a duplicate of each descriptor; close all duplicates if a descriptor cannot be used."""
     sockets: list[socket.socket] = []
     try:
         for descriptor in descriptors:
--- a/thymeflow/daemon/allocation.py
+++ b/thymeflow/daemon/allocation.py
@@ -1,6 +1,7 @@
-"""A member's allocation of the fleet limits: granted over its control socket and used by its gateway.
+"""A member's allocation of the fleet limits: granted over the member's control socket and used by its gateway.
 
-A limiter without a supervisor has no allocation, and uses the even share that the number of limiters gives.
+A limiter without a supervisor has no allocation and uses an even share, the fleet limit divided by the number of
+limiters.
 """
 
 from __future__ import annotations
@@ -12,8 +13,8 @@
 from thymeflow.runtime import clock, log
 from thymeflow.runtime.log_kinds import LogKind
 
-DEMAND_SMOOTHING_FRACTION = 0.7  # weight of the earlier demand at each report; reports are half a second apart
-# Why a grant is not applied; recorded tests compare these texts, which no process is sent.
+DEMAND_SMOOTHING_FRACTION = 0.7  # The weight of the earlier demand at each report; reports are 0.5 s apart.
+# The causes for which a grant is not applied. Recorded tests compare these texts; no other process gets them.
 NOT_ALLOCATED_TEXT = "this process goes by the even share: it was started without a part"
 NOT_NEWER_TEXT = "it is not newer than what is held"
 
@@ -23,20 +24,20 @@
 
     def __init__(self, configured: object) -> None:
         self._holder = None if configured is None else _create_configured_holder(configured)
-        self._demand_per_second = 0.0  # smoothed
+        self._demand_per_second = 0.0  # Exponentially smoothed.
         self._last_response_count = 0
         self._last_report_at = clock.now()
 
     def get_fraction(self, resource: str, even_fraction: float) -> float:
-        """Return which fraction of the fleet limit of `resource` may be used now, the even one without allocation."""
+        """Return the usable fraction of the fleet limit of `resource`; `even_fraction` if there is no allocation."""
         if self._holder is None:
             return even_fraction
         return self._holder.usable_amount(Resource(resource), clock.monotonic()) / TOTAL_POINTS
 
     def build_report(self, dispatcher: RequestDispatcher) -> Message | None:
-        """Return the report to the lease issuer, or None if this process has no allocation to use.
+        """Return the report to the lease issuer, or None if this process has no allocation or has handed it over.
 
-        The keys are a format.
+        The keys are a format that the supervisor parses.
         """
         if self._holder is None or self._holder.is_handed_over:
             return None
@@ -57,7 +58,7 @@
         self._last_report_at = now
 
     def on_grant(self, message: object) -> str:
-        """Apply a grant; return why it is not applied, or an empty string."""
+        """Apply a grant; return the cause for which it is not applied, or an empty string."""
         try:
             allocation = allocation_from_message(message)
         except ValueError as error:
@@ -68,22 +69,23 @@
         return "" if self._holder.on_grant(allocation) else NOT_NEWER_TEXT
 
     def hand_over(self) -> Message | None:
-        """Return the allocation for the successor; from now on this process uses none of it."""
+        """Return the allocation for the successor and stop using it; None if there is none."""
         return None if self._holder is None else message_of(self._holder.hand_over())
 
     def inherit(self, message: object) -> None:
-        """Apply the allocation of the predecessor, which no longer uses it."""
+        """Apply the allocation in a message of the predecessor, which no longer uses it."""
         if self._holder is not None and not self.on_grant(message):
             log.emit(LogKind.BUDGETS, "the allocation of the predecessor is in use")
 
     def on_rolled_back(self, was_used: bool) -> None:
-        """Use the allocation again after the successor is gone.
+        """Use the allocation again after the successor has failed.
 
-        `was_used`: the successor may have used it, and may be using it still.
+        `was_used`: the successor may have used the allocation, and may still be using it.
         """
         if self._holder is None:
             return
-        if was_used:  # nothing is left of it until a grant comes, under a number that the successor does not have
+        if was_used:
+            # The successor may still use the allocation, so this process uses none until a newer grant arrives.
             allocation = self._holder.allocation
             self._holder = LeaseHolder(Allocation(allocation.epoch, allocation.number))
         else:
@@ -91,7 +93,7 @@
 
 
 def _create_configured_holder(configured: object) -> LeaseHolder:
-    """Return a holder of the configured allocation, or an empty one if that cannot be read."""
+    """Return a holder of the configured allocation, or an empty holder if the configured value is invalid."""
     try:
         return LeaseHolder(allocation_from_message(configured))
     except ValueError as error:
--- a/thymeflow/daemon/control_messages.py
+++ b/thymeflow/daemon/control_messages.py
@@ -1,4 +1,7 @@
-"""The requests of a daemon's control socket: the one module that knows their commands and keys, which are a format."""
+"""The requests of a daemon's control socket.
+
+This is the only module that knows their commands and keys, which are a format.
+"""
 
 from __future__ import annotations
 
@@ -9,11 +12,11 @@
 from thymeflow.logs.structured import LEVELS
 
 MAX_LINGER_SECONDS = 60.0
-MAX_SHOWN_LENGTH = 40  # characters of an invalid value in an error text
+MAX_SHOWN_LENGTH = 40  # Characters of an invalid value that an error text shows.
 
 
 class ControlCommand(Enum):
-    """The command of a request; an error message lists them in this order."""
+    """The command of a request; an error message lists the commands in this order."""
 
     SEND_STATUS = "status"
     WATCH_STATUS = "watch"
@@ -30,13 +33,13 @@
 
 
 class UnknownCommandError(InvalidRequestError):
-    """A request has no command that is known; the text lists those that are."""
+    """A request has no command or an unknown command; the text lists the known commands."""
 
 
 def parse_command(message: Message) -> ControlCommand:
     """Return the command of a request.
 
-    :raises UnknownCommandError: if it has none that is known.
+    :raises UnknownCommandError: if the request has no command or an unknown one.
     """
     value = message.get("do")
     try:
@@ -48,9 +51,9 @@
 
 
 def parse_linger_seconds(message: Message) -> float | None:
-    """Return the seconds for which new connections are still accepted, or None if the message does not set them.
+    """Return the seconds for which a drain still accepts connections, or None if the request does not set them.
 
-    :raises InvalidRequestError: if it is not a number in range.
+    :raises InvalidRequestError: if the value is not a number from 0 to MAX_LINGER_SECONDS.
     """
     linger: object = message.get("linger")
     if linger is None:
@@ -62,9 +65,9 @@
 
 
 def parse_log_level(message: Message) -> str:
-    """Return the log level.
+    """Return the log level of a request.
 
-    :raises InvalidRequestError: if it is none.
+    :raises InvalidRequestError: if the value is not a log level.
     """
     level: object = message.get("level")
     if not isinstance(level, str) or level not in LEVELS:
@@ -74,15 +77,15 @@
 
 
 def get_allocation_field(message: Message) -> object:
-    """Return the allocation of the fleet limits, in the form that `thymeflow.leases` parses."""
+    """Return the unparsed allocation of the fleet limits, which `thymeflow.leases` parses."""
     return message.get("part")
 
 
 def get_ejections_field(message: Message) -> object:
-    """Return the ejections, in the form that `thymeflow.outliers` parses."""
+    """Return the unparsed ejections, which `thymeflow.outliers` parses."""
     return message.get("verdicts")
 
 
 def get_admission_threshold_field(message: Message) -> object:
-    """Return the admission threshold, which `thymeflow.shedding` checks."""
+    """Return the unchecked admission threshold, which `thymeflow.shedding` checks."""
     return message.get("level")
--- a/thymeflow/daemon/control_requests.py
+++ b/thymeflow/daemon/control_requests.py
@@ -1,4 +1,4 @@
-"""The requests of the control socket: one method for each command, and status updates for callers that watch."""
+"""Handlers of the control socket's requests, and status updates for callers that watch."""
 
 from __future__ import annotations
 
@@ -17,28 +17,28 @@
 from thymeflow.runtime import clock, log
 from thymeflow.runtime.log_kinds import LogKind
 
-WATCH_INTERVAL_SECONDS = 0.5  # between status updates to watching callers
+WATCH_INTERVAL_SECONDS = 0.5  # Interval between status updates to callers that watch.
 
 
 class ControllableService(Protocol):
-    """What control requests need of the service that they act on."""
+    """The interface that control requests require of the service that they act on."""
 
     instance: Instance
-    last_reload: str  # the result of the last reload
+    last_reload: str  # A text with the result of the last reload.
 
     @property
     def sender(self) -> HandoverSender:
         """The sender that hands the instance over to a successor."""
 
     def stop(self, linger: float | None) -> None:
-        """Drain and stop; `linger`: seconds for which new connections are accepted, None for the configured ones."""
+        """Drain and stop; accept connections for `linger` more seconds, or for the configured time if it is None."""
 
     def reload(self) -> bool:
-        """Read all configuration again; return whether it is in force."""
+        """Read the complete configuration again; return whether it has been applied."""
 
 
 class ControlRequestHandler:
-    """Answers requests of the control socket, and sends status updates to callers that watch."""
+    """Handles the requests of the control socket, and sends status updates to callers that watch."""
 
     def __init__(self, service: ControllableService) -> None:
         self._service = service
@@ -63,7 +63,7 @@
     def handle(self, caller: ControlCaller, message: Message) -> None:
         """Handle one request.
 
-        :raises InvalidRequestError: if a value of the request is out of its domain; the text is for the caller.
+        :raises InvalidRequestError: if a value of the request is invalid; the caller gets the text as the reply.
         """
         if self._service.sender.handle(caller, message):
             return
@@ -82,7 +82,7 @@
                 caller.send(update)
 
     def update_watchers_at_interval(self, _: int = 0) -> None:
-        """Send the status to callers that watch, now and at every interval."""
+        """Send the status to callers that watch, now and then every WATCH_INTERVAL_SECONDS."""
         self.update_watchers()
         self._service.instance.limiter.deadlines.schedule(
             clock.now() + WATCH_INTERVAL_SECONDS, self.update_watchers_at_interval
@@ -105,8 +105,8 @@
         self._service.stop(linger_seconds)
 
     def _apply_operator_command(self, command: phases.OperatorCommand, caller: ControlCaller, _: Message) -> None:
-        is_done, why = self._service.instance.limiter.lifecycle.on_command(command)
-        caller.send({"ok": is_done, "why": why})
+        is_accepted, reason = self._service.instance.limiter.lifecycle.on_command(command)
+        caller.send({"ok": is_accepted, "why": reason})
 
     def _reload(self, caller: ControlCaller, _: Message) -> None:
         is_reloaded = self._service.reload()
@@ -115,14 +115,14 @@
     def _set_log_level(self, caller: ControlCaller, message: Message) -> None:
         level = control_messages.parse_log_level(message)
         self._service.instance.log_handler.set_level(level)
-        log.emit(LogKind.LEVEL, f"{level} from now on, until a reload")
+        log.emit(LogKind.LEVEL, f"the log level is {level} until the next reload")
         caller.send({"ok": True})
 
     def _write_snapshot(self, caller: ControlCaller, _: Message) -> None:
         snapshot_file = self._service.instance.snapshot_file
 
         def on_written(cause: str) -> None:
-            """Respond when the write has ended; `cause` is empty if it succeeded."""
+            """Reply once the write has ended; `cause` is empty if the write succeeded."""
             caller.send(
                 {"ok": not cause, "why": cause, "path": str(snapshot_file.path), **snapshot_file.build_status_message()}
             )
@@ -134,7 +134,7 @@
             writing.addCallback(on_written)
 
     def _apply_allocation(self, _: ControlCaller, message: Message) -> None:
-        # No response: the next status update reports the allocation in force to the watching supervisor.
+        # There is no reply, because the next status update reports the applied allocation to the watching supervisor.
         self._service.instance.allocation.on_grant(control_messages.get_allocation_field(message))
         self.update_watchers()
 
@@ -160,7 +160,7 @@
             log.emit_rate_limited(LogKind.OVERLOAD, f"ignored an admission threshold that cannot be parsed: {error}")
 
     def _send_listening_socket(self, caller: ControlCaller, _: Message) -> None:
-        # A supervisor that adopts this process duplicates the listening socket, which then outlasts the process.
+        # A supervisor that adopts this process keeps the duplicate, so the listening socket outlives the process.
         lifecycle = self._service.instance.limiter.lifecycle
         if lifecycle.port is None:
             caller.send({"ok": False, "why": "the limiter does not listen"})
--- a/thymeflow/daemon/errors.py
+++ b/thymeflow/daemon/errors.py
@@ -10,7 +10,7 @@
 
 
 class StartError(DaemonError):
-    """The daemon cannot start; the text gives the cause in one line."""
+    """The daemon cannot start; the text gives the cause in one line, `exit_code` is the code to exit with."""
 
     def __init__(self, cause: str, exit_code: int) -> None:
         super().__init__(cause)
--- a/thymeflow/daemon/instance.py
+++ b/thymeflow/daemon/instance.py
@@ -1,4 +1,4 @@
-"""One limiter of the daemon, with its name, files, lock and log, and what its fleet grants it."""
+"""The daemon's limiter with its name, files, lock and log, and its connections to its fleet."""
 
 from __future__ import annotations
 
@@ -29,38 +29,42 @@
 from thymeflow.snapshot import restore, schema
 from thymeflow.snapshot.store import SnapshotSource, SnapshotStore
 
-INCARNATION_BYTES = 4  # of the random identifier of one process
+INCARNATION_BYTES = 4  # The length of a process's random identifier.
 
 
 class Reactor(UnixReactor, TimerReactor, Protocol):
-    """What the daemon itself uses of Twisted's reactor."""
+    """The methods of Twisted's reactor that the daemon itself uses."""
 
     def callFromThread(self, function: Callable[[], object]) -> object:  # noqa: N802 - Twisted's name
-        """Call a function in the reactor's thread; safe in signal handlers and before the reactor runs."""
+        """Call a function in the reactor's thread; can be used in signal handlers and before the reactor runs."""
 
     def callWhenRunning(self, function: Callable[[], object]) -> object:  # noqa: N802 - Twisted's name
-        """Call a function now, or as soon as the reactor runs."""
+        """Call a function now, or once the reactor runs."""
 
     def run(self, installSignalHandlers: bool = True) -> None:  # noqa: N803 - Twisted's name
-        """Run until `stop`."""
+        """Run until `stop` is called."""
 
     def stop(self) -> None:
-        """End `run`."""
+        """Let `run` return."""
 
 
 class Instance:
-    """One limiter under one name; `limiter` is there from `build_limiter` on."""
+    """One limiter under one name; `build_limiter` sets the attribute `limiter`."""
 
     limiter: Limiter
 
     def __init__(
-        self, settings: Settings, load: Callable[[], configuration.Configuration], is_joining: bool, reactor: Reactor
+        self,
+        settings: Settings,
+        load_configuration: Callable[[], configuration.Configuration],
+        is_joining: bool,
+        reactor: Reactor,
     ) -> None:
         self.settings = settings
         self.reactor = reactor
-        self._load = load
+        self._load_configuration = load_configuration
         self._is_joining = is_joining
-        self.configuration = load()
+        self.configuration = load_configuration()
         self.name = self.configuration.name
         self.incarnation = secrets.token_hex(INCARNATION_BYTES)
         self.started_at = clock.now()
@@ -81,7 +85,7 @@
         return self.folder / f"{self.name}.{suffix}"
 
     def acquire_name(self) -> None:
-        """Own the name from now on.
+        """Acquire the lock of the name, which this process owns from now on.
 
         :raises NameTakenError: if another process owns it.
         :raises OSError: if the lock file cannot be opened.
@@ -89,10 +93,10 @@
         self.lock = NameLock.acquire(self.get_file_path("lock"), self.incarnation)
 
     def adopt_name(self, descriptor: int) -> None:
-        """Own the name by the predecessor's lock, an open descriptor.
+        """Take over the name with the open descriptor of the predecessor's lock.
 
-        :raises NameTakenError: if the descriptor is not that of the lock file.
-        :raises OSError: if there is no such file or descriptor.
+        :raises NameTakenError: if the descriptor does not refer to the lock file.
+        :raises OSError: if the lock file or the descriptor does not exist.
         """
         self.lock = NameLock.adopt(self.get_file_path("lock"), descriptor)
 
@@ -102,7 +106,7 @@
         self.lock.write_owner(self.incarnation)
 
     def forget_name(self) -> None:
-        """Leave the name to the other process that owns the same lock."""
+        """Stop owning the name, which the predecessor, the other owner of the lock, keeps."""
         self.lock = None
 
     def set_exit_code(self, exit_code: int) -> None:
@@ -110,18 +114,23 @@
         self.exit_code = exit_code
 
     def apply_reloaded(self, settings: Settings) -> None:
-        """Apply those sections of the settings that a reload may change."""
+        """Apply the sections of the settings that a reload may change: the log and the snapshots."""
         self.settings = replace(self.settings, log=settings.log, snapshot=settings.snapshot)
         self.log_handler.set_level(settings.log.level)
 
     def build_limiter(self, snapshot: schema.Snapshot | None, on_endpoints_known: Callable[[], None]) -> None:
-        """Build the limiter, from the snapshot if there is one, and call back when its endpoints are known."""
+        """Build the limiter and restore the snapshot, if there is one.
+
+        `on_endpoints_known` is called once the limiter knows its endpoint list.
+        """
         initial = self.configuration
         if snapshot is not None:
             initial = replace(initial, endpoints=restore.select_newest_endpoint_update(snapshot, initial.endpoints))
         gateway = self._build_gateway(initial)
         self._connect_to_fleet(gateway)
-        self.limiter = Limiter(initial, self.reactor, gateway, self._load, self.settings.daemon.drain_linger)
+        self.limiter = Limiter(
+            initial, self.reactor, gateway, self._load_configuration, self.settings.daemon.drain_linger
+        )
         self.limiter.on_endpoints = self.snapshots.on_endpoint_update
         self.limiter.on_endpoints_available = on_endpoints_known
         self.snapshots.on_endpoint_update(initial.endpoints)
@@ -130,7 +139,7 @@
 
     def _build_gateway(self, initial: configuration.Configuration) -> Gateway:
         budgets = self.settings.budgets
-        # Members of a fleet are on one machine, whose monotonic clock does not step as the wall clock does.
+        # All members of a fleet run on one machine and share its monotonic clock, which is never stepped.
         return make_gateway(
             replace(initial, units=budgets.units),
             0.0 if self._is_joining else INITIAL_FILL_FRACTION,
@@ -148,14 +157,14 @@
 
     def _build_fleet_limits(self) -> dict[str, float]:
         budgets = self.settings.budgets
-        # The keys are names of `leases.resources`, which messages between processes carry.
+        # The keys are the names of the resources in `leases.resources`, which are a format between processes.
         limits = {"calls": float(budgets.calls), "trials": float(budgets.trials)}
         if budgets.connections:
             limits["connections"] = float(budgets.connections)
         return limits
 
     def open_control(self, handler: MessageHandler) -> str:
-        """Open the control socket, if the settings have one; return why not, or an empty string."""
+        """Open the control socket, if the settings have one; return the cause of a failure, or an empty string."""
         daemon = self.settings.daemon
         if not daemon.control:
             return ""
--- a/thymeflow/daemon/lock.py
+++ b/thymeflow/daemon/lock.py
@@ -1,7 +1,8 @@
-"""The lock that keeps two processes from using one instance name; it ends with its owner, so none is ever stale.
+"""The lock that prevents two processes from using one instance name.
 
-flock(2) belongs to the open file, not to the process: when the descriptor is passed over the control socket, the
-successor owns the lock too, and at no moment could a third process take the name.
+The kernel releases the lock when its owner ends, so a lock is never stale. A lock of flock(2) belongs to the open file
+and not to the process. When its descriptor is passed over the control socket, the successor therefore owns the lock
+too, and no third process can take the name in the meantime.
 """
 
 from __future__ import annotations
@@ -12,7 +13,7 @@
 
 from thymeflow.daemon.errors import DaemonError
 
-MAX_OWNER_BYTES = 100  # of the lock file's content that is read
+MAX_OWNER_BYTES = 100  # Bytes of the lock file that are read.
 
 
 class NameTakenError(DaemonError):
@@ -20,7 +21,7 @@
 
 
 class NameLock:
-    """The lock of one instance name, owned from the start to the end of the process."""
+    """The lock of one instance name, which a process owns from its start to its end."""
 
     def __init__(self, path: Path, descriptor: int) -> None:
         self.path = path
@@ -30,8 +31,8 @@
     def acquire(cls, path: Path, incarnation: str) -> NameLock:
         """Acquire the lock and write the owner into its file.
 
-        :raises NameTakenError: if another process owns it; the text names its pid.
-        :raises OSError: if the file cannot be opened.
+        :raises NameTakenError: if another process owns the lock; the text names its pid.
+        :raises OSError: if the lock file cannot be opened.
         """
         descriptor = os.open(path, os.O_RDWR | os.O_CREAT | os.O_CLOEXEC, 0o600)
         try:
@@ -49,13 +50,13 @@
     def adopt(cls, path: Path, descriptor: int) -> NameLock:
         """Return the lock that a predecessor passed on as an open descriptor.
 
-        :raises NameTakenError: if the descriptor is not that of the file at `path`.
-        :raises OSError: if there is no such file or descriptor.
+        :raises NameTakenError: if the descriptor does not refer to the file at `path`.
+        :raises OSError: if the file or the descriptor does not exist.
         """
         file_status = os.stat(path)
         descriptor_status = os.fstat(descriptor)
         if (file_status.st_dev, file_status.st_ino) != (descriptor_status.st_dev, descriptor_status.st_ino):
-            message = f"the lock of the predecessor is not that of {path}"
+            message = f"the predecessor's lock descriptor does not refer to {path}"
             raise NameTakenError(message)
         return cls(path, descriptor)
 
@@ -65,12 +66,12 @@
         os.pwrite(self.descriptor, f"{os.getpid()} {incarnation}\n".encode(), 0)
 
     def release(self) -> None:
-        """Release the lock; the file stays, as removing it would let two processes lock two files of one name."""
+        """Release the lock and leave its file: if it were removed, two processes could lock two files of one name."""
         os.close(self.descriptor)
 
 
 def is_name_free(path: Path) -> bool:
-    """Return whether no process owns the lock at `path`, as the kernel sees it; a missing file is free."""
+    """Return whether no process owns the lock at `path`; the name of a missing file is free."""
     try:
         descriptor = os.open(path, os.O_RDWR | os.O_CLOEXEC)
     except FileNotFoundError:
--- a/thymeflow/daemon/member_bounds.py
+++ b/thymeflow/daemon/member_bounds.py
@@ -1,4 +1,4 @@
-"""The bounds of a fleet's member: its allocation, the fleet's limits, ejections and load shedding."""
+"""The bounds that a fleet sets its members: allocation, fleet limits, ejections and load shedding."""
 
 from __future__ import annotations
 
@@ -13,14 +13,14 @@
 
 
 class FractionSource(Protocol):
-    """Knows which fractions of the fleet's resources this member may use."""
+    """Provides the fractions of the fleet's resources that this member may use."""
 
     def get_fraction(self, resource: str, even_fraction: float) -> float:
-        """Return the fraction of a resource; `even_fraction`: where nothing is allocated to this member."""
+        """Return the usable fraction of a resource, or `even_fraction` if this member has no allocation."""
 
 
 class MemberBounds:
-    """The `FleetBounds` of a member; without ejections or a load shedder its gateway goes by its own view there."""
+    """The `FleetBounds` of a member; its gateway decides itself where there are no ejections or no load shedder."""
 
     def __init__(
         self,
@@ -29,28 +29,28 @@
         ejections: MemberEjections | None = None,
         load_shedder: LoadShedder | None = None,
     ) -> None:
-        """`limits`: how much of a resource the complete fleet may use, by the resource's name."""
+        """`limits`: the amount that the complete fleet may use, by the name of the resource."""
         self._allocation = allocation
         self._limits = limits
         self._ejections = ejections
         self._load_shedder = load_shedder
 
     def fraction_of(self, resource: str, even_fraction: float) -> float:
-        """Return the allocated fraction of a resource; of retries less, the more is shed."""
+        """Return the usable fraction of a resource; the load shedder may reduce it, as for retries during shedding."""
         fraction = self._allocation.get_fraction(resource, even_fraction)
         if self._load_shedder is None:
             return fraction
         return self._load_shedder.limited_fraction(resource, fraction)
 
     def limit_of(self, resource: str, even_fraction: float) -> float:
-        """Return how much of a resource this member may use, infinity where the fleet does not limit it."""
+        """Return the amount of a resource that this member may use; infinity if the fleet does not limit it."""
         limit = self._limits.get(resource)
         return inf if limit is None else limit * self.fraction_of(resource, even_fraction)
 
     def filter_backends(
         self, ready: list[BackendStats], healthy: list[BackendStats], class_name: str, now: float
     ) -> list[BackendStats]:
-        """Return the ready backends that a class may use by the fleet's ejections."""
+        """Return the ready backends that a request class may use under the fleet's ejections."""
         if self._ejections is None:
             return healthy
         return self._ejections.eligible_backends(ready, healthy, class_name, now)
@@ -58,7 +58,7 @@
     def adjust_shedding(
         self, request_class: RequestClass, plan: Plan, customer_id: int, local_fraction: float
     ) -> float:
-        """Return the fraction of such requests to shed by the fleet's admission threshold."""
+        """Return the fraction of the requests to shed under the fleet's admission threshold."""
         if self._load_shedder is None:
             return local_fraction
         return self._load_shedder.rejected_fraction(request_class, plan, customer_id, local_fraction)
--- a/thymeflow/daemon/service.py
+++ b/thymeflow/daemon/service.py
@@ -1,4 +1,4 @@
-"""The daemon from its start to its end: name, sockets, snapshot, limiter, control socket and signals."""
+"""The daemon from its start to its end, with its name, sockets, snapshot, limiter, control socket and signals."""
 
 from __future__ import annotations
 
@@ -34,10 +34,12 @@
 
 @dataclass(frozen=True, slots=True)
 class Options:
-    """How a start differs from a plain one."""
+    """The options of a start."""
 
-    is_joining: bool = False  # a running set, which uses every quota in full already: token buckets start empty
-    is_taking_over: bool = False  # from a running process of the same name
+    # The limiter joins a running set, which uses each quota completely already, so token buckets start empty.
+    is_joining: bool = False
+    # The daemon takes over from a running process of the same name.
+    is_taking_over: bool = False
 
 
 class Service:
@@ -46,7 +48,7 @@
     def __init__(
         self,
         settings: Settings,
-        load: Callable[[], configuration.Configuration],
+        load_configuration: Callable[[], configuration.Configuration],
         options: Options,
         reactor: Reactor,
         read_settings: Callable[[], Settings],
@@ -54,8 +56,8 @@
         self._options = options
         self._reactor = reactor
         self._read_settings = read_settings
-        self.instance = Instance(settings, load, options.is_joining, reactor)
-        self.last_reload = ""  # the result of the last reload
+        self.instance = Instance(settings, load_configuration, options.is_joining, reactor)
+        self.last_reload = ""  # A text with the result of the last reload.
         self._requests = ControlRequestHandler(self)
         self._handover = DaemonHandover(self.instance, self._open_control, options.is_taking_over)
 
@@ -65,7 +67,7 @@
         return self._handover.sender
 
     def start(self) -> None:
-        """Acquire name and sockets, restore the snapshot, and serve; or request a handover from a running process.
+        """Acquire the name and the sockets, restore the snapshot and serve, or request a handover.
 
         :raises StartError: if the daemon cannot start.
         """
@@ -83,7 +85,10 @@
         self._listen(activation_sockets)
         self.instance.limiter.connect(clock.now() + FIRST_LIST_TIMEOUT)
         for unused in activation_sockets[1:]:
-            log.emit(LogKind.SOCKETS, f"{unused.getsockname()} was passed in by the service manager and is not used")
+            log.emit(
+                LogKind.SOCKETS,
+                f"the service manager passed {unused.getsockname()}, which is not used and is closed",
+            )
             unused.close()
 
     def _log_start(self) -> None:
@@ -91,7 +96,7 @@
         instance.log_handler.install()
         log.emit(
             LogKind.START,
-            f"incarnation {instance.incarnation} of {instance.name}, pid {os.getpid()}",
+            f"incarnation {instance.incarnation} of {instance.name} starts, pid {os.getpid()}",
             joins=self._options.is_joining,
             take_over=self._options.is_taking_over,
         )
@@ -137,22 +142,24 @@
     def _listen(self, activation_sockets: list[socket.socket]) -> None:
         address = self.instance.configuration.listen
         try:
-            listening = activation_sockets[0] if activation_sockets else bind_listener(address.host, address.port)
-            self.instance.limiter.listen(listening, waited=bool(activation_sockets))
+            listening_socket = (
+                activation_sockets[0] if activation_sockets else bind_listener(address.host, address.port)
+            )
+            self.instance.limiter.listen(listening_socket, waited=bool(activation_sockets))
         except OSError as error:
             message = f"{address}: {error.strerror}"
             raise StartError(message, CANNOT_LISTEN) from None
 
     def install_signal_handlers(self) -> None:
-        """Handle signals from now on; those that arrive before the reactor runs are handled when it starts.
+        """Handle signals from now on; signals that arrive before the reactor runs are handled when it starts.
 
-        A process that is notified of READY=1 may send a signal at once, and the reactor starts some moments later.
+        A process that is notified of READY=1 may send a signal at once, and the reactor starts a moment later.
         """
         for number, handler in ((signal.SIGTERM, self.stop), (signal.SIGINT, self.stop), (signal.SIGHUP, self.reload)):
             signal.signal(number, lambda *_, handler=handler: self._reactor.callFromThread(handler))
 
     def run(self) -> int:
-        """Serve until the end; return the exit code."""
+        """Run the reactor until it stops; return the exit code."""
         self._write_snapshot_at_interval(0)
         self._requests.update_watchers_at_interval()
         gc.collect()
@@ -165,16 +172,18 @@
         instance = self.instance
         if phase is Phase.SERVING:
             start_seconds = clock.now() - instance.started_at
-            log.emit(LogKind.READY, f"{start_seconds:.3f} s after the start", seconds=round(start_seconds, 3))
+            log.emit(
+                LogKind.READY, f"serving since {start_seconds:.3f} s after the start", seconds=round(start_seconds, 3)
+            )
             instance.notifier.notify(ready=1, mainpid=os.getpid(), status=f"{instance.name} serves")
         elif phase is Phase.DRAINING:
             instance.notifier.notify(stopping=1, status=f"{instance.name} completes its open requests")
         self._requests.update_watchers()
 
     def stop(self, linger: float | None = None) -> None:
-        """Drain and stop, on a signal or a control request; later calls change nothing.
+        """Drain and stop after a signal or a control request; later calls change nothing.
 
-        `linger`: seconds for which new connections are still accepted; None for the configured ones.
+        `linger`: the seconds for which new connections are still accepted; None for the configured time.
         """
         receiver = self._handover.receiver
         if receiver is not None and not receiver.is_serving():
@@ -186,7 +195,7 @@
     def reload(self) -> bool:
         """Read the platform's file and the settings again; a file that cannot be used changes nothing.
 
-        Returns whether both are in force; `last_reload` then describes what changed, or why not.
+        Return whether both have been applied. `last_reload` then has the changes, or the cause of a failure.
         """
         instance = self.instance
         if instance.limiter.lifecycle.phase is Phase.STOPPED:
@@ -200,7 +209,7 @@
         return is_reloaded and not settings_error
 
     def _reload_settings(self) -> str:
-        """Read the settings again; return why they are unchanged, or an empty string."""
+        """Read the settings again; return the cause for which they are unchanged, or an empty string."""
         try:
             settings = self._read_settings()
         except SettingsError as error:
@@ -219,7 +228,7 @@
             instance.snapshot_file.start_write()
 
     def _finish(self) -> None:
-        # After the reactor nothing more can be forwarded, so this snapshot is final.
+        # After the reactor has stopped, no more requests can be forwarded, so this snapshot is final.
         instance = self.instance
         if instance.control is not None:
             instance.control.close()
@@ -232,7 +241,7 @@
 
 def serve(
     settings: Settings,
-    load: Callable[[], configuration.Configuration],
+    load_configuration: Callable[[], configuration.Configuration],
     options: Options,
     read_settings: Callable[[], Settings],
 ) -> int:
@@ -243,7 +252,7 @@
 
     reactor = cast("Reactor", installed_reactor)
     try:
-        service = Service(settings, load, options, reactor, read_settings)
+        service = Service(settings, load_configuration, options, reactor, read_settings)
         service.install_signal_handlers()
         service.start()
     except configuration.ConfigurationError as error:
--- a/thymeflow/daemon/snapshot_file.py
+++ b/thymeflow/daemon/snapshot_file.py
@@ -1,4 +1,4 @@
-"""The snapshot file of an instance: read at a start, written at an interval and at the end."""
+"""The snapshot file of an instance, which is read at the start and written at an interval and at the end."""
 
 from __future__ import annotations
 
@@ -22,12 +22,12 @@
         self.path = path
         self._store = store
         self._is_writing = False
-        self._written_at = 0.0  # s, 0.0 before the first write
+        self._written_at = 0.0  # Unix seconds; 0.0 before the first write.
         self._written_bytes = 0
         self._failure_count = 0
 
     def build_status_message(self) -> Message:
-        """Return what the instance status reports of snapshots; the keys are a format."""
+        """Return the snapshot values of the instance status; the keys are a format."""
         return {
             "at": self._written_at,
             "age_s": round(clock.now() - self._written_at, 1) if self._written_at else None,
@@ -37,7 +37,7 @@
         }
 
     def read_usable(self, site: str, max_age_seconds: float) -> schema.Snapshot | None:
-        """Return the snapshot in the file, or None if there is none that is usable for `site`."""
+        """Return the snapshot in the file, or None if there is no usable one for `site` and the maximum age."""
         try:
             data = atomic_file.read(self.path)
             if data is None:
@@ -50,9 +50,9 @@
         return snapshot
 
     def start_write(self) -> Deferred[str] | None:
-        """Write in a thread; the Deferred fires with an empty string or the cause of a failure.
+        """Write a snapshot in a thread; the Deferred fires with an empty string or the cause of a failure.
 
-        Returns None while another write is in progress.
+        Return None while another write is in progress.
         """
         if self._is_writing:
             return None
@@ -75,7 +75,7 @@
 
     def _write(self, snapshot: schema.Snapshot) -> str:
         data = schema.pack(snapshot)
-        # An interval snapshot lost to a power cut leaves an older one, whose gap is charged for.
+        # If a power cut loses an interval snapshot, the older one remains, and its longer gap is charged.
         durability = atomic_file.Durability.ALL if snapshot.final else atomic_file.Durability.CONTENT
         atomic_file.write(self.path, data, durability)
         self._written_at = snapshot.taken
@@ -83,10 +83,11 @@
         return ""
 
     def write_final(self) -> None:
-        """Write the final snapshot at once; call it when no more requests can be forwarded."""
+        """Write the final snapshot and wait for the write; call this when no more requests can be forwarded."""
         try:
             self._write(self._store.take_snapshot(True))
         except OSError as error:
             log.emit(
-                LogKind.SNAPSHOT, f"the final one was not written, and the earlier content of the file remains: {error}"
+                LogKind.SNAPSHOT,
+                f"the final snapshot was not written, and {self.path} keeps its earlier content: {error}",
             )
--- a/thymeflow/daemon/status.py
+++ b/thymeflow/daemon/status.py
@@ -1,6 +1,6 @@
-"""The status of an instance, and its form in `thymeflow status --json` and in reports to the supervisor.
+"""The status of an instance, and its message for `thymeflow status --json` and for the supervisor.
 
-The keys of the message are a format that programs and earlier versions read; no other module writes them.
+The keys of the message are a format that other programs and earlier versions read; only this module writes them.
 """
 
 from __future__ import annotations
@@ -21,11 +21,11 @@
 
 @dataclass(frozen=True, slots=True)
 class BackendCounts:
-    """How many backends of the endpoint list are in which state."""
+    """The numbers of backends of the endpoint list by state."""
 
     ready: int
     other: int
-    ejected: int  # of those that are ready
+    ejected: int  # The ejected backends among the ready ones.
 
 
 @dataclass(frozen=True, slots=True)
@@ -47,7 +47,7 @@
     response_counts: Mapping[ResponseKind, int]
     customers: int
     pressure: float
-    seconds_since_gossip: float | None  # None: neither a peer nor the counter has reported
+    seconds_since_gossip: float | None  # None before the first report of a peer or the counter.
     snapshot: Message
     handover_state: SenderState
     dropped_log_lines: int
@@ -56,12 +56,12 @@
 
     @property
     def is_healthy(self) -> bool:
-        """Whether the instance serves and has a backend to forward to."""
+        """Whether the instance serves and has a ready backend."""
         return self.phase is Phase.SERVING and self.backends.ready > 0
 
 
 def build_status(instance: Instance, handover_state: SenderState) -> InstanceStatus:
-    """Return the present state of an instance."""
+    """Return the current status of an instance."""
     limiter = instance.limiter
     gateway = limiter.gateway
     now = clock.now()
@@ -99,7 +99,7 @@
 
 
 def status_to_message(status: InstanceStatus) -> Message:
-    """Return a status as it is printed and sent."""
+    """Return a status as the message that is printed and sent."""
     since_gossip = status.seconds_since_gossip
     return {
         "name": status.name,
