--- a/tests/daemon/support.py
+++ b/tests/daemon/support.py
@@ -1,4 +1,4 @@
-"""What the tests of the daemon share: waiting for processes, spending quota, and a scripted successor."""
+"""Helpers of the daemon's tests: waiting for processes, spending quota, and scripted sides of a handover."""
 
 from __future__ import annotations
 
@@ -16,22 +16,22 @@
 from thymeflow.platform.settings import settings_from
 from thymeflow.snapshot.schema import compute_site_digest
 
-T = TypeVar("T")
+Result = TypeVar("Result")
 
 RESPONSE = b"*3\r\n$5\r\nvalue\r\n$6\r\ncost=1\r\n$-1\r\n"
 SMALL_QUOTA: dict[str, Any] = {"tiers-of-service": [{"name": "basic", "refill": 0.01, "most-at-once": 20.0}]}
-MAX_REQUESTS = 100  # far more than a small quota admits
+MAX_REQUESTS = 100  # Many more requests than a small quota admits.
 
 
 class ProcessExit(NamedTuple):
-    """How a process ended, and what it logged until then."""
+    """The exit code of a process, and the log lines that had not been read before its end."""
 
     code: int
     log: str
 
 
 def wait_for_log_line(process: subprocess.Popen[str], text: str) -> str:
-    """Return the next line of a process's log that contains the text."""
+    """Return the next line of a process's log that contains `text`."""
     assert process.stderr is not None
     for line in process.stderr:
         if text in line:
@@ -41,13 +41,13 @@
 
 
 def wait_for_exit(process: subprocess.Popen[str]) -> ProcessExit:
-    """Wait until a process has ended."""
+    """Wait until a process has ended; return its exit code and its unread log lines."""
     _, log = process.communicate(timeout=PATIENCE)
     return ProcessExit(process.returncode, log)
 
 
-def poll_until(condition: Callable[[], T]) -> T:
-    """Return the first result of the condition that is true."""
+def poll_until(condition: Callable[[], Result]) -> Result:
+    """Poll the condition until its result is true, and return that result."""
     deadline = time.monotonic() + PATIENCE
     while not (result := condition()):
         assert time.monotonic() < deadline
@@ -56,7 +56,7 @@
 
 
 def spend_quota(limiter: Limiter, first_number: int) -> int:
-    """Send requests until one is rejected; return how many were forwarded."""
+    """Send requests until one is rejected; return the number of forwarded requests."""
     client = limiter.connect()
     backend = None
     for number in range(first_number, first_number + MAX_REQUESTS):
@@ -91,7 +91,7 @@
 
 
 def request_handover(limiter: Limiter) -> ControlSession:
-    """Return the session of a successor that the test plays, which can stop at any step of a handover."""
+    """Request a handover as a scripted successor, which can stop at any step; return its session."""
     session = connect_session(limiter.state / "n0.sock")
     session.send(do="take", life="x", pid=1, site=compute_site_digest(settings_from(limiter.config["settings"])))
     return session
@@ -99,7 +99,7 @@
 
 @contextmanager
 def scripted_predecessor(limiter: Limiter) -> Iterator[ControlSession]:
-    """Stop the daemon, start a successor, and yield the session in which the test plays its predecessor."""
+    """Stop the daemon, start a successor, and yield the session in which the test acts as its predecessor."""
     limiter.request_control(do="drain", linger=0.1)
     limiter.process.communicate(timeout=PATIENCE)
     with socket.socket(socket.AF_UNIX) as listener:
@@ -111,7 +111,7 @@
 
 
 def hand_over(limiter: Limiter, session: ControlSession) -> list[dict[str, Any]]:
-    """Send descriptors, state and permission to the successor; return its message after each."""
+    """Send the descriptors, the state and the permission to the successor; return its message after each step."""
     state = (limiter.state / "n0.state").read_bytes()
     messages = []
     with (
--- a/tests/daemon/test_control_socket.py
+++ b/tests/daemon/test_control_socket.py
@@ -1,4 +1,4 @@
-"""Requests to the control socket of a running daemon."""
+"""Guards against requests and callers of the control socket that stop or block a running daemon."""
 
 from __future__ import annotations
 
@@ -42,14 +42,14 @@
         hung = [socket.socket(socket.AF_UNIX) for _ in range(2)]
         for caller in hung:
             caller.connect(str(path))
-            caller.sendall(b'{"do":')  # and not another byte
+            caller.sendall(b'{"do":')  # The caller never completes this line.
 
         def is_answering() -> bool:
             with contextlib.suppress(OSError, ValueError):
                 return bool(limiter.request_control(do="status")["ok"])
             return False
 
-        poll_until(is_answering)  # hung callers are disconnected, and their slots are free again
+        poll_until(is_answering)  # The daemon disconnects hung callers, which frees their slots.
         for caller in hung:
             caller.close()
         assert limiter.request_control(do="level", level="error")["ok"]
--- a/tests/daemon/test_handover.py
+++ b/tests/daemon/test_handover.py
@@ -1,4 +1,4 @@
-"""Hot restarts between two daemons: those that succeed, and those that stop half way."""
+"""Guards against hot restarts that drop connections or create units, also when they stop half way."""
 
 from __future__ import annotations
 
@@ -24,57 +24,60 @@
 
 def test_socket_and_state_move_and_open_requests_finish_when_a_successor_takes_over(tmp_path: Path) -> None:
     with Limiter(tmp_path, serve=(), **SMALL_QUOTA) as limiter:
-        first = spend_quota(limiter, 1) - 2
+        admitted_before = spend_quota(limiter, 1) - 2
         client = limiter.connect()
         client.send(request(300, "book"))
-        old = limiter.request_control(do="status")
+        old_status = limiter.request_control(do="status")
         poll_until(lambda: limiter.request_control(do="status")["open"] == 1 or not client.receives_nothing(0.0))
-        busy = client.receives_nothing(0.0)
-        if busy:
+        is_in_flight = client.receives_nothing(0.0)
+        if is_in_flight:
             backend = limiter.backends[0].accept()
             backend.read_command()
         successor = limiter.start(("--take-over",))
         predecessor = limiter.replace_process(successor)
-        predecessor.send_signal(signal.SIGHUP)  # harmless in the middle of it
+        predecessor.send_signal(signal.SIGHUP)  # A reload must not disturb the handover.
         wait_for_log_line(successor, "handover: done")
         status = limiter.request_control(do="status")
-        assert status["pid"] == successor.pid != old["pid"]
-        assert status["listen"] == old["listen"]
-        if busy:  # in flight all the while: one response, by the predecessor
+        assert status["pid"] == successor.pid != old_status["pid"]
+        assert status["listen"] == old_status["listen"]
+        if is_in_flight:  # The predecessor, which forwarded the request, delivers its only response.
             assert predecessor.poll() is None
             backend.send(RESPONSE)
             assert client.read_bulk() == b"value"
         assert wait_for_exit(predecessor).code == 0
-        assert spend_quota(limiter, 400) <= max(1, 12 - first)
+        assert spend_quota(limiter, 400) <= max(1, 12 - admitted_before)
         successor.send_signal(signal.SIGTERM)
         successor.send_signal(signal.SIGTERM)
         assert wait_for_exit(successor).code == 0
         assert not list(limiter.state.glob("*.sock"))
 
 
-@pytest.mark.parametrize("steps", [0, 1, 2])
-@pytest.mark.parametrize("way", ["dies", "hangs"])
-def test_predecessor_serves_on_when_its_successor_dies_or_hangs(tmp_path: Path, steps: int, way: str) -> None:
+@pytest.mark.parametrize("completed_steps", [0, 1, 2])
+@pytest.mark.parametrize("failure", ["dies", "hangs"])
+def test_predecessor_continues_to_serve_when_its_successor_dies_or_hangs(
+    tmp_path: Path, completed_steps: int, failure: str
+) -> None:
     with Limiter(tmp_path, serve=(), environment={"THYMEFLOW_DAEMON_HAND_OVER": "500ms"}) as limiter:
         scripted = request_handover(limiter)
         assert "offer" in scripted.receive()
         assert len(scripted.descriptors) == 2
-        if steps:
+        if completed_steps:
             scripted.send(do="ready")
             assert scripted.receive()["state"] > 0
-        if steps == 2:
+        if completed_steps == 2:
             scripted.send(do="took")
             assert "yours" in scripted.receive()
-        waiting = limiter.connect()  # connects while nobody may accept: it waits, and is served
-        waiting.send(command(b"PING"))
-        if way == "dies":
+        # While no process accepts, this connection waits; the predecessor serves it after the rollback.
+        waiting_client = limiter.connect()
+        waiting_client.send(command(b"PING"))
+        if failure == "dies":
             scripted.close()
         assert "this incarnation continues to serve" in limiter.log("handover: failed in state")
-        assert waiting.line() == b"+PONG"
+        assert waiting_client.line() == b"+PONG"
         assert limiter.request_control(do="status")["hand_over"] == "whole"
-        if way == "hangs":
+        if failure == "hangs":
             scripted.close()
-        successor = limiter.start(("--take-over",))  # and the next one goes well
+        successor = limiter.start(("--take-over",))  # The next handover succeeds.
         limiter.replace_process(successor).wait(PATIENCE)
         wait_for_log_line(successor, "handover: done")
 
--- a/tests/daemon/test_message_formats.py
+++ b/tests/daemon/test_message_formats.py
@@ -1,4 +1,4 @@
-"""The daemon's messages to operators and to its supervisor, which two versions share."""
+"""Guards the daemon's messages to operators and to its supervisor, which two versions of the program exchange."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 from thymeflow.runtime import clock
 
 
-def test_member_reports_its_allocation_alike_when_it_has_one(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_allocation_report_is_as_recorded_when_the_member_has_an_allocation(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(clock, "now", lambda: 100.0)
     monkeypatch.setattr(clock, "monotonic", lambda: 1200.0)
     allocation = MemberAllocation(ALLOCATION)
@@ -86,7 +86,7 @@
     assert_as_recorded("daemon", exchanges)
 
 
-def test_daemon_reports_its_allocation_alike_when_it_was_started_with_one(tmp_path: Path) -> None:
+def test_allocation_report_is_as_recorded_when_the_daemon_was_started_with_one(tmp_path: Path) -> None:
     with Limiter(tmp_path, serve=()) as limiter:
         restart(limiter, part={**ALLOCATION, "end": 0.0})
         with control_session(limiter.state / "n0.sock") as session:
--- a/tests/daemon/test_snapshots.py
+++ b/tests/daemon/test_snapshots.py
@@ -1,4 +1,4 @@
-"""What the daemon restores from its snapshot file after a restart."""
+"""Guards against restarts that grant quota twice or fail because of a corrupt snapshot file."""
 
 from __future__ import annotations
 
@@ -14,16 +14,16 @@
 
 def test_quota_is_not_granted_twice_when_the_daemon_restarts_or_is_killed(tmp_path: Path) -> None:
     with Limiter(tmp_path, serve=(), environment={"THYMEFLOW_SNAPSHOT_EVERY": "100ms"}, **SMALL_QUOTA) as limiter:
-        first = spend_quota(limiter, 1)
-        assert 8 <= first <= 12  # by default, buckets start half full
+        admitted = spend_quota(limiter, 1)
+        assert 8 <= admitted <= 12  # By default, buckets start half full.
         limiter.terminate()
         assert wait_for_exit(limiter.process).code == 0
         limiter.process = limiter.start(())
         assert "restored 1 customers from the snapshot file" in wait_for_log_line(limiter.process, "snapshot:")
         limiter.port = int(limiter.log("listening:").rsplit(":", 1)[1])
         assert spend_quota(limiter, 200) <= 1
-        before = limiter.request_control(do="status")["snapshot"]["at"]
-        poll_until(lambda: limiter.request_control(do="status")["snapshot"]["at"] > before)
+        written_at = limiter.request_control(do="status")["snapshot"]["at"]
+        poll_until(lambda: limiter.request_control(do="status")["snapshot"]["at"] > written_at)
         limiter.process.kill()
         limiter.process.communicate()
         limiter.process = limiter.start(())
@@ -32,7 +32,7 @@
 
 
 @pytest.mark.parametrize(
-    ("corrupt", "why"),
+    ("corrupt", "cause"),
     [
         (lambda data: data[:-5], "the snapshot is truncated"),
         (lambda data: b"{}", "the snapshot does not begin"),
@@ -40,7 +40,7 @@
     ],
 )
 def test_defaults_are_used_and_one_line_logged_when_the_snapshot_is_corrupt(
-    tmp_path: Path, corrupt: Callable[[bytes], bytes], why: str
+    tmp_path: Path, corrupt: Callable[[bytes], bytes], cause: str
 ) -> None:
     with Limiter(tmp_path, serve=(), **SMALL_QUOTA) as limiter:
         spend_quota(limiter, 1)
@@ -50,6 +50,6 @@
         path.write_bytes(corrupt(path.read_bytes()))
         limiter.process = limiter.start(())
         line = wait_for_log_line(limiter.process, "is ignored, and token buckets start with defaults")
-        assert re.search(why, line)
+        assert re.search(cause, line)
         limiter.port = int(limiter.log("listening:").rsplit(":", 1)[1])
         assert spend_quota(limiter, 200) >= 8
--- a/tests/daemon/test_start.py
+++ b/tests/daemon/test_start.py
@@ -1,4 +1,4 @@
-"""How the daemon starts and stops: readiness, signals, its name and activation sockets."""
+"""Guards the daemon's start and stop: notifications, early signals, its name, activation sockets and imports."""
 
 from __future__ import annotations
 
@@ -32,7 +32,8 @@
 
 
 def test_signal_is_handled_when_it_comes_before_the_reactor_runs(tmp_path: Path) -> None:
-    # A process that is notified of READY=1 may signal at once; on a busy machine that comes before the reactor runs.
+    # A process that is notified of READY=1 may send a signal at once. On a busy machine the signal arrives before the
+    # reactor runs.
     code = (
         "import os, signal, sys; from thymeflow import cli; from thymeflow.daemon import service; "
         "run = service.Service.run; "
@@ -67,7 +68,7 @@
         assert f"n0 is held by pid {limiter.process.pid}" in log
         limiter.process.kill()
         limiter.process.communicate()
-        assert (limiter.state / "n0.sock").is_symlink()  # stale, as is the lock's content
+        assert (limiter.state / "n0.sock").is_symlink()  # The link and the lock file's content are stale.
         limiter.process = limiter.start(())
         wait_for_log_line(limiter.process, "phase: serving")
         assert limiter.request_control(do="status")["pid"] == limiter.process.pid
@@ -93,7 +94,7 @@
         environment = {**os.environ, "BALANCER_CONFIG": str(limiter.path), "LISTEN_FDS": "1"}
         with socket.create_server(("127.0.0.1", 0)) as listening, socket.socket() as idle:
             for passed, is_usable in ((idle, False), (listening, True)):
-                # In the child alone: descriptor 3 of this process belongs to the test runner.
+                # Only the child process uses descriptor 3: in this process it belongs to the test runner.
                 process = subprocess.Popen(
                     shell,
                     cwd=ROOT,
@@ -123,5 +124,5 @@
         "'thymeflow.settings', 'thymeflow.snapshot', 'thymeflow.handover', 'thymeflow.leases', "
         "'thymeflow.outliers', 'thymeflow.shedding'))))"
     )
-    out = subprocess.run([sys.executable, "-c", code], cwd=ROOT, capture_output=True, text=True, check=True)
-    assert out.stdout.strip() == "[]"
+    completed = subprocess.run([sys.executable, "-c", code], cwd=ROOT, capture_output=True, text=True, check=True)
+    assert completed.stdout.strip() == "[]"
--- a/tests/daemon/test_stored_files.py
+++ b/tests/daemon/test_stored_files.py
@@ -1,4 +1,4 @@
-"""The daemon's files as an earlier version wrote them: the state file and the lock file."""
+"""Guards the formats of the state file and the lock file, which an earlier version wrote."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 from thymeflow.snapshot.store import SnapshotSource, SnapshotStore
 
 
-def test_state_file_is_read_and_reported_alike_when_an_earlier_version_wrote_it(
+def test_state_file_is_read_and_reported_as_recorded_when_an_earlier_version_wrote_it(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr(clock, "now", lambda: RESTORED_AT)
--- a/tests/handover/support.py
+++ b/tests/handover/support.py
@@ -1,4 +1,4 @@
-"""Building blocks of the upgrade tests: a fleet's settings, and steps with copies of the real program."""
+"""Helpers of the upgrade tests: a small plan, and functions that start, use and stop copies of the real program."""
 
 from __future__ import annotations
 
@@ -12,11 +12,11 @@
 
 SMALL_PLAN: dict[str, Any] = {"tiers-of-service": [{"name": "basic", "refill": 2.0, "most-at-once": 16.0}]}
 GOOD_RESPONSE = b"*3\r\n$5\r\nvalue\r\n$14\r\nused=37,cost=2\r\n$11\r\navg_ms=14.5\r\n"
-READY_POLL_SECONDS = 0.02  # more frequent callers would use all connections, and the next one would be reset
+READY_POLL_SECONDS = 0.02  # More frequent calls would use all connections, and the next connection would be reset.
 
 
 def wait_until_ready(limiter: Limiter) -> None:
-    """Wait until the copy that was started last is ready; operators' calls go to it from then on."""
+    """Wait until the latest copy is ready, and send later operators' calls to that copy."""
     limiter.listen_for_operators = int(limiter.log("calls:").rsplit(":", 1)[1])
     deadline = time.monotonic() + PATIENCE
     while not limiter.call(b"readyz\n").startswith(b"200 "):
@@ -25,7 +25,7 @@
 
 
 def start_next_copy(limiter: Limiter) -> Popen[str]:
-    """Start the next copy, and return the process of the copy before."""
+    """Start the next copy and return the process of the previous copy."""
     return limiter.replace_process(limiter.start_successor())
 
 
@@ -39,7 +39,7 @@
 
 
 def terminate(process: Popen[str]) -> str:
-    """Send SIGTERM, expect a graceful shutdown, and return the rest of the process's log."""
+    """Send SIGTERM, check that the shutdown is graceful, and return the unread lines of the process's log."""
     process.send_signal(signal.SIGTERM)
     assert process.wait(PATIENCE) == 0
     assert process.stderr is not None
@@ -47,27 +47,27 @@
 
 
 def kill(process: Popen[str]) -> None:
-    """Kill a process, and wait for its end."""
+    """Kill a process and wait for its end."""
     process.kill()
     process.wait(PATIENCE)
 
 
 def count_admitted(limiter: Limiter, first_number: int) -> int:
-    """Send requests until one is rejected, and return how many were served."""
+    """Send requests until one is rejected; return the number of served requests."""
     client = limiter.connect()
-    server = None
+    backend = None
     served = 0
     while True:
         client.send(request(first_number + served))
-        waiting = [client.sock, limiter.backends[0].sock, *([server.sock] if server else [])]
-        readable = select.select(waiting, [], [], PATIENCE)[0]
+        sockets = [client.sock, limiter.backends[0].sock, *([backend.sock] if backend else [])]
+        readable = select.select(sockets, [], [], PATIENCE)[0]
         if client.sock in readable:
             assert client.line().startswith(b"-BUSY")
             client.close()
             return served
-        server = limiter.backends[0].accept() if limiter.backends[0].sock in readable else server
-        assert server is not None
-        server.read_command()
-        server.send(GOOD_RESPONSE)
+        backend = limiter.backends[0].accept() if limiter.backends[0].sock in readable else backend
+        assert backend is not None
+        backend.read_command()
+        backend.send(GOOD_RESPONSE)
         assert client.read_bulk() == b"value"
         served += 1
--- a/tests/handover/test_handover_trace.py
+++ b/tests/handover/test_handover_trace.py
@@ -1,7 +1,7 @@
-"""Both sides of a handover and the phases of a limiter, compared with the recorded transitions of an earlier version.
+"""Guards the transitions of both handover sides and of a limiter's phases against changes between two versions.
 
-Each pair of state and event is walked, and seeded runs of events are compared by digest. The recorded file has the
-values of that version's enums.
+The transition of each pair of state and event, and the digest of seeded runs of events, are compared with a file that
+an earlier version recorded. The file has the enum values of that version.
 """
 
 from __future__ import annotations
@@ -27,7 +27,8 @@
 
 RECORDED_PATH = Path(__file__).resolve().parent.parent / "data" / "before-rename" / "handover-and-phases.json"
 RECORDED: dict[str, Any] = json.loads(RECORDED_PATH.read_text())
-RECORDED_ACTION_LABELS = {ReceiverAction.SEND_READY: "ready"}  # an action's value, which is sent nowhere, has changed
+# The value of this action has changed since the recording; it is sent to no other process.
+RECORDED_ACTION_LABELS = {ReceiverAction.SEND_READY: "ready"}
 RUNS = 20
 STEPS = 400
 RESTART_PROBABILITY = 0.08
@@ -41,7 +42,7 @@
 
 
 def list_transitions(states: type[Enum], events: type[Enum], advance: Advance) -> dict[str, Any]:
-    """Return next state and actions for each pair of state and event."""
+    """Return the next state and the actions for each pair of state and event."""
     rows: dict[str, Any] = {}
     for state in states:
         for event in events:
@@ -51,7 +52,7 @@
 
 
 def compute_digest_of_runs(events: type[Enum], advance: Advance, first: Enum) -> str:
-    """Return the digest of seeded runs of events."""
+    """Return the digest of RUNS seeded runs of STEPS random events from the state `first`."""
     lines: list[str] = []
     for seed in range(RUNS):
         rng = random.Random(seed)
--- a/tests/handover/test_message_formats.py
+++ b/tests/handover/test_message_formats.py
@@ -1,4 +1,4 @@
-"""The framing of control sockets, and the messages of both sides of a handover, which two versions share."""
+"""Guards the framing of control sockets and the messages of a handover, which two versions of the program exchange."""
 
 from __future__ import annotations
 
@@ -12,11 +12,11 @@
 from tests.recorded_messages import ALLOCATION, Json, assert_as_recorded, masked
 from thymeflow.handover.control_socket import MAX_LINE_BYTES, ControlConnection, Message
 
-STATE_HEAD_BYTES = 21  # of a snapshot: its format and version
+STATE_HEAD_BYTES = 21  # The length of a snapshot's magic and version.
 
 
 class RecordingTransport:
-    """A transport that records what is written to it."""
+    """A transport that records the written bytes and descriptors."""
 
     def __init__(self) -> None:
         self.written: list[str | int] = []
@@ -30,7 +30,7 @@
         self.written.append(descriptor)
 
     def loseConnection(self) -> None:
-        """Record the end."""
+        """Record that the connection is closed."""
         self.written.append("closed")
 
 
@@ -71,7 +71,7 @@
             session.send(do="take", life="0b1c2d3e", pid=os.getpid(), site=site)
             messages: list[Json] = [masked(session.receive()), len(session.descriptors)]
             rejection = limiter.request_control(do="take", life="x", pid=1, site=site)
-            session.send(do="took")  # out of turn
+            session.send(do="took")  # The sender rejects this message, because it has not sent the state yet.
             messages += [rejection, session.receive()]
             session.send(do="ready")
             transfer = session.receive()
--- a/tests/handover/test_state_machine.py
+++ b/tests/handover/test_state_machine.py
@@ -1,4 +1,7 @@
-"""The handover's transition tables: every pair of state and input, and both sides together under faults."""
+"""Guards against a handover in which both processes or no process accept connections after a fault.
+
+The tests check each pair of state and input of the two transition tables, and both sides together under faults.
+"""
 
 from __future__ import annotations
 
@@ -36,16 +39,15 @@
     if (state, event) not in SENDER_TRANSITIONS:
         assert (next_state, actions) == (state, (SenderAction.REJECT_INPUT,))
     if state in (SenderState.TRANSFERRING_STATE, SenderState.LISTENER_PAUSED) and next_state is SenderState.SERVING:
-        assert SenderAction.RESUME in actions  # a rollback accepts again
+        assert SenderAction.RESUME in actions  # A sender that rolls back accepts connections again.
     assert (SenderAction.DELEGATE in actions) == (
         state is SenderState.LISTENER_PAUSED and event is SenderEvent.RECEIVER_SERVING
     )
     assert (SenderAction.DRAIN in actions) == (state is SenderState.DELEGATED and event is SenderEvent.TIMED_OUT)
     if state is SenderState.DRAINING:
-        assert next_state is SenderState.DRAINING  # there is no rollback once it drains
-    if (
-        state is SenderState.DELEGATED and event is SenderEvent.DISCONNECTED
-    ):  # but there is one while the receiver may die
+        assert next_state is SenderState.DRAINING  # A draining sender never rolls back.
+    if state is SenderState.DELEGATED and event is SenderEvent.DISCONNECTED:
+        # The receiver has died before the sender drains, so the sender rolls back.
         assert next_state is SenderState.SERVING
         assert SenderAction.RESUME in actions
     if event is SenderEvent.TIMED_OUT and state not in (
@@ -76,13 +78,13 @@
 
 
 def test_receiver_keeps_accepting_when_the_confirmation_is_late() -> None:
-    # The sender may drain already; to retreat could leave no process that accepts.
+    # The sender may drain already: if the receiver retreated too, no process would accept connections.
     transition = advance_receiver(ReceiverState.AWAITING_CONFIRMATION, ReceiverEvent.TIMED_OUT)
     assert transition == (ReceiverState.AWAITING_CONFIRMATION, ())
 
 
 class Fault(Enum):
-    """What can go wrong at a step of a handover."""
+    """A fault at a step of a handover."""
 
     SENDER_TIMEOUT = "sender timeout"
     RECEIVER_TIMEOUT = "receiver timeout"
@@ -108,7 +110,7 @@
 
 
 class Handover:
-    """Both state machines, the messages between them and whether each side accepts."""
+    """Both state machines, the messages in transit between them, and whether each side accepts connections."""
 
     def __init__(self) -> None:
         self.sender = SenderState.SERVING
@@ -122,7 +124,7 @@
         self.to_receiver: list[ReceiverEvent] = []
 
     def advance_sender(self, event: SenderEvent) -> None:
-        """Hand an input to the sender and carry out its actions."""
+        """Pass an input to the sender and carry out its actions."""
         self.sender, actions = advance_sender(self.sender, event)
         for action in actions:
             if action is SenderAction.PAUSE_LISTENER:
@@ -135,7 +137,7 @@
                 self.to_receiver.append(MESSAGES_TO_RECEIVER[action])
 
     def advance_receiver(self, event: ReceiverEvent) -> None:
-        """Hand an input to the receiver, unless it is dead, and carry out its actions."""
+        """Pass an input to the receiver, unless it is dead, and carry out its actions."""
         if self.is_receiver_dead:
             return
         self.receiver, actions = advance_receiver(self.receiver, event)
@@ -150,7 +152,7 @@
                 self.to_sender.append(MESSAGES_TO_SENDER[action])
 
     def inject(self, fault: Fault | None) -> None:
-        """Let something go wrong."""
+        """Make a fault occur; None for no fault."""
         if fault is Fault.SENDER_TIMEOUT:
             self.advance_sender(SenderEvent.TIMED_OUT)
         elif fault is Fault.SENDER_SHUTDOWN and self.sender is not SenderState.SERVING:
@@ -166,12 +168,12 @@
             self.is_cut = True
         elif fault is Fault.CONNECTION_CUT:
             self.is_cut = True
-            # Once the sender has delegated, only death cuts the connection: neither side closes it while it runs.
+            # After the delegation neither side closes the connection while it runs, so a cut means the receiver died.
             self.is_receiver_dead = self.is_receiver_dead or self.sender is SenderState.DELEGATED
             self.receiver_accepts = self.receiver_accepts and not self.is_receiver_dead
 
     def deliver(self) -> None:
-        """Deliver one message, or the end of the connection to both sides."""
+        """Deliver one message, or notify both sides of the end of the connection."""
         if self.is_cut or self.receiver is ReceiverState.FAILED:
             self._close()
         elif self.to_sender:
@@ -180,7 +182,7 @@
             self.advance_receiver(self.to_receiver.pop(0))
 
     def _close(self) -> None:
-        # What was sent before the end arrives before it.
+        # Messages that were sent before the end of the connection arrive before it.
         while self.to_sender and not self.is_cut:
             self.advance_sender(self.to_sender.pop(0))
         self.to_sender.clear()
@@ -197,7 +199,7 @@
         handover.inject(faults_by_step.get(step))
         handover.deliver()
         if handover.receiver is not ReceiverState.AWAITING_CONFIRMATION:
-            # Only until the cut is noticed may both consider themselves the active process.
+            # Both sides may accept connections only until they notice that the connection is cut.
             both_accept = handover.sender_accepts and handover.receiver_accepts
             assert not (both_accept and handover.sender is SenderState.SERVING and not handover.is_cut)
     if handover.sender not in (SenderState.DELEGATED, SenderState.DRAINING):
--- a/tests/handover/test_upgrade.py
+++ b/tests/handover/test_upgrade.py
@@ -1,4 +1,7 @@
-"""Two copies of the program side by side: the steps of an upgrade, and what remains when one dies or hangs."""
+"""Guards against an upgrade that drops connections, creates units or leaves no copy that serves.
+
+Two copies of the real program run side by side; in some tests one copy dies, hangs or cannot reach the other copy.
+"""
 
 from __future__ import annotations
 
@@ -23,7 +26,7 @@
 )
 from tests.limiter import PATIENCE, Limiter, Peer, command, request
 
-MAX_UPGRADE_SECONDS = 6.0  # the platform's limit for a start
+MAX_UPGRADE_SECONDS = 6.0  # The platform's time limit for a start.
 
 
 @pytest.fixture
@@ -38,22 +41,22 @@
     idle_client = limiter.connect()
     idle_client.send(command(b"PING"))
     assert idle_client.line() == b"+PONG"
-    busy_client.send(request(1).replace(b"b4d65521", b"b4d65522"))  # of another customer
-    server = limiter.backends[0].accept()
-    server.read_command()
+    busy_client.send(request(1).replace(b"b4d65521", b"b4d65522"))  # The request of another customer.
+    backend = limiter.backends[0].accept()
+    backend.read_command()
     old = start_next_copy(limiter)
     wait_until_ready(limiter)
-    assert idle_client.is_closed_by_peer()  # closed at once, while the client with a request in flight is not
+    assert idle_client.is_closed_by_peer()  # Only the client with a request in flight keeps its connection.
     assert ping(limiter) == b"+PONG"
     assert old.poll() is None
     assert admitted_before >= 4
     assert count_admitted(limiter, 200) <= 4, "an upgrade creates no units"
-    server.send(GOOD_RESPONSE)
+    backend.send(GOOD_RESPONSE)
     assert busy_client.read_bulk() == b"value"
     assert busy_client.is_closed_by_peer()
     assert "phase: handed over" in terminate(old)
     assert ping(limiter) == b"+PONG"
-    old = start_next_copy(limiter)  # and another, from the copy that took over
+    old = start_next_copy(limiter)  # The second upgrade is from the copy that took over.
     wait_until_ready(limiter)
     assert "handover: done" in terminate(old)
     assert ping(limiter) == b"+PONG"
@@ -68,10 +71,10 @@
     wait_until_ready(limiter)
     assert waiting_client.is_closed_by_peer()
     kill(limiter.replace_process(old))
-    late_client = limiter.connect()  # the listening socket was open all the time
+    late_client = limiter.connect()  # The old copy has kept its listening socket open.
     late_client.send(command(b"PING"))
     assert late_client.line() == b"+PONG"
-    start_next_copy(limiter)  # and the next one succeeds
+    start_next_copy(limiter)  # The next upgrade succeeds.
     wait_until_ready(limiter)
     terminate(old)
     assert ping(limiter) == b"+PONG"
@@ -132,7 +135,7 @@
 
 
 def test_copy_without_endpoint_list_ends_when_terminated(limiter: Limiter) -> None:
-    kill(limiter.process)  # its socket remains
+    kill(limiter.process)  # Its socket file remains.
     limiter.config["known"]["instances"] = []
     successor = start_next_copy(limiter) and limiter.process
     limiter.log("abandoned: this incarnation starts without a predecessor")
@@ -173,7 +176,7 @@
     with Limiter(tmp_path, managed=True, environment={"PYTHONPATH": str(tmp_path)}) as limiter:
         assert ping(limiter) == b"+PONG"
         (limiter.state / "n0.sock").symlink_to("nowhere")
-        old = start_next_copy(limiter)  # which then shares the address
+        old = start_next_copy(limiter)  # Both copies listen at the shared address.
         wait_until_ready(limiter)
         terminate(old)
         assert ping(limiter) == b"+PONG"
--- a/tests/snapshot/stored.py
+++ b/tests/snapshot/stored.py
@@ -1,4 +1,4 @@
-"""The gateway under which the stored snapshots of an earlier version were taken."""
+"""A gateway with the settings under which an earlier version took the stored snapshots."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 from thymeflow.platform.endpoints import Address
 from thymeflow.snapshot import restore, schema
 
-TAKEN_AT = 1100.25  # s: when the stored snapshots were taken
+TAKEN_AT = 1100.25  # Unix seconds of the stored snapshots.
 RESTORED_AT = 1101.75
 ADDRESSES = {number: Address("127.0.0.1", 7000 + number) for number in range(1, 5)}
 STORED_LIST_VERSION = 7
@@ -18,7 +18,7 @@
 
 
 def make_restarted_gateway() -> Gateway:
-    """Return a gateway of the settings and endpoint list of the stored snapshots, before it restores one."""
+    """Return a gateway with the settings and endpoint list of the stored snapshots that has restored none yet."""
     information = Information(counter=True, max_units=4.0, settles_units=True, max_gossip_per_second=100.0)
     gateway = Gateway(settings(classes=(SAFE, KEYED), information=information), 5)
     gateway.handle(TAKEN_AT + 1.0, EndpointsChanged(EndpointListKind.CACHED, fleet(), STORED_LIST_VERSION))
@@ -26,11 +26,11 @@
 
 
 def compute_stored_site_digest() -> str:
-    """Return the digest by which a snapshot identifies the plans and the index that it was taken under."""
+    """Return the site digest of the stored snapshots, which identifies their plans, zone and index."""
     return schema.compute_site_digest(settings())
 
 
 def pack_gateway_snapshot(gateway: Gateway) -> bytes:
-    """Return a gateway's snapshot as the content of its file."""
+    """Return the content of the snapshot file of a gateway."""
     snapshot = restore.take_snapshot(gateway, "n0", "0b1c2d3e", RESTORED_AT, False, WRITTEN_LIST_VERSION, ADDRESSES)
     return schema.pack(snapshot)
--- a/tests/snapshot/support.py
+++ b/tests/snapshot/support.py
@@ -1,4 +1,4 @@
-"""Builders of the snapshot tests: gateways with demand, their snapshots, and gateways restored from these."""
+"""Helpers of the snapshot tests: gateways with demand, their snapshots, and gateways restored from snapshots."""
 
 from __future__ import annotations
 
@@ -17,14 +17,14 @@
 
 
 class Spending(NamedTuple):
-    """What requests at a steady rate came to."""
+    """The units that requests at a steady rate spent, and the time of the last request."""
 
     units: float
     ended_at: float
 
 
 def make_gateway(start_level: float | None = None, **changes: Any) -> Gateway:
-    """Return a gateway that knows an endpoint list."""
+    """Return a gateway with changed settings that knows an endpoint list."""
     changed = settings(**changes)
     gateway = Gateway(changed, 1) if start_level is None else Gateway(changed, 1, start_level)
     gateway.handle(0.0, EndpointsChanged(EndpointListKind.CACHED, fleet(), LIST_VERSION))
@@ -32,7 +32,7 @@
 
 
 def spend(gateway: Gateway, started_at: float, seconds: float, rate: float, name: str = "r") -> Spending:
-    """Send requests at a rate; return the units that were forwarded, and the time of the last request."""
+    """Send requests at a steady rate; return the forwarded units and the time of the last request."""
     units = 0.0
     now = started_at
     for number in range(int(seconds * rate)):
@@ -53,13 +53,13 @@
 
 
 def restore_new_gateway(snapshot: schema.Snapshot, now: float, **changes: Any) -> Gateway:
-    """Return a new gateway that restored the snapshot."""
+    """Return a new gateway with changed settings that has restored the snapshot."""
     gateway = make_gateway(**changes)
     restore.restore_gateway(gateway, snapshot, now)
     return gateway
 
 
 def get_only_bucket(gateway: Gateway) -> TokenBucket:
-    """Return the gateway's one bucket."""
+    """Return the only bucket of the gateway."""
     (bucket,) = gateway.buckets.values()
     return bucket
--- a/tests/snapshot/test_atomic_file.py
+++ b/tests/snapshot/test_atomic_file.py
@@ -1,4 +1,4 @@
-"""Atomic replacement of files."""
+"""Guards against files that are lost or damaged when a write fails half way."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 @contextmanager
 def limit_file_size() -> Iterator[None]:
-    """Let writes beyond a limit fail, as on a disk that becomes full during a write."""
+    """Make writes beyond MAX_FILE_BYTES fail, as on a disk that becomes full during a write."""
     limits_before = resource.getrlimit(resource.RLIMIT_FSIZE)
     handler_before = signal.signal(signal.SIGXFSZ, signal.SIG_IGN)
     try:
--- a/tests/snapshot/test_late_charges.py
+++ b/tests/snapshot/test_late_charges.py
@@ -1,4 +1,4 @@
-"""Charges that follow a snapshot to the limiter's successor."""
+"""Guards against units that a handover creates: the successor must apply charges made after the snapshot."""
 
 from __future__ import annotations
 
--- a/tests/snapshot/test_restore.py
+++ b/tests/snapshot/test_restore.py
@@ -1,4 +1,4 @@
-"""Restoring snapshots: what a restart keeps, and that it creates no units."""
+"""Guards against restarts that create units, lose debt or restore state that no longer applies."""
 
 from __future__ import annotations
 
@@ -42,14 +42,14 @@
     assert restored.counter_ledger == original.counter_ledger
     packed = schema.pack(snapshot)
     restored.counter_ledger.mark_uncertain(5, 3.0)
-    assert schema.pack(snapshot) == packed  # later changes of the bucket do not change the snapshot
+    assert schema.pack(snapshot) == packed  # Later changes of the restored bucket do not change the snapshot.
 
 
 @given(st.floats(0.0, 6.0), st.floats(0.5, 60.0), st.floats(0.0, 25.0), st.booleans(), st.integers(1, 4))
 def test_no_units_are_created_when_a_limiter_restarts_repeatedly(
     busy_seconds: float, rate: float, pause_seconds: float, final: bool, restart_count: int
 ) -> None:
-    # One limiter that is the customer's whole set: all that it may ever forward is burst + rate x time.
+    # The limiter is the only member of the customer's set, so it may forward burst + rate x time units in total.
     information = Information(max_units=4.0, settles_units=True)
     gateway = make_gateway(limiter_count=1, information=information)
     started_at = 10.0
@@ -108,12 +108,12 @@
     gateway.backends[1].failures["read"] = FailureStreak(3, 100.0)
     gateway.backends[2].failures["read"] = FailureStreak(3, 100.0)
     snapshot = take_snapshot(gateway, 60.0)
-    fresh = Gateway(settings(), 1)
+    new_gateway = Gateway(settings(), 1)
     backends = (*fleet()[:1], Backend(2, "b", started=59.0))
-    fresh.handle(60.0, EndpointsChanged(EndpointListKind.CACHED, backends))
-    assert restore.restore_health(fresh, snapshot, 60.0) == 1
-    assert not fresh.backends[1].is_healthy("read", 61.0)
-    assert fresh.backends[2].is_healthy("read", 61.0)
+    new_gateway.handle(60.0, EndpointsChanged(EndpointListKind.CACHED, backends))
+    assert restore.restore_health(new_gateway, snapshot, 60.0) == 1
+    assert not new_gateway.backends[1].is_healthy("read", 61.0)
+    assert new_gateway.backends[2].is_healthy("read", 61.0)
 
 
 def test_newer_endpoint_list_is_used_when_versions_differ() -> None:
--- a/tests/snapshot/test_schema.py
+++ b/tests/snapshot/test_schema.py
@@ -1,4 +1,4 @@
-"""The snapshot's format: damaged, foreign and old snapshots are rejected, an earlier version is read."""
+"""Guards against the use of damaged, foreign or old snapshots; snapshots of an earlier version must be read."""
 
 from __future__ import annotations
 
@@ -64,7 +64,7 @@
 
 
 def pack_as_version_1(snapshot: schema.Snapshot) -> bytes:
-    """Return the snapshot as a program from before version 2 wrote it."""
+    """Return the snapshot in the format of version 1."""
     body = json.loads(schema.pack(snapshot).split(b"\n", 1)[1])
     for store in body["stores"]:
         account = store.pop("account")
@@ -87,5 +87,6 @@
     )
     ledger = from_version_1.counter_ledger
     assert ledger.counter_name == -1
-    # Its charges were never reported to a counter, and are not to be reported all at once.
+    # The charges of version 1 were never reported to a counter. They count as reported, so that they are not all
+    # reported at once.
     assert ledger.reported_charges == from_version_1.charged_units
--- a/tests/snapshot/test_stored_snapshots.py
+++ b/tests/snapshot/test_stored_snapshots.py
@@ -1,4 +1,4 @@
-"""Snapshots that an earlier version wrote: each is read to the same values, and written again to the same bytes."""
+"""Guards against format changes: snapshots of an earlier version must give the same values and the same bytes."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 def parse_content(snapshot: bytes) -> Any:
-    """Return a snapshot's keys and values in the order of its bytes, without its header."""
+    """Return the keys and values of a snapshot's body in the order of its bytes."""
     return json.loads(snapshot.partition(b"\n")[2], object_pairs_hook=list)
 
 
@@ -32,7 +32,7 @@
 
 @pytest.mark.parametrize("name", SNAPSHOTS)
 def test_snapshot_becomes_the_same_version_2_bytes_when_it_is_written_again(name: str) -> None:
-    # A total that was an integer when the snapshot was taken is read as a float, and written as one.
+    # A total that the earlier version wrote as an integer is read and written again as a float.
     assert schema.pack(schema.unpack(read_stored_file(name))) == read_stored_file(f"{name}-rewritten")
 
 
--- a/tests/stored_files.py
+++ b/tests/stored_files.py
@@ -1,7 +1,7 @@
-"""Files that an earlier version wrote, under `data/before-rename`, and the values that it read from them.
+"""Files that an earlier version wrote, in `data/before-rename`, and the values that this version read from them.
 
-Values are compared as plain lists in declared order, so that neither the name of a class nor that of a field counts;
-keys count where they stand in a file.
+Values are compared as plain lists in the order of their declaration, so that the names of classes and fields do not
+matter. Keys matter where a file has them.
 """
 
 from __future__ import annotations
@@ -17,17 +17,17 @@
 
 
 def read_stored_file(name: str) -> bytes:
-    """Return a file of the earlier version."""
+    """Return the content of a file that the earlier version wrote."""
     return (STORED_FOLDER / name).read_bytes()
 
 
 def read_recorded_value(name: str) -> Any:
-    """Return the values that the earlier version read from a file, or what else it derived from it."""
+    """Return the values that the earlier version read from a file or derived from its content."""
     return json.loads((STORED_FOLDER / "stored-values.json").read_text())[name]
 
 
-def to_plain_value(value: Any) -> Any:  # noqa: PLR0911  # one for each kind of value
-    """Return a value without our names: records as lists in declared order, sets sorted, enums by value."""
+def to_plain_value(value: Any) -> Any:  # noqa: PLR0911  # one return for each kind of value
+    """Return a value without names of the code: records become lists, sets sorted lists, and enums their values."""
     if is_dataclass(value):
         return [to_plain_value(getattr(value, field.name)) for field in fields(value)]
     if hasattr(value, "__struct_fields__"):
