--- a/tests/daemon/test_message_formats.py
+++ b/tests/daemon/test_message_formats.py
@@ -1,4 +1,4 @@
-"""The daemon's messages to operators and to its supervisor, which two versions share."""
+"""Guards the daemon's messages to operators and to its supervisor, which two versions of the program exchange."""
 
 from __future__ import annotations
 
@@ -18,13 +18,13 @@
 from thymeflow.runtime import clock
 
 
-def test_member_reports_its_allocation_alike_when_it_has_one(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_allocation_report_is_as_recorded_when_the_member_has_an_allocation(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(clock, "now", lambda: 100.0)
     monkeypatch.setattr(clock, "monotonic", lambda: 1200.0)
     allocation = MemberAllocation(ALLOCATION)
     monkeypatch.setattr(clock, "now", lambda: 102.0)
     dispatcher = cast("RequestDispatcher", SimpleNamespace(response_counts={"ok": 30, "busy": 11}))
-    report = allocation.report(dispatcher)
+    report = allocation.build_report(dispatcher)
     rejections = [
         allocation.on_grant({**ALLOCATION, "number": 8}),
         allocation.on_grant({}),
@@ -33,7 +33,7 @@
     rejection_of_newer = allocation.on_grant({**ALLOCATION, "number": 10})
     handed_over = allocation.hand_over()
     assert_as_recorded(
-        "allocation report", [report, rejection_of_newer, rejections, handed_over, allocation.report(dispatcher)]
+        "allocation report", [report, rejection_of_newer, rejections, handed_over, allocation.build_report(dispatcher)]
     )
 
 
@@ -88,7 +88,7 @@
     assert_as_recorded("daemon", exchanges)
 
 
-def test_daemon_reports_its_allocation_alike_when_it_was_started_with_one(tmp_path: Path) -> None:
+def test_allocation_report_is_as_recorded_when_the_daemon_was_started_with_one(tmp_path: Path) -> None:
     with Limiter(tmp_path, serve=()) as limiter:
         restart(limiter, part={**ALLOCATION, "end": 0.0})
         with control_session(limiter.state / "n0.sock") as session:
--- a/thymeflow/handover/sender.py
+++ b/thymeflow/handover/sender.py
@@ -18,28 +18,28 @@
 from thymeflow.snapshot import schema
 from thymeflow.snapshot.late_charges import LateCharges
 
-MAX_LATE_CHARGES_PER_MESSAGE = 500  # customers
-FLUSH_SECONDS = 0.2  # for the last messages to be sent before the process ends
-CONNECTION_REPORT_INTERVAL_SECONDS = 0.2  # at which the receiver is notified of the connections that are still open
-DELEGATED_STATES = (SenderState.DELEGATED, SenderState.DRAINING)  # states in which the receiver is the active process
+MAX_LATE_CHARGES_PER_MESSAGE = 500  # The number of customers.
+FLUSH_SECONDS = 0.2  # The time that the last messages get to be sent before the process ends.
+CONNECTION_REPORT_INTERVAL_SECONDS = 0.2  # Interval between reports of the number of open connections.
+DELEGATED_STATES = (SenderState.DELEGATED, SenderState.DRAINING)  # The receiver is the active process.
 
 
 class RejectingCounter:
-    """A counter that adds nothing: once the state is handed over, the receiver reports the demand."""
+    """A counter that rejects every call, because the receiver reports the demand once it has the state."""
 
-    # The parameters are those of a counter's interface.
+    # A counter's interface requires these parameters.
     def add(self, name: int, amount: float, ttl: float, deadline: float) -> Deferred[tuple[Status, float]]:  # noqa: ARG002
-        """Reject the call, as a counter does that replies `-BUSY`."""
+        """Reject the call like a counter that replies `-BUSY`."""
         return succeed((Status.FULL, 0.0))
 
 
-def _no_last_messages() -> float:
-    """Need no time before the process stops."""
+def _send_no_last_messages() -> float:
+    """Send no messages before the process stops; return the seconds that this takes, 0.0."""
     return 0.0
 
 
 class HandoverSender:
-    """Hands the listening socket and the state to a receiver, and rolls back where it fails."""
+    """Hands the listening socket and the state over to a receiver, and rolls back if the handover fails."""
 
     def __init__(self, participant: HandoverParticipant) -> None:
         self._participant = participant
@@ -63,7 +63,7 @@
         }
 
     def handle(self, caller: ControlCaller, message: Message) -> bool:
-        """Process a message if it belongs to a handover; return whether it does."""
+        """Process a message if it belongs to a handover; return whether it belongs to one."""
         if messages.is_request(message):
             self._on_request(caller, messages.parse_request(message))
             return True
@@ -76,21 +76,21 @@
     def _on_request(self, caller: ControlCaller, request: messages.HandoverRequest) -> None:
         rejection = self._find_rejection(request)
         if rejection is not None:
-            caller.send(messages.rejection_message(rejection))
+            caller.send(messages.build_rejection_message(rejection))
             return
         self._receiver = caller
         caller.keep_open(self._on_disconnected)
-        log.emit(LogKind.HANDOVER, f"requested by incarnation {request.incarnation}, pid {request.pid}")
+        log.emit(LogKind.HANDOVER, f"incarnation {request.incarnation}, pid {request.pid}, requested a handover")
         self.step(SenderEvent.REQUESTED)
 
     def _find_rejection(self, request: messages.HandoverRequest) -> str | None:
-        # The texts are sent to the receiver, of any version, and are a format.
+        # These texts are a format, because receivers of any version get them.
         limiter = self._participant.limiter
         phase = limiter.lifecycle.phase
         if phase not in (Phase.SERVING, Phase.EVACUATED):
             return f"it is {phase.value}"
         requires_same_site = self._participant.requires_same_site
-        if requires_same_site and request.site != schema.site_digest(limiter.gateway.settings):
+        if requires_same_site and request.site != schema.compute_site_digest(limiter.gateway.settings):
             return "plans or place in the set differ: restart it instead"
         if self.state is not SenderState.SERVING:
             return f"a hand-over is under way ({self.state.value})"
@@ -103,11 +103,11 @@
         self.step(SenderEvent.TIMED_OUT)
 
     def relinquish(self) -> None:
-        """Leave name and state to another process for good, without handing anything over."""
+        """Give up the name and the state to another process permanently, without handing anything over."""
         self.state = SenderState.DRAINING
 
     def step(self, event: SenderEvent) -> None:
-        """Make the transition for an input, and carry out its actions."""
+        """Make the transition for an input and carry out the actions of the transition."""
         previous = self.state
         self.state, actions = advance_sender(previous, event)
         if self.state is SenderState.SERVING:
@@ -115,7 +115,7 @@
             if previous is not self.state:
                 log.emit(
                     LogKind.HANDOVER,
-                    f"failed in state {previous.value!r} on {event.value!r}: this incarnation continues to serve",
+                    f"failed in state {previous.value!r} on event {event.value!r}: this incarnation continues to serve",
                 )
         elif previous is not self.state:
             self._step_timer.start(clock.now() + self._state_timeout(), self._on_timeout)
@@ -137,12 +137,12 @@
     def _send_descriptors(self) -> None:
         participant = self._participant
         address = participant.limiter.lifecycle.listen_address
-        message = messages.descriptors_message(address, participant.incarnation)
-        self._send(message, *participant.descriptors())
+        message = messages.build_descriptors_message(address, participant.incarnation)
+        self._send(message, *participant.get_descriptors())
 
     def _pause_listener(self) -> None:
         limiter = self._participant.limiter
-        limiter.lifecycle.port.stopReading()  # new connections wait in the kernel's queue
+        limiter.lifecycle.port.stopReading()  # New connections wait in the kernel's accept queue.
         if limiter.counter is not None:
             limiter.dispatcher.counter = RejectingCounter()
         state = schema.pack(self._participant.snapshots.take_snapshot(True))
@@ -152,7 +152,7 @@
         with os.fdopen(os.dup(self._state_descriptor), "wb") as file:
             file.write(state)
         self._is_allocation_handed_over = True
-        message = messages.state_message(
+        message = messages.build_state_message(
             len(state), count_open_connections(limiter), self._participant.hand_over_allocation()
         )
         self._send(message, self._state_descriptor)
@@ -165,10 +165,10 @@
     def _permit_accept(self) -> None:
         self._close_state_descriptor()
         self._is_accept_permitted = True
-        self._send(messages.permission_message())
+        self._send(messages.build_permission_message())
 
     def _confirm_delegation(self) -> None:
-        self._send(messages.delegation_message())
+        self._send(messages.build_delegation_message())
 
     def _delegate(self) -> None:
         log.emit(
@@ -182,7 +182,7 @@
     def _report_open_connections(self, _: int = 0) -> None:
         if self.state in DELEGATED_STATES and self._receiver is not None and not self._receiver.is_closed:
             limiter = self._participant.limiter
-            self._send(messages.open_connections_message(count_open_connections(limiter)))
+            self._send(messages.build_open_connections_message(count_open_connections(limiter)))
             next_at = clock.now() + CONNECTION_REPORT_INTERVAL_SECONDS
             limiter.deadlines.schedule(next_at, self._report_open_connections)
 
@@ -190,14 +190,14 @@
         self._participant.limiter.lifecycle.terminate(0.0)
 
     def _send_late_charges(self) -> float:
-        """Send what was charged since the snapshot; return the seconds that the messages need to be sent."""
+        """Send the charges since the snapshot; return the seconds to wait until the messages have been sent."""
         if self._late_charges is None or self._receiver is None or self._receiver.is_closed:
             return 0.0
-        charges = list(self._late_charges.units().items())
+        charges = list(self._late_charges.compute_units().items())
         for start in range(0, len(charges), MAX_LATE_CHARGES_PER_MESSAGE):
             chunk = charges[start : start + MAX_LATE_CHARGES_PER_MESSAGE]
-            self._send(messages.late_charges_message(dict(chunk)))
-        self._send(messages.last_message(len(charges)))
+            self._send(messages.build_late_charges_message(dict(chunk)))
+        self._send(messages.build_last_message(len(charges)))
         return FLUSH_SECONDS
 
     def _resume(self) -> None:
@@ -208,7 +208,7 @@
             self._participant.on_rolled_back(self._is_accept_permitted)
         self._late_charges = None
         self._is_accept_permitted = False
-        limiter.lifecycle.on_stopping = _no_last_messages
+        limiter.lifecycle.on_stopping = _send_no_last_messages
         if limiter.counter is not None:
             limiter.dispatcher.counter = limiter.counter
         limiter.on_handover_changed(False)
@@ -221,4 +221,4 @@
             receiver.abort_silently()
 
     def _reject_input(self) -> None:
-        self._send(messages.rejection_message(f"out of turn while {self.state.value}"))
+        self._send(messages.build_rejection_message(f"out of turn while {self.state.value}"))
--- a/thymeflow/snapshot/restore.py
+++ b/thymeflow/snapshot/restore.py
@@ -1,18 +1,19 @@
-"""Takes snapshots of a gateway and restores them; without I/O and without a clock.
+"""Takes snapshots of a gateway and restores them, without I/O and without a clock.
 
-A restart must not create units. What was spent stays spent, debt stays debt, and what may have been spent without
-being recorded counts as spent:
+A restart must not create units. Spent units stay spent, debt stays debt, and units that may have been spent without a
+record count as spent:
 
-- after a *final* snapshot, taken when nothing more could be forwarded, each bucket continues at its old level and
-  refills for the time that has passed;
-- after one of a running limiter, the customer may have continued to spend until the process died. Its bucket is charged
-  its own demand over the entire gap, but never below empty. The margin is what a customer that was idle at the
-  snapshot spent between it and the death: at most its share of the burst, once.
+- After a *final* snapshot, which is taken when no more requests can be forwarded, each bucket continues at its old
+  level and refills for the time that has passed.
+- After a snapshot of a running limiter, a customer may have continued to spend until the process died. The customer's
+  bucket is charged the customer's own demand for the entire gap, but never falls below empty. The remaining error is
+  the spending of a customer that was idle at the snapshot, between the snapshot and the death of the process: at most
+  the customer's share of the burst, once.
 
-A bucket's share is bounded by the burst of the current settings. In a set of another size it shrinks and never grows.
-The demand at other limiters is not restored: until the counter replies, the even share applies, as at any start.
+The burst of the current settings bounds a bucket's share. In a set of another size the share shrinks and never grows.
+The demand at other limiters is not restored: the even share applies until the counter replies, as at any start.
 
-This module translates between the field names of `schema`, which are a format, and those of the code.
+This module translates between the field names of `schema`, which are a format, and the field names of the code.
 """
 
 from __future__ import annotations
@@ -31,26 +32,34 @@
 from thymeflow.quota.buckets import BucketStart
 from thymeflow.quota.counter_ledger import CounterLedger, UncertainAmount
 from thymeflow.quota.token_bucket import TokenBucket
-from thymeflow.snapshot.late_charges import spend
-from thymeflow.snapshot.schema import AccountRecord, HealthRecord, ServerRecord, Snapshot, StoreRecord, site_digest
-
-MAX_CONSECUTIVE_FAILURES = 64  # that are restored of a backend; with more, the backoff is at its maximum anyway
-MAX_EJECTION_SECONDS = 60.0  # from the restore on
+from thymeflow.snapshot.late_charges import spend_units
+from thymeflow.snapshot.schema import (
+    AccountRecord,
+    HealthRecord,
+    ServerRecord,
+    Snapshot,
+    StoreRecord,
+    compute_site_digest,
+)
+
+MAX_CONSECUTIVE_FAILURES = 64  # With more failures of a backend, its backoff is at the maximum anyway.
+MAX_EJECTION_SECONDS = 60.0  # The time after the restore for which a restored ejection may last.
 MIN_RELATIVE_LATENCY = 0.1
 MAX_RELATIVE_LATENCY = 10.0
 MIN_MEAN_LATENCY_RATIO = 1e-3
-MIN_CALL_RATE_FACTOR = 0.1  # of the new gateway's counter call rate
+# Bounds of the restored counter call rate, as multiples of the new gateway's call rate.
+MIN_CALL_RATE_FACTOR = 0.1
 MAX_CALL_RATE_FACTOR = 4.0
 
 
 class RestoreResult(NamedTuple):
-    """How many buckets of a snapshot were restored, and how many were skipped."""
+    """The numbers of a snapshot's buckets that were restored and that were skipped."""
 
     restored: int
     skipped: int
 
 
-def _account_record(ledger: CounterLedger) -> AccountRecord:
+def _build_account_record(ledger: CounterLedger) -> AccountRecord:
     return AccountRecord(
         read=ledger.read_at,
         told=ledger.reported_units,
@@ -61,16 +70,16 @@
     )
 
 
-def _counter_ledger(record: AccountRecord) -> CounterLedger:
+def _build_counter_ledger(record: AccountRecord) -> CounterLedger:
     return CounterLedger(
         record.read, record.told, record.spent, record.name, record.total, UncertainAmount(*record.unsure)
     )
 
 
-def _store_record(bucket: TokenBucket, counter_calls: Mapping[int, tuple[int, float]]) -> StoreRecord:
+def _build_store_record(bucket: TokenBucket, counter_calls: Mapping[int, tuple[int, float]]) -> StoreRecord:
     ledger = replace(bucket.counter_ledger)
     for counter_name, (customer_id, amount) in counter_calls.items():
-        if customer_id == bucket.customer_id:  # the call is in flight and may have been added already
+        if customer_id == bucket.customer_id:  # The counter may have added the amount of this call in flight.
             ledger.mark_uncertain(counter_name, amount)
     return StoreRecord(
         number=bucket.customer_id,
@@ -91,29 +100,29 @@
         members=tuple(bucket.members),
         gathers=bucket.is_aggregator,
         ahead=bucket.predicted_remote_usage,
-        account=_account_record(ledger),
+        account=_build_account_record(ledger),
     )
 
 
-def _ejection_end(ejected_until: float) -> float:
-    # The gateway has minus infinity for "never"; a snapshot has finite numbers only.
+def _encode_ejection_end(ejected_until: float) -> float:
+    # The gateway stores minus infinity for a backend that was never ejected; a snapshot has finite numbers only.
     return 0.0 if ejected_until == -inf else ejected_until
 
 
-def _health_record(stats: BackendStats) -> HealthRecord:
+def _build_health_record(stats: BackendStats) -> HealthRecord:
     return HealthRecord(
         id=stats.endpoint.id,
         started=stats.endpoint.started,
         pace=stats.relative_latency,
         gap=stats.send_interval,
         failures={
-            class_name: (min(failure_count, MAX_CONSECUTIVE_FAILURES), _ejection_end(ejected_until))
+            class_name: (min(failure_count, MAX_CONSECUTIVE_FAILURES), _encode_ejection_end(ejected_until))
             for class_name, (failure_count, ejected_until) in stats.failures.items()
         },
     )
 
 
-def _server_record(backend: Backend, address: Address) -> ServerRecord:
+def _build_server_record(backend: Backend, address: Address) -> ServerRecord:
     return ServerRecord(
         id=backend.id,
         host=address.host,
@@ -136,14 +145,14 @@
     version: int,
     addresses: Mapping[int, Address],
 ) -> Snapshot:
-    """Return a snapshot of the gateway at `now`, with the endpoint list's version and the addresses of backends."""
+    """Return a snapshot of the gateway at `now`; `version` and `addresses` are those of its endpoint list."""
     servers = tuple(
-        _server_record(stats.endpoint, addresses[stats.endpoint.id])
+        _build_server_record(stats.endpoint, addresses[stats.endpoint.id])
         for stats in gateway.backends.values()
         if stats.endpoint.id in addresses
     )
     return Snapshot(
-        site=site_digest(gateway.settings),
+        site=compute_site_digest(gateway.settings),
         name=name,
         life=incarnation,
         taken=now,
@@ -155,15 +164,15 @@
         call_rate=gateway.reporter.call_rate,
         version=version,
         servers=servers,
-        health=tuple(_health_record(stats) for stats in gateway.backends.values()),
+        health=tuple(_build_health_record(stats) for stats in gateway.backends.values()),
         stores=tuple(
-            _store_record(bucket, gateway.reporter.calls) for bucket in gateway.buckets.values() if bucket.members
+            _build_store_record(bucket, gateway.reporter.calls) for bucket in gateway.buckets.values() if bucket.members
         ),
     )
 
 
-def endpoint_update_of(snapshot: Snapshot) -> EndpointUpdate:
-    """Return the snapshot's endpoint list, marked as cached since it may be old."""
+def build_endpoint_update(snapshot: Snapshot) -> EndpointUpdate:
+    """Return the snapshot's endpoint list, marked as cached because it may be out of date."""
     backends = tuple(
         Backend(
             record.id,
@@ -182,16 +191,16 @@
     )
 
 
-def newest_endpoint_update(snapshot: Snapshot, known: EndpointUpdate) -> EndpointUpdate:
-    """Return the newer of the snapshot's endpoint list and a known one."""
+def select_newest_endpoint_update(snapshot: Snapshot, known: EndpointUpdate) -> EndpointUpdate:
+    """Return the newer endpoint list: the snapshot's or the `known` one, which wins if the versions are equal."""
     if snapshot.servers and snapshot.version > known.change.version:
-        return endpoint_update_of(snapshot)
+        return build_endpoint_update(snapshot)
     return known
 
 
-def _restored_bucket(record: StoreRecord, plan: Plan, snapshot: Snapshot, now: float, gateway: Gateway) -> TokenBucket:
+def _restore_bucket(record: StoreRecord, plan: Plan, snapshot: Snapshot, now: float, gateway: Gateway) -> TokenBucket:
     bucket = gateway.token_buckets.create(plan, record.number, BucketStart(now, now, 0.0))
-    refreshed_at = min(record.at, now)  # a clock that was stepped back must not refill twice
+    refreshed_at = min(record.at, now)  # If the clock was stepped back, the bucket must not be refilled twice.
     _restore_fields(bucket, record, plan, refreshed_at)
     bucket.last_seen_at = now
     bucket.counter_ledger.read_at = min(bucket.counter_ledger.read_at, now)
@@ -199,9 +208,10 @@
     gap_seconds = max(0.0, now - refreshed_at)
     bucket.refresh(now)
     if not snapshot.final:
-        # It may have spent until just now: its demand is the best estimate, and what is not in the bucket cannot
-        # have been spent. The ceiling is a hard limit, so nothing there is left to an estimate.
-        spend(bucket, local_rate * gap_seconds)
+        # The customer may have spent units until now. Its demand is the best estimate of these units, and it cannot
+        # have spent more than the bucket had. The ceiling is a hard limit that no estimate may exceed, so its level
+        # restarts at zero at most.
+        spend_units(bucket, local_rate * gap_seconds)
         bucket.ceiling_level = min(bucket.ceiling_level, 0.0)
     return bucket
 
@@ -214,7 +224,7 @@
     bucket.remote_rate = max(0.0, record.others)
     bucket.requested_units = record.asked
     bucket.charged_units = record.charged
-    bucket.counter_ledger = _counter_ledger(record.account)
+    bucket.counter_ledger = _build_counter_ledger(record.account)
     bucket.mean_cost = record.lump
     bucket.usage_ratio = record.excess
     bucket.remote_rate_memory = record.memory
@@ -226,7 +236,7 @@
 
 
 def restore_gateway(gateway: Gateway, snapshot: Snapshot, now: float) -> RestoreResult:
-    """Restore a new gateway's state, except that of backends; buckets of unknown plans are skipped."""
+    """Restore the state of a new gateway, except the backends' health; buckets of unknown plans are skipped."""
     skipped = 0
     plans = gateway.context.plans
     for record in snapshot.stores:
@@ -234,7 +244,7 @@
         if plan is None or record.number in gateway.buckets:
             skipped += 1
             continue
-        bucket = _restored_bucket(record, plan, snapshot, now, gateway)
+        bucket = _restore_bucket(record, plan, snapshot, now, gateway)
         bucket.set_changed = snapshot.gateways != gateway.settings.limiter_count
         gateway.buckets[record.number] = bucket
     gateway.registry.pressure = min(1.0, max(0.0, snapshot.pressure))
@@ -247,9 +257,9 @@
 
 
 def restore_health(gateway: Gateway, snapshot: Snapshot, now: float) -> int:
-    """Restore the health of backends that have not restarted since; return how many there are.
+    """Restore the health of backends that have not restarted since the snapshot; return their number.
 
-    The endpoint list has to be known by then.
+    The gateway needs the endpoint list before this call.
     """
     restored = 0
     for record in snapshot.health:
@@ -265,11 +275,11 @@
     stats.send_interval = max(0.0, record.gap)
     stats.failures = {
         class_name: FailureStreak(
-            min(max(0, failure_count), MAX_CONSECUTIVE_FAILURES), _ejected_until(ejection_end, now)
+            min(max(0, failure_count), MAX_CONSECUTIVE_FAILURES), _decode_ejection_end(ejection_end, now)
         )
         for class_name, (failure_count, ejection_end) in record.failures.items()
     }
 
 
-def _ejected_until(ejection_end: float, now: float) -> float:
+def _decode_ejection_end(ejection_end: float, now: float) -> float:
     return min(ejection_end, now + MAX_EJECTION_SECONDS) or -inf
