--- a/tests/fleet/support.py
+++ b/tests/fleet/support.py
@@ -28,20 +28,27 @@
     """A supervisor with three members, which use the platform configuration of a limiter that the test started."""
 
     def __init__(
-        self, folder: Path, limiter: Limiter, program: tuple[str, ...] = THYMEFLOW, is_awaited: bool = True
+        self, folder: Path, limiter: Limiter, program: tuple[str, ...] = THYMEFLOW, wait_for_members: bool = True
     ) -> None:
-        """Start the supervisor with this program; if `is_awaited`, wait until its members are ready."""
-        self.state = limiter.state
-        self.ini = folder / "f.ini"
-        self.ini.write_text(SETTINGS_TEMPLATE.format(folder))
-        self.path = limiter.path
-        self.process = self.up(program)
-        if is_awaited:
-            self.ready(3)
-
-    def up(self, program: tuple[str, ...] = THYMEFLOW) -> subprocess.Popen[str]:
+        """Start the supervisor with this program; if `wait_for_members`, wait until its members are ready."""
+        self.state_folder = limiter.state
+        self.settings_path = folder / "f.ini"
+        self.settings_path.write_text(SETTINGS_TEMPLATE.format(folder))
+        self.platform_path = limiter.path
+        self.process = self.start_supervisor(program)
+        if wait_for_members:
+            self.wait_until_ready(3)
+
+    def start_supervisor(self, program: tuple[str, ...] = THYMEFLOW) -> subprocess.Popen[str]:
         """Start a supervisor and return its process."""
-        options = ["--settings", str(self.ini), "--platform", str(self.path), "--state", str(self.state)]
+        options = [
+            "--settings",
+            str(self.settings_path),
+            "--platform",
+            str(self.platform_path),
+            "--state",
+            str(self.state_folder),
+        ]
         return subprocess.Popen(
             [sys.executable, *program, "fleet", "up", *options],
             cwd=ROOT,
@@ -56,13 +63,13 @@
         """
         with socket.socket(socket.AF_UNIX) as connection:
             connection.settimeout(PATIENCE)
-            connection.connect(str(self.state / "fleet.sock"))
+            connection.connect(str(self.state_folder / "fleet.sock"))
             connection.sendall(json.dumps(message).encode() + b"\n")
             for text in connection.makefile():
                 answer: Message = json.loads(text)
                 if "ok" in answer:
                     return answer
-        raise ConnectionError((self.ini.parent / "log").read_text()[-LOG_TAIL_CHARACTERS:])
+        raise ConnectionError((self.settings_path.parent / "log").read_text()[-LOG_TAIL_CHARACTERS:])
 
     def status(self) -> Message:
         """Return the fleet's status, empty if no supervisor answers."""
@@ -71,7 +78,7 @@
         except (OSError, ValueError):
             return {}
 
-    def ready(self, count: int) -> Message:
+    def wait_until_ready(self, count: int) -> Message:
         """Wait until `count` members are wanted and ready and no operation is in progress; return the status."""
         deadline = time.monotonic() + PATIENCE
         while (status := self.status()).get("ready") != count or status["wanted"] != count or status["working"]:
@@ -80,7 +87,7 @@
             time.sleep(POLL_SECONDS)
         return status
 
-    def pids(self) -> list[int]:
+    def find_member_pids(self) -> list[int]:
         """Return the pids of the members."""
         return [member["pid"] for member in self.status()["members"]]
 
@@ -88,14 +95,14 @@
         return self
 
     def __exit__(self, *_: object) -> None:
-        for process in self._locked_processes():
-            if str(self.state) in " ".join(process.cmdline()):
+        for process in self._find_lock_owners():
+            if str(self.state_folder) in " ".join(process.cmdline()):
                 process.kill()
         self.process.kill()
         self.process.communicate()
 
-    def _locked_processes(self) -> list[psutil.Process]:
-        contents = [path.read_text().split() for path in self.state.glob("n*.lock")]
+    def _find_lock_owners(self) -> list[psutil.Process]:
+        contents = [path.read_text().split() for path in self.state_folder.glob("n*.lock")]
         pids = [int(words[0]) for words in contents if words]
         return [psutil.Process(pid) for pid in pids if psutil.pid_exists(pid)]
 
@@ -108,7 +115,7 @@
         return client.recv(100) == b"+PONG\r\n"
 
 
-def cli(*arguments: str) -> subprocess.CompletedProcess[str]:
+def run_command(*arguments: str) -> subprocess.CompletedProcess[str]:
     """Run a thymeflow command until it exits, and return the result."""
     return subprocess.run(
         [sys.executable, "-m", "thymeflow", *arguments], cwd=ROOT, capture_output=True, text=True, check=False
--- a/tests/fleet/test_message_formats.py
+++ b/tests/fleet/test_message_formats.py
@@ -110,7 +110,7 @@
         lambda: len(HOLDERS),
     )
     distributor.start(False)
-    allocations: dict[str, Json] = {name: distributor.on_starting(name) for name in HOLDERS}
+    allocations: dict[str, Json] = {name: distributor.allocate_on_start(name) for name in HOLDERS}
     first_allocations = dict(allocations)
     for step in range(LEASE_STEPS):
         stepped_clock.step()
--- a/tests/leases/support.py
+++ b/tests/leases/support.py
@@ -37,7 +37,9 @@
     while True:
         amounts = fetch_amounts_in_force(fleet)
         rows = (
-            grant_file.unpack((fleet.state / "fleet.grants").read_bytes(), "n").rows.values() if has_grant_file else ()
+            grant_file.unpack((fleet.state_folder / "fleet.grants").read_bytes(), "n").rows.values()
+            if has_grant_file
+            else ()
         )
         for index in range(len(Resource)):
             assert sum(row.noted[index] + row.noted[index + len(Resource)] for row in rows) <= TOTAL_POINTS, rows
@@ -106,7 +108,7 @@
     """Return the allocation in the status that a member returns on its own control socket."""
     with socket.socket(socket.AF_UNIX) as connection:
         connection.settimeout(PATIENCE)
-        connection.connect(str(path or fleet.state / f"n{number}.sock"))
+        connection.connect(str(path or fleet.state_folder / f"n{number}.sock"))
         connection.sendall(b'{"do":"status"}\n')
         allocation: dict[str, Any] = json.loads(connection.makefile().readline())["part"]
         return allocation
--- a/tests/leases/test_lease_fleet.py
+++ b/tests/leases/test_lease_fleet.py
@@ -14,7 +14,7 @@
 import psutil
 import pytest
 
-from tests.fleet.support import RunningFleet, cli
+from tests.fleet.support import RunningFleet, run_command
 from tests.leases.support import ControlSocketProxy, fetch_reported_allocation, wait_until
 from tests.limiter import PATIENCE, Limiter
 from thymeflow.leases.resources import BASE_POINTS, LEASED_POINTS, TOTAL_POINTS
@@ -25,16 +25,16 @@
 ) -> None:
     with Limiter(tmp_path) as limiter, RunningFleet(tmp_path, limiter) as fleet:
         wait_until(fleet, lambda amounts: len(amounts) == 3 and sum(amounts.values()) > 0.95)
-        stopped = psutil.Process(fleet.ready(3)["members"][0]["pid"])
+        stopped = psutil.Process(fleet.wait_until_ready(3)["members"][0]["pid"])
         stopped.send_signal(signal.SIGSTOP)  # its lease expires, and it keeps its base amount
         wait_until(fleet, lambda amounts: amounts["n1"] + amounts["n2"] > 0.75)
         stopped.send_signal(signal.SIGCONT)
         wait_until(fleet, lambda amounts: min(amounts.values()) > 0.2)
-        for member in fleet.ready(3)["members"][1:]:
+        for member in fleet.wait_until_ready(3)["members"][1:]:
             psutil.Process(member["pid"]).kill()
         wait_until(fleet, lambda amounts: amounts["n0"] > 0.9 or min(amounts.values()) > 0.2)
         wait_until(fleet, lambda amounts: len(amounts) == 3 and min(amounts.values()) > 0.2)
-        budgets = cli("budgets", "--state", str(fleet.state))
+        budgets = run_command("budgets", "--state", str(fleet.state_folder))
         assert budgets.returncode == 0
         assert "concurrency: base" in budgets.stdout
         assert "n2" in budgets.stdout
@@ -46,8 +46,8 @@
         epoch = fleet.request(do="budgets")["era"]
         fleet.process.kill()
         fleet.process.communicate()
-        fleet.process = fleet.up()
-        fleet.ready(3)
+        fleet.process = fleet.start_supervisor()
+        fleet.wait_until_ready(3)
         assert fleet.request(do="budgets")["era"] == epoch + 1
         wait_until(fleet, lambda amounts: len(amounts) == 3 and sum(amounts.values()) > 0.95)
         assert fleet.request(do="upgrade")["ok"]  # allocations are handed over to new processes
@@ -65,9 +65,9 @@
         wait_until(fleet, lambda amounts: len(amounts) == 3 and sum(amounts.values()) > 0.95)
         fleet.process.kill()
         fleet.process.communicate()
-        (fleet.state / "fleet.grants").write_bytes(b"half")
-        fleet.process = fleet.up()
-        fleet.ready(3)
+        (fleet.state_folder / "fleet.grants").write_bytes(b"half")
+        fleet.process = fleet.start_supervisor()
+        fleet.wait_until_ready(3)
         assert "the previous grant file is not used" in (tmp_path / "log").read_text()
         wait_until(
             fleet, lambda amounts: 0.3 < sum(amounts.values()) <= LEASED_POINTS / TOTAL_POINTS, has_grant_file=False
@@ -79,11 +79,11 @@
 def test_only_the_lease_is_lost_when_messages_of_one_direction_are_delayed(tmp_path: Path) -> None:
     with Limiter(tmp_path) as limiter, RunningFleet(tmp_path, limiter) as fleet:
         wait_until(fleet, lambda amounts: len(amounts) == 3 and sum(amounts.values()) > 0.95)
-        with ControlSocketProxy(fleet.state, "n0") as proxy:
+        with ControlSocketProxy(fleet.state_folder, "n0") as proxy:
             fleet.process.kill()
             fleet.process.communicate()
-            fleet.process = fleet.up()  # the new supervisor connects to n0 through the proxy
-            fleet.ready(3)
+            fleet.process = fleet.start_supervisor()  # the new supervisor connects to n0 through the proxy
+            fleet.wait_until_ready(3)
             wait_until(fleet, lambda amounts: len(amounts) == 3 and min(amounts.values()) > 0.2)
             for direction in ("up", "down"):
                 proxy.delayed.add(direction)
@@ -121,7 +121,7 @@
             "all",
         ):
             with socket.socket(socket.AF_UNIX) as connection:
-                connection.connect(str(fleet.state / "n0.sock"))
+                connection.connect(str(fleet.state_folder / "n0.sock"))
                 connection.sendall(json.dumps({"do": "part", "part": allocation}).encode() + b"\n")
                 connection.sendall(b'{"do":"status"}\n')
                 connection.settimeout(PATIENCE)
@@ -158,7 +158,7 @@
     LeaseDistributor._tick = tick
     tick(self, _)
 LeaseDistributor._tick = sending
-LeaseDistributor.on_starting = killing(("after a start is written", "after"), LeaseDistributor.on_starting)
+LeaseDistributor.allocate_on_start = killing(("after a start is written", "after"), LeaseDistributor.allocate_on_start)
 from thymeflow.cli import run
 sys.exit(run())
 """
@@ -183,9 +183,9 @@
     tmp_path: Path, step: str, count: int
 ) -> None:
     program = ("-c", DYING_SUPERVISOR.format(step=step, count=count))
-    with Limiter(tmp_path) as limiter, RunningFleet(tmp_path, limiter, program, is_awaited=False) as fleet:
+    with Limiter(tmp_path) as limiter, RunningFleet(tmp_path, limiter, program, wait_for_members=False) as fleet:
         assert fleet.process.wait(PATIENCE) == -signal.SIGKILL
         fleet.process.communicate()
-        fleet.process = fleet.up()
-        fleet.ready(3)
+        fleet.process = fleet.start_supervisor()
+        fleet.wait_until_ready(3)
         wait_until(fleet, lambda amounts: len(amounts) == 3 and sum(amounts.values()) > 0.95)
--- a/tests/outliers/test_outlier_fleet.py
+++ b/tests/outliers/test_outlier_fleet.py
@@ -10,7 +10,7 @@
 import time
 from pathlib import Path
 
-from tests.fleet.support import RunningFleet, cli
+from tests.fleet.support import RunningFleet, run_command
 from tests.limiter import PATIENCE, Limiter
 from tests.outliers.support import MemberClients, RespondingBackends
 
@@ -21,7 +21,7 @@
         RunningFleet(tmp_path, limiter) as fleet,
         RespondingBackends(limiter) as backends,
     ):
-        clients = MemberClients(limiter, fleet.ready(3)["members"])
+        clients = MemberClients(limiter, fleet.wait_until_ready(3)["members"])
 
         def wait_until(state: str) -> None:
             end = time.monotonic() + PATIENCE
@@ -36,7 +36,7 @@
         ejection = fleet.request(do="overload")["cases"][0]
         assert ejection["server"] == 1
         assert len(ejection["words"]) >= 2
-        shown = cli("overload", "--state", str(fleet.state))
+        shown = run_command("overload", "--state", str(fleet.state_folder))
         # The first reports of any two of the three members lead to the ejection.
         row = shown.stdout.splitlines()[-1]
         assert shown.returncode == 0
@@ -58,7 +58,7 @@
         RunningFleet(tmp_path, limiter) as fleet,
         RespondingBackends(limiter) as backends,
     ):
-        clients = MemberClients(limiter, fleet.ready(3)["members"])
+        clients = MemberClients(limiter, fleet.wait_until_ready(3)["members"])
         other_class_attempts = 0  # attempts of the other class since the ejection
         backends.failing = {0}
         backends.failing_class = b"c=look,"
@@ -87,7 +87,7 @@
             entry["zone"] = "west"
         limiter.path.write_text(json.dumps(limiter.config))
         with RunningFleet(tmp_path, limiter) as fleet, RespondingBackends(limiter) as backends:
-            clients = MemberClients(limiter, fleet.ready(3)["members"])
+            clients = MemberClients(limiter, fleet.wait_until_ready(3)["members"])
 
             def wait_until(expected_ejections: set[tuple[str, str]]) -> None:
                 end = time.monotonic() + PATIENCE
@@ -113,7 +113,7 @@
         RunningFleet(tmp_path, limiter) as fleet,
         RespondingBackends(limiter) as backends,
     ):
-        members = fleet.ready(3)["members"]
+        members = fleet.wait_until_ready(3)["members"]
         clients = MemberClients(limiter, members)
         backends.closed_to = {members[0]["pid"]: {0, 1}}
 
--- a/tests/shedding/test_threshold.py
+++ b/tests/shedding/test_threshold.py
@@ -206,7 +206,7 @@
         RunningFleet(tmp_path, limiter) as members,
         RespondingBackends(limiter) as backends,
     ):
-        clients = MemberClients(limiter, members.ready(3)["members"])
+        clients = MemberClients(limiter, members.wait_until_ready(3)["members"])
         rejected_count = 0
 
         def wait_until(is_reached: Callable[[Message], bool]) -> None:
--- a/thymeflow/fleet/lease_distributor.py
+++ b/thymeflow/fleet/lease_distributor.py
@@ -57,7 +57,7 @@
         """Return the names of the members that may have an allocation."""
         return [name for name, record in self._issuer.records.items() if record.state is not HolderState.ABSENT]
 
-    def on_starting(self, name: str) -> Message:
+    def allocate_on_start(self, name: str) -> Message:
         """Return the initial allocation of a member's new process, as a message."""
         if self._issuer.get_or_create_record(name).state not in (HolderState.ABSENT, HolderState.NOT_REPORTING):
             self._issuer.on_disconnected(name)
--- a/thymeflow/fleet/member_processes.py
+++ b/thymeflow/fleet/member_processes.py
@@ -210,7 +210,7 @@
     def _build_initial_allocation(self, action: StartProcess) -> Message:
         if action.is_replacement:
             return allocation_to_message(EMPTY_ALLOCATION)
-        return self._leases.on_starting(self._names.name(action.number))
+        return self._leases.allocate_on_start(self._names.name(action.number))
 
     def _find_running_process(self, status: MemberStatus) -> AdoptedProcess | None:
         try:
