--- a/tests/fleet/controller_labels.py
+++ b/tests/fleet/controller_labels.py
@@ -29,7 +29,7 @@
     member_state.Transition.END: "ends",
     member_state.Transition.ENTER_CRASH_LOOP: "loops",
     member_state.Transition.REPLACE: "replace",
-    member_state.Transition.FINISH_REPLACEMENT: "settle",
+    member_state.Transition.END_REPLACEMENT: "settle",
     member_state.Transition.STOP: "stop",
     member_state.Transition.RESET: "again",
 }
@@ -64,7 +64,7 @@
 
 def build_operation(number: int, kind: str, count: int) -> Event:
     """Return the event of an operation that an operator orders."""
-    return events.Operation(number, OPERATIONS[kind], count)
+    return events.OperationOrdered(number, OPERATIONS[kind], count)
 
 
 def build_controller(seed: int) -> Controller:
@@ -108,4 +108,7 @@
 
 def list_table_rows() -> list[list[str]]:
     """Return the sorted rows of the transition table as labels: state, transition and next state."""
-    return sorted([STATES[state], TRANSITIONS[event], STATES[after]] for (state, event), after in TABLE.items())
+    return sorted(
+        [STATES[state], TRANSITIONS[transition], STATES[next_state]]
+        for (state, transition), next_state in TABLE.items()
+    )
--- a/tests/fleet/controller_model.py
+++ b/tests/fleet/controller_model.py
@@ -21,25 +21,28 @@
     def __init__(self, count: int = 3, start: bool = True) -> None:
         self.controller = FleetController(SETTINGS, random.Random(1))
         self.now = 100.0
-        self.alive: dict[int, actions.StartProcess] = {}
+        self.starts_by_live_run_id: dict[int, actions.StartProcess] = {}
         self.stopping: set[int] = set()
         self.actions: list[actions.Action] = []
-        self.size = 0
-        self.operations = 0
+        self.notified_size = 0
+        self.last_operation_id = 0
         if start:
             self.handle(events.FleetStarted(count))
-            self.run_until_settled()
+            self.run_rounds_without_failures()
 
     def handle(self, event: events.Event) -> list[actions.Action]:
         """Pass an event to the controller, and track the processes that its actions start and stop."""
         decided = self.controller.handle(self.now, event)
         for action in decided:
             if isinstance(action, actions.StartProcess):
-                self.alive[action.run_id] = action
-            elif isinstance(action, actions.StopProcess | actions.KillProcess) and action.run_id in self.alive:
+                self.starts_by_live_run_id[action.run_id] = action
+            elif (
+                isinstance(action, actions.StopProcess | actions.KillProcess)
+                and action.run_id in self.starts_by_live_run_id
+            ):
                 self.stopping.add(action.run_id)
             elif isinstance(action, actions.ResizeFleet):
-                self.size = action.size
+                self.notified_size = action.size
         self.actions += decided
         return decided
 
@@ -49,7 +52,7 @@
 
     def end(self, run_id: int, reason: str = "ended with code 0") -> None:
         """End the process of a run, and report the end to the controller."""
-        self.alive.pop(run_id)
+        self.starts_by_live_run_id.pop(run_id)
         self.stopping.discard(run_id)
         self.handle(events.RunEnded(run_id, reason))
 
@@ -67,16 +70,20 @@
         self.now = end
         self.handle(events.Tick())
 
-    def run_until_settled(self, rounds: int = 60) -> None:
+    def run_rounds_without_failures(self, rounds: int = 60) -> None:
         """Let every pending stop and start succeed, and advance the time by 0.3 s per round."""
         for _ in range(rounds):
             for run_id in list(self.stopping):
-                if run_id in self.alive:
+                if run_id in self.starts_by_live_run_id:
                     self.end(run_id)
-            for run_id, start in list(self.alive.items()):
+            for run_id, start in list(self.starts_by_live_run_id.items()):
                 member = self.controller.members.get(start.number)
                 if member and run_id in (member.run_id, member.successor_run_id):
-                    if start.is_replacement and member.successor_run_id == run_id and member.run_id in self.alive:
+                    if (
+                        start.is_replacement
+                        and member.successor_run_id == run_id
+                        and member.run_id in self.starts_by_live_run_id
+                    ):
                         previous_run_id = member.run_id
                         self.report_status(run_id)
                         self.stopping.add(previous_run_id)
@@ -90,11 +97,11 @@
 
     def begin(self, kind: OperationKind, count: int = 0) -> int:
         """Order an operation, and return its id."""
-        self.operations += 1
-        self.handle(events.Operation(self.operations, kind, count))
-        return self.operations
+        self.last_operation_id += 1
+        self.handle(events.OperationOrdered(self.last_operation_id, kind, count))
+        return self.last_operation_id
 
-    def last_report(self, operation_id: int) -> actions.ReportProgress:
+    def final_report(self, operation_id: int) -> actions.ReportProgress:
         """Return the final report of an operation, of which there has to be exactly one."""
         (report,) = [
             a
--- a/tests/fleet/controller_trace.py
+++ b/tests/fleet/controller_trace.py
@@ -47,22 +47,25 @@
     ends_at: float
     is_serving: bool = False
     is_healthy: bool = True
-    predecessor: int = -1
+    predecessor_run_id: int = -1
 
 
 @dataclass(slots=True)
 class Model:
-    """A controller and the processes that it has started; `fault_rate` is the probability that a process fails."""
+    """A controller and the processes that it has started.
+
+    `fault_probability` is the probability that a process fails its start; other faults occur with multiples of it.
+    """
 
     controller: Controller
     rng: random.Random
-    fault_rate: float
+    fault_probability: float
     decisions: Trace
     texts: Trace
     now: float = 1000.0
     processes: dict[int, Process] = field(default_factory=dict)
     serving_run_ids: dict[int, int] = field(default_factory=dict)
-    operations: int = 0
+    last_operation_id: int = 0
     is_over: bool = False
 
     def handle(self, label: str, event: Event) -> None:
@@ -82,7 +85,7 @@
             _, run_id, number, _, is_replacement = action
             self.processes[run_id] = self._new_process(number, is_replacement)
         elif action[0] == STOP and action[1] in self.processes:
-            is_hanging = self.rng.random() < self.fault_rate
+            is_hanging = self.rng.random() < self.fault_probability
             self._schedule_end(action[1], NEVER if is_hanging else self.rng.uniform(0.0, 2.0))
         elif action[0] == KILL and action[1] in self.processes:
             self._schedule_end(action[1], self.rng.choice([0.0, 0.05, 6.0]))
@@ -96,10 +99,10 @@
     def _new_process(self, number: int, is_replacement: bool) -> Process:
         random_value = self.rng.random()
         delay = self.rng.uniform(0.05, 3.0)
-        serves_at = NEVER if random_value < self.fault_rate else self.now + delay
-        ends_at = self.now + self.rng.uniform(0.0, 2.5) if random_value < self.fault_rate * 0.6 else NEVER
-        predecessor = self.serving_run_ids.get(number, -1) if is_replacement else -1
-        return Process(number, is_replacement, serves_at, ends_at, predecessor=predecessor)
+        serves_at = NEVER if random_value < self.fault_probability else self.now + delay
+        ends_at = self.now + self.rng.uniform(0.0, 2.5) if random_value < self.fault_probability * 0.6 else NEVER
+        predecessor_run_id = self.serving_run_ids.get(number, -1) if is_replacement else -1
+        return Process(number, is_replacement, serves_at, ends_at, predecessor_run_id=predecessor_run_id)
 
     def adopt(self, number: int, is_serving: bool) -> None:
         """Let the controller adopt a member that was already running."""
@@ -113,17 +116,17 @@
 
     def step(self) -> None:
         """Trigger the next event: the start or end of a process, a deadline, or a random event."""
-        next_start = min(
+        next_serving = min(
             ((p.serves_at, run_id) for run_id, p in self.processes.items() if not p.is_serving), default=(NEVER, -1)
         )
         next_end = min(((p.ends_at, run_id) for run_id, p in self.processes.items()), default=(NEVER, -1))
         next_tick = (max(self.now, self.controller.next_deadline()), -1)
         random_event = (self.now + self.rng.expovariate(1.5), -1)
-        at, run_id = min(next_start, next_end, next_tick, random_event)
+        at, run_id = min(next_serving, next_end, next_tick, random_event)
         self.now = max(self.now, at)
         if (at, run_id) == next_end:
             self._end_process(run_id)
-        elif (at, run_id) == next_start:
+        elif (at, run_id) == next_serving:
             self._start_serving(run_id)
         elif (at, run_id) == next_tick:
             self.handle("tick", events.Tick())
@@ -133,21 +136,21 @@
     def _start_serving(self, run_id: int) -> None:
         process = self.processes[run_id]
         process.is_serving = True
-        process.is_healthy = self.rng.random() > self.fault_rate / 2
-        if process.predecessor in self.processes and self._end_predecessor_first(process, run_id):
+        process.is_healthy = self.rng.random() > self.fault_probability / 2
+        if process.predecessor_run_id in self.processes and self._withhold_report(process, run_id):
             return
         self.serving_run_ids[process.number] = run_id
         self.handle("told", events.StatusReported(run_id, f"life{run_id}", True, process.is_healthy))
 
-    def _end_predecessor_first(self, process: Process, run_id: int) -> bool:
+    def _withhold_report(self, process: Process, run_id: int) -> bool:
         # Returns whether the controller learns of the predecessor's end before the successor's report. The report then
         # comes later or never.
-        is_hanging = self.rng.random() < self.fault_rate
-        self._schedule_end(process.predecessor, NEVER if is_hanging else self.rng.uniform(0.0, 1.5))
+        is_hanging = self.rng.random() < self.fault_probability
+        self._schedule_end(process.predecessor_run_id, NEVER if is_hanging else self.rng.uniform(0.0, 1.5))
         if self.rng.random() > 0.3:
             return False
-        self._end_process(process.predecessor)
-        if self.rng.random() < 2.0 * self.fault_rate:
+        self._end_process(process.predecessor_run_id)
+        if self.rng.random() < 2.0 * self.fault_probability:
             self._end_process(run_id)
         elif self.rng.random() < 0.5:
             process.is_serving = False
@@ -169,7 +172,7 @@
         run_id = self.rng.choice(list(self.processes)) if self.processes else -1
         if sample < 0.30:
             self._begin_operation(*self.rng.choices(list(OPERATIONS), OPERATION_WEIGHTS))
-        elif sample < 0.30 + 0.4 * self.fault_rate and run_id >= 0:
+        elif sample < 0.30 + 0.4 * self.fault_probability and run_id >= 0:
             self._end_process(run_id)
         elif sample < 0.95 and run_id >= 0:
             process = self.processes[run_id]
@@ -181,8 +184,10 @@
             self.handle("ended", events.RunEnded(self.rng.randrange(300, 400), ENDS[0]))
 
     def _begin_operation(self, kind: str) -> None:
-        self.operations += 1
-        self.handle(kind, build_operation(self.operations, kind, self.rng.randint(1, 6) if kind == "scale" else 0))
+        self.last_operation_id += 1
+        self.handle(
+            kind, build_operation(self.last_operation_id, kind, self.rng.randint(1, 6) if kind == "scale" else 0)
+        )
 
 
 def _remove_text(action: list[Any]) -> list[Any]:
--- a/tests/fleet/test_controller.py
+++ b/tests/fleet/test_controller.py
@@ -33,13 +33,13 @@
     started_at: dict[int, float] = {}
     for _ in range(200):
         model.advance(0.01)
-        for run_id in model.alive:
+        for run_id in model.starts_by_live_run_id:
             started_at.setdefault(run_id, model.now)
     times = sorted(started_at.values())
     assert len(times) == 3
     assert times[-1] - times[0] <= SETTINGS.spread + 0.02
     assert all(b > a for a, b in pairwise(times))
-    assert not any(s.is_joining for s in model.alive.values())
+    assert not any(s.is_joining for s in model.starts_by_live_run_id.values())
 
 
 def test_restart_waits_with_the_next_member_when_the_restarted_one_is_not_healthy() -> None:
@@ -57,7 +57,7 @@
         assert model.controller.describe_operation()  # The member is ready but not healthy yet.
         model.report_status(run_id)
         model.advance(SETTINGS.settle + 0.01)
-    assert model.last_report(operation).is_successful
+    assert model.final_report(operation).is_successful
     assert model.states() == dict.fromkeys(range(3), MemberState.READY)
 
 
@@ -68,8 +68,8 @@
     member = model.controller.members[0]
     old_run_id = member.run_id
     new_run_id = member.successor_run_id
-    assert model.alive[new_run_id].is_replacement
-    assert old_run_id in model.alive
+    assert model.starts_by_live_run_id[new_run_id].is_replacement
+    assert old_run_id in model.starts_by_live_run_id
     assert not model.stopping
     model.report_status(new_run_id)
     assert member.run_id == new_run_id
@@ -77,8 +77,8 @@
     model.end(old_run_id)
     assert member.state is MemberState.READY
     assert member.run_id == new_run_id
-    model.run_until_settled()
-    assert model.last_report(operation).is_successful
+    model.run_rounds_without_failures()
+    assert model.final_report(operation).is_successful
 
 
 def test_upgrade_succeeds_when_the_old_run_ends_before_the_successor_reports() -> None:
@@ -89,12 +89,12 @@
     new_run_id = member.successor_run_id
     model.end(member.run_id)
     assert model.states()[0] is MemberState.REPLACING
-    assert new_run_id in model.alive
+    assert new_run_id in model.starts_by_live_run_id
     model.report_status(new_run_id)
     assert model.states()[0] is MemberState.READY
     assert member.run_id == new_run_id
-    model.run_until_settled()
-    assert model.last_report(operation).is_successful
+    model.run_rounds_without_failures()
+    assert model.final_report(operation).is_successful
 
 
 @pytest.mark.parametrize("failure_mode", ["ends", "hangs", "both"])
@@ -112,7 +112,7 @@
         if failure_mode == "both":
             model.end(member.run_id)
         model.end(successor, "ended with code 1")
-    report = model.last_report(operation)
+    report = model.final_report(operation)
     assert not report.is_successful
     assert "member 0" in report.text
     assert "not touched: 1, 2" in report.text
@@ -122,7 +122,7 @@
         assert member.run_id == runs[0]
     else:
         assert member.state is MemberState.WAITING
-    model.run_until_settled()
+    model.run_rounds_without_failures()
     assert model.states() == dict.fromkeys(range(3), MemberState.READY)
 
 
@@ -131,8 +131,8 @@
     model = FleetModel()
     operation = model.begin(OperationKind.RESTART)
     model.end(model.controller.members[2].run_id, "was ended by SIGKILL")
-    assert not model.last_report(operation).is_successful
-    model.run_until_settled()
+    assert not model.final_report(operation).is_successful
+    model.run_rounds_without_failures()
     assert model.states() == dict.fromkeys(range(3), MemberState.READY)
 
 
@@ -150,10 +150,10 @@
     model.advance(500.0)
     assert model.states()[1] is MemberState.CRASH_LOOP
     assert model.controller.next_deadline() > model.now
-    assert not model.last_report(model.begin(OperationKind.UPGRADE)).is_successful
+    assert not model.final_report(model.begin(OperationKind.UPGRADE)).is_successful
     operation = model.begin(OperationKind.RESTART)
-    model.run_until_settled()
-    assert model.last_report(operation).is_successful
+    model.run_rounds_without_failures()
+    assert model.final_report(operation).is_successful
     assert model.states()[1] is MemberState.READY
 
 
@@ -161,22 +161,22 @@
     """A member that knows a size below the real one would reject requests of customers whose set has grown."""
     model = FleetModel()
     scale_up_id = model.begin(OperationKind.SCALE, 5)
-    assert model.size == 5
+    assert model.notified_size == 5
     model.advance(SETTINGS.spread)
-    assert sorted(s.number for s in model.alive.values() if s.is_joining) == [3, 4]
-    model.run_until_settled()
-    assert model.last_report(scale_up_id).is_successful
+    assert sorted(s.number for s in model.starts_by_live_run_id.values() if s.is_joining) == [3, 4]
+    model.run_rounds_without_failures()
+    assert model.final_report(scale_up_id).is_successful
     assert len(model.states()) == 5
     joined = model.controller.members[4]
     model.end(joined.run_id, "was ended by SIGKILL")
-    model.run_until_settled()
-    assert not model.alive[joined.run_id].is_joining  # Only the first start joins the set.
+    model.run_rounds_without_failures()
+    assert not model.starts_by_live_run_id[joined.run_id].is_joining  # Only the first start joins the set.
     scale_down_id = model.begin(OperationKind.SCALE, 2)
-    assert model.size == 5
-    assert {model.alive[r].number for r in model.stopping} == {2, 3, 4}
-    model.run_until_settled()
-    assert model.last_report(scale_down_id).is_successful
-    assert model.size == 2
+    assert model.notified_size == 5
+    assert {model.starts_by_live_run_id[r].number for r in model.stopping} == {2, 3, 4}
+    model.run_rounds_without_failures()
+    assert model.final_report(scale_down_id).is_successful
+    assert model.notified_size == 2
     assert list(model.states()) == [0, 1]
 
 
@@ -186,7 +186,7 @@
     model.handle(events.MemberAdopted(0, "a", True))
     model.handle(events.MemberAdopted(2, "c", False))
     model.handle(events.FleetStarted(3))
-    assert [s.number for s in model.alive.values()] == [1]  # Member 1 starts at once.
+    assert [s.number for s in model.starts_by_live_run_id.values()] == [1]  # Member 1 starts at once.
     model.handle(events.StatusReported(model.controller.members[2].run_id, "c", True, True))
     assert model.states()[0] is MemberState.READY
     assert model.states()[2] is MemberState.READY
@@ -209,10 +209,10 @@
     """Operations run one at a time, except that a shutdown aborts the operation in progress."""
     model = FleetModel()
     roll_id = model.begin(OperationKind.RESTART)
-    assert "under way" in model.last_report(model.begin(OperationKind.SCALE, 9)).text
+    assert "under way" in model.final_report(model.begin(OperationKind.SCALE, 9)).text
     shutdown_id = model.begin(OperationKind.SHUTDOWN)
-    assert not model.last_report(roll_id).is_successful
-    model.run_until_settled()
-    assert model.last_report(shutdown_id).is_successful
+    assert not model.final_report(roll_id).is_successful
+    model.run_rounds_without_failures()
+    assert model.final_report(shutdown_id).is_successful
     assert actions.Exit() in model.actions
-    assert not model.alive
+    assert not model.starts_by_live_run_id
--- a/tests/fleet/test_controller_invariants.py
+++ b/tests/fleet/test_controller_invariants.py
@@ -25,21 +25,21 @@
         """Start a fleet."""
         self.model.handle(events.FleetStarted(count))
 
-    def choose_run(self, number: int) -> int:
+    def choose_run(self, index: int) -> int:
         """Return the id of a run that is alive."""
-        return sorted(self.model.alive)[number % len(self.model.alive)]
+        return sorted(self.model.starts_by_live_run_id)[index % len(self.model.starts_by_live_run_id)]
 
-    @precondition(lambda self: self.model.alive)
-    @rule(number=st.integers(0, 9), healthy=st.booleans())
-    def status_is_reported(self, number: int, healthy: bool) -> None:
+    @precondition(lambda self: self.model.starts_by_live_run_id)
+    @rule(index=st.integers(0, 9), healthy=st.booleans())
+    def status_is_reported(self, index: int, healthy: bool) -> None:
         """Report the status of a run."""
-        self.model.report_status(self.choose_run(number), healthy)
+        self.model.report_status(self.choose_run(index), healthy)
 
-    @precondition(lambda self: self.model.alive)
-    @rule(number=st.integers(0, 9))
-    def run_ends(self, number: int) -> None:
+    @precondition(lambda self: self.model.starts_by_live_run_id)
+    @rule(index=st.integers(0, 9))
+    def run_ends(self, index: int) -> None:
         """End a run unexpectedly."""
-        self.model.end(self.choose_run(number), "ended with code 1")
+        self.model.end(self.choose_run(index), "ended with code 1")
 
     @rule(seconds=st.sampled_from([0.01, 0.6, 3.0, 9.0]))
     def time_advances(self, seconds: float) -> None:
@@ -80,7 +80,7 @@
         """Check that the fleet reaches the last ordered size from any state once no process fails any more."""
         model = self.model
         if model.controller.members:
-            model.run_until_settled(150)
+            model.run_rounds_without_failures(150)
             assert not model.controller.describe_operation()
             assert set(model.states().values()) <= {MemberState.READY, MemberState.CRASH_LOOP}
             assert sorted(model.states()) == list(range(model.controller.wanted_count))
--- a/tests/fleet/test_controller_trace.py
+++ b/tests/fleet/test_controller_trace.py
@@ -23,7 +23,7 @@
     """A pair that no seeded run reaches would not be covered by the digests."""
     pairs = record_transitions(monkeypatch)
     run_episodes()
-    assert pairs == {(state, event) for state, event, _ in list_table_rows()}
+    assert pairs == {(state, transition) for state, transition, _ in list_table_rows()}
 
 
 def test_decisions_match_the_digest_when_members_start_fail_and_operations_overlap() -> None:
--- a/tests/fleet/test_message_formats.py
+++ b/tests/fleet/test_message_formats.py
@@ -19,14 +19,14 @@
 from thymeflow.fleet.outlier_service import OutlierService
 from thymeflow.runtime import clock
 
-MEMBERS = ("n0", "n1", "n2")
-HOLDERS = ("web0", "web1", "web2")
-REPORT: dict[str, Json] = {"good": [], "trials": {}, "servers": 4, "zones": {"a": [1, 3], "b": [2, 4]}}
+OUTLIER_MEMBERS = ("n0", "n1", "n2")
+LEASE_MEMBERS = ("web0", "web1", "web2")
+COMMON_REPORT_FIELDS: dict[str, Json] = {"good": [], "trials": {}, "servers": 4, "zones": {"a": [1, 3], "b": [2, 4]}}
 START_AT = 50.0
 STEP_SECONDS = 0.25
 OUTLIER_STEPS = 80
 FIRST_FAILING_STEP = 4
-FIRST_RECOVERED_STEP = 24
+FIRST_WORKING_STEP = 24
 STEPS_PER_STATUS = 8
 LEASE_STEPS = 24
 SETTINGS_TEMPLATE = (
@@ -55,7 +55,7 @@
     """Return the report that each member sends while a backend fails or after it has recovered."""
     good = [[2, ""], [2, "read"], *([] if is_failing else [[4, "read"]])]
     return {
-        **REPORT,
+        **COMMON_REPORT_FIELDS,
         "against": failed if is_failing else [],
         "good": good,
         "trials": probe_results,
@@ -82,9 +82,9 @@
         stepped_clock.step()
         if step == 0:
             service.start()
-        is_failing = FIRST_FAILING_STEP <= step < FIRST_RECOVERED_STEP
+        is_failing = FIRST_FAILING_STEP <= step < FIRST_WORKING_STEP
         results = build_probe_results(sent, is_failing)
-        for name in MEMBERS:
+        for name in OUTLIER_MEMBERS:
             service.on_report(name, build_member_report(failed, is_failing, results))
         service.on_report("n3", {"against": 7})
         deadlines.call_pending()
@@ -107,15 +107,15 @@
         tmp_path / "fleet.grants",
         "web",
         lambda name, message: sent.append([name, message]),
-        lambda: len(HOLDERS),
+        lambda: len(LEASE_MEMBERS),
     )
     distributor.start(False)
-    allocations: dict[str, Json] = {name: distributor.allocate_on_start(name) for name in HOLDERS}
+    allocations: dict[str, Json] = {name: distributor.allocate_on_start(name) for name in LEASE_MEMBERS}
     first_allocations = dict(allocations)
     for step in range(LEASE_STEPS):
         stepped_clock.step()
         allocations.update({name: message["part"] for name, message in sent})
-        for index, name in enumerate(HOLDERS):
+        for index, name in enumerate(LEASE_MEMBERS):
             demand = [10.0 + 40.0 * index * (step // 8), 1.0, 2.0, 3.0, 4.0]
             distributor.on_report(name, {**allocations[name], "demand": demand})
         distributor.on_report("web1", {"era": "none"})
@@ -125,7 +125,7 @@
     distributor.on_death("web2")
     statuses.append(distributor.status())
     assert_as_recorded("allocation grants", [first_allocations, sent])
-    assert_as_recorded("allocation status", [*statuses, distributor.holders()])
+    assert_as_recorded("allocation status", [*statuses, distributor.find_members_with_allocation()])
 
 
 @contextmanager
--- a/tests/fleet/test_supervisor.py
+++ b/tests/fleet/test_supervisor.py
@@ -69,10 +69,10 @@
     with Limiter(tmp_path) as limiter, RunningFleet(tmp_path, limiter) as fleet:
         fleet.wait_until_ready(3)
         pids = fleet.find_member_pids()
-        for program, why in (("/bin/false", "ended with code 1"), ("/no/such/program", "could not be started")):
+        for program, reason in (("/bin/false", "ended with code 1"), ("/no/such/program", "could not be started")):
             response = fleet.request(do="upgrade", program=program)
             assert not response["ok"]
-            assert why in response["why"]
+            assert reason in response["why"]
             assert "not touched: 1, 2" in response["why"]
         status = fleet.wait_until_ready(3)
         assert fleet.find_member_pids() == pids
--- a/thymeflow/fleet/adoption.py
+++ b/thymeflow/fleet/adoption.py
@@ -14,7 +14,7 @@
 from thymeflow.fleet.member_messages import SOCKET_REQUEST, UNKNOWN_PID, MemberStatus
 from thymeflow.fleet.member_processes import MemberProcesses
 from thymeflow.fleet.member_sockets import MemberSockets
-from thymeflow.fleet.processes import AdoptedProcess, RunProcess
+from thymeflow.fleet.processes import AdoptedProcess, ProcessToFollow
 from thymeflow.fleet.reactor import FleetReactor
 from thymeflow.fleet.registry import FleetNames
 from thymeflow.handover import control_client
@@ -44,8 +44,8 @@
 
     def adopt(self, number: int) -> Deferred[int | None]:
         """Adopt a member if it runs; the Deferred returns the member's number, or None if no process was adopted."""
-        requested = self._processes.request_status(number)
-        return requested.addCallbacks(partial(self._on_status, number), _ignore_failure)
+        status_deferred = self._processes.request_status(number)
+        return status_deferred.addCallbacks(partial(self._on_status, number), _ignore_failure)
 
     def _on_status(self, number: int, status: MemberStatus) -> Deferred[int | None] | None:
         if not status.message.get("ok") or status.pid == UNKNOWN_PID:
@@ -57,7 +57,7 @@
         event = MemberAdopted(number, status.incarnation, status.is_serving)
         actions = self._controller.handle(clock.now(), event)
         run_id = self._controller.members[number].run_id
-        self._processes.follow(RunProcess(run_id, number, status.pid, process))
+        self._processes.follow(ProcessToFollow(run_id, number, status.pid, process))
         log.emit(
             LogKind.ADOPTED,
             f"adopted the running member {self._names.name(number)}, pid {status.pid}, phase {status.phase}",
@@ -79,8 +79,8 @@
 
     def start(self) -> Deferred[int | None]:
         """Connect and send the request; the Deferred returns the member's number when the connection has ended."""
-        connected = control_client.open_session(self._reactor, self._path, self._on_message, self._on_ended)
-        connected.addCallbacks(self._on_connected, self._on_connect_failure)
+        session_deferred = control_client.open_session(self._reactor, self._path, self._on_message, self._on_ended)
+        session_deferred.addCallbacks(self._on_connected, self._on_connect_failure)
         return self._finished
 
     def _on_connected(self, session: control_client.ControlSession) -> None:
--- a/thymeflow/fleet/control_requests.py
+++ b/thymeflow/fleet/control_requests.py
@@ -7,7 +7,7 @@
 
 from thymeflow.fleet.actions import ReportProgress
 from thymeflow.fleet.controller import FleetController
-from thymeflow.fleet.events import EventHandler, Operation, OperationKind
+from thymeflow.fleet.events import OperationKind, OperationOrdered, SupervisorInterface
 from thymeflow.fleet.member_processes import ProcessEnvironment
 from thymeflow.fleet.status_messages import JsonObject
 from thymeflow.handover.control_socket import ControlCaller, Message
@@ -48,12 +48,12 @@
         controller: FleetController,
         environment: ProcessEnvironment,
         handlers: RequestHandlers,
-        handler: EventHandler,
+        supervisor: SupervisorInterface,
     ) -> None:
         self._controller = controller
         self._environment = environment
         self._handlers = handlers
-        self._handler = handler
+        self._supervisor = supervisor
         self._last_operation_id = 0
         self._callers: dict[int, ControlCaller] = {}  # Key: operation id.
         self._previous_programs: dict[int, str] = {}  # Key: id of the operation that replaced the program.
@@ -91,7 +91,7 @@
             self._previous_programs[operation_id] = self._environment.replace_program(request.program)
         suffix = f" to {request.count}" if request.kind is OperationKind.SCALE else ""
         log.emit(LogKind.ORDER, f"operation ordered: {request.kind.value}{suffix}")
-        self._handler.handle_event(Operation(operation_id, request.kind, request.count))
+        self._supervisor.handle_event(OperationOrdered(operation_id, request.kind, request.count))
 
     def report(self, report: ReportProgress) -> None:
         """Log a report of an operation, and send it to the caller who ordered it."""
--- a/thymeflow/fleet/controller.py
+++ b/thymeflow/fleet/controller.py
@@ -2,7 +2,7 @@
 
 The controller does no I/O and has no clock or random source of its own. Each member is in one named state;
 `member_state.TRANSITIONS` lists every legal transition, and any other one is a programming error of the controller and
-raises IllegalTransitionError. Operations run one at a time; see `rollout`.
+raises IllegalTransitionError. Operations run one at a time; see `operation_runner`.
 """
 
 from __future__ import annotations
@@ -15,15 +15,15 @@
     Event,
     FleetStarted,
     MemberAdopted,
-    Operation,
+    OperationOrdered,
     RunEnded,
     StatusReported,
     Tick,
 )
 from thymeflow.fleet.member_lifecycle import MemberLifecycle
 from thymeflow.fleet.member_state import Member
+from thymeflow.fleet.operation_runner import OperationRunner
 from thymeflow.fleet.restart_policy import RestartPolicy
-from thymeflow.fleet.rollout import OperationRunner
 from thymeflow.settings.sections import Fleet
 
 
@@ -63,11 +63,11 @@
                 self._lifecycle.on_status(event)
             case RunEnded(run_id, reason):
                 self._lifecycle.on_run_ended(run_id, reason)
-            case Operation():
+            case OperationOrdered():
                 self._operations.begin(event)
             case Tick():
                 pass
-        self._lifecycle.on_tick()
+        self._lifecycle.act_on_due_deadlines()
         self._operations.advance()
         return self._decisions.actions
 
--- a/thymeflow/fleet/errors.py
+++ b/thymeflow/fleet/errors.py
@@ -9,7 +9,7 @@
     """Base class of the fleet's exceptions."""
 
 
-class SupervisorError(FleetError):
+class SupervisorStartError(FleetError):
     """The supervisor cannot start; the message gives the reason in one line."""
 
     def __init__(self, reason: str, exit_code: int) -> None:
--- a/thymeflow/fleet/events.py
+++ b/thymeflow/fleet/events.py
@@ -56,7 +56,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Operation:
+class OperationOrdered:
     """An operation that an operator orders; `count` is the wanted number of members, for a SCALE only.
 
     `id` identifies the operation in its progress reports.
@@ -67,7 +67,7 @@
     count: int = 0
 
 
-class EventHandler(Protocol):
+class SupervisorInterface(Protocol):
     """The supervisor's interface for the objects that it is composed of."""
 
     def handle_event(self, event: Event) -> None:
@@ -77,4 +77,4 @@
         """Return the fleet size that members are notified of."""
 
 
-Event = Tick | FleetStarted | MemberAdopted | StatusReported | RunEnded | Operation
+Event = Tick | FleetStarted | MemberAdopted | StatusReported | RunEnded | OperationOrdered
--- a/thymeflow/fleet/lease_distributor.py
+++ b/thymeflow/fleet/lease_distributor.py
@@ -25,14 +25,14 @@
     def __init__(
         self,
         deadlines: clock.Deadlines,
-        path: Path,
+        grant_file_path: Path,
         fleet_name: str,
         send: Callable[[str, Message], None],
         fleet_size: Callable[[], int],
     ) -> None:
         self.write_error = ""  # Error of the last write of the grant file, empty if it succeeded.
         self._deadlines = deadlines
-        self._path = path
+        self._grant_file_path = grant_file_path
         self._fleet_name = fleet_name
         self._send = send
         self._fleet_size = fleet_size
@@ -43,7 +43,9 @@
 
         Set `may_have_running_members` if members of the previous supervisor may still run.
         """
-        self._issuer, error = grant_file.read(self._path, self._fleet_name, clock.monotonic(), may_have_running_members)
+        self._issuer, error = grant_file.read(
+            self._grant_file_path, self._fleet_name, clock.monotonic(), may_have_running_members
+        )
         if error:
             log.emit(LogKind.BUDGETS, f"the previous grant file is not used; a new epoch begins without it: {error}")
         log.emit(
@@ -53,7 +55,7 @@
         )
         self._tick(0)
 
-    def holders(self) -> list[str]:
+    def find_members_with_allocation(self) -> list[str]:
         """Return the names of the members that may have an allocation."""
         return [name for name, record in self._issuer.records.items() if record.state is not HolderState.ABSENT]
 
@@ -90,7 +92,7 @@
 
     def _write_grant_file(self) -> bool:
         try:
-            grant_file.write(self._path, self._issuer, self._fleet_name)
+            grant_file.write(self._grant_file_path, self._issuer, self._fleet_name)
         except OSError as error:
             if not self.write_error:
                 log.emit(
--- a/thymeflow/fleet/member_lifecycle.py
+++ b/thymeflow/fleet/member_lifecycle.py
@@ -35,7 +35,7 @@
         self._decisions = decisions
         self._on_fault = on_fault
         self._last_run_id = 0
-        self._member_numbers: dict[int, int] = {}  # Key: run id.
+        self._member_number_by_run_id: dict[int, int] = {}  # Key: run id.
         # When to kill replaced runs and abandoned successors that have not ended by then. Key: run id.
         self._retiring_deadlines: dict[int, float] = {}
 
@@ -46,7 +46,7 @@
         return bool(self._retiring_deadlines)
 
     def deadlines(self) -> list[float]:
-        """Return the times at which `on_tick` is due for a member or a retiring run."""
+        """Return the times at which `act_on_due_deadlines` is due for a member or a retiring run."""
         pending = [member.deadline for member in self.members.values() if member.state in _STATES_WITH_DEADLINE]
         return [*pending, *self._retiring_deadlines.values()]
 
@@ -55,7 +55,7 @@
         return [member for member in self.members.values() if member.state is state]
 
     def _find_member(self, run_id: int) -> Member | None:
-        number = self._member_numbers.get(run_id)
+        number = self._member_number_by_run_id.get(run_id)
         return None if number is None else self.members.get(number)
 
     # --- starts --------------------------------------------------------------------------------------------
@@ -93,7 +93,7 @@
         """Add a member that is already running."""
         member = Member(number)
         self.members[number] = member
-        member.run_id = self._new_run(member)
+        member.run_id = self._assign_run_id(member)
         member.incarnation = incarnation
         member.deadline = self._decisions.now + self._settings.ready
         member.apply(Transition.ADOPT)
@@ -101,7 +101,7 @@
             member.apply(Transition.BECOME_READY)
             member.healthy_since = self._decisions.now
 
-    def reset(self, member: Member) -> None:
+    def schedule_start(self, member: Member) -> None:
         """Schedule a stopped or crash-looping member to start at the next tick."""
         member.apply(Transition.RESET)
         member.deadline = self._decisions.now
@@ -109,23 +109,23 @@
     def start_replacement(self, member: Member) -> None:
         """Start a successor that takes over from the run that serves."""
         member.apply(Transition.REPLACE)
-        member.successor_run_id = self._new_run(member)
+        member.successor_run_id = self._assign_run_id(member)
         member.deadline = self._decisions.now + self._settings.ready
         member.healthy_since = inf
         action = StartProcess(member.successor_run_id, member.number, is_joining=False, is_replacement=True)
         self._decisions.add(action)
 
-    def _new_run(self, member: Member) -> int:
+    def _assign_run_id(self, member: Member) -> int:
         self._last_run_id += 1
-        self._member_numbers[self._last_run_id] = member.number
+        self._member_number_by_run_id[self._last_run_id] = member.number
         return self._last_run_id
 
     def _start(self, member: Member) -> None:
         member.apply(Transition.START)
-        member.run_id = self._new_run(member)
+        member.run_id = self._assign_run_id(member)
         member.deadline = self._decisions.now + self._settings.ready
         member.healthy_since = inf
-        member.is_killed = False
+        member.is_kill_logged = False
         action = StartProcess(member.run_id, member.number, is_joining=member.is_joining, is_replacement=False)
         self._decisions.add(action)
         # Only the first start joins the set. A member that starts after a crash already belongs to the set.
@@ -140,11 +140,11 @@
             self._abandon_replacement(member)
         if member.state in (MemberState.WAITING, MemberState.CRASH_LOOP):
             member.apply(Transition.STOP)
-            self._finish_stop(member)
+            self._restart_if_ordered(member)
         elif member.state not in (MemberState.STOPPING, MemberState.STOPPED):
             member.apply(Transition.STOP)
             member.deadline = self._decisions.now + self._settings.stop
-            member.is_killed = False
+            member.is_kill_logged = False
             self._decisions.add(StopProcess(member.run_id))
 
     def _abandon_replacement(self, member: Member) -> None:
@@ -153,16 +153,16 @@
         if member.run_id == NO_RUN:
             member.run_id = member.successor_run_id
         else:
-            self._retire(member.successor_run_id)
+            self._set_retiring_deadline(member.successor_run_id)
             self._decisions.add(StopProcess(member.successor_run_id))
         member.successor_run_id = NO_RUN
 
-    def _finish_stop(self, member: Member) -> None:
+    def _restart_if_ordered(self, member: Member) -> None:
         if member.is_restarting:
             member.is_restarting = False
-            self.reset(member)
+            self.schedule_start(member)
 
-    def _retire(self, run_id: int) -> None:
+    def _set_retiring_deadline(self, run_id: int) -> None:
         self._retiring_deadlines[run_id] = self._decisions.now + self._settings.stop
 
     # --- events --------------------------------------------------------------------------------------------
@@ -174,7 +174,7 @@
             return
         if status.run_id == member.successor_run_id:
             if status.is_serving:
-                self._finish_replacement(member, status)
+                self._complete_replacement(member, status)
         elif status.run_id == member.run_id:
             self._update_health(member, status)
 
@@ -189,18 +189,18 @@
             elif member.healthy_since == inf:
                 member.healthy_since = self._decisions.now
 
-    def _finish_replacement(self, member: Member, status: StatusReported) -> None:
+    def _complete_replacement(self, member: Member, status: StatusReported) -> None:
         if member.run_id != NO_RUN:
-            self._retire(member.run_id)
+            self._set_retiring_deadline(member.run_id)
         member.run_id = member.successor_run_id
         member.successor_run_id = NO_RUN
         member.incarnation = status.incarnation
         member.healthy_since = self._decisions.now if status.is_healthy else inf
-        member.apply(Transition.FINISH_REPLACEMENT)
+        member.apply(Transition.END_REPLACEMENT)
 
     def on_run_ended(self, run_id: int, reason: str) -> None:
         """Handle the end of a run."""
-        number = self._member_numbers.pop(run_id, None)
+        number = self._member_number_by_run_id.pop(run_id, None)
         if run_id in self._retiring_deadlines:
             del self._retiring_deadlines[run_id]
             return
@@ -210,15 +210,15 @@
         if run_id == member.successor_run_id:
             self._on_replacement_failed(member, reason)
         elif run_id == member.run_id:
-            self._on_serving_run_ended(member, reason)
+            self._on_current_run_ended(member, reason)
 
-    def _on_serving_run_ended(self, member: Member, reason: str) -> None:
+    def _on_current_run_ended(self, member: Member, reason: str) -> None:
         member.run_id = NO_RUN
         if member.successor_run_id != NO_RUN:
             return  # The successor will report that it serves, or end too.
         if member.state is MemberState.STOPPING:
             member.apply(Transition.END)
-            self._finish_stop(member)
+            self._restart_if_ordered(member)
             return
         self._on_crash(member, reason)
 
@@ -227,7 +227,7 @@
         if member.run_id == NO_RUN:
             self._on_crash(member, f"ended with its successor, which {reason}")
         else:
-            member.apply(Transition.FINISH_REPLACEMENT)
+            member.apply(Transition.END_REPLACEMENT)
             self._on_fault(member, f"its successor {reason}")
 
     def _on_crash(self, member: Member, reason: str) -> None:
@@ -249,14 +249,14 @@
 
     # --- time ----------------------------------------------------------------------------------------------
 
-    def on_tick(self) -> None:
+    def act_on_due_deadlines(self) -> None:
         """Start the members whose start is due, and kill the runs that have exceeded their deadline."""
         for member in list(self.members.values()):
             if self._decisions.now >= member.deadline:
                 self._on_deadline(member)
         for run_id, deadline in self._retiring_deadlines.items():
             if self._decisions.now >= deadline:
-                self._retire(run_id)
+                self._set_retiring_deadline(run_id)
                 self._decisions.add(KillProcess(run_id))
 
     def _on_deadline(self, member: Member) -> None:
@@ -268,13 +268,13 @@
             self._kill(member, f"did not end within {self._settings.stop:g} s", self._settings.stop)
         elif member.state is MemberState.REPLACING and member.successor_run_id != NO_RUN:
             self._decisions.add(KillProcess(member.successor_run_id))
-            self._member_numbers.pop(member.successor_run_id, None)
+            self._member_number_by_run_id.pop(member.successor_run_id, None)
             self._on_replacement_failed(member, f"was not ready within {self._settings.ready:g} s")
 
     def _kill(self, member: Member, reason: str, retry_seconds: float) -> None:
         # A process that waits for a disk write does not die at once. The kill is repeated after `retry_seconds`.
-        if not member.is_killed:
-            member.is_killed = True
+        if not member.is_kill_logged:
+            member.is_kill_logged = True
             self._decisions.log(LogKind.MEMBER, f"{member.number} {reason}: killed")
         self._decisions.add(KillProcess(member.run_id))
         member.deadline = self._decisions.now + retry_seconds
--- a/thymeflow/fleet/member_processes.py
+++ b/thymeflow/fleet/member_processes.py
@@ -12,7 +12,7 @@
 from twisted.python.failure import Failure
 
 from thymeflow.fleet.actions import StartProcess
-from thymeflow.fleet.events import EventHandler, RunEnded, StatusReported
+from thymeflow.fleet.events import RunEnded, StatusReported, SupervisorInterface
 from thymeflow.fleet.lease_distributor import LeaseDistributor
 from thymeflow.fleet.member_messages import STATUS_REQUEST, MemberStatus, parse_status
 from thymeflow.fleet.member_runs import MemberRuns
@@ -24,12 +24,12 @@
     AdoptedProcess,
     ChildProcess,
     MemberRun,
-    RunProcess,
+    ProcessToFollow,
     build_member_command,
     spawn_member,
 )
 from thymeflow.fleet.reactor import FleetReactor
-from thymeflow.fleet.registry import ConfigurationTemplate, FleetNames, read_template, write_member_configuration
+from thymeflow.fleet.registry import ConfigurationJson, FleetNames, read_template, write_member_configuration
 from thymeflow.handover import control_client
 from thymeflow.handover.control_socket import Message
 from thymeflow.leases.allocation import EMPTY_ALLOCATION, allocation_to_message
@@ -49,7 +49,7 @@
         self.names = names
         self.program = options.program  # Command line; empty for this program.
         self.output_descriptor = -1  # -1 until `open_output`.
-        self.template: ConfigurationTemplate = {}
+        self.template: ConfigurationJson = {}
         self._options = options
         self._settings = settings
 
@@ -111,7 +111,7 @@
         runs: MemberRuns,
         leases: LeaseDistributor,
         outliers: OutlierService,
-        handler: EventHandler,
+        supervisor: SupervisorInterface,
     ) -> None:
         self._reactor = reactor
         self._deadlines = deadlines
@@ -121,7 +121,7 @@
         self._runs = runs
         self._leases = leases
         self._outliers = outliers
-        self._handler = handler
+        self._supervisor = supervisor
 
     # --- requests and messages ------------------------------------------------------------------------------
 
@@ -130,23 +130,23 @@
 
         The Deferred fails if no process answers within `STATUS_TIMEOUT_SECONDS`.
         """
-        requested = control_client.send_request(
+        status_deferred = control_client.send_request(
             self._reactor,
             self._deadlines,
             self._names.path(number, "sock"),
             STATUS_REQUEST,
             clock.now() + STATUS_TIMEOUT_SECONDS,
         )
-        return requested.addCallback(parse_status)
+        return status_deferred.addCallback(parse_status)
 
-    def resize(self, members: dict[int, Member], fleet_size: int) -> None:
+    def reconfigure_members(self, members: dict[int, Member], fleet_size: int) -> None:
         """Rewrite the configuration of each running member for a fleet size, and signal the member to reload it."""
         for number, member in members.items():
             if number not in self._sockets or member.run_id == NO_RUN:
                 continue
             try:
-                listen = self._sockets.address_text(number)
-                write_member_configuration(self._names, self._environment.template, listen, number, fleet_size)
+                listen_address = self._sockets.address_text(number)
+                write_member_configuration(self._names, self._environment.template, listen_address, number, fleet_size)
             except OSError as error:
                 log.emit(
                     LogKind.RESIZE,
@@ -169,12 +169,12 @@
         )
 
     def _adopt_or_spawn(self, action: StartProcess, spawn: Callable[[], None], status: MemberStatus) -> None:
-        process = self._find_running_process(status)
+        process = self._open_process(status)
         if process is None:
             spawn()
             return
         log.emit(LogKind.ADOPTED, f"adopted the running member {self._names.name(action.number)}, pid {status.pid}")
-        self.follow(RunProcess(action.run_id, action.number, status.pid, process))
+        self.follow(ProcessToFollow(action.run_id, action.number, status.pid, process))
 
     def _spawn(self, action: StartProcess) -> None:
         name = self._names.name(action.number)
@@ -182,21 +182,21 @@
             child, pid = self._spawn_process(action)
         except (OSError, ValueError) as error:
             event = RunEnded(action.run_id, f"could not be started: {error}")
-            self._reactor.callLater(0, self._handler.handle_event, event)
+            self._reactor.callLater(0, self._supervisor.handle_event, event)
             return
         suffix = ", to take over from the running process" if action.is_replacement else ""
         log.emit(LogKind.STARTED, f"started a process of {name}, pid {pid}{suffix}", number=action.number)
-        self.follow(RunProcess(action.run_id, action.number, pid, child))
+        self.follow(ProcessToFollow(action.run_id, action.number, pid, child))
 
     def _spawn_process(self, action: StartProcess) -> tuple[ChildProcess, int]:
-        listening = self._sockets.open(action.number)
-        allocation = self._build_initial_allocation(action)
+        listening_socket = self._sockets.open(action.number)
+        allocation = self._issue_initial_allocation(action)
         write_member_configuration(
             self._names,
             self._environment.template,
-            format_address(listening),
+            format_address(listening_socket),
             action.number,
-            self._handler.fleet_size(),
+            self._supervisor.fleet_size(),
             allocation,
         )
         return spawn_member(
@@ -204,15 +204,15 @@
             self._environment.build_command(action),
             self._environment.build_variables(),
             self._environment.output_descriptor,
-            None if action.is_replacement else listening,
+            None if action.is_replacement else listening_socket,
         )
 
-    def _build_initial_allocation(self, action: StartProcess) -> Message:
+    def _issue_initial_allocation(self, action: StartProcess) -> Message:
         if action.is_replacement:
             return allocation_to_message(EMPTY_ALLOCATION)
         return self._leases.allocate_on_start(self._names.name(action.number))
 
-    def _find_running_process(self, status: MemberStatus) -> AdoptedProcess | None:
+    def _open_process(self, status: MemberStatus) -> AdoptedProcess | None:
         try:
             return AdoptedProcess(self._reactor, status.pid)
         except OSError:
@@ -220,7 +220,7 @@
 
     # --- following -----------------------------------------------------------------------------------------
 
-    def follow(self, process: RunProcess) -> None:
+    def follow(self, process: ProcessToFollow) -> None:
         """Connect to a process's control socket and handle its reports until it ends."""
         path = self._names.path(process.number, "sock")
         run = MemberRun(self._reactor, self._deadlines, path, process, self)
@@ -236,7 +236,9 @@
             self._leases.on_report(name, status.allocation_report)
         if status.outlier_report is not None:
             self._outliers.on_report(name, status.outlier_report)
-        self._handler.handle_event(StatusReported(run.run_id, status.incarnation, status.is_serving, status.is_healthy))
+        self._supervisor.handle_event(
+            StatusReported(run.run_id, status.incarnation, status.is_serving, status.is_healthy)
+        )
 
     def on_disconnected(self, run: MemberRun) -> None:
         """Handle the end of the connection to a run."""
@@ -257,7 +259,7 @@
         )
 
     def _follow_successor(self, run: MemberRun, end_run: Callable[[], None], status: MemberStatus) -> None:
-        process = self._find_running_process(status)
+        process = self._open_process(status)
         if process is None:
             end_run()
             return
@@ -265,14 +267,14 @@
             LogKind.ADOPTED,
             f"adopted the successor of {self._names.name(run.number)}, pid {status.pid}, which took over",
         )
-        self.follow(RunProcess(run.run_id, run.number, status.pid, process))
+        self.follow(ProcessToFollow(run.run_id, run.number, status.pid, process))
 
     def _end_run(self, run: MemberRun, reason: str) -> None:
         self._runs.remove(run.run_id)
         if not self._runs.has_run(run.number):
             self._leases.on_death(self._names.name(run.number))
             self._outliers.on_member_gone(self._names.name(run.number))
-        self._handler.handle_event(RunEnded(run.run_id, reason))
+        self._supervisor.handle_event(RunEnded(run.run_id, reason))
 
 
 def _call_ignoring_failure(function: Callable[[], None], _: Failure) -> None:
--- a/thymeflow/fleet/member_sockets.py
+++ b/thymeflow/fleet/member_sockets.py
@@ -37,13 +37,13 @@
         :raises OSError: the address cannot be bound.
         :raises RegistryError: the port would be out of range.
         """
-        listening = self._sockets.get(number)
-        if listening is None:
+        listening_socket = self._sockets.get(number)
+        if listening_socket is None:
             address = compute_listen_address(self._base_address, number, self.ports)
-            listening = start_listening(bind_listener(address.host, address.port))
-            self._sockets[number] = listening
-        self.ports[str(number)] = listening.getsockname()[1]
-        return listening
+            listening_socket = start_listening(bind_listener(address.host, address.port))
+            self._sockets[number] = listening_socket
+        self.ports[str(number)] = listening_socket.getsockname()[1]
+        return listening_socket
 
     def adopt(self, number: int, descriptor: int) -> None:
         """Use a copy of a descriptor as a member's socket if it is a listening socket, and close the descriptor."""
@@ -53,8 +53,8 @@
 
     def address_text(self, number: int) -> str:
         """Return a member's address as host:port, empty if its socket is not open."""
-        listening = self._sockets.get(number)
-        return "" if listening is None else format_address(listening)
+        listening_socket = self._sockets.get(number)
+        return "" if listening_socket is None else format_address(listening_socket)
 
     def close_all_except(self, numbers: Container[int]) -> None:
         """Close the sockets of all members that are not in `numbers`; their addresses then reject connections."""
@@ -62,7 +62,7 @@
             self._sockets.pop(number).close()
 
 
-def format_address(listening: socket.socket) -> str:
+def format_address(listening_socket: socket.socket) -> str:
     """Return the local address of a socket as host:port."""
-    host, port = listening.getsockname()[:2]
+    host, port = listening_socket.getsockname()[:2]
     return f"{host}:{port}"
--- a/thymeflow/fleet/member_state.py
+++ b/thymeflow/fleet/member_state.py
@@ -33,7 +33,7 @@
     END = "end"
     ENTER_CRASH_LOOP = "enter crash loop"
     REPLACE = "replace"
-    FINISH_REPLACEMENT = "finish replacement"  # The replacement has succeeded or failed.
+    END_REPLACEMENT = "end replacement"  # The replacement has succeeded or failed.
     STOP = "stop"
     RESET = "reset"  # Schedules a stopped or crash-looping member to start.
 
@@ -51,7 +51,7 @@
         (MemberState.READY, Transition.ENTER_CRASH_LOOP): MemberState.CRASH_LOOP,
         (MemberState.READY, Transition.REPLACE): MemberState.REPLACING,
         (MemberState.READY, Transition.STOP): MemberState.STOPPING,
-        (MemberState.REPLACING, Transition.FINISH_REPLACEMENT): MemberState.READY,
+        (MemberState.REPLACING, Transition.END_REPLACEMENT): MemberState.READY,
         (MemberState.REPLACING, Transition.END): MemberState.WAITING,
         (MemberState.REPLACING, Transition.ENTER_CRASH_LOOP): MemberState.CRASH_LOOP,
         (MemberState.REPLACING, Transition.STOP): MemberState.STOPPING,
@@ -76,8 +76,8 @@
     healthy_since: float = inf
     is_joining: bool = False  # The next start joins a running set.
     is_restarting: bool = False  # Starts again after the stop that is in progress.
-    is_killed: bool = False
-    crashed_at: deque[float] = field(default_factory=deque)
+    is_kill_logged: bool = False
+    crash_times: deque[float] = field(default_factory=deque)
     last_crash_reason: str = ""
 
     def apply(self, transition: Transition) -> None:
--- a/thymeflow/fleet/rollout.py
+++ b/thymeflow/fleet/operation_runner.py
@@ -11,7 +11,7 @@
 from math import inf
 
 from thymeflow.fleet.actions import Decisions, Exit
-from thymeflow.fleet.events import Operation, OperationKind
+from thymeflow.fleet.events import OperationKind, OperationOrdered
 from thymeflow.fleet.member_lifecycle import MemberLifecycle
 from thymeflow.fleet.member_state import Member, MemberState
 from thymeflow.runtime.log_kinds import LogKind
@@ -25,17 +25,17 @@
 class OperationProgress:
     """The operation that is in progress."""
 
-    operation: Operation
+    operation: OperationOrdered
     total: int
-    queue: deque[int] = field(default_factory=deque)  # Numbers of members that a roll has not changed yet.
-    rolling_number: int = NO_MEMBER
+    remaining_numbers: deque[int] = field(default_factory=deque)  # Numbers of members that a roll has not changed yet.
+    current_member_number: int = NO_MEMBER
     failure: str = ""
     scaled_numbers: range = range(0)  # Numbers of the members that a scale adds or removes.
-    unreported: set[int] = field(default_factory=set)  # Members in `scaled_numbers` not reported yet.
+    unreported_numbers: set[int] = field(default_factory=set)  # Members in `scaled_numbers` not reported yet.
 
     def describe(self) -> str:
         """Return the operation's kind and its number of finished members as text."""
-        done = self.total - len(self.queue) - (self.rolling_number != NO_MEMBER)
+        done = self.total - len(self.remaining_numbers) - (self.current_member_number != NO_MEMBER)
         return f"{self.operation.kind.value}, {done} of {self.total} done"
 
 
@@ -60,9 +60,9 @@
 
         The list is empty if no roll is in progress or its current member is not ready.
         """
-        if self._progress is None or self._progress.rolling_number == NO_MEMBER:
+        if self._progress is None or self._progress.current_member_number == NO_MEMBER:
             return []
-        member = self._lifecycle.members[self._progress.rolling_number]
+        member = self._lifecycle.members[self._progress.current_member_number]
         if member.state is not MemberState.READY:
             return []
         return [member.healthy_since + self._settings.settle]
@@ -74,7 +74,7 @@
         self.wanted_count = count
         self._lifecycle.start_fleet(count)
 
-    def begin(self, operation: Operation) -> None:
+    def begin(self, operation: OperationOrdered) -> None:
         """Begin an operation; while another is in progress, reject all but a shutdown, which aborts the other."""
         if self._progress is not None and operation.kind is not OperationKind.SHUTDOWN:
             self._decisions.report_failure(operation.id, f"{self.describe()} is under way: wait for its end")
@@ -88,18 +88,18 @@
         else:
             self._begin_roll(operation)
 
-    def _begin_shutdown(self, operation: Operation) -> None:
+    def _begin_shutdown(self, operation: OperationOrdered) -> None:
         members = self._lifecycle.members
         self._progress = OperationProgress(operation, total=len(members))
         for member in members.values():
             self._lifecycle.stop(member)
 
-    def _begin_scale(self, operation: Operation) -> None:
+    def _begin_scale(self, operation: OperationOrdered) -> None:
         previous_count = self.wanted_count
         self.wanted_count = operation.count
         numbers = range(min(previous_count, operation.count), max(previous_count, operation.count))
         self._progress = OperationProgress(
-            operation, total=len(numbers), scaled_numbers=numbers, unreported=set(numbers)
+            operation, total=len(numbers), scaled_numbers=numbers, unreported_numbers=set(numbers)
         )
         if operation.count > previous_count:
             # All members are notified before the starts. Otherwise a member that knows only the smaller set would
@@ -110,13 +110,13 @@
             for number in numbers:
                 self._lifecycle.stop(self._lifecycle.members[number])
 
-    def _begin_roll(self, operation: Operation) -> None:
+    def _begin_roll(self, operation: OperationOrdered) -> None:
         crash_looping = self._lifecycle.find_members_in_state(MemberState.CRASH_LOOP)
         if operation.kind is OperationKind.RESTART:
             # A restart is the operation that ends a crash loop.
             for member in crash_looping:
-                member.crashed_at.clear()
-                self._lifecycle.reset(member)
+                member.crash_times.clear()
+                self._lifecycle.schedule_start(member)
         members = self._lifecycle.members.values()
         rollable = [member for member in members if member not in crash_looping]
         unready = [member for member in rollable if member.state is not MemberState.READY]
@@ -126,10 +126,10 @@
             self._reject_roll(operation, unready[0])
             return
         self._progress = OperationProgress(
-            operation, total=len(rollable), queue=deque(member.number for member in rollable)
+            operation, total=len(rollable), remaining_numbers=deque(member.number for member in rollable)
         )
 
-    def _reject_roll(self, operation: Operation, unready: Member) -> None:
+    def _reject_roll(self, operation: OperationOrdered, unready: Member) -> None:
         text = (
             f"member {unready.number} is {unready.state.value}: nothing was touched; all have to be ready before a roll"
         )
@@ -192,24 +192,24 @@
     def _report_scaled_members(self, progress: OperationProgress) -> None:
         for member in self._lifecycle.members.values():
             is_done = member.state in (MemberState.READY, MemberState.STOPPED)
-            if member.number in progress.unreported and is_done:
-                progress.unreported.discard(member.number)
+            if member.number in progress.unreported_numbers and is_done:
+                progress.unreported_numbers.discard(member.number)
                 text = f"member {member.number} is {member.state.value}"
                 self._decisions.report(progress.operation.id, text)
 
     def _advance_roll(self, progress: OperationProgress) -> None:
-        if progress.rolling_number != NO_MEMBER and not progress.failure:
-            member = self._lifecycle.members[progress.rolling_number]
+        if progress.current_member_number != NO_MEMBER and not progress.failure:
+            member = self._lifecycle.members[progress.current_member_number]
             if not self._is_settled(member):
                 return
-            done = progress.total - len(progress.queue)
+            done = progress.total - len(progress.remaining_numbers)
             text = f"member {member.number} is ready ({done} of {progress.total})"
             self._decisions.report(progress.operation.id, text)
         if progress.failure:
             self._fail_roll(progress)
             return
-        progress.rolling_number = NO_MEMBER
-        if not progress.queue:
+        progress.current_member_number = NO_MEMBER
+        if not progress.remaining_numbers:
             self._complete(progress, f"{progress.operation.kind.value} done: {progress.total} members")
             return
         self._roll_next_member(progress)
@@ -219,13 +219,13 @@
         return is_ready and self._decisions.now >= member.healthy_since + self._settings.settle
 
     def _fail_roll(self, progress: OperationProgress) -> None:
-        untouched = ", ".join(str(number) for number in progress.queue)
+        untouched = ", ".join(str(number) for number in progress.remaining_numbers)
         self._decisions.log(LogKind.ROLL, f"{progress.operation.kind.value} stopped: {progress.failure}")
         self._abort(f"stopped: {progress.failure}; not touched: {untouched or 'none'}")
 
     def _roll_next_member(self, progress: OperationProgress) -> None:
-        progress.rolling_number = progress.queue.popleft()
-        member = self._lifecycle.members[progress.rolling_number]
+        progress.current_member_number = progress.remaining_numbers.popleft()
+        member = self._lifecycle.members[progress.current_member_number]
         if progress.operation.kind is OperationKind.RESTART:
             member.healthy_since = inf
             self._lifecycle.stop(member, restart=True)
--- a/thymeflow/fleet/processes.py
+++ b/thymeflow/fleet/processes.py
@@ -48,7 +48,7 @@
         reactor: FleetReactor,
         deadlines: clock.Deadlines,
         path: Path,
-        process: RunProcess,
+        process: ProcessToFollow,
         observer: RunObserver,
     ) -> None:
         self.run_id = process.run_id
@@ -67,8 +67,10 @@
         """Connect to the control socket, and reconnect after each failure until the process ends."""
         if self.is_ended:
             return
-        connected = control_client.open_session(self._reactor, self._path, self._on_message, self._on_disconnected)
-        connected.addCallbacks(self._on_connected, self._on_connect_failure)
+        session_deferred = control_client.open_session(
+            self._reactor, self._path, self._on_message, self._on_disconnected
+        )
+        session_deferred.addCallbacks(self._on_connected, self._on_connect_failure)
 
     def send(self, message: Message) -> None:
         """Send a message if connected, without waiting for an answer; otherwise drop it."""
@@ -184,7 +186,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class RunProcess:
+class ProcessToFollow:
     """A process of a member, and the run that it belongs to."""
 
     run_id: int
@@ -193,9 +195,9 @@
     handle: ChildProcess | AdoptedProcess
 
 
-def build_member_command(program: Sequence[str], arguments: Sequence[str]) -> list[str]:
-    """Return the command line of a member; an empty `program` stands for this program."""
-    return [*(program or (sys.executable, "-m", "thymeflow")), "serve", *arguments]
+def build_member_command(program_arguments: Sequence[str], arguments: Sequence[str]) -> list[str]:
+    """Return the command line of a member; an empty `program_arguments` stands for this program."""
+    return [*(program_arguments or (sys.executable, "-m", "thymeflow")), "serve", *arguments]
 
 
 def spawn_member(
--- a/thymeflow/fleet/registry.py
+++ b/thymeflow/fleet/registry.py
@@ -23,10 +23,10 @@
 MAX_TEMPLATE_BYTES = 4 << 20
 MAX_PORT = 65535
 
-ConfigurationTemplate = Message  # The platform's JSON object.
+ConfigurationJson = Message  # The JSON object of the platform, or of a member as built from it.
 
 
-class MemberRegistry(msgspec.Struct, forbid_unknown_fields=True):
+class FleetRegistry(msgspec.Struct, forbid_unknown_fields=True):
     """The state that the next supervisor continues from; the field names are the keys of the file `fleet.json`."""
 
     count: int  # Number of wanted members.
@@ -63,7 +63,7 @@
         return sorted(numbers)
 
 
-def read_template(path: Path) -> ConfigurationTemplate:
+def read_template(path: Path) -> ConfigurationJson:
     """Read the platform's JSON, from which all members' configurations are built.
 
     :raises ConfigurationError: the file cannot be read, or members could not use its content.
@@ -72,28 +72,28 @@
         if path.stat().st_size > MAX_TEMPLATE_BYTES:
             text = f"{path}: larger than {MAX_TEMPLATE_BYTES} bytes"
             raise ConfigurationError(text)
-        source = json.loads(path.read_text())
+        template = json.loads(path.read_text())
     except (OSError, ValueError) as error:
         text = f"{path}: {error}"
         raise ConfigurationError(text) from None
-    if not isinstance(source, dict) or not isinstance(source.get("settings"), dict):
+    if not isinstance(template, dict) or not isinstance(template.get("settings"), dict):
         text = f"{path}: not a JSON object with an object under the key 'settings'"
         raise ConfigurationError(text)
-    from_source(build_member_configuration(source, "n0", "127.0.0.1:0", 0, 1), str(path), {})
-    return source
+    from_source(build_member_configuration(template, "n0", "127.0.0.1:0", 0, 1), str(path), {})
+    return template
 
 
 def build_member_configuration(
-    source: ConfigurationTemplate,
+    template: ConfigurationJson,
     name: str,
-    listen: str,
+    listen_address: str,
     number: int,
     fleet_size: int,
     allocation: Message | None = None,
-) -> ConfigurationTemplate:
+) -> ConfigurationJson:
     """Return a member's configuration; `allocation` is its initial allocation of the fleet's limits."""
-    configuration = copy.deepcopy(source)
-    configuration.update(name=name, listen=listen, seed=secrets.token_hex(8))
+    configuration = copy.deepcopy(template)
+    configuration.update(name=name, listen=listen_address, seed=secrets.token_hex(8))
     if allocation is not None:
         configuration["part"] = allocation
     configuration["settings"].update(index=number, balancers=max(fleet_size, number + 1))
@@ -102,25 +102,27 @@
 
 def write_member_configuration(
     names: FleetNames,
-    source: ConfigurationTemplate,
-    listen: str,
+    template: ConfigurationJson,
+    listen_address: str,
     number: int,
     fleet_size: int,
     allocation: Message | None = None,
 ) -> None:
     """Write a member's configuration file atomically."""
-    configuration = build_member_configuration(source, names.name(number), listen, number, fleet_size, allocation)
+    configuration = build_member_configuration(
+        template, names.name(number), listen_address, number, fleet_size, allocation
+    )
     content = json.dumps(configuration, indent=1).encode()
     atomic_file.write(names.path(number, "json"), content, atomic_file.Durability.PROCESS)
 
 
-def read_registry(path: Path) -> MemberRegistry | None:
+def read_registry(path: Path) -> FleetRegistry | None:
     """Read the registry of an earlier supervisor; return None if there is no file.
 
     :raises RegistryError: the file cannot be read or is malformed.
     """
     try:
-        return msgspec.json.decode(path.read_bytes(), type=MemberRegistry)
+        return msgspec.json.decode(path.read_bytes(), type=FleetRegistry)
     except FileNotFoundError:
         return None
     except (OSError, msgspec.DecodeError) as error:
@@ -128,7 +130,7 @@
         raise RegistryError(text) from None
 
 
-def write_registry(path: Path, registry: MemberRegistry) -> None:
+def write_registry(path: Path, registry: FleetRegistry) -> None:
     """Write the registry file atomically."""
     atomic_file.write(path, msgspec.json.encode(registry), atomic_file.Durability.PROCESS)
 
@@ -141,9 +143,9 @@
 
     :raises RegistryError: the port would be out of range.
     """
-    first = address(base, 0)
-    port = first.port + number if first.port else known_ports.get(str(number), 0)
+    base_address = address(base, 0)
+    port = base_address.port + number if base_address.port else known_ports.get(str(number), 0)
     if port > MAX_PORT:
         text = f"member {number} would listen on port {port}, which is above {MAX_PORT}"
         raise RegistryError(text)
-    return Address(first.host, port)
+    return Address(base_address.host, port)
--- a/thymeflow/fleet/registry_store.py
+++ b/thymeflow/fleet/registry_store.py
@@ -5,7 +5,7 @@
 from pathlib import Path
 
 from thymeflow.fleet.errors import RegistryError
-from thymeflow.fleet.registry import MemberRegistry, read_registry, write_registry
+from thymeflow.fleet.registry import FleetRegistry, read_registry, write_registry
 from thymeflow.runtime import log
 from thymeflow.runtime.log_kinds import LogKind
 
@@ -17,7 +17,7 @@
         self._path = path
         self._last_content = ""
 
-    def read_previous(self) -> MemberRegistry | None:
+    def read_previous(self) -> FleetRegistry | None:
         """Return the previous supervisor's registry, None if the file is missing or unusable."""
         try:
             return read_registry(self._path)
@@ -27,7 +27,7 @@
             )
             return None
 
-    def write_if_changed(self, registry: MemberRegistry) -> None:
+    def write_if_changed(self, registry: FleetRegistry) -> None:
         """Replace the file, unless the registry is the same as in the previous call."""
         content = repr(registry)
         if content == self._last_content:
--- a/thymeflow/fleet/restart_policy.py
+++ b/thymeflow/fleet/restart_policy.py
@@ -26,10 +26,10 @@
     def record_crash(self, member: Member, reason: str, now: float) -> int:
         """Record a crash, and return the number of the member's crashes within the crash window."""
         member.last_crash_reason = reason
-        member.crashed_at.append(now)
-        while member.crashed_at and now - member.crashed_at[0] > self._settings.crash_window:
-            member.crashed_at.popleft()
-        return len(member.crashed_at)
+        member.crash_times.append(now)
+        while member.crash_times and now - member.crash_times[0] > self._settings.crash_window:
+            member.crash_times.popleft()
+        return len(member.crash_times)
 
     def is_crash_loop(self, crash_count: int) -> bool:
         """Return whether this number of crashes within the crash window counts as a crash loop."""
--- a/thymeflow/fleet/status_messages.py
+++ b/thymeflow/fleet/status_messages.py
@@ -46,7 +46,7 @@
         "name": names.name(member.number),
         "state": member.state.value,
         "why": member.last_crash_reason,
-        "crashes": len(member.crashed_at),
+        "crashes": len(member.crash_times),
         "pid": run.pid if run else None,
         "listen": sockets.address_text(member.number),
         "told": run.last_status if run else {},
--- a/thymeflow/fleet/supervisor.py
+++ b/thymeflow/fleet/supervisor.py
@@ -33,7 +33,7 @@
 from thymeflow.fleet.adoption import MemberAdopter
 from thymeflow.fleet.control_requests import ControlRequests, OperationRequest, RequestHandlers
 from thymeflow.fleet.controller import FleetController
-from thymeflow.fleet.errors import SupervisorError
+from thymeflow.fleet.errors import SupervisorStartError
 from thymeflow.fleet.events import Event, FleetStarted, OperationKind, Tick
 from thymeflow.fleet.lease_distributor import LeaseDistributor
 from thymeflow.fleet.member_processes import MemberProcesses, ProcessEnvironment
@@ -42,7 +42,7 @@
 from thymeflow.fleet.options import SupervisorOptions as SupervisorOptions
 from thymeflow.fleet.outlier_service import OutlierService
 from thymeflow.fleet.reactor import FleetReactor
-from thymeflow.fleet.registry import FleetNames, MemberRegistry
+from thymeflow.fleet.registry import FleetNames, FleetRegistry
 from thymeflow.fleet.registry_store import RegistryStore
 from thymeflow.fleet.status_messages import JsonObject, build_fleet_status
 from thymeflow.handover.control_socket import ControlError, ControlServer
@@ -64,23 +64,23 @@
         self.exit_code = 0
         self._options = options
         self._reactor = reactor
-        self._fleet = self.settings.fleet
-        self._names = FleetNames(options.state_folder, self._fleet.name)
+        self._fleet_settings = self.settings.fleet
+        self._names = FleetNames(options.state_folder, self._fleet_settings.name)
         self._deadlines = clock.Deadlines(reactor)
-        self._controller = FleetController(self._fleet, random.Random(os.urandom(8)))
+        self._controller = FleetController(self._fleet_settings, random.Random(os.urandom(8)))
         self._log = StructuredLog(self.settings.log, "fleet", os.urandom(4).hex())
         self._notifier = Notifier(os.environ)
         self._tick_timer = clock.NOT_SCHEDULED
         self._lock: NameLock
         self._control: ControlServer
         self._registry = RegistryStore(self._names.supervisor_path("json"))
-        self._environment = ProcessEnvironment(options, self._fleet, self._names)
-        self._sockets = MemberSockets(self._fleet.listen)
+        self._environment = ProcessEnvironment(options, self._fleet_settings, self._names)
+        self._sockets = MemberSockets(self._fleet_settings.listen)
         self._runs = MemberRuns(self._names)
         self._leases = LeaseDistributor(
             self._deadlines,
             self._names.supervisor_path("grants"),
-            self._fleet.name,
+            self._fleet_settings.name,
             self._runs.send,
             self.fleet_size,
         )
@@ -96,7 +96,7 @@
             self,
         )
         handlers = RequestHandlers(
-            self.status, self._leases.status, self._outliers.status, self._reload, self._schedule_stop
+            self.status, self._leases.status, self._outliers.status, self._reload, self._schedule_reactor_stop
         )
         self._requests = ControlRequests(self._controller, self._environment, handlers, self)
 
@@ -105,19 +105,19 @@
     def start(self) -> None:
         """Acquire the lock of the fleet's name, adopt the running members, and start the missing ones.
 
-        :raises SupervisorError: the supervisor cannot start.
+        :raises SupervisorStartError: the supervisor cannot start.
         """
         self._log.install()
         try:
             self._open_files()
         except configuration.ConfigurationError as error:
-            raise SupervisorError(str(error), BAD_CONFIGURATION) from None
+            raise SupervisorStartError(str(error), BAD_CONFIGURATION) from None
         except NameTakenError as error:
             text = f"another supervisor runs: {error}"
-            raise SupervisorError(text, NAME_TAKEN) from None
+            raise SupervisorStartError(text, NAME_TAKEN) from None
         except (ControlError, OSError) as error:
             text = f"{self._options.state_folder}: {error}"
-            raise SupervisorError(text, CANNOT_LISTEN) from None
+            raise SupervisorStartError(text, CANNOT_LISTEN) from None
         previous = self._read_previous_registry()
         self._leases.start(bool(self._names.find_control_sockets()))
         self._outliers.start()
@@ -153,7 +153,7 @@
         )
         self._control.listen()
 
-    def _read_previous_registry(self) -> MemberRegistry | None:
+    def _read_previous_registry(self) -> FleetRegistry | None:
         previous = self._registry.read_previous()
         if previous is not None:
             self._sockets.restore_ports(previous.ports)
@@ -163,13 +163,13 @@
                 )
         return previous
 
-    def _start_fleet(self, adoptions: list[tuple[bool, int | None]], previous: MemberRegistry | None) -> None:
+    def _start_fleet(self, adoptions: list[tuple[bool, int | None]], previous: FleetRegistry | None) -> None:
         has_adopted = any(is_successful and number is not None for is_successful, number in adoptions)
-        for name in self._leases.holders():
+        for name in self._leases.find_members_with_allocation():
             if is_name_free(self._names.folder / f"{name}.lock"):
                 self._leases.on_death(name)  # The kernel has released the lock, so the process has ended.
         # If members still run, the count that was ordered last applies; otherwise the count in the settings applies.
-        count = previous.count if previous is not None and has_adopted else self._fleet.instances
+        count = previous.count if previous is not None and has_adopted else self._fleet_settings.instances
         self.handle_event(FleetStarted(count))
         self._notifier.notify(ready=1, mainpid=os.getpid(), status=f"{count} members")
 
@@ -184,7 +184,7 @@
     def _shut_down(self) -> None:
         self._requests.begin_operation(None, OperationRequest(OperationKind.SHUTDOWN))
 
-    def _schedule_stop(self) -> None:
+    def _schedule_reactor_stop(self) -> None:
         # The delay starts in the reactor's next turn. The current turn may still wait for the disk, so that the delay
         # could be over before the last answer is sent.
         self._reactor.callLater(0, self._reactor.callLater, EXIT_DELAY_SECONDS, self._reactor.stop)
@@ -211,20 +211,20 @@
             case KillProcess(run_id):
                 self._runs.send_signal(run_id, signal.SIGKILL)
             case ResizeFleet(size):
-                self._processes.resize(self._controller.members, size)
+                self._processes.reconfigure_members(self._controller.members, size)
             case WriteLog(kind, text):
                 log.emit(kind, text)
             case ReportProgress():
                 self._requests.report(action)
             case Exit():
                 self._notifier.notify(stopping=1)
-                self._schedule_stop()
+                self._schedule_reactor_stop()
 
     def _write_registry(self) -> None:
         wanted_count = self._controller.wanted_count
         if wanted_count:  # The count is 0 until the fleet has started.
             operation = self._controller.describe_operation()
-            self._registry.write_if_changed(MemberRegistry(wanted_count, self._sockets.ports, operation))
+            self._registry.write_if_changed(FleetRegistry(wanted_count, self._sockets.ports, operation))
 
     def _set_tick_timer(self) -> None:
         self._deadlines.cancel(self._tick_timer)
@@ -254,7 +254,7 @@
             log.emit(LogKind.RELOAD, reason)
             return reason
         self._log.set_level(settings.log.level)
-        self._processes.resize(self._controller.members, self._controller.fleet_size)
+        self._processes.reconfigure_members(self._controller.members, self._controller.fleet_size)
         log.emit(
             LogKind.RELOAD, "the settings were read again; every member is signalled to read its configuration again"
         )
@@ -272,7 +272,7 @@
     try:
         supervisor = Supervisor(options, reactor)
         supervisor.start()
-    except SupervisorError as error:
+    except SupervisorStartError as error:
         print(f"thymeflow: fleet cannot start: {error}", file=sys.stderr)
         return error.exit_code
     return supervisor.run()
