--- a/tests/fleet/controller_model.py
+++ b/tests/fleet/controller_model.py
@@ -65,7 +65,7 @@
             self.handle(events.Tick())
             ticks += 1
             assert ticks < 200 or self.controller.next_deadline() > self.now, (
-                f"the controller only schedules ticks: {self.controller.members}"
+                f"the controller schedules one tick after another without a pause: {self.controller.members}"
             )
         self.now = end
         self.handle(events.Tick())
--- a/tests/fleet/controller_trace.py
+++ b/tests/fleet/controller_trace.py
@@ -30,7 +30,8 @@
 
 EPISODES = 60
 EPISODE_STEPS = 110
-# Bound on the steps of a shutdown, so that a controller that only schedules ticks fails instead of running forever.
+# Bound on the steps of a shutdown, so that a controller that schedules ticks without end fails instead of running
+# forever.
 SHUTDOWN_STEPS = 500
 NEVER = 1e9
 OPERATION_WEIGHTS = (0.35, 0.3, 0.33, 0.02)
@@ -143,8 +144,8 @@
         self.handle("told", events.StatusReported(run_id, f"life{run_id}", True, process.is_healthy))
 
     def _withhold_report(self, process: Process, run_id: int) -> bool:
-        # Returns whether the controller learns of the predecessor's end before the successor's report. The report then
-        # comes later or never.
+        # Returns whether the successor's report is withheld: the predecessor has ended first, and the successor
+        # reports later or ends too.
         is_hanging = self.rng.random() < self.fault_probability
         self._schedule_end(process.predecessor_run_id, NEVER if is_hanging else self.rng.uniform(0.0, 1.5))
         if self.rng.random() > 0.3:
--- a/tests/fleet/support.py
+++ b/tests/fleet/support.py
@@ -25,7 +25,10 @@
 
 
 class RunningFleet:
-    """A supervisor with three members, which use the platform configuration of a limiter that the test started."""
+    """A supervisor with three members.
+
+    The members use the platform configuration and the state folder of a limiter that the test started.
+    """
 
     def __init__(
         self, folder: Path, limiter: Limiter, program: tuple[str, ...] = THYMEFLOW, wait_for_members: bool = True
--- a/tests/fleet/test_controller.py
+++ b/tests/fleet/test_controller.py
@@ -13,7 +13,7 @@
 
 
 def test_transition_raises_when_it_is_not_in_the_table() -> None:
-    """An event that comes in an unexpected state must raise, and not lead to a state that the table does not list."""
+    """A transition that the table does not list for a state must raise, and not change the state."""
     for state in MemberState:
         for transition in Transition:
             member = Member(0, state)
@@ -25,7 +25,7 @@
                     member.apply(transition)
 
 
-def test_starts_are_spread_after_the_size_is_announced_when_a_fleet_starts() -> None:
+def test_fleet_size_is_sent_before_the_spread_starts_when_a_fleet_starts() -> None:
     """Simultaneous starts would load the counter, discovery and the backends all at once."""
     model = FleetModel(start=False)
     first = model.handle(events.FleetStarted(3))
@@ -42,7 +42,7 @@
     assert not any(s.is_joining for s in model.starts_by_live_run_id.values())
 
 
-def test_restart_waits_with_the_next_member_when_the_restarted_one_is_not_healthy() -> None:
+def test_restart_does_not_continue_when_the_restarted_member_is_not_healthy() -> None:
     """A restart continues only when the restarted member has been healthy for the settle time."""
     model = FleetModel()
     operation = model.begin(OperationKind.RESTART)
@@ -99,7 +99,7 @@
 
 @pytest.mark.parametrize("failure_mode", ["ends", "hangs", "both"])
 def test_upgrade_stops_and_other_members_keep_their_runs_when_the_successor_fails(failure_mode: str) -> None:
-    """A failed successor ends the upgrade, whose report names the members that were not touched."""
+    """A failed successor ends the upgrade, whose report names the members that were not replaced."""
     model = FleetModel()
     runs = [m.run_id for m in model.controller.members.values()]
     operation = model.begin(OperationKind.UPGRADE)
@@ -157,7 +157,7 @@
     assert model.states()[1] is MemberState.READY
 
 
-def test_announced_size_covers_every_member_when_the_fleet_is_scaled() -> None:
+def test_notified_size_is_above_every_member_number_when_the_fleet_is_scaled() -> None:
     """A member that knows a size below the real one would reject requests of customers whose set has grown."""
     model = FleetModel()
     scale_up_id = model.begin(OperationKind.SCALE, 5)
--- a/tests/fleet/test_controller_invariants.py
+++ b/tests/fleet/test_controller_invariants.py
@@ -72,12 +72,12 @@
         assert len(runs) == len(set(runs))
 
     @invariant()
-    def fleet_size_covers_every_member(self) -> None:
-        """Check that every member's number is below the announced size."""
+    def fleet_size_is_above_every_member_number(self) -> None:
+        """Check that every member's number is below the size that members are notified of."""
         assert all(m.number < self.model.controller.fleet_size for m in self.model.controller.members.values())
 
     def teardown(self) -> None:
-        """Check that the fleet reaches the last ordered size from any state once no process fails any more."""
+        """Check that the fleet reaches the size that was ordered last from any state if no process fails any more."""
         model = self.model
         if model.controller.members:
             model.run_rounds_without_failures(150)
--- a/tests/fleet/test_member_messages.py
+++ b/tests/fleet/test_member_messages.py
@@ -14,7 +14,7 @@
 from thymeflow.outliers.messages import ejections_from_message
 
 
-def test_status_has_the_values_of_its_message_when_all_are_given() -> None:
+def test_status_has_the_values_of_its_message_when_the_message_has_every_key() -> None:
     message = {"pid": 7, "life": "0b1c", "phase": "serving", "healthy": True, "part": {"era": 1}, "evidence": {}}
     status = parse_status(message)
     assert (status.pid, status.incarnation, status.is_healthy) == (7, "0b1c", True)
--- a/tests/fleet/test_message_formats.py
+++ b/tests/fleet/test_message_formats.py
@@ -64,7 +64,7 @@
 
 
 def build_probe_results(sent: list[Json], is_failing: bool) -> dict[str, bool]:
-    """Return the result of the half-open probe that was permitted last, by permit number."""
+    """Return the result of the half-open probe that was permitted last; the key is the number of its permit."""
     permitted = [ejection for _, message in sent for ejection in message.get("verdicts", ()) if ejection[3]]
     return {str(ejection[3]): not is_failing for ejection in permitted[-1:]}
 
@@ -187,6 +187,6 @@
     assert_as_recorded("supervisor", exchanges)
 
 
-def test_supervisor_reports_equal_the_recorded_ones_when_it_restarts_a_member(tmp_path: Path) -> None:
+def test_progress_reports_equal_the_recorded_ones_when_the_supervisor_restarts_a_member(tmp_path: Path) -> None:
     with Limiter(tmp_path) as limiter, run_supervisor(tmp_path, limiter, 1) as path:
         assert_as_recorded("supervisor restart", request_responses(path, {"do": "restart"}))
--- a/tests/fleet/test_stored_files.py
+++ b/tests/fleet/test_stored_files.py
@@ -1,4 +1,4 @@
-"""The registry and a member's configuration: today's files equal those that an earlier version wrote."""
+"""The registry and a member's configuration: the files equal those that an earlier version wrote."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
     return written.replace(json.loads(written)["seed"].encode(), MASKED_SEED)
 
 
-def test_fleet_file_has_the_same_values_and_bytes_when_an_earlier_version_wrote_it(tmp_path: Path) -> None:
+def test_registry_has_the_recorded_values_and_the_same_bytes_when_an_earlier_version_wrote_it(tmp_path: Path) -> None:
     content = registry.read_registry(STORED_FOLDER / "fleet.json")
     assert content is not None
     assert plain(content) == recorded_value("fleet.json")
@@ -30,7 +30,7 @@
     assert (tmp_path / "fleet.json").read_bytes() == stored("fleet.json")
 
 
-def test_fleet_file_is_read_when_it_has_no_operation() -> None:
+def test_registry_is_read_when_it_has_no_operation() -> None:
     content = registry.read_registry(STORED_FOLDER / "fleet-no-order.json")
     assert plain(content) == recorded_value("fleet-no-order.json")
 
--- a/tests/fleet/test_supervisor.py
+++ b/tests/fleet/test_supervisor.py
@@ -34,16 +34,19 @@
         fleet.process = fleet.start_supervisor()
         status = fleet.wait_until_ready(3)
         assert [m["listen"] for m in status["members"]] == [m["listen"] for m in first["members"]]
-        assert "upgrade, 1 of 3 done, when the last supervisor ended" in (tmp_path / "log").read_text()
-        # A handover that the last supervisor began may still be in progress. Its member then rejects another handover.
+        assert "the last supervisor ended during an operation (upgrade, 1 of 3 done)" in (tmp_path / "log").read_text()
+        # A member whose handover, begun by the last supervisor, is still in progress rejects another handover, so the
+        # upgrade is ordered until it succeeds.
         deadline = time.monotonic() + PATIENCE
         while not fleet.request(do="upgrade")["ok"]:
             assert time.monotonic() < deadline
         assert all(is_serving(m) for m in fleet.wait_until_ready(3)["members"])
 
 
-def test_members_keep_addresses_and_learn_sizes_when_one_is_killed_and_the_fleet_is_scaled(tmp_path: Path) -> None:
-    """The supervisor's listening socket has to accept connections while a member restarts, so that none is rejected."""
+def test_members_keep_addresses_and_report_the_new_size_when_one_is_killed_and_the_fleet_is_scaled(
+    tmp_path: Path,
+) -> None:
+    """The supervisor's listening socket has to accept connections while a member restarts, or clients get errors."""
     with Limiter(tmp_path) as limiter, RunningFleet(tmp_path, limiter) as fleet:
         before = fleet.wait_until_ready(3)
         killed_process = psutil.Process(before["members"][1]["pid"])
--- a/thymeflow/fleet/adoption.py
+++ b/thymeflow/fleet/adoption.py
@@ -43,7 +43,7 @@
         self._carry_out = carry_out
 
     def adopt(self, number: int) -> Deferred[int | None]:
-        """Adopt a member if it runs; the Deferred returns the member's number, or None if no process was adopted."""
+        """Adopt a member if it runs; the Deferred fires with the member's number, or None if no process was adopted."""
         status_deferred = self._processes.request_status(number)
         return status_deferred.addCallbacks(partial(self._on_status, number), _ignore_failure)
 
@@ -78,7 +78,7 @@
         self._finished: Deferred[int | None] = Deferred()
 
     def start(self) -> Deferred[int | None]:
-        """Connect and send the request; the Deferred returns the member's number when the connection has ended."""
+        """Connect and send the request; the Deferred fires with the member's number when the connection has ended."""
         session_deferred = control_client.open_session(self._reactor, self._path, self._on_message, self._on_ended)
         session_deferred.addCallbacks(self._on_connected, self._on_connect_failure)
         return self._finished
--- a/thymeflow/fleet/control_requests.py
+++ b/thymeflow/fleet/control_requests.py
@@ -85,8 +85,11 @@
         self._last_operation_id += 1
         operation_id = self._last_operation_id
         if caller is not None:
+            # The caller need not send another request while it waits for the reports.
             caller.is_persistent = True
             self._callers[operation_id] = caller
+        # The program is not replaced while another operation is in progress, because the controller then rejects any
+        # operation except a shutdown.
         if request.program is not None and not self._controller.describe_operation():
             self._previous_programs[operation_id] = self._environment.replace_program(request.program)
         suffix = f" to {request.count}" if request.kind is OperationKind.SCALE else ""
@@ -107,7 +110,7 @@
     def _restore_program(self, report: ReportProgress) -> None:
         previous = self._previous_programs.pop(report.operation_id, None)
         if previous is not None and not report.is_successful:
-            # The next restart must not use a program that failed.
+            # A member that starts later must not run a program that failed.
             self._environment.replace_program(previous)
 
     def _send_status(self, caller: ControlCaller) -> None:
@@ -134,7 +137,8 @@
 
     :raises ValueError: the count or the program is invalid.
     """
-    # Raises plain ValueErrors, because the control socket shows the name of the exception's type to callers.
+    # Only plain ValueErrors are raised, because the control socket shows the name of the exception's type to callers,
+    # to whom that name has to stay the same.
     count = _parse_count(message.get("count", 0)) if kind is OperationKind.SCALE else 0
     program = message.get("program")
     if program is not None and (not isinstance(program, str) or len(program) > MAX_PROGRAM_CHARACTERS):
--- a/thymeflow/fleet/controller.py
+++ b/thymeflow/fleet/controller.py
@@ -28,7 +28,7 @@
 
 
 class FleetController:
-    """Decides on the events of one fleet; all times are in seconds on the caller's clock."""
+    """Decides which actions follow the events of one fleet; all times are in seconds on the caller's clock."""
 
     def __init__(self, settings: Fleet, rng: random.Random) -> None:
         self._decisions = Decisions()
@@ -66,7 +66,7 @@
             case OperationOrdered():
                 self._operations.begin(event)
             case Tick():
-                pass
+                pass  # Deadlines are checked after every event.
         self._lifecycle.act_on_due_deadlines()
         self._operations.advance()
         return self._decisions.actions
--- a/thymeflow/fleet/errors.py
+++ b/thymeflow/fleet/errors.py
@@ -18,4 +18,4 @@
 
 
 class RegistryError(FleetError, ValueError):
-    """The registry file cannot be read, or the port of a member is out of range."""
+    """The registry file cannot be read, or a member's address would have a port that is out of range."""
--- a/thymeflow/fleet/events.py
+++ b/thymeflow/fleet/events.py
@@ -1,4 +1,4 @@
-"""The events that the fleet controller decides on."""
+"""The events that the fleet controller handles."""
 
 from __future__ import annotations
 
@@ -40,7 +40,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RunEnded:
-    """The process of a run has ended; `reason` is a predicate about the member, such as "ended with code 1"."""
+    """The process of a run has ended; `reason` is a verb phrase about the process, such as "ended with code 1"."""
 
     run_id: int
     reason: str
@@ -68,7 +68,7 @@
 
 
 class SupervisorInterface(Protocol):
-    """The supervisor's interface for the objects that it is composed of."""
+    """The methods of the supervisor that its parts call."""
 
     def handle_event(self, event: Event) -> None:
         """Pass an event to the controller, and carry out the resulting actions."""
--- a/thymeflow/fleet/lease_distributor.py
+++ b/thymeflow/fleet/lease_distributor.py
@@ -36,7 +36,7 @@
         self._fleet_name = fleet_name
         self._send = send
         self._fleet_size = fleet_size
-        self._issuer = LeaseIssuer(1, clock.monotonic())
+        self._issuer = LeaseIssuer(1, clock.monotonic())  # Has the first epoch; `start` replaces the issuer.
 
     def start(self, may_have_running_members: bool) -> None:
         """Continue from the previous supervisor's grant file.
--- a/thymeflow/fleet/member_lifecycle.py
+++ b/thymeflow/fleet/member_lifecycle.py
@@ -1,6 +1,7 @@
 """The lifecycle of fleet members: starts, adoptions, stops, replacements and crashes.
 
-A *run* is one process of a member, identified by a number. Reports about a run that has ended are ignored.
+A *run* is a process of a member, identified by a number. If the supervisor finds that a process that it adopted has
+handed over to a successor, the successor continues the same run. Reports about a run that has ended are ignored.
 """
 
 from __future__ import annotations
@@ -19,7 +20,7 @@
 
 
 class MemberLifecycle:
-    """Tracks all members of a fleet and their runs; calls `on_fault` with each member that fails and the reason."""
+    """Tracks all members of a fleet and their runs; calls `on_fault(member, reason)` for each failure."""
 
     def __init__(
         self,
@@ -36,7 +37,8 @@
         self._on_fault = on_fault
         self._last_run_id = 0
         self._member_number_by_run_id: dict[int, int] = {}  # Key: run id.
-        # When to kill replaced runs and abandoned successors that have not ended by then. Key: run id.
+        # The times at which a retiring run, which is a replaced run or an abandoned successor, is killed if it has not
+        # ended. Key: run id.
         self._retiring_deadlines: dict[int, float] = {}
 
     # --- queries -------------------------------------------------------------------------------------------
@@ -61,7 +63,7 @@
     # --- starts --------------------------------------------------------------------------------------------
 
     def start_fleet(self, count: int) -> None:
-        """Schedule the start of each missing member below number `count`, and stop the members from `count` on."""
+        """Schedule a start for each missing number below `count`, and stop members whose number is `count` or above."""
         adopted_count = len(self.members)
         missing = [number for number in range(count) if number not in self.members]
         for position, number in enumerate(missing):
@@ -70,6 +72,7 @@
             delay = 0.0 if adopted_count else self._policy.compute_spread_delay_seconds(position, len(missing))
             self.members[number] = Member(number, deadline=self._decisions.now + delay)
         surplus = [member for member in self.members.values() if member.number >= count]
+        # The size has to be above the numbers of surplus members too, because they serve until they have ended.
         self.resize(max([count, *(member.number + 1 for member in surplus)]))
         for member in surplus:
             self.stop(member)
@@ -148,8 +151,8 @@
             self._decisions.add(StopProcess(member.run_id))
 
     def _abandon_replacement(self, member: Member) -> None:
-        # The controller does not know the progress of the handover. Both processes end gracefully on SIGTERM, while
-        # a kill could lose requests.
+        # The controller does not know the progress of the handover, so both processes get SIGTERM, on which they end
+        # gracefully; a kill could lose requests. If the old run has already ended, the successor is the current run.
         if member.run_id == NO_RUN:
             member.run_id = member.successor_run_id
         else:
--- a/thymeflow/fleet/member_messages.py
+++ b/thymeflow/fleet/member_messages.py
@@ -18,7 +18,9 @@
 
 # Requests without arguments:
 STATUS_REQUEST: Message = {"do": "status"}
-WATCH_REQUEST: Message = {"do": "watch"}  # Subscribes to the status: sent now, and on each change.
+WATCH_REQUEST: Message = {
+    "do": "watch"
+}  # Subscribes to the status, which the member sends at once and after each change.
 SOCKET_REQUEST: Message = {"do": "socket"}  # Requests a copy of the listening socket.
 
 
@@ -41,7 +43,11 @@
 
 
 def parse_status(message: Message) -> MemberStatus:
-    """Parse a status message; a missing key counts as not serving, not healthy or not reported."""
+    """Parse a status message.
+
+    Without `phase` the process counts as not serving, without `healthy` as not healthy, and without `part` or
+    `evidence` as not reporting; a missing pid becomes UNKNOWN_PID, and a missing incarnation the text "None".
+    """
     pid = message.get("pid")
     return MemberStatus(
         pid=pid if isinstance(pid, int) else UNKNOWN_PID,
@@ -60,7 +66,7 @@
 
 
 def build_ejections_message(ejections: list[Ejection]) -> Message:
-    """Return the message that replaces all ejections of a member."""
+    """Return the message whose ejections replace all those that a member applies."""
     return {"do": "verdicts", "verdicts": [ejection_to_row(ejection) for ejection in ejections]}
 
 
--- a/thymeflow/fleet/member_processes.py
+++ b/thymeflow/fleet/member_processes.py
@@ -37,7 +37,7 @@
 from thymeflow.runtime.log_kinds import LogKind
 from thymeflow.settings.sections import Fleet
 
-STATUS_TIMEOUT_SECONDS = 1.0  # A member that has not answered by then counts as not running.
+STATUS_TIMEOUT_SECONDS = 1.0  # A member that does not answer within this time counts as not running.
 OUTPUT_FILE_MODE = 0o600
 SUPERVISOR_VARIABLE_PREFIXES = ("LISTEN_", "NOTIFY_")  # Members do not inherit these environment variables.
 
@@ -47,16 +47,16 @@
 
     def __init__(self, options: SupervisorOptions, settings: Fleet, names: FleetNames) -> None:
         self.names = names
-        self.program = options.program  # Command line; empty for this program.
+        self.program = options.program  # Command line of members; if empty, that of the running thymeflow.
         self.output_descriptor = -1  # -1 until `open_output`.
         self.template: ConfigurationJson = {}
         self._options = options
         self._settings = settings
 
     def read_template(self) -> None:
-        """Read the platform's configuration, which all later starts use.
+        """Read the platform's file, the template of the configurations that are written from now on.
 
-        :raises ConfigurationError: the configuration is invalid; the previous one stays in use.
+        :raises ConfigurationError: the file is invalid; the previous template stays in use.
         """
         self.template = read_template(self._options.platform_path)
 
@@ -158,12 +158,13 @@
     # --- starts --------------------------------------------------------------------------------------------
 
     def start(self, action: StartProcess) -> None:
-        """Start a process, or adopt the one that already runs under the member's name."""
+        """Start a process, or adopt the one that answers on the member's control socket."""
         spawn = partial(self._spawn, action)
         if action.is_replacement or not self._names.path(action.number, "sock").is_symlink():
             spawn()
             return
-        # If a process answers under this name, it was in a handover that the previous supervisor had begun.
+        # A control socket is published as a symbolic link. If a process answers on the member's control socket, it is
+        # the successor from a handover that the previous supervisor began.
         self.request_status(action.number).addCallbacks(
             partial(self._adopt_or_spawn, action, spawn), partial(_call_ignoring_failure, spawn)
         )
@@ -225,7 +226,8 @@
         path = self._names.path(process.number, "sock")
         run = MemberRun(self._reactor, self._deadlines, path, process, self)
         self._runs.add(run)
-        # Deferred to the reactor's next turn, because the other actions of the same event are still being carried out.
+        # The end is reported in the reactor's next turn at the earliest, because the other actions of the current event
+        # are still being carried out.
         self._reactor.callLater(0, process.handle.report_end_to, run)
         run.connect()
 
@@ -252,8 +254,8 @@
         if not run.is_adopted:
             end_run()
             return
-        # An adopted process may have been in a handover that the previous supervisor had begun. Its successor then
-        # answers under the name and is the same member.
+        # An adopted process may have been in a handover that the previous supervisor began. The successor then answers
+        # on the member's control socket, and continues the run.
         self.request_status(run.number).addCallbacks(
             partial(self._follow_successor, run, end_run), partial(_call_ignoring_failure, end_run)
         )
--- a/thymeflow/fleet/member_sockets.py
+++ b/thymeflow/fleet/member_sockets.py
@@ -28,7 +28,7 @@
         return number in self._sockets
 
     def restore_ports(self, ports: dict[str, int]) -> None:
-        """Reuse the ports of the previous supervisor if the system chose them."""
+        """Set the ports that the previous supervisor used; they apply if the port of the base address is 0."""
         self.ports = dict(ports)
 
     def open(self, number: int) -> socket.socket:
--- a/thymeflow/fleet/member_state.py
+++ b/thymeflow/fleet/member_state.py
@@ -73,10 +73,10 @@
     run_id: int = NO_RUN  # The process that serves or is starting to serve.
     successor_run_id: int = NO_RUN
     incarnation: str = ""
-    healthy_since: float = inf
+    healthy_since: float = inf  # Start of the current healthy period; inf if none has begun.
     is_joining: bool = False  # The next start joins a running set.
     is_restarting: bool = False  # Starts again after the stop that is in progress.
-    is_kill_logged: bool = False
+    is_kill_logged: bool = False  # A repeated kill of a start or stop that took too long is logged only once.
     crash_times: deque[float] = field(default_factory=deque)
     last_crash_reason: str = ""
 
--- a/thymeflow/fleet/operation_runner.py
+++ b/thymeflow/fleet/operation_runner.py
@@ -75,7 +75,10 @@
         self._lifecycle.start_fleet(count)
 
     def begin(self, operation: OperationOrdered) -> None:
-        """Begin an operation; while another is in progress, reject all but a shutdown, which aborts the other."""
+        """Begin an operation.
+
+        If another operation is in progress, a shutdown aborts it, and an operation of any other kind is rejected.
+        """
         if self._progress is not None and operation.kind is not OperationKind.SHUTDOWN:
             self._decisions.report_failure(operation.id, f"{self.describe()} is under way: wait for its end")
             return
--- a/thymeflow/fleet/options.py
+++ b/thymeflow/fleet/options.py
@@ -17,4 +17,4 @@
     settings_path: str  # If empty, members read their settings from the default path.
     platform_path: Path
     state_folder: Path
-    program: str = ""  # Command line of the members; empty for this program.
+    program: str = ""  # Command line with which members are started; if empty, that of the running thymeflow.
--- a/thymeflow/fleet/outlier_service.py
+++ b/thymeflow/fleet/outlier_service.py
@@ -20,7 +20,8 @@
 from thymeflow.shedding.threshold import AdmissionThreshold
 
 TICK_INTERVAL_SECONDS = 0.25  # Interval between evaluations of the reports.
-# Unchanged ejections and thresholds are sent again at this interval, which is a third of their lease.
+# Unchanged ejections and thresholds are sent again at this interval, which is a third of their leases
+# (coordinator.EJECTION_LEASE_SECONDS and load_shedder.THRESHOLD_LEASE_SECONDS).
 RENEWAL_INTERVAL_SECONDS = 1.0
 THRESHOLD_DECIMALS = 3  # Number of decimals of a threshold in messages.
 # Texts of the log lines that report a new state of an ejection.
@@ -112,7 +113,7 @@
                 log.emit(LogKind.OVERLOAD, f"{_describe_key(key)} is {STATE_TEXTS[record.state]}", server=key.backend)
 
     def _send_ejections(self, name: str, now: float) -> None:
-        # Compares the ejections without their expiry times, which change with every tick.
+        # Ejections are compared without their expiry times, which change with every tick.
         ejections = [replace(ejection, ends_at=0.0) for ejection in self._coordinator.build_ejections(name, now)]
         sent = self._sent_ejections.get(name, _SentEjections(now))
         if ejections != sent.ejections or (ejections and now - sent.sent_at >= RENEWAL_INTERVAL_SECONDS):
@@ -120,7 +121,7 @@
             self._send(name, build_ejections_message(self._coordinator.build_ejections(name, now)))
 
     def _update_threshold(self, now: float) -> None:
-        # Compares the rounded values, which the members receive: a threshold that rounds to 0 sheds nothing.
+        # The rounded values are compared, because members receive them: a threshold that rounds to 0 sheds nothing.
         previous = round(self._threshold.value, THRESHOLD_DECIMALS)
         threshold = round(self._threshold.tick(now), THRESHOLD_DECIMALS)
         if (threshold > 0.0) != (previous > 0.0):
@@ -133,7 +134,7 @@
         elif threshold:
             log.emit_rate_limited(
                 LogKind.OVERLOAD,
-                f"all members shed requests whose rank is below the threshold {threshold:.2f}",
+                f"all members shed requests whose rank in the priority order is below the threshold {threshold:.2f}",
                 level=threshold,
             )
         for name in self._threshold.reports:
--- a/thymeflow/fleet/processes.py
+++ b/thymeflow/fleet/processes.py
@@ -37,7 +37,7 @@
         """Handle the end of the connection; the run then connects again."""
 
     def on_ended(self, run: MemberRun, reason: str) -> None:
-        """Handle the end of the process; called once. `reason` is a predicate about the member, as in `RunEnded`."""
+        """Handle the end of the process; called once. `reason` is a verb phrase about the process, as in `RunEnded`."""
 
 
 class MemberRun:
@@ -79,6 +79,7 @@
 
     def send_signal(self, signal_number: int) -> None:
         """Send a signal to the process, unless it has ended."""
+        # The pid is 0 if the process ended while it was spawned; a signal to pid 0 would go to the supervisor's group.
         if not self.is_ended and self.pid > 0:
             with contextlib.suppress(ProcessLookupError):
                 os.kill(self.pid, signal_number)
@@ -129,7 +130,8 @@
 
     def __init__(self) -> None:
         self._run: MemberRun | None = None
-        self._end_reason = ""  # Empty until the end. A run that follows the process later reads it.
+        # Empty until the process has ended. The text is kept for a run that begins to follow the process after that.
+        self._end_reason = ""
 
     def report_end_to(self, run: MemberRun) -> None:
         """Notify a run of the process's end, at once if the process has already ended."""
@@ -196,7 +198,7 @@
 
 
 def build_member_command(program_arguments: Sequence[str], arguments: Sequence[str]) -> list[str]:
-    """Return the command line of a member; an empty `program_arguments` stands for this program."""
+    """Return the command line of a member; empty `program_arguments` stand for the running thymeflow."""
     return [*(program_arguments or (sys.executable, "-m", "thymeflow")), "serve", *arguments]
 
 
@@ -210,7 +212,7 @@
     """Start a process that outlives the supervisor, and return it with its pid.
 
     The process writes its output to `output_descriptor` and inherits the listening socket as descriptor 3. The pid is
-    0 if the process has already ended; the returned process then reports its end to the run.
+    0 if the process has already ended; the returned process then reports its end as soon as a run follows it.
     """
     child = ChildProcess()
     null_descriptor = os.open(os.devnull, os.O_RDONLY)
--- a/thymeflow/fleet/registry.py
+++ b/thymeflow/fleet/registry.py
@@ -79,6 +79,7 @@
     if not isinstance(template, dict) or not isinstance(template.get("settings"), dict):
         text = f"{path}: not a JSON object with an object under the key 'settings'"
         raise ConfigurationError(text)
+    # The template is validated as the configuration of a member with sample values.
     from_source(build_member_configuration(template, "n0", "127.0.0.1:0", 0, 1), str(path), {})
     return template
 
--- a/thymeflow/fleet/registry_store.py
+++ b/thymeflow/fleet/registry_store.py
@@ -11,7 +11,7 @@
 
 
 class RegistryStore:
-    """Stores the registry of one fleet in a file. Failures are logged, and the supervisor continues without it."""
+    """Stores the registry of one fleet in a file. Failures are logged; the supervisor continues without the file."""
 
     def __init__(self, path: Path) -> None:
         self._path = path
--- a/thymeflow/fleet/supervisor.py
+++ b/thymeflow/fleet/supervisor.py
@@ -39,7 +39,7 @@
 from thymeflow.fleet.member_processes import MemberProcesses, ProcessEnvironment
 from thymeflow.fleet.member_runs import MemberRuns
 from thymeflow.fleet.member_sockets import MemberSockets
-from thymeflow.fleet.options import SupervisorOptions as SupervisorOptions
+from thymeflow.fleet.options import SupervisorOptions as SupervisorOptions  # The command line imports it from here.
 from thymeflow.fleet.outlier_service import OutlierService
 from thymeflow.fleet.reactor import FleetReactor
 from thymeflow.fleet.registry import FleetNames, FleetRegistry
@@ -130,7 +130,7 @@
     def run(self) -> int:
         """Run the reactor until it stops, and return the exit code."""
         # Twisted installs its signal handlers when the reactor starts. Its SIGCHLD handler has to stay, because it
-        # reports the ends of child processes; the supervisor's handlers then replace the other ones.
+        # reports the ends of child processes; the supervisor then replaces the handlers of SIGTERM, SIGINT and SIGHUP.
         self._reactor.callWhenRunning(self._install_signal_handlers)
         self._reactor.run()
         self._control.close()
@@ -159,7 +159,8 @@
             self._sockets.restore_ports(previous.ports)
             if previous.working:
                 log.emit(
-                    LogKind.ROLL, f"{previous.working}, when the last supervisor ended; this operation is not resumed"
+                    LogKind.ROLL,
+                    f"the last supervisor ended during an operation ({previous.working}), which is not resumed",
                 )
         return previous
 
@@ -185,8 +186,8 @@
         self._requests.begin_operation(None, OperationRequest(OperationKind.SHUTDOWN))
 
     def _schedule_reactor_stop(self) -> None:
-        # The delay starts in the reactor's next turn. The current turn may still wait for the disk, so that the delay
-        # could be over before the last answer is sent.
+        # The delay is counted from the reactor's next turn. If the current turn blocks on the disk for longer than the
+        # delay, the reactor would otherwise stop before it sends the last answer.
         self._reactor.callLater(0, self._reactor.callLater, EXIT_DELAY_SECONDS, self._reactor.stop)
 
     # --- decisions -----------------------------------------------------------------------------------------
