--- a/thymeflow/fleet/lease_distributor.py
+++ b/thymeflow/fleet/lease_distributor.py
@@ -61,6 +61,7 @@
 
     def allocate_on_start(self, name: str) -> Message:
         """Return the initial allocation of a member's new process, as a message."""
+        # A start is legal only in these two states; the end of the connection leads to one of them from any other.
         if self._issuer.get_or_create_record(name).state not in (HolderState.ABSENT, HolderState.NOT_REPORTING):
             self._issuer.on_disconnected(name)
         allocation, _ = self._issuer.on_starting(name, clock.monotonic())
