--- a/thymeflow/fleet/control_requests.py
+++ b/thymeflow/fleet/control_requests.py
@@ -7,7 +7,7 @@
 
 from thymeflow.fleet.actions import ReportProgress
 from thymeflow.fleet.controller import FleetController
-from thymeflow.fleet.events import EventHandler, Operation, OperationKind
+from thymeflow.fleet.events import OperationKind, OperationOrdered, SupervisorInterface
 from thymeflow.fleet.member_processes import ProcessEnvironment
 from thymeflow.fleet.status_messages import JsonObject
 from thymeflow.handover.control_socket import ControlCaller, Message
@@ -48,12 +48,12 @@
         controller: FleetController,
         environment: ProcessEnvironment,
         handlers: RequestHandlers,
-        handler: EventHandler,
+        supervisor: SupervisorInterface,
     ) -> None:
         self._controller = controller
         self._environment = environment
         self._handlers = handlers
-        self._handler = handler
+        self._supervisor = supervisor
         self._last_operation_id = 0
         self._callers: dict[int, ControlCaller] = {}  # Key: operation id.
         self._previous_programs: dict[int, str] = {}  # Key: id of the operation that replaced the program.
@@ -85,13 +85,16 @@
         self._last_operation_id += 1
         operation_id = self._last_operation_id
         if caller is not None:
+            # The caller need not send another request while it waits for the reports.
             caller.is_persistent = True
             self._callers[operation_id] = caller
+        # The program is not replaced while another operation is in progress, because the controller then rejects any
+        # operation except a shutdown.
         if request.program is not None and not self._controller.describe_operation():
             self._previous_programs[operation_id] = self._environment.replace_program(request.program)
         suffix = f" to {request.count}" if request.kind is OperationKind.SCALE else ""
         log.emit(LogKind.ORDER, f"operation ordered: {request.kind.value}{suffix}")
-        self._handler.handle_event(Operation(operation_id, request.kind, request.count))
+        self._supervisor.handle_event(OperationOrdered(operation_id, request.kind, request.count))
 
     def report(self, report: ReportProgress) -> None:
         """Log a report of an operation, and send it to the caller who ordered it."""
@@ -107,7 +110,7 @@
     def _restore_program(self, report: ReportProgress) -> None:
         previous = self._previous_programs.pop(report.operation_id, None)
         if previous is not None and not report.is_successful:
-            # The next restart must not use a program that failed.
+            # A member that starts later must not run a program that failed.
             self._environment.replace_program(previous)
 
     def _send_status(self, caller: ControlCaller) -> None:
@@ -134,7 +137,8 @@
 
     :raises ValueError: the count or the program is invalid.
     """
-    # Raises plain ValueErrors, because the control socket shows the name of the exception's type to callers.
+    # Only plain ValueErrors are raised, because the control socket shows the name of the exception's type to callers,
+    # to whom that name has to stay the same.
     count = _parse_count(message.get("count", 0)) if kind is OperationKind.SCALE else 0
     program = message.get("program")
     if program is not None and (not isinstance(program, str) or len(program) > MAX_PROGRAM_CHARACTERS):
--- a/thymeflow/fleet/errors.py
+++ b/thymeflow/fleet/errors.py
@@ -9,7 +9,7 @@
     """Base class of the fleet's exceptions."""
 
 
-class SupervisorError(FleetError):
+class SupervisorStartError(FleetError):
     """The supervisor cannot start; the message gives the reason in one line."""
 
     def __init__(self, reason: str, exit_code: int) -> None:
@@ -18,4 +18,4 @@
 
 
 class RegistryError(FleetError, ValueError):
-    """The registry file cannot be read, or the port of a member is out of range."""
+    """The registry file cannot be read, or a member's address would have a port that is out of range."""
--- a/thymeflow/fleet/events.py
+++ b/thymeflow/fleet/events.py
@@ -1,4 +1,4 @@
-"""The events that the fleet controller decides on."""
+"""The events that the fleet controller handles."""
 
 from __future__ import annotations
 
@@ -40,7 +40,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RunEnded:
-    """The process of a run has ended; `reason` is a predicate about the member, such as "ended with code 1"."""
+    """The process of a run has ended; `reason` is a verb phrase about the process, such as "ended with code 1"."""
 
     run_id: int
     reason: str
@@ -56,7 +56,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Operation:
+class OperationOrdered:
     """An operation that an operator orders; `count` is the wanted number of members, for a SCALE only.
 
     `id` identifies the operation in its progress reports.
@@ -67,8 +67,8 @@
     count: int = 0
 
 
-class EventHandler(Protocol):
-    """The supervisor's interface for the objects that it is composed of."""
+class SupervisorInterface(Protocol):
+    """The methods of the supervisor that its parts call."""
 
     def handle_event(self, event: Event) -> None:
         """Pass an event to the controller, and carry out the resulting actions."""
@@ -77,4 +77,4 @@
         """Return the fleet size that members are notified of."""
 
 
-Event = Tick | FleetStarted | MemberAdopted | StatusReported | RunEnded | Operation
+Event = Tick | FleetStarted | MemberAdopted | StatusReported | RunEnded | OperationOrdered
--- a/thymeflow/fleet/member_lifecycle.py
+++ b/thymeflow/fleet/member_lifecycle.py
@@ -1,6 +1,7 @@
 """The lifecycle of fleet members: starts, adoptions, stops, replacements and crashes.
 
-A *run* is one process of a member, identified by a number. Reports about a run that has ended are ignored.
+A *run* is a process of a member, identified by a number. If the supervisor finds that a process that it adopted has
+handed over to a successor, the successor continues the same run. Reports about a run that has ended are ignored.
 """
 
 from __future__ import annotations
@@ -19,7 +20,7 @@
 
 
 class MemberLifecycle:
-    """Tracks all members of a fleet and their runs; calls `on_fault` with each member that fails and the reason."""
+    """Tracks all members of a fleet and their runs; calls `on_fault(member, reason)` for each failure."""
 
     def __init__(
         self,
@@ -35,8 +36,9 @@
         self._decisions = decisions
         self._on_fault = on_fault
         self._last_run_id = 0
-        self._member_numbers: dict[int, int] = {}  # Key: run id.
-        # When to kill replaced runs and abandoned successors that have not ended by then. Key: run id.
+        self._member_number_by_run_id: dict[int, int] = {}  # Key: run id.
+        # The times at which a retiring run, which is a replaced run or an abandoned successor, is killed if it has not
+        # ended. Key: run id.
         self._retiring_deadlines: dict[int, float] = {}
 
     # --- queries -------------------------------------------------------------------------------------------
@@ -46,7 +48,7 @@
         return bool(self._retiring_deadlines)
 
     def deadlines(self) -> list[float]:
-        """Return the times at which `on_tick` is due for a member or a retiring run."""
+        """Return the times at which `act_on_due_deadlines` is due for a member or a retiring run."""
         pending = [member.deadline for member in self.members.values() if member.state in _STATES_WITH_DEADLINE]
         return [*pending, *self._retiring_deadlines.values()]
 
@@ -55,13 +57,13 @@
         return [member for member in self.members.values() if member.state is state]
 
     def _find_member(self, run_id: int) -> Member | None:
-        number = self._member_numbers.get(run_id)
+        number = self._member_number_by_run_id.get(run_id)
         return None if number is None else self.members.get(number)
 
     # --- starts --------------------------------------------------------------------------------------------
 
     def start_fleet(self, count: int) -> None:
-        """Schedule the start of each missing member below number `count`, and stop the members from `count` on."""
+        """Schedule a start for each missing number below `count`, and stop members whose number is `count` or above."""
         adopted_count = len(self.members)
         missing = [number for number in range(count) if number not in self.members]
         for position, number in enumerate(missing):
@@ -70,6 +72,7 @@
             delay = 0.0 if adopted_count else self._policy.compute_spread_delay_seconds(position, len(missing))
             self.members[number] = Member(number, deadline=self._decisions.now + delay)
         surplus = [member for member in self.members.values() if member.number >= count]
+        # The size has to be above the numbers of surplus members too, because they serve until they have ended.
         self.resize(max([count, *(member.number + 1 for member in surplus)]))
         for member in surplus:
             self.stop(member)
@@ -93,7 +96,7 @@
         """Add a member that is already running."""
         member = Member(number)
         self.members[number] = member
-        member.run_id = self._new_run(member)
+        member.run_id = self._assign_run_id(member)
         member.incarnation = incarnation
         member.deadline = self._decisions.now + self._settings.ready
         member.apply(Transition.ADOPT)
@@ -101,7 +104,7 @@
             member.apply(Transition.BECOME_READY)
             member.healthy_since = self._decisions.now
 
-    def reset(self, member: Member) -> None:
+    def schedule_start(self, member: Member) -> None:
         """Schedule a stopped or crash-looping member to start at the next tick."""
         member.apply(Transition.RESET)
         member.deadline = self._decisions.now
@@ -109,23 +112,23 @@
     def start_replacement(self, member: Member) -> None:
         """Start a successor that takes over from the run that serves."""
         member.apply(Transition.REPLACE)
-        member.successor_run_id = self._new_run(member)
+        member.successor_run_id = self._assign_run_id(member)
         member.deadline = self._decisions.now + self._settings.ready
         member.healthy_since = inf
         action = StartProcess(member.successor_run_id, member.number, is_joining=False, is_replacement=True)
         self._decisions.add(action)
 
-    def _new_run(self, member: Member) -> int:
+    def _assign_run_id(self, member: Member) -> int:
         self._last_run_id += 1
-        self._member_numbers[self._last_run_id] = member.number
+        self._member_number_by_run_id[self._last_run_id] = member.number
         return self._last_run_id
 
     def _start(self, member: Member) -> None:
         member.apply(Transition.START)
-        member.run_id = self._new_run(member)
+        member.run_id = self._assign_run_id(member)
         member.deadline = self._decisions.now + self._settings.ready
         member.healthy_since = inf
-        member.is_killed = False
+        member.is_kill_logged = False
         action = StartProcess(member.run_id, member.number, is_joining=member.is_joining, is_replacement=False)
         self._decisions.add(action)
         # Only the first start joins the set. A member that starts after a crash already belongs to the set.
@@ -140,29 +143,29 @@
             self._abandon_replacement(member)
         if member.state in (MemberState.WAITING, MemberState.CRASH_LOOP):
             member.apply(Transition.STOP)
-            self._finish_stop(member)
+            self._restart_if_ordered(member)
         elif member.state not in (MemberState.STOPPING, MemberState.STOPPED):
             member.apply(Transition.STOP)
             member.deadline = self._decisions.now + self._settings.stop
-            member.is_killed = False
+            member.is_kill_logged = False
             self._decisions.add(StopProcess(member.run_id))
 
     def _abandon_replacement(self, member: Member) -> None:
-        # The controller does not know the progress of the handover. Both processes end gracefully on SIGTERM, while
-        # a kill could lose requests.
+        # The controller does not know the progress of the handover, so both processes get SIGTERM, on which they end
+        # gracefully; a kill could lose requests. If the old run has already ended, the successor is the current run.
         if member.run_id == NO_RUN:
             member.run_id = member.successor_run_id
         else:
-            self._retire(member.successor_run_id)
+            self._set_retiring_deadline(member.successor_run_id)
             self._decisions.add(StopProcess(member.successor_run_id))
         member.successor_run_id = NO_RUN
 
-    def _finish_stop(self, member: Member) -> None:
+    def _restart_if_ordered(self, member: Member) -> None:
         if member.is_restarting:
             member.is_restarting = False
-            self.reset(member)
+            self.schedule_start(member)
 
-    def _retire(self, run_id: int) -> None:
+    def _set_retiring_deadline(self, run_id: int) -> None:
         self._retiring_deadlines[run_id] = self._decisions.now + self._settings.stop
 
     # --- events --------------------------------------------------------------------------------------------
@@ -174,7 +177,7 @@
             return
         if status.run_id == member.successor_run_id:
             if status.is_serving:
-                self._finish_replacement(member, status)
+                self._complete_replacement(member, status)
         elif status.run_id == member.run_id:
             self._update_health(member, status)
 
@@ -189,18 +192,18 @@
             elif member.healthy_since == inf:
                 member.healthy_since = self._decisions.now
 
-    def _finish_replacement(self, member: Member, status: StatusReported) -> None:
+    def _complete_replacement(self, member: Member, status: StatusReported) -> None:
         if member.run_id != NO_RUN:
-            self._retire(member.run_id)
+            self._set_retiring_deadline(member.run_id)
         member.run_id = member.successor_run_id
         member.successor_run_id = NO_RUN
         member.incarnation = status.incarnation
         member.healthy_since = self._decisions.now if status.is_healthy else inf
-        member.apply(Transition.FINISH_REPLACEMENT)
+        member.apply(Transition.END_REPLACEMENT)
 
     def on_run_ended(self, run_id: int, reason: str) -> None:
         """Handle the end of a run."""
-        number = self._member_numbers.pop(run_id, None)
+        number = self._member_number_by_run_id.pop(run_id, None)
         if run_id in self._retiring_deadlines:
             del self._retiring_deadlines[run_id]
             return
@@ -210,15 +213,15 @@
         if run_id == member.successor_run_id:
             self._on_replacement_failed(member, reason)
         elif run_id == member.run_id:
-            self._on_serving_run_ended(member, reason)
+            self._on_current_run_ended(member, reason)
 
-    def _on_serving_run_ended(self, member: Member, reason: str) -> None:
+    def _on_current_run_ended(self, member: Member, reason: str) -> None:
         member.run_id = NO_RUN
         if member.successor_run_id != NO_RUN:
             return  # The successor will report that it serves, or end too.
         if member.state is MemberState.STOPPING:
             member.apply(Transition.END)
-            self._finish_stop(member)
+            self._restart_if_ordered(member)
             return
         self._on_crash(member, reason)
 
@@ -227,7 +230,7 @@
         if member.run_id == NO_RUN:
             self._on_crash(member, f"ended with its successor, which {reason}")
         else:
-            member.apply(Transition.FINISH_REPLACEMENT)
+            member.apply(Transition.END_REPLACEMENT)
             self._on_fault(member, f"its successor {reason}")
 
     def _on_crash(self, member: Member, reason: str) -> None:
@@ -249,14 +252,14 @@
 
     # --- time ----------------------------------------------------------------------------------------------
 
-    def on_tick(self) -> None:
+    def act_on_due_deadlines(self) -> None:
         """Start the members whose start is due, and kill the runs that have exceeded their deadline."""
         for member in list(self.members.values()):
             if self._decisions.now >= member.deadline:
                 self._on_deadline(member)
         for run_id, deadline in self._retiring_deadlines.items():
             if self._decisions.now >= deadline:
-                self._retire(run_id)
+                self._set_retiring_deadline(run_id)
                 self._decisions.add(KillProcess(run_id))
 
     def _on_deadline(self, member: Member) -> None:
@@ -268,13 +271,13 @@
             self._kill(member, f"did not end within {self._settings.stop:g} s", self._settings.stop)
         elif member.state is MemberState.REPLACING and member.successor_run_id != NO_RUN:
             self._decisions.add(KillProcess(member.successor_run_id))
-            self._member_numbers.pop(member.successor_run_id, None)
+            self._member_number_by_run_id.pop(member.successor_run_id, None)
             self._on_replacement_failed(member, f"was not ready within {self._settings.ready:g} s")
 
     def _kill(self, member: Member, reason: str, retry_seconds: float) -> None:
         # A process that waits for a disk write does not die at once. The kill is repeated after `retry_seconds`.
-        if not member.is_killed:
-            member.is_killed = True
+        if not member.is_kill_logged:
+            member.is_kill_logged = True
             self._decisions.log(LogKind.MEMBER, f"{member.number} {reason}: killed")
         self._decisions.add(KillProcess(member.run_id))
         member.deadline = self._decisions.now + retry_seconds
