--- a/thymeflow/decision/actions.py
+++ b/thymeflow/decision/actions.py
@@ -9,9 +9,9 @@
 
 
 class StartAttempt(NamedTuple):
-    """Start an attempt at a backend, unless more than `start_within` seconds have passed by then.
+    """Start an attempt at a backend, but do not send it later than `start_within` seconds after this action.
 
-    A `timeout` of 0 means that the attempt has no time-out but the client's.
+    A `timeout` of 0 means that only the client's deadline limits the attempt.
     """
 
     id: str
@@ -21,8 +21,9 @@
 
 
 class RejectRequest(NamedTuple):
-    """Final response: the request is rejected and had no effect, so the client can retry it safely.
+    """Final response: the request is rejected, and the client can retry it safely.
 
+    Either no backend executed the request, or the request is idempotent.
     `retry_after` is the advised delay in seconds; 0 means no advice.
     """
 
@@ -71,7 +72,7 @@
 
 
 class AddToCounter(NamedTuple):
-    """Add an amount to a named total at the shared counter; `ttl` is the lifetime of a new total."""
+    """Add an amount to a named total at the shared counter; a new total expires after `ttl` seconds."""
 
     name: int
     amount: float
--- a/thymeflow/decision/admission.py
+++ b/thymeflow/decision/admission.py
@@ -9,7 +9,11 @@
 from thymeflow.decision.context import DecisionContext
 from thymeflow.decision.events import RequestReceived
 from thymeflow.decision.fleet_bounds import FleetResource
-from thymeflow.decision.open_requests import MIN_RETRY_AFTER_SECONDS, RETRY_MARGIN_SECONDS, OpenRequests
+from thymeflow.decision.open_requests import (
+    ATTEMPT_START_MARGIN_SECONDS,
+    MIN_RETRY_AFTER_SECONDS,
+    OpenRequests,
+)
 from thymeflow.decision.request_state import RequestState
 from thymeflow.decision.retries import RetryPolicy
 from thymeflow.decision.settings import Plan, RequestClass
@@ -53,7 +57,7 @@
         """
         context = self._context
         plan = self.find_plan(event)
-        if plan is None or event.remaining <= RETRY_MARGIN_SECONDS:
+        if plan is None or event.remaining <= ATTEMPT_START_MARGIN_SECONDS:
             context.emit(RejectRequest(event.id, RejectionReason.INVALID))
             return None
         bucket = self._buckets.get_request_bucket(event, plan)
@@ -61,16 +65,17 @@
         # A request of an unknown class is treated as not idempotent.
         if request_class is None or not isfinite(event.remaining):
             request_class = RequestClass(event.class_name, event.remaining, event.remaining)
-        deadline = context.now + min(event.remaining, self._compute_useful_seconds(request_class))
+        deadline = context.now + min(event.remaining, self._compute_max_seconds(request_class))
         pending = RequestState(event, request_class, bucket, deadline, context.limits.max_attempts)
-        if not event.is_retry:  # A client's retry repeats demand that is already counted.
+        if not event.is_retry:  # The demand of a client's retry was counted with the first request.
             bucket.local_rate += event.units / bucket.local_rate_memory
             bucket.requested_units += event.units
         return pending
 
     @staticmethod
-    def _compute_useful_seconds(request_class: RequestClass) -> float:
-        # If a response after the latency objective has no value, another request can use its capacity better.
+    def _compute_max_seconds(request_class: RequestClass) -> float:
+        # If a late response has no value, the request ends at its latency objective, because another request
+        # can use the capacity better.
         has_late_value = request_class.late_weight > 0.0 or bool(request_class.latency_objective_stretch)
         if has_late_value or request_class.is_streamed:
             return inf
@@ -89,9 +94,10 @@
             self._context.emit(rejection)
             return
         self._reports.pending[bucket.customer_id] = None
+        # The units of a client's retry count as requested units only if the retry is admitted.
         bucket.requested_units += event.units if event.is_retry else 0.0
         bucket.charge(event.units)
-        # The hard ceiling counts declared units and is not settled with the actual units.
+        # The ceiling counts declared units; the settlement with the actual units does not change it.
         bucket.ceiling_level -= event.units
         self._retries.credit_admitted_request()
         self._requests.open(pending, backend)
@@ -116,12 +122,14 @@
             pending.request.units, bucket.plan.burst * bucket.compute_quota_fraction(bucket.local_rate)
         )
         deficit = 1.0 - min(1.0, max(0.0, bucket.level / full_level)) if bucket.plan.rate else 0.0
-        backends = registry.warmed_up_backends * context.get_resource_fraction(FleetResource.CONCURRENCY)
-        if registry.in_flight >= pressure.compute_concurrency_limit(backends, deficit, registry.pressure):
+        backend_share = registry.warmed_up_backends * context.get_resource_fraction(FleetResource.CONCURRENCY)
+        if registry.in_flight >= pressure.compute_concurrency_limit(
+            backend_share, deficit, registry.pressure
+        ):
             return RejectionReason.CONCURRENCY
         sample = context.rng.random()
-        local_fraction = pressure.compute_shedding_fraction(deficit, registry.pressure)
-        fraction = context.fleet_bounds.adjust_shedding(
-            pending.request_class, bucket.plan, bucket.customer_id, local_fraction
+        local_shed_fraction = pressure.compute_shedding_fraction(deficit, registry.pressure)
+        shed_fraction = context.fleet_bounds.adjust_shedding(
+            pending.request_class, bucket.plan, bucket.customer_id, local_shed_fraction
         )
-        return RejectionReason.PRESSURE if sample < fraction else None
+        return RejectionReason.PRESSURE if sample < shed_fraction else None
--- a/thymeflow/decision/balancing.py
+++ b/thymeflow/decision/balancing.py
@@ -28,8 +28,9 @@
     def select_backend(self, pending: RequestState) -> BackendStats | None:
         """Return the backend for the next attempt of a request, or None if no backend is permitted.
 
-        Backends in slow start are selected at random with their share of the load; otherwise the permitted
-        backend with the least expected wait is selected.
+        The first attempt of a request goes to a backend in slow start with a probability that equals the
+        share of these backends in the target load. All other attempts go to the backend with the least
+        expected wait, in a random sample if only few attempts are in flight.
         """
         settings = self._context.settings
         rng = self._context.rng
@@ -37,14 +38,19 @@
         candidates = self._find_healthy_backends(ready, pending.request_class.name)
         candidates = self._filter_by_idempotency_scope(candidates, pending)
         endpoints = [backend.endpoint for backend in candidates]
-        warming_up = slow_start.compute_target_loads(endpoints, self._context.now, settings.rules)
-        # Slow start is sampled for each request. With a saved-up budget per gateway, hundreds of gateways
-        # would spend their budgets on a new backend at the same time.
-        load = 0.0 if pending.attempts else sum(warming_up.values())
-        if load and rng.random() * (max(1.0, len(ready) - len(warming_up)) + load) < load:
-            return self._registry.backends[rng.choices(list(warming_up), list(warming_up.values()))[0]]
+        target_loads = slow_start.compute_target_loads(endpoints, self._context.now, settings.rules)
+        # Whether a backend in slow start is selected is drawn at random. A budget per gateway was rejected,
+        # because hundreds of gateways would save it up and spend it on a new backend at the same time.
+        slow_start_load = 0.0 if pending.attempts else sum(target_loads.values())
+        if (
+            slow_start_load
+            and rng.random() * (max(1.0, len(ready) - len(target_loads)) + slow_start_load) < slow_start_load
+        ):
+            return self._registry.backends[rng.choices(list(target_loads), list(target_loads.values()))[0]]
         tried = {backend.endpoint.id for backend, _ in pending.attempts}
-        candidates = [b for b in candidates if b.endpoint.id not in tried and b.endpoint.id not in warming_up]
+        candidates = [
+            b for b in candidates if b.endpoint.id not in tried and b.endpoint.id not in target_loads
+        ]
         # With few attempts in flight, the expected waits hardly differ, and all gateways would select the
         # same backend. The gateway therefore compares only a weighted random sample of the backends.
         sample_size = 2 + self._registry.in_flight
@@ -73,12 +79,12 @@
     def _filter_by_idempotency_scope(
         candidates: list[BackendStats], pending: RequestState
     ) -> list[BackendStats]:
-        executed = pending.find_possibly_executed_attempts()
+        possibly_executed = pending.find_possibly_executed_attempts()
         scope = pending.request_class.idempotency_scope
         has_key = pending.request_class.idempotency is Idempotency.WITH_KEY
-        if not executed or not has_key or scope is IdempotencyScope.ALL:
+        if not possibly_executed or not has_key or scope is IdempotencyScope.ALL:
             return candidates
-        first = executed[0].backend.endpoint
+        first = possibly_executed[0].backend.endpoint
         if scope is IdempotencyScope.ZONE:
             return [backend for backend in candidates if backend.endpoint.zone == first.zone]
         return [backend for backend in candidates if backend.endpoint.cell == first.cell]
--- a/thymeflow/decision/context.py
+++ b/thymeflow/decision/context.py
@@ -1,4 +1,4 @@
-"""Context of the current event: its time, the settings and bounds in force, and the actions decided so far."""
+"""State that the components of a gateway share: time, settings and bounds in force, and the actions decided so far."""
 
 from __future__ import annotations
 
@@ -62,7 +62,7 @@
         return self.fleet_bounds.get_resource_limit(resource, self.even_fraction)
 
     def compute_probe_interval(self) -> float:
-        """Return the interval between half-open probes of one backend in seconds."""
+        """Return the minimum interval between half-open probes of one backend in seconds; 0 without a fleet."""
         return 1.0 / max(1e-9, self.get_resource_limit(FleetResource.HALF_OPEN_PROBES))
 
     def begin_event(self, now: float) -> list[Action]:
--- a/thymeflow/decision/counter_first_admission.py
+++ b/thymeflow/decision/counter_first_admission.py
@@ -1,12 +1,14 @@
-"""Quota admission for large sets: calls the counter before admission by an outdated total. No I/O, no clock.
+"""Quota admission for large sets: a request waits for a new counter total if the known total is outdated.
+
+No I/O, no clock.
 
 If an even slice of a quota is smaller than one request, each limiter in a set of 200 receives a request of
-the same customer only once in many seconds. A counter reply that arrives after the request was forwarded is
-too old for that customer's next request, but a reply that arrives before can decide the request itself. The
-gateway therefore makes the counter call of such a request first and includes the units of the request in
-it. The request waits for the reply, but no longer than the counter's time-out; after the time-out, the
-local estimate decides. A request that the estimate alone rejects, or for which no call may be made, is
-decided at once.
+the same customer only once in many seconds. If the counter is called after a request was forwarded, its
+reply is outdated when the customer's next request arrives. If the counter is called before, its reply can
+decide that same request. The gateway therefore makes the counter call of such a request first and includes
+the units of the request in it. The request waits for the reply, but no longer than the counter's time-out;
+after the time-out, the local estimate decides. A request that the estimate alone rejects, or for which no
+call may be made, is decided at once.
 """
 
 from __future__ import annotations
@@ -18,28 +20,28 @@
 from thymeflow.decision.admission import AdmissionPolicy
 from thymeflow.decision.context import DecisionContext, TimerKind
 from thymeflow.decision.events import CounterReplied, RequestReceived
-from thymeflow.decision.open_requests import RETRY_MARGIN_SECONDS
+from thymeflow.decision.open_requests import ATTEMPT_START_MARGIN_SECONDS
 from thymeflow.decision.request_state import RequestState
 from thymeflow.decision.types import RejectionReason, Status
 from thymeflow.quota.buckets import TokenBuckets
 from thymeflow.quota.counter_reporter import CALL_RATE_GROWTH, CounterReporter
 from thymeflow.quota.token_bucket import MIN_CALL_INTERVAL_SECONDS, MIN_UNREPORTED_FRACTION, TokenBucket
 
-REPLY_CURRENT_SECONDS = 1.0  # For this long, the counter's last reply about a customer counts as current.
+REPLY_TTL_SECONDS = 1.0  # Older reports about a customer are outdated.
 MIN_REMAINING_SECONDS = 0.5  # A request with less time left does not wait for the counter.
-# Fraction of the calls of one second that is reserved for requests, so that other reports wait.
+# Fraction of the calls of one second that only waiting requests may use; periodic reports get the remainder.
 RESERVED_CALL_FRACTION = 0.9
 # Factor by which each counter reply raises the call rate until the first late reply. The counter's capacity
-# is not known in advance; with a growth of 5% for each reply, a new set would reach it only after most of a
-# minute.
+# is not known in advance; with `CALL_RATE_GROWTH` (5% for each reply) from the start, a new set would reach
+# it only after most of a minute.
 INITIAL_CALL_RATE_GROWTH = 1.3
 
 
 class WaitingRequest(NamedTuple):
-    """A request that waits for the counter, with the random sample for its admission."""
+    """A request that waits for the counter."""
 
     pending: RequestState
-    sample: float
+    sample: float  # Random number from [0, 1) that the quota decision uses.
 
 
 class CounterFirstAdmission:
@@ -94,13 +96,13 @@
     def _is_call_needed(self, bucket: TokenBucket, units: float, sample: float) -> bool:
         now = self._context.now
         if now - bucket.counter_called_at < MIN_CALL_INTERVAL_SECONDS:
-            # The last call may still be in flight. With two calls in flight, a total could not be attributed
-            # to one of them.
+            # The last call may still be in flight. A reply contains only the counter's name, so with two
+            # calls in flight it could not be attributed to one of them.
             return False
-        if now - bucket.last_customer_report_at < REPLY_CURRENT_SECONDS or self._reporter.call_credit < 1.0:
+        if now - bucket.last_customer_report_at < REPLY_TTL_SECONDS or self._reporter.call_credit < 1.0:
             return False
-        is_known = bucket.last_customer_report_at > -inf
-        return not is_known or bucket.can_admit(units, sample)
+        has_customer_report = bucket.last_customer_report_at > -inf
+        return not has_customer_report or bucket.can_admit(units, sample)
 
     def on_counter_replied(self, event: CounterReplied) -> None:
         """Decide the requests that waited for this reply."""
@@ -112,13 +114,13 @@
         self._decide_waiting_requests(customer_id)
 
     def on_counter_timeout(self, customer_id: int) -> None:
-        """Decide a customer's waiting requests by the local estimate, as no reply came in time."""
+        """Decide a customer's waiting requests by the local estimate, because no reply arrived in time."""
         self._decide_waiting_requests(customer_id)
 
     def _decide_waiting_requests(self, customer_id: int) -> None:
         waiting = self._waiting.pop(customer_id, [])
         for pending, sample in waiting:
-            if pending.deadline - self._context.now <= RETRY_MARGIN_SECONDS:
+            if pending.deadline - self._context.now <= ATTEMPT_START_MARGIN_SECONDS:
                 self._context.emit(RejectRequest(pending.request.id, RejectionReason.LATE))
                 continue
             pending.bucket.refresh(self._context.now)
@@ -127,13 +129,14 @@
             bucket = waiting[0].pending.bucket
             unreported = abs(bucket.charged_units - bucket.counter_ledger.reported_charges)
             if unreported < MIN_UNREPORTED_FRACTION * bucket.plan.burst:
-                # The early call has already reported the units of these requests.
+                # The call before the decision has reported these units, and the remaining unreported units
+                # are too few for another call.
                 self._reporter.reports.pending.pop(customer_id, None)
 
     def on_client_disconnected(self, request_id: str) -> None:
         """Remove a request from the requests that wait for the counter."""
         remaining = {
-            customer_id: [waiting for waiting in requests if waiting.pending.request.id != request_id]
+            customer_id: [entry for entry in requests if entry.pending.request.id != request_id]
             for customer_id, requests in self._waiting.items()
         }
         self._waiting = {customer_id: requests for customer_id, requests in remaining.items() if requests}
--- a/thymeflow/decision/events.py
+++ b/thymeflow/decision/events.py
@@ -17,7 +17,10 @@
 
 
 class RequestReceived(NamedTuple):
-    """A client's request. It gets exactly one final response within `remaining` seconds."""
+    """A client's request, to which the gateway must send exactly one final response within `remaining` seconds.
+
+    The set of the customer's limiters has `set_size` members and begins with the limiter of index `first_limiter`.
+    """
 
     id: str
     class_name: str
@@ -41,13 +44,17 @@
 
 
 class RequestBodyStarted(NamedTuple):
-    """A request body that is too long to be buffered is being sent, so that the request cannot be retried."""
+    """A request body that is too long to be buffered is being sent, so the request cannot be retried."""
 
     id: str
 
 
 class AttemptEnded(NamedTuple):
-    """The result of one attempt. `quota_usage` is the metered usage divided by the quota: 1.0 is the full quota."""
+    """The result of one attempt.
+
+    `request_answered` means that the client has received its response. `quota_usage` is the customer's usage at all
+    limiters, as the backends meter it, divided by the quota: 1.0 is the full quota.
+    """
 
     id: str
     attempt: int
@@ -61,7 +68,7 @@
 
 
 class ClientDisconnected(NamedTuple):
-    """The client has disconnected, so that the request needs no response."""
+    """The client has disconnected, so the request needs no response."""
 
     id: str
 
--- a/thymeflow/decision/factory.py
+++ b/thymeflow/decision/factory.py
@@ -11,9 +11,9 @@
 def create_gateway(
     settings: GatewaySettings, seed: int, initial_fill: float = INITIAL_FILL_FRACTION
 ) -> Gateway:
-    """Create a gateway; `initial_fill` is the fraction of the burst that new buckets contain."""
+    """Create a gateway; `initial_fill` is the level assumed for new buckets, as a fraction of the burst."""
     if settings.limiter_count > SMALL_SET_SIZE and settings.information.counter:
-        # This module is imported only for large sets with a counter; small sets decide by their slices.
+        # Only large sets with a counter need this import; in small sets, each limiter decides by its slice.
         from thymeflow.decision.counter_first_admission import CounterFirstAdmission
 
         return Gateway(settings, seed, initial_fill, CounterFirstAdmission)
--- a/thymeflow/decision/fleet_bounds.py
+++ b/thymeflow/decision/fleet_bounds.py
@@ -11,7 +11,7 @@
 
 
 class FleetResource(StrEnum):
-    """A resource that the limiters of a fleet share. Messages between processes contain the values as names."""
+    """A resource that the limiters of a fleet share. The values are the resources' names in messages."""
 
     CONCURRENCY = "places"
     RETRIES = "attempts"
@@ -35,7 +35,7 @@
     def filter_backends(
         self, ready: list[BackendStats], healthy: list[BackendStats], class_name: str, now: float
     ) -> list[BackendStats]:
-        """Return the ready backends that a request class may use.
+        """Return the ready backends that a request class may use, according to the ejections of the fleet.
 
         :param healthy: the backends that are healthy according to the limiter's own statistics.
         """
--- a/thymeflow/decision/gateway.py
+++ b/thymeflow/decision/gateway.py
@@ -44,7 +44,7 @@
 from thymeflow.quota.token_bucket import TokenBucket
 
 TICK_INTERVAL_SECONDS = 0.1  # Much shorter than the time for which demand is remembered.
-ROUND_INTERVAL_SECONDS = 0.5  # Interval between gossip rounds.
+REPORT_ROUND_INTERVAL_SECONDS = 0.5  # Interval between rounds of reports to peers or the counter.
 
 
 class Gateway:
@@ -60,7 +60,8 @@
     ) -> None:
         """Create a gateway that has received no event yet.
 
-        :param initial_fill: fraction of the burst in new buckets; 0 for a limiter that joins a running set.
+        :param initial_fill: level that new buckets are assumed to have had at the gateway's start, as a
+            fraction of the burst; 0 for a limiter that joins a running set.
         """
         context = DecisionContext(settings, seed)
         self.context = context
@@ -148,48 +149,51 @@
 
     def _on_settings_changed(self, event: SettingsChanged) -> None:
         # Open requests keep the settings under which they were admitted.
-        set_changed = event.settings.limiter_count != self.context.settings.limiter_count
+        is_limiter_count_changed = event.settings.limiter_count != self.context.settings.limiter_count
         self.context.apply_settings(event.settings)
-        self.token_buckets.apply_plans(set_changed)
+        self.token_buckets.apply_plans(is_limiter_count_changed)
 
     def _on_attempt_ended(self, event: AttemptEnded) -> None:
-        """Record the result of an attempt, settle its units, and retry or finish the request."""
+        """Record the result of an attempt, settle its units, and retry or close the request."""
         pending = self.pending.get(event.id)
         if pending is None or event.attempt not in pending.find_attempts_in_flight():
             return
         attempt = pending.attempts[event.attempt]
         pending.results[event.attempt] = event.status
-        # The capacity of an attempt whose response has begun was released when the response began.
-        if not pending.response_started:
+        # If the response has begun, `_on_response_started` has released the backend's capacity.
+        if not pending.is_capacity_released:
             self.registry.release_attempt(attempt.backend)
         pending.bucket.attempts_in_flight -= 1
         self._outcomes.record(pending, attempt, event)
         if event.request_answered or pending.is_answered:
-            self._requests.finish(pending)
+            self._requests.close(pending)
         elif not pending.find_attempts_in_flight() and not self.retries.start_retry(pending):
-            self._requests.finish_unanswered(pending)
+            self._requests.reject_or_fail(pending)
 
     def _on_response_started(self, event: ResponseStarted) -> None:
         """Release the backend's capacity, because a client that reads slowly does not occupy the backend."""
         pending = self.pending.get(event.id)
         if pending is not None:
             pending.is_streaming = True
-            pending.response_started = True
+            pending.is_capacity_released = True
             self.registry.release_attempt(pending.attempts[event.attempt].backend)
 
     def _on_request_body_started(self, event: RequestBodyStarted) -> None:
-        """Mark a request as streaming: its body is not buffered and cannot be sent with another attempt."""
+        """Mark a request as streaming, so that it is not retried and its deadline timer does not end it.
+
+        Its body is not buffered and cannot be sent with another attempt.
+        """
         pending = self.pending.get(event.id)
         if pending is not None:
             pending.is_streaming = True
 
     def _on_client_disconnected(self, event: ClientDisconnected) -> None:
-        """Finish the request of a client that has disconnected; it needs no response."""
+        """Close the request of a client that has disconnected, because it needs no response."""
         self.quota_admission.on_client_disconnected(event.id)
         pending = self.pending.get(event.id)
         if pending is not None:
-            pending.is_streaming = False
-            self._requests.finish(pending)
+            pending.is_streaming = False  # Otherwise `close` would not cancel its attempts.
+            self._requests.close(pending)
 
     def _on_timer(self, event: TimerFired) -> None:
         """Handle a timer according to its purpose."""
@@ -199,8 +203,8 @@
         if timer.kind is TimerKind.DEADLINE:
             pending = self.pending.get(timer.subject)
             if pending is not None and not pending.is_answered and not pending.is_streaming:
-                self._outcomes.record_deadline(pending)
-                self._requests.finish_unanswered(pending)
+                self._outcomes.record_missed_deadline(pending)
+                self._requests.reject_or_fail(pending)
         elif timer.kind is TimerKind.TICK:
             self._on_tick()
         elif timer.kind is TimerKind.SUBSCRIBE:
@@ -212,7 +216,7 @@
         """Decay the pressure, drop buckets of idle customers, and send reports to peers or the counter."""
         context = self.context
         context.set_timer(TICK_INTERVAL_SECONDS, TimerKind.TICK)
-        is_round = context.now - self._last_round_at >= ROUND_INTERVAL_SECONDS
+        is_round = context.now - self._last_round_at >= REPORT_ROUND_INTERVAL_SECONDS
         self.registry.decay_pressure(TICK_INTERVAL_SECONDS)
         self.registry.count_warmed_up_backends(context.now, context.settings.rules)
         if is_round:
--- a/thymeflow/decision/open_requests.py
+++ b/thymeflow/decision/open_requests.py
@@ -1,4 +1,4 @@
-"""Admitted requests that still need a final response or whose last attempt has not ended."""
+"""Admitted requests, until they need no further response and their last attempt has ended."""
 
 from __future__ import annotations
 
@@ -12,10 +12,11 @@
 from thymeflow.health.backend_registry import BackendRegistry
 from thymeflow.health.backend_stats import ALL_CLASSES, EJECTION_FAILURES, BackendStats, FailureStreak
 
-HALF_OPEN_TIMEOUT_FRACTION = 0.5  # Time-out of a half-open probe as a fraction of the latency objective.
-MIN_RETRY_AFTER_SECONDS = 0.1
+# Time-out of a half-open probe, as a fraction of the latency objective or of the time left if it is shorter.
+HALF_OPEN_TIMEOUT_FRACTION = 0.5
+MIN_RETRY_AFTER_SECONDS = 0.1  # Shortest delay that a client is advised to wait before it retries.
 # No attempt starts within this time before the end of the idempotency window or of the client's deadline.
-RETRY_MARGIN_SECONDS = 0.02
+ATTEMPT_START_MARGIN_SECONDS = 0.02
 
 
 class OpenRequests:
@@ -36,7 +37,7 @@
         self.start_attempt(pending, backend)
 
     def start_attempt(self, pending: RequestState, backend: BackendStats, start_within: float = inf) -> None:
-        """Start an attempt; an attempt at a failing backend is a half-open probe with a shorter time-out."""
+        """Start an attempt; it is a half-open probe with a shorter time-out if the backend failed last."""
         now = self._context.now
         pending.attempts.append(AttemptRecord(backend, now))
         self._registry.begin_attempt(backend, now)
@@ -47,7 +48,8 @@
         self._context.emit(StartAttempt(pending.request.id, backend.endpoint.id, timeout, start_within))
 
     def _begin_half_open_probe(self, pending: RequestState, backend: BackendStats) -> float:
-        # Only one probe runs at a time. Its short time-out leaves time for an attempt at another backend.
+        # The ejection is extended to the probe's time-out, so that only one probe runs at a time. The short
+        # time-out leaves time for an attempt at another backend.
         now = self._context.now
         request_class = pending.request_class
         timeout = HALF_OPEN_TIMEOUT_FRACTION * min(request_class.latency_objective, pending.deadline - now)
@@ -57,21 +59,24 @@
                 backend.failures[name] = FailureStreak(streak.failure_count, now + timeout)
         return timeout
 
-    def finish_unanswered(self, pending: RequestState) -> None:
-        """Send the final response to a request that no attempt has answered, and finish the request."""
+    def reject_or_fail(self, pending: RequestState) -> None:
+        """Reject a request that no attempt has answered if a retry is safe, else fail it; then close it."""
         request_id = pending.request.id
         is_idempotent = pending.request_class.idempotency is Idempotency.IDEMPOTENT
         if not pending.find_possibly_executed_attempts() or is_idempotent:
-            # The units of the request are charged, and backends were the cause rather than the quota, so the
-            # client may retry soon.
+            # The units of the request are already charged. The backends failed, and the quota was sufficient,
+            # so the client need not wait for a refill and may retry soon.
             advice = MIN_RETRY_AFTER_SECONDS if self._context.limits.retry_after else 0.0
             self._context.emit(RejectRequest(request_id, RejectionReason.ATTEMPTS, advice))
         else:
             self._context.emit(FailRequest(request_id))
-        self.finish(pending)
+        self.close(pending)
 
-    def finish(self, pending: RequestState) -> None:
-        """Finish an answered request or one whose client has disconnected; cancel its attempts in flight."""
+    def close(self, pending: RequestState) -> None:
+        """Close a request that needs no further response, and forget it once its last attempt has ended.
+
+        Its attempts in flight are cancelled unless it was answered before or is streaming.
+        """
         in_flight = pending.find_attempts_in_flight()
         request_id = pending.request.id
         if not pending.is_answered and self._context.limits.cancel and not pending.is_streaming:
--- a/thymeflow/decision/outcomes.py
+++ b/thymeflow/decision/outcomes.py
@@ -12,7 +12,8 @@
 from thymeflow.quota.buckets import ReportQueue, TokenBuckets
 from thymeflow.quota.token_bucket import MIN_USAGE_RATIO, REPORT_TTL_SECONDS, TokenBucket
 
-# Least charge as a fraction of the declared units, for a customer over its quota under pressure (HIP-185).
+# Minimum charge of a request whose customer is over its quota while backends are under pressure, as a fraction of
+# its declared units (HIP-185).
 MIN_CHARGE_FRACTION = 0.8
 
 
@@ -50,8 +51,8 @@
         if event.quota_usage is not None:
             self._record_usage(pending.bucket, event.quota_usage)
 
-    def record_deadline(self, pending: RequestState) -> None:
-        """Record that attempts in flight have no response at the deadline, which counts like a time-out."""
+    def record_missed_deadline(self, pending: RequestState) -> None:
+        """Record a time-out for each attempt that is still in flight at the deadline."""
         now = self._context.now
         for number in pending.find_attempts_in_flight():
             backend, sent_at = pending.attempts[number]
@@ -63,14 +64,14 @@
         bucket = pending.bucket
         bucket.refresh(self._context.now)
         is_over_quota = bucket.local_rate + bucket.remote_rate > bucket.plan.rate
-        has_floor = is_over_quota and self._registry.pressure > PRESSURE_THRESHOLD
-        min_charge = MIN_CHARGE_FRACTION * pending.request.units if has_floor else 0.0
+        has_min_charge = is_over_quota and self._registry.pressure > PRESSURE_THRESHOLD
+        min_charge = MIN_CHARGE_FRACTION * pending.request.units if has_min_charge else 0.0
         bucket.charge(max(actual_units, min_charge) - pending.request.units)
         if self._context.limits.gossip:
             self._reports.deferred[bucket.customer_id] = None
 
     def _record_usage(self, bucket: TokenBucket, quota_usage: float) -> None:
-        # All metered usage was requested, so the metered rate is a lower bound of the demand at all limiters.
+        # Backends meter only requested units, so the demand at all limiters is at least the metered rate.
         now = self._context.now
         self._buckets.record_remote_report(bucket)
         bucket.usage_ratio = max(MIN_USAGE_RATIO, quota_usage)
@@ -83,8 +84,8 @@
 def _record_failure(
     backend: BackendStats, class_name: str, status: Status, sent_at: float, now: float
 ) -> None:
-    # Errors count as failures, because a backend that fails quickly would otherwise seem the least busy backend.
     if status is Status.ERROR:
+        # Without this failure, a backend that returns errors quickly would seem the least busy backend.
         backend.record_failure(class_name, now)
     elif status is Status.CONNECT_FAILED:
         backend.record_failure(ALL_CLASSES, now)
--- a/thymeflow/decision/quota_admission.py
+++ b/thymeflow/decision/quota_admission.py
@@ -19,7 +19,7 @@
         """Admit or reject a request, or let it wait for the counter."""
 
     def on_counter_replied(self, event: CounterReplied) -> None:
-        """Update the quota by a counter reply, and decide the requests that waited for it."""
+        """Apply a counter reply to the customer's bucket, and decide the requests that waited for it."""
 
     def on_counter_timeout(self, customer_id: int) -> None:
         """Decide the waiting requests of a customer, because the counter has not replied in time."""
@@ -56,7 +56,7 @@
             self._admission.admit(pending, pending.bucket.can_admit(event.units, sample))
 
     def on_counter_replied(self, event: CounterReplied) -> None:
-        """Update the customer's bucket by a counter reply."""
+        """Apply a counter reply to the customer's bucket."""
         self._reporter.on_reply(event)
 
     def on_counter_timeout(self, customer_id: int) -> None:
--- a/thymeflow/decision/request_state.py
+++ b/thymeflow/decision/request_state.py
@@ -1,4 +1,4 @@
-"""State that a gateway keeps for one request until its last attempt has ended. No decisions."""
+"""State that a gateway keeps for one request until its last attempt has ended; it makes no decisions."""
 
 from __future__ import annotations
 
@@ -21,18 +21,20 @@
 
 @dataclass(slots=True)
 class RequestState:
-    """State of a request until it is answered and its last attempt has ended."""
+    """State of a request from its registration until it needs no response and its last attempt has ended."""
 
     request: RequestReceived
     request_class: RequestClass
     bucket: TokenBucket
     deadline: float
-    max_attempts: int = 1  # Limit in the settings under which the request was admitted.
+    max_attempts: int = 1  # Limit in force when the request was registered.
     attempts: list[AttemptRecord] = field(default_factory=list)
     results: dict[int, Status] = field(default_factory=dict)  # Results of ended attempts by attempt number.
-    is_answered: bool = False
+    is_answered: bool = False  # Also set if the client has disconnected and needs no response.
+    # The body of the request or of its response is forwarded while it arrives, so the request cannot be retried,
+    # and its deadline does not end it.
     is_streaming: bool = False
-    response_started: bool = False
+    is_capacity_released: bool = False  # The backend's capacity was released when the response began.
 
     def find_possibly_executed_attempts(self) -> list[AttemptRecord]:
         """Return the attempts that a backend may have executed or may still execute."""
--- a/thymeflow/decision/reserved_admission.py
+++ b/thymeflow/decision/reserved_admission.py
@@ -1,5 +1,6 @@
-"""Quota admission by base slices and reservations, not by demand and estimates. No I/O, no clock.
+"""Quota admission by guaranteed base slices and by reservations at the counter. No I/O, no clock.
 
+Unlike the other strategies, this one does not estimate the demand at the other limiters.
 All limiters together never admit more units of a quota than a single token bucket would admit (see
 `quota.reservations`). The cost is a counter call for most requests that the base slice does not cover, and
 these requests wait for the reply.
@@ -14,19 +15,20 @@
 from thymeflow.decision.context import DecisionContext
 from thymeflow.decision.events import CounterReplied, RequestReceived
 from thymeflow.decision.gateway import Gateway
-from thymeflow.decision.open_requests import RETRY_MARGIN_SECONDS
+from thymeflow.decision.open_requests import ATTEMPT_START_MARGIN_SECONDS
 from thymeflow.decision.settings import GatewaySettings, Plan
 from thymeflow.quota import counter_encoding
 from thymeflow.quota.buckets import INITIAL_FILL_FRACTION, BucketStart, TokenBuckets
 from thymeflow.quota.counter_reporter import CounterReporter
 from thymeflow.quota.strict import StrictTokenBucket
 
-MAX_RESERVATIONS = 2  # Reservations that a request waits for: one in each window that may have units left.
+# A request waits for at most one reservation in each of the two windows that may have units left.
+MAX_RESERVATIONS = 2
 MIN_REMAINING_SECONDS = 0.5  # A request with less time left does not wait for the counter.
 
 
-class WaitingRequest(NamedTuple):
-    """A request that waits for the counter."""
+class RequestAwaitingReservation(NamedTuple):
+    """A request that waits for a reservation at the counter."""
 
     wait_started_at: float
     reservation_count: int  # Reservations that the request has waited for, including the current one.
@@ -47,7 +49,7 @@
         self._admission = admission
         self._buckets = buckets
         self._reporter = reporter
-        self.waiting: dict[int, list[WaitingRequest]] = {}  # Waiting requests by customer id.
+        self.waiting: dict[int, list[RequestAwaitingReservation]] = {}  # Waiting requests by customer id.
 
     def on_request(self, event: RequestReceived) -> None:
         """Admit or reject a request, or let it wait for the counter's reply."""
@@ -60,7 +62,7 @@
         if pending is not None:
             sample = self._context.rng.random()
             self._admission.admit(pending, pending.bucket.can_admit(event.units, sample))
-        # Units are reserved when a request needs them, so there is no usage to report.
+        # The counter learns of usage by reservations alone, so the report that admission queued is discarded.
         self._reporter.reports.discard(counter_encoding.compute_customer_id(event.customer))
 
     def _try_wait_for_reservation(self, event: RequestReceived, plan: Plan, reservation_count: int) -> bool:
@@ -71,21 +73,25 @@
         now = self._context.now
         bucket.refresh(now)
         self._buckets.join_set(bucket, event)
-        missing = bucket.compute_missing_units(event.units)
-        if missing <= 0.0 or event.remaining < MIN_REMAINING_SECONDS or self._reporter.is_unresponsive():
+        missing_units = bucket.compute_missing_units(event.units)
+        if (
+            missing_units <= 0.0
+            or event.remaining < MIN_REMAINING_SECONDS
+            or self._reporter.is_unresponsive()
+        ):
             return False
-        waiting = self.waiting.get(customer_id)
-        if waiting is None:
-            if not self._start_reservation(bucket, missing):
+        queue = self.waiting.get(customer_id)
+        if queue is None:
+            if not self._start_reservation(bucket, missing_units):
                 return False
-            waiting = self.waiting[customer_id] = []
-        waiting.append(WaitingRequest(now, reservation_count + 1, event))
+            queue = self.waiting[customer_id] = []
+        queue.append(RequestAwaitingReservation(now, reservation_count + 1, event))
         return True
 
-    def _start_reservation(self, bucket: StrictTokenBucket, missing: float) -> bool:
+    def _start_reservation(self, bucket: StrictTokenBucket, missing_units: float) -> bool:
         if not self._context.settings.information.counter or self._reporter.call_credit < 1.0:
             return False
-        call = bucket.build_reservation_call(missing)
+        call = bucket.build_reservation_call(missing_units)
         if call is None:
             return False
         self._reporter.start_call(call, bucket.customer_id)
@@ -96,26 +102,26 @@
         customer_id = self._reporter.find_customer_id(event.name)
         self._reporter.on_reply(event)
         now = self._context.now
-        for waiting in self.waiting.pop(customer_id, []):
-            remaining = waiting.request.remaining - (now - waiting.wait_started_at)
-            request = waiting.request._replace(remaining=remaining)
+        for entry in self.waiting.pop(customer_id, []):
+            remaining = entry.request.remaining - (now - entry.wait_started_at)
+            request = entry.request._replace(remaining=remaining)
             plan = self._context.plans.get(request.plan)
-            has_time = remaining > RETRY_MARGIN_SECONDS
+            has_time = remaining > ATTEMPT_START_MARGIN_SECONDS
             waits_again = (
                 has_time
                 and plan is not None
-                and self._try_wait_for_reservation(request, plan, waiting.reservation_count)
+                and self._try_wait_for_reservation(request, plan, entry.reservation_count)
             )
             if not waits_again:
                 self._decide_request(request)
 
     def on_counter_timeout(self, customer_id: int) -> None:
-        """Do nothing, because the counter client ends every call and requests wait for that end."""
+        """Do nothing, because requests wait for the result that the counter client reports for every call."""
 
     def on_client_disconnected(self, request_id: str) -> None:
         """Remove a request from the waiting requests; the counter call in flight continues."""
         self.waiting = {
-            customer_id: [waiting for waiting in requests if waiting.request.id != request_id]
+            customer_id: [entry for entry in requests if entry.request.id != request_id]
             for customer_id, requests in self.waiting.items()
             if requests
         }
--- a/thymeflow/decision/settings.py
+++ b/thymeflow/decision/settings.py
@@ -22,7 +22,7 @@
 
 
 class IdempotencyScope(Enum):
-    """Backends that recognize a repeated idempotency key."""
+    """Which backends, relative to the first one, recognize a repeated idempotency key."""
 
     ALL = "all"
     ZONE = "zone"
@@ -37,7 +37,7 @@
 
 
 class LoadReportMode(Enum):
-    """Messages in which backends report their load."""
+    """Which messages contain the load reports of backends."""
 
     RESPONSES = "answers"
     HEALTH_CHECKS = "probes"
@@ -49,7 +49,10 @@
 
 
 class InvalidSettingError(ThymeflowError, ValueError):
-    """A setting is invalid; `name` is the name of the field in the code, and `value` its invalid value."""
+    """A setting is invalid.
+
+    `name` is the name of the field in the code, and `value` is its value or a text that describes the fault.
+    """
 
     def __init__(self, owner: str, name: str, value: object) -> None:
         reported = f"{_REPORTED_NAMES.get(owner, owner)}.{_REPORTED_NAMES.get(name, name)}"
@@ -82,7 +85,11 @@
 
 @dataclass(frozen=True, slots=True)
 class RequestClass:
-    """A class of requests with its objectives and its idempotency."""
+    """A class of requests with its objectives and its idempotency.
+
+    `deadline` is the time after receipt within which the client needs the final response. If `late_weight` and
+    `latency_objective_stretch` are 0, a response after the latency objective has no value.
+    """
 
     name: str
     latency_objective: float
@@ -109,7 +116,11 @@
 
 @dataclass(frozen=True, slots=True)
 class Plan:
-    """Quota of each customer with this plan, over all limiters together. A rate of 0 means no quota."""
+    """Quota of each customer with this plan, over all limiters together.
+
+    A `rate` of 0 means that the quota does not limit the units. `ceiling_rate` and `ceiling_burst` limit the declared
+    units, and are not exceeded even without reports from other limiters. A `ceiling_rate` of 0 means no ceiling.
+    """
 
     name: str
     rate: float = 0.0
@@ -139,7 +150,11 @@
 
 @dataclass(frozen=True, slots=True)
 class Rules:
-    """Rules of the platform for draining, overload, slow start and response times."""
+    """Rules of the platform for draining, overload, slow start and response times.
+
+    In any window of `overload_seconds`, all limiters together may load a backend in slow start with at most
+    `overload_multiple` times its present capacity.
+    """
 
     drain_grace: float = 0.0
     overload_multiple: float = 1.0
@@ -164,7 +179,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Limits:
-    """Features and bounds that the deployment permits."""
+    """Features that the deployment permits, and upper bounds for the gateway."""
 
     cancel: bool = False
     health_checks: bool = False
@@ -193,7 +208,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Prices:
-    """Points deducted from the result. Each price is multiplied by its measured fraction or rate."""
+    """Points deducted from the result. Each price is multiplied by its measured fraction or rate.
+
+    The gateway stores the prices of the platform's settings, and no decision reads them.
+    """
 
     cross_zone: float = 0.0
     waste: float = 0.0
@@ -208,7 +226,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Information:
-    """Sources from which limiters learn about each other's usage."""
+    """How limiters learn about each other's usage, and the bounds on the units of a request and on gossip."""
 
     counter: bool = False
     counter_timeout: float = 0.05
--- a/thymeflow/decision/types.py
+++ b/thymeflow/decision/types.py
@@ -30,7 +30,8 @@
 class Status(IntEnum):
     """Result of an attempt, a health check or a counter call.
 
-    `MOOT` means that an attempt was not sent, because its request was answered or had no time or attempts left.
+    `MOOT` is the result of an attempt that was not sent, because its request was already answered or had no time or
+    attempts left.
     The attempt counters in the log are named after the members, in lower case.
     """
 
@@ -44,7 +45,7 @@
     MOOT = 8
 
 
-# Results that exclude an execution by the backend, as the platform's wire protocol defines.
+# Results that exclude an execution by the backend according to the platform's wire protocol.
 NOT_EXECUTED = (Status.FULL, Status.CONNECT_FAILED, Status.MOOT)
 
 
@@ -61,7 +62,7 @@
 
 
 class Backend(NamedTuple):
-    """A backend in the endpoint list; `started` is its start time, or 0 if it started long ago."""
+    """A backend in the endpoint list; `started` is its start time in seconds, or 0 if it started long ago."""
 
     id: int
     zone: str
