--- a/tests/decision/support.py
+++ b/tests/decision/support.py
@@ -1,4 +1,4 @@
-"""Helpers that drive gateways in virtual time, for the tests of several packages."""
+"""Fires the ticks of a gateway in virtual time, for the tests of several packages."""
 
 from __future__ import annotations
 
--- a/tests/decision/test_admission.py
+++ b/tests/decision/test_admission.py
@@ -19,7 +19,7 @@
 from thymeflow.decision.settings import InvalidSettingError
 
 
-def test_gateway_admits_again_when_it_rejected_everything_under_pressure() -> None:
+def test_gateway_admits_again_when_its_pressure_has_decayed() -> None:
     """Pressure is measured from response latencies, so a gateway that rejects all requests gets no new measurement.
 
     Without a decay of the pressure, such a gateway would never admit a request again.
@@ -41,7 +41,7 @@
     assert kinds == [RejectRequest, CancelAttempt]  # The client is answered at once, and the attempt is cancelled.
 
 
-def test_more_requests_may_be_in_flight_when_responses_are_quick() -> None:
+def test_more_requests_are_admitted_when_pressure_is_low() -> None:
     def count_admitted(pressure: float) -> int:
         gateway = started()
         gateway.registry.pressure = pressure
--- a/tests/decision/test_balancing.py
+++ b/tests/decision/test_balancing.py
@@ -16,7 +16,7 @@
 
 
 @pytest.mark.parametrize("count", [1, 3, 100])
-def test_new_backend_gets_less_than_its_load_limit_when_it_warms_up(count: int) -> None:
+def test_new_backend_gets_no_more_than_its_load_limit_when_it_warms_up(count: int) -> None:
     """A backend fails if it gets too many requests while it warms up.
 
     All gateways together may send it at most `overload_multiple` times its present capacity in any window of
@@ -93,11 +93,11 @@
     assert set(gateway.backends) == {1}
     assert gateway.backends[1].is_healthy("read", 100.0)
     sent = [bool(sends(gateway.handle(100.0, request(f"r{n}", customer=f"c{n}")))) for n in range(100)]
-    assert sum(sent) < 40  # In slow start, the backend gets only a fraction of the requests.
+    assert sum(sent) < 40  # The only backend is in slow start, so most requests are rejected.
 
 
-def is_never_selected(gateway: Gateway, backend: int, class_name: str, now: float) -> bool:
-    """Return whether a backend gets none of 60 simultaneous requests of a class."""
+def is_never_selected(gateway: Gateway, backend_id: int, class_name: str, now: float) -> bool:
+    """Return whether some of 60 simultaneous requests of a class are sent, but none to the backend."""
     backend_ids = [
         s.backend
         for n in range(60)
@@ -105,26 +105,28 @@
             gateway.handle(now, request(f"q{class_name}{n}", class_name=class_name, customer=f"{class_name}{n}"))
         )
     ]
-    return bool(backend_ids) and backend not in backend_ids
+    return bool(backend_ids) and backend_id not in backend_ids
 
 
-def run_requests(gateway: Gateway, backend: int, status: Status, class_name: str, start: float) -> None:
-    """Run 120 requests that succeed, except that requests of the class at the backend end with the given status."""
+def run_requests(
+    gateway: Gateway, failing_backend_id: int, status: Status, failing_class_name: str, start: float
+) -> None:
+    """Run 120 requests that succeed, but those of the failing class end with `status` at the failing backend."""
     for n in range(120):
         now = start + n * 0.05
         name = f"p{n}"
-        request_class = ("read", "book")[n % 2]
-        attempts = sends(gateway.handle(now, request(name, class_name=request_class, customer=f"p{n}")))
+        class_name = ("read", "book")[n % 2]
+        attempts = sends(gateway.handle(now, request(name, class_name=class_name, customer=f"p{n}")))
         for attempt in range(3):
             if attempts:
-                has_failure = attempts[0].backend == backend and request_class == class_name
+                has_failure = attempts[0].backend == failing_backend_id and class_name == failing_class_name
                 attempts = sends(
                     gateway.handle(now + 0.02, ended(name, attempts[0], status if has_failure else Status.OK, attempt))
                 )
 
 
 @pytest.mark.parametrize("status", [Status.ERROR, Status.TIMEOUT])
-def test_class_is_sent_to_other_backends_when_it_fails_at_one(status: Status) -> None:
+def test_requests_of_a_class_go_to_other_backends_when_the_class_fails_at_one(status: Status) -> None:
     gateway = started(settings(limiter_count=1))
     run_requests(gateway, 1, status, "book", 100.0)
     assert is_never_selected(gateway, 1, "book", 106.05)
--- a/tests/decision/test_counter_first_admission.py
+++ b/tests/decision/test_counter_first_admission.py
@@ -1,4 +1,4 @@
-"""Limiters of large sets call the counter before they admit requests by outdated totals.
+"""In large sets, a request waits for a new counter total if the known total is outdated.
 
 Most tests run gateways in virtual time; one test runs a real limiter process.
 """
@@ -41,7 +41,7 @@
 LARGE_SET_SIZE = 40
 
 
-def create_member(index: int = 0, limiter_count: int = LARGE_SET_SIZE, **changes: Any) -> Gateway:
+def create_large_set_gateway(index: int = 0, limiter_count: int = LARGE_SET_SIZE, **changes: Any) -> Gateway:
     config = settings(index=index, limiter_count=limiter_count, plans=(PLAN,), information=COUNTER, **changes)
     gateway = create_gateway(config, index)
     gateway.handle(0.0, EndpointsChanged(EndpointListKind.CACHED, fleet(12)))
@@ -65,14 +65,14 @@
 
 
 def test_counter_is_called_first_only_when_the_set_is_large_and_has_a_counter() -> None:
-    assert type(create_member().quota_admission) is CounterFirstAdmission
-    assert type(create_member(limiter_count=3).quota_admission) is ImmediateAdmission
+    assert type(create_large_set_gateway().quota_admission) is CounterFirstAdmission
+    assert type(create_large_set_gateway(limiter_count=3).quota_admission) is ImmediateAdmission
     assert type(create_gateway(settings(limiter_count=LARGE_SET_SIZE), 1).quota_admission) is ImmediateAdmission
 
 
 def test_request_is_decided_by_the_counter_total_when_its_customer_is_unknown() -> None:
     for remote_units, let_in in ((0.0, True), (40.0, False)):
-        gateway = create_member()
+        gateway = create_large_set_gateway()
         actions = gateway.handle(10.0, build_request("a"))
         (call,) = find_calls(actions)
         assert not sends(actions)
@@ -86,22 +86,22 @@
         )
 
 
-def test_estimate_decides_and_no_request_waits_for_a_while_when_the_counter_does_not_reply() -> None:
-    gateway = create_member()
+def test_requests_are_decided_by_the_estimate_without_a_wait_when_the_counter_did_not_reply() -> None:
+    gateway = create_large_set_gateway()
     actions = gateway.handle(10.0, build_request("a"))
     (call,) = find_calls(actions)
     (timer,) = [a for a in actions if isinstance(a, SetTimer) and a.delay <= COUNTER.counter_timeout]
     assert sends(gateway.handle(10.03, TimerFired(timer.token)))
     assert not find_calls(gateway.handle(10.1, build_request("again"))), (
-        "a second call of a counter name whose first call has no reply yet"
+        "a counter name was called again before the reply to its first call"
     )
     gateway.handle(10.4, CounterReplied(call.name, Status.TIMEOUT, inf, 0.4))
     assert sends(gateway.handle(10.5, build_request("b", customer="other")))
     assert find_calls(gateway.handle(10.4 + PAUSE_AFTER_LOST_CALL_SECONDS + 0.1, build_request("c", customer="third")))
 
 
-def test_requests_share_one_call_and_are_forgotten_when_their_client_disconnects() -> None:
-    gateway = create_member()
+def test_requests_share_one_call_and_a_waiting_request_is_dropped_when_its_client_disconnects() -> None:
+    gateway = create_large_set_gateway()
     (call,) = find_calls(gateway.handle(10.0, build_request("a")))
     assert gateway.handle(10.001, build_request("b")) == []
     gateway.handle(10.002, ClientDisconnected("a"))
@@ -111,13 +111,13 @@
 
 
 def test_request_is_decided_at_once_when_it_has_no_time_to_wait() -> None:
-    actions = create_member().handle(10.0, build_request("a", remaining=0.3))
+    actions = create_large_set_gateway().handle(10.0, build_request("a", remaining=0.3))
     assert sends(actions)
     assert not find_calls(actions)
 
 
 def test_units_are_reported_once_when_a_request_is_admitted_after_the_reply() -> None:
-    gateway = create_member()
+    gateway = create_large_set_gateway()
     (call,) = find_calls(gateway.handle(10.0, build_request("a")))
     assert counter_encoding.decode(call.name, call.amount) == pytest.approx((2.0, 2.0), abs=0.2)
     gateway.handle(10.002, build_reply(call, call.amount))
@@ -167,7 +167,7 @@
     return forwarded_units, call_count / number
 
 
-def test_quota_is_followed_more_closely_when_the_counter_is_called_first() -> None:
+def test_forwarded_units_are_closer_to_the_quota_when_the_counter_is_called_first() -> None:
     quota_units = PLAN.burst + PLAN.rate * 30.0
 
     def create_immediate_gateway(index: int) -> Gateway:
@@ -177,12 +177,12 @@
         gateway.handle(0.0, EndpointsChanged(EndpointListKind.CACHED, fleet(12)))
         return gateway
 
-    forwarded_at_excess_demand, calls_per_request = run_demand(create_member, 3.0 * PLAN.rate)
+    forwarded_at_excess_demand, calls_per_request = run_demand(create_large_set_gateway, 3.0 * PLAN.rate)
     assert 0.7 * quota_units <= forwarded_at_excess_demand <= 1.15 * quota_units
     assert abs(forwarded_at_excess_demand / quota_units - 1.0) < abs(
         run_demand(create_immediate_gateway, 3.0 * PLAN.rate)[0] / quota_units - 1.0
     )
-    forwarded_at_low_demand, _ = run_demand(create_member, 0.6 * PLAN.rate)
+    forwarded_at_low_demand, _ = run_demand(create_large_set_gateway, 0.6 * PLAN.rate)
     assert forwarded_at_low_demand >= 0.9 * 0.6 * PLAN.rate * 30.0
     assert calls_per_request <= 1.5
 
@@ -210,5 +210,7 @@
             assert server.read_command()[2] == b"%016x" % number
             server.send(b"*3\r\n$5\r\nvalue\r\n$-1\r\n$-1\r\n")
             assert client.read_bulk() == b"value"
-            if number == 1:  # The next request is from another customer, and the counter does not reply.
+            # The counter does not reply to the call for the second customer, so this customer's request is forwarded
+            # after the time-out.
+            if number == 1:
                 send_request(2, b"00000000b4d65522")
--- a/tests/decision/test_gateway_trace.py
+++ b/tests/decision/test_gateway_trace.py
@@ -15,7 +15,7 @@
 import pytest
 
 from tests.decision.trace_environment import SimulatedEnvironment
-from tests.decision.trace_sites import build_counter_site, build_site
+from tests.decision.trace_settings import build_counter_settings, build_gateway_settings
 from tests.fleet_bounds import fixed_bounds
 from tests.trace_digest import TraceDigest
 from thymeflow import simulator
@@ -33,14 +33,14 @@
 
 
 def create_bounded_gateway(settings: GatewaySettings, seed: int) -> Gateway:
-    """Create a gateway with fleet bounds for retries, concurrency, counter calls, probes and connections."""
+    """Create a gateway with 0.4 of each fleet resource, and limits for counter calls, probes and connections."""
     gateway = Gateway(settings, seed, 0.25)
     gateway.set_fleet_bounds(fixed_bounds(0.4, {"calls": 30.0, "trials": 4.0, "connections": 12.0}))
     return gateway
 
 
 def create_strict_gateway(settings: GatewaySettings, seed: int) -> Gateway:
-    """Create a gateway that reserves units at the counter, as the run line creates it."""
+    """Create a gateway that reserves units at the counter, as a limiter process does."""
     return create_reserving_gateway(settings, seed, clock_offset=1000.25)
 
 
@@ -71,7 +71,10 @@
 
 
 def build_direct_runner(create: Callable[[GatewaySettings, int], Gateway]) -> Callable[[Iterator[str], TextIO], None]:
-    """Build a runner of an adapter with custom gateways, which also accepts two events that the protocol lacks."""
+    """Build a function that runs an adapter with gateways from `create`.
+
+    The function also accepts the lines `body` and `settings_changed`, which the protocol lacks.
+    """
 
     def run(lines: Iterator[str], out: TextIO) -> None:
         adapter = ExactAdapter(out)
@@ -95,7 +98,7 @@
 @pytest.fixture
 def gossip_trace() -> TraceDigest:
     """Return the trace of four gateways that report to each other by gossip."""
-    return SimulatedEnvironment(11, [build_site(n, 4) for n in range(4)], 30.0).run(run_adapter)
+    return SimulatedEnvironment(11, [build_gateway_settings(n, 4) for n in range(4)], 30.0).run(run_adapter)
 
 
 def test_actions_match_the_recorded_trace_when_gateways_gossip(gossip_trace: TraceDigest) -> None:
@@ -103,27 +106,29 @@
 
 
 def test_actions_match_the_recorded_trace_when_a_small_set_has_a_counter() -> None:
-    trace = SimulatedEnvironment(12, [build_counter_site(n, 3) for n in range(3)], 30.0).run(run_adapter)
+    trace = SimulatedEnvironment(12, [build_counter_settings(n, 3) for n in range(3)], 30.0).run(run_adapter)
     trace.check("gateway-counter")
 
 
 def test_actions_match_the_recorded_trace_when_a_large_set_calls_the_counter_first() -> None:
-    environment = SimulatedEnvironment(13, [build_counter_site(n, 6) for n in range(6)], 60.0)
+    environment = SimulatedEnvironment(13, [build_counter_settings(n, 6) for n in range(6)], 60.0)
     environment.add_scarce_customers(8)
     trace = environment.run(run_adapter)
     trace.check("gateway-asking")
 
 
 def test_actions_match_the_recorded_trace_when_fleet_limits_bound_gateways_and_settings_change() -> None:
-    trace = SimulatedEnvironment(14, [build_site(n, 4) for n in range(3)], 30.0, is_direct=True).run(
+    trace = SimulatedEnvironment(14, [build_gateway_settings(n, 4) for n in range(3)], 30.0, has_extra_events=True).run(
         build_direct_runner(create_bounded_gateway)
     )
     trace.check("gateway-bounded")
 
 
 def test_actions_match_the_recorded_trace_when_units_are_reserved_at_the_counter() -> None:
-    instances = [build_counter_site(n, 4) for n in range(3)]
-    trace = SimulatedEnvironment(15, instances, 30.0, is_direct=True).run(build_direct_runner(create_strict_gateway))
+    gateway_settings = [build_counter_settings(n, 4) for n in range(3)]
+    trace = SimulatedEnvironment(15, gateway_settings, 30.0, has_extra_events=True).run(
+        build_direct_runner(create_strict_gateway)
+    )
     trace.check("gateway-strict")
 
 
--- a/tests/decision/test_large_fleet.py
+++ b/tests/decision/test_large_fleet.py
@@ -29,8 +29,8 @@
     return bucket
 
 
-def admitted_fraction(bucket: TokenBucket, units: float = 2.0) -> float:
-    """Return the fraction of 200 evenly spaced samples for which the bucket admits a request."""
+def compute_admitted_fraction(bucket: TokenBucket, units: float = 2.0) -> float:
+    """Return the fraction of 200 evenly spaced samples for which the bucket admits a request of some units."""
     return sum(bucket.can_admit(units, n / 200.0) for n in range(200)) / 200.0
 
 
@@ -38,21 +38,21 @@
     config = settings(limiter_count=40, plans=(SMALL_PLAN,))
     gateways = [started(config, seed=n) for n in range(40)]
     attempts = [sends(g.handle(0.05, request("a", 2.0, set_size=40))) for g in gateways[:4]]
-    assert all(attempts), "a customer that requested half of its burst was rejected"
+    assert all(attempts), "a request within the first half of the customer's burst was rejected"
 
 
-def test_each_limiter_admits_its_slice_of_the_rate_when_nothing_is_reported() -> None:
+def test_set_stays_near_its_quota_when_nothing_is_reported() -> None:
     config = settings(limiter_count=40, plans=(SMALL_PLAN,))
     units = 0.0
-    for number in range(40):  # Each limiter gets the full rate as demand for 20 s, and no report.
+    for number in range(40):  # Each limiter receives requests at the customer's full rate for 20 s, and no report.
         gateway = started(config, seed=number)
         units += sum(2.0 * len(sends(gateway.handle(20.0 + n, request(f"r{n}", 2.0, set_size=40)))) for n in range(20))
     assert units <= 16.0 + 40 * 2.0 + 2.0 * 20 * 1.5, (
-        "the set forwarded more than the burst, one lent request per limiter, and the rate"
+        "the set forwarded more than the burst, one request above the level per limiter, and the rate"
     )
 
 
-def test_gateway_lends_no_units_when_it_joins_a_running_set() -> None:
+def test_gateway_admits_only_refilled_units_when_it_joins_a_running_set() -> None:
     gateway = started(settings(limiter_count=40, plans=(SMALL_PLAN,)))
     gateway.token_buckets.initial_fill = 0.0
     assert not sends(gateway.handle(0.0, request("a", 2.0, set_size=40)))
@@ -60,7 +60,7 @@
 
 
 def test_admitted_fraction_falls_with_demand_when_the_set_is_over_quota() -> None:
-    admitted_fractions = [admitted_fraction(create_bucket(0.05, demand)) for demand in (0.6, 4.0, 8.0, 16.0)]
+    admitted_fractions = [compute_admitted_fraction(create_bucket(0.05, demand)) for demand in (0.6, 4.0, 8.0, 16.0)]
     assert admitted_fractions[0] == 1.0
     assert admitted_fractions[1] > 1.6 * admitted_fractions[2] > 2.5 * admitted_fractions[3]
     assert 16.0 * admitted_fractions[3] <= 2.0, "the set forwards more than the rate"
@@ -68,23 +68,26 @@
 
 def test_set_demand_is_estimated_from_local_demand_when_the_counter_has_not_reported() -> None:
     earlier_rate = 6.0 / create_bucket(0.0, 0.0).local_rate_memory
-    assert admitted_fraction(create_bucket(earlier_rate + 2.0 / create_bucket(0.0, 0.0).local_rate_memory, 0.0)) < 0.2
-    assert admitted_fraction(create_bucket(2.0 / create_bucket(0.0, 0.0).local_rate_memory, 0.0)) == 1.0
+    assert (
+        compute_admitted_fraction(create_bucket(earlier_rate + 2.0 / create_bucket(0.0, 0.0).local_rate_memory, 0.0))
+        < 0.2
+    )
+    assert compute_admitted_fraction(create_bucket(2.0 / create_bucket(0.0, 0.0).local_rate_memory, 0.0)) == 1.0
 
 
 def test_fewer_requests_are_admitted_when_use_over_quota_has_a_higher_cost() -> None:
     admitted_fractions = [
-        admitted_fraction(create_bucket(0.05, 8.0, replace(SMALL_PLAN, over_quota_cost=cost)))
+        compute_admitted_fraction(create_bucket(0.05, 8.0, replace(SMALL_PLAN, over_quota_cost=cost)))
         for cost in (0.0, 0.5, 1.2)
     ]
     assert admitted_fractions[0] > admitted_fractions[1] > admitted_fractions[2] > 0.0
 
 
-def test_missing_units_are_lent_only_when_use_over_quota_has_no_cost() -> None:
+def test_request_above_the_level_is_admitted_only_when_use_over_quota_has_no_cost() -> None:
     for cost, fraction_bound in ((0.6, 0.0), (0.0, 0.5)):
         bucket = create_bucket(0.05, 1.0, replace(SMALL_PLAN, over_quota_cost=cost))
         bucket.global_level = 1.0  # A request needs two units.
-        assert (admitted_fraction(bucket) > fraction_bound) == (fraction_bound > 0.0)
+        assert (compute_admitted_fraction(bucket) > fraction_bound) == (fraction_bound > 0.0)
 
 
 def test_slow_start_limits_hold_for_forty_limiters_when_most_backends_are_replaced() -> None:
@@ -116,11 +119,11 @@
     assert len(sent) == 36, "a new backend got no attempt"
     for number, sent_times in sent.items():
         started_at = 1000.0 + 7.0 * (number - 100) / 36
-        for window_start in sent_times:  # The rules give the least capacity of the window at its start.
+        for window_start in sent_times:  # Within the window, the backend's capacity is least at the start.
             capacity_fraction = 0.17 + 0.83 * (window_start - started_at) / 18.0
             load_core_seconds = attempt_core_seconds * sum(window_start <= t < window_start + 3.0 for t in sent_times)
             assert load_core_seconds <= 2.5 * capacity_fraction * cores * 3.0, f"{number} may fail under its load"
-    late_attempts_per_backend = sum(len([t for t in sent_times if t > 1010.0]) for sent_times in sent.values()) / 36
+    late_attempts_per_backend = sum(len([t for t in times if t > 1010.0]) for times in sent.values()) / 36
     # Backends that were all warmed up would get 15 attempts each.
     assert late_attempts_per_backend >= 11.0, "backends that are half warmed up are left idle"
 
--- a/tests/decision/test_reserved_admission.py
+++ b/tests/decision/test_reserved_admission.py
@@ -41,15 +41,15 @@
 class ReferenceBucket:
     """A token bucket that may become negative and records its lowest level."""
 
-    def __init__(self, rate: float, depth: float, now: float) -> None:
+    def __init__(self, rate: float, burst: float, now: float) -> None:
         self.rate = rate
-        self.depth = depth
-        self.level = depth
+        self.burst = burst
+        self.level = burst
         self.refreshed_at = now
         self.lowest_level = 0.0
 
     def charge(self, units: float, now: float) -> None:
-        self.level = min(self.depth, self.level + self.rate * (now - self.refreshed_at)) - units
+        self.level = min(self.burst, self.level + self.rate * (now - self.refreshed_at)) - units
         self.refreshed_at = now
         self.lowest_level = min(self.lowest_level, self.level)
 
@@ -118,7 +118,7 @@
         self.gateways = [self.start_gateway(n) for n in range(gateway_count)]
         self.reference = ReferenceBucket(RATE, BURST, self.now)
         self.final_actions = dict[str, Action]()
-        self.calls = 0
+        self.call_count = 0
 
     def start_gateway(self, index: int) -> Gateway:
         """Return a gateway whose first event is at 0 s, long before the present time."""
@@ -150,7 +150,7 @@
                     self.final_actions[action.id] = action
 
     def on_counter_call(self, gateway: Gateway, call: AddToCounter) -> None:
-        self.calls += 1
+        self.call_count += 1
         total, expires_at = self.totals.get(call.name, (0.0, self.now + call.ttl))
         is_reply_lost = not self.is_counter_up or self.rng.random() < self.lost_fraction
         # The counter executes half of the calls whose reply is lost.
@@ -199,34 +199,34 @@
 
 
 @pytest.mark.parametrize(("demand", "min_fraction"), [(0.4, 0.97), (3.0, 0.9)])
-def test_gateways_together_forward_the_quota_and_no_more_when_demand_varies(demand: float, min_fraction: float) -> None:
+def test_set_forwards_the_demand_up_to_the_quota_when_demand_is_low_or_high(demand: float, min_fraction: float) -> None:
     reserving_set = ReservingSet(3, 5)
     forwarded_units = reserving_set.run_demand(demand, 60.0)
     assert reserving_set.reference.lowest_level > -1e-6
     assert forwarded_units > min_fraction * min(1.0, demand) * RATE * 60.0
 
 
-def test_no_units_are_created_when_replies_are_lost_or_late() -> None:
+def test_forwarded_units_stay_within_the_quota_when_replies_are_lost_or_late() -> None:
     reserving_set = ReservingSet(4, 9, lost_fraction=0.2, reply_seconds=0.15)
     assert reserving_set.run_demand(3.0, 60.0) > 0.5 * RATE * 60.0
     assert reserving_set.reference.lowest_level > -1e-6
 
 
-def test_base_slices_remain_and_few_requests_wait_when_the_counter_is_down() -> None:
+def test_base_slices_are_forwarded_with_few_calls_when_the_counter_is_down_for_a_while() -> None:
     reserving_set = ReservingSet(3, 7)
     reserving_set.run_demand(3.0, 10.0)
     reserving_set.is_counter_up = False
-    calls = reserving_set.calls
+    call_count = reserving_set.call_count
     forwarded_units = reserving_set.run_demand(3.0, 40.0)
     base = reservations.BASE_RATE_FRACTION * RATE * 40.0
     assert 0.8 * base < forwarded_units < base + BURST
-    assert reserving_set.calls - calls <= 3 * 40.0 / PAUSE_AFTER_LOST_CALL_SECONDS + 3
+    assert reserving_set.call_count - call_count <= 3 * 40.0 / PAUSE_AFTER_LOST_CALL_SECONDS + 3
     reserving_set.is_counter_up = True
     assert reserving_set.run_demand(3.0, 20.0) > 0.85 * RATE * 20.0
     assert reserving_set.reference.lowest_level > -1e-6
 
 
-def test_no_more_than_one_window_is_handed_out_again_when_the_counter_loses_its_totals() -> None:
+def test_excess_is_at_most_the_units_of_one_window_when_the_counter_loses_its_totals() -> None:
     reserving_set = ReservingSet(3, 11)
     reserving_set.run_demand(3.0, 20.0)
     reserving_set.totals.clear()
@@ -234,7 +234,7 @@
     assert reserving_set.reference.lowest_level > -split_quota(RATE, BURST).window_units - 1e-6
 
 
-def test_no_units_are_created_when_gateways_restart() -> None:
+def test_forwarded_units_stay_within_the_quota_when_gateways_restart() -> None:
     reserving_set = ReservingSet(3, 13)
     for number in range(3):
         reserving_set.run_demand(3.0, 6.0)
@@ -246,7 +246,7 @@
     assert reserving_set.reference.lowest_level > -1e-6
 
 
-def test_waiting_request_is_forgotten_when_its_client_disconnects_and_no_base_exists_outside_the_set() -> None:
+def test_request_is_dropped_when_its_client_disconnects_and_rejected_when_its_limiter_is_outside_the_set() -> None:
     reserving_set = ReservingSet(3, 1)
     first = reserving_set.gateways[0]
     reserving_set.now = 200.0
@@ -254,7 +254,7 @@
         reserving_set.handle(first, request(f"a 4.0 {number}", 4.0))
     assert isinstance(first.quota_admission, ReservedAdmission)
     (waiting,) = first.quota_admission.waiting.values()
-    disconnected_ids = [waiting_request[2].id for waiting_request in waiting]
+    disconnected_ids = [entry[2].id for entry in waiting]
     for name in disconnected_ids:
         reserving_set.handle(first, ClientDisconnected(name))
     reserving_set.run(201.0)
@@ -266,7 +266,7 @@
     assert isinstance(reserving_set.final_actions["b 1.0"], RejectRequest)
 
 
-def test_no_units_are_created_when_the_quota_changes() -> None:
+def test_level_does_not_rise_when_the_quota_changes() -> None:
     gateway = create_reserving_gateway(settings(plans=(PLAN,), information=COUNTER), 1)
     gateway.handle(0.0, EndpointsChanged(EndpointListKind.FULL, fleet(9)))
     gateway.handle(100.0, request("r1", 1.0))
--- a/tests/decision/test_retries.py
+++ b/tests/decision/test_retries.py
@@ -14,7 +14,7 @@
     assert sum(Gateway(settings(index=n, limiter_count=300), n).retries.compute_max_budget() for n in range(300)) < 400
 
 
-def test_no_backend_is_ejected_and_retries_stay_few_when_all_are_slow() -> None:
+def test_backend_is_still_selected_and_retries_stay_few_when_all_attempts_time_out() -> None:
     gateway = started()
     attempt_count = 0
     for n in range(200):
@@ -28,8 +28,8 @@
                 attempt = attempt + 1
                 attempt_count = attempt_count + len(attempts)
     assert attempt_count <= 200 * 1.1 + 12  # The requests plus the retry budget.
-    assert gateway.balancer.select_backend(gateway.pending.get("x") or _build_probe_state(gateway)) is not None
+    assert gateway.balancer.select_backend(gateway.pending.get("x") or _build_new_request_state(gateway)) is not None
 
 
-def _build_probe_state(gateway: Gateway) -> Any:
+def _build_new_request_state(gateway: Gateway) -> Any:
     return RequestState(request("probe"), SAFE, next(iter(gateway.buckets.values())), 200.0)
--- a/tests/decision/test_settings_change.py
+++ b/tests/decision/test_settings_change.py
@@ -1,4 +1,4 @@
-"""Changes of settings while the program runs: open requests keep the old rules, new requests use the new rules."""
+"""Changes of settings at run time: open requests keep the old rules, and new requests use the new rules."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 from thymeflow.decision.settings import Idempotency
 from thymeflow.decision.types import Status
 
-ABORTED = Status.CONNECT_FAILED
+CONNECT_FAILED = Status.CONNECT_FAILED
 
 
 def test_open_request_keeps_its_attempts_and_its_class_when_settings_change() -> None:
@@ -28,11 +28,11 @@
     (first,) = sends(gateway.handle(0.1, request("old", class_name="book")))
     fewer = settings(limits=replace(settings().limits, max_attempts=1), classes=(SAFE, replace(UNSAFE, name="book")))
     gateway.handle(0.2, SettingsChanged(fewer))
-    assert sends(gateway.handle(0.3, ended("old", first, ABORTED))), (
+    assert sends(gateway.handle(0.3, ended("old", first, CONNECT_FAILED))), (
         "three attempts were permitted when it was admitted"
     )
     (only,) = sends(gateway.handle(0.4, request("new", class_name="book")))
-    assert not sends(gateway.handle(0.5, ended("new", only, ABORTED)))
+    assert not sends(gateway.handle(0.5, ended("new", only, CONNECT_FAILED)))
     assert gateway.pending == {} or "new" not in gateway.pending
     assert gateway.context.classes["book"].idempotency is Idempotency.NOT_IDEMPOTENT
     assert gateway.pending["old"].request_class is KEYED
@@ -103,7 +103,7 @@
 ]
 
 
-def test_settings_stay_in_force_and_one_line_names_the_fault_when_the_file_is_invalid(tmp_path: Path) -> None:
+def test_old_settings_stay_in_force_and_the_log_reports_the_fault_when_the_file_is_invalid(tmp_path: Path) -> None:
     with Limiter(tmp_path) as limiter:
         client = limiter.connect()
         server = None
--- a/tests/decision/trace_environment.py
+++ b/tests/decision/trace_environment.py
@@ -10,7 +10,7 @@
 from collections.abc import Callable, Iterator
 from typing import Any, TextIO
 
-from tests.decision.trace_sites import COUNTER_TIMEOUT
+from tests.decision.trace_settings import COUNTER_TIMEOUT
 from tests.trace_digest import TraceDigest
 
 OK, ERROR, FULL, TIMEOUT, CONNECT_FAILED, RESET, CANCELLED, MOOT = range(1, 9)
@@ -36,11 +36,13 @@
 class SimulatedEnvironment:
     """Generates events for the gateways in virtual time, and carries out their actions."""
 
-    def __init__(self, seed: int, instances: list[dict[str, Any]], rate: float, is_direct: bool = False) -> None:
+    def __init__(
+        self, seed: int, gateway_settings: list[dict[str, Any]], rate: float, has_extra_events: bool = False
+    ) -> None:
         self.rng = random.Random(seed)
-        self.instances = instances
+        self.gateway_settings = gateway_settings
         self.rate = rate
-        self.is_direct = is_direct
+        self.has_extra_events = has_extra_events
         self.trace = TraceDigest()
         self.out = io.StringIO()
         self.now = START_SECONDS
@@ -51,16 +53,21 @@
         self.page_numbers = itertools.count()
         self.client_requests: dict[str, ClientRequest] = {}
         self.totals: dict[int, float] = {}
-        self.running = set(range(len(instances)))
+        self.running = set(range(len(gateway_settings)))
         self.endpoints = {number: [number, "ab"[number % 2], number % 3, READY, 0.0] for number in range(1, 11)}
         self.customers = [
-            (f"k:{n}", instances[0]["tiers-of-service"][n % 5]["name"], 1 + n % len(instances), n % len(instances))
+            (
+                f"k:{n}",
+                gateway_settings[0]["tiers-of-service"][n % 5]["name"],
+                1 + n % len(gateway_settings),
+                n % len(gateway_settings),
+            )
             for n in range(14)
         ]
 
     def add_scarce_customers(self, count: int) -> None:
         """Add customers with a small quota whose set consists of all gateways."""
-        full_size = len(self.instances)
+        full_size = len(self.gateway_settings)
         self.customers = [(f"s:{n}", "scarce", full_size, n % full_size) for n in range(count)] + self.customers
 
     def run(self, runner: Callable[[Iterator[str], TextIO], None]) -> TraceDigest:
@@ -68,9 +75,9 @@
         runner(self.generate_lines(), self.out)
         return self.trace
 
-    def schedule(self, delay: float, instance: int, line: str) -> None:
-        """Schedule a line for an instance after a delay in seconds; instance -1 is the environment itself."""
-        heapq.heappush(self.queue, (self.now + delay, next(self.sequence_numbers), instance, line))
+    def schedule(self, delay: float, instance: int, entry: str) -> None:
+        """Schedule an entry for an instance after a delay in seconds; instance -1 is the environment itself."""
+        heapq.heappush(self.queue, (self.now + delay, next(self.sequence_numbers), instance, entry))
 
     def generate_lines(self) -> Iterator[str]:
         """Yield the lines for the adapter in batches; each batch depends on the reply to the previous batch."""
@@ -84,8 +91,8 @@
             yield f"clock wall={self.now:.6f}\n"
             current_instance = None
             while self.queue and self.queue[0][0] <= self.now + BATCH_SECONDS:
-                _, _, instance, text = heapq.heappop(self.queue)
-                for line in self.expand_text(instance, text):
+                _, _, instance, entry = heapq.heappop(self.queue)
+                for line in self.carry_out_entry(instance, entry):
                     if instance >= 0 and instance != current_instance:
                         yield f"at i={instance}\n"
                         current_instance = instance
@@ -111,29 +118,29 @@
                 self.trace.actions[kind] += 1
                 getattr(self, f"on_{kind}")(instance, fields)
 
-    def expand_text(self, instance: int, text: str) -> list[str]:  # noqa: PLR0911  # One return for each kind of text.
-        """Return the lines that a scheduled text stands for at its time."""
-        kind, _, arguments = text.partition(" ")
+    def carry_out_entry(self, instance: int, entry: str) -> list[str]:  # noqa: PLR0911  # One return for each kind.
+        """Carry out a scheduled entry that is due, and return the lines to send to the adapter."""
+        kind, _, arguments = entry.partition(" ")
         if kind == "arrival":
             self.generate_arrival()
             return []
         if kind == "change":
             return self.apply_change(int(arguments))
         if kind == "start":
-            settings = json.dumps(self.instances[instance])
-            return [f"born salt={100 + instance} settings={settings}", *self.build_membership_lines(CACHED)]
+            settings = json.dumps(self.gateway_settings[instance])
+            return [f"born salt={100 + instance} settings={settings}", *self.build_endpoint_list_lines(CACHED)]
         if instance not in self.running and kind != "halt":
             return []
         if kind == "attempt_end":
-            return self.end_attempt(text)
+            return self.end_attempt(entry)
         if kind == "left":
             client_request = self.client_requests[arguments.removeprefix("rid=")]
             if client_request.is_answered:
                 return []
             client_request.is_answered = True
         if kind == "list":
-            return self.build_membership_lines(int(arguments))
-        return [text]
+            return self.build_endpoint_list_lines(int(arguments))
+        return [entry]
 
     # Clients.
 
@@ -145,8 +152,8 @@
         customer, plan, set_size, first_limiter = self.rng.choice(self.customers[: self.rng.choice((3, 14))])
         if is_burst:
             plan = "free"
-        instance = (first_limiter + self.rng.randrange(set_size)) % len(self.instances)
-        classes = [c["name"] for c in self.instances[0]["classes"]]
+        instance = (first_limiter + self.rng.randrange(set_size)) % len(self.gateway_settings)
+        classes = [c["name"] for c in self.gateway_settings[0]["classes"]]
         if self.rng.random() < 0.02:
             plan = "none"
         fields = {
@@ -167,7 +174,7 @@
         self.schedule(delay, instance, f"incoming rid={request_id} " + " ".join(f"{k}={v}" for k, v in fields.items()))
         if self.rng.random() < 0.05:
             self.schedule(delay + self.rng.choice((0.005, 0.3)), instance, f"left rid={request_id}")
-        if self.is_direct and self.rng.random() < 0.05:
+        if self.has_extra_events and self.rng.random() < 0.05:
             self.schedule(delay + self.rng.uniform(0.0, 0.1), instance, f"body rid={request_id}")
 
     def on_bounce(self, instance: int, fields: Fields) -> None:
@@ -241,15 +248,17 @@
 
     # Discovery.
 
-    def build_membership_lines(self, kind: int, numbers: list[int] | None = None) -> list[str]:
-        """Return the lines of an endpoint list with these endpoints, or with all endpoints that are not gone."""
-        shown = [self.endpoints[n] for n in numbers] if numbers else [e for e in self.endpoints.values() if e[3]]
+    def build_endpoint_list_lines(self, kind: int, numbers: list[int] | None = None) -> list[str]:
+        """Return the lines of an endpoint list with the endpoints in `numbers`, or by default with all not gone."""
+        listed_endpoints = (
+            [self.endpoints[n] for n in numbers] if numbers else [e for e in self.endpoints.values() if e[3]]
+        )
         page = next(self.page_numbers)
         if kind == FAILED:
             return [f"membership page={page} how={kind}"]
         rows = [
             f"backend backend={number} az={zone} group={cell} lifecycle={state} started-at={started:.3f} rating=1"
-            for number, zone, cell, state, started in shown
+            for number, zone, cell, state, started in listed_endpoints
         ]
         return [
             f"table page={page} nodes-list={len(rows)}",
@@ -258,7 +267,7 @@
         ]
 
     def apply_change(self, second: int) -> list[str]:
-        """Apply the changes to the site that are scripted for a second of the run."""
+        """Apply the changes to the environment that are scripted for a second of the run."""
         scripted_states: dict[int, tuple[int, int]] = {
             3: (7, DRAINING),
             4: (7, GONE),
@@ -291,13 +300,13 @@
             self.schedule(0.0, 0, "message sender=99 data=0300010001000000000100000000")
             self.schedule(0.0, 0, "probe_done backend=2 reason=1 spent=0.01")
             self.schedule(0.0, 0, "reminder cookie=1")
-        if self.is_direct and second in (11, 22):
+        if self.has_extra_events and second in (11, 22):
             self.change_settings(0.5 if second == 11 else 1.5)
         return []
 
     def announce_endpoints(self, kind: int, numbers: list[int] | None) -> None:
         for instance in sorted(self.running):
-            for line in self.build_membership_lines(kind, numbers):
+            for line in self.build_endpoint_list_lines(kind, numbers):
                 self.schedule(0.001 * instance, instance, line)
 
     def on_subscribe(self, instance: int, fields: Fields) -> None:
@@ -308,13 +317,13 @@
 
     def change_settings(self, factor: float) -> None:
         """Put changed settings in force: quotas are multiplied by the factor, and the last plan is removed."""
-        for instance, current in enumerate(self.instances):
+        for instance, current in enumerate(self.gateway_settings):
             plans = [
                 {**plan, "refill": plan["refill"] * factor, "most-at-once": plan["most-at-once"] * factor}
                 for plan in current["tiers-of-service"]
             ]
             changed = {**current, "tiers-of-service": plans[:-1], "balancers": current["balancers"] + (factor > 1.0)}
-            self.instances[instance] = changed
+            self.gateway_settings[instance] = changed
             if instance in self.running:
                 self.schedule(0.0, instance, f"settings_changed settings={json.dumps(changed)}")
 
@@ -326,10 +335,10 @@
     def on_share(self, instance: int, fields: Fields) -> None:
         peer = int(fields["whom"])
         text = f"message sender={instance} data={fields['data']}"
-        for target in range(len(self.instances)) if peer < 0 else [peer]:
-            if target < len(self.instances) and self.rng.random() < 0.95:
+        for target in range(len(self.gateway_settings)) if peer < 0 else [peer]:
+            if target < len(self.gateway_settings) and self.rng.random() < 0.95:
                 self.schedule(self.rng.uniform(0.005, 0.08), target, text)
-            if target < len(self.instances) and self.rng.random() < 0.03:
+            if target < len(self.gateway_settings) and self.rng.random() < 0.03:
                 self.schedule(self.rng.uniform(0.3, 0.9), target, text)
 
     def on_add(self, instance: int, fields: Fields) -> None:
--- a/tests/decision/trace_sites.py
+++ b/tests/decision/trace_settings.py
@@ -7,7 +7,7 @@
 COUNTER_TIMEOUT = 0.03
 
 
-def build_site(index: int, gateway_count: int, **changes: Any) -> dict[str, Any]:
+def build_gateway_settings(index: int, gateway_count: int, **changes: Any) -> dict[str, Any]:
     """Return the settings of one gateway in the JSON format of the protocol."""
     base: dict[str, Any] = {
         "index": index,
@@ -46,8 +46,8 @@
     return {**base, **changes}
 
 
-def build_counter_site(index: int, gateway_count: int, **changes: Any) -> dict[str, Any]:
+def build_counter_settings(index: int, gateway_count: int, **changes: Any) -> dict[str, Any]:
     """Return the settings of a gateway that has a counter and no gossip."""
-    base = build_site(index, gateway_count)
+    base = build_gateway_settings(index, gateway_count)
     information = {**base["family-info"], "may-count": True, "counter-timeout": COUNTER_TIMEOUT}
     return {**base, "caps": {**base["caps"], "may-tell": False}, "family-info": information, **changes}
--- a/thymeflow/decision/balancing.py
+++ b/thymeflow/decision/balancing.py
@@ -39,8 +39,8 @@
         candidates = self._filter_by_idempotency_scope(candidates, pending)
         endpoints = [backend.endpoint for backend in candidates]
         target_loads = slow_start.compute_target_loads(endpoints, self._context.now, settings.rules)
-        # Whether a backend in slow start is selected is drawn at random. A budget per gateway was rejected,
-        # because hundreds of gateways would save it up and spend it on a new backend at the same time.
+        # Whether a backend in slow start is selected is drawn at random. With a budget per gateway, hundreds
+        # of idle gateways would save it up and spend it on a new backend at the same time.
         slow_start_load = 0.0 if pending.attempts else sum(target_loads.values())
         if (
             slow_start_load
