--- a/thymeflow/decision/settings.py
+++ b/thymeflow/decision/settings.py
@@ -88,7 +88,8 @@
     """A class of requests with its objectives and its idempotency.
 
     `deadline` is the time after receipt within which the client needs the final response. If `late_weight` and
-    `latency_objective_stretch` are 0, a response after the latency objective has no value.
+    `latency_objective_stretch` are 0, a response after the latency objective has no value. The product of
+    `priority_weight` and the plan's `price` orders requests for load shedding.
     """
 
     name: str
@@ -120,6 +121,8 @@
 
     A `rate` of 0 means that the quota does not limit the units. `ceiling_rate` and `ceiling_burst` limit the declared
     units, and are not exceeded even without reports from other limiters. A `ceiling_rate` of 0 means no ceiling.
+    The higher `over_quota_cost` is, the fewer requests are admitted over the quota. No decision reads
+    `over_quota_weight` and `ceiling_slack`.
     """
 
     name: str
