--- a/tests/cli/test_configuration_texts.py
+++ b/tests/cli/test_configuration_texts.py
@@ -48,7 +48,7 @@
     return build_platform_json(known={**GOOD["known"], "instances": [backend]})
 
 
-PLATFORM = {
+PLATFORM_CASES = {
     "good": build_platform_json(),
     "empty": "",
     "cut": '{"listen": ',
@@ -94,7 +94,7 @@
     "no zones": build_json_with_settings(azs=[]),
     "step negative": build_json_with_settings(step=-0.002),
 }
-INI = {
+INI_CASES = {
     "good": "[log]\nform = json\n",
     "unknown section": "[deamon]\nx = 1\n",
     "unknown key": "[log]\nfil = 3\n",
@@ -120,7 +120,14 @@
     "many at once": "[deamon]\n[log]\nform = jsn\nfil = 3\n[overload]\ntogether = x\n[budgets]\ncalls = 0\n",
 }
 ENVIRONMENT = {"THYMEFLOW_LOG_FROM": "x", "THYMEFLOW_FLEET_INSTANCES": "none"}
-RUN_LINE = ["known generation a text", "cut", "settings a list", "counter left out", "few sockets", "units unknown"]
+RUN_LINE_CASES = [
+    "known generation a text",
+    "cut",
+    "settings a list",
+    "counter left out",
+    "few sockets",
+    "units unknown",
+]
 
 
 def read_recorded_result(kind: str, name: str) -> Any:
@@ -147,31 +154,33 @@
     return str(path)
 
 
-@pytest.mark.parametrize("name", PLATFORM)
+@pytest.mark.parametrize("name", PLATFORM_CASES)
 def test_check_prints_the_recorded_text_and_code_when_the_platform_file_is_invalid(name: str, tmp_path: Path) -> None:
-    path = write_file(tmp_path, "platform.json", PLATFORM[name])
+    path = write_file(tmp_path, "platform.json", PLATFORM_CASES[name])
     assert_as_recorded("check platform", name, run_command(tmp_path, "check", "--platform", path))
 
 
-@pytest.mark.parametrize("name", PLATFORM)
+@pytest.mark.parametrize("name", PLATFORM_CASES)
 def test_start_fails_with_the_recorded_text_when_the_platform_file_is_invalid(name: str) -> None:
     try:
-        found = str(configuration.parse_configuration(json.loads(PLATFORM[name]), "platform.json", {}).listen)
+        found = str(configuration.parse_configuration(json.loads(PLATFORM_CASES[name]), "platform.json", {}).listen)
     except (configuration.ConfigurationError, json.JSONDecodeError) as fault:
         found = str(fault)
     assert_as_recorded("start", name, found)
 
 
-@pytest.mark.parametrize("name", INI)
+@pytest.mark.parametrize("name", INI_CASES)
 def test_check_prints_the_recorded_text_and_code_when_the_settings_file_is_invalid(name: str, tmp_path: Path) -> None:
     assert_as_recorded(
-        "check ini", name, run_command(tmp_path, "check", "--settings", write_file(tmp_path, "our.ini", INI[name]))
+        "check ini",
+        name,
+        run_command(tmp_path, "check", "--settings", write_file(tmp_path, "our.ini", INI_CASES[name])),
     )
 
 
 def test_check_prints_the_recorded_json_when_json_is_requested(tmp_path: Path) -> None:
     # The JSON of a fault has a stable format, with the keys `why` for the cause and `mend` for the remedy.
-    settings = write_file(tmp_path, "our.ini", INI["many at once"])
+    settings = write_file(tmp_path, "our.ini", INI_CASES["many at once"])
     platform = write_file(tmp_path, "p.json", '{"seed": "x"}')
     found = [run_command(tmp_path, "check", "--json", "--settings", settings, "--platform", platform)]
     found.append(run_command(tmp_path, "check", "--json"))
@@ -197,12 +206,12 @@
     assert_as_recorded(
         "check",
         "show",
-        run_command(tmp_path, "check", "--show", "--settings", write_file(tmp_path, "our.ini", INI["good"])),
+        run_command(tmp_path, "check", "--show", "--settings", write_file(tmp_path, "our.ini", INI_CASES["good"])),
     )
 
 
 def test_commands_fail_with_the_recorded_text_when_the_settings_are_invalid(tmp_path: Path) -> None:
-    settings_path = write_file(tmp_path, "our.ini", INI["many at once"])
+    settings_path = write_file(tmp_path, "our.ini", INI_CASES["many at once"])
     found = [
         run_command(tmp_path, *arguments, "--settings", settings_path)
         for arguments in (["serve"], ["status", "n0"], ["drain", "n0"], ["fleet", "status"], ["fleet", "up"])
@@ -219,9 +228,9 @@
     assert_as_recorded("place", key, str(caught.value))
 
 
-@pytest.mark.parametrize("name", RUN_LINE)
+@pytest.mark.parametrize("name", RUN_LINE_CASES)
 def test_run_line_exits_with_the_recorded_text_and_code_when_its_file_is_invalid(name: str, tmp_path: Path) -> None:
-    path = write_file(tmp_path, "platform.json", PLATFORM[name])
+    path = write_file(tmp_path, "platform.json", PLATFORM_CASES[name])
     completed = subprocess.run(
         [sys.executable, "-m", "thymeflow"], cwd=ROOT, text=True, capture_output=True, env={"BALANCER_CONFIG": path}
     )
--- a/tests/handover/test_state_machine.py
+++ b/tests/handover/test_state_machine.py
@@ -78,7 +78,7 @@
 
 
 def test_receiver_keeps_accepting_when_the_confirmation_is_late() -> None:
-    # The sender may drain already: if the receiver retreated too, no process would accept connections.
+    # The sender may drain already: a retreat of the receiver could leave no process that accepts connections.
     transition = advance_receiver(ReceiverState.AWAITING_CONFIRMATION, ReceiverEvent.TIMED_OUT)
     assert transition == (ReceiverState.AWAITING_CONFIRMATION, ())
 
--- a/tests/logs/test_log_kinds.py
+++ b/tests/logs/test_log_kinds.py
@@ -27,11 +27,11 @@
     """Return the kinds in the pages' tables: in each row, the text before the colon of the first log line."""
     kinds: set[str] = set()
     for page in PAGES:
-        is_table = False
+        is_in_table = False
         for row in (DOCS / page).read_text().splitlines():
-            is_table = row.startswith("|") and (is_table or row.startswith(TABLE_HEADER))
+            is_in_table = row.startswith("|") and (is_in_table or row.startswith(TABLE_HEADER))
             first_line = re.match(r"\| `([^`]+)`", row)
-            if is_table and first_line:
+            if is_in_table and first_line:
                 kinds.add(first_line[1].split(":")[0])
     return kinds - PREFIXES_WITHOUT_KIND
 
--- a/tests/logs/test_logs.py
+++ b/tests/logs/test_logs.py
@@ -20,10 +20,10 @@
 LINE_COUNT = 400
 
 
-def _append_lines(path: str, number: int) -> None:
+def _append_lines(path: str, writer: int) -> None:
     shared_file = SharedFile(Path(path), 4096, clock.now)
     for line in range(LINE_COUNT):
-        shared_file.write(json.dumps({"who": number, "line": line, "text": "x" * (line % 900)}))
+        shared_file.write(json.dumps({"who": writer, "line": line, "text": "x" * (line % 900)}))
 
 
 def test_lines_are_complete_when_many_processes_append(tmp_path: Path) -> None:
--- a/thymeflow/cli/demo.py
+++ b/thymeflow/cli/demo.py
@@ -18,8 +18,8 @@
 def demo(seconds: float) -> None:
     """Run a demonstration: three limiters with fakes of their peers.
 
-    The demo sends real requests of four plans over loopback, kills and restarts a backend, and upgrades a limiter while
-    it serves. It needs no settings and leaves no files. Ctrl-C ends it early, with the same summary.
+    The demo sends real requests of four plans over loopback, kills and restarts a backend, and upgrades the limiters
+    one by one while they serve. It needs no settings and leaves no files. Ctrl-C ends it early, with the same summary.
     """
     from thymeflow.testkit.demo import run_demo
 
--- a/thymeflow/daemon/allocation.py
+++ b/thymeflow/daemon/allocation.py
@@ -75,7 +75,7 @@
     def inherit(self, message: object) -> None:
         """Apply the allocation in a message of the predecessor, which no longer uses it."""
         if self._holder is not None and not self.on_grant(message):
-            log.emit(LogKind.BUDGETS, "the allocation of the predecessor is in use")
+            log.emit(LogKind.BUDGETS, "this incarnation uses the allocation of the predecessor from now on")
 
     def on_rolled_back(self, was_used: bool) -> None:
         """Use the allocation again after the successor has failed.
@@ -97,5 +97,8 @@
     try:
         return LeaseHolder(allocation_from_message(configured))
     except ValueError as error:
-        log.emit(LogKind.BUDGETS, f"ignored the allocation in the configuration; none until a grant: {error}")
+        log.emit(
+            LogKind.BUDGETS,
+            f"ignored the allocation in the configuration, so none is used until a grant arrives: {error}",
+        )
         return LeaseHolder()
--- a/thymeflow/daemon/handover.py
+++ b/thymeflow/daemon/handover.py
@@ -109,7 +109,10 @@
 
     def abandon(self) -> None:
         """Stop at once: this process has accepted no connections, and the predecessor serves under the name."""
-        log.emit(LogKind.HANDOVER, "abandoned: the predecessor continues to serve")
+        log.emit(
+            LogKind.HANDOVER,
+            "the handover was abandoned: the predecessor continues to serve, and this incarnation stops",
+        )
         instance = self._instance
         instance.forget_name()
         instance.set_exit_code(instance.exit_code or NO_HANDOVER)
--- a/thymeflow/daemon/service.py
+++ b/thymeflow/daemon/service.py
@@ -108,7 +108,7 @@
         try:
             folder.mkdir(mode=0o700, parents=True, exist_ok=True)
         except OSError as error:
-            message = f"[daemon] state {folder}: {error.strerror}"
+            message = f"cannot create the folder [daemon] state {folder}: {error.strerror}"
             raise StartError(message, BAD_CONFIGURATION) from None
 
     def _take_sockets_and_name(self) -> list[socket.socket]:
@@ -122,7 +122,7 @@
         except NameTakenError as error:
             raise StartError(str(error), NAME_TAKEN) from None
         except OSError as error:
-            message = f"{instance.get_file_path('lock')}: {error.strerror}"
+            message = f"cannot lock {instance.get_file_path('lock')}: {error.strerror}"
             raise StartError(message, NAME_TAKEN) from None
         return sockets
 
@@ -147,7 +147,7 @@
             )
             self.instance.limiter.listen(listening_socket, was_listening=bool(activation_sockets))
         except OSError as error:
-            message = f"{address}: {error.strerror}"
+            message = f"cannot listen at {address}: {error.strerror}"
             raise StartError(message, CANNOT_LISTEN) from None
 
     def install_signal_handlers(self) -> None:
--- a/thymeflow/handover/control_socket.py
+++ b/thymeflow/handover/control_socket.py
@@ -238,7 +238,7 @@
         try:
             self._port = self._reactor.listenUNIX(str(self._socket_path), self, mode=SOCKET_MODE)
         except CannotListenError as error:  # This class wraps an OSError but is no subclass of it.
-            message = f"{self._socket_path}: {error.socketError}"
+            message = f"cannot listen at {self._socket_path}: {error.socketError}"
             raise ControlError(message) from None
         self.publish_link()
 
--- a/thymeflow/handover/participant.py
+++ b/thymeflow/handover/participant.py
@@ -76,5 +76,5 @@
 
 
 def count_open_connections(limiter: Limiter) -> int:
-    """Return how many descriptors a limiter uses for connections of clients and to backends."""
+    """Return the number of a limiter's open connections with clients and backends, one descriptor each."""
     return len(limiter.frontend.clients) + limiter.backends.open_connections
--- a/thymeflow/handover/receiver.py
+++ b/thymeflow/handover/receiver.py
@@ -103,7 +103,7 @@
         if not session.is_same_user():
             self._abort(f"no handover is requested: the process that listens at {self._path} runs as another user")
         elif self.state is ReceiverState.FAILED:
-            session.close()  # The connection was opened after the step's time limit.
+            session.close()  # The step's time limit passed before the connection was open.
         else:
             self._send_request(session)
 
--- a/thymeflow/handover/upgradable_limiter.py
+++ b/thymeflow/handover/upgradable_limiter.py
@@ -105,7 +105,7 @@
         )
         try:
             control.listen()
-        except (ControlError, OSError, ValueError) as error:  # Without Unix sockets everything else works.
+        except (ControlError, OSError, ValueError) as error:  # The limiter serves without a control socket.
             log.emit(LogKind.HANDOVER, f"no successor can take over from this incarnation: {error}")
             return
         self._control = control
@@ -167,7 +167,7 @@
         if self._is_ending:
             self.limiter.reactor.callWhenRunning(self.limiter.reactor.stop)
         else:
-            log.emit(LogKind.HANDOVER, "abandoned: this incarnation starts without a predecessor")
+            log.emit(LogKind.HANDOVER, "the handover was abandoned: this incarnation starts without a predecessor")
             self._start_without_predecessor()
 
     def retreat(self) -> None:
--- a/thymeflow/settings/sections.py
+++ b/thymeflow/settings/sections.py
@@ -21,8 +21,8 @@
     platform: Annotated[str, Text()] = ""  # Path of the platform's JSON; if empty, BALANCER_CONFIG
     state: Annotated[str, Text()] = ""  # Folder of the lock, the control socket and the snapshot
     control: Annotated[bool, Switch()] = True
-    control_callers: Annotated[int, Count(1, 64)] = 8
-    control_patience: Annotated[float, Duration(0.1, 60.0)] = 5.0
+    control_callers: Annotated[int, Count(1, 64)] = 8  # Maximum number of connections to the control socket
+    control_patience: Annotated[float, Duration(0.1, 60.0)] = 5.0  # Timeout of a control connection without a message
     hand_over: Annotated[float, Duration(0.5, 60.0)] = 5.0  # Time limit of each step of a handover
     # How long the instance accepts new connections after SIGTERM.
     drain_linger: Annotated[float, Duration(0.0, 10.0)] = 0.7
--- a/thymeflow/settings/units.py
+++ b/thymeflow/settings/units.py
@@ -19,7 +19,8 @@
 _AMOUNT_PATTERN = re.compile(r"([0-9]+(?:\.[0-9]+)?)\s*([a-zA-Z]*)")
 UNITS_PER_SECOND = {"us": 1e6, "ms": 1e3, "s": 1.0, "m": 1 / 60.0, "h": 1 / 3600.0}
 SECONDS_PER_UNIT = {"h": 3600.0, "m": 60.0, "s": 1.0, "ms": 1e-3}  # The largest unit comes first
-# Maximum distance, as a fraction of the unit, between a duration and the integer multiple as which it is written.
+# A duration is written as an integer multiple of a unit if it differs from the multiple by less than this fraction of
+# the unit.
 MULTIPLE_TOLERANCE = 1e-9
 BYTES_PER_UNIT = {"B": 1, "KB": 1 << 10, "MB": 1 << 20, "GB": 1 << 30}
 SWITCH_VALUES = {"yes": True, "on": True, "true": True, "no": False, "off": False, "false": False}
