--- a/tests/decision/test_large_fleet.py
+++ b/tests/decision/test_large_fleet.py
@@ -25,7 +25,7 @@
     bucket.last_customer_report_at = 99.0
     bucket.local_rate = local_rate
     bucket.remote_rate = remote_rate
-    bucket.global_level = 2.0
+    bucket.set_level = 2.0
     return bucket
 
 
@@ -83,7 +83,7 @@
 def test_missing_units_are_lent_only_when_use_over_quota_has_no_cost() -> None:
     for cost, fraction_bound in ((0.6, 0.0), (0.0, 0.5)):
         bucket = create_bucket(0.05, 1.0, replace(SMALL_PLAN, over_quota_cost=cost))
-        bucket.global_level = 1.0  # A request needs two units.
+        bucket.set_level = 1.0  # A request needs two units.
         assert (admitted_fraction(bucket) > fraction_bound) == (fraction_bound > 0.0)
 
 
--- a/tests/gossip/test_gossip.py
+++ b/tests/gossip/test_gossip.py
@@ -84,14 +84,14 @@
     gateway.handle(100.0, request("r", 1.0, set_size=30))
     bucket = only_store(gateway)
     ceiling_level = bucket.ceiling_level
-    global_level = bucket.global_level
+    set_level = bucket.set_level
     message = encode_message(codec.Entry(bucket.customer_id, 0, True, 16000.0, 0.0))
     other_node = next(n for n in range(1, 30) if n not in bucket.members[:2])
     gateway.handle(100.0, GossipReceived(other_node, message))
-    assert bucket.global_level == pytest.approx(global_level)
+    assert bucket.set_level == pytest.approx(set_level)
     rendezvous_node = next(n for n in bucket.members[:2] if n)
     gateway.handle(100.0, GossipReceived(rendezvous_node, message))
-    assert bucket.global_level <= PLAN.burst
+    assert bucket.set_level <= PLAN.burst
     assert bucket.level <= PLAN.burst
     assert bucket.ceiling_level == ceiling_level
 
--- a/tests/quota/test_counter_reports.py
+++ b/tests/quota/test_counter_reports.py
@@ -126,10 +126,10 @@
     for n, (status, added) in enumerate([(Status.TIMEOUT, False), (Status.OK, True)]):
         gateway.handle(11.1 + n, request(f"s{n}", 4.0))
         counter_call = find_counter_call(gateway, 11.1 + n)
-        level_before = bucket.global_level
+        level_before = bucket.set_level
         total += counter_call.amount if added else 0.0
         gateway.handle(11.6 + n, CounterReplied(counter_call.name, status, total))
-    assert bucket.global_level >= level_before
+    assert bucket.set_level >= level_before
     assert bucket.remote_rate < 20.0
 
 
--- a/tests/quota/test_token_bucket.py
+++ b/tests/quota/test_token_bucket.py
@@ -74,12 +74,12 @@
     return bucket
 
 
-def apply_report(bucket: TokenBucket, now: float, remote_rate: float, global_level: float) -> None:
+def apply_report(bucket: TokenBucket, now: float, remote_rate: float, set_level: float) -> None:
     """Change a bucket in the way an aggregate from a rendezvous node does."""
     bucket.refresh(now)
     bucket.last_remote_report_at = now
     bucket.remote_rate = remote_rate
-    bucket.global_level = global_level
+    bucket.set_level = set_level
     bucket.remote_rate_memory = 5.0
     bucket.usage_ratio = 1.0
     bucket.last_customer_report_at = now
@@ -111,7 +111,7 @@
         for index, bucket in enumerate(buckets):
             bucket.refresh(now)
             bucket.last_remote_report_at = now
-            bucket.is_aggregator = True
+            bucket.has_first_hand_reports = True
             bucket.remote_rate_memory = 1.5
             if index == limiter:
                 bucket.local_rate += units
@@ -121,7 +121,7 @@
             buckets[limiter].charge(units)
             spent += units
             for index, bucket in enumerate(buckets):
-                bucket.global_level -= 0.0 if index == limiter else units
+                bucket.set_level -= 0.0 if index == limiter else units
         for bucket in buckets:
             bucket.refresh(now)
             assert bucket.level <= PLAN.burst * bucket.compute_quota_fraction(bucket.local_rate) + 1e-9
@@ -156,7 +156,7 @@
     bucket.local_rate = 4.0
     bucket.refresh(FULL_BUCKETS_AT + 0.2)
     # The level rises by less than the complete rate, because other limiters use most of it.
-    assert 0.0 < bucket.global_level < 0.2 * 10.0 * 0.6
+    assert 0.0 < bucket.set_level < 0.2 * 10.0 * 0.6
 
 
 @pytest.mark.parametrize("gateways", [3, 30, 300])
@@ -222,7 +222,7 @@
             level -= units * len(sends(actions))
         for bucket in gateways[limiter].buckets.values():
             bucket.last_remote_report_at = now
-            bucket.global_level = CAPPED.burst
+            bucket.set_level = CAPPED.burst
             gateways[limiter].token_buckets.last_remote_report_at = now
         assert level >= -CAPPED.ceiling_slack - 1e-6
 
--- a/tests/snapshot/test_restore.py
+++ b/tests/snapshot/test_restore.py
@@ -18,7 +18,7 @@
 
 RESTORED_FIELDS = (
     "level",
-    "global_level",
+    "set_level",
     "local_rate",
     "remote_rate",
     "requested_units",
@@ -85,12 +85,12 @@
     restored = get_only_bucket(restore_new_gateway(take_snapshot(gateway, bucket.refreshed_at), bucket.refreshed_at))
     assert restored.level == pytest.approx(-3.0)
     bucket.level = 29.0
-    bucket.global_level = 29.0
+    bucket.set_level = 29.0
     snapshot = take_snapshot(gateway, bucket.refreshed_at)
     smaller_plan = (Plan("plain", rate=10.0, burst=6.0),)
     restored = get_only_bucket(restore_new_gateway(snapshot, bucket.refreshed_at, plans=smaller_plan))
     assert restored.level <= 6.0
-    assert restored.global_level <= 6.0
+    assert restored.set_level <= 6.0
     other_plan = (Plan("other", 1.0, 2.0),)
     assert restore_new_gateway(snapshot, bucket.refreshed_at, plans=other_plan).buckets == {}
 
--- a/thymeflow/decision/admission.py
+++ b/thymeflow/decision/admission.py
@@ -116,7 +116,7 @@
             pending.request.units, bucket.plan.burst * bucket.compute_quota_fraction(bucket.local_rate)
         )
         deficit = 1.0 - min(1.0, max(0.0, bucket.level / full_level)) if bucket.plan.rate else 0.0
-        backends = registry.warmed_up_backends * context.get_resource_fraction(FleetResource.CONCURRENCY)
+        backends = registry.ready_capacity * context.get_resource_fraction(FleetResource.CONCURRENCY)
         if registry.in_flight >= pressure.compute_concurrency_limit(backends, deficit, registry.pressure):
             return RejectionReason.CONCURRENCY
         sample = context.rng.random()
--- a/thymeflow/decision/gateway.py
+++ b/thymeflow/decision/gateway.py
@@ -148,9 +148,9 @@
 
     def _on_settings_changed(self, event: SettingsChanged) -> None:
         # Open requests keep the settings under which they were admitted.
-        set_changed = event.settings.limiter_count != self.context.settings.limiter_count
+        fleet_size_changed = event.settings.limiter_count != self.context.settings.limiter_count
         self.context.apply_settings(event.settings)
-        self.token_buckets.apply_plans(set_changed)
+        self.token_buckets.apply_plans(fleet_size_changed)
 
     def _on_attempt_ended(self, event: AttemptEnded) -> None:
         """Record the result of an attempt, settle its units, and retry or finish the request."""
@@ -214,7 +214,7 @@
         context.set_timer(TICK_INTERVAL_SECONDS, TimerKind.TICK)
         is_round = context.now - self._last_round_at >= ROUND_INTERVAL_SECONDS
         self.registry.decay_pressure(TICK_INTERVAL_SECONDS)
-        self.registry.count_warmed_up_backends(context.now, context.settings.rules)
+        self.registry.update_ready_capacity(context.now, context.settings.rules)
         if is_round:
             self._last_round_at = context.now
             self.token_buckets.drop_idle()
--- a/thymeflow/gossip/aggregator.py
+++ b/thymeflow/gossip/aggregator.py
@@ -59,8 +59,8 @@
         bucket.last_customer_report_at = context.now
         if not entry.is_aggregate:
             self._aggregate_report(bucket, sender, incarnation, entry)
-        elif not bucket.is_aggregator and (not bucket.members or sender in bucket.members[:AGGREGATOR_COUNT]):
-            bucket.global_level = min(bucket.plan.burst, entry.requested_or_level)
+        elif not bucket.has_first_hand_reports and (not bucket.members or sender in bucket.members[:AGGREGATOR_COUNT]):
+            bucket.set_level = min(bucket.plan.burst, entry.requested_or_level)
             bucket.remote_rate_memory = MIN_REMOTE_MEMORY_SECONDS
             bucket.usage_ratio = 1.0
             bucket.remote_rate = max(0.0, entry.charged_or_demand - bucket.local_rate)
@@ -83,7 +83,7 @@
             MAX_FIRST_REPORT_RATIO * max_units if is_first else MAX_REPORT_RATIO * max(bucket.plan.burst, max_units)
         )
         if units <= max_accepted:
-            bucket.is_aggregator = True
+            bucket.has_first_hand_reports = True
             bucket.remote_rate_memory = DEMAND_MEMORY_SECONDS
             bucket.usage_ratio = 1.0
             bucket.remote_rate += units / DEMAND_MEMORY_SECONDS
--- a/thymeflow/gossip/publisher.py
+++ b/thymeflow/gossip/publisher.py
@@ -120,9 +120,9 @@
             bucket.refresh(self._context.now)
             demand = bucket.local_rate + bucket.remote_rate
             has_demand = demand > MIN_BUSY_DEMAND * bucket.plan.rate
-            if has_demand or bucket.global_level < MAX_BUSY_LEVEL * bucket.plan.burst:
+            if has_demand or bucket.set_level < MAX_BUSY_LEVEL * bucket.plan.burst:
                 for peer in peers:
-                    outbox.add(peer, bucket, True, bucket.global_level, demand)
+                    outbox.add(peer, bucket, True, bucket.set_level, demand)
 
     def _send(self, outbox: _Outbox) -> None:
         pressure = self._registry.pressure
--- a/thymeflow/health/backend_registry.py
+++ b/thymeflow/health/backend_registry.py
@@ -31,7 +31,7 @@
         """
         self.backends: dict[int, BackendStats] = {}
         self.in_flight = 0  # Attempts in flight to all backends
-        self.warmed_up_backends = 0.0  # Capacity of the ready backends, as a number of warmed-up backends
+        self.ready_capacity = 0.0  # Capacity of the ready backends, as a number of warmed-up backends
         self.pressure = 0.0  # Running mean of latency over the latency objective, at most 1
         # Running mean of the same ratio without an upper bound, over more responses than the pressure
         self.mean_latency_ratio = PRESSURE_THRESHOLD / 2.0
@@ -55,12 +55,12 @@
             if endpoint.state is not BackendState.GONE:
                 self.backends[endpoint.id] = backend
                 backend.endpoint = endpoint
-        self.count_warmed_up_backends(now, rules)
+        self.update_ready_capacity(now, rules)
 
-    def count_warmed_up_backends(self, now: float, rules: Rules) -> None:
-        """Update the number of warmed-up backends to the time `now`."""
+    def update_ready_capacity(self, now: float, rules: Rules) -> None:
+        """Update the capacity of the ready backends to the time `now`."""
         endpoints = [backend.endpoint for backend in self.backends.values()]
-        self.warmed_up_backends = slow_start.compute_warmed_up_backends(endpoints, now, rules)
+        self.ready_capacity = slow_start.compute_ready_capacity(endpoints, now, rules)
 
     def begin_attempt(self, backend: BackendStats, now: float) -> None:
         """Count an attempt that is sent to a backend as in flight."""
--- a/thymeflow/health/slow_start.py
+++ b/thymeflow/health/slow_start.py
@@ -20,7 +20,7 @@
     return min(1.0, rules.slow_start_fraction + (1.0 - rules.slow_start_fraction) * ramp)
 
 
-def compute_warmed_up_backends(endpoints: Iterable[Backend], now: float, rules: Rules) -> float:
+def compute_ready_capacity(endpoints: Iterable[Backend], now: float, rules: Rules) -> float:
     """Return the capacity of the ready backends, as a number of warmed-up backends."""
     # A start time of 0 means that the backend started long ago.
     return sum(
--- a/thymeflow/quota/buckets.py
+++ b/thymeflow/quota/buckets.py
@@ -77,8 +77,8 @@
         return bucket
 
     def join_set(self, bucket: TokenBucket, request: RequestReceived) -> None:
-        """Give a bucket its slice of the set that the request names, unless it has a slice of the current set."""
-        if not bucket.members or bucket.set_changed:
+        """Make a bucket join the set that the request names, unless it has joined one for the current fleet size."""
+        if not bucket.members or bucket.must_rejoin_set:
             context = self._context
             limiter_count = context.settings.limiter_count
             bucket.join_set(request.first_limiter, request.set_size, limiter_count, context.started_at)
@@ -90,13 +90,16 @@
         if bucket is not None:
             bucket.last_customer_report_at = now
 
-    def apply_plans(self, set_changed: bool) -> None:
-        """Assign the plans in force to the buckets. Levels stay, and later refills use the new plans."""
+    def apply_plans(self, fleet_size_changed: bool) -> None:
+        """Assign the plans in force to the buckets. Levels stay, and later refills use the new plans.
+
+        If the fleet's size changed, each bucket joins a set again at the customer's next request.
+        """
         context = self._context
         for bucket in self.by_customer.values():
             bucket.refresh(context.now)
             bucket.plan = context.plans.get(bucket.plan.name, bucket.plan)
-            bucket.set_changed = bucket.set_changed or set_changed
+            bucket.must_rejoin_set = bucket.must_rejoin_set or fleet_size_changed
 
     def drop_idle(self) -> None:
         """Drop the buckets of idle customers. Most customers send one request only, so buckets would accumulate."""
--- a/thymeflow/quota/probabilistic_admission.py
+++ b/thymeflow/quota/probabilistic_admission.py
@@ -5,11 +5,12 @@
 
 from __future__ import annotations
 
-# The estimated level of the set's bucket is spent over this time, because the other limiters spend the same units.
-RESERVE_SECONDS = 3.0
-MAX_BIAS = 2.6
-HALF_BIAS_COST = 0.25  # Over-quota cost at which the bias is half of MAX_BIAS
-MIN_BIAS = 0.7
+# A limiter plans to spend the set's level over this time in s and not at once, because the other limiters spend the
+# same units.
+SPARE_UNITS_SECONDS = 3.0
+MAX_DEMAND_BIAS = 2.6  # Upper bound on the factor for estimated demand
+HALF_DEMAND_BIAS_COST = 0.25  # Over-quota cost at which the demand bias is half of MAX_DEMAND_BIAS
+MIN_DEMAND_BIAS = 0.7  # Lower bound on the factor for estimated demand
 
 
 def compute_demand_bias(over_quota_cost: float) -> float:
@@ -17,12 +18,13 @@
 
     A higher over-quota cost gives a larger factor, so that fewer requests are admitted.
     """
-    return max(MIN_BIAS, MAX_BIAS * over_quota_cost / (over_quota_cost + HALF_BIAS_COST))
+    return max(MIN_DEMAND_BIAS, MAX_DEMAND_BIAS * over_quota_cost / (over_quota_cost + HALF_DEMAND_BIAS_COST))
 
 
-def is_sampled(sample: float, demand: float, rate: float, reserve: float, bias: float) -> bool:
+def is_admitted(sample: float, demand: float, rate: float, spare_units: float, bias: float) -> bool:
     """Return whether a request is admitted.
 
-    `sample` is a random number from [0, 1); `demand` and `rate` are in units per second, `reserve` is in units.
+    `sample` is a random number from [0, 1); `demand` and `rate` are in units per second, `spare_units` is the set's
+    level in units without the units of the request.
     """
-    return sample * bias * demand <= rate + reserve / RESERVE_SECONDS
+    return sample * bias * demand <= rate + spare_units / SPARE_UNITS_SECONDS
--- a/thymeflow/quota/strict.py
+++ b/thymeflow/quota/strict.py
@@ -70,7 +70,7 @@
         has_joined_before = bool(self.members)
         was_member = self._index in self.members
         previous_count = self.member_count
-        self.set_changed = False
+        self.must_rejoin_set = False
         self.member_count = min(max(1, set_size), limiter_count)
         self.members = counter_encoding.compute_rendezvous_order(
             self.customer_id, first_limiter, self.member_count, limiter_count
--- a/thymeflow/quota/token_bucket.py
+++ b/thymeflow/quota/token_bucket.py
@@ -15,8 +15,9 @@
 # Demand that is assumed in any set, as a fraction of the plan's rate. It splits the quota evenly for new customers.
 PRIOR_DEMAND_FRACTION = 0.1
 REPORT_TTL_SECONDS = 2.0  # Older reports are ignored, and slices return to an even split.
-# Level of the complete set under excess demand, as a fraction of the part of the burst above a mean request
-RESERVE_FRACTION = 0.4
+# Units above a mean request that the set's bucket is assumed to hold while demand exceeds the quota, as a fraction of
+# the part of the burst above a mean request
+ASSUMED_SPARE_FRACTION = 0.4
 # Ratio of use to quota that is assumed, as a minimum, while reports include only the demand and not the set's level
 MIN_USAGE_RATIO = 2.0
 # Bounds on the time constant of reported demand, which is one second per limiter of the set
@@ -55,12 +56,13 @@
         self.requested_units = 0.0  # Units requested since this bucket was created
         self.charged_units = 0.0  # Units charged since this bucket was created
         self.mean_cost = 0.0  # Running mean of the units per request
-        self.reserve = 0.0  # Level of the complete set under excess demand, in units
+        # Units above a mean request that the set's bucket is assumed to hold while demand exceeds the quota
+        self.assumed_spare_units = 0.0
         self.usage_ratio = MIN_USAGE_RATIO  # Metered use over the quota
         self.remote_rate_memory = DEMAND_MEMORY_SECONDS  # Time constant of the remote demand's decay in s
-        self.is_aggregator = (
-            False  # Whether remote use is known from peers' reports or the counter, not from aggregates
-        )
+        # True if this limiter sums up remote use itself, from peers' reports or counter totals.
+        # False if it takes remote use from another limiter's aggregates.
+        self.has_first_hand_reports = False
         self.last_remote_report_at = -inf  # Time of the last report of a peer or the counter, on any customer
         self.counter_called_at = -inf
         self.counter_ledger = CounterLedger(now)
@@ -71,10 +73,10 @@
         # The use before a restart is not known. The level begins as a fraction of the burst at the gateway's start, and
         # is refilled for the time since then.
         fill = min(1.0, initial_fill + (now - started_at) * plan.rate / max(plan.burst, 1e-9))
-        self.global_level = plan.burst * fill  # Estimated level of the complete set in units
+        self.set_level = plan.burst * fill  # Estimated level of the complete set's bucket in units
         self.members: list[int] = []
         self.member_count = 1
-        self.set_changed = False  # Whether the fleet's size changed since the slice was taken
+        self.must_rejoin_set = False  # Whether the fleet's size changed since the bucket joined its set
         self.level = 0.0  # Level of this limiter's slice in units
         self.ceiling_level = 0.0  # Level of this limiter's slice of the hard ceiling in units
         self.set_notified_at = -inf  # Time of the last gossip message to all members of the set
@@ -85,7 +87,7 @@
         When the set changes, the level of the slice never grows.
         """
         previous_count = self.member_count if self.members else 0
-        self.set_changed = False
+        self.must_rejoin_set = False
         self.member_count = min(max(1, set_size), limiter_count)
         self.members = counter_encoding.compute_rendezvous_order(
             self.customer_id, first_limiter, self.member_count, limiter_count
@@ -95,10 +97,10 @@
         if previous_count:
             self.level = min(self.level, self.level * shrinkage)
         else:
-            self.level = self.global_level / self.member_count
+            self.level = self.set_level / self.member_count
         # A limiter of a large set seldom sees the customer and decides its next request by an old report, so it has to
         # remember reported demand for longer.
-        if not self.is_aggregator:
+        if not self.has_first_hand_reports:
             self.remote_rate_memory = min(MAX_REMOTE_MEMORY_SECONDS, max(MIN_REMOTE_MEMORY_SECONDS, self.member_count))
         # The hard ceiling must hold without reports of other limiters, so each limiter has an even slice of its rate
         # and burst, which is empty when the gateway starts.
@@ -142,33 +144,34 @@
         decay = exp(-elapsed / self.local_rate_memory)
         self.local_rate = rate_before * decay
         self.remote_rate = self.remote_rate * exp(-elapsed / self.remote_rate_memory)
-        # The units that other limiters admit beyond the quota are not known yet. The limiters are assumed to share the
-        # remaining units equally.
-        self.reserve = RESERVE_FRACTION * max(self.mean_cost, self.plan.burst - self.mean_cost) + 1e-9
-        self._refill_global_level(elapsed, rate_before)
+        self.assumed_spare_units = ASSUMED_SPARE_FRACTION * max(self.mean_cost, self.plan.burst - self.mean_cost) + 1e-9
+        self._refill_set_level(elapsed, rate_before)
         self._refill_slice(elapsed, rate_before, decay)
         self.ceiling_level = min(
             self.plan.ceiling_burst / self.member_count,
             self.ceiling_level + self.plan.ceiling_rate / self.member_count * elapsed,
         )
 
-    def _refill_global_level(self, elapsed: float, rate_before: float) -> None:
+    def _refill_set_level(self, elapsed: float, rate_before: float) -> None:
         rate = self.plan.rate
-        if self.is_aggregator:
+        if self.has_first_hand_reports:
             # Charges of other limiters are reported late. Until then all their requested units count as charged.
-            predicted = min(self.remote_rate * elapsed, max(0.0, self.global_level))
+            predicted = min(self.remote_rate * elapsed, max(0.0, self.set_level))
             self.predicted_remote_usage += predicted
-            self.global_level = self.global_level + rate * elapsed - predicted
+            self.set_level = self.set_level + rate * elapsed - predicted
         elif self.has_small_slices():
-            refilled = self.global_level + (rate - self.remote_rate) * elapsed
-            self.global_level = max(min(self.global_level, 0.0), refilled)
+            refilled = self.set_level + (rate - self.remote_rate) * elapsed
+            self.set_level = max(min(self.set_level, 0.0), refilled)
         elif self.remote_rate <= rate:
-            self.global_level += (rate - self.remote_rate) * elapsed
+            self.set_level += (rate - self.remote_rate) * elapsed
         else:
-            distance = self.mean_cost + self.reserve - self.global_level
-            step = distance * (1.0 - exp(-elapsed * self.remote_rate / self.reserve))
-            self.global_level += min(rate * (0.5 + 0.5 * self.compute_quota_fraction(rate_before)) * elapsed, step)
-        self.global_level = min(self.plan.burst, self.global_level)
+            # The units that other limiters admit beyond the quota are not known yet, and the limiters are assumed to
+            # share the remaining units equally. So the set's level approaches a mean request plus the assumed spare
+            # units, and rises at most at this limiter's fraction of the rate plus half of the remaining rate.
+            missing_units = self.mean_cost + self.assumed_spare_units - self.set_level
+            change = missing_units * (1.0 - exp(-elapsed * self.remote_rate / self.assumed_spare_units))
+            self.set_level += min(rate * (0.5 + 0.5 * self.compute_quota_fraction(rate_before)) * elapsed, change)
+        self.set_level = min(self.plan.burst, self.set_level)
 
     def _refill_slice(self, elapsed: float, rate_before: float, decay: float) -> None:
         mean_rate = rate_before
@@ -176,7 +179,7 @@
             mean_rate = rate_before * (1.0 - decay) * self.local_rate_memory / elapsed
         self.level += self.plan.rate * self.compute_quota_fraction(mean_rate) * elapsed
         if self.has_recent_remote_reports():
-            target = self.compute_quota_fraction(self.local_rate) * self.global_level
+            target = self.compute_quota_fraction(self.local_rate) * self.set_level
             self.level += (target - self.level) * (1.0 - decay)
         self.level = min(self.level, self.plan.burst * self.compute_quota_fraction(self.local_rate))
 
@@ -190,11 +193,11 @@
         demand = max(previous_rate + self.remote_rate, previous_rate * self.member_count)
         has_reports = self.has_recent_remote_reports()
         is_current = self.refreshed_at <= self.last_customer_report_at
-        reserve = max(0.0, self.global_level - units) if has_reports else 0.0
+        spare_units = max(0.0, self.set_level - units) if has_reports else 0.0
         # If use over the quota has no cost, units are lent beyond the level of the set.
-        is_covered = units <= self.global_level or (has_reports and not self.plan.over_quota_cost)
+        is_covered = units <= self.set_level or (has_reports and not self.plan.over_quota_cost)
         bias = 1.0 if is_current else probabilistic_admission.compute_demand_bias(self.plan.over_quota_cost)
-        return is_covered and probabilistic_admission.is_sampled(sample, demand, self.plan.rate, reserve, bias)
+        return is_covered and probabilistic_admission.is_admitted(sample, demand, self.plan.rate, spare_units, bias)
 
     def can_admit(self, units: float, sample: float) -> bool:
         """Return whether the bucket, the hard ceiling and the concurrency cap all admit a request.
@@ -214,10 +217,10 @@
             # A full even slice admits one request of any size. The missing units become debt.
             return min(units, plan.burst * fraction * 0.999) <= self.level
         # Units of the set are lent by sampling, because otherwise all limiters would lend the same units at once.
-        lent = sample * self.usage_ratio * self.remote_rate / plan.rate * self.reserve
+        lent = sample * self.usage_ratio * self.remote_rate / plan.rate * self.assumed_spare_units
         # While only metered usage is reported, the local debt is the only known sign of an empty set.
         is_in_debt = self.usage_ratio > 1.0 and self.level <= 0.0
-        return lent <= self.global_level - units and not is_in_debt
+        return lent <= self.set_level - units and not is_in_debt
 
     def needs_counter_update(self, now: float) -> bool:
         """Return whether a counter call for this customer would report enough units to justify its cost."""
@@ -234,7 +237,7 @@
         requested, charged, seconds = self.counter_ledger.read_total(name, total, amount, now, self.customer_id)
         self.remote_rate = (requested + self.remote_rate * DEMAND_MEMORY_SECONDS) / (seconds + DEMAND_MEMORY_SECONDS)
         self.charge_remote(charged - self.predicted_remote_usage)
-        self.is_aggregator = True
+        self.has_first_hand_reports = True
         self.usage_ratio = 1.0
         self.predicted_remote_usage = 0.0
 
@@ -248,10 +251,10 @@
 
     def charge_remote(self, units: float) -> None:
         """Deduct units that other limiters charged; the set's level doesn't fall below 0, as these reports are late."""
-        self.global_level = min(self.plan.burst, max(min(self.global_level, 0.0), self.global_level - units))
+        self.set_level = min(self.plan.burst, max(min(self.set_level, 0.0), self.set_level - units))
 
     def charge(self, units: float) -> None:
         """Charge declared units, or the difference at their settlement; an overrun becomes debt."""
         self.level -= units
         self.charged_units += units
-        self.global_level = min(self.plan.burst, self.global_level - units)
+        self.set_level = min(self.plan.burst, self.set_level - units)
--- a/thymeflow/snapshot/late_charges.py
+++ b/thymeflow/snapshot/late_charges.py
@@ -56,4 +56,4 @@
 def spend_units(bucket: TokenBucket, units: float) -> None:
     """Take units from both levels of a bucket, of which none falls below zero."""
     bucket.level -= min(units, max(0.0, bucket.level))
-    bucket.global_level -= min(units, max(0.0, bucket.global_level))
+    bucket.set_level -= min(units, max(0.0, bucket.set_level))
--- a/thymeflow/snapshot/restore.py
+++ b/thymeflow/snapshot/restore.py
@@ -87,7 +87,7 @@
         at=bucket.refreshed_at,
         seen=bucket.last_seen_at,
         level=bucket.level,
-        fleet=bucket.global_level,
+        fleet=bucket.set_level,
         guard=bucket.ceiling_level,
         own=bucket.local_rate,
         others=bucket.remote_rate,
@@ -98,7 +98,7 @@
         memory=bucket.remote_rate_memory,
         count=bucket.member_count,
         members=tuple(bucket.members),
-        gathers=bucket.is_aggregator,
+        gathers=bucket.has_first_hand_reports,
         ahead=bucket.predicted_remote_usage,
         account=_build_account_record(ledger),
     )
@@ -219,7 +219,7 @@
 def _restore_fields(bucket: TokenBucket, record: StoreRecord, plan: Plan, refreshed_at: float) -> None:
     bucket.refreshed_at = refreshed_at
     bucket.level = min(record.level, plan.burst)
-    bucket.global_level = min(record.fleet, plan.burst)
+    bucket.set_level = min(record.fleet, plan.burst)
     bucket.local_rate = max(0.0, record.own)
     bucket.remote_rate = max(0.0, record.others)
     bucket.requested_units = record.asked
@@ -230,7 +230,7 @@
     bucket.remote_rate_memory = record.memory
     bucket.members = list(record.members)
     bucket.member_count = max(1, record.count)
-    bucket.is_aggregator = record.gathers
+    bucket.has_first_hand_reports = record.gathers
     bucket.ceiling_level = min(record.guard, plan.ceiling_burst / bucket.member_count)
     bucket.predicted_remote_usage = max(0.0, record.ahead)
 
@@ -245,7 +245,7 @@
             skipped += 1
             continue
         bucket = _restore_bucket(record, plan, snapshot, now, gateway)
-        bucket.set_changed = snapshot.gateways != gateway.settings.limiter_count
+        bucket.must_rejoin_set = snapshot.gateways != gateway.settings.limiter_count
         gateway.buckets[record.number] = bucket
     gateway.registry.pressure = min(1.0, max(0.0, snapshot.pressure))
     gateway.registry.mean_latency_ratio = max(MIN_MEAN_LATENCY_RATIO, snapshot.usual)
