--- a/tests/gossip/test_gossip.py
+++ b/tests/gossip/test_gossip.py
@@ -56,16 +56,16 @@
 
 def test_demand_is_still_reported_when_one_rendezvous_node_is_down() -> None:
     remote_rates = []
-    for is_node_down in (False, True):
+    for is_rendezvous_node_down in (False, True):
         gateways = create_gateways(30)
         gateways[0].handle(9.0, request("r", 1.0, set_size=30))
-        down = frozenset(only_store(gateways[0]).members[:1] if is_node_down else ())
+        down = frozenset(only_store(gateways[0]).members[:1] if is_rendezvous_node_down else ())
         for step in range(30):
             for n in range(30):
                 gateways[n].handle(10.0 + step * 0.1, request(f"r{n}.{step}", 2.0, set_size=30))
             deliver_gossip(gateways, 10.05 + step * 0.1, 0.1, down)
-        other_node = next(n for n in range(30) if n not in only_store(gateways[n]).members[:2] and n not in down)
-        remote_rates.append(only_store(gateways[other_node]).remote_rate)
+        other_limiter = next(n for n in range(30) if n not in only_store(gateways[n]).members[:2] and n not in down)
+        remote_rates.append(only_store(gateways[other_limiter]).remote_rate)
     assert remote_rates[1] > 0.5 * remote_rates[0] > PLAN.rate
 
 
@@ -86,8 +86,8 @@
     ceiling_level = bucket.ceiling_level
     set_level = bucket.set_level
     message = encode_message(codec.Entry(bucket.customer_id, 0, True, 16000.0, 0.0))
-    other_node = next(n for n in range(1, 30) if n not in bucket.members[:2])
-    gateway.handle(100.0, GossipReceived(other_node, message))
+    other_limiter = next(n for n in range(1, 30) if n not in bucket.members[:2])
+    gateway.handle(100.0, GossipReceived(other_limiter, message))
     assert bucket.set_level == pytest.approx(set_level)
     rendezvous_node = next(n for n in bucket.members[:2] if n)
     gateway.handle(100.0, GossipReceived(rendezvous_node, message))
@@ -116,7 +116,8 @@
     for data in reversed(messages):
         gateway.handle(10.2, GossipReceived(0, data))
     assert only_store(gateway).remote_rate == pytest.approx(remote_rate)
-    # The first report of a restarted peer is not counted as new demand, because it is too large.
+    # The first report of a restarted peer is not counted as new demand, because it exceeds
+    # MAX_FIRST_REPORT_RATIO * max_units.
     first_entry = codec.Entry(customer_id, 0, False, 900.0, 900.0)
     gateway.handle(10.2, GossipReceived(0, codec.encode(codec.Message(8, 1, 0.0, (first_entry,)))))
     assert only_store(gateway).remote_rate == pytest.approx(remote_rate)
--- a/tests/gossip/test_gossip_format.py
+++ b/tests/gossip/test_gossip_format.py
@@ -17,7 +17,7 @@
     return None if message is None else [*message[:3], [list(entry) for entry in message[3]]]
 
 
-def test_gossip_has_the_same_bytes_when_it_is_packed() -> None:
+def test_gossip_is_encoded_to_the_recorded_bytes() -> None:
     entries = [
         codec.Entry(number * 0x1234567 % 2**32, number % 120, number % 2 == 1, number * 97.3, number * 5000.25)
         for number in range(codec.MAX_ENTRIES + 3)
@@ -34,7 +34,7 @@
     assert_as_recorded("gossip", messages)
 
 
-def test_gossip_has_the_same_values_when_it_is_unpacked() -> None:
+def test_gossip_is_decoded_to_the_recorded_values() -> None:
     valid = [bytes.fromhex(text) for text in recorded("gossip")]
     invalid = [b"", valid[0][:-1], valid[1] + b"\0", b"\x02" + valid[0][1:], valid[2] + bytes(9)]
     assert_as_recorded("gossip values", [decode_gossip_values(data) for data in valid + invalid])
--- a/tests/quota/test_counter_reports.py
+++ b/tests/quota/test_counter_reports.py
@@ -24,7 +24,7 @@
 
 
 def find_counter_call(gateway: Gateway, now: float) -> AddToCounter:
-    """Run half a second and return its only counter call."""
+    """Run the gateway for half a second and return the only counter call that it makes."""
     calls = [action for action in fire_ticks(gateway, now, 0.5) if isinstance(action, AddToCounter)]
     assert len(calls) == 1
     return calls[0]
@@ -38,7 +38,7 @@
     remote_amount = counter_encoding.encode(first_call.name, 200.0, 10.0)
     gateway.handle(10.5, CounterReplied(first_call.name, Status.OK, first_call.amount + remote_amount))
     bucket = only_store(gateway)
-    # The first total of a name gives a rate, because a name is in use for 10 s only.
+    # The first total of a name gives a rate, because it is compared with 0 at the window's start, at most 10 s before.
     assert 199.0 / 12.0 <= bucket.remote_rate <= 200.0 / 1.5
     gateway.handle(10.6, request("r1", 4.0))
     second_call = find_counter_call(gateway, 10.6)
@@ -115,7 +115,7 @@
     assert only_store(gateway).remote_rate == 0.0
 
 
-def test_totals_do_not_count_as_lost_when_an_uncertain_call_was_not_added() -> None:
+def test_no_remote_use_is_invented_when_a_call_without_reply_was_not_executed() -> None:
     gateway = started(settings(information=COUNTER_INFORMATION))
     gateway.handle(10.5, request("r0", 4.0))
     counter_call = find_counter_call(gateway, 10.5)
@@ -141,8 +141,8 @@
             gateway.handle(now + 0.5, CounterReplied(counter_call.name, Status.OK, totals[counter_call.name]))
 
 
-def test_set_forwards_the_quota_when_demand_is_twice_as_much() -> None:
-    # The demand at three gateways is twice the quota for 30 s. In the second half, about the quota is forwarded.
+def test_set_admits_about_the_quota_when_demand_is_twice_the_quota() -> None:
+    # The demand at three gateways is twice the quota for 30 s. In the second half, the gateways admit about the quota.
     gateways = [started(settings(index=n, information=COUNTER_INFORMATION), seed=n) for n in range(3)]
     totals = dict[int, float]()
     sent = 0.0
@@ -192,7 +192,7 @@
     assert reported_before != (ledger.reported_units, ledger.reported_charges)
 
 
-def test_counter_total_is_used_when_metered_usage_is_older() -> None:
+def test_counter_total_is_used_when_metered_usage_arrives_later_but_is_older() -> None:
     gateway = started(settings(information=COUNTER_INFORMATION))
     sent = sends(gateway.handle(11.0, request("r0", 4.0)))[0]
     gateway.handle(11.5, CounterReplied(find_counter_call(gateway, 11.0).name, Status.OK, 4.0))
--- a/tests/quota/test_token_bucket.py
+++ b/tests/quota/test_token_bucket.py
@@ -1,6 +1,6 @@
 """The token bucket: charges, settlement, debt, minimum charge, slices that follow demand, hard ceiling and restarts.
 
-The tests guard against units that are created when slices move between limiters, against limiters that lend the same
+The tests guard against units that are created when slices move between limiters, against limiters that borrow the same
 units at once, and against a hard ceiling that is exceeded when gateways restart or know only their own use.
 """
 
@@ -74,7 +74,7 @@
     return bucket
 
 
-def apply_report(bucket: TokenBucket, now: float, remote_rate: float, set_level: float) -> None:
+def apply_aggregate(bucket: TokenBucket, now: float, remote_rate: float, set_level: float) -> None:
     """Change a bucket in the way an aggregate from a rendezvous node does."""
     bucket.refresh(now)
     bucket.last_remote_report_at = now
@@ -102,7 +102,7 @@
 @hypothesis_settings(derandomize=True, max_examples=200, deadline=None)
 @given(st.lists(st.tuples(st.integers(0, 2), st.floats(0.1, 4.0), st.floats(0.0, 0.5)), min_size=1, max_size=60))
 def test_no_units_are_created_when_slices_move(requests: list[tuple[int, float, float]]) -> None:
-    """Three limiters that know each other's use spend at most one complete bucket, and one request each."""
+    """Three limiters that know each other's use spend at most one complete bucket, its refill, and one request each."""
     buckets = [build_member_bucket() for _ in range(3)]
     now = FULL_BUCKETS_AT
     spent = 0.0
@@ -139,36 +139,36 @@
     assert spent <= (PLAN.burst + PLAN.rate * 10.0) / 3.0 + 1.0
 
 
-def test_units_are_lent_only_when_the_set_reports_that_it_has_them() -> None:
+def test_units_are_borrowed_only_when_the_set_reports_that_it_has_them() -> None:
     bucket = build_member_bucket()
     bucket.charge(8.0)
     assert not bucket.can_admit(4.0, 0.0)
-    apply_report(bucket, FULL_BUCKETS_AT, 0.0, 22.0)
+    apply_aggregate(bucket, FULL_BUCKETS_AT, 0.0, 22.0)
     assert bucket.can_admit(4.0, 0.99)  # There is no remote demand, so the sample has no effect.
-    apply_report(bucket, FULL_BUCKETS_AT, 50.0, 3.0)
+    apply_aggregate(bucket, FULL_BUCKETS_AT, 50.0, 3.0)
     bucket.level = 0.0
     assert not bucket.can_admit(4.0, 0.0)  # The level of the set is below 4 units.
 
 
-def test_global_level_rises_slower_when_remote_demand_exceeds_the_quota() -> None:
+def test_set_level_rises_slower_when_remote_demand_exceeds_the_quota() -> None:
     bucket = build_member_bucket()
-    apply_report(bucket, FULL_BUCKETS_AT, 40.0, 0.0)
+    apply_aggregate(bucket, FULL_BUCKETS_AT, 40.0, 0.0)
     bucket.local_rate = 4.0
     bucket.refresh(FULL_BUCKETS_AT + 0.2)
     # The level rises by less than the complete rate, because other limiters use most of it.
     assert 0.0 < bucket.set_level < 0.2 * 10.0 * 0.6
 
 
-@pytest.mark.parametrize("gateways", [3, 30, 300])
-def test_set_does_not_over_admit_when_hundreds_of_limiters_lend_at_once(gateways: int) -> None:
+@pytest.mark.parametrize("gateway_count", [3, 30, 300])
+def test_set_does_not_over_admit_when_hundreds_of_limiters_borrow_at_once(gateway_count: int) -> None:
     """Slices of hundreds of limiters are smaller than one request, so requests are admitted by sampling."""
-    rng = random.Random(gateways)
+    rng = random.Random(gateway_count)
     admitted = 0.0
     rounds = 40
     for _ in range(rounds):
-        for customer_id in range(gateways):  # Each gateway gets one request, and all have the same report.
-            bucket = build_member_bucket(set_size=gateways, customer_id=customer_id)
-            apply_report(bucket, FULL_BUCKETS_AT, 2.0 * gateways / 1.5, 20.0)
+        for customer_id in range(gateway_count):  # Each gateway gets one request, and all have the same report.
+            bucket = build_member_bucket(set_size=gateway_count, customer_id=customer_id)
+            apply_aggregate(bucket, FULL_BUCKETS_AT, 2.0 * gateway_count / 1.5, 20.0)
             bucket.level = 0.0
             bucket.local_rate = 2.0 / 1.5
             admitted += 2.0 * bucket.can_admit(2.0, rng.random())
@@ -176,20 +176,20 @@
     assert admitted / rounds <= 20.0 + PLAN.rate * 1.5 + 2.0
 
 
-def test_fewer_requests_are_sampled_when_metered_usage_exceeds_the_quota() -> None:
+def test_fewer_requests_are_admitted_by_sampling_when_metered_usage_exceeds_the_quota() -> None:
     admitted = []
     for usage_ratio in (1.0, 3.0):
         bucket = build_member_bucket()
-        apply_report(bucket, FULL_BUCKETS_AT, 60.0, 20.0)
+        apply_aggregate(bucket, FULL_BUCKETS_AT, 60.0, 20.0)
         bucket.level = 1.0
         bucket.usage_ratio = usage_ratio
         admitted.append(sum(bucket.can_admit(2.0, n / 100.0) for n in range(100)))
     assert 0 < admitted[1] < admitted[0] / 2
     bucket.level = -1.0
-    assert not bucket.can_admit(2.0, 0.0)  # The set's level is not reported, so a slice in debt lends nothing.
+    assert not bucket.can_admit(2.0, 0.0)  # The set's level is not reported, so a slice in debt borrows nothing.
 
 
-def test_slice_is_not_full_and_ceiling_empty_when_a_gateway_restarts() -> None:
+def test_ceiling_is_empty_and_slice_is_not_full_when_a_gateway_starts() -> None:
     restarted = build_member_bucket(CAPPED, 0.0)
     assert restarted.level < CAPPED.burst / 3
     assert restarted.ceiling_level == 0.0
@@ -207,7 +207,10 @@
 def test_ceiling_is_not_exceeded_when_gateways_know_only_their_own_use(
     steps: list[tuple[int, float, float, int]],
 ) -> None:
-    """Three gateways that restart at any time, whatever level is reported to them, don't exceed a reference ceiling."""
+    """Three gateways together stay under the ceiling of one reference bucket.
+
+    They restart at random, and reports tell them that the set's bucket is full.
+    """
     gateways = [started(settings(index=n)) for n in range(3)]
     now = 50.0
     level = CAPPED.ceiling_burst
--- a/thymeflow/gossip/aggregator.py
+++ b/thymeflow/gossip/aggregator.py
@@ -1,4 +1,4 @@
-"""Processes gossip that a gateway receives: aggregates the reports of peers, and applies the aggregates of others."""
+"""Processes gossip from peers: aggregates their reports, and applies the aggregates that they computed."""
 
 from __future__ import annotations
 
@@ -15,8 +15,11 @@
     TokenBucket,
 )
 
-SEQUENCE_HALF = 0x8000  # Sequence numbers wrap; a message is newer if its number is ahead by less than this.
+HALF_SEQUENCE_RANGE = 0x8000  # Sequence numbers wrap; a message is newer if its number is ahead by less than this.
+# A report with more newly requested units than the bounds below is recorded and answered, but not counted as demand.
+# Bound on the first report of a peer's incarnation, as a multiple of the maximum units of a request
 MAX_FIRST_REPORT_RATIO = 2.0
+# Bound on later reports, as a multiple of the burst or of the maximum units of a request, whichever is larger
 MAX_REPORT_RATIO = 10.0
 
 
@@ -50,7 +53,9 @@
         incarnation, last_sequence = self.peer_sequences.get(sender, (-1, 0))
         if not 0 <= sender < self._context.settings.limiter_count:
             return False
-        return incarnation != message.incarnation or 0 < (message.sequence - last_sequence) & 0xFFFF < SEQUENCE_HALF
+        return (
+            incarnation != message.incarnation or 0 < (message.sequence - last_sequence) & 0xFFFF < HALF_SEQUENCE_RANGE
+        )
 
     def _apply_entry(self, sender: int, incarnation: int, entry: codec.Entry) -> None:
         context = self._context
@@ -69,7 +74,7 @@
         max_units = self._context.settings.information.max_units
         previous = bucket.peer_reports.get(sender)
         is_first = previous is None or previous.incarnation != incarnation
-        units = codec.compute_increase(
+        requested = codec.compute_increase(
             entry.requested_or_level, 0.0 if previous is None or is_first else previous.requested
         )
         charged = codec.compute_change(
@@ -78,13 +83,14 @@
         bucket.peer_reports[sender] = PeerReport(
             incarnation, entry.requested_or_level, entry.charged_or_demand, self._context.now
         )
-        self._publisher.request_reply(bucket.customer_id, (sender,))
+        self._publisher.queue_aggregate(bucket.customer_id, (sender,))
         max_accepted = (
             MAX_FIRST_REPORT_RATIO * max_units if is_first else MAX_REPORT_RATIO * max(bucket.plan.burst, max_units)
         )
-        if units <= max_accepted:
+        if requested <= max_accepted:
             bucket.has_first_hand_reports = True
             bucket.remote_rate_memory = DEMAND_MEMORY_SECONDS
             bucket.usage_ratio = 1.0
-            bucket.remote_rate += units / DEMAND_MEMORY_SECONDS
-            bucket.charge_remote(charged)  # Use over the quota at one limiter creates no debt at the others.
+            bucket.remote_rate += requested / DEMAND_MEMORY_SECONDS
+            # `charge_remote` stops at a level of 0, so use over the quota at one limiter creates no debt at the others.
+            bucket.charge_remote(charged)
--- a/thymeflow/gossip/codec.py
+++ b/thymeflow/gossip/codec.py
@@ -91,6 +91,6 @@
 def compute_change(amount: float, previous: float) -> float:
     """Return the change of a wrapping amount in units, which is negative if the amount fell.
 
-    The amount must have changed by less than half of `WRAP_UNITS`.
+    The unwrapped amount must have changed by less than half of `WRAP_UNITS`.
     """
     return (amount - previous + WRAP_UNITS / 2.0) % WRAP_UNITS - WRAP_UNITS / 2.0
--- a/thymeflow/health/backend_registry.py
+++ b/thymeflow/health/backend_registry.py
@@ -15,7 +15,7 @@
 SMOOTHING = 0.1  # Weight of a new sample in running means, which cover about the last 20 responses
 MAX_LATENCY_WEIGHT = 0.25  # Maximum weight of a latency sample in the pressure, used where samples are rare
 MAX_LATENCY_RATIO = 10.0  # Upper bound on the ratio of a latency sample to the mean latency
-MAX_RARE_WEIGHT = 3.0  # Maximum extra weight of a sample from a rarely used backend, as a multiple of SMOOTHING
+MAX_EXTRA_WEIGHT = 3.0  # Maximum extra weight of a sample from a rarely used backend, as a multiple of SMOOTHING
 # Time constant of the pressure's decay. Without the decay, a limiter that rejects all requests would get no responses,
 # would not see the pressure fall, and would never try again.
 PRESSURE_MEMORY_SECONDS = 6.0
@@ -33,7 +33,7 @@
         self.in_flight = 0  # Attempts in flight to all backends
         self.ready_capacity = 0.0  # Capacity of the ready backends, as a number of warmed-up backends
         self.pressure = 0.0  # Running mean of latency over the latency objective, at most 1
-        # Running mean of the same ratio without an upper bound, over more responses than the pressure
+        # Running mean of the same ratio without an upper bound, with half the weight per response
         self.mean_latency_ratio = PRESSURE_THRESHOLD / 2.0
         self._last_latency_at = -inf
         self._probe_interval = probe_interval
@@ -79,7 +79,7 @@
 
         `latency_ratio` is the latency of one response over the latency objective.
         """
-        weight = SMOOTHING * (1.0 + min(MAX_RARE_WEIGHT, backend.send_interval / RARELY_USED_SECONDS))
+        weight = SMOOTHING * (1.0 + min(MAX_EXTRA_WEIGHT, backend.send_interval / RARELY_USED_SECONDS))
         relative_latency = latency_ratio / max(1e-3, self.mean_latency_ratio)
         backend.relative_latency += weight * (min(MAX_LATENCY_RATIO, relative_latency) - backend.relative_latency)
         self.mean_latency_ratio += 0.5 * SMOOTHING * (latency_ratio - self.mean_latency_ratio)
--- a/thymeflow/health/backend_stats.py
+++ b/thymeflow/health/backend_stats.py
@@ -9,14 +9,16 @@
 from thymeflow.decision.types import Backend
 from thymeflow.health import pressure
 
-CROSS_ZONE_PENALTY = 0.5  # A backend in another zone is preferred if its queue is shorter by this many requests.
-RARELY_USED_SECONDS = 2.0  # One failure ejects a backend whose last two attempts are further apart than this.
+CROSS_ZONE_PENALTY = 0.5  # Added to the load of a backend in another zone, in requests
+# A backend whose last two attempts are further apart is rarely used: one failure ejects it. The latency samples of a
+# backend weigh more, the longer the time between its attempts is in relation to this time.
+RARELY_USED_SECONDS = 2.0
 EJECTION_FAILURES = 2  # Number of consecutive failures that eject a backend
 ALL_CLASSES = ""  # Key used in place of a class name for failures and responses of all classes together
 
 
 class FailureStreak(NamedTuple):
-    """Consecutive failures, and the time until which they eject the backend (minus infinity if they don't)."""
+    """Consecutive failures, and the time until which they eject the backend (in the past if they don't)."""
 
     failure_count: int
     ejected_until: float
--- a/thymeflow/health/slow_start.py
+++ b/thymeflow/health/slow_start.py
@@ -1,4 +1,4 @@
-"""The capacity of a backend during its slow start, computed by the rules. Stateless arithmetic, no decisions."""
+"""A backend's capacity during its slow start, by the platform's rules (`Rules`). Stateless arithmetic, no decisions."""
 
 from __future__ import annotations
 
@@ -7,11 +7,11 @@
 from thymeflow.decision.settings import Rules
 from thymeflow.decision.types import Backend, BackendState
 
-# Target load of a backend that is warming up, as a fraction of the overload multiple. It rises from INITIAL_LOAD
-# at no capacity to FINAL_LOAD at full capacity. Both are well below 1, because the load of a cold backend is a few
-# requests, and random selection may send half as many more.
-INITIAL_LOAD = 0.25
-FINAL_LOAD = 0.6
+# Target load of a backend that is warming up, as a fraction of the load at which the platform calls it overloaded. The
+# fraction rises from INITIAL_LOAD_FACTOR at no capacity to FINAL_LOAD_FACTOR at full capacity. Both are well below 1,
+# because the load of a cold backend is a few requests, and random selection may send half as many more.
+INITIAL_LOAD_FACTOR = 0.25
+FINAL_LOAD_FACTOR = 0.6
 
 
 def compute_capacity_fraction(age: float, rules: Rules) -> float:
@@ -47,5 +47,5 @@
     The load is a fraction of the load of a warmed-up backend.
     """
     capacity = compute_capacity_fraction(age, rules)
-    target = INITIAL_LOAD + (FINAL_LOAD - INITIAL_LOAD) * capacity
+    target = INITIAL_LOAD_FACTOR + (FINAL_LOAD_FACTOR - INITIAL_LOAD_FACTOR) * capacity
     return min(1.0, target * rules.overload_multiple * capacity) if capacity < 1.0 else 0.0
--- a/thymeflow/quota/buckets.py
+++ b/thymeflow/quota/buckets.py
@@ -12,10 +12,11 @@
 from thymeflow.quota import counter_encoding
 from thymeflow.quota.token_bucket import TokenBucket
 
-# A bucket's level when the gateway starts, as a fraction of the burst. The other half stands for the units that an
-# earlier incarnation may have spent just before.
+# A bucket's level when the gateway starts, as a fraction of the burst. An earlier incarnation may have
+# spent the other half just before the restart.
 INITIAL_FILL_FRACTION = 0.5
-# The bucket of an idle customer is full again within this time. The time is also longer than a counter window.
+# The bucket of an idle customer is assumed to be full again within this time. The time is also longer than a counter
+# window.
 IDLE_BUCKET_TTL_SECONDS = 20.0
 MEAN_COST_WEIGHT = 0.1  # Weight of a new request in the running mean of a customer's request cost
 
@@ -66,7 +67,7 @@
         return bucket
 
     def get_request_bucket(self, request: RequestReceived, plan: Plan) -> TokenBucket:
-        """Return the bucket of a request's customer, refilled up to now, with the request in its mean cost."""
+        """Refill the bucket of a request's customer, count the request in its mean cost, and return the bucket."""
         context = self._context
         bucket = self.get(counter_encoding.compute_customer_id(request.customer), plan)
         # Peers report every customer with relevant demand, so a report on any customer also informs about this one.
@@ -125,8 +126,8 @@
 
     def begin_round(self, known_buckets: dict[int, TokenBucket]) -> None:
         """Make deferred customers pending, and drop customers that have no bucket in `known_buckets`."""
-        updates = self.pending | self.deferred
-        self.pending = {customer_id: None for customer_id in updates if customer_id in known_buckets}
+        customer_ids = self.pending | self.deferred
+        self.pending = {customer_id: None for customer_id in customer_ids if customer_id in known_buckets}
         self.deferred = {}
 
     def clear_pending(self) -> None:
--- a/thymeflow/quota/counter_ledger.py
+++ b/thymeflow/quota/counter_ledger.py
@@ -1,4 +1,4 @@
-"""Reports of a gateway to the counter about one customer, and the totals read. State and arithmetic, no decisions."""
+"""One gateway's counter reports on a customer, and the totals that it read. State and arithmetic, no decisions."""
 
 from __future__ import annotations
 
@@ -30,7 +30,7 @@
 class CounterLedger:
     """One customer's counter calls at this gateway. Amounts are encoded by `counter_encoding.encode`."""
 
-    read_at: float  # Time in s when the last total was read, or when the ledger was created if none was read
+    read_at: float  # Time in s of the last read total; before the first total, of the ledger's creation
     reported_units: float = 0.0
     reported_charges: float = 0.0
     counter_name: int = -1  # Counter name of the last total that was read, -1 before the first
@@ -64,24 +64,25 @@
         """Return the units that other limiters requested and charged since the last total was read.
 
         `total` includes `own_amount`, the amount of the call that it replies to. If the name is new or the counter lost
-        its totals, the total is compared with 0, its value when the window began. Uncertain amounts are deducted unless
-        the remaining increase is impossible with them: in that case the calls without a reply were not added.
+        its totals, the total is compared with 0, its value when the window began. Uncertain amounts are deducted
+        as well. If the result would mean that other limiters' requested units fell, the uncertain calls were not added,
+        and nothing is deducted for them.
         """
         uncertain = self.uncertain.amount if self.uncertain.name == name else 0.0
         previous_total = self.last_total
         interval_started_at = self.read_at
-        if name != self.counter_name or counter_encoding.is_reset(total - previous_total):
+        if name != self.counter_name or counter_encoding.is_impossible_increase(total - previous_total):
             previous_total = 0.0
             interval_started_at = now - counter_encoding.compute_window_age(customer, now)
         increase = total - previous_total - own_amount - uncertain
-        if counter_encoding.is_reset(increase):
+        if counter_encoding.is_impossible_increase(increase):
             increase += uncertain
         self.counter_name = name
         self.last_total = total
         self.read_at = now
         self.uncertain = NO_UNCERTAIN_AMOUNT
         seconds = max(0.0, now - interval_started_at)
-        if counter_encoding.is_reset(increase):
+        if counter_encoding.is_impossible_increase(increase):
             return RemoteUsage(0.0, 0.0, seconds)
         requested, charged = counter_encoding.decode(name, increase)
         return RemoteUsage(requested, charged, seconds)
--- a/thymeflow/quota/counter_reporter.py
+++ b/thymeflow/quota/counter_reporter.py
@@ -17,8 +17,8 @@
 MIN_CALLS_PER_SECOND = 0.5  # Lower bound on one limiter's call rate
 MAX_CALLS_PER_SECOND = 120.0  # Upper bound on one limiter's call rate
 INITIAL_FLEET_CALLS_PER_SECOND = 200.0  # Initial call rate of all limiters together
-CALL_RATE_GROWTH = 1.05  # Factor on the call rate for each counter reply in time
-CALL_RATE_DECREASE = 0.8  # Factor on the call rate for each counter reply that is late or missing
+CALL_RATE_GROWTH = 1.05  # Factor by which each reply within the timeout raises the call rate
+CALL_RATE_DECREASE = 0.8  # Factor by which each late or missing reply lowers the call rate
 PAUSE_AFTER_LOST_CALL_SECONDS = 1.0  # After a call without a reply, no request waits for the counter during this time.
 
 
@@ -48,7 +48,7 @@
         self._unresponsive_until = -inf
 
     def set_call_rate_growth(self, factor: float) -> None:
-        """Set the factor by which each reply in time raises the call rate."""
+        """Set the factor by which each reply within the timeout raises the call rate."""
         self._call_rate_growth = factor
 
     def reserve_calls(self, fraction: float) -> None:
@@ -56,7 +56,7 @@
         self._reserved_calls = fraction * max(1.0, self.call_rate)
 
     def is_unresponsive(self) -> bool:
-        """Return whether a call went without a reply recently; requests then don't wait for the counter."""
+        """Return whether a call recently timed out or could not connect; requests then don't wait for the counter."""
         return self._context.now < self._unresponsive_until
 
     def find_customer_id(self, counter_name: int) -> int:
@@ -65,8 +65,8 @@
 
     def send_pending(self, elapsed_seconds: float) -> None:
         """Report pending customers, in descending order of unreported units over the plan's rate."""
-        # The credit can always grow to one call, because with a smaller maximum no call would ever be made.
         rate = min(self.call_rate, self._context.get_resource_limit(FleetResource.COUNTER_CALLS))
+        # The maximum credit is at least one call, because with a smaller maximum no call would ever be made.
         self.call_credit = min(max(1.0, rate), self.call_credit + rate * elapsed_seconds)
         now = self._context.now
         buckets = map(self._buckets.by_customer.get, self.reports.pending)
@@ -114,8 +114,8 @@
         else:
             bucket.on_counter_uncertain(event.name, call.amount)
 
-    def _adapt_call_rate(self, is_in_time: bool) -> None:
-        factor = self._call_rate_growth if is_in_time else CALL_RATE_DECREASE
+    def _adapt_call_rate(self, is_within_timeout: bool) -> None:
+        factor = self._call_rate_growth if is_within_timeout else CALL_RATE_DECREASE
         self.call_rate = min(MAX_CALLS_PER_SECOND, max(MIN_CALLS_PER_SECOND, self.call_rate * factor))
 
 
--- a/thymeflow/quota/reservations.py
+++ b/thymeflow/quota/reservations.py
@@ -5,8 +5,8 @@
 pool creates p units per second. Each unit becomes active at a fixed time and expires w seconds later. Time is divided
 into windows of the length w, and each window has its own total at the counter. A limiter that adds k units and reads
 the total t has reserved the units from t - k to t of that window. The reservations of different limiters never
-overlap, in whatever order they are made. The units that can be used between two points in time became active between
-w seconds before the first and the second. So all limiters together use, during any time T, at most
+overlap, in whatever order they are made. Units that are used between the times x and y became active between x - w and
+y. So all limiters together use, during any time T, at most
 
     base + pool  <=  (b - p w) + (r - p) T  +  p w + p T  =  b + r T.
 
@@ -28,7 +28,8 @@
 # three that gets 70% of the traffic can use 0.4 / 3 + 0.6 = 73% of the quota.
 BASE_RATE_FRACTION = 0.4
 BASE_BURST_FRACTION = 0.3
-PREFETCH_SECONDS = 0.25  # A reservation covers the local demand of this time, if that is more than the missing units.
+# A reservation in the current window covers the local demand of this time in s, if that is more than the missing units.
+PREFETCH_SECONDS = 0.25
 ROUND_TRIP_SECONDS = 0.1  # Assumed duration of a counter call; units must not expire before its reply
 # A counter name expires after 60 s at most, and reservations use the names of two windows at a time.
 MAX_WINDOW_SECONDS = 25.0
@@ -99,7 +100,7 @@
         self._spans: list[ActiveSpan] = []
 
     def advance(self, moment: float) -> None:
-        """Drop expired units, and start with an unread total when a new window has begun."""
+        """Drop expired units, and begin with a total of 0 when a new window has begun."""
         length = self.split.window_seconds
         window_position = moment / length + self._phase
         window = floor(window_position)
@@ -138,35 +139,39 @@
         """Return a reservation for missing and prefetched units, or None if too few units are available.
 
         `missing` is in units, `demand` in units per second. All limiters together have reserved at least the totals
-        that were last read, so no call is made where these leave too few units. In the previous window the oldest units
-        have expired, and the reservation skips them by reserving them too. At worst it skips some units that have not
-        expired, and no limiter uses these.
+        that were last read, so no call is made if these totals leave too few units. A total counts from the oldest unit
+        of its window on, so to get unexpired units of the previous window, the reservation must include the expired
+        ones. At worst it includes some units that have not expired, and no limiter uses these.
         """
         self.advance(moment)
         rate = self.split.pool_rate
-        active = rate * (moment - self._window_started_at)
-        # Units of the previous window that will have expired when the reply arrives
-        expired = rate * (moment + ROUND_TRIP_SECONDS - self._window_started_at)
-        available = active - self._totals[1]
-        previous = self.split.window_units - max(self._totals[0], expired)
-        if max(available, 0.0) + max(previous, 0.0) < missing:
+        active_in_current = rate * (moment - self._window_started_at)
+        # Units of the previous window that will have expired when the reply arrives. A unit expires exactly one window
+        # after it became active, so their number follows from the age of the current window.
+        expired_in_previous = rate * (moment + ROUND_TRIP_SECONDS - self._window_started_at)
+        available_in_current = active_in_current - self._totals[1]
+        available_in_previous = self.split.window_units - max(self._totals[0], expired_in_previous)
+        if max(available_in_current, 0.0) + max(available_in_previous, 0.0) < missing:
             return None
-        if available >= missing or available >= previous:
-            prefetched = min(demand * PREFETCH_SECONDS, available)
+        if available_in_current >= missing or available_in_current >= available_in_previous:
+            prefetched = min(demand * PREFETCH_SECONDS, available_in_current)
             return Reservation(self.window, ceil(max(missing, prefetched) * STEPS_PER_UNIT) / STEPS_PER_UNIT)
-        skipped = max(0.0, expired - self._totals[0])
+        skipped = max(0.0, expired_in_previous - self._totals[0])
         return Reservation(self.window - 1, ceil((skipped + missing) * STEPS_PER_UNIT) / STEPS_PER_UNIT)
 
     def on_reserved(self, window: int, units: float, total: float, moment: float) -> None:
-        """Record a window's total and the reserved units; the units of windows before the previous one have expired."""
+        """Record a window's total and the reserved units.
+
+        Replies for windows before the previous one are ignored, because their units have expired.
+        """
         self.advance(moment)
-        position = window - self.window + 1
-        if position not in (0, 1):
+        total_index = window - self.window + 1
+        if total_index not in (0, 1):
             return
-        self._totals[position] = total
+        self._totals[total_index] = total
         rate = self.split.pool_rate
         length = self.split.window_seconds
-        started_at = self._window_started_at - (1 - position) * length
+        started_at = self._window_started_at - (1 - total_index) * length
         first_at = max(started_at + (total - units) / rate, moment - length)
         last_at = min(started_at + total / rate, started_at + length)
         if last_at > first_at:
--- a/thymeflow/quota/strict.py
+++ b/thymeflow/quota/strict.py
@@ -15,7 +15,10 @@
 
 
 class StrictTokenBucket(TokenBucket):
-    """A customer's base slice, whose level is `level`, and the customer's reservations."""
+    """A customer's base slice and the customer's reservations.
+
+    `level` is the level of the base slice only; reserved units are in `_pool`.
+    """
 
     def __init__(
         self,
@@ -62,10 +65,10 @@
         return DEMAND_MEMORY_SECONDS
 
     def join_set(self, first_limiter: int, set_size: int, limiter_count: int, started_at: float) -> None:
-        """Take the base slice of a set, with the level that it has refilled to since the gateway started.
+        """Join a set and take its base slice, with the level that it has refilled to since the gateway started.
 
         When the set changes, the level of the slice never grows. If the limiter is alone in its set, the level begins
-        at a fraction of the burst, because the use of an earlier incarnation is not known.
+        at a fraction of the burst and otherwise at 0, because the use of an earlier incarnation is not known.
         """
         has_joined_before = bool(self.members)
         was_member = self._index in self.members
@@ -78,7 +81,7 @@
         split = self._update_split()
         elapsed = max(0.0, self.refreshed_at - started_at)
         if not has_joined_before:
-            # The customer may have had a bucket that was dropped as idle. All that is known then is that the customer
+            # The customer may have had a bucket that was dropped as idle. A new bucket only shows that the customer
             # requested nothing during the time-to-live of an idle bucket, so the slice refills for that time at most.
             filled = self._initial_fill * split.base_burst if self.member_count == 1 else 0.0
             filled += split.base_rate * min(IDLE_BUCKET_TTL_SECONDS, elapsed)
--- a/thymeflow/quota/token_bucket.py
+++ b/thymeflow/quota/token_bucket.py
@@ -82,7 +82,7 @@
         self.set_notified_at = -inf  # Time of the last gossip message to all members of the set
 
     def join_set(self, first_limiter: int, set_size: int, limiter_count: int, started_at: float) -> None:
-        """Take the slice of the set of `set_size` limiters from `first_limiter` on.
+        """Join the set of `set_size` limiters from `first_limiter` on, and take a slice of the quota.
 
         When the set changes, the level of the slice never grows.
         """
@@ -93,20 +93,22 @@
             self.customer_id, first_limiter, self.member_count, limiter_count
         )
         # In a larger set every member's slice shrinks. In a smaller set no slice grows, so that no units are created.
-        shrinkage = min(1.0, previous_count / self.member_count)
+        remaining_fraction = min(1.0, previous_count / self.member_count)
         if previous_count:
-            self.level = min(self.level, self.level * shrinkage)
+            self.level = min(self.level, self.level * remaining_fraction)
         else:
             self.level = self.set_level / self.member_count
-        # A limiter of a large set seldom sees the customer and decides its next request by an old report, so it has to
-        # remember reported demand for longer.
+        # A limiter of a large set seldom sees the customer and decides the customer's next request by an old report,
+        # so it has to remember reported demand for longer.
         if not self.has_first_hand_reports:
             self.remote_rate_memory = min(MAX_REMOTE_MEMORY_SECONDS, max(MIN_REMOTE_MEMORY_SECONDS, self.member_count))
-        # The hard ceiling must hold without reports of other limiters, so each limiter has an even slice of its rate
-        # and burst, which is empty when the gateway starts.
+        # The hard ceiling must hold without reports of other limiters, so each limiter has an even slice of the
+        # ceiling's rate and burst. The slice is empty when the gateway starts.
         refilled = self.plan.ceiling_rate * (self.refreshed_at - started_at)
         even_slice = min(self.plan.ceiling_burst, refilled) / self.member_count
-        self.ceiling_level = min(self.ceiling_level, self.ceiling_level * shrinkage) if previous_count else even_slice
+        self.ceiling_level = (
+            min(self.ceiling_level, self.ceiling_level * remaining_fraction) if previous_count else even_slice
+        )
 
     @property
     def local_rate_memory(self) -> float:
@@ -194,7 +196,7 @@
         has_reports = self.has_recent_remote_reports()
         is_current = self.refreshed_at <= self.last_customer_report_at
         spare_units = max(0.0, self.set_level - units) if has_reports else 0.0
-        # If use over the quota has no cost, units are lent beyond the level of the set.
+        # If use over the quota has no cost, requests are admitted beyond the level of the set.
         is_covered = units <= self.set_level or (has_reports and not self.plan.over_quota_cost)
         bias = 1.0 if is_current else probabilistic_admission.compute_demand_bias(self.plan.over_quota_cost)
         return is_covered and probabilistic_admission.is_admitted(sample, demand, self.plan.rate, spare_units, bias)
@@ -202,7 +204,8 @@
     def can_admit(self, units: float, sample: float) -> bool:
         """Return whether the bucket, the hard ceiling and the concurrency cap all admit a request.
 
-        `sample` is a random number from [0, 1), by which the limiters of a set lend units at random.
+        `sample` is a random number from [0, 1), which decides whether this limiter's slice borrows units of the
+        set: a request is then admitted although the slice's level is too low.
         """
         plan = self.plan
         fraction = self.compute_quota_fraction(self.local_rate)
@@ -214,13 +217,14 @@
         if self.has_small_slices():
             return self._is_admitted_by_sampling(units, sample)
         if not self.has_recent_remote_reports():
-            # A full even slice admits one request of any size. The missing units become debt.
+            # A slice that is at least 99.9% full admits one request of any size. The missing units become debt.
             return min(units, plan.burst * fraction * 0.999) <= self.level
-        # Units of the set are lent by sampling, because otherwise all limiters would lend the same units at once.
-        lent = sample * self.usage_ratio * self.remote_rate / plan.rate * self.assumed_spare_units
-        # While only metered usage is reported, the local debt is the only known sign of an empty set.
+        # The slice borrows units of the set by sampling, because otherwise all limiters would use the same units at
+        # once.
+        borrowed = sample * self.usage_ratio * self.remote_rate / plan.rate * self.assumed_spare_units
+        # While only metered usage is reported, the local debt is the only sign that the set's bucket is empty.
         is_in_debt = self.usage_ratio > 1.0 and self.level <= 0.0
-        return lent <= self.set_level - units and not is_in_debt
+        return borrowed <= self.set_level - units and not is_in_debt
 
     def needs_counter_update(self, now: float) -> bool:
         """Return whether a counter call for this customer would report enough units to justify its cost."""
@@ -233,7 +237,7 @@
         return now - self.counter_called_at >= MIN_CALL_INTERVAL_SECONDS and is_worthwhile
 
     def on_counter_total(self, name: int, amount: float, total: float, now: float) -> None:
-        """Update remote demand and the set's level from the total of a counter call that added `amount`."""
+        """Update remote demand and the set's level from the total in the reply to a call that added `amount`."""
         requested, charged, seconds = self.counter_ledger.read_total(name, total, amount, now, self.customer_id)
         self.remote_rate = (requested + self.remote_rate * DEMAND_MEMORY_SECONDS) / (seconds + DEMAND_MEMORY_SECONDS)
         self.charge_remote(charged - self.predicted_remote_usage)
