--- a/tests/decision/test_large_fleet.py
+++ b/tests/decision/test_large_fleet.py
@@ -67,9 +67,12 @@
 
 
 def test_set_demand_is_estimated_from_local_demand_when_the_counter_has_not_reported() -> None:
-    earlier_rate = 6.0 / create_bucket(0.0, 0.0).local_rate_memory
-    assert admitted_fraction(create_bucket(earlier_rate + 2.0 / create_bucket(0.0, 0.0).local_rate_memory, 0.0)) < 0.2
-    assert admitted_fraction(create_bucket(2.0 / create_bucket(0.0, 0.0).local_rate_memory, 0.0)) == 1.0
+    earlier_rate = 6.0 / create_bucket(0.0, 0.0).local_rate_decay_seconds
+    assert (
+        admitted_fraction(create_bucket(earlier_rate + 2.0 / create_bucket(0.0, 0.0).local_rate_decay_seconds, 0.0))
+        < 0.2
+    )
+    assert admitted_fraction(create_bucket(2.0 / create_bucket(0.0, 0.0).local_rate_decay_seconds, 0.0)) == 1.0
 
 
 def test_fewer_requests_are_admitted_when_use_over_quota_has_a_higher_cost() -> None:
--- a/tests/gossip/test_gossip.py
+++ b/tests/gossip/test_gossip.py
@@ -146,7 +146,7 @@
         bucket.remote_rate,
         bucket.level,
         bucket.last_remote_report_at,
-        dict(gateway.aggregator.peer_sequences),
+        dict(gateway.aggregator.last_message_ids),
     )
     assert gateway.handle(10.0, GossipReceived(sender, data)) == []
     assert before == (
@@ -154,7 +154,7 @@
         bucket.remote_rate,
         bucket.level,
         bucket.last_remote_report_at,
-        dict(gateway.aggregator.peer_sequences),
+        dict(gateway.aggregator.last_message_ids),
     )
 
 
--- a/tests/gossip/test_gossip_format.py
+++ b/tests/gossip/test_gossip_format.py
@@ -40,5 +40,6 @@
     assert_as_recorded("gossip values", [decode_gossip_values(data) for data in valid + invalid])
     pairs = ((5.0, 2.0), (1.0, 16383.0))
     assert_as_recorded(
-        "gossip differences", [[codec.compute_increase(*pair), codec.compute_change(*pair)] for pair in pairs]
+        "gossip differences",
+        [[codec.compute_unsigned_difference(*pair), codec.compute_signed_difference(*pair)] for pair in pairs],
     )
--- a/tests/quota/test_token_bucket.py
+++ b/tests/quota/test_token_bucket.py
@@ -80,7 +80,7 @@
     bucket.last_remote_report_at = now
     bucket.remote_rate = remote_rate
     bucket.set_level = set_level
-    bucket.remote_rate_memory = 5.0
+    bucket.remote_rate_decay_seconds = 5.0
     bucket.usage_ratio = 1.0
     bucket.last_customer_report_at = now
 
@@ -112,7 +112,7 @@
             bucket.refresh(now)
             bucket.last_remote_report_at = now
             bucket.has_first_hand_reports = True
-            bucket.remote_rate_memory = 1.5
+            bucket.remote_rate_decay_seconds = 1.5
             if index == limiter:
                 bucket.local_rate += units
             else:
--- a/thymeflow/decision/admission.py
+++ b/thymeflow/decision/admission.py
@@ -56,7 +56,7 @@
         if plan is None or event.remaining <= RETRY_MARGIN_SECONDS:
             context.emit(RejectRequest(event.id, RejectionReason.INVALID))
             return None
-        bucket = self._buckets.get_request_bucket(event, plan)
+        bucket = self._buckets.prepare_request_bucket(event, plan)
         request_class = context.classes.get(event.class_name)
         # A request of an unknown class is treated as not idempotent.
         if request_class is None or not isfinite(event.remaining):
@@ -64,7 +64,7 @@
         deadline = context.now + min(event.remaining, self._compute_useful_seconds(request_class))
         pending = RequestState(event, request_class, bucket, deadline, context.limits.max_attempts)
         if not event.is_retry:  # A client's retry repeats demand that is already counted.
-            bucket.local_rate += event.units / bucket.local_rate_memory
+            bucket.local_rate += event.units / bucket.local_rate_decay_seconds
             bucket.requested_units += event.units
         return pending
 
--- a/thymeflow/decision/balancing.py
+++ b/thymeflow/decision/balancing.py
@@ -52,7 +52,7 @@
             weights = [max(0.01, backend.endpoint.weight) for backend in candidates]
             candidates = rng.choices(candidates, weights, k=sample_size)
         zone = settings.zone
-        return min(candidates, key=lambda b: (b.compute_wait_score(zone), rng.random()), default=None)
+        return min(candidates, key=lambda b: (b.compute_load_score(zone), rng.random()), default=None)
 
     def _find_ready_backends(self) -> list[BackendStats]:
         backends = self._registry.backends.values()
--- a/thymeflow/gossip/aggregator.py
+++ b/thymeflow/gossip/aggregator.py
@@ -33,7 +33,7 @@
         self._buckets = buckets
         self._registry = registry
         self._publisher = publisher
-        self.peer_sequences: dict[int, tuple[int, int]] = {}  # Incarnation and last sequence number, by peer
+        self.last_message_ids: dict[int, tuple[int, int]] = {}  # Incarnation and last sequence number, by peer
 
     def on_gossip(self, event: GossipReceived) -> None:
         """Apply a peer's message; ignore it if it is malformed, old or from a sender that is not in the fleet."""
@@ -42,7 +42,7 @@
         message = codec.decode(event.data)
         if message is None or not self._is_new(sender, message):
             return
-        self.peer_sequences[sender] = (message.incarnation, message.sequence)
+        self.last_message_ids[sender] = (message.incarnation, message.sequence)
         self._buckets.record_remote_report()
         self._registry.update_pressure_by_peer(message.pressure)
         for entry in message.entries:
@@ -50,7 +50,7 @@
                 self._apply_entry(sender, message.incarnation, entry)
 
     def _is_new(self, sender: int, message: codec.Message) -> bool:
-        incarnation, last_sequence = self.peer_sequences.get(sender, (-1, 0))
+        incarnation, last_sequence = self.last_message_ids.get(sender, (-1, 0))
         if not 0 <= sender < self._context.settings.limiter_count:
             return False
         return (
@@ -66,7 +66,7 @@
             self._aggregate_report(bucket, sender, incarnation, entry)
         elif not bucket.has_first_hand_reports and (not bucket.members or sender in bucket.members[:AGGREGATOR_COUNT]):
             bucket.set_level = min(bucket.plan.burst, entry.requested_or_level)
-            bucket.remote_rate_memory = MIN_REMOTE_MEMORY_SECONDS
+            bucket.remote_rate_decay_seconds = MIN_REMOTE_MEMORY_SECONDS
             bucket.usage_ratio = 1.0
             bucket.remote_rate = max(0.0, entry.charged_or_demand - bucket.local_rate)
 
@@ -74,10 +74,10 @@
         max_units = self._context.settings.information.max_units
         previous = bucket.peer_reports.get(sender)
         is_first = previous is None or previous.incarnation != incarnation
-        requested = codec.compute_increase(
+        requested = codec.compute_unsigned_difference(
             entry.requested_or_level, 0.0 if previous is None or is_first else previous.requested
         )
-        charged = codec.compute_change(
+        charged = codec.compute_signed_difference(
             entry.charged_or_demand, 0.0 if previous is None or is_first else previous.charged
         )
         bucket.peer_reports[sender] = PeerReport(
@@ -89,7 +89,7 @@
         )
         if requested <= max_accepted:
             bucket.has_first_hand_reports = True
-            bucket.remote_rate_memory = DEMAND_MEMORY_SECONDS
+            bucket.remote_rate_decay_seconds = DEMAND_MEMORY_SECONDS
             bucket.usage_ratio = 1.0
             bucket.remote_rate += requested / DEMAND_MEMORY_SECONDS
             # `charge_remote` stops at a level of 0, so use over the quota at one limiter creates no debt at the others.
--- a/thymeflow/gossip/codec.py
+++ b/thymeflow/gossip/codec.py
@@ -83,12 +83,12 @@
     return Message(incarnation, sequence, min(1.0, pressure / 100.0), entries)
 
 
-def compute_increase(amount: float, previous: float) -> float:
+def compute_unsigned_difference(amount: float, previous: float) -> float:
     """Return the increase of a wrapping amount in units; the amount must not have fallen."""
     return (amount - previous) % WRAP_UNITS
 
 
-def compute_change(amount: float, previous: float) -> float:
+def compute_signed_difference(amount: float, previous: float) -> float:
     """Return the change of a wrapping amount in units, which is negative if the amount fell.
 
     The unwrapped amount must have changed by less than half of `WRAP_UNITS`.
--- a/thymeflow/health/backend_stats.py
+++ b/thymeflow/health/backend_stats.py
@@ -73,7 +73,7 @@
             self.failures[name].ejected_until <= now for name in (ALL_CLASSES, class_name) if name in self.failures
         )
 
-    def compute_wait_score(self, zone: str) -> float:
+    def compute_load_score(self, zone: str) -> float:
         """Return a score without a unit that grows with queue length and latency; the lowest score is preferred."""
         load = self.in_flight + 1.0 + (CROSS_ZONE_PENALTY if self.endpoint.zone != zone else 0.0)
         return load * max(0.1, self.relative_latency) / max(0.01, self.endpoint.weight)
--- a/thymeflow/quota/buckets.py
+++ b/thymeflow/quota/buckets.py
@@ -66,7 +66,7 @@
         bucket.last_seen_at = context.now
         return bucket
 
-    def get_request_bucket(self, request: RequestReceived, plan: Plan) -> TokenBucket:
+    def prepare_request_bucket(self, request: RequestReceived, plan: Plan) -> TokenBucket:
         """Refill the bucket of a request's customer, count the request in its mean cost, and return the bucket."""
         context = self._context
         bucket = self.get(counter_encoding.compute_customer_id(request.customer), plan)
--- a/thymeflow/quota/counter_encoding.py
+++ b/thymeflow/quota/counter_encoding.py
@@ -64,11 +64,11 @@
     scale = _parse_scale(name)
     # More than REQUESTED_STEP_COUNT - 1 steps would be decoded as charged units. The caller reports the remaining units
     # with its next call.
-    steps = min(REQUESTED_STEP_COUNT - 1, int(max(0.0, requested) / scale / REQUESTED_STEP_FRACTION))
+    requested_steps = min(REQUESTED_STEP_COUNT - 1, int(max(0.0, requested) / scale / REQUESTED_STEP_FRACTION))
     charged_steps = round(
         min(CHARGED_STEP_FRACTION * CHARGED_STEP_COUNT, max(-1.0, charged / scale)) / CHARGED_STEP_FRACTION
     )
-    return steps + REQUESTED_STEP_COUNT * charged_steps
+    return requested_steps + REQUESTED_STEP_COUNT * charged_steps
 
 
 def decode(name: int, amount: float) -> tuple[float, float]:
--- a/thymeflow/quota/counter_ledger.py
+++ b/thymeflow/quota/counter_ledger.py
@@ -60,8 +60,8 @@
         previous = self.uncertain.amount if self.uncertain.name == name else 0.0
         self.uncertain = UncertainAmount(name, amount + previous)
 
-    def read_total(self, name: int, total: float, own_amount: float, now: float, customer: int) -> RemoteUsage:
-        """Return the units that other limiters requested and charged since the last total was read.
+    def apply_total(self, name: int, total: float, own_amount: float, now: float, customer: int) -> RemoteUsage:
+        """Record a total, and return the units that other limiters requested and charged since the last one.
 
         `total` includes `own_amount`, the amount of the call that it replies to. If the name is new or the counter lost
         its totals, the total is compared with 0, its value when the window began. Uncertain amounts are deducted
--- a/thymeflow/quota/strict.py
+++ b/thymeflow/quota/strict.py
@@ -44,7 +44,7 @@
         self._pool = reservations.ReservationPool(self._current_split, customer_id)
         super().__init__(plan, customer_id, now, started_at, initial_fill)
 
-    def _update_split(self) -> reservations.QuotaSplit:
+    def _get_split(self) -> reservations.QuotaSplit:
         plan, member_count = self._split_inputs
         # Reservations made under another plan or set size belong to another quota, and are dropped.
         if plan is not self.plan or member_count != self.member_count:
@@ -60,7 +60,7 @@
         return self.refreshed_at + self._clock_offset
 
     @property
-    def local_rate_memory(self) -> float:
+    def local_rate_decay_seconds(self) -> float:
         """The time constant in seconds of the local demand's decay, which does not depend on the set's size here."""
         return DEMAND_MEMORY_SECONDS
 
@@ -78,7 +78,7 @@
         self.members = counter_encoding.compute_rendezvous_order(
             self.customer_id, first_limiter, self.member_count, limiter_count
         )
-        split = self._update_split()
+        split = self._get_split()
         elapsed = max(0.0, self.refreshed_at - started_at)
         if not has_joined_before:
             # The customer may have had a bucket that was dropped as idle. A new bucket only shows that the customer
@@ -95,15 +95,15 @@
 
     def compute_quota_fraction(self, local_rate: float) -> float:  # noqa: ARG002 (overrides)
         """Return the units of a full base slice as a fraction of the burst."""
-        return self._update_split().base_burst * self._compute_base_fraction() / max(1e-9, self.plan.burst)
+        return self._get_split().base_burst * self._compute_base_fraction() / max(1e-9, self.plan.burst)
 
     def refresh(self, now: float) -> None:
         """Refill the base slice and the ceiling, and decay the local demand, for the time since the last refresh."""
         elapsed = max(0.0, now - self.refreshed_at)
         self.refreshed_at = now
-        self.local_rate *= exp(-elapsed / self.local_rate_memory)
+        self.local_rate *= exp(-elapsed / self.local_rate_decay_seconds)
         if self.members:
-            split = self._update_split()
+            split = self._get_split()
             fraction = self._compute_base_fraction()
             self.level = min(fraction * split.base_burst, self.level + fraction * split.base_rate * elapsed)
             self.ceiling_level = min(
@@ -113,7 +113,7 @@
 
     def compute_missing_units(self, units: float) -> float:
         """Return the units that the bucket lacks to admit a request of `units`, or 0 if it lacks none."""
-        active = self._pool.count_active_units(self._compute_shared_time()) if self._update_split().pool_rate else 0.0
+        active = self._pool.count_active_units(self._compute_shared_time()) if self._get_split().pool_rate else 0.0
         return max(0.0, units - max(0.0, self.level) - active - 1e-9) if self.plan.rate > 0 else 0.0
 
     def can_admit(self, units: float, sample: float) -> bool:  # noqa: ARG002 (overrides)
@@ -133,7 +133,7 @@
         uncovered = units - max(0.0, min(units, self.level))
         used = (
             self._pool.use(uncovered, self._compute_shared_time())
-            if uncovered > 0.0 and self._update_split().pool_rate
+            if uncovered > 0.0 and self._get_split().pool_rate
             else 0.0
         )
         self.level -= units - used
@@ -144,7 +144,7 @@
 
     def build_reservation_call(self, missing: float) -> AddToCounter | None:
         """Return the counter call that may reserve the missing units, or None if no call can."""
-        split = self._update_split()
+        split = self._get_split()
         if not split.pool_rate:
             return None
         demand = max(0.0, self.local_rate - split.base_rate * self._compute_base_fraction())
@@ -160,7 +160,7 @@
     def on_counter_total(self, name: int, amount: float, total: float, now: float) -> None:
         """Add the units that a call reserved, from the total in its reply."""
         moment = now + self._clock_offset
-        self._update_split()
+        self._get_split()
         self._pool.advance(moment)
         for window in (self._pool.window - 1, self._pool.window):
             if name == self._build_window_name(window):
--- a/thymeflow/quota/token_bucket.py
+++ b/thymeflow/quota/token_bucket.py
@@ -11,7 +11,7 @@
 
 DEMAND_MEMORY_SECONDS = 1.5  # Time constant of the decay of measured demand
 # In a set of more limiters, each limiter sees fewer requests and remembers demand for longer.
-SMALL_SET_SIZE = 4.0
+MAX_SMALL_SET_SIZE = 4.0
 # Demand that is assumed in any set, as a fraction of the plan's rate. It splits the quota evenly for new customers.
 PRIOR_DEMAND_FRACTION = 0.1
 REPORT_TTL_SECONDS = 2.0  # Older reports are ignored, and slices return to an even split.
@@ -59,7 +59,7 @@
         # Units above a mean request that the set's bucket is assumed to hold while demand exceeds the quota
         self.assumed_spare_units = 0.0
         self.usage_ratio = MIN_USAGE_RATIO  # Metered use over the quota
-        self.remote_rate_memory = DEMAND_MEMORY_SECONDS  # Time constant of the remote demand's decay in s
+        self.remote_rate_decay_seconds = DEMAND_MEMORY_SECONDS  # Time constant of the remote demand's decay in s
         # True if this limiter sums up remote use itself, from peers' reports or counter totals.
         # False if it takes remote use from another limiter's aggregates.
         self.has_first_hand_reports = False
@@ -101,7 +101,9 @@
         # A limiter of a large set seldom sees the customer and decides the customer's next request by an old report,
         # so it has to remember reported demand for longer.
         if not self.has_first_hand_reports:
-            self.remote_rate_memory = min(MAX_REMOTE_MEMORY_SECONDS, max(MIN_REMOTE_MEMORY_SECONDS, self.member_count))
+            self.remote_rate_decay_seconds = min(
+                MAX_REMOTE_MEMORY_SECONDS, max(MIN_REMOTE_MEMORY_SECONDS, self.member_count)
+            )
         # The hard ceiling must hold without reports of other limiters, so each limiter has an even slice of the
         # ceiling's rate and burst. The slice is empty when the gateway starts.
         refilled = self.plan.ceiling_rate * (self.refreshed_at - started_at)
@@ -111,9 +113,9 @@
         )
 
     @property
-    def local_rate_memory(self) -> float:
+    def local_rate_decay_seconds(self) -> float:
         """The time constant of the local demand's decay in seconds."""
-        return DEMAND_MEMORY_SECONDS * max(1.0, self.member_count / SMALL_SET_SIZE)
+        return DEMAND_MEMORY_SECONDS * max(1.0, self.member_count / MAX_SMALL_SET_SIZE)
 
     def has_recent_remote_reports(self) -> bool:
         """Return whether the last report of a peer or the counter, on any customer, is recent enough to be used."""
@@ -143,9 +145,9 @@
         elapsed = max(0.0, now - self.refreshed_at)
         rate_before = self.local_rate
         self.refreshed_at = now
-        decay = exp(-elapsed / self.local_rate_memory)
+        decay = exp(-elapsed / self.local_rate_decay_seconds)
         self.local_rate = rate_before * decay
-        self.remote_rate = self.remote_rate * exp(-elapsed / self.remote_rate_memory)
+        self.remote_rate = self.remote_rate * exp(-elapsed / self.remote_rate_decay_seconds)
         self.assumed_spare_units = ASSUMED_SPARE_FRACTION * max(self.mean_cost, self.plan.burst - self.mean_cost) + 1e-9
         self._refill_set_level(elapsed, rate_before)
         self._refill_slice(elapsed, rate_before, decay)
@@ -178,7 +180,7 @@
     def _refill_slice(self, elapsed: float, rate_before: float, decay: float) -> None:
         mean_rate = rate_before
         if elapsed > 0:
-            mean_rate = rate_before * (1.0 - decay) * self.local_rate_memory / elapsed
+            mean_rate = rate_before * (1.0 - decay) * self.local_rate_decay_seconds / elapsed
         self.level += self.plan.rate * self.compute_quota_fraction(mean_rate) * elapsed
         if self.has_recent_remote_reports():
             target = self.compute_quota_fraction(self.local_rate) * self.set_level
@@ -187,11 +189,11 @@
 
     def has_small_slices(self) -> bool:
         """Return whether an even slice is smaller than a mean request; requests are then admitted by sampling."""
-        return self.member_count > SMALL_SET_SIZE and self.plan.burst < self.mean_cost * self.member_count
+        return self.member_count > MAX_SMALL_SET_SIZE and self.plan.burst < self.mean_cost * self.member_count
 
     def _is_admitted_by_sampling(self, units: float, sample: float) -> bool:
         # Earlier local demand is known at once, and each other limiter probably had as much.
-        previous_rate = max(0.0, self.local_rate - units / self.local_rate_memory)
+        previous_rate = max(0.0, self.local_rate - units / self.local_rate_decay_seconds)
         demand = max(previous_rate + self.remote_rate, previous_rate * self.member_count)
         has_reports = self.has_recent_remote_reports()
         is_current = self.refreshed_at <= self.last_customer_report_at
@@ -238,7 +240,7 @@
 
     def on_counter_total(self, name: int, amount: float, total: float, now: float) -> None:
         """Update remote demand and the set's level from the total in the reply to a call that added `amount`."""
-        requested, charged, seconds = self.counter_ledger.read_total(name, total, amount, now, self.customer_id)
+        requested, charged, seconds = self.counter_ledger.apply_total(name, total, amount, now, self.customer_id)
         self.remote_rate = (requested + self.remote_rate * DEMAND_MEMORY_SECONDS) / (seconds + DEMAND_MEMORY_SECONDS)
         self.charge_remote(charged - self.predicted_remote_usage)
         self.has_first_hand_reports = True
--- a/thymeflow/snapshot/restore.py
+++ b/thymeflow/snapshot/restore.py
@@ -95,7 +95,7 @@
         charged=bucket.charged_units,
         lump=bucket.mean_cost,
         excess=bucket.usage_ratio,
-        memory=bucket.remote_rate_memory,
+        memory=bucket.remote_rate_decay_seconds,
         count=bucket.member_count,
         members=tuple(bucket.members),
         gathers=bucket.has_first_hand_reports,
@@ -227,7 +227,7 @@
     bucket.counter_ledger = _build_counter_ledger(record.account)
     bucket.mean_cost = record.lump
     bucket.usage_ratio = record.excess
-    bucket.remote_rate_memory = record.memory
+    bucket.remote_rate_decay_seconds = record.memory
     bucket.members = list(record.members)
     bucket.member_count = max(1, record.count)
     bucket.has_first_hand_reports = record.gathers
