--- a/thymeflow/gossip/aggregator.py
+++ b/thymeflow/gossip/aggregator.py
@@ -74,7 +74,7 @@
         max_units = self._context.settings.information.max_units
         previous = bucket.peer_reports.get(sender)
         is_first = previous is None or previous.incarnation != incarnation
-        requested = codec.compute_unsigned_difference(
+        requested_units = codec.compute_unsigned_difference(
             entry.requested_or_level, 0.0 if previous is None or is_first else previous.requested
         )
         charged = codec.compute_signed_difference(
@@ -87,10 +87,10 @@
         max_accepted = (
             MAX_FIRST_REPORT_RATIO * max_units if is_first else MAX_REPORT_RATIO * max(bucket.plan.burst, max_units)
         )
-        if requested <= max_accepted:
+        if requested_units <= max_accepted:
             bucket.has_first_hand_reports = True
             bucket.remote_rate_decay_seconds = DEMAND_MEMORY_SECONDS
             bucket.usage_ratio = 1.0
-            bucket.remote_rate += requested / DEMAND_MEMORY_SECONDS
+            bucket.remote_rate += requested_units / DEMAND_MEMORY_SECONDS
             # `charge_remote` stops at a level of 0, so use over the quota at one limiter creates no debt at the others.
             bucket.charge_remote(charged)
