--- a/tests/decision/test_large_fleet.py
+++ b/tests/decision/test_large_fleet.py
@@ -25,7 +25,7 @@
     bucket.last_customer_report_at = 99.0
     bucket.local_rate = local_rate
     bucket.remote_rate = remote_rate
-    bucket.global_level = 2.0
+    bucket.set_level = 2.0
     return bucket
 
 
@@ -67,12 +67,14 @@
 
 
 def test_set_demand_is_estimated_from_local_demand_when_the_counter_has_not_reported() -> None:
-    earlier_rate = 6.0 / create_bucket(0.0, 0.0).local_rate_memory
+    earlier_rate = 6.0 / create_bucket(0.0, 0.0).local_rate_decay_seconds
     assert (
-        compute_admitted_fraction(create_bucket(earlier_rate + 2.0 / create_bucket(0.0, 0.0).local_rate_memory, 0.0))
+        compute_admitted_fraction(
+            create_bucket(earlier_rate + 2.0 / create_bucket(0.0, 0.0).local_rate_decay_seconds, 0.0)
+        )
         < 0.2
     )
-    assert compute_admitted_fraction(create_bucket(2.0 / create_bucket(0.0, 0.0).local_rate_memory, 0.0)) == 1.0
+    assert compute_admitted_fraction(create_bucket(2.0 / create_bucket(0.0, 0.0).local_rate_decay_seconds, 0.0)) == 1.0
 
 
 def test_fewer_requests_are_admitted_when_use_over_quota_has_a_higher_cost() -> None:
@@ -86,7 +88,7 @@
 def test_request_above_the_level_is_admitted_only_when_use_over_quota_has_no_cost() -> None:
     for cost, fraction_bound in ((0.6, 0.0), (0.0, 0.5)):
         bucket = create_bucket(0.05, 1.0, replace(SMALL_PLAN, over_quota_cost=cost))
-        bucket.global_level = 1.0  # A request needs two units.
+        bucket.set_level = 1.0  # A request needs two units.
         assert (compute_admitted_fraction(bucket) > fraction_bound) == (fraction_bound > 0.0)
 
 
--- a/thymeflow/decision/admission.py
+++ b/thymeflow/decision/admission.py
@@ -60,7 +60,7 @@
         if plan is None or event.remaining <= ATTEMPT_START_MARGIN_SECONDS:
             context.emit(RejectRequest(event.id, RejectionReason.INVALID))
             return None
-        bucket = self._buckets.get_request_bucket(event, plan)
+        bucket = self._buckets.prepare_request_bucket(event, plan)
         request_class = context.classes.get(event.class_name)
         # A request of an unknown class is treated as not idempotent.
         if request_class is None or not isfinite(event.remaining):
@@ -68,7 +68,7 @@
         deadline = context.now + min(event.remaining, self._compute_max_seconds(request_class))
         pending = RequestState(event, request_class, bucket, deadline, context.limits.max_attempts)
         if not event.is_retry:  # The demand of a client's retry was counted with the first request.
-            bucket.local_rate += event.units / bucket.local_rate_memory
+            bucket.local_rate += event.units / bucket.local_rate_decay_seconds
             bucket.requested_units += event.units
         return pending
 
@@ -122,7 +122,7 @@
             pending.request.units, bucket.plan.burst * bucket.compute_quota_fraction(bucket.local_rate)
         )
         deficit = 1.0 - min(1.0, max(0.0, bucket.level / full_level)) if bucket.plan.rate else 0.0
-        backend_share = registry.warmed_up_backends * context.get_resource_fraction(FleetResource.CONCURRENCY)
+        backend_share = registry.ready_capacity * context.get_resource_fraction(FleetResource.CONCURRENCY)
         if registry.in_flight >= pressure.compute_concurrency_limit(
             backend_share, deficit, registry.pressure
         ):
--- a/thymeflow/decision/gateway.py
+++ b/thymeflow/decision/gateway.py
@@ -218,7 +218,7 @@
         context.set_timer(TICK_INTERVAL_SECONDS, TimerKind.TICK)
         is_round = context.now - self._last_round_at >= REPORT_ROUND_INTERVAL_SECONDS
         self.registry.decay_pressure(TICK_INTERVAL_SECONDS)
-        self.registry.count_warmed_up_backends(context.now, context.settings.rules)
+        self.registry.update_ready_capacity(context.now, context.settings.rules)
         if is_round:
             self._last_round_at = context.now
             self.token_buckets.drop_idle()
--- a/thymeflow/gossip/aggregator.py
+++ b/thymeflow/gossip/aggregator.py
@@ -1,4 +1,4 @@
-"""Processes gossip that a gateway receives: aggregates the reports of peers, and applies the aggregates of others."""
+"""Processes gossip from peers: aggregates their reports, and applies the aggregates that they computed."""
 
 from __future__ import annotations
 
@@ -15,8 +15,11 @@
     TokenBucket,
 )
 
-SEQUENCE_HALF = 0x8000  # Sequence numbers wrap; a message is newer if its number is ahead by less than this.
+HALF_SEQUENCE_RANGE = 0x8000  # Sequence numbers wrap; a message is newer if its number is ahead by less than this.
+# A report with more newly requested units than the bounds below is recorded and answered, but not counted as demand.
+# Bound on the first report of a peer's incarnation, as a multiple of the maximum units of a request
 MAX_FIRST_REPORT_RATIO = 2.0
+# Bound on later reports, as a multiple of the burst or of the maximum units of a request, whichever is larger
 MAX_REPORT_RATIO = 10.0
 
 
@@ -30,7 +33,7 @@
         self._buckets = buckets
         self._registry = registry
         self._publisher = publisher
-        self.peer_sequences: dict[int, tuple[int, int]] = {}  # Incarnation and last sequence number, by peer
+        self.last_message_ids: dict[int, tuple[int, int]] = {}  # Incarnation and last sequence number, by peer
 
     def on_gossip(self, event: GossipReceived) -> None:
         """Apply a peer's message; ignore it if it is malformed, old or from a sender that is not in the fleet."""
@@ -39,7 +42,7 @@
         message = codec.decode(event.data)
         if message is None or not self._is_new(sender, message):
             return
-        self.peer_sequences[sender] = (message.incarnation, message.sequence)
+        self.last_message_ids[sender] = (message.incarnation, message.sequence)
         self._buckets.record_remote_report()
         self._registry.update_pressure_by_peer(message.pressure)
         for entry in message.entries:
@@ -47,10 +50,12 @@
                 self._apply_entry(sender, message.incarnation, entry)
 
     def _is_new(self, sender: int, message: codec.Message) -> bool:
-        incarnation, last_sequence = self.peer_sequences.get(sender, (-1, 0))
+        incarnation, last_sequence = self.last_message_ids.get(sender, (-1, 0))
         if not 0 <= sender < self._context.settings.limiter_count:
             return False
-        return incarnation != message.incarnation or 0 < (message.sequence - last_sequence) & 0xFFFF < SEQUENCE_HALF
+        return (
+            incarnation != message.incarnation or 0 < (message.sequence - last_sequence) & 0xFFFF < HALF_SEQUENCE_RANGE
+        )
 
     def _apply_entry(self, sender: int, incarnation: int, entry: codec.Entry) -> None:
         context = self._context
@@ -59,9 +64,9 @@
         bucket.last_customer_report_at = context.now
         if not entry.is_aggregate:
             self._aggregate_report(bucket, sender, incarnation, entry)
-        elif not bucket.is_aggregator and (not bucket.members or sender in bucket.members[:AGGREGATOR_COUNT]):
-            bucket.global_level = min(bucket.plan.burst, entry.requested_or_level)
-            bucket.remote_rate_memory = MIN_REMOTE_MEMORY_SECONDS
+        elif not bucket.has_first_hand_reports and (not bucket.members or sender in bucket.members[:AGGREGATOR_COUNT]):
+            bucket.set_level = min(bucket.plan.burst, entry.requested_or_level)
+            bucket.remote_rate_decay_seconds = MIN_REMOTE_MEMORY_SECONDS
             bucket.usage_ratio = 1.0
             bucket.remote_rate = max(0.0, entry.charged_or_demand - bucket.local_rate)
 
@@ -69,22 +74,23 @@
         max_units = self._context.settings.information.max_units
         previous = bucket.peer_reports.get(sender)
         is_first = previous is None or previous.incarnation != incarnation
-        units = codec.compute_increase(
+        requested_units = codec.compute_unsigned_difference(
             entry.requested_or_level, 0.0 if previous is None or is_first else previous.requested
         )
-        charged = codec.compute_change(
+        charged = codec.compute_signed_difference(
             entry.charged_or_demand, 0.0 if previous is None or is_first else previous.charged
         )
         bucket.peer_reports[sender] = PeerReport(
             incarnation, entry.requested_or_level, entry.charged_or_demand, self._context.now
         )
-        self._publisher.request_reply(bucket.customer_id, (sender,))
+        self._publisher.queue_aggregate(bucket.customer_id, (sender,))
         max_accepted = (
             MAX_FIRST_REPORT_RATIO * max_units if is_first else MAX_REPORT_RATIO * max(bucket.plan.burst, max_units)
         )
-        if units <= max_accepted:
-            bucket.is_aggregator = True
-            bucket.remote_rate_memory = DEMAND_MEMORY_SECONDS
+        if requested_units <= max_accepted:
+            bucket.has_first_hand_reports = True
+            bucket.remote_rate_decay_seconds = DEMAND_MEMORY_SECONDS
             bucket.usage_ratio = 1.0
-            bucket.remote_rate += units / DEMAND_MEMORY_SECONDS
-            bucket.charge_remote(charged)  # Use over the quota at one limiter creates no debt at the others.
+            bucket.remote_rate += requested_units / DEMAND_MEMORY_SECONDS
+            # `charge_remote` stops at a level of 0, so use over the quota at one limiter creates no debt at the others.
+            bucket.charge_remote(charged)
--- a/thymeflow/quota/buckets.py
+++ b/thymeflow/quota/buckets.py
@@ -12,10 +12,11 @@
 from thymeflow.quota import counter_encoding
 from thymeflow.quota.token_bucket import TokenBucket
 
-# A bucket's level when the gateway starts, as a fraction of the burst. The other half stands for the units that an
-# earlier incarnation may have spent just before.
+# A bucket's level when the gateway starts, as a fraction of the burst. An earlier incarnation may have
+# spent the other half just before the restart.
 INITIAL_FILL_FRACTION = 0.5
-# The bucket of an idle customer is full again within this time. The time is also longer than a counter window.
+# The bucket of an idle customer is assumed to be full again within this time. The time is also longer than a counter
+# window.
 IDLE_BUCKET_TTL_SECONDS = 20.0
 MEAN_COST_WEIGHT = 0.1  # Weight of a new request in the running mean of a customer's request cost
 
@@ -65,8 +66,8 @@
         bucket.last_seen_at = context.now
         return bucket
 
-    def get_request_bucket(self, request: RequestReceived, plan: Plan) -> TokenBucket:
-        """Return the bucket of a request's customer, refilled up to now, with the request in its mean cost."""
+    def prepare_request_bucket(self, request: RequestReceived, plan: Plan) -> TokenBucket:
+        """Refill the bucket of a request's customer, count the request in its mean cost, and return the bucket."""
         context = self._context
         bucket = self.get(counter_encoding.compute_customer_id(request.customer), plan)
         # Peers report every customer with relevant demand, so a report on any customer also informs about this one.
@@ -77,8 +78,8 @@
         return bucket
 
     def join_set(self, bucket: TokenBucket, request: RequestReceived) -> None:
-        """Give a bucket its slice of the set that the request names, unless it has a slice of the current set."""
-        if not bucket.members or bucket.set_changed:
+        """Make a bucket join the set that the request names, unless it has joined one for the current fleet size."""
+        if not bucket.members or bucket.must_rejoin_set:
             context = self._context
             limiter_count = context.settings.limiter_count
             bucket.join_set(request.first_limiter, request.set_size, limiter_count, context.started_at)
@@ -90,13 +91,16 @@
         if bucket is not None:
             bucket.last_customer_report_at = now
 
-    def apply_plans(self, set_changed: bool) -> None:
-        """Assign the plans in force to the buckets. Levels stay, and later refills use the new plans."""
+    def apply_plans(self, fleet_size_changed: bool) -> None:
+        """Assign the plans in force to the buckets. Levels stay, and later refills use the new plans.
+
+        If the fleet's size changed, each bucket joins a set again at the customer's next request.
+        """
         context = self._context
         for bucket in self.by_customer.values():
             bucket.refresh(context.now)
             bucket.plan = context.plans.get(bucket.plan.name, bucket.plan)
-            bucket.set_changed = bucket.set_changed or set_changed
+            bucket.must_rejoin_set = bucket.must_rejoin_set or fleet_size_changed
 
     def drop_idle(self) -> None:
         """Drop the buckets of idle customers. Most customers send one request only, so buckets would accumulate."""
@@ -122,8 +126,8 @@
 
     def begin_round(self, known_buckets: dict[int, TokenBucket]) -> None:
         """Make deferred customers pending, and drop customers that have no bucket in `known_buckets`."""
-        updates = self.pending | self.deferred
-        self.pending = {customer_id: None for customer_id in updates if customer_id in known_buckets}
+        customer_ids = self.pending | self.deferred
+        self.pending = {customer_id: None for customer_id in customer_ids if customer_id in known_buckets}
         self.deferred = {}
 
     def clear_pending(self) -> None:
