--- a/tests/outliers/test_outlier_coordinator.py
+++ b/tests/outliers/test_outlier_coordinator.py
@@ -124,7 +124,7 @@
     assert record.probing_member not in ("", first_prober)
     coordinator.on_report(record.probing_member, set(), {FAILED_KEY}, {record.permit: True}, 0.3)
     assert coordinator.ejections[FAILED_KEY].state is EjectionState.RECOVERING
-    # The member ejected the backend before the recovery, so this report does not end it.
+    # This report arrives within SETTLING_SECONDS of the admission, so it does not end the recovery.
     coordinator.on_report(record.probing_member, {FAILED_KEY}, set(), {}, 0.4)
     assert coordinator.ejections[FAILED_KEY].state is EjectionState.RECOVERING
     coordinator.on_report(record.probing_member, {FAILED_KEY}, set(), {}, 0.4 + SETTLING_SECONDS)
--- a/thymeflow/outliers/coordinator.py
+++ b/thymeflow/outliers/coordinator.py
@@ -3,7 +3,8 @@
 Each member reports the backends, or request classes at backends, that it ejects itself, and those that gave successful
 responses. The report of a single member never causes an ejection for the fleet, because that member may itself be cut
 off. At most a fraction of all backends is ejected, because more failures than that have another cause. Only the member
-with the permit for the next half-open probe sends requests to an ejected backend, and the probe is a client's request.
+with the permit for the next half-open probe sends requests to an ejected backend. There are no separate probe requests:
+the member uses the next suitable request of a client as the probe.
 After a successful probe, more members send requests again with each step; a failure during these steps ejects the
 backend again.
 
@@ -34,16 +35,17 @@
 MAX_EJECTED_FRACTION = 0.5
 MAX_EJECTIONS = 4096  # further keys are not ejected
 EJECTION_LEASE_SECONDS = 3.0  # an ejection is valid for this long at a member that receives no renewal
-MAX_PERMIT_AGE = 1000  # the result of a permit is ignored once this many later permits were issued
+MAX_LATER_PERMITS = 1000  # the result of a permit is ignored once this many later permits were issued
 MAX_PROBE_INTERVAL_SECONDS = 4.0  # the interval between probes doubles with each failed probe up to this limit
 RECOVERY_STEP_SECONDS = 0.5  # during recovery, the number of members that send requests doubles after each step
-# A member's report of an ejection contradicts a recovery only this long after the member was admitted: two report
-# intervals and the transmission. An earlier report may refer to a failure before the recovery.
+# A member's report that it ejects the key ends a recovery only if the report arrives more than this time after the
+# member was admitted. The time covers two report intervals and the transmission; an earlier report may refer to a
+# failure before the recovery.
 SETTLING_SECONDS = 1.2
-# After a recovery, members forget older failures for this long, and reports of ejecting the key are not counted.
+# For this long after a recovery, the ejection is sent as recovered, and reports that eject the key are ignored.
 AFTER_RECOVERY_SECONDS = 2.0
 
-ZoneRows = frozenset[tuple[str, frozenset[int]]]
+ZoneSet = frozenset[tuple[str, frozenset[int]]]
 
 
 class OutlierCoordinator:
@@ -57,8 +59,8 @@
         self.invalid_reports = 0  # the number of contradictory entries in reports plus that of malformed reports
         self.backend_count = 0  # the number of backends in the endpoint list that most members have
         self.zones: dict[str, frozenset[int]] = {}  # backends by zone, in the same endpoint list
-        self._endpoint_lists: dict[str, tuple[int, ZoneRows]] = {}  # number of backends and zones, by member
-        self._ignored_until: dict[EjectionKey, float] = {}  # the time until which reports of ejecting a key are ignored
+        self._endpoint_lists: dict[str, tuple[int, ZoneSet]] = {}  # number of backends and zones, by member
+        self._ignored_until: dict[EjectionKey, float] = {}  # reports that eject a key are ignored until this time
         self._last_number = 0
         self._last_permit = 0
 
@@ -74,8 +76,8 @@
     ) -> None:
         """Handle a member's report.
 
-        The report has the keys that the member ejects, the keys that respond to it, and whether its probes succeeded,
-        by number of their permits.
+        The report has the keys that the member ejects, the keys that respond to it, and for each permit number
+        whether the probe succeeded.
         """
         contradictory = ejecting & responding
         self.invalid_reports += len(contradictory)
@@ -221,10 +223,10 @@
         )
 
     def _is_within_limit(self, key: EjectionKey) -> bool:
-        return self._count_concerned_backends([*self.ejections, key]) <= MAX_EJECTED_FRACTION * self.backend_count
+        return self._count_covered_backends([*self.ejections, key]) <= MAX_EJECTED_FRACTION * self.backend_count
 
-    def _count_concerned_backends(self, keys: Iterable[EjectionKey]) -> int:
-        """Return the number of backends that are ejected by the keys."""
+    def _count_covered_backends(self, keys: Iterable[EjectionKey]) -> int:
+        """Return the number of backends that the keys cover."""
         backends: set[int] = set()
         for key in keys:
             backends |= self.zones.get(key.name, frozenset()) if key.is_zone() else {key.backend}
@@ -267,7 +269,7 @@
         record.probing_member = min(members, key=lambda member: (record.last_permits.get(member, 0), member))
         record.permit = self._last_permit
         record.last_permits[record.probing_member] = record.permit
-        oldest = self._last_permit - MAX_PERMIT_AGE
+        oldest = self._last_permit - MAX_LATER_PERMITS
         record.permit_holders = {permit: member for permit, member in record.permit_holders.items() if permit > oldest}
         record.permit_holders[record.permit] = record.probing_member
         record.next_step_at = now + self.probe_interval
--- a/thymeflow/outliers/ejection.py
+++ b/thymeflow/outliers/ejection.py
@@ -28,7 +28,7 @@
 
     EJECTED = "condemned"  # All members eject the target; one member at a time may probe it.
     RECOVERING = "returning"  # A probe succeeded: some members send requests again, and more do with each step.
-    RECOVERED = "cleared"  # All members send requests again and forget the failures before the recovery.
+    RECOVERED = "cleared"  # All members send requests again; each forgot its earlier failures when it was admitted.
 
 
 class EjectionEvent(Enum):
@@ -62,7 +62,7 @@
     number: int  # the number of the ejection; each new ejection has a higher one
     probe_permit: int  # the number of this member's permit for a half-open probe, or 0 if it has none
     is_admitted: bool  # whether this member may send requests to the target again
-    is_recovered: bool  # whether the target has recovered, so that the member forgets its failures
+    is_recovered: bool  # whether the recovery is complete; `is_admitted` is then true as well
     ends_at: float  # seconds on the machine's monotonic clock
 
 
@@ -73,12 +73,12 @@
     number: int
     ejected_at: float
     state: EjectionState = EjectionState.EJECTED
-    reported_by: dict[str, str] = field(default_factory=dict)  # the members whose reports caused the ejection
+    reported_by: dict[str, str] = field(default_factory=dict)  # keyed by the members whose reports led to the ejection
     permit: int = 0  # the number of the permit for the next half-open probe, or 0 while there is none
     probing_member: str = ""  # the member that has the permit
     next_step_at: float = -inf  # the time of the next permit or of the next recovery step
     admitted_count: int = 0  # the number of members that may send requests again
     admitted_at: dict[str, float] = field(default_factory=dict)  # time of admission, by admitted member
-    permit_holders: dict[int, str] = field(default_factory=dict)  # member, by number of a recent permit
+    permit_holders: dict[int, str] = field(default_factory=dict)  # holders of recent permits, keyed by permit number
     failed_probes: int = 0  # consecutive failed probes
     last_permits: dict[str, int] = field(default_factory=dict)  # number of the last permit, by member
--- a/thymeflow/outliers/member.py
+++ b/thymeflow/outliers/member.py
@@ -29,7 +29,7 @@
     """An ejection that this member applies; times are in seconds on the gateway's clock."""
 
     ejection: Ejection
-    received_at: float  # the time at which its current probe permit arrived
+    received_at: float  # when the ejection arrived with its current `probe_permit` or, if that is 0, without one
     expires_at: float
 
     def has_permit(self) -> bool:
@@ -52,7 +52,7 @@
         self._gateway = gateway
         self._active: dict[EjectionKey, ActiveEjection] = {}
         self._open_probes: dict[int, OpenProbe] = {}  # keyed by the number of the permit
-        self._probe_results: dict[int, bool] = {}  # whether the probe succeeded, by number of its permit
+        self._probe_results: dict[int, bool] = {}  # whether the probe succeeded, keyed by permit number
 
     def on_ejections(self, ejections: list[Ejection], now: float, monotonic_now: float) -> None:
         """Replace all ejections by these.
@@ -106,12 +106,12 @@
     # Ejections.
 
     def _forget_failures(self, key: EjectionKey) -> None:
-        for backend in self._find_concerned_backends(key):
-            names = list(backend.failures) if key.is_zone() else [key.name]
-            for name in names:
-                backend.failures.pop(name, None)
+        for backend in self._find_covered_backends(key):
+            class_names = list(backend.failures) if key.is_zone() else [key.name]
+            for class_name in class_names:
+                backend.failures.pop(class_name, None)
 
-    def _find_concerned_backends(self, key: EjectionKey) -> list[BackendStats]:
+    def _find_covered_backends(self, key: EjectionKey) -> list[BackendStats]:
         backends = self._gateway.backends
         if key.is_zone():
             return [backend for backend in backends.values() if backend.endpoint.zone == key.name]
@@ -133,16 +133,16 @@
         Any request that was sent to the ejected target since the permit arrived has used it.
         """
         return active.has_permit() and all(
-            backend.last_sent_at < active.received_at for backend in self._find_concerned_backends(active.ejection.key)
+            backend.last_sent_at < active.received_at for backend in self._find_covered_backends(active.ejection.key)
         )
 
     def _select_backend_to_probe(self, ready: list[BackendStats], class_name: str, now: float) -> BackendStats | None:
         """Return the backend that the next request of a class has to probe, or None.
 
-        All members wait for the result of this probe, and in a large fleet a member seldom sends a request of a class
-        to a given backend. Therefore the next request that may be retried at any backend is the probe. A request with
-        an idempotency key is not used, because a retry may have to stay in its group, which a probe would prevent. A
-        backend in slow start is skipped, because other rules select it.
+        The next request that may be retried at any backend is the probe, whichever backend it would otherwise be sent
+        to, because all members wait for the result, and in a large fleet a member seldom sends a request of a class to
+        a given backend. A request with an idempotency key is not used, because a retry may have to stay in its group,
+        which a probe would prevent. A backend in slow start is skipped, because other rules select it.
         """
         request_class = self._gateway.context.classes.get(class_name)
         if request_class is None or request_class.idempotency is not Idempotency.IDEMPOTENT:
@@ -202,7 +202,7 @@
         self._probe_results = {permit: self._probe_results[permit] for permit in latest}
 
     def _update_probe(self, permit: int, probe: OpenProbe, now: float) -> None:
-        backends = self._find_concerned_backends(probe.key)
+        backends = self._find_covered_backends(probe.key)
         if not backends or now - probe.permitted_at > PROBE_TIMEOUT_SECONDS:
             del self._open_probes[permit]
             return
--- a/thymeflow/outliers/messages.py
+++ b/thymeflow/outliers/messages.py
@@ -14,6 +14,7 @@
 MAX_ROWS = 512  # longest list in a message
 MAX_NAME_LENGTH = 64  # characters; the name of a class or zone is cut off after them
 MAX_QUOTED_ROW_CHARACTERS = 60  # an error text quotes a malformed ejection up to this length
+# The types of a row's values, except the last, `ends_at`, which may be an integer or a float.
 EJECTION_TYPES = [
     int,
     str,
@@ -21,7 +22,7 @@
     int,
     bool,
     bool,
-]  # the types of an ejection's values in its row, without the final time
+]
 TIME_DECIMALS = 3
 
 
@@ -31,7 +32,7 @@
 
     ejecting: set[EjectionKey]  # keys that the member itself ejects
     responding: set[EjectionKey]  # keys with recent successful responses
-    probe_results: dict[int, bool]  # whether the probe succeeded, by number of its permit
+    probe_results: dict[int, bool]  # whether the probe succeeded, keyed by permit number
     backend_count: int  # the number of backends in the member's endpoint list
     zones: dict[str, frozenset[int]]  # backends by zone, in the same endpoint list
     pressure: float | None  # None if the member's version does not report the pressure
--- a/thymeflow/outliers/quorum.py
+++ b/thymeflow/outliers/quorum.py
@@ -9,8 +9,9 @@
 MIN_EJECTING_MEMBERS = 2  # a single member may itself be cut off from the backend
 MAJORITY = 0.5  # a key is ejected by more than this fraction of the members that report on it
 REPORT_TTL_SECONDS = 2.0  # a report is valid for four report intervals
-# A zone has failed if majorities eject at least this fraction of its backends, and at least this number of them.
+# A zone has failed only if majorities eject at least this fraction of its backends.
 MIN_FAILED_ZONE_FRACTION = 0.5
+# A zone has failed only if majorities eject at least this number of its backends.
 MIN_FAILED_ZONE_BACKENDS = 2
 
 
