--- a/thymeflow/leases/grant_file.py
+++ b/thymeflow/leases/grant_file.py
@@ -25,7 +25,7 @@
 MAX_FILE_BYTES = 1 << 20
 BOOT_ID_PATH = Path("/proc/sys/kernel/random/boot_id")
 FIRST_EPOCH = 1
-EPOCH_AFTER_LOSS = 1 << 40  # this bit is set in epochs after a loss of the file; no issuer counts up to it
+EPOCH_AFTER_LOSS = 1 << 40  # set in an epoch after a loss of the file; epochs that grow by 1 stay below it
 DIGEST_BYTES = 16
 
 
@@ -93,11 +93,12 @@
 
 
 def read(path: Path, fleet: str, now: float, members_running: bool) -> LoadedIssuer:
-    """Return the issuer that continues from the file; `members_running`: members of an earlier issuer may run.
+    """Return the issuer that continues from the file.
 
-    If the file cannot be used and members run, the issuer grants leases only once every lost lease has expired. It
-    grants no base amounts, because a member that does not report may have any. Its epoch then includes the machine's
-    monotonic time, so that no earlier issuer can have reached it.
+    `members_running` tells whether members of an earlier issuer may still be running. If they may and the file cannot
+    be used, the issuer grants leases only once all lost leases have expired, and it grants no base amounts, because a
+    member that does not report may still use some. The epoch after a loss of the file includes the machine's monotonic
+    time, so that no earlier issuer can have reached that epoch.
     """
     try:
         grants = unpack(_read_bytes(path), fleet)
--- a/thymeflow/leases/holder_state.py
+++ b/thymeflow/leases/holder_state.py
@@ -65,7 +65,8 @@
     demand: tuple[float, ...] = (0.0,) * len(Resource)
     reported: tuple[int, int] = (-1, -1)  # the epoch and number of the allocation in the last report
     last_report_at: float = -inf
-    last_acknowledged_at: float = -inf  # the last acknowledgement of the newest grant, or the start of reporting
+    # When the holder last acknowledged its then newest grant, or when it began to report, whichever is later.
+    last_acknowledged_at: float = -inf
 
     def is_reporting(self) -> bool:
         """Return whether the issuer receives reports of the holder."""
--- a/thymeflow/leases/issuer.py
+++ b/thymeflow/leases/issuer.py
@@ -23,7 +23,7 @@
 RENEWAL_FRACTION = 0.5  # a lease is renewed when this fraction of it or less remains
 COVERED_PERIOD_SECONDS = 8.0  # the grant file covers leases this far ahead, so that a renewal needs no write
 REPORT_TTL_SECONDS = 2.0  # four report intervals; a holder without a valid report gets no new lease
-# A change of a leased amount up to this fraction of a holder's even share of the leased points causes no grant.
+# A change of a leased amount causes no grant if it is at most this fraction of an even share of the leased points.
 MIN_CHANGE_FRACTION = 0.02
 
 HolderName = str
@@ -31,7 +31,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Write:
-    """The action to write the grant file and then call `on_written` or `on_write_failed` with this version."""
+    """The action to write the grant file and then call `on_written` or `on_write_failed` with `version`.
+
+    The versions number the writes of the grant file.
+    """
 
     version: int
 
@@ -60,7 +63,7 @@
         self._fleet_size = 1
         self._file_version = 0
         self._sends_by_version: dict[int, list[Send]] = {}  # keyed by the file version that must be written first
-        self._first_grant_at = now  # leases of a lost grant file may be in force until this time
+        self._no_leases_until = now  # leases of a lost grant file may be in force until this time
 
     def get_or_create_record(self, holder: HolderName) -> HolderRecord:
         """Return the record of a holder; create an empty one if the holder is unknown."""
@@ -74,9 +77,12 @@
     # Events.
 
     def on_grants_lost(self, now: float) -> None:
-        """Grant no base amounts, as unreachable holders may have any, and no lease until every lost one has expired."""
+        """Grant no base amounts, and no lease until all leases of the lost grant file have expired.
+
+        Base amounts do not expire, and an unreachable holder may still use any amount that the lost file granted it.
+        """
         self.base = [Ledger(0) for _ in Resource]
-        self._first_grant_at = now + COVERED_PERIOD_SECONDS
+        self._no_leases_until = now + COVERED_PERIOD_SECONDS
 
     def resize(self, size: int) -> None:
         """Set the configured number of members of the fleet."""
@@ -144,9 +150,9 @@
             record.clear_amounts()
 
     def on_written(self, version: int) -> list[Send]:
-        """Return the sends that waited until this version of the grant file, or an earlier one, was written."""
+        """Return the sends that waited for the write of this or a lower version of the grant file."""
         versions = sorted(waiting for waiting in self._sends_by_version if waiting <= version)
-        return [send for durable in versions for send in self._sends_by_version.pop(durable)]
+        return [send for written in versions for send in self._sends_by_version.pop(written)]
 
     def on_write_failed(self, version: int) -> None:
         """Drop the sends that waited for this version; nothing is sent until another version is written."""
@@ -161,7 +167,7 @@
         Return the sends; or, where the grant file does not cover all of them, one `Write` for which they wait.
         """
         self._mark_unresponsive_holders(now)
-        if now < self._first_grant_at:
+        if now < self._no_leases_until:
             return []
         sends = self._issue_grants(now)
         if not sends:
@@ -197,14 +203,14 @@
         """Return the target leased amount of each reporting holder, one dict for each resource."""
         # A holder that reports but receives no grants would tie up its leased amounts. Its target is therefore 0 until
         # it acknowledges a grant again; it keeps its base amounts.
-        not_receiving = {
+        zero_targets = {
             holder: 0
             for holder, record in reporting.items()
             if record.state is HolderState.GRANT_PENDING and now - record.last_acknowledged_at > LEASE_SECONDS
         }
-        receiving = {holder: record for holder, record in reporting.items() if holder not in not_receiving}
+        receiving = {holder: record for holder, record in reporting.items() if holder not in zero_targets}
         return [
-            not_receiving
+            zero_targets
             | divide_by_demand(LEASED_POINTS, {holder: record.demand[index] for holder, record in receiving.items()})
             for index in range(len(Resource))
         ]
@@ -218,10 +224,10 @@
         if expires_soon or record.reported != (self.epoch, record.number):
             return True
         return any(
-            self._is_change_worthwhile(index, record, targets[index][holder], now) for index in _resource_indexes()
+            self._has_relevant_change(index, record, targets[index][holder], now) for index in _resource_indexes()
         )
 
-    def _is_change_worthwhile(self, index: int, record: HolderRecord, target: int, now: float) -> bool:
+    def _has_relevant_change(self, index: int, record: HolderRecord, target: int, now: float) -> bool:
         """Return whether the amounts of one resource change by enough to justify a grant."""
         change = target - record.lease[index]
         possible = self.leased[index].free(now) if change > 0 else -change
@@ -250,7 +256,8 @@
     def _adopt_unknown_holder(self, holder: HolderName, allocation: Allocation, now: float) -> None:
         """Count the reported amounts of an unknown holder as outstanding, each reduced to what is free.
 
-        New grants never build on these amounts: the next grant is newer than any that the holder has and replaces them.
+        Later grants do not depend on these amounts, because the next grant is newer than any that the holder has and
+        replaces them.
         """
         for index in _resource_indexes():
             for ledger, amount, end in (
--- a/thymeflow/leases/ledger.py
+++ b/thymeflow/leases/ledger.py
@@ -36,7 +36,7 @@
         return copy
 
     def outstanding(self, holder: str, now: float) -> int:
-        """Return the largest amount that the holder's grants allow now or later, in points."""
+        """Return the largest amount among the holder's grants that have not expired, in points."""
         return max((grant.amount for grant in self.grants.get(holder, ()) if grant.ends_at > now), default=0)
 
     def free(self, now: float) -> int:
--- a/thymeflow/leases/resources.py
+++ b/thymeflow/leases/resources.py
@@ -21,9 +21,9 @@
     """A resource that is limited for the fleet; the values are used in messages and settings."""
 
     CONCURRENCY = "places"  # Attempts in flight; the total follows from the number of backends.
-    RETRIES = "attempts"  # The saved-up budget of retries that may execute a request twice.
+    RETRIES = "attempts"  # Retries that may execute a request twice; the total is the budget that may be saved up.
     COUNTER_CALLS = "calls"  # Counter calls per second; the total is set in [budgets].
-    HALF_OPEN_PROBES = "trials"  # Attempts per second to each failed backend; the total is set in [budgets].
+    HALF_OPEN_PROBES = "trials"  # Half-open probes per second of each ejected backend; the total is set in [budgets].
     CONNECTIONS = "connections"  # Connections to each backend; the total is set in [budgets].
 
 
