--- a/thymeflow/shedding/load_shedder.py
+++ b/thymeflow/shedding/load_shedder.py
@@ -45,8 +45,8 @@
         """Return the fraction of a resource that the gateway may use.
 
         For retries, the fraction is reduced in proportion to the threshold, because retries add to the load. Every
-        gateway may save up one retry in any case; that retry is subtracted, as the sum would otherwise grow with the
-        number of gateways.
+        gateway may save up one retry in any case. That retry is subtracted here, because the retries of all gateways
+        together would otherwise grow with the number of gateways.
         """
         if resource != RETRY_RESOURCE:
             return fraction
@@ -56,9 +56,10 @@
     def compute_rejected_fraction(
         self, request_class: RequestClass, plan: Plan, customer_id: int, local_fraction: float
     ) -> float:
-        """Return the fraction of these requests to reject: 0 or 1 by the fleet's threshold while it is valid.
+        """Return the fraction of these requests to reject.
 
-        After that it is `local_fraction`, which follows from the gateway's own pressure.
+        While the fleet's threshold is valid, the result is 0 or 1; otherwise it is `local_fraction`, which follows from
+        the gateway's own pressure.
         """
         now = self._gateway.context.now
         if now >= self._expires_at:
--- a/thymeflow/shedding/priority.py
+++ b/thymeflow/shedding/priority.py
@@ -9,7 +9,7 @@
 
 from thymeflow.decision.settings import GatewaySettings, Plan, RequestClass
 
-ROTATION_SECONDS = 10.0  # each customer's rank among those with the same priority weight changes after this time
+ROTATION_SECONDS = 10.0  # a customer's rank among customers of equal priority weight changes once in this time
 ROTATION_PHASES = 1000  # the rank changes of all customers are spread over this many moments of a rotation
 HASH_BYTES = 4
 HASH_RANGE = 1 << 8 * HASH_BYTES
--- a/thymeflow/shedding/threshold.py
+++ b/thymeflow/shedding/threshold.py
@@ -5,8 +5,8 @@
 that reports wrong values, does not move the threshold. The threshold rises in small steps while the median is above
 `pressure.PRESSURE_THRESHOLD`, and falls in small steps while it is below.
 
-All members rank requests in the same way (`PriorityOrder`) and shed requests with a rank below the threshold. Requests
-of customers over their quota are rejected before that by their units, whatever the threshold is.
+All members rank requests in the same way (`PriorityOrder`) and shed requests with a rank below the threshold. A gateway
+rejects requests that exceed their customer's quota of units before it compares ranks, whatever the threshold is.
 """
 
 from __future__ import annotations
@@ -21,9 +21,9 @@
 
 REPORT_TTL_SECONDS = 2.0  # a report is valid for four report intervals
 TICK_INTERVAL_SECONDS = 0.25  # the time between steps; GAIN, MAX_RISE and MAX_FALL depend on it
-# Change of the threshold per step for each unit of pressure above the goal. A response belongs to a request that was
-# admitted one latency objective ago, so a step takes effect after 1 to 2 s, which is 4 to 8 steps. A gain above 1 / 8
-# would make the threshold oscillate.
+# Change of the threshold per step for each unit of pressure above `PRESSURE_THRESHOLD`. A response belongs to a request
+# that was admitted one latency objective ago, so a step takes effect after 1 to 2 s, which is 4 to 8 steps. A gain
+# above 1 / 8 would make the threshold oscillate.
 GAIN = 0.1
 # Largest rise per step: all requests except those of the highest ranks are shed within 4 s of the start of an overload.
 MAX_RISE = 0.06
