--- a/thymeflow/leases/grant_file.py
+++ b/thymeflow/leases/grant_file.py
@@ -19,7 +19,7 @@
 from thymeflow.leases.resources import BASE_POINTS, LEASED_POINTS, Resource
 from thymeflow.snapshot import atomic_file
 
-VERSION = 2
+FILE_FORMAT_VERSION = 2
 # Older versions that can be read; their amounts are those of the first resources in `Resource`.
 RESOURCE_COUNT_BY_OLDER_VERSION = {1: 2}
 MAX_FILE_BYTES = 1 << 20
@@ -69,7 +69,9 @@
         for holder, record in issuer.records.items()
         if record.state is not HolderState.ABSENT and holder in issuer.durable_amounts
     }
-    body = msgspec.json.encode(_StoredGrants(VERSION, fleet, boot_id(), issuer.epoch, issuer.durable_until, rows))
+    body = msgspec.json.encode(
+        _StoredGrants(FILE_FORMAT_VERSION, fleet, boot_id(), issuer.epoch, issuer.durable_until, rows)
+    )
     return _compute_digest(body) + b"\n" + body
 
 
@@ -140,8 +142,8 @@
 def _decode(body: bytes) -> _StoredGrants:
     try:
         version = msgspec.json.decode(body, type=dict)["version"]
-        if version != VERSION and version not in RESOURCE_COUNT_BY_OLDER_VERSION:
-            text = f"it has version {str(version)[:20]}, and this program reads versions up to {VERSION}"
+        if version != FILE_FORMAT_VERSION and version not in RESOURCE_COUNT_BY_OLDER_VERSION:
+            text = f"it has version {str(version)[:20]}, and this program reads versions up to {FILE_FORMAT_VERSION}"
             raise GrantFileError(text)
         return msgspec.json.decode(body, type=_StoredGrants)
     except (msgspec.DecodeError, KeyError) as error:
--- a/thymeflow/leases/ledger.py
+++ b/thymeflow/leases/ledger.py
@@ -48,7 +48,7 @@
         grants = self.grants.get(holder)
         return grants[-1].amount if grants else 0
 
-    def grant(self, holder: str, number: int, amount: int, end: float, now: float) -> None:
+    def grant(self, holder: str, number: int, amount: int, ends_at: float, now: float) -> None:
         """Record a grant; the caller must do so before it sends the grant.
 
         :raises OverAllocationError: the amount is negative, or exceeds the holder's outstanding amount plus the free
@@ -59,8 +59,8 @@
             raise OverAllocationError(text)
         current = [grant for grant in self.grants.get(holder, ()) if grant.ends_at > now]
         # A grant of the same amount that ends no later adds nothing to the outstanding amount, so it is dropped.
-        remaining = [grant for grant in current if not (grant.amount == amount and grant.ends_at <= end)]
-        self.grants[holder] = [*remaining, OutstandingGrant(number, amount, end)]
+        remaining = [grant for grant in current if not (grant.amount == amount and grant.ends_at <= ends_at)]
+        self.grants[holder] = [*remaining, OutstandingGrant(number, amount, ends_at)]
 
     def acknowledge(self, holder: str, number: int) -> None:
         """Drop the holder's grants with lower numbers, because it has acknowledged the grant with this number."""
--- a/thymeflow/shedding/priority.py
+++ b/thymeflow/shedding/priority.py
@@ -16,7 +16,10 @@
 
 
 class PriorityOrder:
-    """Ranks requests by the priority weight of the class times the price of the plan, then by customer."""
+    """Ranks requests by the priority weight of the class times the price of the plan, then by customer.
+
+    Each distinct product of weight and price has a band of ranks; customers are ranked within the band.
+    """
 
     def __init__(self, settings: GatewaySettings) -> None:
         weights = {
