--- a/tests/outliers/support.py
+++ b/tests/outliers/support.py
@@ -25,7 +25,7 @@
         self._is_closed = False
         self.response_seconds = 0.0  # the time that each attempt takes; attempts are handled one after the other
         self.failing_class = b""  # text in the commands that fail; empty: all commands fail
-        self.other_class_attempts = 0  # successful attempts at failing backends
+        self.other_class_attempts = 0  # attempts at failing backends without the text of `failing_class`
         self.closes_connections = False  # whether failing backends close the connection without a response
         self.closed_to = dict[int, set[int]]()  # by process id, the backends that close its connections
 
