--- a/thymeflow/leases/grant_file.py
+++ b/thymeflow/leases/grant_file.py
@@ -19,13 +19,13 @@
 from thymeflow.leases.resources import BASE_POINTS, LEASED_POINTS, Resource
 from thymeflow.snapshot import atomic_file
 
-VERSION = 2
+FILE_FORMAT_VERSION = 2
 # Older versions that can be read; their amounts are those of the first resources in `Resource`.
 RESOURCE_COUNT_BY_OLDER_VERSION = {1: 2}
 MAX_FILE_BYTES = 1 << 20
 BOOT_ID_PATH = Path("/proc/sys/kernel/random/boot_id")
 FIRST_EPOCH = 1
-EPOCH_AFTER_LOSS = 1 << 40  # this bit is set in epochs after a loss of the file; no issuer counts up to it
+EPOCH_AFTER_LOSS = 1 << 40  # set in an epoch after a loss of the file; epochs that grow by 1 stay below it
 DIGEST_BYTES = 16
 
 
@@ -69,7 +69,9 @@
         for holder, record in issuer.records.items()
         if record.state is not HolderState.ABSENT and holder in issuer.durable_amounts
     }
-    body = msgspec.json.encode(_StoredGrants(VERSION, fleet, boot_id(), issuer.epoch, issuer.durable_until, rows))
+    body = msgspec.json.encode(
+        _StoredGrants(FILE_FORMAT_VERSION, fleet, boot_id(), issuer.epoch, issuer.durable_until, rows)
+    )
     return _compute_digest(body) + b"\n" + body
 
 
@@ -93,11 +95,12 @@
 
 
 def read(path: Path, fleet: str, now: float, members_running: bool) -> LoadedIssuer:
-    """Return the issuer that continues from the file; `members_running`: members of an earlier issuer may run.
+    """Return the issuer that continues from the file.
 
-    If the file cannot be used and members run, the issuer grants leases only once every lost lease has expired. It
-    grants no base amounts, because a member that does not report may have any. Its epoch then includes the machine's
-    monotonic time, so that no earlier issuer can have reached it.
+    `members_running` tells whether members of an earlier issuer may still be running. If they may and the file cannot
+    be used, the issuer grants leases only once all lost leases have expired, and it grants no base amounts, because a
+    member that does not report may still use some. The epoch after a loss of the file includes the machine's monotonic
+    time, so that no earlier issuer can have reached that epoch.
     """
     try:
         grants = unpack(_read_bytes(path), fleet)
@@ -139,8 +142,8 @@
 def _decode(body: bytes) -> _StoredGrants:
     try:
         version = msgspec.json.decode(body, type=dict)["version"]
-        if version != VERSION and version not in RESOURCE_COUNT_BY_OLDER_VERSION:
-            text = f"it has version {str(version)[:20]}, and this program reads versions up to {VERSION}"
+        if version != FILE_FORMAT_VERSION and version not in RESOURCE_COUNT_BY_OLDER_VERSION:
+            text = f"it has version {str(version)[:20]}, and this program reads versions up to {FILE_FORMAT_VERSION}"
             raise GrantFileError(text)
         return msgspec.json.decode(body, type=_StoredGrants)
     except (msgspec.DecodeError, KeyError) as error:
--- a/thymeflow/shedding/priority.py
+++ b/thymeflow/shedding/priority.py
@@ -9,14 +9,17 @@
 
 from thymeflow.decision.settings import GatewaySettings, Plan, RequestClass
 
-ROTATION_SECONDS = 10.0  # each customer's rank among those with the same priority weight changes after this time
+ROTATION_SECONDS = 10.0  # a customer's rank among customers of equal priority weight changes once in this time
 ROTATION_PHASES = 1000  # the rank changes of all customers are spread over this many moments of a rotation
 HASH_BYTES = 4
 HASH_RANGE = 1 << 8 * HASH_BYTES
 
 
 class PriorityOrder:
-    """Ranks requests by the priority weight of the class times the price of the plan, then by customer."""
+    """Ranks requests by the priority weight of the class times the price of the plan, then by customer.
+
+    Each distinct product of weight and price has a band of ranks; customers are ranked within the band.
+    """
 
     def __init__(self, settings: GatewaySettings) -> None:
         weights = {
