--- a/thymeflow/quota/token_bucket.py
+++ b/thymeflow/quota/token_bucket.py
@@ -17,7 +17,7 @@
 REPORT_TTL_SECONDS = 2.0  # Older reports are ignored, and slices return to an even split.
 # Units above a mean request that the set's bucket is assumed to hold while demand exceeds the quota, as a fraction of
 # the part of the burst above a mean request
-ASSUMED_SPARE_FRACTION = 0.4
+ASSUMED_RESERVE_FRACTION = 0.4
 # Ratio of use to quota that is assumed, as a minimum, while reports include only the demand and not the set's level
 MIN_USAGE_RATIO = 2.0
 # Bounds on the time constant of reported demand, which is one second per limiter of the set
@@ -57,7 +57,7 @@
         self.charged_units = 0.0  # Units charged since this bucket was created
         self.mean_cost = 0.0  # Running mean of the units per request
         # Units above a mean request that the set's bucket is assumed to hold while demand exceeds the quota
-        self.assumed_spare_units = 0.0
+        self.assumed_reserve_units = 0.0
         self.usage_ratio = MIN_USAGE_RATIO  # Metered use over the quota
         self.remote_rate_decay_seconds = DEMAND_MEMORY_SECONDS  # Time constant of the remote demand's decay in s
         # True if this limiter sums up remote use itself, from peers' reports or counter totals.
@@ -148,7 +148,9 @@
         decay = exp(-elapsed / self.local_rate_decay_seconds)
         self.local_rate = rate_before * decay
         self.remote_rate = self.remote_rate * exp(-elapsed / self.remote_rate_decay_seconds)
-        self.assumed_spare_units = ASSUMED_SPARE_FRACTION * max(self.mean_cost, self.plan.burst - self.mean_cost) + 1e-9
+        self.assumed_reserve_units = (
+            ASSUMED_RESERVE_FRACTION * max(self.mean_cost, self.plan.burst - self.mean_cost) + 1e-9
+        )
         self._refill_set_level(elapsed, rate_before)
         self._refill_slice(elapsed, rate_before, decay)
         self.ceiling_level = min(
@@ -170,10 +172,10 @@
             self.set_level += (rate - self.remote_rate) * elapsed
         else:
             # The units that other limiters admit beyond the quota are not known yet, and the limiters are assumed to
-            # share the remaining units equally. So the set's level approaches a mean request plus the assumed spare
+            # share the remaining units equally. So the set's level approaches a mean request plus the assumed reserve
             # units, and rises at most at this limiter's fraction of the rate plus half of the remaining rate.
-            missing_units = self.mean_cost + self.assumed_spare_units - self.set_level
-            change = missing_units * (1.0 - exp(-elapsed * self.remote_rate / self.assumed_spare_units))
+            missing_units = self.mean_cost + self.assumed_reserve_units - self.set_level
+            change = missing_units * (1.0 - exp(-elapsed * self.remote_rate / self.assumed_reserve_units))
             self.set_level += min(rate * (0.5 + 0.5 * self.compute_quota_fraction(rate_before)) * elapsed, change)
         self.set_level = min(self.plan.burst, self.set_level)
 
@@ -197,11 +199,11 @@
         demand = max(previous_rate + self.remote_rate, previous_rate * self.member_count)
         has_reports = self.has_recent_remote_reports()
         is_current = self.refreshed_at <= self.last_customer_report_at
-        spare_units = max(0.0, self.set_level - units) if has_reports else 0.0
+        remaining_units = max(0.0, self.set_level - units) if has_reports else 0.0
         # If use over the quota has no cost, requests are admitted beyond the level of the set.
         is_covered = units <= self.set_level or (has_reports and not self.plan.over_quota_cost)
         bias = 1.0 if is_current else probabilistic_admission.compute_demand_bias(self.plan.over_quota_cost)
-        return is_covered and probabilistic_admission.is_admitted(sample, demand, self.plan.rate, spare_units, bias)
+        return is_covered and probabilistic_admission.is_admitted(sample, demand, self.plan.rate, remaining_units, bias)
 
     def can_admit(self, units: float, sample: float) -> bool:
         """Return whether the bucket, the hard ceiling and the concurrency cap all admit a request.
@@ -223,7 +225,7 @@
             return min(units, plan.burst * fraction * 0.999) <= self.level
         # The slice borrows units of the set by sampling, because otherwise all limiters would use the same units at
         # once.
-        borrowed = sample * self.usage_ratio * self.remote_rate / plan.rate * self.assumed_spare_units
+        borrowed = sample * self.usage_ratio * self.remote_rate / plan.rate * self.assumed_reserve_units
         # While only metered usage is reported, the local debt is the only sign that the set's bucket is empty.
         is_in_debt = self.usage_ratio > 1.0 and self.level <= 0.0
         return borrowed <= self.set_level - units and not is_in_debt
